--- /dev/null
+++ b/crates/core/src/dependencies/tests.rs
@@ -0,0 +1,137 @@
+//! The graph of dependencies, from tables of edges and ends.
+use super::*;
+
+/// A change of the graph.
+#[derive(Debug, Clone, Copy)]
+enum Step {
+    /// A job that depends on others.
+    Add(u64, &'static [u64]),
+    Done(u64),
+    Cancelled(u64),
+}
+use Step::{Add, Cancelled, Done};
+
+/// The graph after these steps, and all jobs that were cancelled with others.
+fn play(steps: &[Step]) -> (DependencyGraph, Vec<u64>) {
+    let mut graph = DependencyGraph::default();
+    let mut ends: BTreeMap<JobId, Outcome> = BTreeMap::new();
+    let mut cancelled = Vec::new();
+    for step in steps {
+        let with = match step {
+            Add(job, dependencies) => {
+                let ids: Vec<JobId> = dependencies.iter().copied().map(JobId).collect();
+                graph.add(JobId(*job), &ids, |id| ends.get(&id).copied().unwrap_or_default())
+            }
+            Done(job) => {
+                ends.insert(JobId(*job), Outcome::Done);
+                graph.ended(JobId(*job), Outcome::Done)
+            }
+            Cancelled(job) => {
+                ends.insert(JobId(*job), Outcome::Cancelled);
+                graph.ended(JobId(*job), Outcome::Cancelled)
+            }
+        };
+        for id in &with {
+            ends.insert(*id, Outcome::Cancelled);
+        }
+        cancelled.extend(with.into_iter().map(|id| id.0));
+    }
+    (graph, cancelled)
+}
+
+const DIAMOND: [Step; 3] = [Add(2, &[1]), Add(3, &[1]), Add(4, &[2, 3])];
+
+#[test]
+fn a_job_is_released_when_all_that_it_depends_on_is_done() {
+    // (steps, job, released)
+    let cases: [(&[Step], u64, bool); 10] = [
+        (&[], 1, true),
+        (&[Add(2, &[1])], 1, true),
+        (&[Add(2, &[1])], 2, false),
+        (&[Add(2, &[1]), Done(1)], 2, true),
+        // Done before it was named.
+        (&[Done(1), Add(2, &[1])], 2, true),
+        (&[Add(3, &[1, 2]), Done(1)], 3, false),
+        (&[Add(3, &[1, 2]), Done(1), Done(1)], 3, false),
+        (&[Add(3, &[1, 2]), Done(1), Done(2)], 3, true),
+        // Named twice, as a record that is read again does.
+        (&[Add(2, &[1, 1]), Add(2, &[1]), Done(1)], 2, true),
+        (&[Add(2, &[1]), Cancelled(1)], 2, false),
+    ];
+    for (steps, job, released) in cases {
+        assert_eq!(play(steps).0.released(JobId(job)), released, "{steps:?}: {job}");
+    }
+}
+
+#[test]
+fn jobs_are_cancelled_with_what_they_depend_on() {
+    let after = |steps: &[Step]| [&DIAMOND[..], steps].concat();
+    // (steps, cancelled with others)
+    let cases: [(Vec<Step>, &[u64]); 8] = [
+        (after(&[Cancelled(1)]), &[2, 3, 4]),
+        (after(&[Cancelled(2)]), &[4]),
+        (after(&[Cancelled(2), Cancelled(1)]), &[4, 3]),
+        (after(&[Done(1), Cancelled(3)]), &[4]),
+        (after(&[Cancelled(4)]), &[]),
+        (after(&[Done(1), Done(2), Done(3), Done(4)]), &[]),
+        // Named when it was cancelled already, directly or with another.
+        (vec![Cancelled(1), Add(2, &[1]), Add(3, &[2])], &[2, 3]),
+        // The end of the job itself is on record: it stands, and what is after it goes on.
+        (after(&[Done(2), Cancelled(1)]), &[3, 4]),
+    ];
+    for (steps, want) in cases {
+        assert_eq!(play(&steps).1, want, "{steps:?}");
+    }
+}
+
+#[test]
+fn a_long_chain_and_a_wide_fan_are_cancelled_whole() {
+    let mut graph = DependencyGraph::default();
+    let open = |_: JobId| Outcome::Open;
+    for i in 1..1000 {
+        graph.add(JobId(i), &[JobId(i - 1)], open);
+        graph.add(JobId(10_000 + i), &[JobId(0)], open);
+    }
+    assert_eq!(graph.ended(JobId(0), Outcome::Cancelled).len(), 2 * 999);
+}
+
+#[test]
+fn a_job_whose_dependencies_are_not_all_read_is_not_released() {
+    let mut graph = DependencyGraph::default();
+    graph.set_incomplete(JobId(2), true);
+    assert!(!graph.released(JobId(2)));
+    graph.set_incomplete(JobId(2), false);
+    assert!(graph.released(JobId(2)));
+}
+
+#[test]
+fn urgency_is_joined() {
+    let urgency = |rank, due_ms, deadline| Urgency { rank, due_ms, last_ms: 2 * due_ms, deadline };
+    let late = u64::MAX / 4;
+    // (own, dependent's, joined) with 10 ms after it
+    let cases = [
+        (
+            urgency(Rank::Low, late, false),
+            urgency(Rank::High, 100, true),
+            Urgency { rank: Rank::High, due_ms: 90, last_ms: 190, deadline: true },
+        ),
+        (
+            urgency(Rank::High, 50, true),
+            urgency(Rank::Low, 100, true),
+            Urgency { rank: Rank::High, due_ms: 50, last_ms: 100, deadline: true },
+        ),
+        (
+            urgency(Rank::Normal, 80, false),
+            urgency(Rank::Low, 90, false),
+            Urgency { rank: Rank::Normal, due_ms: 80, last_ms: 160, deadline: false },
+        ),
+        (
+            urgency(Rank::Low, 95, true),
+            urgency(Rank::Production, 100, true),
+            Urgency { rank: Rank::Production, due_ms: 90, last_ms: 190, deadline: true },
+        ),
+    ];
+    for (own, dependent, joined) in cases {
+        assert_eq!(own.inherit(&dependent, 10), joined, "{own:?} {dependent:?}");
+    }
+}
--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -1,5 +1,6 @@
 //! Jobs, and the mirror of the state service that every controller keeps.
 use crate::books::Witnesses;
+use crate::dependencies::{DependencyGraph, Outcome};
 use gorseshore_protocol::ids::{JobId, MachineId, Resources};
 use gorseshore_protocol::job::{JobSpec, Kind, Preference, Rank};
 use gorseshore_protocol::workers::Report;
@@ -52,8 +53,16 @@
     attempts: Option<u32>,
     #[serde(rename = "p", default, skip_serializing_if = "Vec::is_empty")]
     prefer: Vec<Preference>,
+    /// Jobs that it replaces, then jobs that it depends on. Versions without
+    /// dependencies hold a job back until all of these are over.
     #[serde(rename = "x", default, skip_serializing_if = "Vec::is_empty")]
     after: Vec<u64>,
+    /// How many of `after`, at its end, are dependencies.
+    #[serde(rename = "q", default, skip_serializing_if = "is_default")]
+    dependencies: usize,
+    /// Number of further keys with dependencies (`keys::dependencies`).
+    #[serde(rename = "qk", default, skip_serializing_if = "is_default")]
+    dependency_keys: u32,
 }
 
 fn is_default<T: Default + PartialEq>(v: &T) -> bool {
@@ -82,16 +91,24 @@
             deadline_s: s.deadline_s,
             attempts: s.attempts,
             prefer: s.prefer.clone(),
-            after: s.after.iter().map(|j| j.0).collect(),
+            after: s.after.iter().chain(&s.dependencies).map(|j| j.0).collect(),
+            dependencies: s.dependencies.len(),
+            dependency_keys: 0,
         }
     }
 
-    fn read(id: JobId, v: &Value) -> Option<JobSpec> {
-        let r = match v {
-            Value::Array(row) => Self::from_row(row)?,
-            _ => Self::deserialize(v).ok()?,
-        };
-        Some(JobSpec {
+    fn parse(v: &Value) -> Option<Self> {
+        match v {
+            Value::Array(row) => Self::from_row(row),
+            _ => Self::deserialize(v).ok(),
+        }
+    }
+
+    fn into_spec(self, id: JobId) -> JobSpec {
+        let r = self;
+        let mut after: Vec<JobId> = r.after.into_iter().map(JobId).collect();
+        let dependencies = after.split_off(after.len().saturating_sub(r.dependencies));
+        JobSpec {
             id,
             class: r.class,
             team: r.team,
@@ -112,8 +129,9 @@
             deadline_s: r.deadline_s,
             attempts: r.attempts,
             prefer: r.prefer,
-            after: r.after.into_iter().map(JobId).collect(),
-        })
+            after,
+            dependencies,
+        }
     }
 
     fn from_row(row: &[Value]) -> Option<Self> {
@@ -141,6 +159,8 @@
             attempts: None,
             prefer: Vec::new(),
             after: Vec::new(),
+            dependencies: 0,
+            dependency_keys: 0,
         })
     }
 }
@@ -252,6 +272,8 @@
     pub chunks: BTreeMap<u32, u64>,
     /// Number of tasks.
     pub tasks: u32,
+    /// Its tasks run until it is cancelled.
+    pub service: bool,
     /// Failed attempts of tasks whose number is bounded: how many, and the last
     /// one that counted.
     pub failed: BTreeMap<u32, Failures>,
@@ -319,7 +341,13 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Change {
     /// A job's record, progress or end.
-    Job(JobId),
+    Job {
+        /// The job.
+        id: JobId,
+        /// Jobs that depend on it and are cancelled with it, or the job itself where one
+        /// that it depends on is cancelled.
+        cancelled: Vec<JobId>,
+    },
     /// A key of the guest's space.
     Aside,
     /// The leader's key.
@@ -355,6 +383,10 @@
     pub fn end(id: JobId) -> String {
         format!("g/x/{id}")
     }
+    /// Further dependencies of a job that did not fit into its record.
+    pub fn dependencies(id: JobId, part: u32) -> String {
+        format!("g/d/{id}/{part}")
+    }
     /// A chunk of a job's progress.
     pub fn progress(id: JobId, chunk: u32) -> String {
         format!("g/p/{id}/{chunk}")
@@ -389,9 +421,55 @@
     json!({"d": DescriptionRecord::of(spec), "at": submitted_ms})
 }
 
+/// What a job's record may be longer than this estimate of it: the time of day.
+const RECORD_SLACK: usize = 64;
+
+/// The records of a job, its own first: dependencies that don't fit there go into further
+/// keys. `None` if they take more than so many values of that length.
+pub fn job_records(
+    spec: &JobSpec,
+    submitted_ms: u64,
+    value_limit: usize,
+    changes_at_once: usize,
+) -> Option<Vec<(String, Value)>> {
+    let fits = |v: &Value| v.to_string().len() + RECORD_SLACK <= value_limit;
+    let whole = job_value(spec, submitted_ms);
+    if fits(&whole) {
+        return Some(vec![(keys::job(spec.id), whole)]);
+    }
+    let mut record = DescriptionRecord::of(&JobSpec { dependencies: Vec::new(), ..spec.clone() });
+    let mut values: Vec<Value> = Vec::new();
+    let mut rest = &spec.dependencies[..];
+    while !rest.is_empty() {
+        let (ids, left) = rest.split_at(ids_that_fit(rest, value_limit.saturating_sub(RECORD_SLACK)));
+        if ids.is_empty() || values.len() + 2 > changes_at_once {
+            return None;
+        }
+        values.push(json!(ids.iter().map(|id| id.0).collect::<Vec<u64>>()));
+        rest = left;
+    }
+    record.dependency_keys = values.len() as u32;
+    let own = json!({"d": record, "at": submitted_ms});
+    if !fits(&own) {
+        return None;
+    }
+    let parts = values.into_iter().zip(0..).map(|(v, part)| (keys::dependencies(spec.id, part), v));
+    Some(std::iter::once((keys::job(spec.id), own)).chain(parts).collect())
+}
+
+/// How many of the ids, from the first on, fit into a JSON array of so many bytes.
+fn ids_that_fit(ids: &[JobId], bytes: usize) -> usize {
+    let mut length = 2;
+    let fits = |id: &&JobId| {
+        length += id.0.to_string().len() + 1;
+        length <= bytes
+    };
+    ids.iter().take_while(fits).count()
+}
+
 /// A description as [`job_value`] wrote it.
 pub fn description(id: JobId, record: &Value) -> Option<JobSpec> {
-    DescriptionRecord::read(id, &record["d"])
+    Some(DescriptionRecord::parse(&record["d"])?.into_spec(id))
 }
 
 /// The record of machines of one kind: type, zone, kind, and for each its name
@@ -428,10 +506,23 @@
     pub applied: u64,
     /// Keys of the guest's space that a listing came by, if there is a guest.
     pub aside: Option<Vec<(String, Value, u64)>>,
+    /// Which jobs depend on which.
+    pub dependencies: DependencyGraph,
+    /// Dependencies in keys of their own whose job's record, or the rest of which, has
+    /// not been read.
+    dependency_parts: BTreeMap<JobId, DependencyParts>,
     /// Jobs that are over and whose description is still here.
     over: VecDeque<JobId>,
 }
 
+/// What has been read of a job's dependencies in keys of their own.
+#[derive(Debug, Default)]
+struct DependencyParts {
+    /// How many there are, once the job's record has been read.
+    expected: Option<u32>,
+    read: BTreeMap<u32, Vec<JobId>>,
+}
+
 /// Descriptions kept of jobs that are over.
 const SPECS_KEPT: usize = 2000;
 
@@ -471,39 +562,51 @@
             }
             "j" => {
                 let (Some(id), Some(v)) = (JobId::parse(name), value) else { return Change::Other };
-                let spec = DescriptionRecord::read(id, &v["d"]).map(Rc::new);
+                let record = DescriptionRecord::parse(&v["d"]);
+                let keys = record.as_ref().map_or(0, |r| r.dependency_keys);
+                let spec = record.map(|r| Rc::new(r.into_spec(id)));
                 let job = self.jobs.entry(id).or_insert_with(Job::empty);
                 job.stamp = stamp;
                 job.submitted_ms = v["at"].as_u64().unwrap_or(0);
                 job.tasks = spec.as_ref().map_or(0, |s| s.tasks);
-                job.spec = spec;
-                Change::Job(id)
+                job.service = spec.as_ref().is_some_and(|s| s.kind == Kind::Service);
+                job.spec = spec.clone();
+                let listed = spec.as_ref().map_or(&[][..], |s| &s.dependencies);
+                let mut cancelled = self.add_dependencies(id, listed);
+                if keys > 0 {
+                    self.dependency_parts.entry(id).or_default().expected = Some(keys);
+                    cancelled.extend(self.join_parts(id));
+                }
+                Change::Job { id, cancelled }
+            }
+            "d" => {
+                let (Some((id, part)), Some(v)) = (keys::of_chunk(name), value) else { return Change::Other };
+                let ids = Vec::<u64>::deserialize(v).unwrap_or_default();
+                let parts = self.dependency_parts.entry(id).or_default();
+                parts.read.insert(part, ids.into_iter().map(JobId).collect());
+                let cancelled = self.join_parts(id);
+                Change::Job { id, cancelled }
             }
             "x" => {
                 let (Some(id), Some(v)) = (JobId::parse(name), value) else { return Change::Other };
                 let job = self.jobs.entry(id).or_insert_with(Job::empty);
                 let was = job.phase;
+                let by_another = job.cancelled_by_another();
                 job.phase = if v["end"] == "done" { Phase::Done } else { Phase::Aborted };
                 job.ended_ms = v["at"].as_u64().unwrap_or(0);
                 job.end_stamp = stamp;
-                job.settled = v["gone"] == true;
+                // What was cancelled with a job that it depends on was never started.
+                job.settled = v["gone"] == true || by_another && job.phase == Phase::Aborted;
                 job.done = TaskSet::default();
                 job.chunks.clear();
                 job.failed.clear();
                 job.failed_stamps.clear();
                 job.cause = v["why"].as_str().map(str::to_owned);
                 if was == Phase::Active {
-                    self.over.push_back(id);
+                    self.note_over(id);
                 }
-                // Tasks of a job that is over may still be on machines, so its
-                // needs are kept for a while; only the end is kept for ever.
-                if self.over.len() > SPECS_KEPT
-                    && let Some(old) = self.over.pop_front()
-                    && let Some(job) = self.jobs.get_mut(&old)
-                {
-                    job.spec = None;
-                }
-                Change::Job(id)
+                let cancelled = self.note_end(id);
+                Change::Job { id, cancelled }
             }
             "p" => {
                 let Some((id, chunk)) = keys::of_chunk(name) else { return Change::Other };
@@ -514,7 +617,7 @@
                     job.done.add_chunk(chunk, v.as_str().unwrap_or(""));
                     job.chunks.insert(chunk, stamp);
                 }
-                Change::Job(id)
+                Change::Job { id, cancelled: Vec::new() }
             }
             "r" => {
                 let Some((id, chunk)) = keys::of_chunk(name) else { return Change::Other };
@@ -525,7 +628,7 @@
                     job.failed.extend(failed);
                     job.failed_stamps.insert(chunk, stamp);
                 }
-                Change::Job(id)
+                Change::Job { id, cancelled: Vec::new() }
             }
             "n" => {
                 if let (Some(aside), Some(v)) = (self.aside.as_mut(), value) {
@@ -555,6 +658,73 @@
 }
 
 impl Ledger {
+    /// Tasks of a job that is over may still be on machines, so its needs are kept for a
+    /// while; only the end is kept for ever.
+    fn note_over(&mut self, id: JobId) {
+        self.over.push_back(id);
+        if self.over.len() > SPECS_KEPT
+            && let Some(old) = self.over.pop_front()
+            && let Some(job) = self.jobs.get_mut(&old)
+        {
+            job.spec = None;
+        }
+    }
+
+    /// Adds dependencies of a job whose record is here; the jobs that this cancels.
+    fn add_dependencies(&mut self, id: JobId, dependencies: &[JobId]) -> Vec<JobId> {
+        let jobs = &self.jobs;
+        let outcome_of = |id: JobId| jobs.get(&id).map_or(Outcome::Open, |j| j.phase.outcome());
+        let cancelled = self.dependencies.add(id, dependencies, outcome_of);
+        let ends = dependencies.iter().filter_map(|d| jobs.get(d)).filter(|j| j.phase == Phase::Aborted);
+        let at_ms = ends.map(|j| j.ended_ms).max().unwrap_or(0);
+        self.cancel_with(&cancelled, at_ms);
+        cancelled
+    }
+
+    /// Adds what has been read of a job's dependencies in keys of their own, once its
+    /// record and all of them are here; the jobs that this cancels.
+    fn join_parts(&mut self, id: JobId) -> Vec<JobId> {
+        let Some(parts) = self.dependency_parts.get(&id) else { return Vec::new() };
+        let Some(expected) = parts.expected else { return Vec::new() };
+        if (0..expected).any(|part| !parts.read.contains_key(&part)) {
+            self.dependencies.set_incomplete(id, true);
+            return Vec::new();
+        }
+        let parts = self.dependency_parts.remove(&id).unwrap_or_default();
+        self.dependencies.set_incomplete(id, false);
+        let all: Vec<JobId> = parts.read.into_values().flatten().collect();
+        self.add_dependencies(id, &all)
+    }
+
+    /// An end of a job was recorded; the jobs that are cancelled with it.
+    fn note_end(&mut self, id: JobId) -> Vec<JobId> {
+        let Some(job) = self.jobs.get(&id) else { return Vec::new() };
+        let (outcome, at_ms) = (job.phase.outcome(), job.ended_ms);
+        let cancelled = self.dependencies.ended(id, outcome);
+        self.cancel_with(&cancelled, at_ms);
+        cancelled
+    }
+
+    /// Ends jobs that are cancelled with one that they depend on: nothing of them was
+    /// ever started, so there is nothing to stop and nobody who has to be told first.
+    fn cancel_with(&mut self, jobs: &[JobId], at_ms: u64) {
+        for id in jobs {
+            let Some(job) = self.jobs.get_mut(id) else { continue };
+            job.phase = Phase::Aborted;
+            job.ended_ms = at_ms;
+            job.settled = true;
+            self.note_over(*id);
+        }
+    }
+
+    /// When the last job that this one depends on was recorded as done, in milliseconds
+    /// of the time of day; its own submission if it depends on none.
+    pub fn released_ms(&self, id: JobId) -> u64 {
+        let submitted = self.jobs.get(&id).map_or(0, |j| j.submitted_ms);
+        let ends = self.dependencies.dependencies(id).iter().filter_map(|d| self.jobs.get(d));
+        ends.map(|j| j.ended_ms).fold(submitted, u64::max)
+    }
+
     /// What a key says of machines, in place of what it said before.
     fn take_machines(&mut self, key: &str, batch: Option<Batch>, stamp: u64) {
         let (old, _) = self.records.remove(key).unwrap_or_default();
@@ -578,7 +748,22 @@
     }
 }
 
+impl Phase {
+    fn outcome(self) -> Outcome {
+        match self {
+            Phase::Active => Outcome::Open,
+            Phase::Done => Outcome::Done,
+            Phase::Aborted => Outcome::Cancelled,
+        }
+    }
+}
+
 impl Job {
+    /// Whether it is cancelled with a job that it depends on and has no recorded end.
+    pub fn cancelled_by_another(&self) -> bool {
+        self.phase == Phase::Aborted && self.end_stamp == 0
+    }
+
     fn empty() -> Self {
         Job {
             spec: None,
@@ -591,6 +776,7 @@
             done: TaskSet::default(),
             chunks: BTreeMap::new(),
             tasks: 0,
+            service: false,
             failed: BTreeMap::new(),
             failed_stamps: BTreeMap::new(),
             cause: None,
@@ -598,6 +784,9 @@
     }
 }
 
+#[cfg(test)]
+mod dependency_records;
+
 #[cfg(test)]
 mod tests {
     use super::*;
@@ -700,10 +889,11 @@
             assert_eq!((s.kind, s.rank, s.tasks, s.zones.clone(), s.deadline_s), want, "{row}");
             // Written anew, it says the same.
             let again = job_value(&s, 77);
-            assert_eq!(DescriptionRecord::read(JobId(412), &again["d"]).as_ref(), Some(&*s), "{row}");
+            assert_eq!(description(JobId(412), &again).as_ref(), Some(&*s), "{row}");
         }
         for broken in ["[]", r#"["t","v","array"]"#, "{}", "7"] {
-            assert_eq!(DescriptionRecord::read(JobId(1), &serde_json::from_str(broken).unwrap()), None);
+            let record = json!({"d": serde_json::from_str::<Value>(broken).unwrap()});
+            assert_eq!(description(JobId(1), &record), None);
         }
     }
 
--- /dev/null
+++ b/crates/core/src/jobs/dependency_records.rs
@@ -0,0 +1,104 @@
+//! Records of jobs with dependencies: written within the limits, read in any order.
+use super::*;
+use gorseshore_protocol::users::parse_submission;
+
+/// A submission that depends on so many jobs, numbered from 1,000,000 on.
+fn submission(dependencies: usize) -> JobSpec {
+    let names: Vec<String> = (0..dependencies).map(|i| JobId(1_000_000 + i as u64).to_string()).collect();
+    let body = json!({"ref":"j-000412","lot":"t","crew":"v","manner":"array","rank":"high",
+        "pieces":3,"cpus":1.5,"gpus":0,"memory_gb":2.1,"bundle":"i","image_gb":0.5,
+        "same_place":false,"apart":false,"loaners":false,"guess_s":10,"mark_s":0,"stow_s":0,
+        "due_s":60,"awaits":names});
+    parse_submission(body.to_string().as_bytes()).unwrap()
+}
+
+#[test]
+fn dependencies_are_written_within_the_limits() {
+    // (dependencies, longest value, changes at once; keys written, `None` if it can't be)
+    let cases = [
+        (0, 2000, 4, Some(1)),
+        (3, 2000, 4, Some(1)),
+        (200, 2000, 4, Some(1)),
+        (500, 2000, 4, Some(4)),
+        (650, 2000, 4, Some(4)),
+        (900, 2000, 4, None),
+        (5000, 16_000, 24, Some(4)),
+        (5000, 2000, 4, None),
+        (3, 100, 4, None),
+    ];
+    for (dependencies, value_limit, changes, keys) in cases {
+        let records = job_records(&submission(dependencies), 1_700_000_000_000, value_limit, changes);
+        assert_eq!(records.as_ref().map(Vec::len), keys, "{dependencies} in {value_limit}, {changes}");
+        for (key, value) in records.unwrap_or_default() {
+            assert!(value.to_string().len() <= value_limit, "{key}: {}", value.to_string().len());
+        }
+    }
+}
+
+#[test]
+fn dependencies_are_read_in_any_order_of_their_keys() {
+    let spec = submission(500);
+    let records = job_records(&spec, 77, 2000, 4).unwrap();
+    let ends = |ledger: &mut Ledger, from: u64| {
+        for id in from..1_000_500 {
+            ledger.apply(&keys::end(JobId(id)), Some(&json!({"end": "done", "at": 80})), 9);
+        }
+    };
+    for first in 0..records.len() {
+        let mut ledger = Ledger::default();
+        let order = records.iter().cycle().skip(first).take(records.len());
+        for (key, value) in order {
+            ledger.apply(key, Some(value), 5);
+        }
+        assert_eq!(ledger.dependencies.dependencies(spec.id).len(), 500);
+        ends(&mut ledger, 1_000_001);
+        assert!(!ledger.dependencies.released(spec.id), "one is not done");
+        ends(&mut ledger, 1_000_000);
+        assert!(ledger.dependencies.released(spec.id));
+        assert_eq!(ledger.released_ms(spec.id), 80);
+        // Without one of the keys nobody knows.
+        let mut ledger = Ledger::default();
+        ends(&mut ledger, 1_000_000);
+        let job_first = records.iter().filter(|(key, _)| *key != records[first.max(1)].0);
+        for (key, value) in job_first {
+            ledger.apply(key, Some(value), 5);
+        }
+        assert!(!ledger.dependencies.released(spec.id), "a key is missing");
+    }
+}
+
+/// The job on one that was cancelled, as a replica sees it: phase, settled, and whether
+/// its cancellation is on record.
+fn of_dependent(records: &[(String, Value)]) -> (Phase, bool, bool) {
+    let mut ledger = Ledger::default();
+    for (stamp, (key, value)) in records.iter().enumerate() {
+        ledger.apply(key, Some(value), 1 + stamp as u64);
+    }
+    let job = &ledger.jobs[&JobId(412)];
+    (job.phase, job.settled, job.end_stamp > 0)
+}
+
+#[test]
+fn a_job_is_cancelled_by_the_records_of_those_it_depends_on() {
+    let needed = (keys::job(JobId(1_000_000)), job_value(&submission(0), 1));
+    let job = (keys::job(JobId(412)), job_value(&submission(1), 2));
+    let end = |id: u64, v: Value| (keys::end(JobId(id)), v);
+    let aborted = |id| end(id, json!({"end": "aborted", "at": 3}));
+    let done = |id| end(id, json!({"end": "done", "at": 3}));
+    // (records in the order in which they are read; phase, settled, recorded)
+    let cases = [
+        (vec![needed.clone(), job.clone()], (Phase::Active, false, false)),
+        (vec![needed.clone(), job.clone(), done(1_000_000)], (Phase::Active, false, false)),
+        (vec![needed.clone(), job.clone(), aborted(1_000_000)], (Phase::Aborted, true, false)),
+        (vec![needed.clone(), aborted(1_000_000), job.clone()], (Phase::Aborted, true, false)),
+        // A listing gives the job before the one that it depends on.
+        (vec![job.clone(), needed.clone(), aborted(1_000_000)], (Phase::Aborted, true, false)),
+        // Its user cancels it, too: nothing of it was ever started.
+        (vec![job.clone(), aborted(1_000_000), aborted(412)], (Phase::Aborted, true, true)),
+        (vec![job.clone(), aborted(412), aborted(1_000_000)], (Phase::Aborted, false, true)),
+        (vec![job.clone(), done(1_000_000), done(412)], (Phase::Done, false, true)),
+    ];
+    for (i, (records, want)) in cases.into_iter().enumerate() {
+        assert_eq!(of_dependent(&records), want, "case {i}");
+    }
+}
--- a/crates/core/src/leader/machines.rs
+++ b/crates/core/src/leader/machines.rs
@@ -260,7 +260,7 @@
 
     pub(super) fn return_idle(&mut self, flavors: &[Flavor], now: Micros) {
         let mut back = Vec::new();
-        let waiting = self.jobs.values().any(|r| !r.over && r.waiting() > 0);
+        let waiting = self.jobs.values().any(|r| !r.over && !r.held && r.waiting() > 0);
         // Room for replicas that come, by zone: ordinary machines only.
         let mut spare: BTreeMap<String, u64> = BTreeMap::new();
         for m in self.machines.values().filter(|m| !m.spot && m.usable()) {
@@ -311,7 +311,7 @@
 
     /// CPUs of a machine that work below the highest priority takes.
     fn lent(&self, m: &Machine) -> u64 {
-        let lower = |t: &&TaskId| self.jobs.get(&t.job).is_some_and(|r| r.spec.rank < Rank::Production);
+        let lower = |t: &&TaskId| self.jobs.get(&t.job).is_some_and(|r| r.urgency.rank < Rank::Production);
         m.tasks.keys().filter(lower).map(|t| self.jobs[&t.job].spec.need.cpu).sum()
     }
 
@@ -325,11 +325,12 @@
         let zones: BTreeSet<&String> = all.filter(|z| !self.health.is_closed(z)).collect();
         let minute_ago = self.wall_ms(now).saturating_sub(60_000);
         let (mut largest, mut recent, mut running) = (0, 0, 0);
-        let services = |r: &&Run| r.spec.kind == Kind::Service && r.spec.rank == Rank::Production && !r.over;
+        let services =
+            |r: &&Run| r.spec.kind == Kind::Service && r.spec.rank == Rank::Production && !r.over && !r.held;
         for r in self.jobs.values().filter(services) {
             largest = largest.max(r.spec.need.cpu * r.spec.zone_cap() as u64);
             running += r.spec.need.cpu * r.bound.len() as u64;
-            if r.submitted_ms > minute_ago {
+            if r.ready_ms > minute_ago {
                 recent += r.spec.need.cpu * r.spec.tasks as u64;
             }
         }
@@ -418,11 +419,11 @@
             if waiting == 0 || r.over || r.held || self.blocked(r) || hopeless {
                 continue;
             }
-            let waited = |ms: u64| r.bound.is_empty() && wall_ms > r.submitted_ms + ms;
+            let waited = |ms: u64| r.bound.is_empty() && wall_ms > r.ready_ms + ms;
             let (starving, dry) = (waited(90_000), waited(THIRSTY_MS) && r.spec.kind == Kind::Array);
             thirsty += if dry { waiting as usize } else { 0 };
             list.push((
-                r.spec.rank,
+                r.urgency.rank,
                 r.order(wall_ms, slots),
                 Demand { spec: r.spec.clone(), waiting, starving, thirsty: dry, zones: self.zones_of(r) },
             ));
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -4,6 +4,7 @@
 mod blocks;
 mod books;
 mod deaf;
+mod dependents;
 pub mod health;
 mod machine;
 mod machines;
@@ -26,6 +27,7 @@
 
 use crate::books::Ledgers;
 use crate::controller::{ASK_TIMEOUT, ASKED_AFTER, Sizes};
+use crate::dependencies::Urgency;
 use crate::fair_queue::FairQueue;
 use crate::fleet::{self, Demand, Offer, Policy, Room};
 use crate::jobs::{Failures, Job, Ledger, MachineRecord, Phase, TaskSet};
@@ -186,8 +188,12 @@
     books: Ledgers,
     /// The books of before are waited for.
     wants_books: bool,
-    /// Jobs that wait for the end of the one that they replace.
+    /// Jobs that wait for the end of others: which they replace, or depend on.
     held: BTreeSet<JobId>,
+    /// A job was recorded as done, so that others may be released.
+    dependency_done: bool,
+    /// Jobs that were cancelled with one that they depend on and have no record of it.
+    unrecorded_cancellations: BTreeSet<JobId>,
     /// Tasks that are handed out and whose place is not known.
     handed: BTreeSet<TaskId>,
     /// The blocks as sets, made when they are needed.
@@ -270,6 +276,8 @@
             books,
             wants_books: ledger.books.0.term > 0 && !ledger.books.0.nodes.is_empty(),
             held: BTreeSet::new(),
+            dependency_done: true,
+            unrecorded_cancellations: BTreeSet::new(),
             handed: BTreeSet::new(),
             blocks: BTreeMap::new(),
             sums: Sums::default(),
@@ -316,7 +324,7 @@
             // user may have been told long after its record, and whatever is left of it
             // breaks the rule at any later time.
             match job.phase {
-                Phase::Aborted if job.settled => {}
+                Phase::Aborted if job.settled => l.note_cancelled_by_another(*id, job),
                 Phase::Aborted => {
                     let by = crate::deputy::gone_by(job.ended_ms, wall_ms, l.ctx.cancel, now);
                     l.aborted.insert(*id, by);
@@ -391,10 +399,15 @@
                 let Some(spec) = &job.spec else { return };
                 match self.jobs.get_mut(&id) {
                     None => {
-                        if !spec.after.is_empty() {
+                        let mut run = Run::new(job, spec.clone(), &self.ctx.objectives);
+                        run.held = !spec.after.is_empty() || !ledger.dependencies.released(id);
+                        if run.held {
                             self.held.insert(id);
+                        } else {
+                            run.ready_at(ledger.released_ms(id));
                         }
-                        self.jobs.insert(id, Run::new(job, spec.clone(), &self.ctx.objectives));
+                        self.jobs.insert(id, run);
+                        self.inherit_urgency(id, ledger);
                     }
                     Some(run) => {
                         for index in run.recorded(job, spec) {
@@ -403,12 +416,12 @@
                     }
                 }
             }
-            Phase::Aborted if job.settled => {}
+            Phase::Aborted if job.settled => self.note_cancelled_by_another(id, job),
             Phase::Aborted => {
                 self.aborted.entry(id).or_insert(now + self.ctx.cancel);
                 self.stops_at = Micros(0);
             }
-            Phase::Done => {}
+            Phase::Done => self.dependency_done = true,
         }
         if job.phase != Phase::Active
             && let Some(run) = self.jobs.get_mut(&id)
@@ -417,6 +430,7 @@
             for index in std::mem::take(&mut run.unrecorded) {
                 self.books.note(TaskId { job: id, index });
             }
+            self.inherit_urgency(id, ledger);
         }
     }
 
@@ -428,11 +442,15 @@
         }
     }
 
-    /// Lets go of jobs that wait for the end of the one that they replace.
+    /// Lets go of jobs that wait for the end of others.
     fn release(&mut self, ledger: &Ledger) {
+        let done = std::mem::take(&mut self.dependency_done);
         let free = |id: &JobId| {
-            let run = self.jobs.get(id);
-            run.is_none_or(|r| r.spec.after.iter().all(|a| self.gone_for_good(*a, ledger)))
+            let Some(run) = self.jobs.get(id) else { return true };
+            if run.spec.after.is_empty() && !done {
+                return false;
+            }
+            ledger.dependencies.released(*id) && run.spec.after.iter().all(|a| self.gone_for_good(*a, ledger))
         };
         let free: Vec<JobId> = self.held.iter().filter(|id| free(id)).copied().collect();
         for id in free {
@@ -441,7 +459,9 @@
             self.requeue = true;
             if let Some(run) = self.jobs.get_mut(&id) {
                 run.held = false;
+                run.ready_at(ledger.released_ms(id));
             }
+            self.inherit_urgency(id, ledger);
         }
     }
 
--- a/crates/core/src/leader/overdue.rs
+++ b/crates/core/src/leader/overdue.rs
@@ -44,7 +44,7 @@
             }
             let zones = self.zones_of(run);
             if let Some(machine) = self.find(run, &zones, now) {
-                let (rank, team, class) = (run.spec.rank, run.spec.team.clone(), run.spec.class.clone());
+                let (rank, team, class) = (run.urgency.rank, run.spec.team.clone(), run.spec.class.clone());
                 info!("{id} of class {class} waited too long: its first task goes before others");
                 self.hand_out(TaskId { job: *id, index }, machine);
                 let w = self.weight(&team);
--- a/crates/core/src/leader/records.rs
+++ b/crates/core/src/leader/records.rs
@@ -3,6 +3,9 @@
 use crate::jobs::{FAILED_CHUNK, machine_room, machines_value};
 use serde_json::Value;
 
+/// Records of jobs cancelled with others that are offered at a time: they are in no hurry.
+const CANCELLATIONS_AT_ONCE: usize = 100;
+
 impl Leader {
     /// What should be written, most urgent first.
     pub fn writes(&self, ledger: &Ledger, value_limit: usize, now: Micros) -> Vec<LeaderWrite> {
@@ -61,6 +64,8 @@
                 v.push(LeaderWrite::Settle(*id));
             }
         }
+        let unrecorded = self.unrecorded_cancellations.iter().take(CANCELLATIONS_AT_ONCE);
+        v.extend(unrecorded.map(|id| LeaderWrite::CancelledWith(*id)));
         for (key, (ids, _)) in &ledger.records {
             if ids.iter().any(|id| self.gone.contains_key(id)) {
                 v.push(LeaderWrite::Forget(key.clone()));
@@ -142,6 +147,7 @@
             | LeaderWrite::Failures(..)
             | LeaderWrite::Fail(..)
             | LeaderWrite::Settle(_)
+            | LeaderWrite::CancelledWith(_)
             | LeaderWrite::Forget(_) => {}
         }
     }
--- a/crates/core/src/leader/run.rs
+++ b/crates/core/src/leader/run.rs
@@ -28,16 +28,28 @@
 /// a boot or two. A faulty machine is the one with room, since nothing stays on it.
 pub(super) const ELSEWHERE: Micros = Micros::secs(15);
 
+/// A job without a deadline and without an objective for its class is due after so many
+/// seconds.
+const NEVER_DUE_S: f64 = 1e9;
+
+/// What a job of a pipeline takes beside its tasks' run time, in milliseconds: images,
+/// reports, the record of its end, and the hand-out of the next one.
+const STAGE_OVERHEAD_MS: u64 = 5_000;
+
 /// A job as the leader runs it.
 #[derive(Debug)]
 pub(super) struct Run {
     pub(super) spec: Rc<JobSpec>,
     pub(super) stamp: u64,
-    /// When it should be complete, and when its lateness can't be helped, in
-    /// milliseconds of the time of day.
-    pub(super) due_ms: u64,
-    pub(super) last_ms: u64,
-    pub(super) submitted_ms: u64,
+    /// Its own priority and times.
+    pub(super) own_urgency: Urgency,
+    /// The same, with what it inherits from jobs that depend on it.
+    pub(super) urgency: Urgency,
+    /// From when its waiting counts: its submission, or the end of the last job that it
+    /// depends on, in milliseconds of the time of day.
+    pub(super) ready_ms: u64,
+    /// What its class is expected to be complete within, in milliseconds.
+    within_ms: Option<u64>,
     pub(super) done: TaskSet,
     pub(super) bound: BTreeMap<u32, Binding>,
     pub(super) again: BTreeSet<u32>,
@@ -63,7 +75,8 @@
     /// count is not recorded yet: those are not started again before it is.
     pub(super) fails: BTreeMap<u32, Failures>,
     pub(super) unsaved: BTreeSet<u32>,
-    /// Something of the job that it replaces may be left.
+    /// Something of the job that it replaces may be left, or a job that it depends on is
+    /// not recorded as done.
     pub(super) held: bool,
     /// Its running tasks as last told, and the update that first told so.
     pub(super) shown: (u32, u64),
@@ -74,16 +87,22 @@
         let of_class = || objectives.iter().filter(|o| o.class == spec.class);
         let within = of_class().filter(|o| o.kind == "finished").filter_map(|o| o.within_s).reduce(f64::max);
         let times = of_class().filter_map(|o| o.times).fold(1.0, f64::max);
-        let due = spec.deadline_s.or(within).unwrap_or(1e9);
-        let last = spec.deadline_s.map(|d| d * times).or(within).unwrap_or(1e9);
-        let at = |s: f64| job.submitted_ms + (s.max(0.0) * 1000.0) as u64;
-        Run {
+        let millis = |s: f64| (s.max(0.0) * 1000.0) as u64;
+        let due = spec.deadline_s.unwrap_or(NEVER_DUE_S);
+        let own_urgency = Urgency {
+            rank: spec.rank,
+            due_ms: job.submitted_ms + millis(due),
+            last_ms: job.submitted_ms + millis(due * times),
+            deadline: spec.deadline_s.is_some(),
+        };
+        let mut run = Run {
             stamp: job.stamp,
-            due_ms: at(due),
-            last_ms: at(last),
-            submitted_ms: job.submitted_ms,
+            own_urgency,
+            urgency: own_urgency,
+            ready_ms: job.submitted_ms,
+            within_ms: within.map(millis),
             done: job.done.clone(),
-            held: !spec.after.is_empty(),
+            held: false,
             spec,
             bound: BTreeMap::new(),
             again: BTreeSet::new(),
@@ -101,8 +120,24 @@
             fails: job.failed.clone(),
             unsaved: BTreeSet::new(),
             shown: (0, 0),
+        };
+        run.ready_at(job.submitted_ms);
+        run
+    }
+    /// Its waiting counts from this time of day, in milliseconds; its deadline still from
+    /// its submission.
+    pub(super) fn ready_at(&mut self, ready_ms: u64) {
+        self.ready_ms = ready_ms;
+        if let (Some(within), false) = (self.within_ms, self.own_urgency.deadline) {
+            self.own_urgency.due_ms = ready_ms + within;
+            self.own_urgency.last_ms = ready_ms + within;
         }
     }
+    /// What it takes from its release to its record as done, by its owner's estimate, in
+    /// milliseconds: as far as jobs that it depends on have to be over before.
+    pub(super) fn span_ms(&self) -> u64 {
+        (self.spec.estimate_s * 1000.0) as u64 + STAGE_OVERHEAD_MS
+    }
     /// A task whose attempts are used up.
     pub(super) fn used_up(&self) -> Option<u32> {
         let most = self.spec.attempts?;
@@ -177,18 +212,19 @@
     /// those that can't be in time any more, until they have waited very long.
     /// `slots` is how many such tasks run at a time.
     pub(super) fn order(&self, wall_ms: u64, slots: u64) -> (bool, u64, u64) {
-        let span = self.last_ms.saturating_sub(self.submitted_ms);
+        let Urgency { due_ms, last_ms, deadline, .. } = self.urgency;
+        let span = last_ms.saturating_sub(self.ready_ms);
         let waves = 1.0 + self.waiting() as f64 / slots.max(1) as f64;
         let end = wall_ms + (self.spec.estimate_s * waves * 1000.0) as u64;
-        let late = end > self.last_ms && wall_ms < self.last_ms + 3 * span;
+        let late = end > last_ms && wall_ms < last_ms + 3 * span;
         // A large job holds up many small ones that could still be in time: it
         // goes behind them by its part of the slots. A deadline of its owner's
         // is kept to as it is.
-        let part = match self.spec.deadline_s {
-            None => (self.waiting() as f64 / slots.max(1) as f64).min(1.0),
-            Some(_) => 0.0,
+        let part = match deadline {
+            false => (self.waiting() as f64 / slots.max(1) as f64).min(1.0),
+            true => 0.0,
         };
-        (late, self.due_ms + (span as f64 * part) as u64, self.submitted_ms)
+        (late, due_ms + (span as f64 * part) as u64, self.ready_ms)
     }
     pub(super) fn waiting(&self) -> u32 {
         let n = self.spec.tasks;
--- a/crates/core/src/leader/schedule.rs
+++ b/crates/core/src/leader/schedule.rs
@@ -189,13 +189,13 @@
             if waiting.unsure && self.blocked(run) {
                 continue;
             }
-            if !run.begun && wall_ms > run.submitted_ms + overdue::OVERDUE_MS {
+            if !run.begun && wall_ms > run.ready_ms + overdue::OVERDUE_MS {
                 match self.has_begun(id, run, now) {
                     true => begun.push(id),
-                    false => overdue.push((run.submitted_ms, id)),
+                    false => overdue.push((run.ready_ms, id)),
                 }
             }
-            let (rank, cpu) = (run.spec.rank, run.spec.need.cpu);
+            let (rank, cpu) = (run.urgency.rank, run.spec.need.cpu);
             let least = waiting.least_cpu.entry(rank).or_insert(cpu);
             *least = cpu.min(*least);
             let teams = ranks.entry(rank).or_default();
@@ -267,7 +267,7 @@
         let now = pass.now;
         let Some(run) = self.jobs.get_mut(&id).filter(|r| !r.over) else { return false };
         let Some(index) = run.peek() else { return false };
-        let may_preempt = (pass.guaranteed || run.spec.rank == Rank::Production) && now >= run.room_until;
+        let may_preempt = (pass.guaranteed || run.urgency.rank == Rank::Production) && now >= run.room_until;
         let need = run.spec.need;
         if !(self.rooms.any(need.cpu) || may_preempt && pass.lendable.any(&need)) {
             return false;
@@ -404,7 +404,8 @@
         pass: &mut Pass,
     ) -> Option<(String, u32)> {
         let (guaranteed, now) = (pass.guaranteed, pass.now);
-        let spec = self.jobs.get(&id)?.spec.clone();
+        let run = self.jobs.get(&id)?;
+        let (spec, rank) = (run.spec.clone(), run.urgency.rank);
         if pass.lendable.machines.is_none() {
             pass.lendable = self.lendable(guaranteed, now);
         }
@@ -446,7 +447,7 @@
                     break;
                 }
                 let Some(r) = self.jobs.get(&t.job) else { continue };
-                let lower = r.spec.rank < spec.rank;
+                let lower = r.urgency.rank < rank;
                 let lent = r.spec.team != spec.team
                     && lendable
                         .get(&r.spec.team)
@@ -473,7 +474,7 @@
             self.stop(*task, *attempt, &mid, Micros(0), now);
         }
         let m = self.machines.get_mut(&mid)?;
-        m.kept_for = Some((spec.rank, now + Micros::secs(2)));
+        m.kept_for = Some((rank, now + Micros::secs(2)));
         let here = zones.get(&m.zone).copied().unwrap_or(0);
         Some((m.zone.clone(), room.min(spec.zone_cap().saturating_sub(here)).max(1)))
     }
@@ -489,7 +490,7 @@
             let mut some = false;
             for (t, _) in m.tasks.iter().filter(|(_, (_, s))| *s != TaskState::Starting) {
                 let Some(r) = self.jobs.get(&t.job) else { continue };
-                if guaranteed || r.spec.rank < Rank::Production {
+                if guaranteed || r.urgency.rank < Rank::Production {
                     room = room.plus(r.spec.need);
                     some = true;
                 }
--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -4,6 +4,8 @@
 use crate::peer::Held;
 use serde_json::json;
 
+mod pipelines;
+
 const TERM: u64 = 3;
 const A: NodeId = NodeId(0);
 const B: NodeId = NodeId(1);
--- a/crates/core/src/leader/waits.rs
+++ b/crates/core/src/leader/waits.rs
@@ -10,7 +10,7 @@
 /// Why a job that waits does.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Why {
-    /// It replaces a job of which something may be left.
+    /// It replaces a job of which something may be left, or depends on one that is not done.
     Held,
     /// Its tasks failed, and are tried again later.
     Failing,
@@ -32,7 +32,7 @@
 impl std::fmt::Display for Why {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
-            Why::Held => "the job that it replaces is not over",
+            Why::Held => "a job that it replaces or depends on is not over",
             Why::Failing => "its tasks failed and are tried again later",
             Why::Unheard => "machines that nobody heard may hold its tasks",
             Why::Limit => "its team is at its limit",
@@ -90,8 +90,8 @@
         let wall_ms = self.wall_ms(now);
         let mut longest: BTreeMap<&str, (u64, JobId)> = BTreeMap::new();
         for (id, r) in self.jobs.iter().filter(|(_, r)| !r.over && r.bound.is_empty() && r.waiting() > 0) {
-            let first = longest.entry(&r.spec.class).or_insert((r.submitted_ms, *id));
-            *first = (*first).min((r.submitted_ms, *id));
+            let first = longest.entry(&r.spec.class).or_insert((r.ready_ms, *id));
+            *first = (*first).min((r.ready_ms, *id));
         }
         let waits = longest.into_iter().filter_map(|(class, (at, id))| {
             let waited = Micros::millis(wall_ms.saturating_sub(at));
--- a/crates/core/src/leader/wishes.rs
+++ b/crates/core/src/leader/wishes.rs
@@ -18,6 +18,8 @@
     Fail(JobId, u32),
     /// Nothing is left of a cancelled job.
     Settle(JobId),
+    /// A job is cancelled with one that it depends on.
+    CancelledWith(JobId),
     /// Machines of the record with this key are gone.
     Forget(String),
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -3,6 +3,7 @@
 #![warn(missing_docs)]
 pub mod books;
 pub mod controller;
+pub mod dependencies;
 pub mod deputy;
 pub mod election;
 pub mod fair_queue;
--- a/crates/core/src/node/cancellations.rs
+++ b/crates/core/src/node/cancellations.rs
@@ -93,10 +93,10 @@
         for w in writes {
             let Write::Put { put, v, .. } = w else { continue };
             if v["end"] == "aborted"
-                && let Change::Job(job) = self.mirror.ledger.apply(put, Some(v), stamp)
+                && let change @ Change::Job { id, .. } = self.mirror.ledger.apply(put, Some(v), stamp)
             {
-                self.changed(Change::Job(job));
-                ended.push(job);
+                self.changed(change);
+                ended.push(id);
             }
         }
         ended
--- a/crates/core/src/node/duties.rs
+++ b/crates/core/src/node/duties.rs
@@ -116,7 +116,7 @@
                             g.apply(name, v, e.stamp);
                         }
                     }
-                    Change::Job(id) if id.own() => g.job_changed(*id, e.stamp),
+                    Change::Job { id, .. } if id.own() => g.job_changed(*id, e.stamp),
                     _ => {}
                 }
             }
@@ -131,12 +131,14 @@
     }
 
     pub(super) fn changed(&mut self, c: Change) {
-        let Change::Job(id) = c else { return };
-        if let Some(job) = self.mirror.ledger.jobs.get(&id) {
-            self.ctl.job_changed(id, job);
-        }
-        if let Some(l) = self.leadership.leader.as_mut() {
-            l.job_changed(id, &self.mirror.ledger, self.now);
+        let Change::Job { id, cancelled } = c else { return };
+        for id in std::iter::once(id).chain(cancelled) {
+            if let Some(job) = self.mirror.ledger.jobs.get(&id) {
+                self.ctl.job_changed(id, job);
+            }
+            if let Some(l) = self.leadership.leader.as_mut() {
+                l.job_changed(id, &self.mirror.ledger, self.now);
+            }
         }
     }
 
@@ -381,7 +383,7 @@
                 LeaderWrite::End(_) | LeaderWrite::Machines(_) | LeaderWrite::Hire(_) => 0.0,
                 LeaderWrite::Failures(..) | LeaderWrite::Fail(..) => 0.0,
                 LeaderWrite::Progress(..) | LeaderWrite::Settle(_) => 1.0,
-                LeaderWrite::Forget(_) => 2.0,
+                LeaderWrite::CancelledWith(_) | LeaderWrite::Forget(_) => 2.0,
             };
             if !self.leadership.bucket.take(self.now, cost as f64, keep) {
                 break;
@@ -452,6 +454,12 @@
                     }
                     put(key, v, &mut m)
                 }
+                LeaderWrite::CancelledWith(id) => {
+                    let Some(job) = self.mirror.ledger.jobs.get(id) else { continue };
+                    let key = keys::end(*id);
+                    m.when.push(When { path: key.clone(), stamp: 0 });
+                    put(key, json!({"end": "aborted", "at": job.ended_ms, "gone": true}), &mut m)
+                }
                 LeaderWrite::Forget(key) => {
                     let Some((ids, stamp)) = self.mirror.ledger.records.get(key) else { continue };
                     m.when.push(When { path: key.clone(), stamp: *stamp });
--- a/crates/core/src/node/leadership.rs
+++ b/crates/core/src/node/leadership.rs
@@ -86,7 +86,9 @@
                 let left: Vec<_> = ids.iter().filter(|id| free(keys::machines(id))).cloned().collect();
                 return (!left.is_empty()).then_some(LeaderWrite::Machines(left));
             }
-            LeaderWrite::End(id) | LeaderWrite::Settle(id) => free(keys::end(*id)),
+            LeaderWrite::End(id) | LeaderWrite::Settle(id) | LeaderWrite::CancelledWith(id) => {
+                free(keys::end(*id))
+            }
             LeaderWrite::Fail(id, _) => free(keys::end(*id)) && free(keys::job(*id)),
             LeaderWrite::Progress(id, c) => free(keys::progress(*id, *c)) && free(keys::end(*id)),
             LeaderWrite::Failures(id, c) => free(keys::failed(*id, *c)) && free(keys::end(*id)),
--- a/crates/core/src/node/requests.rs
+++ b/crates/core/src/node/requests.rs
@@ -119,7 +119,7 @@
         let checked = parsed.map_err(|e| (400, e)).and_then(|s| self.check(s));
         let known = self.mirror.ledger.jobs.contains_key(&job);
         match checked {
-            Ok(spec) if !known => {
+            Ok(spec) if !known && self.unknown_dependency(&spec).is_none() => {
                 if !self.mirror.loaded
                     || self.mirror.state_refuses(self.now)
                     || self.users.writes.len() >= MAX_WAITING
@@ -152,12 +152,25 @@
         if !fits {
             return Err((422, "a task fits no allowed machine type".into()));
         }
-        if jobs::job_value(&s, 0).to_string().len() + 64 > self.value_limit {
+        if jobs::job_records(&s, 0, self.value_limit, self.limits.0).is_none() {
             return Err((400, "the description is too long".into()));
         }
+        if s.dependencies.contains(&s.id) {
+            return Err((422, "awaits: the job itself".into()));
+        }
+        let service = |id: &&JobId| self.mirror.ledger.jobs.get(*id).is_some_and(|j| j.service);
+        if let Some(id) = s.dependencies.iter().find(service) {
+            return Err((422, format!("awaits: {id} is a service, which is never done")));
+        }
         Ok(s)
     }
 
+    /// A job that the submission depends on and that is not in the replica: it was never
+    /// accepted, or this replica is behind.
+    fn unknown_dependency(&self, s: &JobSpec) -> Option<JobId> {
+        s.dependencies.iter().find(|id| !self.mirror.ledger.jobs.contains_key(id)).copied()
+    }
+
     /// Asks once for all that wait whether the mirror is up to date.
     pub(super) fn barrier(&mut self) {
         if self.users.barrier_open || !self.mirror.listed {
@@ -196,8 +209,13 @@
                 if self.mirror.ledger.jobs.contains_key(&job) {
                     return self.current_answer(id, job);
                 }
-                match *checked {
+                // What it depends on may have come with the proof.
+                match checked.and_then(|spec| self.check(spec)) {
                     Ok(spec) => {
+                        if let Some(dependency) = self.unknown_dependency(&spec) {
+                            let reason = format!("awaits: {dependency} was never accepted");
+                            return self.out.answer(id, 422, users::error(&reason));
+                        }
                         let until = self.now + Micros::millis(3000);
                         self.users.writes.push_back((UserWrite::Submit(id, Box::new(spec)), until));
                         self.write_users();
@@ -221,6 +239,11 @@
         }
     }
 
+    /// The records of a job that was checked (`check`).
+    fn records_of(&self, spec: &JobSpec) -> Vec<(String, serde_json::Value)> {
+        jobs::job_records(spec, self.wall_ms, self.value_limit, self.limits.0).unwrap_or_default()
+    }
+
     /// Sends users' changes as far as the budget goes.
     pub(super) fn write_users(&mut self) {
         while let Some((w, until)) = self.users.writes.pop_front() {
@@ -233,15 +256,19 @@
                 }
                 continue;
             }
+            let records = match &w {
+                UserWrite::Submit(_, spec) => self.records_of(spec),
+                _ => Vec::new(),
+            };
             let cost = match &w {
                 UserWrite::Guest(_, m, _) => m.writes.len().max(1) as f64,
-                _ => 1.0,
+                _ => records.len().max(1) as f64,
             };
             if !self.users.bucket.take(self.now, cost, 0.0) {
                 self.users.writes.push_front((w, until));
                 return;
             }
-            let (when, key, v) = match &w {
+            let (when, writes) = match &w {
                 UserWrite::Guest(t, m, as_leader) => {
                     let mut m = Multi::clone(m);
                     if *as_leader {
@@ -260,19 +287,17 @@
                     self.calls.insert(call, Purpose::Write(w));
                     continue;
                 }
-                UserWrite::Submit(_, spec) => {
-                    let key = keys::job(spec.id);
-                    (vec![When { path: key.clone(), stamp: 0 }], key, jobs::job_value(spec, self.wall_ms))
-                }
+                UserWrite::Submit(_, spec) => (vec![When { path: keys::job(spec.id), stamp: 0 }], records),
                 UserWrite::Abort(_, job, end) => {
                     let key = keys::end(*job);
                     let stamp = self.mirror.ledger.jobs.get(job).map_or(0, |j| j.stamp);
                     let when =
                         vec![When { path: key.clone(), stamp: 0 }, When { path: keys::job(*job), stamp }];
-                    (when, key, end.clone())
+                    (when, vec![(key, end.clone())])
                 }
             };
-            let call = self.multi(&Multi { when, writes: vec![Write::Put { put: key, v, hold: None }] });
+            let writes = writes.into_iter().map(|(put, v)| Write::Put { put, v, hold: None }).collect();
+            let call = self.multi(&Multi { when, writes });
             self.calls.insert(call, Purpose::Write(w));
         }
     }
@@ -283,7 +308,11 @@
                 let job = spec.id;
                 let stamp = serde_json::from_slice::<MultiAnswer>(body).map_or(0, |a| a.ledger);
                 debug!("{job}: accepted at {stamp}");
-                self.out.answer(id, 201, users::job_answer(job, "queued", 0, 0));
+                let cancelled =
+                    |id: &JobId| self.mirror.ledger.jobs.get(id).is_some_and(|j| j.phase == Phase::Aborted);
+                // Accepted all the same, and cancelled with what it depends on.
+                let stage = if spec.dependencies.iter().any(cancelled) { "aborted" } else { "queued" };
+                self.out.answer(id, 201, users::job_answer(job, stage, 0, 0));
             }
             (UserWrite::Abort(id, job, end), CallResult::Answer { status: 200, body }) => {
                 info!("{job}: cancelled");
--- a/crates/nomad/src/translate.rs
+++ b/crates/nomad/src/translate.rs
@@ -217,6 +217,7 @@
         attempts,
         prefer,
         after: Vec::new(),
+        dependencies: Vec::new(),
     };
     Some(Planned { group: g.name.clone(), spec })
 }
--- a/crates/protocol/src/job.rs
+++ b/crates/protocol/src/job.rs
@@ -79,6 +79,8 @@
     pub prefer: Vec<Preference>,
     /// Jobs that it replaces: nothing of it starts before nothing is left of them.
     pub after: Vec<JobId>,
+    /// Jobs that have to be done before any task of this one starts; each once.
+    pub dependencies: Vec<JobId>,
 }
 
 /// How much a kind of machine is preferred.
--- a/crates/protocol/src/users.rs
+++ b/crates/protocol/src/users.rs
@@ -3,6 +3,7 @@
 use crate::job::{JobSpec, Kind, Rank};
 use serde::Deserialize;
 use serde_json::{Map, Value, json};
+use std::collections::BTreeSet;
 
 /// A submission as users write it.
 #[derive(Debug, Deserialize)]
@@ -31,6 +32,8 @@
     stow_s: f64,
     #[serde(default)]
     due_s: Option<f64>,
+    #[serde(default)]
+    awaits: Option<Vec<String>>,
 }
 
 /// Most tasks that a job may have.
@@ -81,6 +84,7 @@
     if s.yard.as_ref().is_some_and(|y| y.len() > 64) {
         return Err("yard: at most 64 bytes".into());
     }
+    let dependencies = parse_dependencies(&s.awaits.unwrap_or_default())?;
     Ok(JobSpec {
         id,
         class: s.lot,
@@ -103,9 +107,20 @@
         attempts: None,
         prefer: Vec::new(),
         after: Vec::new(),
+        dependencies,
     })
 }
 
+/// Reads the ids of the jobs that a submission depends on; a repeated id counts once.
+fn parse_dependencies(names: &[String]) -> Result<Vec<JobId>, String> {
+    let mut ids = BTreeSet::new();
+    for name in names {
+        let id = JobId::of_user(name).ok_or("awaits: must hold job ids of the form j-000412")?;
+        ids.insert(id);
+    }
+    Ok(ids.into_iter().collect())
+}
+
 /// The state of a job as users see it.
 pub fn job_answer(id: JobId, stage: &str, done: u32, running: u32) -> Vec<u8> {
     json!({"ref": id.to_string(), "stage": stage, "done": done, "running": running}).to_string().into_bytes()
@@ -156,6 +171,13 @@
             ("same_place", json!(1)),
             ("builds", json!("g8")),
             ("yard", json!(3)),
+            ("awaits", json!("j-000398")),
+            ("awaits", json!([398])),
+            ("awaits", json!(["398"])),
+            ("awaits", json!(["j-398"])),
+            ("awaits", json!([null])),
+            ("awaits", json!({"j-000398": 1})),
+            ("awaits", json!(["j-1000000000000000000"])),
         ];
         for (field, v) in bad {
             let mut s = good();
@@ -171,10 +193,26 @@
     fn optional_fields_may_be_missing_and_unknown_ones_ignored() {
         let mut s = good();
         let m = s.as_object_mut().unwrap();
-        for f in ["builds", "yard", "due_s"] {
+        for f in ["builds", "yard", "due_s", "awaits"] {
             m.remove(f);
         }
         m.insert("later".into(), json!([1, 2]));
         assert!(parse_submission(s.to_string().as_bytes()).is_ok());
     }
+
+    #[test]
+    fn dependencies_are_read_once_each() {
+        // (field, ids)
+        let cases = [
+            (Value::Null, vec![]),
+            (json!([]), vec![]),
+            (json!(["j-000405", "j-000398"]), vec![JobId(398), JobId(405)]),
+            (json!(["j-000398", "j-000398"]), vec![JobId(398)]),
+        ];
+        for (awaits, ids) in cases {
+            let mut s = good();
+            s["awaits"] = awaits;
+            assert_eq!(parse_submission(s.to_string().as_bytes()).unwrap().dependencies, ids);
+        }
+    }
 }
--- a/tests/world/desk.rs
+++ b/tests/world/desk.rs
@@ -78,7 +78,7 @@
             let change = self.ledger.apply(key, v, e.stamp);
             if let Some(name) = key.strip_prefix(keys::GUEST) {
                 self.service.apply(name, v, e.stamp);
-            } else if let gorseshore_core::jobs::Change::Job(id) = change {
+            } else if let gorseshore_core::jobs::Change::Job { id, .. } = change {
                 self.service.job_changed(id, e.stamp);
             }
         }
