--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -10,6 +10,7 @@
 pub mod guest;
 pub mod jobs;
 pub mod leader;
+pub mod limits;
 pub mod node;
 pub mod peer;
 pub mod placement;
--- a/crates/core/src/node/duties.rs
+++ b/crates/core/src/node/duties.rs
@@ -34,7 +34,7 @@
                 .collect();
             let queued = self.users.writes.len() as u32;
             let others = self.peers.queued(self.now);
-            self.users.share_budget(others, self.nodes.names.len(), self.limits.2);
+            self.users.share_budget(others, self.nodes.names.len(), self.limits.changes_per_s);
             for i in 0..self.nodes.names.len() {
                 if i != self.nodes.me.0 as usize {
                     let hears = hears.clone();
@@ -351,7 +351,7 @@
         l.note_recorded(&self.mirror.ledger);
         let Some(l) = self.leadership.leader.as_ref() else { return };
         let todo: Vec<LeaderWrite> = l
-            .writes(&self.mirror.ledger, self.value_limit, self.now)
+            .writes(&self.mirror.ledger, self.limits.value_bytes, self.now)
             .into_iter()
             .filter(|w| !self.leadership.inflight.contains(w))
             .filter_map(|w| self.leadership.uncontested(w, self.now))
@@ -371,8 +371,8 @@
                 }
                 _ => 1,
             };
-            if m.writes.len() + cost.min(self.limits.0) > self.limits.0
-                || m.when.len() + 2 > self.limits.0 * 4
+            if m.writes.len() + cost.min(self.limits.txn_ops) > self.limits.txn_ops
+                || m.when.len() + 2 > self.limits.txn_conditions()
             {
                 break;
             }
@@ -393,7 +393,7 @@
                     let progress = job.iter().flat_map(|j| j.chunks.keys()).map(|c| keys::progress(*id, *c));
                     let failed =
                         job.iter().flat_map(|j| j.failed_stamps.keys()).map(|c| keys::failed(*id, *c));
-                    for key in progress.chain(failed).take(self.limits.0 - 1) {
+                    for key in progress.chain(failed).take(self.limits.txn_ops - 1) {
                         m.writes.push(Write::Remove { remove: key });
                     }
                     put(keys::end(*id), json!({"end": "done", "at": self.wall_ms}), &mut m)
--- a/crates/core/src/node/host.rs
+++ b/crates/core/src/node/host.rs
@@ -29,8 +29,8 @@
                 leads: self.leadership.leader.is_some() && self.leadership.election.may_lead(self.now),
                 leader: self.mirror.ledger.leader.as_ref().map(|(r, _)| r.node.as_str()),
                 me,
-                value_limit: self.value_limit,
-                changes_at_once: self.limits.0,
+                value_limit: self.limits.value_bytes,
+                changes_at_once: self.limits.txn_ops,
             };
             let outputs = guest.handle(&host, input);
             for o in outputs {
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -31,6 +31,7 @@
 use crate::guest::{Guest, GuestInput, GuestOutput, Host, Ticket};
 use crate::jobs::{self, Change, LeaderRecord, Ledger, MachineRecord, Phase, keys};
 use crate::leader::{CloudWish, Context, HireRequest, Leader, LeaderWrite, View};
+use crate::limits::StoreLimits;
 use crate::peer::{Envelope, Message, Sighting};
 use crate::{Call, CallId, CallResult, Input, Outbox, Output, RequestId, Target};
 use gorseshore_protocol::cloud::{Flavors, Hire, Hosts, Rentals};
@@ -113,8 +114,7 @@
     operator: Operator,
     teams: Vec<Team>,
     ctx: Context,
-    limits: (usize, f64, f64, f64),
-    value_limit: usize,
+    limits: StoreLimits,
     now: Micros,
     /// When this process began, and when it could last know what was cancelled.
     began: Micros,
@@ -161,12 +161,11 @@
             cancel: Micros::from_secs_f64(d.workers.cancel_s),
             list_lag: Micros::from_secs_f64(d.cloud.list_lag_s),
         };
-        let w = d.state.write_rps;
+        let limits = StoreLimits::new(&d.state);
         Node {
             teams: d.teams.clone(),
             ctx,
-            limits: (d.state.txn_ops, d.state.rps, w, d.cloud.rps),
-            value_limit: (d.state.value_kb * 1000.0) as usize,
+            limits,
             now,
             began: now,
             informed: None,
@@ -176,9 +175,9 @@
             calls: BTreeMap::new(),
             incarnation: incarnation.max(2),
             mirror: Mirror::default(),
-            users: Users::new(w * 0.9 / n, d.state.rps / n, now),
+            users: Users::new(limits.changes_per_s * 0.9 / n, limits.requests_per_s / n, now),
             cancellations: Cancellations::default(),
-            leadership: Leadership::new(&operator, w, now),
+            leadership: Leadership::new(&operator, limits.changes_per_s, now),
             peers: Peers::new(nodes.names.len()),
             relay: Relay::default(),
             catalogue: Catalogue::new(d.cloud.rps, now),
--- a/crates/core/src/node/peers.rs
+++ b/crates/core/src/node/peers.rs
@@ -57,7 +57,8 @@
             return;
         }
         let me = self.nodes.names[self.nodes.me.0 as usize].clone();
-        let room = self.value_limit.saturating_sub(100).min(MAIL_ROOM / self.limits.0.max(1)).max(100);
+        let room =
+            self.limits.value_bytes.saturating_sub(100).min(MAIL_ROOM / self.limits.txn_ops.max(1)).max(100);
         let mut posted = 0;
         for ((to, _), message) in std::mem::take(&mut self.relay.outgoing) {
             if self.hears(to, HEARD) {
@@ -67,7 +68,7 @@
             let text = BASE64.encode(&envelope);
             let parts: Vec<&str> =
                 text.as_bytes().chunks(room).filter_map(|c| std::str::from_utf8(c).ok()).collect();
-            if parts.len() > self.limits.0 {
+            if parts.len() > self.limits.txn_ops {
                 debug!("message to controller {} is too long for the state service", to.0);
                 continue;
             }
@@ -87,7 +88,7 @@
             self.calls.insert(call, Purpose::Mail);
         }
         // A seventh of all changes, shared by those who may be in the same need.
-        let share = self.limits.2 / 7.0 / self.nodes.names.len() as f64;
+        let share = self.limits.changes_per_s / 7.0 / self.nodes.names.len() as f64;
         let pause = Micros::from_secs_f64(posted as f64 / share.max(0.1));
         self.relay.next_at = self.now + pause.clamp(Micros::millis(400), Micros::millis(1500));
     }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -3,9 +3,11 @@
 mod nomad;
 mod operator;
 mod platform;
+mod state_limits;
 pub use nomad::{Nomad, NomadClass, NomadMachine, NomadToken};
 pub use operator::{LogFormat, Operator};
 pub use platform::{Objective, Platform, Team};
+pub use state_limits::{EffectiveStateLimits, NextStateLimits, StateLimits};
 
 use thiserror::Error;
 
--- a/crates/settings/src/platform.rs
+++ b/crates/settings/src/platform.rs
@@ -1,5 +1,6 @@
 //! The file that the platform hands over.
 use super::SettingsError;
+use super::state_limits::StateLimits;
 use gorseshore_protocol::ids::Resources;
 use gorseshore_protocol::job::{JobSpec, Kind};
 use serde::Deserialize;
@@ -70,19 +71,6 @@
     pub state: String,
 }
 
-/// Limits of the state service.
-#[derive(Debug, Clone, Deserialize)]
-pub struct StateLimits {
-    /// Requests a second.
-    pub rps: f64,
-    /// Changes a second.
-    pub write_rps: f64,
-    /// Largest value.
-    pub value_kb: f64,
-    /// Changes a transaction.
-    pub txn_ops: usize,
-}
-
 /// Limits of the cloud.
 #[derive(Debug, Clone, Deserialize)]
 pub struct CloudLimits {
@@ -190,9 +178,6 @@
             ("deployment.workers.report_s", d.workers.report_s),
             ("deployment.workers.lease_s", d.workers.lease_s),
             ("deployment.workers.cancel_s", d.workers.cancel_s),
-            ("deployment.state.rps", d.state.rps),
-            ("deployment.state.write_rps", d.state.write_rps),
-            ("deployment.state.value_kb", d.state.value_kb),
             ("deployment.cloud.rps", d.cloud.rps),
         ];
         for (field, v) in positive {
@@ -206,9 +191,7 @@
         if !(0.0..=10_000.0).contains(&d.clock_off_ms) {
             faults.push(format!("deployment.clock_off_ms: {} must be from 0 to 10000", d.clock_off_ms));
         }
-        if d.state.txn_ops < 2 {
-            faults.push("deployment.state.txn_ops: must be at least 2".into());
-        }
+        d.state.check("deployment.state", &mut faults);
         if d.machine_limits.sockets < 64 {
             faults.push("deployment.machine_limits.sockets: must be at least 64".into());
         }
