--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -5,7 +5,7 @@
 use gorseshore_protocol::workers::Report;
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
-use std::collections::{BTreeMap, VecDeque};
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
 /// A job's description as it is stored. New fields get a default, so that
@@ -226,7 +226,28 @@
     }
 }
 
-/// Tasks in one progress record: at most 128 words of 17 bytes, 2.2 KB.
+/// A chunk's text in values of at most `room` bytes: each holds words of the
+/// text in their places, with empty words for those of the parts before it.
+pub fn split_words(text: &str, room: usize) -> Vec<Value> {
+    const QUOTES: usize = 2;
+    const SEPARATOR: usize = 1;
+    let mut parts = vec![String::new()];
+    for (place, word) in text.split(',').enumerate() {
+        let Some(part) = parts.last_mut() else { break };
+        if place == 0 {
+            part.push_str(word);
+        } else if part.len() + SEPARATOR + word.len() + QUOTES <= room {
+            part.push(',');
+            part.push_str(word);
+        } else {
+            parts.push(",".repeat(place) + word);
+        }
+    }
+    parts.into_iter().map(Value::from).collect()
+}
+
+/// Tasks in one progress record: at most 128 words of 17 bytes, 2.2 KB, spread
+/// over several values where one doesn't hold them ([`split_words`]).
 pub const CHUNK: u32 = 8192;
 
 /// A job as recorded.
@@ -257,6 +278,8 @@
     pub failed: BTreeMap<u32, Failures>,
     /// Versions of the records of failures.
     pub failed_stamps: BTreeMap<u32, u64>,
+    /// Keys of further parts of its progress and failures.
+    pub further_parts: BTreeSet<String>,
     /// Why it was ended by the service.
     pub cause: Option<String>,
 }
@@ -273,7 +296,8 @@
     pub last: u64,
 }
 
-/// Tasks in one record of failures: at most 2.6 KB.
+/// Tasks in one record of failures: at most 2.6 KB, spread over several values
+/// where one doesn't hold them.
 pub const FAILED_CHUNK: u32 = 64;
 
 /// A machine on which tasks may be started.
@@ -365,7 +389,21 @@
     pub fn failed(id: JobId, chunk: u32) -> String {
         format!("g/r/{id}/{chunk}")
     }
-    /// Job and chunk of a key of progress or failures, without its space.
+    /// A part of a chunk's progress. The first is [`progress`]; each further one
+    /// has a zero more before the chunk's number, which versions that know one
+    /// key a chunk read as the same number: they add up what all parts say.
+    pub fn progress_part(id: JobId, chunk: u32, part: usize) -> String {
+        format!("g/p/{id}/{}{chunk}", "0".repeat(part))
+    }
+    /// A part of a chunk's failures, named in the same way.
+    pub fn failed_part(id: JobId, chunk: u32, part: usize) -> String {
+        format!("g/r/{id}/{}{chunk}", "0".repeat(part))
+    }
+    /// Whether a key of progress or failures is of a further part.
+    pub fn is_further_part(name: &str) -> bool {
+        name.rsplit_once('/').is_some_and(|(_, chunk)| chunk.len() > 1 && chunk.starts_with('0'))
+    }
+    /// Job and chunk of a key of progress or failures, without its space; of any part.
     pub fn of_chunk(name: &str) -> Option<(JobId, u32)> {
         let (id, chunk) = name.split_once('/')?;
         Some((JobId::parse(id)?, chunk.parse().ok()?))
@@ -404,9 +442,13 @@
     json!({"t": kind.0, "z": kind.1, "s": kind.2, "m": list})
 }
 
-/// What a machine takes in such a record, about.
+/// Quotes, brackets and separators of a machine in such a record, as
+/// [`crate::limits::value_len`] counts them.
+const MACHINE_OVERHEAD: usize = 12;
+
+/// What a machine takes in such a record.
 pub fn machine_room(id: &MachineId, addr: &str) -> usize {
-    id.as_str().len() + addr.len() + 10
+    id.as_str().len() + addr.len() + MACHINE_OVERHEAD
 }
 
 /// The mirror.
@@ -491,6 +533,7 @@
                 job.chunks.clear();
                 job.failed.clear();
                 job.failed_stamps.clear();
+                job.further_parts.clear();
                 job.cause = v["why"].as_str().map(str::to_owned);
                 if was == Phase::Active {
                     self.over.push_back(id);
@@ -512,7 +555,11 @@
                     && chunk < u32::MAX / CHUNK
                 {
                     job.done.add_chunk(chunk, v.as_str().unwrap_or(""));
-                    job.chunks.insert(chunk, stamp);
+                    if keys::is_further_part(name) {
+                        job.further_parts.insert(path.to_owned());
+                    } else {
+                        job.chunks.insert(chunk, stamp);
+                    }
                 }
                 Change::Job(id)
             }
@@ -522,8 +569,12 @@
                     && job.phase == Phase::Active
                     && let Ok(failed) = BTreeMap::<u32, Failures>::deserialize(v)
                 {
-                    job.failed.extend(failed);
-                    job.failed_stamps.insert(chunk, stamp);
+                    job.note_failures(failed);
+                    if keys::is_further_part(name) {
+                        job.further_parts.insert(path.to_owned());
+                    } else {
+                        job.failed_stamps.insert(chunk, stamp);
+                    }
                 }
                 Change::Job(id)
             }
@@ -579,6 +630,17 @@
 }
 
 impl Job {
+    /// Takes recorded failures. A part may be older than another that holds the
+    /// same task: the later attempt counts.
+    fn note_failures(&mut self, failures: BTreeMap<u32, Failures>) {
+        for (index, failure) in failures {
+            let known = self.failed.entry(index).or_default();
+            if failure.last >= known.last {
+                *known = failure;
+            }
+        }
+    }
+
     fn empty() -> Self {
         Job {
             spec: None,
@@ -593,6 +655,7 @@
             tasks: 0,
             failed: BTreeMap::new(),
             failed_stamps: BTreeMap::new(),
+            further_parts: BTreeSet::new(),
             cause: None,
         }
     }
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -3,6 +3,7 @@
 mod bindings;
 mod blocks;
 mod books;
+pub mod changes;
 mod deaf;
 pub mod health;
 mod machine;
--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -1,4 +1,6 @@
 //! Bindings: what frees a task, and what doesn't.
+mod limits;
+
 use super::*;
 use crate::jobs::{job_value, keys};
 use crate::peer::Held;
--- /dev/null
+++ b/crates/core/src/leader/tests/limits.rs
@@ -0,0 +1,219 @@
+//! Every record of the leader within the limits of the state service.
+use super::*;
+use crate::jobs::{CHUNK, FAILED_CHUNK};
+use crate::leader::changes::{Changes, Recording};
+use crate::limits::{StoreLimits, value_len};
+use gorseshore_protocol::state::Write;
+use serde_json::Value;
+
+const LONG: JobId = JobId(1);
+const FAILING: JobId = JobId(2);
+const TASKS: u32 = 100_000;
+const RECORD: &str = "g/h/host-000000";
+const MACHINES: usize = 102;
+
+/// Now and next of both sites, and the least that is worth a test.
+const LIMITS: [(usize, usize); 5] = [(16_000, 24), (8000, 8), (4000, 8), (2000, 4), (1000, 3)];
+
+fn limits((value_bytes, txn_ops): (usize, usize)) -> StoreLimits {
+    StoreLimits { value_bytes, txn_ops, requests_per_s: 100.0, changes_per_s: 15.0 }
+}
+
+fn name(i: usize) -> MachineId {
+    m(&format!("host-{i:06}"))
+}
+
+/// Machines, all on one record of 4 KiB as the version before wrote it; an array
+/// of 100,000 tasks of which all but the last are done, an eighth of them on
+/// record; a job of which 64 tasks have failed.
+fn bench() -> Bench {
+    let mut b = Bench::new(0);
+    let machines: Vec<(MachineId, String)> =
+        (0..MACHINES).map(|i| (name(i), format!("10.20.{i}.{i}:8000"))).collect();
+    let list = machines.iter().map(|(id, addr)| (id, addr.as_str()));
+    let record = crate::jobs::machines_value(("sedlo", "morava", false), list);
+    let length = record.to_string().len();
+    assert!((3500..4096).contains(&length), "{length}");
+    b.ledger.apply(RECORD, Some(&record), 1);
+    let sizes = Sizes::from([("sedlo".into(), Resources::have(8.0, 0.0, 32.0))]);
+    b.leader = Leader::new(context(), TERM, 50, &b.ledger, &sizes, b.now, 1_000_000);
+    b.job(LONG.0, 60, "t", "array", "standard", TASKS, 1.0);
+    b.job(FAILING.0, 61, "t", "array", "standard", 100, 1.0);
+    b.edit(FAILING.0, 62, |spec| spec.attempts = Some(9));
+    for chunk in 0..TASKS / CHUNK {
+        b.ledger.apply(&keys::progress(LONG, chunk), Some(&json!("ff")), 63);
+    }
+    let long = b.leader.jobs.get_mut(&LONG).unwrap();
+    for i in 0..TASKS - 1 {
+        long.done.insert(i);
+    }
+    let failing = b.leader.jobs.get_mut(&FAILING).unwrap();
+    for i in 0..FAILED_CHUNK {
+        failing.fails.insert(i, Failures { count: 8, last: (700 << 28) + u64::from(i) });
+    }
+    b
+}
+
+fn changes(b: &Bench, write: &LeaderWrite, limits: &StoreLimits) -> Option<Changes> {
+    let recording =
+        Recording { ledger: &b.ledger, limits, wall_ms: 1_700_000_000_000, may_create: &|_| true };
+    b.leader.changes(write, &recording)
+}
+
+fn apply(ledger: &mut Ledger, changes: &Changes, stamp: u64) {
+    for write in &changes.writes {
+        match write {
+            Write::Put { put, v, .. } => ledger.apply(put, Some(v), stamp),
+            Write::Remove { remove } => ledger.apply(remove, None, stamp),
+        };
+    }
+}
+
+fn check(what: &str, changes: &Changes, limits: &StoreLimits) {
+    assert!(changes.writes.len() <= limits.txn_ops, "{what}: {} changes", changes.writes.len());
+    // The leader's key is one more.
+    assert!(changes.conditions.len() < limits.txn_conditions(), "{what}");
+    assert!(changes.len() < 60_000, "{what}: {} bytes", changes.len());
+    for write in &changes.writes {
+        if let Write::Put { put, v, .. } = write {
+            assert!(value_len(v) <= limits.value_bytes, "{what}: {put} takes {}", value_len(v));
+        }
+    }
+}
+
+#[test]
+fn every_record_keeps_to_the_limits() {
+    for limit in LIMITS {
+        let limits = limits(limit);
+        let mut b = bench();
+        // None of them recorded: what a large rental looks like.
+        b.leader.machines.values_mut().for_each(|m| (m.recorded, m.stage) = (false, Stage::Up));
+        let listed = b.leader.writes(&b.ledger, limits.value_bytes, b.now);
+        let machines = listed.into_iter().find(|w| matches!(w, LeaderWrite::Machines(_))).unwrap();
+        b.leader.gone.insert(name(3), (b.now, 0));
+        let writes = [
+            LeaderWrite::End(LONG),
+            machines,
+            LeaderWrite::Hire("t0000000003-000000001".into()),
+            LeaderWrite::Progress(LONG, 0),
+            LeaderWrite::Progress(LONG, TASKS / CHUNK),
+            LeaderWrite::Failures(FAILING, 0),
+            LeaderWrite::Fail(FAILING, 7),
+            LeaderWrite::Settle(LONG),
+            LeaderWrite::Forget(RECORD.into()),
+        ];
+        for write in &writes {
+            let what = format!("{limit:?} {write:?}");
+            if limit.0 == 1000 && matches!(write, LeaderWrite::Forget(_)) {
+                // 102 machines take more records than three: it stays as it is.
+                assert_eq!(changes(&b, write, &limits), None, "{what}");
+                continue;
+            }
+            check(&what, &changes(&b, write, &limits).expect(&what), &limits);
+        }
+    }
+}
+
+#[test]
+fn what_is_spread_over_keys_is_read_whole() {
+    for limit in LIMITS {
+        let limits = limits(limit);
+        let mut b = bench();
+        let listings = [LeaderWrite::Progress(LONG, 0), LeaderWrite::Failures(FAILING, 0)];
+        for (stamp, write) in (70..).zip(&listings) {
+            let changes = changes(&b, write, &limits).unwrap();
+            // In the order of the transaction, and in that of the keys.
+            let mut sorted = changes.clone();
+            sorted.writes.sort_by_key(|w| match w {
+                Write::Put { put, .. } => put.clone(),
+                Write::Remove { remove } => remove.clone(),
+            });
+            apply(&mut b.ledger, &sorted, stamp);
+            apply(&mut b.ledger, &changes, stamp);
+        }
+        let long = &b.ledger.jobs[&LONG];
+        assert!((0..CHUNK).all(|i| long.done.contains(i)), "{limit:?}");
+        assert!(!long.done.contains(CHUNK + 8) && long.done.contains(CHUNK + 7), "{limit:?}");
+        assert_eq!((long.chunks[&0], long.chunks[&1]), (70, 63), "{limit:?}");
+        let failing = &b.ledger.jobs[&FAILING];
+        assert_eq!(failing.failed, b.leader.jobs[&FAILING].fails, "{limit:?}");
+        assert_eq!(failing.failed_stamps[&0], 71, "{limit:?}");
+        // A further write is over what was read.
+        let again = changes(&b, &listings[0], &limits).unwrap();
+        assert_eq!(again.conditions[0].stamp, 70, "{limit:?}");
+    }
+}
+
+/// The version before parsed the last part of a key as a number and added the
+/// words in their places, whatever the number's spelling.
+#[test]
+fn the_version_before_reads_further_parts_of_progress() {
+    let b = bench();
+    let changes = changes(&b, &LeaderWrite::Progress(LONG, 0), &limits((2000, 4))).unwrap();
+    assert_eq!(changes.writes.len(), 2);
+    let mut done = TaskSet::default();
+    for write in &changes.writes {
+        let Write::Put { put, v: Value::String(text), .. } = write else { panic!("{write:?}") };
+        let (id, chunk) = put.strip_prefix("g/p/").unwrap().split_once('/').unwrap();
+        assert_eq!((JobId::parse(id), chunk.parse::<u32>()), (Some(LONG), Ok(0)));
+        for (place, word) in text.split(',').enumerate().take(128) {
+            let word = u64::from_str_radix(word, 16).unwrap_or(0);
+            (0..64).filter(|bit| word >> bit & 1 == 1).for_each(|bit| {
+                assert!(done.insert(place as u32 * 64 + bit));
+            });
+        }
+    }
+    assert_eq!(done.len(), CHUNK);
+}
+
+/// A record of the version before is written anew within the limits, over
+/// several keys, and no machine is forgotten on the way or afterwards.
+#[test]
+fn a_long_record_of_machines_is_split() {
+    for limit in [(4000, 8), (2000, 4)] {
+        let limits = limits(limit);
+        let mut b = bench();
+        b.leader.gone.insert(name(3), (b.now, 0));
+        let changes = changes(&b, &LeaderWrite::Forget(RECORD.into()), &limits).unwrap();
+        let records = if limit.0 == 4000 { 1 } else { 3 };
+        assert_eq!((changes.writes.len(), changes.conditions.len()), (records, records), "{limit:?}");
+        for write in &changes.writes {
+            let Write::Put { put, v, .. } = write else { panic!("{write:?}") };
+            b.ledger.apply(put, Some(v), 80);
+            let known = b.ledger.machines.len();
+            assert!(known >= MACHINES - 1, "{limit:?}: {known} machines known after {put}");
+        }
+        assert!(!b.ledger.machines.contains_key(&name(3)));
+        assert_eq!(b.ledger.machines.len(), MACHINES - 1);
+        let writes = b.leader.writes(&b.ledger, limits.value_bytes, b.now);
+        assert!(!writes.iter().any(|w| matches!(w, LeaderWrite::Forget(_))), "{limit:?}: {writes:?}");
+    }
+    // A key that is there, or that can't be had, is passed over for another.
+    let mut b = bench();
+    b.leader.gone.insert(name(3), (b.now, 0));
+    let small = limits((2000, 4));
+    let first = changes(&b, &LeaderWrite::Forget(RECORD.into()), &small).unwrap();
+    let taken = first.conditions[1].path.clone();
+    let free = |key: &str| key != taken;
+    let recording = Recording { ledger: &b.ledger, limits: &small, wall_ms: 0, may_create: &free };
+    let second = b.leader.changes(&LeaderWrite::Forget(RECORD.into()), &recording).unwrap();
+    assert!(second.conditions.iter().all(|c| c.path != taken));
+    assert_eq!(second.writes.len(), first.writes.len());
+}
+
+/// A job of more records than a transaction has room for ends all the same; what
+/// is left says nothing any more.
+#[test]
+fn a_job_with_many_records_ends() {
+    let small = limits((2000, 4));
+    let mut b = bench();
+    let write = LeaderWrite::Progress(LONG, 0);
+    let progress = changes(&b, &write, &small).unwrap();
+    apply(&mut b.ledger, &progress, 70);
+    let end = changes(&b, &LeaderWrite::End(LONG), &small).unwrap();
+    assert_eq!(end.writes.len(), 4);
+    apply(&mut b.ledger, &end, 71);
+    apply(&mut b.ledger, &progress, 70);
+    let job = &b.ledger.jobs[&LONG];
+    assert_eq!((job.phase, job.done.len(), job.further_parts.len()), (Phase::Done, 0, 0));
+}
--- a/crates/core/src/node/duties.rs
+++ b/crates/core/src/node/duties.rs
@@ -1,6 +1,10 @@
 //! What is due as time goes on: the mirror, the election, the leader's work.
 use super::*;
 use crate::books::Page;
+use crate::leader::changes::{Changes, Recording};
+
+/// Longest transaction of several records; the state service takes 64 KiB.
+const MAX_TXN_BYTES: usize = 50_000;
 
 impl Node {
     pub(super) fn tick(&mut self) {
@@ -354,26 +358,22 @@
             .writes(&self.mirror.ledger, self.limits.value_bytes, self.now)
             .into_iter()
             .filter(|w| !self.leadership.inflight.contains(w))
+            .filter(|w| !self.leadership.refused.waits(w, self.now))
             .filter_map(|w| self.leadership.uncontested(w, self.now))
             .collect();
         let mut m = Multi { when: vec![When { path: keys::LEADER.into(), stamp: mine }], writes: Vec::new() };
         let mut taken = Vec::new();
-        let mut size = 200;
-        let mut put = |key: String, v: serde_json::Value, m: &mut Multi| {
-            size += key.len() * 2 + v.to_string().len() + 120;
-            m.writes.push(Write::Put { put: key, v, hold: None });
-            size < 50_000
-        };
+        let mut size = 0;
         for w in todo {
-            let cost = match &w {
-                LeaderWrite::End(id) => {
-                    1 + self.mirror.ledger.jobs.get(id).map_or(0, |j| j.chunks.len() + j.failed_stamps.len())
-                }
-                _ => 1,
-            };
-            if m.writes.len() + cost.min(self.limits.txn_ops) > self.limits.txn_ops
-                || m.when.len() + 2 > self.limits.txn_conditions()
-            {
+            let alone = self.leadership.refused.goes_alone(&w);
+            if alone && !taken.is_empty() {
+                continue;
+            }
+            let Some(changes) = self.changes_of(&w) else { continue };
+            let ops = m.writes.len() + changes.writes.len();
+            let conditions = m.when.len() + changes.conditions.len();
+            let too_long = !taken.is_empty() && size + changes.len() > MAX_TXN_BYTES;
+            if ops > self.limits.txn_ops || conditions > self.limits.txn_conditions() || too_long {
                 break;
             }
             // Progress and clearing up leave room for what users wait for.
@@ -383,92 +383,17 @@
                 LeaderWrite::Progress(..) | LeaderWrite::Settle(_) => 1.0,
                 LeaderWrite::Forget(_) => 2.0,
             };
-            if !self.leadership.bucket.take(self.now, cost as f64, keep) {
+            if !self.leadership.bucket.take(self.now, changes.writes.len() as f64, keep) {
                 break;
             }
-            let room = match &w {
-                LeaderWrite::End(id) => {
-                    m.when.push(When { path: keys::end(*id), stamp: 0 });
-                    let job = self.mirror.ledger.jobs.get(id);
-                    let progress = job.iter().flat_map(|j| j.chunks.keys()).map(|c| keys::progress(*id, *c));
-                    let failed =
-                        job.iter().flat_map(|j| j.failed_stamps.keys()).map(|c| keys::failed(*id, *c));
-                    for key in progress.chain(failed).take(self.limits.txn_ops - 1) {
-                        m.writes.push(Write::Remove { remove: key });
-                    }
-                    put(keys::end(*id), json!({"end": "done", "at": self.wall_ms}), &mut m)
-                }
-                LeaderWrite::Machines(ids) => {
-                    let (Some(first), Some(v)) = (ids.first(), l.machines_record(ids, &self.mirror.ledger))
-                    else {
-                        continue;
-                    };
-                    // A late repetition must not undo what was written since.
-                    let key = keys::machines(first);
-                    m.when.push(When { path: key.clone(), stamp: 0 });
-                    put(key, v, &mut m)
-                }
-                LeaderWrite::Hire(name) => put(keys::HIRE.into(), json!(name), &mut m),
-                LeaderWrite::Failures(id, chunk) => {
-                    let Some(v) = l.failures(*id, *chunk) else { continue };
-                    let job = self.mirror.ledger.jobs.get(id);
-                    let stamp = job.and_then(|j| j.failed_stamps.get(chunk).copied()).unwrap_or(0);
-                    let key = keys::failed(*id, *chunk);
-                    m.when.push(When { path: key.clone(), stamp });
-                    m.when.push(When { path: keys::end(*id), stamp: 0 });
-                    put(key, json!(v), &mut m)
-                }
-                LeaderWrite::Fail(id, index) => {
-                    let Some(job) = self.mirror.ledger.jobs.get(id) else { continue };
-                    // The record as it was judged: a change of it since counts.
-                    m.when.push(When { path: keys::job(*id), stamp: job.stamp });
-                    m.when.push(When { path: keys::end(*id), stamp: 0 });
-                    let n = l.attempts_of(*id, *index);
-                    let why = format!("attempts used up: task {index} failed {n} times");
-                    info!("{id}: {why}");
-                    put(keys::end(*id), json!({"end": "aborted", "at": self.wall_ms, "why": why}), &mut m)
-                }
-                LeaderWrite::Progress(id, chunk) => {
-                    let Some(text) = l.progress(*id, *chunk) else { continue };
-                    let stamp = self
-                        .mirror
-                        .ledger
-                        .jobs
-                        .get(id)
-                        .and_then(|j| j.chunks.get(chunk).copied())
-                        .unwrap_or(0);
-                    let key = keys::progress(*id, *chunk);
-                    m.when.push(When { path: key.clone(), stamp });
-                    m.when.push(When { path: keys::end(*id), stamp: 0 });
-                    put(key, json!(text), &mut m)
-                }
-                LeaderWrite::Settle(id) => {
-                    let Some(job) = self.mirror.ledger.jobs.get(id) else { continue };
-                    let key = keys::end(*id);
-                    m.when.push(When { path: key.clone(), stamp: job.end_stamp });
-                    let mut v = json!({"end": "aborted", "at": job.ended_ms, "gone": true});
-                    if let Some(why) = &job.cause {
-                        v["why"] = json!(why);
-                    }
-                    put(key, v, &mut m)
-                }
-                LeaderWrite::Forget(key) => {
-                    let Some((ids, stamp)) = self.mirror.ledger.records.get(key) else { continue };
-                    m.when.push(When { path: key.clone(), stamp: *stamp });
-                    match l
-                        .machines_record(ids, &self.mirror.ledger)
-                        .filter(|_| key.starts_with(keys::MACHINES))
-                    {
-                        Some(v) => put(key.clone(), v, &mut m),
-                        None => {
-                            m.writes.push(Write::Remove { remove: key.clone() });
-                            true
-                        }
-                    }
-                }
-            };
+            if let (LeaderWrite::Fail(id, index), Some(l)) = (&w, &self.leadership.leader) {
+                info!("{id}: {}", l.failure_cause(*id, *index));
+            }
+            size += changes.len();
+            m.when.extend(changes.conditions);
+            m.writes.extend(changes.writes);
             // One name a transaction: they share a key.
-            let full = !room
+            let full = alone
                 || matches!(w, LeaderWrite::Hire(_))
                     && taken.iter().any(|x| matches!(x, LeaderWrite::Hire(_)));
             taken.push(w);
@@ -488,6 +413,19 @@
         self.calls.insert(id, Purpose::LeaderWrites(term, taken));
     }
 
+    /// What a leader's write changes.
+    fn changes_of(&self, write: &LeaderWrite) -> Option<Changes> {
+        let may_create = |key: &str| self.leadership.may_create(key, self.now);
+        let recording = Recording {
+            ledger: &self.mirror.ledger,
+            limits: &self.limits,
+            wall_ms: self.wall_ms,
+            may_create: &may_create,
+        };
+        let changes = self.leadership.leader.as_ref()?.changes(write, &recording)?;
+        (!changes.is_empty()).then_some(changes)
+    }
+
     pub(super) fn leader_written(&mut self, term: u64, writes: Vec<LeaderWrite>, result: &CallResult) {
         if self.leadership.leader.as_ref().is_none_or(|l| l.term != term) {
             return;
@@ -502,6 +440,7 @@
                 for w in &writes {
                     l.written(w);
                 }
+                self.leadership.refused.accepted(&writes);
                 self.lead();
             }
             CallResult::Answer { status: 409, body } => {
@@ -515,6 +454,10 @@
                 self.leadership.retry_at = self.now + Micros::millis(60);
                 self.leadership.contest(&failed, self.now);
             }
+            CallResult::Answer { status: 400, body } => {
+                let reason = String::from_utf8_lossy(body);
+                self.leadership.refused.refused(&writes, &reason, self.now);
+            }
             r => {
                 debug!("leader's records not confirmed: {r:?}");
                 let pause = Micros::millis(150 + self.rng.u64(0..200));
--- a/crates/core/src/node/leadership.rs
+++ b/crates/core/src/node/leadership.rs
@@ -1,5 +1,6 @@
 //! Leadership: this node's part in the election, and the leader's work and
 //! writes while it leads.
+use super::refusals::Refusals;
 use crate::election::Election;
 use crate::jobs::keys;
 use crate::leader::{Leader, LeaderWrite};
@@ -22,6 +23,8 @@
     /// Keys whose condition did not hold: how often in a row, and until when
     /// what needs them is left out.
     pub contested: BTreeMap<String, (u32, Micros)>,
+    /// Writes that the state service called wrong.
+    pub refused: Refusals,
     pub bucket: Bucket,
     /// Another controller was heard in this term as leader.
     pub had_peers: bool,
@@ -42,6 +45,7 @@
             retry_at: Micros(0),
             wrote_at: Micros(0),
             contested: BTreeMap::new(),
+            refused: Refusals::default(),
             bucket: Bucket::new(changes * 0.45, changes * 0.4, now),
             had_peers: false,
             vacant_since: None,
@@ -53,6 +57,7 @@
     pub fn take_up(&mut self, leader: Leader) {
         self.inflight.clear();
         self.contested.clear();
+        self.refused = Refusals::default();
         self.txns = 0;
         self.leader = Some(leader);
     }
@@ -70,6 +75,11 @@
         }
     }
 
+    /// Whether a new key of this name may be tried.
+    pub fn may_create(&self, key: &str, now: Micros) -> bool {
+        !self.is_contested(key, now)
+    }
+
     fn is_contested(&self, key: &str, now: Micros) -> bool {
         self.contested.get(key).is_some_and(|(times, until)| *times > 1 && now < *until)
     }
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -9,6 +9,7 @@
 mod membership;
 mod mirror;
 mod peers;
+mod refusals;
 mod relay;
 mod requests;
 mod stand_in;
@@ -94,7 +95,8 @@
         sent: Micros,
     },
     EndLease,
-    Mail,
+    /// A transaction of a relayed message, by the message's number.
+    Mail(u64),
     LeaderWrites(u64, Vec<LeaderWrite>),
     /// The record of a term's witnesses.
     BooksRecord(u64),
@@ -365,7 +367,11 @@
                 }
                 _ => self.leadership.election.renewing = false,
             },
-            Purpose::EndLease | Purpose::Mail => {}
+            Purpose::EndLease => {}
+            Purpose::Mail(number) => {
+                let taken = matches!(result, CallResult::Answer { status: 200, .. });
+                self.post_relayed(number, taken);
+            }
             Purpose::LeaderWrites(term, w) => self.leader_written(term, w, &result),
             Purpose::BooksRecord(term) => {
                 if let Some(l) = self.leadership.leader.as_mut().filter(|l| l.term == term) {
--- a/crates/core/src/node/peers.rs
+++ b/crates/core/src/node/peers.rs
@@ -1,9 +1,5 @@
 //! Messages between controllers, and their ways round a cut.
 use super::*;
-use data_encoding::BASE64;
-
-/// Room for a letter's text in one transaction, of the 64 KiB that one may have.
-const MAIL_ROOM: usize = 56_000;
 
 impl Node {
     pub(super) fn leader_node(&self) -> Option<NodeId> {
@@ -50,42 +46,37 @@
     }
 
     /// Posts what no other way is left for, in as many parts as the values'
-    /// limit asks for, as often as a small part of the budget allows.
+    /// limit asks for, as often as a small part of the budget allows. A message
+    /// of more parts than a transaction holds goes in several, one by one.
     pub(super) fn send_relayed(&mut self) {
-        if self.relay.outgoing.is_empty() || self.now < self.relay.next_at || !self.mirror.state_ok(self.now)
+        if self.relay.outgoing.is_empty()
+            || self.relay.posting()
+            || self.now < self.relay.next_at
+            || !self.mirror.state_ok(self.now)
         {
             return;
         }
         let me = self.nodes.names[self.nodes.me.0 as usize].clone();
-        let room =
-            self.limits.value_bytes.saturating_sub(100).min(MAIL_ROOM / self.limits.txn_ops.max(1)).max(100);
         let mut posted = 0;
-        for ((to, _), message) in std::mem::take(&mut self.relay.outgoing) {
+        while let Some(((to, _), message)) = self.relay.outgoing.pop_first() {
             if self.hears(to, HEARD) {
                 continue;
             }
-            let envelope = Envelope { from: self.nodes.me, incarnation: self.incarnation, message }.pack();
-            let text = BASE64.encode(&envelope);
-            let parts: Vec<&str> =
-                text.as_bytes().chunks(room).filter_map(|c| std::str::from_utf8(c).ok()).collect();
-            if parts.len() > self.limits.txn_ops {
+            let envelope = Envelope { from: self.nodes.me, incarnation: self.incarnation, message };
+            let receiver = &self.nodes.names[to.0 as usize];
+            let Some(parts) = self.relay.cut(receiver, &me, &envelope, &self.limits) else {
                 debug!("message to controller {} is too long for the state service", to.0);
                 continue;
-            }
-            if !self.users.bucket.take(self.now, parts.len() as f64, 1.0) {
+            };
+            if !self.users.bucket.take(self.now, parts as f64, 1.0) {
+                self.relay.next_txn(self.relay.number(), false);
                 continue;
             }
-            self.relay.count += 1;
-            posted += parts.len();
-            let to = &self.nodes.names[to.0 as usize];
-            let put = |(i, part): (usize, &&str)| Write::Put {
-                put: keys::mail(to, &format!("{me}/{i}")),
-                v: json!([self.incarnation, self.relay.count, i, parts.len(), part]),
-                hold: None,
-            };
-            let writes = parts.iter().enumerate().map(put).collect();
-            let call = self.multi(&Multi { when: Vec::new(), writes });
-            self.calls.insert(call, Purpose::Mail);
+            posted += parts;
+            self.post_relayed(self.relay.number(), true);
+            if self.relay.posting() {
+                break;
+            }
         }
         // A seventh of all changes, shared by those who may be in the same need.
         let share = self.limits.changes_per_s / 7.0 / self.nodes.names.len() as f64;
@@ -93,6 +84,14 @@
         self.relay.next_at = self.now + pause.clamp(Micros::millis(400), Micros::millis(1500));
     }
 
+    /// Posts the next transaction of a message, if the one before it was taken.
+    pub(super) fn post_relayed(&mut self, number: u64, taken: bool) {
+        if let Some(txn) = self.relay.next_txn(number, taken) {
+            let call = self.multi(&txn);
+            self.calls.insert(call, Purpose::Mail(number));
+        }
+    }
+
     pub(super) fn peer(&mut self, from: NodeId, incarnation: u64, m: Message) {
         match m {
             Message::Ping { state_ok, hears, queued, loaded } => {
--- a/crates/core/src/node/requests.rs
+++ b/crates/core/src/node/requests.rs
@@ -152,7 +152,7 @@
         if !fits {
             return Err((422, "a task fits no allowed machine type".into()));
         }
-        if jobs::job_value(&s, 0).to_string().len() + 64 > self.limits.value_bytes {
+        if !self.limits.fits(&jobs::job_value(&s, self.wall_ms)) {
             return Err((400, "the description is too long".into()));
         }
         Ok(s)
--- a/crates/nomad/src/service/reconcile.rs
+++ b/crates/nomad/src/service/reconcile.rs
@@ -8,6 +8,7 @@
 use super::{Known, Pending, Service, write};
 use gorseshore_core::guest::{GuestOutput, Host};
 use gorseshore_core::jobs::{Phase, description, job_value, keys};
+use gorseshore_core::limits::value_len;
 use gorseshore_protocol::ids::{JobId, Micros};
 use gorseshore_protocol::state::{Multi, When, Write};
 use serde_json::json;
@@ -94,10 +95,14 @@
                         };
                         spec.tasks = g.count;
                         spec.after = head.old.iter().copied().map(JobId).collect();
+                        let v = job_value(&spec, head.at);
+                        if value_len(&v) > host.value_limit {
+                            log::error!("record too long job={} group={}", head.id, g.name);
+                            continue;
+                        }
                         if room(&m) {
                             m.when.push(When { path: keys::job(id), stamp: 0 });
                             m.when.push(When { path: keys::end(id), stamp: 0 });
-                            let v = job_value(&spec, head.at);
                             m.writes.push(Write::Put { put: keys::job(id), v, hold: None });
                         }
                     }
@@ -105,9 +110,13 @@
                         if let (Some(spec), true) = (&job.spec, room(&m)) {
                             let mut spec = gorseshore_protocol::job::JobSpec::clone(spec);
                             spec.tasks = g.count;
+                            let v = job_value(&spec, job.submitted_ms);
+                            if value_len(&v) > host.value_limit {
+                                log::error!("record too long job={} group={}", head.id, g.name);
+                                continue;
+                            }
                             m.when.push(When { path: keys::job(id), stamp: job.stamp });
                             m.when.push(When { path: keys::end(id), stamp: 0 });
-                            let v = job_value(&spec, job.submitted_ms);
                             m.writes.push(Write::Put { put: keys::job(id), v, hold: None });
                         }
                     }
--- a/crates/nomad/src/service/register.rs
+++ b/crates/nomad/src/service/register.rs
@@ -17,12 +17,17 @@
 use gorseshore_core::CallResult;
 use gorseshore_core::guest::{GuestOutput, Host};
 use gorseshore_core::jobs::{Phase, job_value, keys};
+use gorseshore_core::limits::value_len;
 use gorseshore_protocol::ids::{JobId, Micros, OWN_IDS};
 use gorseshore_protocol::state::{Multi, When, Write};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
+/// Bytes that a head may grow by without being judged anew.
+const HEAD_MARGIN: usize = 64;
+/// The same for a group's description: jobs that it replaces, and a count.
+const DESCRIPTION_MARGIN: usize = 22 * OLD_KEPT;
 /// Longest content of a job, in bytes as it is stored.
 const MAX_CONTENT: usize = 64 * 1024;
 /// How often a change starts anew when others change the job meanwhile.
@@ -117,6 +122,9 @@
     /// What natively is a 422: a task that alone is over its team's limit.
     fn limits(&self, host: &Host<'_>, groups: &[Planned]) -> Result<(), String> {
         for p in groups {
+            if value_len(&job_value(&p.spec, host.wall_ms)) + DESCRIPTION_MARGIN > host.value_limit {
+                return Err(format!("group {}: the description is too long", p.group));
+            }
             let Some(team) = host.teams.iter().find(|t| t.name == p.spec.team) else {
                 return Err(format!("this site has no team {}", p.spec.team));
             };
@@ -509,7 +517,10 @@
             }
             self.keep_content(&head.nonce, c);
         }
-        if json!(head).to_string().len() + 64 > host.value_limit {
+        // A head of longer values than may be written now gives up its oldest versions.
+        let too_long = |head: &Head| value_len(&json!(head)) + HEAD_MARGIN > host.value_limit;
+        while too_long(&head) && head.earlier.pop().is_some() {}
+        if too_long(&head) {
             return self.give_up(&r, 400, "the job has too many groups for a record of the state service");
         }
         r.head = Some(head);
--- a/crates/standins/src/state.rs
+++ b/crates/standins/src/state.rs
@@ -25,6 +25,14 @@
     changes: (f64, f64, u64),
     changes_at_once: usize,
     value_limit: usize,
+    /// The limits were lowered: what is beyond them is answered with 400.
+    lowered: bool,
+    /// What was refused for its size or its number of changes.
+    refused: Vec<String>,
+    /// Changes beyond the rate.
+    too_fast: usize,
+    /// Puts of these keys are called wrong, whatever they say; how often they were.
+    unwelcome: BTreeMap<String, usize>,
 }
 
 /// A request's outcome: an answer, or a watch that waits.
@@ -178,13 +186,19 @@
             }
             ("POST", "/multi") => {
                 let m: Multi = serde_json::from_slice(body).unwrap();
-                assert!(m.writes.len() <= self.changes_at_once, "{} changes at once", m.writes.len());
-                for w in &m.writes {
-                    if let Write::Put { put, v, .. } = w {
-                        assert!(v.to_string().len() <= self.value_limit, "{put} is too long");
-                    }
+                if let Some(fault) = self.beyond_limits(&m) {
+                    // Without lower limits on the way nobody may come to this.
+                    assert!(self.lowered, "{fault}");
+                    let answer = Self::answer(400, json!({ "error": fault }));
+                    self.refused.push(fault);
+                    return answer;
+                }
+                if let Some(times) = self.unwelcome_put(&m) {
+                    *times += 1;
+                    return Self::answer(400, json!({"error": "unwelcome"}));
                 }
                 if !self.afford(m.writes.len(), now) {
+                    self.too_fast += 1;
                     return Self::answer(429, json!({}));
                 }
                 self.multi(m)
@@ -225,6 +239,56 @@
         }
     }
 
+    /// Other limits apply from now on; nobody is told.
+    pub fn lower(&mut self, changes: f64, changes_at_once: usize, value_kb: f64) {
+        self.changes.0 = changes;
+        self.changes.1 = self.changes.1.min(changes);
+        self.changes_at_once = changes_at_once;
+        self.value_limit = (value_kb * 1024.0) as usize;
+        self.lowered = true;
+    }
+
+    /// What was refused for its size or its number of changes since the limits
+    /// were lowered.
+    pub fn refused(&self) -> &[String] {
+        &self.refused
+    }
+
+    /// How often changes came beyond the rate.
+    pub fn too_fast(&self) -> usize {
+        self.too_fast
+    }
+
+    /// Calls every put of a key wrong from now on.
+    pub fn refuse_key(&mut self, key: &str) {
+        self.unwelcome.insert(key.to_owned(), 0);
+    }
+
+    /// How often a put of a key was called wrong.
+    pub fn times_refused(&self, key: &str) -> usize {
+        self.unwelcome.get(key).copied().unwrap_or(0)
+    }
+
+    fn unwelcome_put(&mut self, m: &Multi) -> Option<&mut usize> {
+        let key = m.writes.iter().find_map(|w| match w {
+            Write::Put { put, .. } if self.unwelcome.contains_key(put) => Some(put),
+            _ => None,
+        })?;
+        self.unwelcome.get_mut(key)
+    }
+
+    fn beyond_limits(&self, m: &Multi) -> Option<String> {
+        if m.writes.len() > self.changes_at_once {
+            return Some(format!("{} changes at once", m.writes.len()));
+        }
+        m.writes.iter().find_map(|w| match w {
+            Write::Put { put, v, .. } if v.to_string().len() > self.value_limit => {
+                Some(format!("{put} is too long"))
+            }
+            _ => None,
+        })
+    }
+
     /// Whether the budget has room for `n` changes; they are taken from it.
     fn afford(&mut self, n: usize, now: u64) -> bool {
         let (rate, left, at) = self.changes;
--- /dev/null
+++ b/tests/world/limits.rs
@@ -0,0 +1,145 @@
+//! The state service lowers its limits without notice, at any moment of a rough
+//! day: from then on no write may be refused for its size or its number of
+//! changes, since every writer has kept to the announced limits before.
+use super::*;
+
+/// Limits that apply from a moment that nobody knows.
+#[derive(Clone, Copy)]
+pub struct NextLimits {
+    pub changes: f64,
+    pub changes_at_once: usize,
+    pub value_kb: f64,
+    /// The controllers' settings name them.
+    pub announced: bool,
+}
+
+impl NextLimits {
+    /// The block of the settings.
+    pub fn settings(&self) -> String {
+        match self.announced {
+            true => format!(
+                "[deployment.state.next]\nwrite_rps = {:.1}\nvalue_kb = {:.1}\ntxn_ops = {}\n",
+                self.changes, self.value_kb, self.changes_at_once
+            ),
+            false => String::new(),
+        }
+    }
+}
+
+const NEXT: NextLimits = NextLimits { changes: 15.0, changes_at_once: 4, value_kb: 2.0, announced: true };
+
+/// Arrays whose progress takes more than a value.
+const LONG_ARRAYS: Size = Size {
+    changes: 60.0,
+    changes_at_once: 8,
+    value_kb: 4.0,
+    long_arrays: 2,
+    jobs: 4,
+    next: Some(NEXT),
+    ..SMALL
+};
+/// So many machines that those that come up together don't fit into a value.
+const MANY_MACHINES: Size = Size { next: Some(NextLimits { value_kb: 1.0, ..NEXT }), ..GROWN };
+/// Planners with Nomad jobs.
+const PLANNERS: Size = Size { value_kb: 4.0, next: Some(NextLimits { changes: 30.0, ..NEXT }), ..PLANNED };
+
+impl World {
+    /// Plans the moment from which the next limits apply.
+    pub fn plan_next_limits(&mut self) {
+        if self.size.next.is_some() {
+            let at = self.rng.u64(5 * S..self.size.busy_until);
+            self.at(at, Event::LowerLimits);
+        }
+    }
+
+    pub fn lower_limits(&mut self) {
+        if let Some(next) = self.size.next {
+            self.state.lower(next.changes, next.changes_at_once, next.value_kb);
+        }
+    }
+
+    /// An array of up to 10,000 small tasks, the first of which are done long
+    /// before the last.
+    pub fn long_array(&mut self) {
+        let j = self.jobs.len();
+        let tasks = self.rng.u32(8_500..10_000);
+        let run_us = self.rng.u64(S..3 * S);
+        let body = json!({"ref": format!("j-{j:06}"), "lot": "l", "crew": "free", "manner": "array",
+            "rank": "standard", "pieces": tasks, "cpus": 0.05, "gpus": 0.0, "memory_gb": 0.01,
+            "bundle": "i", "image_gb": 0.4, "builds": null, "yard": null, "same_place": false,
+            "apart": false, "loaners": true, "guess_s": run_us as f64 / 1e6, "mark_s": 0.0,
+            "stow_s": 0.0, "due_s": null});
+        let job = Job::new(body, "free", false, tasks, 0.05, run_us);
+        self.jobs.push(Job { spot: true, later_us: 2 * MS, ..job });
+    }
+}
+
+/// `LIMIT_SEEDS=1..9` for others.
+fn days(name: &str, size: Size, least_completed: usize) {
+    logs();
+    for seed in seeds("LIMIT_SEEDS", 1, 3) {
+        let w = play(seed, false, size);
+        println!(
+            "{name}, seed {seed}: {} completed, {} started, {} times too fast, {} refused",
+            w.completed,
+            w.started,
+            w.state.too_fast(),
+            w.state.refused().len()
+        );
+        assert!(w.broken.is_empty(), "{name}, seed {seed}: {:?}", w.broken);
+        let refused = w.state.refused();
+        assert!(refused.is_empty(), "{name}, seed {seed}: {} refused: {:?}", refused.len(), refused.first());
+        assert!(w.completed >= least_completed, "{name}, seed {seed}: {} completed", w.completed);
+        let late = w.late();
+        assert!(late.is_empty(), "{name}, seed {seed}: {:?} are not over", w.describe(&late).0);
+    }
+}
+
+#[test]
+fn long_arrays_end_within_the_next_limits() {
+    days("long arrays", LONG_ARRAYS, 17_000);
+}
+
+#[test]
+fn many_machines_are_recorded_within_the_next_limits() {
+    days("many machines", MANY_MACHINES, 300);
+}
+
+#[test]
+fn planners_are_served_within_the_next_limits() {
+    days("planners", PLANNERS, 0);
+}
+
+/// The same days with controllers that aren't told of the next limits: they are
+/// refused, so that the days above show something.
+#[test]
+fn limits_that_are_not_announced_are_overstepped() {
+    for (name, size) in
+        [("long arrays", LONG_ARRAYS), ("many machines", MANY_MACHINES), ("planners", PLANNERS)]
+    {
+        let next = size.next.map(|next| NextLimits { announced: false, ..next });
+        let w = play(1, false, Size { next, ..size });
+        println!("{name}: {} refused", w.state.refused().len());
+        assert!(!w.state.refused().is_empty(), "{name}");
+    }
+}
+
+/// A record that the state service calls wrong holds up no other, and isn't
+/// repeated all the time.
+#[test]
+fn a_record_that_is_refused_holds_up_no_other() {
+    let mut w = World::new(3, true, SMALL);
+    let keys = ["g/h/host-000000", "g/p/j-000002/0"];
+    keys.iter().for_each(|key| w.state.refuse_key(key));
+    w.run(40 * S);
+    assert!(w.completed > 5, "{} tasks completed in 40 s", w.completed);
+    w.run(SMALL.ends + 150 * S);
+    assert!(w.broken.is_empty(), "{:?}", w.broken);
+    let late = w.late();
+    assert!(late.is_empty(), "{:?} are not over", w.describe(&late));
+    assert!(w.completed > 60, "{} tasks completed", w.completed);
+    let times: usize = keys.iter().map(|key| w.state.times_refused(key)).sum();
+    println!("{times} times refused");
+    // Pauses grow from one second on, of whichever leader.
+    assert!((1..40).contains(&times), "{times} times refused");
+}
--- a/tests/world/main.rs
+++ b/tests/world/main.rs
@@ -5,6 +5,7 @@
 mod cancelled;
 mod desk;
 mod fleet;
+mod limits;
 mod looks;
 mod meetings;
 mod nomad;
@@ -68,6 +69,10 @@
     /// What on-call met: one-way machines and controllers, controllers that lose
     /// everybody but their workers, late copies.
     oncall: bool,
+    /// The state service's limits from some moment on.
+    next: Option<limits::NextLimits>,
+    /// The first jobs are arrays of up to 10,000 tasks.
+    long_arrays: usize,
 }
 
 const SMALL: Size = Size {
@@ -88,6 +93,8 @@
     fleet: false,
     blinks: false,
     oncall: false,
+    next: None,
+    long_arrays: 0,
 };
 /// The small world with planners, and values so short that their jobs take
 /// several parts.
@@ -142,6 +149,7 @@
         "[deployment.state]\nrps = {:.1}\nwrite_rps = {:.1}\nvalue_kb = {:.1}\ntxn_ops = {}\n",
         size.requests, size.changes, size.value_kb, size.changes_at_once
     );
+    text += &size.next.map(|next| next.settings()).unwrap_or_default();
     Platform::parse(&text).unwrap()
 }
 
@@ -250,6 +258,7 @@
     /// A user looks closely: at which controller, in which way, at which job.
     Look(usize, looks::Way, usize),
     Outage,
+    LowerLimits,
     /// A copy of a request; nobody waits for its answer.
     Copy(usize, &'static str, String, Vec<u8>),
 }
@@ -374,6 +383,7 @@
         if !quiet {
             w.at(15 * S, Event::Trouble);
         }
+        w.plan_next_limits();
         w
     }
 
@@ -997,6 +1007,9 @@
             return self.oncall_job();
         }
         let j = self.jobs.len();
+        if j < self.size.long_arrays {
+            return self.long_array();
+        }
         let r = &mut self.rng;
         let service = r.u32(0..3) == 0;
         let tight = r.u32(0..3) == 0;
@@ -1237,6 +1250,7 @@
                 self.state.down = true;
                 self.at(self.size.cancel, Event::Heal);
             }
+            Event::LowerLimits => self.lower_limits(),
             Event::Fed(n, me, input) => {
                 if self.incarnations[n] == me {
                     self.feed(n, input);
