--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -3,6 +3,7 @@
 mod bindings;
 mod blocks;
 mod books;
+pub mod changes;
 mod deaf;
 mod dependents;
 pub mod health;
--- a/crates/core/src/node/requests.rs
+++ b/crates/core/src/node/requests.rs
@@ -152,7 +152,7 @@
         if !fits {
             return Err((422, "a task fits no allowed machine type".into()));
         }
-        if jobs::job_records(&s, 0, &self.limits).is_none() {
+        if jobs::job_records(&s, self.wall_ms, &self.limits).is_none() {
             return Err((400, "the description is too long".into()));
         }
         if s.dependencies.contains(&s.id) {
