--- a/crates/core/src/leader/blocks.rs
+++ b/crates/core/src/leader/blocks.rs
@@ -9,6 +9,11 @@
 /// Silent machines that the other controllers ask after at a time, so often.
 const PROBES_AT_ONCE: usize = 25;
 
+/// A controller that has not told for so long what became of a hand-out gets no more of
+/// them: it tells within 100 ms, and where it may be cut off, each hand-out more is one
+/// that may have gone to any of its machines.
+const OUTCOME_OVERDUE: Micros = Micros::millis(500);
+
 /// The books of the term before are waited for so long.
 const BOOKS_WAIT: Micros = Micros::millis(1200);
 
@@ -25,6 +30,18 @@
         (0..self.nodes.len()).map(|i| self.in_contact(NodeId(i as u8), now)).collect()
     }
 
+    /// Which controllers hand-outs may go to: those in contact that tell what became of
+    /// the ones before.
+    pub(super) fn takers(&self, now: Micros) -> Vec<bool> {
+        let mut takers = self.contacts(now);
+        for handout in self.handouts.values() {
+            if handout.first_sent.is_some_and(|t| now.since(t) > OUTCOME_OVERDUE) {
+                takers[handout.to.0 as usize] = false;
+            }
+        }
+        takers
+    }
+
     /// How many machines each controller holds.
     pub(super) fn loads(&self) -> Vec<usize> {
         let mut load = vec![0usize; self.nodes.len()];
@@ -160,8 +177,10 @@
                 }
             }
         }
-        for (id, to, why) in moves {
-            self.grant(&id, to, why, now);
+        if !moves.is_empty() {
+            for (id, to, why) in moves {
+                self.grant(&id, to, why, now);
+            }
             load = self.loads();
         }
         for (id, zone) in unheld {
@@ -332,11 +351,15 @@
                 over.push(*job);
             }
             if now >= self.deletion_due(*by, 95, Micros::millis(1500)) {
-                let places = run
-                    .iter()
-                    .flat_map(|r| r.bound.values())
-                    .flat_map(|b| b.on.iter().chain(b.handed.iter().flat_map(|h| h.machines.iter())));
-                doomed.extend(places.map(|id| (id.clone(), *job)));
+                let bound = || run.iter().flat_map(|r| r.bound.values());
+                doomed.extend(bound().flat_map(|b| b.on.iter()).map(|id| (id.clone(), *job)));
+                // A hand-out went to a machine that its job may use.
+                let may_hold = |id: &MachineId| {
+                    let (Some(r), Some(m)) = (run, self.machines.get(id)) else { return false };
+                    r.spec.allows(&m.build, &m.zone, m.spot, &m.size)
+                };
+                let handed = bound().filter_map(|b| b.handed.as_ref()).flat_map(|h| h.machines.iter());
+                doomed.extend(handed.filter(|id| may_hold(id)).map(|id| (id.clone(), *job)));
             }
             // Machines that nobody heard in this term may hold its tasks.
             if now >= self.deletion_due(*by, 90, Micros::millis(2500))
