--- a/crates/core/src/deputy.rs
+++ b/crates/core/src/deputy.rs
@@ -18,8 +18,9 @@
 const LOOKED_AT: Micros = Micros::millis(200);
 /// A machine that has not answered, or still has a task, is asked again after this.
 const ASK_AGAIN: Micros = Micros::millis(1500);
-/// Machines asked at a time, beside the other work.
-const ASKED_AT_ONCE: usize = 25;
+/// Machines asked at a time, beside the other work: 250 a second, of which 300 wait for
+/// their answers at a time if nobody answers.
+const ASKED_AT_ONCE: usize = 50;
 /// A deletion without an answer is sent again after this; one that was refused, sooner.
 const DELETE_AGAIN: Micros = Micros::secs(3);
 const REFUSED_AGAIN: Micros = Micros::millis(600);
@@ -39,6 +40,14 @@
     (now + cancel) - Micros::millis((wall_ms + 1000).saturating_sub(at_ms))
 }
 
+/// How long before their time machines may be deleted: as long as a leader's deletions
+/// take, or as long as so many names take at `DELETE_EVERY` until a twentieth is left.
+fn delete_before(suspects: usize, cancel: Micros) -> Micros {
+    let calls = suspects.div_ceil(NAMES) as u64;
+    let all = Micros(DELETE_EVERY.0 * calls) + ASK_AGAIN + cancel.scale(5, 100);
+    all.max(cancel.scale(35, 100))
+}
+
 /// What is to be done.
 #[derive(Debug, PartialEq)]
 pub enum Act {
@@ -116,7 +125,8 @@
     ) -> Vec<Act> {
         // The same part of the time as a leader's (`leader/blocks.rs`), and all is sent when
         // a twentieth is left; the machines are asked well before.
-        let (ask_before, delete_before) = (cancel.scale(70, 100), cancel.scale(35, 100));
+        let ask_before = cancel.scale(70, 100);
+        let delete_before = delete_before(suspects.len(), cancel);
         let mut order: Vec<(Micros, &MachineId)> = suspects.iter().map(|(id, s)| (s.by, id)).collect();
         order.sort();
         let mut ask = Vec::new();
--- a/crates/core/src/deputy/tests.rs
+++ b/crates/core/src/deputy/tests.rs
@@ -101,6 +101,30 @@
     }
 }
 
+/// With a short time for cancellations and a large fleet of which nothing is known, the
+/// deletions begin as early as their number asks for.
+#[test]
+fn a_whole_fleet_goes_in_time() {
+    let cancel = Micros::millis(46_500);
+    // (machines, milliseconds before their time at which deletions may begin)
+    for (machines, earliest) in [(1_000, 16_275), (4_000, 19_825), (6_000, 27_825)] {
+        let by = TOLD + cancel;
+        let mut suspects = suspects(machines, false);
+        suspects.values_mut().for_each(|s| s.by = by);
+        let (mut deputy, mut gone) = (Deputy::default(), BTreeSet::new());
+        for ms in (0..46_500).step_by(200) {
+            let now = TOLD + Micros::millis(ms);
+            for act in deputy.tick(&suspects, cancel, machines, now) {
+                let Act::Delete(ids) = act else { continue };
+                assert!(46_500 - ms <= earliest, "{machines} machines: deleted at {ms} ms");
+                deputy.deleted(&ids, Some(true), now);
+                gone.extend(ids);
+            }
+        }
+        assert_eq!(gone.len(), machines);
+    }
+}
+
 /// A machine that was deleted before it could answer would cost what is well.
 #[test]
 fn nothing_is_deleted_before_it_was_asked() {
