--- a/crates/core/src/leader/machines.rs
+++ b/crates/core/src/leader/machines.rs
@@ -54,8 +54,12 @@
                 wishes.push(CloudWish::Hire(req.clone()));
             }
         }
-        if !self.listing && now.since(self.listed) >= Micros::secs(2) {
-            wishes.push(CloudWish::List(None));
+        let pause = match self.list_from {
+            Some(_) => growth::list_page_pause(self.ctx.cloud_rps),
+            None => growth::list_pause(),
+        };
+        if !self.listing && now.since(self.listed) >= pause {
+            wishes.push(CloudWish::List(self.list_from.clone()));
         }
         wishes
     }
@@ -69,7 +73,7 @@
                 m.stage == Stage::Deleting && m.delete_sent.is_none_or(|t| now.since(t) > Micros::secs(3))
             })
             .map(|(id, _)| id.clone())
-            .take(100)
+            .take(growth::NAMES_A_DELETION)
             .collect();
         (!doomed.is_empty()).then_some(CloudWish::Delete(doomed))
     }
@@ -152,10 +156,13 @@
     }
 
     /// A page of the list (or none, if the call failed).
-    pub fn listed(&mut self, page: Option<&[Rental]>, sizes: &Sizes, now: Micros) {
+    pub fn listed(&mut self, page: Option<&Rentals>, sizes: &Sizes, now: Micros) {
         self.listing = false;
         self.listed = now;
-        for r in page.unwrap_or(&[]) {
+        let Some(page) = page else { return };
+        let last = page.hosts.last().filter(|_| page.truncated);
+        self.list_from = last.map(|r| r.name.clone());
+        for r in &page.hosts {
             let id = MachineId::from(&*r.name);
             if self.gone.contains_key(&id) {
                 continue;
@@ -341,7 +348,8 @@
     }
 
     pub(super) fn plan_hires(&mut self, flavors: &[Flavor], now: Micros) {
-        if self.hires.len() >= 6 {
+        let open = growth::open_rentals(self.ctx.cloud_rps);
+        if self.hires.len() >= open {
             return;
         }
         let mut offers = Vec::new();
@@ -435,7 +443,12 @@
             drain_s: 20.0,
             running_arrays: running,
             ordinary_for_arrays: self.ordinary_for_arrays(thirsty, now),
-            max_new: self.ctx.operator.max_machines.saturating_sub(self.machines.len()).min(50),
+            max_new: self
+                .ctx
+                .operator
+                .max_machines
+                .saturating_sub(self.machines.len())
+                .min(growth::machines_added(self.machines.len())),
         };
         let full = policy.max_new == 0 && !demands.is_empty();
         if std::mem::replace(&mut self.fleet_full, full) != full && full {
@@ -461,17 +474,31 @@
             offers = open;
         }
         wants.extend(fleet::plan(rooms, &demands, &offers, &policy));
-        for (w, n) in wants {
+        for (want, machines) in wants {
+            self.ask_for(&want, machines, open, now);
+        }
+    }
+
+    /// Asks for machines of one kind, in as many rentals as they take and may be open;
+    /// in one at least, so that no kind waits for the others.
+    fn ask_for(&mut self, want: &Want, machines: u32, open: usize, now: Micros) {
+        let mut left = machines;
+        loop {
+            let count = left.min(growth::MACHINES_A_RENTAL);
             self.hire_count += 1;
             let name = format!("g-{}-{}", self.term, self.hire_count);
             let req = HireRequest {
                 name: name.clone(),
-                build: w.build,
-                zone: w.zone,
-                spot: w.spot,
-                count: n.min(50),
+                build: want.build.clone(),
+                zone: want.zone.clone(),
+                spot: want.spot,
+                count,
             };
             self.hires.insert(name, (req, HireStage::ToRecord, now));
+            left -= count;
+            if left == 0 || self.hires.len() >= open {
+                return;
+            }
         }
     }
 
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -4,6 +4,7 @@
 mod blocks;
 mod books;
 mod deaf;
+pub mod growth;
 pub mod health;
 mod machine;
 mod machines;
@@ -27,7 +28,7 @@
 use crate::books::Ledgers;
 use crate::controller::{ASK_TIMEOUT, ASKED_AFTER, Sizes};
 use crate::fair_queue::FairQueue;
-use crate::fleet::{self, Demand, Offer, Policy, Room};
+use crate::fleet::{self, Demand, Offer, Policy, Room, Want};
 use crate::jobs::{Failures, Job, Ledger, MachineRecord, Phase, TaskSet};
 use crate::leader::health::{Health, Sight, Turn};
 use crate::leader::ways::Ways;
@@ -35,7 +36,7 @@
     GrantedMachine, HandOut, MachineState, Message, Outcome, Sighting, StopRequest, TaskState,
 };
 use crate::placement::{self, Candidate};
-use gorseshore_protocol::cloud::{Flavor, Rental};
+use gorseshore_protocol::cloud::{Flavor, Rentals};
 use gorseshore_protocol::ids::{
     Attempt, Baton, EPOCH_BITS, JobId, MachineId, Micros, NodeId, Resources, TaskId,
 };
@@ -154,6 +155,8 @@
     pub cancel: Micros,
     /// How old a list may be.
     pub list_lag: Micros,
+    /// Calls a second that the cloud takes.
+    pub cloud_rps: f64,
 }
 
 /// The leader's state in one term.
@@ -215,7 +218,9 @@
     pub dirty: bool,
     fleet_at: Micros,
     measured: Micros,
+    /// When a page of the cloud's list was read, and after which machine it goes on.
     listed: Micros,
+    list_from: Option<String>,
     listing: bool,
     hire_count: u64,
     rent_not_before: Micros,
@@ -288,6 +293,7 @@
             fleet_at: now,
             measured: now,
             listed: Micros(0),
+            list_from: None,
             listing: false,
             hire_count: 0,
             // Machines that the last leader rented show in the list only
--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -27,6 +27,7 @@
         report: Micros::secs(2),
         cancel: Micros::secs(30),
         list_lag: Micros::secs(5),
+        cloud_rps: 10.0,
     }
 }
 
--- a/crates/core/src/node/duties.rs
+++ b/crates/core/src/node/duties.rs
@@ -565,7 +565,7 @@
                 }
                 CloudWish::List(from) => {
                     let from = from.as_ref().map_or(String::new(), |f| format!("from={f}&"));
-                    call("GET", format!("/rentals?{from}limit=500"), Vec::new())
+                    call("GET", format!("/rentals?{from}limit={LIST_PAGE}"), Vec::new())
                 }
             };
             let id = self.out.call(c);
@@ -587,22 +587,7 @@
             CloudWish::Hire(req) => self.hired(req, result),
             CloudWish::List(_) => {
                 let page: Option<Rentals> = body.and_then(|b| serde_json::from_slice(b).ok());
-                l.listed(page.as_ref().map(|p| &p.hosts[..]), &self.catalogue.sizes, self.now);
-                if let Some(last) =
-                    page.filter(|p| p.truncated).and_then(|p| p.hosts.last().map(|h| h.name.clone()))
-                {
-                    let wish = CloudWish::List(Some(last.clone()));
-                    l.wish_sent(&wish, self.now);
-                    self.catalogue.bucket.force(self.now, 1.0);
-                    let id = self.out.call(Call {
-                        target: Target::Cloud,
-                        method: "GET",
-                        path: format!("/rentals?from={last}&limit=500"),
-                        body: Vec::new(),
-                        timeout: Micros::secs(4),
-                    });
-                    self.calls.insert(id, Purpose::Cloud(term, wish));
-                }
+                l.listed(page.as_ref(), &self.catalogue.sizes, self.now);
             }
         }
         self.lead();
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -30,6 +30,7 @@
 use crate::election::Role;
 use crate::guest::{Guest, GuestInput, GuestOutput, Host, Ticket};
 use crate::jobs::{self, Change, LeaderRecord, Ledger, MachineRecord, Phase, keys};
+use crate::leader::growth::LIST_PAGE;
 use crate::leader::{CloudWish, Context, HireRequest, Leader, LeaderWrite, View};
 use crate::peer::{Envelope, Message, Sighting};
 use crate::{Call, CallId, CallResult, Input, Outbox, Output, RequestId, Target};
@@ -160,6 +161,7 @@
             report: Micros::from_secs_f64(d.workers.report_s),
             cancel: Micros::from_secs_f64(d.workers.cancel_s),
             list_lag: Micros::from_secs_f64(d.cloud.list_lag_s),
+            cloud_rps: d.cloud.rps,
         };
         let w = d.state.write_rps;
         Node {
--- a/crates/standins/src/scale.rs
+++ b/crates/standins/src/scale.rs
@@ -95,6 +95,7 @@
         report: Micros::secs(5),
         cancel: Micros::secs(46),
         list_lag: Micros::secs(5),
+        cloud_rps: 10.0,
     }
 }
 
