--- a/tests/world/fleet.rs
+++ b/tests/world/fleet.rs
@@ -28,6 +28,17 @@
 const FLEET_OF_SEVEN: Size =
     Size { nodes: 7, changes: 40.0, changes_at_once: 8, value_kb: 4.0, requests: 250.0, ..FLEET };
 
+/// About 4,000 machines, with the largest site's budgets; three times the work.
+const FLEET_OF_THOUSANDS: Size = Size {
+    room: [2100, 30],
+    requests: 500.0,
+    changes: 180.0,
+    changes_at_once: 24,
+    value_kb: 16.0,
+    jobs: 1_300,
+    ..FLEET
+};
+
 const CUT: [u64; 2] = [70 * S, 112 * S];
 const OUTAGE: [u64; 2] = [215 * S, 232 * S];
 /// Replicas are back so long after a trouble: a machine is known to be dead, its
@@ -94,6 +105,13 @@
     (span[0]..span[1]).contains(&t)
 }
 
+impl Size {
+    /// How many times the usual fleet it is.
+    fn times(&self) -> usize {
+        self.room[0] / FLEET.room[0]
+    }
+}
+
 impl World {
     pub fn fleet_trouble(&mut self) {
         let Some((at, blow)) = DAY.get(self.fleet.done).copied() else { return };
@@ -109,6 +127,7 @@
             let (missing, of) = self.missing_replicas();
             self.fleet.missing.push((self.now / S, missing, of));
         }
+        let times = self.size.times();
         match blow {
             Blow::CutOff => {
                 self.zones_cut_until = CUT[1];
@@ -133,7 +152,7 @@
                     let live = |j: &Job| j.accepted && !j.told_done && j.aborted_at.is_none();
                     let some: Vec<usize> = (0..self.jobs.len())
                         .filter(|j| self.jobs[*j].service == service && live(&self.jobs[*j]) && on(self, *j))
-                        .take(many)
+                        .take(many * times)
                         .collect();
                     for j in some {
                         self.jobs[j].abort_at = self.now;
@@ -142,17 +161,17 @@
                 }
             }
             Blow::Die(n) => {
-                for name in self.some_machines(n, |m| !m.spot) {
+                for name in self.some_machines(n * times, |m| !m.spot) {
                     self.machines.remove(&name);
                 }
             }
             Blow::Taken(n) => {
-                for name in self.some_machines(n, |m| m.spot) {
+                for name in self.some_machines(n * times, |m| m.spot) {
                     self.machines.remove(&name);
                 }
             }
             Blow::Sick(n) => {
-                for name in self.some_machines(n, |m| !m.spot) {
+                for name in self.some_machines(n * times, |m| !m.spot) {
                     if let Some(m) = self.machines.get_mut(&name) {
                         m.sick = true;
                     }
@@ -239,40 +258,52 @@
     }
 }
 
+/// Plays fleet days of a size, with at least so many machines and tasks at a time.
+fn recovers(size: Size, seeds: std::ops::Range<u64>, machines: usize, tasks: usize) {
+    let times = size.times();
+    for seed in seeds {
+        let w = play(seed, false, size);
+        let (what, seen) = (format!("seed {seed}, {} controllers", size.nodes), &w.fleet);
+        println!(
+            "{what}: up to {} machines, {} tasks at a time, {} started; {} replicas' machines lost \
+             behind the cut, {} rented there; missing (at, of) {:?}",
+            seen.most, w.peak, w.started, seen.cut_lost, seen.rented_blind, seen.missing
+        );
+        assert!(w.broken.is_empty(), "{what}: {:?}", w.broken);
+        assert!(seen.most >= machines && w.peak >= tasks, "{what}: {} machines, {} tasks", seen.most, w.peak);
+        assert!(seen.lost.is_empty(), "{what}: machines that were well: {:?}", seen.lost);
+        // A hand-out on its way at the cut may have gone to any machine there.
+        assert!(seen.cut_lost <= 20 * times, "{what}: {} machines with replicas lost", seen.cut_lost);
+        let most = MOST_PROBES as usize;
+        assert!(seen.rented_blind <= most, "{what}: {} rented in a closed zone", seen.rented_blind);
+        for (at, missing, of) in &seen.missing {
+            // Some wait for one more machine that never came up.
+            assert!(missing * 100 <= *of, "{what}: at {at} s {missing} of {of} replicas are missing");
+        }
+        let out = OUTAGE[1] - OUTAGE[0];
+        for (j, job) in w.jobs.iter().enumerate().filter(|(_, j)| j.submitted) {
+            let hit = within(job.asked_at, [OUTAGE[0] - 10 * S, OUTAGE[1] + 15 * S]);
+            let took = if job.accepted { job.accepted_at } else { size.ends } - job.asked_at;
+            let most = 12 * S + if hit { out + 15 * S } else { 0 };
+            assert!(job.accepted && took <= most, "{what}: job {j} accepted after {} s", took / S);
+        }
+        let late = w.late();
+        assert!(late.len() <= 3 * times, "{what}: {:?} are not over at the end", w.describe(&late));
+    }
+}
+
 /// Fleet days with three and seven controllers; `FLEET_SEEDS=1..9` for others.
 #[test]
 fn a_fleet_falls_together_and_recovers() {
-    let std::ops::Range { start: from, end: to } = seeds("FLEET_SEEDS", 1, 2);
     logs();
-    for seed in from..to {
-        for size in [FLEET, FLEET_OF_SEVEN] {
-            let w = play(seed, false, size);
-            let (what, seen) = (format!("seed {seed}, {} controllers", size.nodes), &w.fleet);
-            println!(
-                "{what}: up to {} machines, {} tasks at a time, {} started; {} replicas' machines lost \
-                 behind the cut, {} rented there; missing (at, of) {:?}",
-                seen.most, w.peak, w.started, seen.cut_lost, seen.rented_blind, seen.missing
-            );
-            assert!(w.broken.is_empty(), "{what}: {:?}", w.broken);
-            assert!(seen.most >= 900 && w.peak >= 2_500, "{what}: {} machines, {} tasks", seen.most, w.peak);
-            assert!(seen.lost.is_empty(), "{what}: machines that were well: {:?}", seen.lost);
-            // A hand-out on its way at the cut may have gone to any machine there.
-            assert!(seen.cut_lost <= 20, "{what}: {} machines with replicas lost", seen.cut_lost);
-            let most = MOST_PROBES as usize;
-            assert!(seen.rented_blind <= most, "{what}: {} rented in a closed zone", seen.rented_blind);
-            for (at, missing, of) in &seen.missing {
-                // Some wait for one more machine that never came up.
-                assert!(missing * 100 <= *of, "{what}: at {at} s {missing} of {of} replicas are missing");
-            }
-            let out = OUTAGE[1] - OUTAGE[0];
-            for (j, job) in w.jobs.iter().enumerate().filter(|(_, j)| j.submitted) {
-                let hit = within(job.asked_at, [OUTAGE[0] - 10 * S, OUTAGE[1] + 15 * S]);
-                let took = if job.accepted { job.accepted_at } else { size.ends } - job.asked_at;
-                let most = 12 * S + if hit { out + 15 * S } else { 0 };
-                assert!(job.accepted && took <= most, "{what}: job {j} accepted after {} s", took / S);
-            }
-            let late = w.late();
-            assert!(late.len() <= 3, "{what}: {:?} are not over at the end", w.describe(&late));
-        }
+    for size in [FLEET, FLEET_OF_SEVEN] {
+        recovers(size, seeds("FLEET_SEEDS", 1, 2), 900, 2_500);
     }
 }
+
+/// The same day at the size that the operators run; `THOUSANDS_SEEDS=1..9` for others.
+#[test]
+fn thousands_of_machines_fall_together_and_recover() {
+    logs();
+    recovers(FLEET_OF_THOUSANDS, seeds("THOUSANDS_SEEDS", 1, 2), 3_600, 9_000);
+}
--- a/tests/world/main.rs
+++ b/tests/world/main.rs
@@ -33,6 +33,8 @@
 const WORKERS_EVERY: u64 = 50 * MS;
 /// The time of day at which a world begins, in milliseconds.
 const WALL_MS: u64 = 1_700_000_000_000;
+/// Calls a second that the cloud takes.
+const CLOUD_RPS: u64 = 8;
 const ZONES: [&str; 2] = ["east", "west"];
 
 /// How large a world is.
@@ -130,7 +132,8 @@
         [[deployment.teams]]\nname = \"free\"\n\
         [[deployment.teams]]\nname = \"tight\"\ncpus_max = 9.0\n\
         [[deployment.teams]]\nname = \"guest\"\n\
-        [deployment.cloud]\nrps = 8.0\nlist_lag_s = 5.0\n";
+        [deployment.cloud]\nlist_lag_s = 5.0\n";
+    text += &format!("rps = {CLOUD_RPS}.0\n");
     let s = |t: u64| t as f64 / S as f64;
     text += &format!(
         "[deployment.workers]\nreport_s = {:.1}\nlease_s = {:.1}\ncancel_s = {:.1}\n",
@@ -145,6 +148,20 @@
     Platform::parse(&text).unwrap()
 }
 
+/// After which machine a page of the cloud's list begins, and how many it may hold.
+fn list_page(path: &str) -> (String, usize) {
+    let (mut from, mut limit) = (String::new(), 500);
+    for pair in path.split_once('?').map_or("", |p| p.1).split('&') {
+        match pair.split_once('=') {
+            Some(("from", name)) => from = name.to_owned(),
+            Some(("limit", n)) => limit = n.parse().unwrap(),
+            other => panic!("not in the protocol: {other:?}"),
+        }
+    }
+    assert!(limit <= 500, "{limit} machines on a page");
+    (from, limit)
+}
+
 /// A job as its user knows it.
 struct Job {
     body: Value,
@@ -294,6 +311,8 @@
     born: BTreeMap<String, u64>,
     next_machine: u64,
     cloud_down_until: u64,
+    /// When the calls that the cloud took would be over at its usual rate.
+    cloud_busy_until: u64,
     late_boots_until: u64,
     /// Cut zone pair, node from workers, node from peers: until when.
     zones_cut_until: u64,
@@ -341,6 +360,7 @@
             born: BTreeMap::new(),
             next_machine: 0,
             cloud_down_until: 0,
+            cloud_busy_until: 0,
             late_boots_until: 0,
             zones_cut_until: 0,
             node_cut_until: vec![0; size.nodes],
@@ -553,10 +573,14 @@
         if self.now < self.cloud_down_until {
             return (503, br#"{"error":"trouble"}"#.to_vec());
         }
+        if self.size.fleet && !self.takes_call() {
+            return (429, br#"{"error":"too many requests"}"#.to_vec());
+        }
         match (method, path.split('?').next().unwrap()) {
             ("GET", "/flavors") => (200, serde_json::to_vec(&Flavors { builds: Self::flavors() }).unwrap()),
             ("POST", "/rentals") => {
                 let h: Hire = serde_json::from_slice(body).unwrap();
+                assert!(h.number <= 50, "{} machines in a rental", h.number);
                 if let Some(hosts) = self.hires.get(&h.hire) {
                     return (200, serde_json::to_vec(&Hosts { hosts: hosts.clone() }).unwrap());
                 }
@@ -577,6 +601,7 @@
             }
             ("POST", "/rentals/delete") => {
                 let h: Hosts = serde_json::from_slice(body).unwrap();
+                assert!(h.hosts.len() <= 100, "{} names in a deletion", h.hosts.len());
                 for name in h.hosts {
                     self.fleet_deletes(&name);
                     self.oncall_deletes(&name);
@@ -587,13 +612,27 @@
             ("GET", "/rentals") => {
                 let lag = self.rng.u64(3 * S..10 * S);
                 let view = self.history.iter().rev().find(|(t, _)| *t + lag <= self.now);
-                let hosts = view.map_or(Vec::new(), |v| v.1.clone());
-                (200, serde_json::to_vec(&Rentals { hosts, truncated: false }).unwrap())
+                let (from, limit) = list_page(path);
+                let after = view.map_or(&[][..], |v| &v.1[v.1.partition_point(|r| *r.name <= *from)..]);
+                let hosts = after[..limit.min(after.len())].to_vec();
+                let truncated = hosts.len() < after.len();
+                (200, serde_json::to_vec(&Rentals { hosts, truncated }).unwrap())
             }
             other => panic!("not in the protocol: {other:?}"),
         }
     }
 
+    /// Whether the cloud takes one more call: so many a second, with bursts of two
+    /// seconds' worth.
+    fn takes_call(&mut self) -> bool {
+        let busy_until = self.cloud_busy_until.max(self.now) + S / CLOUD_RPS;
+        let takes = busy_until <= self.now + 2 * S;
+        if takes {
+            self.cloud_busy_until = busy_until;
+        }
+        takes
+    }
+
     fn remember(&mut self) {
         let list = self
             .machines
