--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -6,6 +6,7 @@
 pub mod changes;
 mod deaf;
 mod dependents;
+pub mod growth;
 pub mod health;
 mod machine;
 mod machines;
@@ -30,7 +31,7 @@
 use crate::controller::{ASK_TIMEOUT, ASKED_AFTER, Sizes};
 use crate::dependencies::Urgency;
 use crate::fair_queue::FairQueue;
-use crate::fleet::{self, Demand, Offer, Policy, Room};
+use crate::fleet::{self, Demand, Offer, Policy, Room, Want};
 use crate::jobs::{Failures, Job, Ledger, MachineRecord, Phase, TaskSet};
 use crate::leader::health::{Health, Sight, Turn};
 use crate::leader::ways::Ways;
@@ -38,7 +39,7 @@
     GrantedMachine, HandOut, MachineState, Message, Outcome, Sighting, StopRequest, TaskState,
 };
 use crate::placement::{self, Candidate};
-use gorseshore_protocol::cloud::{Flavor, Rental};
+use gorseshore_protocol::cloud::{Flavor, Rentals};
 use gorseshore_protocol::ids::{
     Attempt, Baton, EPOCH_BITS, JobId, MachineId, Micros, NodeId, Resources, TaskId,
 };
@@ -98,7 +99,8 @@
     out: HandOut,
     /// The change of the books that has to be at the witnesses before it goes.
     covered_by: u64,
-    /// When it last went.
+    /// When it first went, and when it last went.
+    first_sent: Option<Micros>,
     sent: Option<Micros>,
 }
 
@@ -156,6 +158,8 @@
     pub cancel: Micros,
     /// How old a list may be.
     pub list_lag: Micros,
+    /// Calls a second that the cloud takes.
+    pub cloud_rps: f64,
 }
 
 /// The leader's state in one term.
@@ -221,7 +225,9 @@
     pub dirty: bool,
     fleet_at: Micros,
     measured: Micros,
+    /// When a page of the cloud's list was read, and after which machine it goes on.
     listed: Micros,
+    list_from: Option<String>,
     listing: bool,
     hire_count: u64,
     rent_not_before: Micros,
@@ -296,6 +302,7 @@
             fleet_at: now,
             measured: now,
             listed: Micros(0),
+            list_from: None,
             listing: false,
             hire_count: 0,
             // Machines that the last leader rented show in the list only
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -31,6 +31,7 @@
 use crate::election::Role;
 use crate::guest::{Guest, GuestInput, GuestOutput, Host, Ticket};
 use crate::jobs::{self, Change, LeaderRecord, Ledger, MachineRecord, Phase, keys};
+use crate::leader::growth::LIST_PAGE;
 use crate::leader::{CloudWish, Context, HireRequest, Leader, LeaderWrite, View};
 use crate::limits::StoreLimits;
 use crate::peer::{Envelope, Message, Sighting};
@@ -162,6 +163,7 @@
             report: Micros::from_secs_f64(d.workers.report_s),
             cancel: Micros::from_secs_f64(d.workers.cancel_s),
             list_lag: Micros::from_secs_f64(d.cloud.list_lag_s),
+            cloud_rps: d.cloud.rps,
         };
         let limits = StoreLimits::new(&d.state);
         Node {
