--- a/tests/world/blink.rs
+++ b/tests/world/blink.rs
@@ -5,7 +5,7 @@
 use super::*;
 use gorseshore_core::peer::{before_number, process_number};
 
-const BLINK: Size = Size { busy_until: 120 * S, ends: 280 * S, blinks: true, ..SMALL };
+pub const BLINK: Size = Size { busy_until: 120 * S, ends: 280 * S, blinks: true, ..SMALL };
 /// Seven that read everything within a tight budget of requests.
 const BLINK_OF_SEVEN: Size = Size { requests: 100.0, ..GROWN_BLINK };
 const GROWN_BLINK: Size = Size { busy_until: 60 * S, ends: 200 * S, blinks: true, ..GROWN };
--- a/tests/world/cancelled.rs
+++ b/tests/world/cancelled.rs
@@ -3,7 +3,7 @@
 //! way in which one was left, or might have been; then any troubles at once.
 use super::scenes::Act::*;
 use super::scenes::Who::*;
-use super::scenes::{Act, NEVER, Scene, Who, Work, play, play_scenes};
+use super::scenes::{NEVER, Scene, Work, play, play_scenes, random_acts};
 use super::*;
 
 const EVERY: [Work; 4] = [Work::Mixed, Work::Single, Work::Hundreds, Work::AtLimit];
@@ -123,50 +123,7 @@
         let mut r = fastrand::Rng::with_seed(seed ^ 0x5eed);
         let nodes = if r.u32(0..3) == 0 { 7 } else { 3 };
         let work = EVERY[r.usize(0..4)];
-        let who = |r: &mut fastrand::Rng| -> Who {
-            match r.u32(0..4) {
-                0 => Leader,
-                1 => Other(1),
-                2 => Other(2),
-                _ => All,
-            }
-        };
-        let mut acts: Vec<(u64, Act)> = vec![(r.u64(0..6000), Cancel(who(&mut r)))];
-        if r.bool() {
-            acts.push((r.u64(0..6000), CancelAndHang(who(&mut r), r.u64(100..2000))));
-        }
-        for _ in 0..r.u32(2..5) {
-            let (w, l) = (who(&mut r), r.u64(50..2500));
-            let act = match r.u32(0..29) {
-                0 | 1 => Refused(w, l),
-                2 | 3 => Away(l.min(1500)),
-                4 | 5 => End(w, if r.bool() { 0 } else { l.min(600) }),
-                6 => Alone(w, l),
-                7 => MachinesCut(l),
-                8 | 9 => MachinesHang(l),
-                10 => MachinesDeaf(l),
-                11 => CloudAway(l.min(333)),
-                12 => MachinesMute(l),
-                13 => CommandsHeld(l),
-                14 => Freeze(w, l.min(700)),
-                15 => AnswersLost(w, l.min(300)),
-                16 => LateWrites(l.min(600)),
-                17 | 18 => Changes(r.u64(1..11)),
-                19 => KeepReports,
-                20 => MachinesRenewed,
-                21 => AllHang(l),
-                22 => Forgotten,
-                23 => Submit,
-                24 => Looks(l),
-                // A zone that is cut off, often with controllers that hear of nothing.
-                _ => {
-                    acts.push((0, ZonesCut(l + 500)));
-                    if r.bool() { Refused(West, l + 500) } else { Refused(East, l + 500) }
-                }
-            };
-            acts.push((r.u64(0..12_000), act));
-        }
-        acts.sort_by_key(|a| a.0);
+        let acts = random_acts(&mut r);
         let w = play(&acts, seed, nodes, work);
         (late, plays) = (late + w.faults.late_starts, plays + 1);
         if !w.broken.is_empty() {
--- a/tests/world/main.rs
+++ b/tests/world/main.rs
@@ -10,6 +10,7 @@
 mod nomad;
 mod odd;
 mod oncall;
+mod pipelines;
 mod scenes;
 
 use gorseshore_standins::cloud::flavor;
@@ -68,6 +69,8 @@
     /// What on-call met: one-way machines and controllers, controllers that lose
     /// everybody but their workers, late copies.
     oncall: bool,
+    /// Pipelines of jobs beside the others.
+    pipelines: bool,
 }
 
 const SMALL: Size = Size {
@@ -88,6 +91,7 @@
     fleet: false,
     blinks: false,
     oncall: false,
+    pipelines: false,
 };
 /// The small world with planners, and values so short that their jobs take
 /// several parts.
@@ -179,6 +183,13 @@
     began_at: Option<u64>,
     /// Submitted with a mistake: it fails wherever it runs.
     mistaken: bool,
+    /// Jobs that have to be done before a task of it starts.
+    awaits: Vec<usize>,
+    /// When its last task completed.
+    done_at: Option<u64>,
+    /// When a user was first told that it, or a job that it needs, is cancelled.
+    cancelled_from: Option<u64>,
+    habits: pipelines::Habits,
 }
 
 impl Job {
@@ -212,6 +223,10 @@
             answered_at: 0,
             began_at: None,
             mistaken: false,
+            awaits: Vec::new(),
+            done_at: None,
+            cancelled_from: None,
+            habits: pipelines::Habits::default(),
         }
     }
 }
@@ -318,6 +333,7 @@
     oncall: oncall::Seen,
     faults: scenes::Faults,
     looks: looks::Seen,
+    pipelines: pipelines::Seen,
 }
 
 impl World {
@@ -361,6 +377,7 @@
             oncall: oncall::Seen::new(size.nodes),
             faults: scenes::Faults::new(size.nodes),
             looks: looks::Seen::default(),
+            pipelines: pipelines::Seen::new(seed),
         };
         for i in 0..size.nodes {
             w.nodes.push(None);
@@ -789,9 +806,13 @@
         }
         // Its order left before (`check_orders`).
         self.faults.late_starts += job.aborted_at.is_some() as usize;
-        if job.aborted_at.is_some_and(|t| self.now > t + self.size.cancel) {
+        if job.cancelled_from.is_some_and(|t| self.now > t + self.size.cancel) {
             faults.push(("ran_cancelled", format!("{piece} starts on {at}")));
         }
+        if let Some(needed) = self.first_unfinished(j) {
+            faults.push(("too_early", format!("{piece} starts on {at} before job {needed} is done")));
+        }
+        self.pipelines.starts += !job.awaits.is_empty() as usize;
         for (rule, what) in faults {
             self.break_rule(rule, what);
         }
@@ -819,7 +840,7 @@
                 if job.team == "tight" {
                     tight += job.cpus;
                 }
-                if job.aborted_at.is_some_and(|at| self.now > at + self.size.cancel) {
+                if job.cancelled_from.is_some_and(|at| self.now > at + self.size.cancel) {
                     faults.push(("ran_cancelled", format!("{} is on {name}", t.name)));
                 }
             }
@@ -832,6 +853,10 @@
             let d = &mut self.jobs[j].done[i as usize];
             let news = !std::mem::replace(d, true);
             self.completed += news as usize;
+            if news && self.jobs[j].done.iter().all(|d| *d) {
+                self.jobs[j].done_at = Some(self.now);
+                self.job_completed(j);
+            }
             if news && self.now < self.faults.cancel_at_end && self.jobs[j].done.iter().all(|d| *d) {
                 let at = self.rng.usize(0..self.size.nodes);
                 for n in 0..self.size.nodes {
@@ -859,7 +884,7 @@
             Asker::Worker(name, key) => self.checkin_answered(&name, key, status, &body),
             Asker::Odd => self.looks.odd = Some((status, body)),
             Asker::Stranger => {
-                if status == 200 {
+                if matches!(status, 200 | 201) {
                     self.break_rule("invented", "a job that nobody submitted".into());
                 }
             }
@@ -867,12 +892,16 @@
                 200 | 201 => {
                     if !std::mem::replace(&mut self.jobs[j].accepted, true) {
                         self.jobs[j].accepted_at = self.now;
+                        self.job_accepted(j);
                     }
                     self.check_stage(j, &stage(&body).unwrap(), began);
                 }
                 400 | 422 if self.jobs[j].accepted && began > self.jobs[j].accepted_at => {
                     self.break_rule("forgotten", format!("job {j}: {status}"))
                 }
+                // All that it names was accepted before.
+                422 if !self.jobs[j].awaits.is_empty() => self
+                    .break_rule("forgotten", format!("job {j} refused: {}", String::from_utf8_lossy(&body))),
                 400 | 422 => panic!("job {j} refused: {}", String::from_utf8_lossy(&body)),
                 _ => {}
             },
@@ -896,8 +925,10 @@
     /// are open at a time may overtake each other; `compare` looks at them as they leave.
     fn check_stage(&mut self, j: usize, stage: &str, began: u64) {
         let now = self.now;
+        let asked = self.cancellation_asked(j);
         let job = &mut self.jobs[j];
         job.answered_at = now;
+        let (was_done, was_aborted) = (job.told_done, job.aborted_at.is_some());
         let mut fault = None;
         match stage {
             "done" => {
@@ -909,7 +940,7 @@
                 job.told_done = true;
             }
             "aborted" => {
-                if job.told_done || !job.abort_asked {
+                if job.told_done || !asked {
                     fault = Some("went_back");
                 }
                 job.aborted_at.get_or_insert(now);
@@ -920,9 +951,16 @@
         if job.told_done || job.aborted_at.is_some() {
             job.over_at.get_or_insert(now);
         }
+        let (is_done, is_aborted) = (job.told_done, job.aborted_at.is_some());
         if let Some(rule) = fault {
             self.break_rule(rule, format!("job {j} is called {stage}"));
         }
+        if is_done && !was_done {
+            self.check_cancelled_after(j);
+        }
+        if is_aborted && !was_aborted {
+            self.note_cancelled(j);
+        }
     }
 
     // ---- users and troubles ----------------------------------------------
@@ -935,6 +973,9 @@
         if self.size.planners {
             self.plan();
         }
+        if self.size.pipelines {
+            self.plan_pipelines();
+        }
         let (at_once, one_in) = if self.size.fleet { (20, 4) } else { (1, 12) };
         let busy = self.now < self.size.busy_until;
         if busy && (self.jobs.len() < self.size.jobs || self.rng.u32(0..one_in) == 0) {
@@ -942,7 +983,7 @@
             (0..at_once.min(left.max(1))).for_each(|_| self.new_job());
         }
         for j in 0..self.jobs.len() {
-            if self.now < self.jobs[j].next_try {
+            if self.now < self.jobs[j].next_try || !self.may_submit(j) {
                 continue;
             }
             self.jobs[j].next_try = self.now + self.rng.u64(2 * S..5 * S);
@@ -1092,7 +1133,7 @@
         let late = |job: &Job| {
             job.team == "free" && !job.service && job.accepted && !job.told_done && job.aborted_at.is_none()
         };
-        (0..self.jobs.len()).filter(|j| late(&self.jobs[*j])).collect()
+        (0..self.jobs.len()).filter(|j| late(&self.jobs[*j]) && self.had_its_time(*j)).collect()
     }
 
     /// Jobs and machines, for a failed test.
--- a/tests/world/odd.rs
+++ b/tests/world/odd.rs
@@ -129,7 +129,13 @@
                 }
                 // Whatever comes under a known name is answered for as it stands.
                 for (j, stage) in known {
-                    for odd in [json!({"pieces": -1}), json!({"crew": "nobody"}), json!({"cpus": 1e9})] {
+                    for odd in [
+                        json!({"pieces": -1}),
+                        json!({"crew": "nobody"}),
+                        json!({"cpus": 1e9}),
+                        json!({"awaits": 7}),
+                        json!({"awaits": ["j-700000"]}),
+                    ] {
                         let mut s = good(j);
                         let o = odd.as_object().unwrap();
                         o.iter().for_each(|(k, v)| s[k] = v.clone());
@@ -172,3 +178,211 @@
         assert!(failed.is_empty(), "{nodes} controllers, {}:\n{}", failed.len(), failed.join("\n"));
     }
 }
+
+const OPEN: u64 = 900_001;
+const ABORTED: u64 = 900_002;
+const DONE: u64 = 900_003;
+const SERVICE: u64 = 900_004;
+const UNKNOWN: u64 = 700_000;
+/// About as many names as a body holds.
+const MOST_NAMES: u64 = 5_000;
+
+fn name(j: u64) -> String {
+    format!("j-{j:06}")
+}
+
+fn names(of: &[u64]) -> Value {
+    json!(of.iter().map(|j| name(*j)).collect::<Vec<_>>())
+}
+
+/// What a submission may say of the jobs that it waits for, with the answer; `None` leaves
+/// the field out.
+fn awaited(own: u64) -> Vec<(Option<Value>, u16)> {
+    let forms = [
+        json!(""),
+        json!(name(OPEN)),
+        json!(7),
+        json!(1.5),
+        json!(true),
+        json!({}),
+        json!({"0": name(OPEN)}),
+        json!([7]),
+        json!([null]),
+        json!([[name(OPEN)]]),
+        json!([{"ref": name(OPEN)}]),
+        json!([""]),
+        json!(["j-"]),
+        json!(["k-900001"]),
+        json!(["j-900001 "]),
+        json!(["j-12345678901234567890"]),
+        json!([name(OPEN), 7]),
+        json!([name(OPEN), "j-"]),
+    ];
+    let mut all: Vec<(Option<Value>, u16)> = forms.into_iter().map(|v| (Some(v), 400)).collect();
+    let never: [&[u64]; 7] = [
+        &[own],
+        &[OPEN, own],
+        &[UNKNOWN],
+        &[UNKNOWN, UNKNOWN],
+        &[OPEN, UNKNOWN],
+        &[SERVICE],
+        &[OPEN, SERVICE],
+    ];
+    all.extend(never.into_iter().map(|of| (Some(names(of)), 422)));
+    let unknown: Vec<u64> = (0..MOST_NAMES).map(|i| UNKNOWN + i).collect();
+    all.push((Some(names(&unknown)), 422));
+    let known: [&[u64]; 7] =
+        [&[], &[OPEN], &[OPEN, OPEN], &[ABORTED], &[DONE], &[DONE, OPEN], &[OPEN, DONE, ABORTED]];
+    all.extend(known.into_iter().map(|of| (Some(names(of)), 201)));
+    all.push((Some(names(&vec![OPEN; MOST_NAMES as usize])), 201));
+    all.extend([(None, 201), (Some(Value::Null), 201)]);
+    all
+}
+
+/// A quiet world with a job that runs, a cancelled one, one that is done, and a service.
+fn with_known(size: Size) -> World {
+    logs();
+    let mut w = World::new(7, true, Size { jobs: 0, busy_until: 0, ends: 900 * S, ..size });
+    w.run(20 * S);
+    for j in [OPEN, ABORTED, DONE] {
+        assert_eq!(ask(&mut w, 0, "POST", "/submissions", &good(j).to_string()).0, 201);
+    }
+    let mut service = good(SERVICE);
+    service["manner"] = json!("standing");
+    service["guess_s"] = json!(0.0);
+    assert_eq!(ask(&mut w, 0, "POST", "/submissions", &service.to_string()).0, 201);
+    assert_eq!(ask(&mut w, 1, "POST", &format!("/submissions/{}/abort", name(ABORTED)), "").0, 200);
+    let end = json!({"end": "done", "at": 1});
+    let m = json!({"when": [], "writes": [{"put": "g/x/j-900003", "v": end}]}).to_string();
+    w.state.request("POST", "/multi", m.as_bytes(), w.now);
+    w.run(w.now + S);
+    w
+}
+
+#[test]
+fn what_a_job_waits_for_is_checked_everywhere() {
+    for nodes in [3, 7] {
+        let mut w = with_known(Size { nodes, ..SMALL });
+        let mut failed = Vec::new();
+        let mut accepted: Vec<(u64, Option<Value>)> = Vec::new();
+        for away in [false, true] {
+            w.state.down = away;
+            w.run(w.now + 3 * S);
+            for n in 0..nodes {
+                let rows = awaited(0).len();
+                for i in 0..rows {
+                    if away && i % (4 * nodes) != n {
+                        continue;
+                    }
+                    let own = 800_000 + (away as usize * 10_000 + n * 1000 + i) as u64;
+                    let (value, want) = awaited(own).swap_remove(i);
+                    let mut s = good(own);
+                    if let Some(v) = &value {
+                        s["awaits"] = v.clone();
+                    }
+                    let (got, _) = ask(&mut w, n, "POST", "/submissions", &s.to_string());
+                    if got != want && !(away && got == 503) {
+                        let value = value.map_or(String::new(), |v| v.to_string().chars().take(60).collect());
+                        failed.push(format!("{value} at {n}, away {away}: {got}, not {want}"));
+                    } else if got == 201 {
+                        accepted.push((own, value));
+                    }
+                }
+            }
+        }
+        w.state.recover(w.now);
+        w.run(w.now + w.size.cancel);
+        // What names a cancelled job is cancelled, what waits for others queues.
+        for (own, value) in accepted {
+            let text = value.map_or(String::new(), |v| v.to_string());
+            for n in 0..nodes {
+                let (got, stage) = ask(&mut w, n, "GET", &format!("/submissions/{}", name(own)), "");
+                let want = if text.contains(&name(ABORTED)) { "aborted" } else { "queued" };
+                let waits = text.contains(&name(OPEN)) || want == "aborted";
+                if got != 200 || waits && stage.as_deref() != Some(want) {
+                    let text: String = text.chars().take(60).collect();
+                    failed.push(format!("{text} at {n}: {got} {stage:?}, not {want}"));
+                }
+            }
+        }
+        assert!(failed.is_empty(), "{nodes} controllers, {}:\n{}", failed.len(), failed.join("\n"));
+    }
+}
+
+/// Accepted at one controller, and named at another one in the next moment.
+#[test]
+fn a_job_accepted_a_moment_ago_is_known_to_all() {
+    for nodes in [3, 7] {
+        let mut w = with_known(Size { nodes, ..SMALL });
+        let mut failed = Vec::new();
+        let mut before = OPEN;
+        for i in 0..60 {
+            let (own, n) = (800_000 + i, (i as usize * 5 + 1) % nodes);
+            let mut s = good(own);
+            s["awaits"] = names(&[before, ABORTED][..1 + (i == 59) as usize]);
+            if i % 10 == 9 {
+                w.state.forget();
+            }
+            let mut got = 503;
+            for _ in 0..10 {
+                got = ask(&mut w, n, "POST", "/submissions", &s.to_string()).0;
+                if got != 503 {
+                    break;
+                }
+                w.run(w.now + S);
+            }
+            if got != 201 {
+                failed.push(format!("{own} at {n}: {got}"));
+            }
+            before = own;
+        }
+        assert!(failed.is_empty(), "{nodes} controllers, {}:\n{}", failed.len(), failed.join("\n"));
+    }
+}
+
+/// As many names as a body holds, all of them different and known, within short values and
+/// few changes a transaction.
+#[test]
+fn a_job_may_wait_for_thousands() {
+    let roomy = Size { changes: 400.0, ..SMALL };
+    let tight = Size { value_kb: 2.0, changes_at_once: 4, ..roomy };
+    for size in [roomy, tight] {
+        let what = format!("values of {} KiB, {} at once", size.value_kb, size.changes_at_once);
+        let mut w = with_known(size);
+        for i in 0..MOST_NAMES {
+            let mut s = good(100_000 + i);
+            s["awaits"] = names(&[OPEN]);
+            w.request(
+                (i % 3) as usize,
+                "POST",
+                "/submissions".into(),
+                s.to_string().into_bytes(),
+                Asker::Odd,
+            );
+            if i % 50 == 49 {
+                w.run(w.now + 200 * MS);
+            }
+        }
+        w.run(w.now + 5 * S);
+        let of: Vec<u64> = (0..MOST_NAMES).map(|i| 100_000 + i).collect();
+        let mut s = good(800_000);
+        s["awaits"] = names(&of);
+        let (got, stage) = ask(&mut w, 1, "POST", "/submissions", &s.to_string());
+        assert_eq!((got, stage.as_deref()), (201, Some("queued")), "{what}");
+        let path = format!("/submissions/{}", name(800_000));
+        let everywhere = |w: &mut World, want: &str| {
+            for n in 0..3 {
+                let got = ask(w, n, "GET", &path, "");
+                assert_eq!(got, (200, Some(want.to_owned())), "{what}, at {n}");
+            }
+        };
+        everywhere(&mut w, "queued");
+        (0..3).for_each(|n| w.end_process(n, 100 * MS));
+        w.run(w.now + 30 * S);
+        everywhere(&mut w, "queued");
+        let (got, _) = ask(&mut w, 2, "POST", &format!("/submissions/{}/abort", name(OPEN)), "");
+        assert_eq!(got, 200, "{what}");
+        w.run(w.now + w.size.cancel);
+        everywhere(&mut w, "aborted");
+    }
+}
--- a/tests/world/oncall.rs
+++ b/tests/world/oncall.rs
@@ -8,7 +8,7 @@
 use super::*;
 use std::collections::BTreeSet;
 
-const ONCALL: Size =
+pub const ONCALL: Size =
     Size { room: [9, 9], jobs: 8, busy_until: 150 * S, ends: 400 * S, oncall: true, ..SMALL };
 /// Seven controllers, so that a worker that finds none takes longer than its lease to
 /// ask all of them.
@@ -34,7 +34,7 @@
     /// One report or request in so many is copied; 0 for none.
     pub copies: u32,
     /// Planted: no question about this job is answered.
-    ignored: Option<usize>,
+    pub ignored: Option<usize>,
     /// When the last trouble ends.
     pub over_at: u64,
     /// Starts sent to deaf machines: those seen, and the late ones.
@@ -277,7 +277,9 @@
         let mut bad = Vec::new();
         let wanted =
             |job: &&Job| !job.mistaken && job.accepted && job.aborted_at.is_none() && !job.abort_asked;
-        let jobs: Vec<&Job> = self.jobs.iter().filter(wanted).collect();
+        // What waits for others is served from when the last of them is done.
+        let jobs: Vec<&Job> =
+            self.jobs.iter().filter(wanted).filter(|job| self.served_from(job).is_some()).collect();
         let mut classes: BTreeMap<String, Vec<&Job>> = BTreeMap::new();
         for job in &jobs {
             classes.entry(format!("class {}", job.body["lot"])).or_default().push(job);
@@ -299,7 +301,8 @@
                 // A team's own limit may forbid it: its tasks may never end.
                 let free = |j: &&&Job| j.team != "tight";
                 for job in largest.iter().filter(free).take(jobs.len().div_ceil(10)) {
-                    let wait = job.began_at.unwrap_or(self.now).saturating_sub(job.accepted_at);
+                    let from = self.served_from(job).unwrap_or(job.accepted_at);
+                    let wait = job.began_at.unwrap_or(self.now).saturating_sub(from);
                     if wait > LARGEST_BEGIN {
                         bad.push(format!("{name}: {} waited {} s", job.body["ref"], wait / S));
                     }
--- a/tests/world/scenes.rs
+++ b/tests/world/scenes.rs
@@ -52,6 +52,8 @@
     /// Every third transaction, of anybody, gets no answer and is carried out 2 to 12 s
     /// later, after newer ones.
     LateWrites(u64),
+    /// Every second transaction that writes an end or a cancellation, likewise.
+    LateEnds(u64),
     /// Whoever leads ends and is back at once, so many times, 2.9 s apart.
     Changes(u64),
     /// Whoever leads next ends so many milliseconds later and stays away; as long again
@@ -142,6 +144,8 @@
     pub frozen_until: Vec<u64>,
     lost_until: Vec<u64>,
     late_until: u64,
+    /// Records of ends are written late until then.
+    pub late_ends_until: u64,
     /// Reports kept for the next leader.
     keep: Option<Vec<Vec<u8>>>,
     /// The process that led as the scene began.
@@ -153,7 +157,7 @@
     running: usize,
     told_before: Option<usize>,
     /// Jobs whose cancellation some controller has answered for.
-    confirmed: BTreeSet<usize>,
+    pub confirmed: BTreeSet<usize>,
     /// Starts of cancelled tasks after their users were told: those whose order left before.
     pub late_starts: usize,
 }
@@ -164,16 +168,25 @@
     }
 }
 
+/// Whether a transaction records how a job ended.
+fn writes_end(body: &[u8]) -> bool {
+    let multi: Value = serde_json::from_slice(body).unwrap_or_default();
+    let puts = multi["writes"].as_array().into_iter().flatten().filter_map(|w| w["put"].as_str());
+    puts.into_iter().any(|key| key.starts_with("g/x/"))
+}
+
 impl World {
     /// A controller's answer leaves. From a user's answer that says so on, no controller
     /// orders a start of a cancelled job.
     pub fn answer_leaves(&mut self, n: usize, id: RequestId, status: u16, body: &[u8]) {
         self.compare(n, id, status, body);
+        self.check_waiting(n, id, status, body);
         match self.asked.get(&id) {
             Some(Asker::Abort(j) | Asker::Poll(j) | Asker::Submit(j)) if status == 200 => {
                 let v: Value = serde_json::from_slice(body).unwrap();
                 if v["stage"] == "aborted" {
-                    self.faults.confirmed.insert(*j);
+                    let j = *j;
+                    self.note_confirmed(j);
                 }
             }
             Some(Asker::Worker(..)) if status == 200 => {
@@ -189,6 +202,10 @@
             if self.faults.confirmed.contains(&Self::job_of(&o.piece).0) {
                 self.break_rule("ordered_cancelled", format!("{} by controller {n}", o.piece));
             }
+            if let Some(needed) = self.first_unfinished(Self::job_of(&o.piece).0) {
+                let what = format!("{} by controller {n} before job {needed} is done", o.piece);
+                self.break_rule("ordered_early", what);
+            }
         }
     }
 
@@ -204,6 +221,9 @@
                 if self.faults.late_until > now && call.path == "/multi" && self.rng.u32(0..3) == 0 {
                     return (self.rng.u64(2 * S..12 * S), false);
                 }
+                if self.faults.late_ends_until > now && writes_end(&call.body) && self.rng.bool() {
+                    return (self.rng.u64(2 * S..12 * S), false);
+                }
                 (0, self.faults.lost_until[n] <= now)
             }
             _ => (0, true),
@@ -344,6 +364,7 @@
                 who(w).into_iter().for_each(|n| self.faults.lost_until[n] = t);
             }
             LateWrites(l) => self.faults.late_until = until(l),
+            LateEnds(l) => self.faults.late_ends_until = until(l),
             Changes(times) => {
                 (0..times).for_each(|i| self.at(i * 2900 * MS, Event::EndLeader));
             }
@@ -475,3 +496,52 @@
     }
     assert!(failed.is_empty(), "{} of {plays} plays failed:\n{}", failed.len(), failed.join("\n"));
 }
+
+/// Two or three troubles at any time round cancellations.
+pub fn random_acts(r: &mut fastrand::Rng) -> Vec<(u64, Act)> {
+    let who = |r: &mut fastrand::Rng| -> Who {
+        match r.u32(0..4) {
+            0 => Leader,
+            1 => Other(1),
+            2 => Other(2),
+            _ => All,
+        }
+    };
+    let mut acts: Vec<(u64, Act)> = vec![(r.u64(0..6000), Cancel(who(r)))];
+    if r.bool() {
+        acts.push((r.u64(0..6000), CancelAndHang(who(r), r.u64(100..2000))));
+    }
+    for _ in 0..r.u32(2..5) {
+        let (w, l) = (who(r), r.u64(50..2500));
+        let act = match r.u32(0..29) {
+            0 | 1 => Refused(w, l),
+            2 | 3 => Away(l.min(1500)),
+            4 | 5 => End(w, if r.bool() { 0 } else { l.min(600) }),
+            6 => Alone(w, l),
+            7 => MachinesCut(l),
+            8 | 9 => MachinesHang(l),
+            10 => MachinesDeaf(l),
+            11 => CloudAway(l.min(333)),
+            12 => MachinesMute(l),
+            13 => CommandsHeld(l),
+            14 => Freeze(w, l.min(700)),
+            15 => AnswersLost(w, l.min(300)),
+            16 => LateWrites(l.min(600)),
+            17 | 18 => Changes(r.u64(1..11)),
+            19 => KeepReports,
+            20 => MachinesRenewed,
+            21 => AllHang(l),
+            22 => Forgotten,
+            23 => Submit,
+            24 => Looks(l),
+            // A zone that is cut off, often with controllers that hear of nothing.
+            _ => {
+                acts.push((0, ZonesCut(l + 500)));
+                if r.bool() { Refused(West, l + 500) } else { Refused(East, l + 500) }
+            }
+        };
+        acts.push((r.u64(0..12_000), act));
+    }
+    acts.sort_by_key(|a| a.0);
+    acts
+}
