--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -1,6 +1,7 @@
 //! Jobs, and the mirror of the state service that every controller keeps.
 use crate::books::Witnesses;
 use crate::dependencies::{DependencyGraph, Outcome};
+use crate::limits::{StoreLimits, value_len};
 use gorseshore_protocol::ids::{JobId, MachineId, Resources};
 use gorseshore_protocol::job::{JobSpec, Kind, Preference, Rank};
 use gorseshore_protocol::workers::Report;
@@ -421,18 +422,15 @@
     json!({"d": DescriptionRecord::of(spec), "at": submitted_ms})
 }
 
-/// What a job's record may be longer than this estimate of it: the time of day.
+/// Bytes of a job's record kept free for the time of day, and for what is counted beside
+/// the text.
 const RECORD_SLACK: usize = 64;
 
 /// The records of a job, its own first: dependencies that don't fit there go into further
-/// keys. `None` if they take more than so many values of that length.
-pub fn job_records(
-    spec: &JobSpec,
-    submitted_ms: u64,
-    value_limit: usize,
-    changes_at_once: usize,
-) -> Option<Vec<(String, Value)>> {
-    let fits = |v: &Value| v.to_string().len() + RECORD_SLACK <= value_limit;
+/// keys. `None` if they take more than a transaction may hold.
+pub fn job_records(spec: &JobSpec, submitted_ms: u64, limits: &StoreLimits) -> Option<Vec<(String, Value)>> {
+    let room = limits.value_bytes.saturating_sub(RECORD_SLACK);
+    let fits = |v: &Value| value_len(v) <= room;
     let whole = job_value(spec, submitted_ms);
     if fits(&whole) {
         return Some(vec![(keys::job(spec.id), whole)]);
@@ -441,8 +439,8 @@
     let mut values: Vec<Value> = Vec::new();
     let mut rest = &spec.dependencies[..];
     while !rest.is_empty() {
-        let (ids, left) = rest.split_at(ids_that_fit(rest, value_limit.saturating_sub(RECORD_SLACK)));
-        if ids.is_empty() || values.len() + 2 > changes_at_once {
+        let (ids, left) = rest.split_at(ids_that_fit(rest, room));
+        if ids.is_empty() || values.len() + 2 > limits.txn_ops {
             return None;
         }
         values.push(json!(ids.iter().map(|id| id.0).collect::<Vec<u64>>()));
@@ -461,7 +459,7 @@
 fn ids_that_fit(ids: &[JobId], bytes: usize) -> usize {
     let mut length = 2;
     let fits = |id: &&JobId| {
-        length += id.0.to_string().len() + 1;
+        length += id.0.to_string().len() + 2;
         length <= bytes
     };
     ids.iter().take_while(fits).count()
--- a/crates/core/src/jobs/dependency_records.rs
+++ b/crates/core/src/jobs/dependency_records.rs
@@ -12,25 +12,30 @@
     parse_submission(body.to_string().as_bytes()).unwrap()
 }
 
+fn limits(value_bytes: usize, txn_ops: usize) -> StoreLimits {
+    StoreLimits { value_bytes, txn_ops, requests_per_s: 100.0, changes_per_s: 15.0 }
+}
+
 #[test]
 fn dependencies_are_written_within_the_limits() {
     // (dependencies, longest value, changes at once; keys written, `None` if it can't be)
     let cases = [
         (0, 2000, 4, Some(1)),
         (3, 2000, 4, Some(1)),
-        (200, 2000, 4, Some(1)),
+        (150, 2000, 4, Some(1)),
         (500, 2000, 4, Some(4)),
-        (650, 2000, 4, Some(4)),
+        (630, 2000, 4, Some(4)),
         (900, 2000, 4, None),
         (5000, 16_000, 24, Some(4)),
         (5000, 2000, 4, None),
         (3, 100, 4, None),
     ];
     for (dependencies, value_limit, changes, keys) in cases {
-        let records = job_records(&submission(dependencies), 1_700_000_000_000, value_limit, changes);
+        let limits = limits(value_limit, changes);
+        let records = job_records(&submission(dependencies), 1_700_000_000_000, &limits);
         assert_eq!(records.as_ref().map(Vec::len), keys, "{dependencies} in {value_limit}, {changes}");
         for (key, value) in records.unwrap_or_default() {
-            assert!(value.to_string().len() <= value_limit, "{key}: {}", value.to_string().len());
+            assert!(limits.fits(&value), "{key}: {}", value_len(&value));
         }
     }
 }
@@ -38,7 +43,7 @@
 #[test]
 fn dependencies_are_read_in_any_order_of_their_keys() {
     let spec = submission(500);
-    let records = job_records(&spec, 77, 2000, 4).unwrap();
+    let records = job_records(&spec, 77, &limits(2000, 4)).unwrap();
     let ends = |ledger: &mut Ledger, from: u64| {
         for id in from..1_000_500 {
             ledger.apply(&keys::end(JobId(id)), Some(&json!({"end": "done", "at": 80})), 9);
--- a/crates/core/src/node/requests.rs
+++ b/crates/core/src/node/requests.rs
@@ -152,7 +152,7 @@
         if !fits {
             return Err((422, "a task fits no allowed machine type".into()));
         }
-        if jobs::job_records(&s, 0, self.value_limit, self.limits.0).is_none() {
+        if jobs::job_records(&s, 0, &self.limits).is_none() {
             return Err((400, "the description is too long".into()));
         }
         if s.dependencies.contains(&s.id) {
@@ -241,7 +241,7 @@
 
     /// The records of a job that was checked (`check`).
     fn records_of(&self, spec: &JobSpec) -> Vec<(String, serde_json::Value)> {
-        jobs::job_records(spec, self.wall_ms, self.value_limit, self.limits.0).unwrap_or_default()
+        jobs::job_records(spec, self.wall_ms, &self.limits).unwrap_or_default()
     }
 
     /// Sends users' changes as far as the budget goes.
