--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -3,6 +3,7 @@
 mod bindings;
 mod blocks;
 mod books;
+mod cancelled;
 mod deaf;
 pub mod health;
 mod machine;
--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -947,3 +947,66 @@
     b.tick(100);
     assert_eq!(b.leader.machines[&m("m0")].stage, Stage::Up);
 }
+
+/// Before a user hears of a cancellation, who doesn't know of it must not be able to order
+/// a start: it holds one that was not seen on its machine, and its block's lease may run.
+#[test]
+fn a_start_may_follow_from_who_does_not_know_of_the_cancellation() {
+    type Step = fn(&mut Bench, Attempt);
+    let nothing: Step = |_, _| {};
+    let placed: Step = |b, a| b.sync(B, &[], &[Outcome { attempt: a, machine: Some(m("m0")) }]);
+    let running: Step = |b, a| {
+        b.sync(B, &[], &[Outcome { attempt: a, machine: Some(m("m0")) }]);
+        b.confirm("m0", &[(task(1, 0), a, TaskState::Running)]);
+    };
+    let moved: Step = |b, a| {
+        b.sync(B, &[], &[Outcome { attempt: a, machine: Some(m("m0")) }]);
+        b.leader.grant(&m("m0"), A, "test", b.now);
+    };
+    let (nobody, itself, earlier) = (vec![0, 0], vec![0, 6], vec![0, 5]);
+    let lease = Operator::default().block_lease;
+    // (what, what happens after the hand-out to B, who knows, whose process is gone, time
+    // since B was heard, whether a start may follow)
+    let cases = [
+        ("handed out", nothing, &nobody, None, Micros(0), true),
+        ("handed out, and it knows", nothing, &itself, None, Micros(0), false),
+        ("an earlier process of it knew", nothing, &earlier, None, Micros(0), true),
+        ("its process is gone", nothing, &nobody, Some(B), Micros(0), false),
+        ("another's process is gone", nothing, &nobody, Some(A), Micros(0), true),
+        ("its lease may run", nothing, &nobody, None, lease - Micros::millis(1), true),
+        ("its lease has run out", nothing, &nobody, None, lease, false),
+        (
+            "refused",
+            |b, a| b.sync(B, &[], &[Outcome { attempt: a, machine: None }]),
+            &nobody,
+            None,
+            Micros(0),
+            false,
+        ),
+        ("starting", placed, &nobody, None, Micros(0), true),
+        ("starting, and it knows", placed, &itself, None, Micros(0), false),
+        ("running", running, &nobody, None, Micros(0), false),
+        ("its machine is granted to another, whose token is not seen", moved, &nobody, None, Micros(0), true),
+        (
+            "its machine is deleted",
+            |b, _| b.leader.deleted(&[m("m0")], b.now),
+            &nobody,
+            None,
+            Micros(0),
+            false,
+        ),
+    ];
+    for (what, step, known_by, ended, later, want) in cases {
+        let mut b = Bench::new(1);
+        b.leader.grant(&m("m0"), B, "test", b.now);
+        b.confirm("m0", &[]);
+        b.job(1, 60, "t", "array", "standard", 1, 4.0);
+        b.tick(30);
+        let attempt = b.attempt(task(1, 0)).expect("handed out");
+        b.sync(B, &[], &[]);
+        step(&mut b, attempt);
+        let ended: Vec<NodeId> = ended.into_iter().collect();
+        let got = b.leader.start_may_follow(JobId(1), known_by, &ended, b.now + later);
+        assert_eq!(got, want, "{what}");
+    }
+}
--- a/crates/core/src/node/cancellations.rs
+++ b/crates/core/src/node/cancellations.rs
@@ -5,7 +5,9 @@
 //! - the leader of the latest term that is known acts on it: it stops the job's tasks
 //!   through their holders and deletes the machines that can't be reached, for which
 //!   it needs neither the state service nor a confirmed lease;
-//! - every controller that is heard acts on it, with whatever workers report to it.
+//! - every controller that is heard acts on it, with whatever workers report to it;
+//! - no other one can order a start of it, by the word of that leader, which knows what
+//!   was handed to whom and for how long (`leader/cancelled.rs`).
 //!
 //! Who was told once stays told: an end never changes, and the leader of a later term
 //! has read it before it leads. A process that begins anew is told by all the others.
@@ -39,8 +41,10 @@
 struct Known {
     record: Cancellation,
     since: Micros,
-    /// The highest term whose leader acts on it.
+    /// The highest term whose leader acts on it, and vouches that no start follows.
     led: u64,
+    /// Another controller waits for this leader's word.
+    word_owed: bool,
     askers: Vec<(Asker, Micros)>,
     /// When each controller was last told.
     sent: Vec<Option<Micros>>,
@@ -70,8 +74,10 @@
         let mut record = c.clone();
         record.known_by.resize(nodes, 0);
         let sent = vec![None; nodes];
-        self.jobs
-            .insert(c.job, Known { record, since: now, led: 0, askers: Vec::new(), sent, announce: false });
+        self.jobs.insert(
+            c.job,
+            Known { record, since: now, led: 0, word_owed: false, askers: Vec::new(), sent, announce: false },
+        );
         true
     }
 }
@@ -173,14 +179,22 @@
         // A leader that took its key before the record has to be told; whether there is
         // one, only a mirror that holds the record knows.
         let applied = self.mirror.ledger.applied >= k.record.stamp;
-        let mine = self.leadership.leader.as_ref().map_or(0, |l| l.term);
-        let led = k.led.max(mine) > 0 && k.led.max(mine) >= self.leader_term();
-        applied
-            && led
-            && self.peers.all().filter(|n| *n != self.nodes.me && self.hears(*n, HEARD)).all(|n| {
-                let process = self.peers.states[n.0 as usize].incarnation;
-                k.record.known_by[n.0 as usize] >= process
-            })
+        let heard_know = self.peers.all().filter(|n| *n != self.nodes.me && self.hears(*n, HEARD)).all(|n| {
+            let process = self.peers.states[n.0 as usize].incarnation;
+            k.record.known_by[n.0 as usize] >= process
+        });
+        applied && heard_know && {
+            let vouched = k.led.max(self.vouched_term(k).unwrap_or(0));
+            vouched > 0 && vouched >= self.leader_term()
+        }
+    }
+
+    /// The term of this leader, if no start of the job can follow.
+    fn vouched_term(&self, k: &Known) -> Option<u64> {
+        let leader = self.leadership.leader.as_ref()?;
+        let ended: Vec<NodeId> = self.peers.all().filter(|n| self.peers.refuses(*n, self.now)).collect();
+        let open = leader.start_may_follow(k.record.job, &k.record.known_by, &ended, self.now);
+        (!open).then_some(leader.term)
     }
 
     /// Tells who has to know, and answers those for whom everybody does.
@@ -201,12 +215,12 @@
         if self.cancellations.jobs.is_empty() {
             return;
         }
-        let told: Vec<JobId> =
-            self.cancellations.jobs.keys().filter(|j| self.may_tell(**j)).copied().collect();
+        let asked = self.cancellations.jobs.iter().filter(|(_, k)| !k.askers.is_empty());
+        let told: Vec<JobId> = asked.map(|(job, _)| *job).filter(|job| self.may_tell(*job)).collect();
         let mut done = Vec::new();
         for job in told {
             let Some(k) = self.cancellations.jobs.get_mut(&job) else { continue };
-            if !k.askers.is_empty() && !std::mem::replace(&mut k.record.told, true) {
+            if !std::mem::replace(&mut k.record.told, true) {
                 // The others may tell users as well, and need not ask each other.
                 k.announce = true;
                 k.sent.fill(None);
@@ -230,15 +244,14 @@
         let leader = self.leader_node();
         let term = self.leader_term();
         for n in self.peers.all().filter(|n| *n != me) {
-            let heard = self.hears(n, HEARD);
             let leads = Some(n) == leader;
-            if !(heard || leads && self.peers.relay(n, now).is_some()) {
+            if !self.reaches(n) {
                 continue;
             }
             let i = n.0 as usize;
             let process = self.peers.states[i].incarnation;
             let due = |k: &&mut Known| {
-                let waited = !k.askers.is_empty();
+                let waited = !k.askers.is_empty() || k.word_owed && !k.record.told;
                 let again = if waited { AGAIN } else { AGAIN_LATER };
                 // Who is told the first time after the end learned of it in another
                 // way as a rule; then its acknowledgement comes with those of others.
@@ -269,9 +282,20 @@
             self.mark_known(c.job, self.nodes.me, self.incarnation);
             self.act_on(c);
         }
-        let jobs = all.iter().map(|c| c.job).collect();
+        let (mut vouched, mut others) = (Vec::new(), Vec::new());
         let leads = self.leadership.leader.as_ref().map(|l| l.term);
-        self.send(from, Message::CancelledKnown { jobs, leads });
+        for c in all {
+            let sure = self.cancellations.jobs.get(&c.job).is_some_and(|k| self.vouched_term(k).is_some());
+            if let Some(k) = self.cancellations.jobs.get_mut(&c.job) {
+                k.word_owed = leads.is_some() && !sure;
+            }
+            if sure { vouched.push(c.job) } else { others.push(c.job) }
+        }
+        for (jobs, leads) in [(vouched, leads), (others, None)] {
+            if !jobs.is_empty() {
+                self.send(from, Message::CancelledKnown { jobs, leads });
+            }
+        }
         self.drive();
     }
 
@@ -313,10 +337,18 @@
         jobs: &[JobId],
         leads: Option<u64>,
     ) {
+        let term = self.leader_term();
+        let leader = self.leader_node().filter(|n| *n != from && *n != self.nodes.me);
         for job in jobs {
             self.mark_known(*job, from, process);
-            if let Some(k) = self.cancellations.jobs.get_mut(job) {
-                k.led = k.led.max(leads.unwrap_or(0));
+            let Some(k) = self.cancellations.jobs.get_mut(job) else { continue };
+            k.led = k.led.max(leads.unwrap_or(0));
+            // A leader that didn't vouch for it may have waited for just this.
+            if let Some(i) = leader.map(|n| n.0 as usize)
+                && k.led < term
+                && k.record.known_by[i] >= self.peers.states[i].incarnation.max(1)
+            {
+                k.sent[i] = None;
             }
         }
         self.cancellations.dirty = true;
--- a/crates/core/src/node/duties.rs
+++ b/crates/core/src/node/duties.rs
@@ -85,6 +85,7 @@
 
     pub(super) fn apply(&mut self, news: News) {
         let base = self.mirror.ledger.applied;
+        let mut messages = Vec::new();
         for e in &news.news {
             if e.stamp <= base {
                 continue;
@@ -95,7 +96,7 @@
                         if to == self.nodes.names[self.nodes.me.0 as usize]
                             && let Some(p) = self.relay.open(&e.v)
                         {
-                            self.peer(p.from, p.incarnation, p.message);
+                            messages.push(p);
                         }
                         continue;
                     }
@@ -123,6 +124,10 @@
             self.changed(change);
         }
         self.mirror.ledger.applied = base.max(news.ledger);
+        // Only now: a hand-out may be of a job whose end came with it.
+        for p in messages {
+            self.peer(p.from, p.incarnation, p.message);
+        }
         if !news.news.is_empty() {
             self.lead();
             self.drive();
--- a/tests/world/cancelled.rs
+++ b/tests/world/cancelled.rs
@@ -115,6 +115,47 @@
     );
 }
 
+/// A controller behind a cut hears nobody, but its block's lease runs on: a start that was
+/// handed to it, and not yet ordered, must not follow the answer to the user. Hand-outs reach
+/// it through the state service, which then tells it nothing for a while.
+#[test]
+fn nothing_is_ordered_behind_a_cut_after_a_confirmation() {
+    let scene = |name, acts| Scene { name, acts, told: false, spares: false };
+    play_scenes(
+        &[
+            // Once it opened the message before it read the ends that came with it.
+            scene(
+                "the hand-out and the cancellation come in one piece of news",
+                &[(0, ZonesCut(900)), (3000, Submit), (3450, Refused(West, 75)), (4300, Cancel(Leader))],
+            ),
+            // Once who was not heard didn't count at all.
+            scene(
+                "the start waits for an open call, and no news come",
+                &[
+                    (0, ZonesCut(900)),
+                    (2900, CommandsHeld(300)),
+                    (3000, Submit),
+                    (3400, Submit),
+                    (4450, Refused(West, 300)),
+                    (4500, Cancel(Leader)),
+                ],
+            ),
+            scene(
+                "machines hang and go on, and no news come",
+                &[
+                    (0, ZonesCut(900)),
+                    (3000, Submit),
+                    (3300, MachinesHang(30)),
+                    (3700, Refused(West, 300)),
+                    (3800, Submit),
+                    (4300, Cancel(Leader)),
+                ],
+            ),
+        ],
+        &[Work::Mixed, Work::Single],
+    );
+}
+
 /// Two or three troubles at any time round cancellations, at any size.
 #[test]
 fn troubles_meet_round_cancellations() {
