--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -3,6 +3,7 @@
 mod bindings;
 mod blocks;
 mod books;
+mod cancelled;
 pub mod changes;
 mod deaf;
 mod dependents;
