--- /dev/null
+++ b/crates/core/tests/wire_compatibility.rs
@@ -0,0 +1,415 @@
+//! Messages between controllers, byte for byte as version 5 of them is written by
+//! the program in production (commit dc723f6). Controllers of two versions work
+//! side by side only while both directions of this table hold: what production
+//! sends is understood, and what is sent is what production understands.
+//!
+//! A literal here is never changed together with the code. A message that
+//! production doesn't know may only go to processes that have said that they know
+//! it (`docs/operations.md`).
+use data_encoding::HEXLOWER;
+use gorseshore_core::books::{Entry, Page};
+use gorseshore_core::peer::{
+    Cancellation, Envelope, FrameError, GrantedMachine, HEAD, HandOut, Held, MAX_FRAME, MachineState,
+    Message, Outcome, Sighting, StopRequest, TaskState, VERSION, decode_body, decode_head, encode,
+};
+use gorseshore_protocol::ids::{Attempt, Baton, JobId, MachineId, Micros, NodeId, TaskId};
+use gorseshore_protocol::workers::ReportNo;
+
+/// Sender and process of all frames of the table.
+const SENDER: NodeId = NodeId(3);
+const INCARNATION: u64 = 0x0102_0304_0506_0708;
+
+/// Frames, heads included, by the names of [`messages`].
+const FRAMES: &[(&str, &str)] = &[
+    ("ping", "160000000503080706050403020100010200000000021100000000"),
+    ("ping, hears nobody", "14000000050308070605040302010000000000000000000001"),
+    (
+        "cancelled",
+        "8d0000000503080706050403020101020000009c010000000000007b2e5bda9a0100001e14000000000000000003\
+         0000000000000000000000080706050403020109000000000000009c010000000000007b2e5bda9a0100001e1400\
+         00000000000127000000617474656d70747320757365642075703a207461736b2033206661696c65642032207469\
+         6d65730100000000",
+    ),
+    (
+        "cancelled known, by the leader",
+        "270000000503080706050403020102020000009c010000000000009d01000000000000010700000000000000",
+    ),
+    ("cancelled known", "170000000503080706050403020102010000009c0100000000000000"),
+    ("forward", "1300000005030807060504030201030104000000050102ff"),
+    (
+        "sync, whole",
+        "c8010000050308070605040302010407000000000000001400000000000000000000000000000012000000000000\
+         00020000000b000000686f73742d3030303030310c00007000000000630000600000000002000000000000002900\
+         00000000000000000001000000000b000000686f73742d3030303030320c00007000000000630000600000000002\
+         000000000000002900000000000000010190d00300000000000180c3c9010000000000080000009c010000000000\
+         00000000000000001000000000009c01000000000000010000000100001000000000019c01000000000000020000\
+         000200001000000000029c01000000000000030000000300001000000000039c0100000000000004000000040000\
+         1000000000049c01000000000000050000000500001000000000059c010000000000000600000006000010000000\
+         00069c0100000000000007000000070000100000000007010000000b000000686f73742d30303030303460e31600\
+         0000000001000000000000000500000000000000010000000b000000686f73742d30303030303501000000000000\
+         00060000000000000001020000000100007000000000010b000000686f73742d3030303030310200007000000000\
+         00",
+    ),
+    (
+        "sync",
+        "c8010000050308070605040302010407000000000000001400000000000000130000000000000012000000000000\
+         00020000000b000000686f73742d3030303030310c00007000000000630000600000000002000000000000002900\
+         00000000000000000001000000000b000000686f73742d3030303030320c00007000000000630000600000000002\
+         000000000000002900000000000000010190d00300000000000180c3c9010000000000080000009c010000000000\
+         00000000000000001000000000009c01000000000000010000000100001000000000019c01000000000000020000\
+         000200001000000000029c01000000000000030000000300001000000000039c0100000000000004000000040000\
+         1000000000049c01000000000000050000000500001000000000059c010000000000000600000006000010000000\
+         00069c0100000000000007000000070000100000000007010000000b000000686f73742d30303030303460e31600\
+         0000000001000000000000000500000000000000010000000b000000686f73742d30303030303501000000000000\
+         00060000000000000001020000000100007000000000010b000000686f73742d3030303030310200007000000000\
+         00",
+    ),
+    (
+        "update",
+        "54010000050308070605040302010507000000000000001500000000000000140000000000000008070605040302\
+         011400000000000000002d310100000000020000000b000000686f73742d3030303030310d000070000000000d00\
+         000031302e302e302e373a38303430000b000000686f73742d3030303030320d000070000000000d00000031302e\
+         302e302e373a3830343001020000000b000000686f73742d30303030303601020b000000686f73742d3030303030\
+         3700020000009c01000000000000090000000300007000000000000b000000686f73742d3030303030329c010000\
+         000000000900000003000070000000000104000000776573740b000000686f73742d303030303032010000009c01\
+         0000000000000400000004000070000000000b000000686f73742d303030303032c0e1e40000000000020000009c\
+         01000000000000110000009d0100000000000000000000",
+    ),
+    (
+        "seen",
+        "4b00000005030807060504030201060b000000686f73742d30303030303803000000626967040000006561737401\
+         0d00000031302e302e302e383a3830343003000000000000004d0000000000000000",
+    ),
+    (
+        "probe",
+        "2a00000005030807060504030201070b000000686f73742d3030303030380d00000031302e302e302e383a383034\
+         30",
+    ),
+    (
+        "books, whole",
+        "e000000005030807060504030201080700000000000000e8030000000000000000000000000000040000009c0100\
+         000000000000000000010100007000000000020000000b000000686f73742d3030303030310b000000686f73742d\
+         3030303030320100009c0100000000000001000000010200007000000000000000000001010b000000686f73742d\
+         303030303033009c0100000000000002000000010200007000000000000000000001010b000000686f73742d3030\
+         30303033010400000065617374070064a7b3b6e00d0300000000010000000b000000686f73742d303030303039",
+    ),
+    (
+        "books",
+        "e000000005030807060504030201080700000000000000e803000000000000de03000000000000040000009c0100\
+         000000000000000000010100007000000000020000000b000000686f73742d3030303030310b000000686f73742d\
+         3030303030320100009c0100000000000001000000010200007000000000000000000001010b000000686f73742d\
+         303030303033009c0100000000000002000000010200007000000000000000000001010b000000686f73742d3030\
+         30303033010400000065617374070064a7b3b6e00d0300000000010000000b000000686f73742d303030303039",
+    ),
+    ("books taken", "1a00000005030807060504030201090700000000000000e803000000000000"),
+    ("books wanted", "12000000050308070605040302010a0600000000000000"),
+    (
+        "books of",
+        "e0000000050308070605040302010b0700000000000000e8030000000000000000000000000000040000009c0100\
+         000000000000000000010100007000000000020000000b000000686f73742d3030303030310b000000686f73742d\
+         3030303030320100009c0100000000000001000000010200007000000000000000000001010b000000686f73742d\
+         303030303033009c0100000000000002000000010200007000000000000000000001010b000000686f73742d3030\
+         30303033010400000065617374070064a7b3b6e00d0300000000010000000b000000686f73742d303030303039",
+    ),
+];
+
+fn task(job: u64, index: u32) -> TaskId {
+    TaskId { job: JobId(job), index }
+}
+
+fn report(shift: u64, tally: u64) -> ReportNo {
+    ReportNo { shift, tally }
+}
+
+fn held(index: u32, state: TaskState) -> Held {
+    Held { task: task(412, index), attempt: Attempt(0x1000_0000 + u64::from(index)), state }
+}
+
+fn machine_states() -> Vec<MachineState> {
+    let silent = MachineState {
+        id: MachineId::from("host-000001"),
+        baton: Baton::new(7, 12),
+        seen_baton: Baton::new(6, 99),
+        last: report(2, 41),
+        obeys: false,
+        heard_ago: None,
+        warning: None,
+        want_baton: true,
+        tasks: Vec::new(),
+    };
+    let all_states = [
+        TaskState::Starting,
+        TaskState::Fetching,
+        TaskState::Running,
+        TaskState::Saving,
+        TaskState::Done,
+        TaskState::Stopped,
+        TaskState::Failed,
+        TaskState::Refused,
+    ];
+    let busy = MachineState {
+        id: MachineId::from("host-000002"),
+        obeys: true,
+        heard_ago: Some(Micros::millis(250)),
+        warning: Some(Micros::secs(30)),
+        want_baton: false,
+        tasks: all_states.into_iter().enumerate().map(|(i, s)| held(i as u32, s)).collect(),
+        ..silent.clone()
+    };
+    vec![silent, busy]
+}
+
+fn page(base: u64) -> Page {
+    let on_machines = Entry {
+        attempt: Attempt(0x7000_0001),
+        on: vec![MachineId::from("host-000001"), MachineId::from("host-000002")],
+        starting: true,
+        done: false,
+        handed: None,
+    };
+    let handed = |zone: Option<&str>| Entry {
+        attempt: Attempt(0x7000_0002),
+        on: Vec::new(),
+        starting: false,
+        done: true,
+        handed: Some((MachineId::from("host-000003"), zone.map(str::to_owned))),
+    };
+    Page {
+        term: 7,
+        seq: 1000,
+        base,
+        tasks: vec![
+            (task(412, 0), Some(on_machines)),
+            (task(412, 1), Some(handed(None))),
+            (task(412, 2), Some(handed(Some("east")))),
+            (task(1_000_000_000_000_000_007, 3), None),
+        ],
+        unknown: vec![MachineId::from("host-000009")],
+    }
+}
+
+fn sync(base: u64) -> Message {
+    Message::Sync {
+        term: 7,
+        seq: 20,
+        base,
+        seen: 18,
+        machines: machine_states(),
+        heard: vec![(MachineId::from("host-000004"), Micros::millis(1500), report(1, 5))],
+        strangers: vec![Sighting { id: MachineId::from("host-000005"), report: report(1, 6), asked: true }],
+        outcomes: vec![
+            Outcome { attempt: Attempt(0x7000_0001), machine: Some(MachineId::from("host-000001")) },
+            Outcome { attempt: Attempt(0x7000_0002), machine: None },
+        ],
+    }
+}
+
+fn update() -> Message {
+    let hand_out = |zone: Option<&str>| HandOut {
+        task: task(412, 9),
+        attempt: Attempt(0x7000_0003),
+        zone: zone.map(str::to_owned),
+        hint: MachineId::from("host-000002"),
+    };
+    let granted = |id: &str, draining| GrantedMachine {
+        id: MachineId::from(id),
+        baton: Baton::new(7, 13),
+        addr: "10.0.0.7:8040".into(),
+        draining,
+    };
+    Message::Update {
+        term: 7,
+        seq: 21,
+        base: 20,
+        incarnation: INCARNATION,
+        ack: 20,
+        lease: Micros::secs(20),
+        block: vec![granted("host-000001", false), granted("host-000002", true)],
+        elsewhere: vec![
+            (MachineId::from("host-000006"), Some(NodeId(2))),
+            (MachineId::from("host-000007"), None),
+        ],
+        handouts: vec![hand_out(None), hand_out(Some("west"))],
+        stops: vec![StopRequest {
+            task: task(412, 4),
+            attempt: Attempt(0x7000_0004),
+            machine: MachineId::from("host-000002"),
+            grace: Micros::secs(15),
+        }],
+        running: vec![(JobId(412), 17), (JobId(413), 0)],
+    }
+}
+
+fn cancellation(cause: Option<&str>, told: bool, known_by: Vec<u64>) -> Cancellation {
+    Cancellation {
+        job: JobId(412),
+        at_ms: 1_764_600_000_123,
+        stamp: 5150,
+        cause: cause.map(str::to_owned),
+        told,
+        known_by,
+    }
+}
+
+/// Every sort of message, with each of its optional parts there and not there.
+fn messages() -> Vec<(&'static str, Message)> {
+    vec![
+        (
+            "ping",
+            Message::Ping { state_ok: true, hears: vec![NodeId(0), NodeId(2)], queued: 17, loaded: false },
+        ),
+        ("ping, hears nobody", Message::Ping { state_ok: false, hears: vec![], queued: 0, loaded: true }),
+        (
+            "cancelled",
+            Message::Cancelled(vec![
+                cancellation(None, false, vec![0, INCARNATION, 9]),
+                cancellation(Some("attempts used up: task 3 failed 2 times"), true, vec![]),
+            ]),
+        ),
+        (
+            "cancelled known, by the leader",
+            Message::CancelledKnown { jobs: vec![JobId(412), JobId(413)], leads: Some(7) },
+        ),
+        ("cancelled known", Message::CancelledKnown { jobs: vec![JobId(412)], leads: None }),
+        ("forward", Message::Forward { to: NodeId(1), envelope: vec![5, 1, 2, 0xff] }),
+        ("sync, whole", sync(0)),
+        ("sync", sync(19)),
+        ("update", update()),
+        (
+            "seen",
+            Message::Seen {
+                id: MachineId::from("host-000008"),
+                build: "big".into(),
+                zone: "east".into(),
+                spot: true,
+                addr: "10.0.0.8:8040".into(),
+                report: report(3, 77),
+                asked: false,
+            },
+        ),
+        ("probe", Message::Probe { id: MachineId::from("host-000008"), addr: "10.0.0.8:8040".into() }),
+        ("books, whole", Message::Books(page(0))),
+        ("books", Message::Books(page(990))),
+        ("books taken", Message::BooksTaken { term: 7, seq: 1000 }),
+        ("books wanted", Message::BooksWanted { term: 6 }),
+        ("books of", Message::BooksOf(page(0))),
+    ]
+}
+
+fn envelope(message: Message) -> Envelope {
+    Envelope { from: SENDER, incarnation: INCARNATION, message }
+}
+
+fn bytes(hex: &str) -> Vec<u8> {
+    HEXLOWER.decode(hex.as_bytes()).unwrap()
+}
+
+fn frame(name: &str) -> Vec<u8> {
+    let (_, hex) = FRAMES.iter().find(|(n, _)| *n == name).unwrap_or_else(|| panic!("{name}: no bytes"));
+    bytes(hex)
+}
+
+fn split(frame: &[u8]) -> ([u8; HEAD], &[u8]) {
+    let (head, body) = frame.split_first_chunk().unwrap();
+    (*head, body)
+}
+
+/// Place of a message's sort among all; a sort that the table lacks doesn't compile.
+fn sort(m: &Message) -> usize {
+    match m {
+        Message::Ping { .. } => 0,
+        Message::Cancelled(_) => 1,
+        Message::CancelledKnown { .. } => 2,
+        Message::Forward { .. } => 3,
+        Message::Sync { .. } => 4,
+        Message::Update { .. } => 5,
+        Message::Seen { .. } => 6,
+        Message::Probe { .. } => 7,
+        Message::Books(_) => 8,
+        Message::BooksTaken { .. } => 9,
+        Message::BooksWanted { .. } => 10,
+        Message::BooksOf(_) => 11,
+    }
+}
+const SORTS: usize = 12;
+
+#[test]
+fn the_table_has_every_sort_of_message() {
+    let mut there = [false; SORTS];
+    messages().iter().for_each(|(_, m)| there[sort(m)] = true);
+    assert_eq!(there, [true; SORTS]);
+    assert_eq!(messages().len(), FRAMES.len());
+}
+
+#[test]
+fn frames_of_production_are_understood() {
+    for (name, message) in messages() {
+        let frame = frame(name);
+        let (head, body) = split(&frame);
+        assert_eq!(decode_head(head).unwrap(), body.len(), "{name}");
+        assert_eq!(decode_body(body).unwrap(), envelope(message), "{name}");
+    }
+}
+
+#[test]
+fn frames_are_written_as_production_writes_them() {
+    for (name, message) in messages() {
+        let written = encode(&envelope(message)).unwrap();
+        assert_eq!(HEXLOWER.encode(&written), HEXLOWER.encode(&frame(name)), "{name}");
+    }
+}
+
+/// The byte of the body the sender and its process tells the sort.
+#[test]
+fn sorts_keep_their_numbers() {
+    for (name, message) in messages() {
+        let frame = frame(name);
+        let (_, body) = split(&frame);
+        assert_eq!(usize::from(body[size_of::<u8>() + size_of::<u64>()]), sort(&message), "{name}");
+    }
+}
+
+/// Relayed messages, through a third controller or the state service, have the
+/// version before them in place of a head.
+#[test]
+fn packed_envelopes_are_those_of_production() {
+    for (name, message) in messages() {
+        let mut packed = vec![5];
+        packed.extend_from_slice(split(&frame(name)).1);
+        assert_eq!(Envelope::unpack(&packed), Some(envelope(message.clone())), "{name}");
+        assert_eq!(envelope(message).pack(), packed, "{name}");
+    }
+    let books_taken = bytes("05030807060504030201090700000000000000e803000000000000");
+    assert_eq!(Envelope::unpack(&books_taken), Some(envelope(Message::BooksTaken { term: 7, seq: 1000 })));
+}
+
+#[test]
+fn heads_are_those_of_production() {
+    assert_eq!((VERSION, HEAD, MAX_FRAME), (5, 5, 16_777_216));
+    // (head, length of the body)
+    let taken: [(&str, usize); 3] = [("0000000005", 0), ("0102000005", 513), ("0000000105", 16_777_216)];
+    for (head, length) in taken {
+        assert_eq!(decode_head(split(&bytes(head)).0).unwrap(), length, "{head}");
+    }
+    for version in (0..=u8::MAX).filter(|v| *v != 5) {
+        let refused = decode_head([9, 0, 0, 0, version]);
+        assert!(matches!(refused, Err(FrameError::Version(v)) if v == version), "{version}");
+    }
+    let too_long = decode_head(split(&bytes("0100000105")).0);
+    assert!(matches!(too_long, Err(FrameError::TooLong(16_777_217))));
+}
+
+/// Why messages can't be extended in place: production refuses a frame that has a
+/// sort it doesn't know or a byte more than it expects.
+#[test]
+fn unknown_sorts_and_further_bytes_are_refused() {
+    for (name, _) in messages() {
+        let frame = frame(name);
+        let mut longer = split(&frame).1.to_vec();
+        longer.push(0);
+        assert!(matches!(decode_body(&longer), Err(FrameError::Malformed(_))), "{name}");
+        let mut unknown = split(&frame).1.to_vec();
+        unknown[size_of::<u8>() + size_of::<u64>()] = SORTS as u8;
+        assert!(matches!(decode_body(&unknown), Err(FrameError::Malformed(_))), "{name}");
+    }
+}
