--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -5,6 +5,7 @@
 pub mod cloud;
 pub mod measure;
 pub mod net;
+pub mod process;
 pub mod scale;
 pub mod site;
 pub mod state;
--- a/crates/standins/src/main.rs
+++ b/crates/standins/src/main.rs
@@ -3,10 +3,14 @@
 use gorseshore_standins::measure::Load;
 use gorseshore_standins::scale::Sizing;
 use gorseshore_standins::site::{Options, Site};
-use std::path::PathBuf;
+use std::collections::BTreeMap;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::Duration;
 
+/// A controller has so long to be ready.
+const READY_LIMIT: Duration = Duration::from_secs(20);
+
 /// Stand-ins for what gorseshore needs, on loopback.
 #[derive(Parser)]
 #[command(version)]
@@ -18,6 +22,12 @@
 #[derive(Subcommand)]
 enum Verb {
     /// Start controllers, state service, cloud and workers; nothing is kept.
+    ///
+    /// Without --seconds, commands are read from standard input, one a line:
+    /// `roll N PATH` ends controller N without warning and starts the program at PATH
+    /// in its place, with the same settings (only controllers that were started with
+    /// --controller-program); an empty line or the end of input ends the site.
+    #[command(verbatim_doc_comment)]
     Site(SiteArgs),
     /// Measure Nomad's interface against native submissions of the same work.
     MeasureNomad(MeasureArgs),
@@ -91,11 +101,78 @@
     /// Seconds that a second of a task's estimate takes.
     #[arg(long, default_value_t = 0.1)]
     pace: f64,
+    /// Run controller N (from 0) as a process of the program at PATH, which is called with
+    /// --config FILE and --operator-config FILE; may be given for each controller. The others
+    /// run in this process. What a program logs goes to standard error.
+    #[arg(long, value_name = "N=PATH", value_parser = controller_program)]
+    controller_program: Vec<(usize, PathBuf)>,
     /// End after so many seconds instead of at the end of standard input.
     #[arg(long, value_name = "SECONDS")]
     seconds: Option<u64>,
 }
 
+/// Reads `N=PATH`.
+fn controller_program(text: &str) -> Result<(usize, PathBuf), String> {
+    let (number, path) = text.split_once('=').ok_or("not of the form N=PATH")?;
+    let number = number.parse().map_err(|_| format!("\"{number}\" is not a controller's number"))?;
+    match path {
+        "" => Err("no path".into()),
+        path => Ok((number, path.into())),
+    }
+}
+
+/// A command on standard input.
+#[derive(Debug, PartialEq)]
+enum SiteCommand<'a> {
+    /// Start another program in a controller's place.
+    Roll(usize, &'a Path),
+    /// End the site.
+    End,
+}
+
+impl<'a> SiteCommand<'a> {
+    fn read(line: &'a str) -> Result<Self, String> {
+        let line = line.trim();
+        if line.is_empty() {
+            return Ok(SiteCommand::End);
+        }
+        let usage =
+            || format!("\"{line}\" is not a command; roll N PATH is, and an empty line ends the site");
+        let (number, path) = line
+            .strip_prefix("roll ")
+            .and_then(|rest| rest.trim_start().split_once(' '))
+            .ok_or_else(usage)?;
+        let number = number.parse().map_err(|_| usage())?;
+        Ok(SiteCommand::Roll(number, Path::new(path.trim())))
+    }
+}
+
+/// Rolls a controller over and says how it went.
+fn roll(site: &Site, controller: usize, program: &Path) {
+    match site.roll(controller, program) {
+        Err(e) => println!("{e}"),
+        Ok(()) => match site.controller_ready(controller, READY_LIMIT) {
+            Some(took) => println!(
+                "controller n{controller}: {}, ready after {:.2} s",
+                program.display(),
+                took.as_secs_f64()
+            ),
+            None => println!("controller n{controller}: {}, not ready in time", program.display()),
+        },
+    }
+}
+
+/// Does what standard input says, until its end or an empty line.
+fn follow_commands(site: &Site) {
+    for line in std::io::stdin().lines().map_while(Result::ok) {
+        match SiteCommand::read(&line) {
+            Ok(SiteCommand::End) => return,
+            Ok(SiteCommand::Roll(controller, program)) => roll(site, controller, program),
+            Err(e) => println!("{e}"),
+        }
+    }
+}
+
 fn measure(m: &MeasureArgs) -> ExitCode {
     let load = Load { requests: m.requests, clients: m.clients as usize, waiters: m.waiters };
     let options = Options { pace: 0.05, changes: m.changes.clamp(1.0, 1e6), ..Options::default() };
@@ -124,11 +201,17 @@
             }
         },
     };
+    let programs: BTreeMap<usize, PathBuf> = args.controller_program.into_iter().collect();
+    if let Some(n) = programs.keys().find(|n| **n >= args.controllers as usize) {
+        eprintln!("--controller-program: there is no controller n{n}");
+        return ExitCode::from(2);
+    }
     gorseshore_shell::logger::start(gorseshore_settings::LogFormat::Plain);
     let options = Options {
         controllers: args.controllers as usize,
         operator,
         pace: args.pace.clamp(0.001, 1000.0),
+        programs,
         ..Options::default()
     };
     let site = match Site::start(&options) {
@@ -138,8 +221,8 @@
             return ExitCode::from(2);
         }
     };
-    if !site.ready(Duration::from_secs(20)) {
-        eprintln!("the controllers were not ready within 20 s");
+    if !site.ready(READY_LIMIT) {
+        eprintln!("the controllers were not ready within {} s", READY_LIMIT.as_secs());
         return ExitCode::FAILURE;
     }
     for (i, a) in site.users.iter().enumerate() {
@@ -156,10 +239,45 @@
             std::thread::sleep(Duration::from_secs(s));
         }
         None => {
-            println!("ready; Enter or the end of input ends it");
-            let _ = std::io::stdin().read_line(&mut String::new());
+            println!("ready; roll N PATH rolls a controller over; Enter or the end of input ends it");
+            follow_commands(&site);
         }
     }
     println!("ended; nothing is kept");
     ExitCode::SUCCESS
 }
+
+#[cfg(test)]
+mod tests {
+    use super::*;
+
+    #[test]
+    fn programs_and_commands_are_read() {
+        // (argument, what it says)
+        let programs = [
+            ("0=/a/b", Some((0, PathBuf::from("/a/b")))),
+            ("12=a=b", Some((12, PathBuf::from("a=b")))),
+            ("=a", None),
+            ("1=", None),
+            ("1", None),
+            ("n1=a", None),
+        ];
+        for (text, want) in programs {
+            assert_eq!(controller_program(text).ok(), want, "{text}");
+        }
+        // (line, what it says)
+        let commands = [
+            ("", Some(SiteCommand::End)),
+            (" \n", Some(SiteCommand::End)),
+            ("roll 2 /a/b c", Some(SiteCommand::Roll(2, Path::new("/a/b c")))),
+            ("roll  0  x ", Some(SiteCommand::Roll(0, Path::new("x")))),
+            ("roll 2", None),
+            ("roll x /a", None),
+            ("rolls 2 /a", None),
+            ("end", None),
+        ];
+        for (line, want) in commands {
+            assert_eq!(SiteCommand::read(line).ok(), want, "{line}");
+        }
+    }
+}
--- a/crates/standins/src/site.rs
+++ b/crates/standins/src/site.rs
@@ -1,8 +1,9 @@
-//! A whole site on loopback in one process: state service, cloud and workers
-//! as stand-ins, and the real controllers in threads of their own. Nothing is
-//! kept when the process ends.
+//! A whole site on loopback: state service, cloud and workers as stand-ins, and
+//! the real controllers, each in a thread of its own or as a process of a named
+//! program. Nothing is kept when the site ends.
 use crate::cloud::flavor;
 use crate::net::{Handler, call, serve};
+use crate::process::{ControllerProcess, TemporaryFolder};
 use crate::state::{Outcome, State};
 use crate::worker::{Facts, Machine};
 use gorseshore_core::guest::Guest;
@@ -16,6 +17,7 @@
 use gorseshore_shell::Sockets;
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
+use std::path::{Path, PathBuf};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
@@ -36,6 +38,9 @@
     pub value_kb: f64,
     /// Most changes in a transaction.
     pub changes_at_once: usize,
+    /// Programs of those controllers that are processes of their own; the others run
+    /// in this process.
+    pub programs: BTreeMap<usize, PathBuf>,
 }
 
 impl Default for Options {
@@ -48,6 +53,7 @@
             changes: 200.0,
             value_kb: 16.0,
             changes_at_once: 24,
+            programs: BTreeMap::new(),
         }
     }
 }
@@ -79,6 +85,9 @@
 /// A running site.
 pub struct Site {
     shared: Arc<Shared>,
+    /// Controllers that are processes; they end before their folder goes.
+    processes: Mutex<BTreeMap<usize, ControllerProcess>>,
+    _folder: Option<TemporaryFolder>,
     /// Users' addresses of the controllers.
     pub users: Vec<SocketAddr>,
     /// Addresses of Nomad's interface; empty if it is off.
@@ -98,6 +107,66 @@
     /// The operators' settings are faulty.
     #[error("{0}")]
     Settings(#[from] gorseshore_settings::SettingsError),
+    /// A program could not be started.
+    #[error("{}: {error}", program.display())]
+    Program {
+        /// The program.
+        program: PathBuf,
+        /// Why.
+        error: std::io::Error,
+    },
+    /// There is no such controller, or it runs in this process.
+    #[error("controller n{0} is not a process of its own")]
+    NoProcess(usize),
+}
+
+/// Where the controllers of a site listen, and whom they ask.
+struct Addresses {
+    users: Vec<SocketAddr>,
+    cluster: Vec<SocketAddr>,
+    nomad: Vec<SocketAddr>,
+    state: SocketAddr,
+    cloud: SocketAddr,
+}
+
+/// The platform's settings of a controller.
+fn platform_settings(controller: usize, addresses: &Addresses, options: &Options) -> String {
+    let Addresses { users, cluster, state, cloud, .. } = addresses;
+    let mut text = format!(
+        "host_name = \"n{controller}\"\ndomain = \"{}\"\npublic_addr = \"{}\"\ncluster_listen = \"{}\"\n",
+        ZONES[controller % 2],
+        users[controller],
+        cluster[controller]
+    );
+    for other in (0..cluster.len()).filter(|other| *other != controller) {
+        text += &format!(
+            "[[peers]]\nhost_name = \"n{other}\"\ndomain = \"{}\"\npeer_addr = \"{}\"\n",
+            ZONES[other % 2],
+            cluster[other]
+        );
+    }
+    text += &format!(
+        "[endpoints]\ncloud = \"{cloud}\"\nstate = \"{state}\"\n[deployment]\nzones = [\"east\", \"west\"]\n"
+    );
+    for (name, cpus) in &options.teams {
+        text += &format!("[[deployment.teams]]\nname = \"{name}\"\ncpus_max = {cpus:.3}\n");
+    }
+    text += &format!(
+        "[deployment.workers]\nreport_s = 2.0\nlease_s = 12.0\ncancel_s = 30.0\n\
+         [deployment.state]\nrps = 2000.0\nwrite_rps = {:.1}\nvalue_kb = {:.1}\ntxn_ops = {}\n\
+         [deployment.cloud]\nrps = 20.0\nlist_lag_s = 1.0\n\
+         [deployment.machine_limits]\nsockets = 8000\n",
+        options.changes, options.value_kb, options.changes_at_once
+    );
+    text
+}
+
+/// The operators' settings of a controller: Nomad's interface has an address of its own.
+fn operator_settings(text: &str, listen: Option<SocketAddr>, address: SocketAddr) -> String {
+    match listen {
+        Some(listen) => text.replace(&format!("\"{listen}\""), &format!("\"{address}\"")),
+        None => text.to_owned(),
+    }
 }
 
 impl Shared {
@@ -138,68 +207,76 @@
         let state = state_service(&shared)?;
         let cloud = cloud(&shared)?;
         let n = o.controllers;
-        let mut operator = Operator::parse(&o.operator)?;
+        let operator = Operator::parse(&o.operator)?;
         // Bound here and handed on: a port that was only found free may be
         // another's, or an outgoing connection's, before its controller starts.
         let bind = || (0..n).map(|_| TcpListener::bind("127.0.0.1:0")).collect::<Result<Vec<_>, _>>();
         let addresses =
             |l: &[TcpListener]| l.iter().map(TcpListener::local_addr).collect::<Result<Vec<_>, _>>();
         let (public, peers, guests) = (bind()?, bind()?, bind()?);
-        let (users, cluster, mut nomad) = (addresses(&public)?, addresses(&peers)?, addresses(&guests)?);
-        for (i, ((public, cluster_socket), guest_socket)) in
-            public.into_iter().zip(peers).zip(guests).enumerate()
-        {
-            let mut text = format!(
-                "host_name = \"n{i}\"\ndomain = \"{}\"\npublic_addr = \"{}\"\ncluster_listen = \"{}\"\n",
-                ZONES[i % 2],
-                users[i],
-                cluster[i]
-            );
-            for j in (0..n).filter(|j| *j != i) {
-                text += &format!(
-                    "[[peers]]\nhost_name = \"n{j}\"\ndomain = \"{}\"\npeer_addr = \"{}\"\n",
-                    ZONES[j % 2],
-                    cluster[j]
-                );
-            }
-            text += &format!(
-                "[endpoints]\ncloud = \"{cloud}\"\nstate = \"{state}\"\n[deployment]\nzones = [\"east\", \"west\"]\n"
-            );
-            for (name, cpus) in &o.teams {
-                text += &format!("[[deployment.teams]]\nname = \"{name}\"\ncpus_max = {cpus:.3}\n");
+        let (users, cluster, nomad) = (addresses(&public)?, addresses(&peers)?, addresses(&guests)?);
+        let addresses = Addresses { users, cluster, nomad, state, cloud };
+        let folder = if o.programs.is_empty() { None } else { Some(TemporaryFolder::new()?) };
+        let mut processes = BTreeMap::new();
+        for (i, ((public, cluster), guest)) in public.into_iter().zip(peers).zip(guests).enumerate() {
+            let settings = platform_settings(i, &addresses, o);
+            if let (Some(program), Some(folder)) = (o.programs.get(&i), &folder) {
+                // The process takes the addresses.
+                drop((public, cluster, guest));
+                let listen = operator.nomad.as_ref().and_then(|s| s.listen);
+                let operator = operator_settings(&o.operator, listen, addresses.nomad[i]);
+                let settings = folder.write(&format!("n{i}.toml"), &settings)?;
+                let operator = folder.write(&format!("n{i}.txtpb"), &operator)?;
+                let process = ControllerProcess::start(program, settings, operator)
+                    .map_err(|error| SiteError::Program { program: program.clone(), error })?;
+                processes.insert(i, process);
+                continue;
             }
-            text += &format!(
-                "[deployment.workers]\nreport_s = 2.0\nlease_s = 12.0\ncancel_s = 30.0\n\
-                 [deployment.state]\nrps = 2000.0\nwrite_rps = {:.1}\nvalue_kb = {:.1}\ntxn_ops = {}\n\
-                 [deployment.cloud]\nrps = 20.0\nlist_lag_s = 1.0\n\
-                 [deployment.machine_limits]\nsockets = 8000\n",
-                o.changes, o.value_kb, o.changes_at_once
-            );
-            let platform = Platform::parse(&text)?;
-            let guest = operator.nomad.as_mut().map(|s| {
-                s.listen = Some(nomad[i]);
+            let platform = Platform::parse(&settings)?;
+            let mut operator = operator.clone();
+            let guest_settings = operator.nomad.as_mut().map(|s| {
+                s.listen = Some(addresses.nomad[i]);
                 s.clone()
             });
-            let operator = operator.clone();
             std::thread::spawn(move || {
-                let sockets = Sockets {
-                    public,
-                    cluster: cluster_socket,
-                    guest: guest.is_some().then_some(guest_socket),
-                };
-                let guest = guest.map(|s| Box::new(Service::new(s, fastrand::u64(..))) as Box<dyn Guest>);
+                let sockets = Sockets { public, cluster, guest: guest_settings.is_some().then_some(guest) };
+                let guest =
+                    guest_settings.map(|s| Box::new(Service::new(s, fastrand::u64(..))) as Box<dyn Guest>);
                 if let Err(e) = gorseshore_shell::run_on(sockets, platform, operator, guest) {
                     log::error!("controller {i}: {e}");
                 }
             });
         }
+        let Addresses { users, mut nomad, .. } = addresses;
         if let Ok(mut nodes) = shared.nodes.lock() {
             nodes.clone_from(&users);
         }
         if operator.nomad.is_none() {
             nomad.clear();
         }
-        Ok(Site { shared, users, nomad, state, cloud })
+        Ok(Site { shared, processes: Mutex::new(processes), _folder: folder, users, nomad, state, cloud })
+    }
+
+    /// Ends a controller that is a process and starts `program` in its place.
+    pub fn roll(&self, controller: usize, program: &Path) -> Result<(), SiteError> {
+        let no_process = || SiteError::NoProcess(controller);
+        let mut processes = self.processes.lock().map_err(|_| no_process())?;
+        let process = processes.get_mut(&controller).ok_or_else(no_process)?;
+        let failed = |error| SiteError::Program { program: program.to_owned(), error };
+        process.roll(program).map_err(failed)
+    }
+
+    /// Waits until one controller is ready; how long it took, or nothing after `limit`.
+    pub fn controller_ready(&self, controller: usize, limit: Duration) -> Option<Duration> {
+        let address = *self.users.get(controller)?;
+        let start = Instant::now();
+        while start.elapsed() < limit {
+            if call(address, "GET", "/ready", "").is_some_and(|answer| answer.0 == 200) {
+                return Some(start.elapsed());
+            }
+            std::thread::sleep(Duration::from_millis(20));
+        }
+        None
     }
 
     /// Waits until every controller is ready; false after `limit`.
