--- a/crates/core/src/deputy.rs
+++ b/crates/core/src/deputy.rs
@@ -131,6 +131,7 @@
         order.sort();
         let mut ask = Vec::new();
         let mut doomed = Vec::new();
+        let mut unanswered = 0;
         for (by, id) in order {
             if now < by - ask_before {
                 break;
@@ -144,7 +145,9 @@
                 ask.push((p.asked, by, id.clone()));
             }
             let answered = p.first_asked.is_some_and(|t| now.since(t) >= ASK_AGAIN);
-            if now >= by - delete_before && answered && p.again_at.is_none_or(|t| now >= t) {
+            let may_go = now >= by - delete_before;
+            unanswered += (may_go && !answered) as usize;
+            if may_go && answered && p.again_at.is_none_or(|t| now >= t) {
                 doomed.push((by, id.clone(), p.again_at.is_some()));
             }
         }
@@ -165,7 +168,7 @@
         if now < self.delete_at {
             return acts;
         }
-        let delete = self.choose(doomed, cancel, machines, now);
+        let delete = self.choose(doomed, unanswered, cancel, machines, now);
         if !delete.is_empty() {
             self.delete_at = now + DELETE_EVERY;
             acts.push(Act::Delete(delete));
@@ -174,10 +177,11 @@
     }
 
     /// Which of the machines that are due go now, the earliest first: the budget's, and
-    /// more where it would not be done in time.
+    /// more where it would not be done in time, with those that had no time to answer yet.
     fn choose(
         &mut self,
         doomed: Vec<(Micros, MachineId, bool)>,
+        unanswered: usize,
         cancel: Micros,
         machines: usize,
         now: Micros,
@@ -185,7 +189,7 @@
         while self.deleted.front().is_some_and(|t| now.since(*t) >= BUDGET_TIME) {
             self.deleted.pop_front();
         }
-        let new = doomed.iter().filter(|(.., again)| !again).count();
+        let new = doomed.iter().filter(|(.., again)| !again).count() + unanswered;
         let last = doomed.first().map_or(now, |(by, ..)| *by - cancel.scale(5, 100));
         let share = (machines / BUDGET).max(2);
         let budget = share.saturating_sub(self.deleted.len());
