--- a/crates/core/src/leader/machines.rs
+++ b/crates/core/src/leader/machines.rs
@@ -481,7 +481,7 @@
 
     /// Asks for machines of one kind, in as many rentals as they take and may be open;
     /// in one at least, so that no kind waits for the others.
-    fn ask_for(&mut self, want: &Want, machines: u32, open: usize, now: Micros) {
+    pub(super) fn ask_for(&mut self, want: &Want, machines: u32, open: usize, now: Micros) {
         let mut left = machines;
         loop {
             let count = left.min(growth::MACHINES_A_RENTAL);
--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -948,3 +948,67 @@
     b.tick(100);
     assert_eq!(b.leader.machines[&m("m0")].stage, Stage::Up);
 }
+
+#[test]
+fn a_controller_that_owes_an_outcome_gets_no_more_hand_outs() {
+    // (milliseconds since the first hand-out went, its outcome came; the next one goes)
+    for (owed, told, goes) in [(0, false, true), (400, false, true), (600, false, false), (600, true, true)] {
+        let mut b = Bench::new(1);
+        b.confirm("m0", &[]);
+        b.job(1, 60, "t", "array", "standard", 1, 1.0);
+        b.tick(30);
+        let first = b.attempt(task(1, 0)).expect("handed out");
+        b.leader.handouts.get_mut(&first).unwrap().first_sent = Some(b.now);
+        if told {
+            b.sync(A, &[], &[Outcome { attempt: first, machine: Some(m("m0")) }]);
+        }
+        b.now = b.now + Micros::millis(owed);
+        b.sync(A, &[], &[]);
+        b.sync(B, &[], &[]);
+        b.job(2, 61, "t", "array", "standard", 1, 1.0);
+        b.tick(30);
+        assert_eq!(b.attempt(task(2, 0)).is_some(), goes, "{owed} ms, told: {told}");
+    }
+}
+
+#[test]
+fn pages_of_the_list_leave_calls_for_what_is_rented() {
+    let mut b = Bench::new(1);
+    let page = |name: &str, truncated| {
+        let rental = json!({"ref": name, "addr": "", "build": "other", "yard": "east", "loaners": false,
+            "stage": "running", "held_s": 1.0});
+        serde_json::from_value(json!({"hosts": [rental], "truncated": truncated})).unwrap()
+    };
+    // (what the last page was; after so many milliseconds, the next one after this machine)
+    let steps: [(Option<Rentals>, u64, Option<&str>); 4] = [
+        (Some(page("m500", true)), 400, Some("m500")),
+        (Some(page("m900", true)), 400, Some("m900")),
+        // A call that failed is made again.
+        (None, 400, Some("m900")),
+        (Some(page("m999", false)), 2_000, None),
+    ];
+    let sizes = Sizes::default();
+    for (i, (last, pause, from)) in steps.into_iter().enumerate() {
+        b.leader.listed(last.as_ref(), &sizes, b.now);
+        let lists = |b: &mut Bench, ms| {
+            let wishes = b.leader.fleet(&[], b.now + Micros::millis(ms));
+            wishes.into_iter().find(|w| matches!(w, CloudWish::List(_)))
+        };
+        assert_eq!(lists(&mut b, pause - 50), None, "step {i}");
+        assert_eq!(lists(&mut b, pause), Some(CloudWish::List(from.map(str::to_owned))), "step {i}");
+        b.now = b.now + Micros::millis(pause);
+    }
+}
+
+#[test]
+fn many_machines_are_asked_for_in_several_rentals() {
+    let want = Want { build: "big".into(), zone: "east".into(), spot: false };
+    // (machines, rentals that may be open; machines in each)
+    let cases: [(u32, usize, &[u32]); 3] = [(7, 6, &[7]), (166, 6, &[50, 50, 50, 16]), (250, 2, &[50, 50])];
+    for (machines, open, counts) in cases {
+        let mut b = Bench::new(0);
+        b.leader.ask_for(&want, machines, open, b.now);
+        let asked: Vec<u32> = b.leader.hires.values().map(|(r, ..)| r.count).collect();
+        assert_eq!(asked, counts, "{machines} machines");
+    }
+}
