--- a/crates/core/src/leader/blocks.rs
+++ b/crates/core/src/leader/blocks.rs
@@ -9,11 +9,6 @@
 /// Silent machines that the other controllers ask after at a time, so often.
 const PROBES_AT_ONCE: usize = 25;
 
-/// A controller that has not told for so long what became of a hand-out gets no more of
-/// them: it tells within 100 ms, and where it may be cut off, each hand-out more is one
-/// that may have gone to any of its machines.
-const OUTCOME_OVERDUE: Micros = Micros::millis(500);
-
 /// The books of the term before are waited for so long.
 const BOOKS_WAIT: Micros = Micros::millis(1200);
 
@@ -30,18 +25,6 @@
         (0..self.nodes.len()).map(|i| self.in_contact(NodeId(i as u8), now)).collect()
     }
 
-    /// Which controllers hand-outs may go to: those in contact that tell what became of
-    /// the ones before.
-    pub(super) fn takers(&self, now: Micros) -> Vec<bool> {
-        let mut takers = self.contacts(now);
-        for handout in self.handouts.values() {
-            if handout.first_sent.is_some_and(|t| now.since(t) > OUTCOME_OVERDUE) {
-                takers[handout.to.0 as usize] = false;
-            }
-        }
-        takers
-    }
-
     /// How many machines each controller holds.
     pub(super) fn loads(&self) -> Vec<usize> {
         let mut load = vec![0usize; self.nodes.len()];
--- a/crates/core/src/leader/messages.rs
+++ b/crates/core/src/leader/messages.rs
@@ -74,7 +74,6 @@
         };
         let mut open: Vec<(HandOut, u64)> = Vec::new();
         for h in self.handouts.values_mut().filter(|_| lease_ok).filter(due) {
-            h.first_sent.get_or_insert(now);
             h.sent = Some(now);
             open.push((h.out.clone(), h.covered_by));
         }
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -96,8 +96,7 @@
     out: HandOut,
     /// The change of the books that has to be at the witnesses before it goes.
     covered_by: u64,
-    /// When it first went, and when it last went.
-    first_sent: Option<Micros>,
+    /// When it last went.
     sent: Option<Micros>,
 }
 
--- a/crates/core/src/leader/schedule.rs
+++ b/crates/core/src/leader/schedule.rs
@@ -376,8 +376,7 @@
             self.rooms.put(&hint, m, true);
         }
         let at = self.books.hand_out(task);
-        self.handouts
-            .insert(attempt, OnItsWay { to: node, out, covered_by: at, first_sent: None, sent: None });
+        self.handouts.insert(attempt, OnItsWay { to: node, out, covered_by: at, sent: None });
         if let Some(n) = self.nodes.get_mut(node.0 as usize) {
             n.dirty = true;
         }
@@ -482,7 +481,7 @@
     /// Machines with work that replicas, or a team within its guarantee, may
     /// have stopped, and the most room that this would leave.
     fn lendable(&self, guaranteed: bool, now: Micros) -> Lendable {
-        let contact = self.takers(now);
+        let contact = self.contacts(now);
         let mut l = Lendable::default();
         let mut machines = Vec::new();
         for (id, m) in self.machines.iter().filter(|(_, m)| m.in_reach(&contact)) {
--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -949,28 +949,6 @@
     assert_eq!(b.leader.machines[&m("m0")].stage, Stage::Up);
 }
 
-#[test]
-fn a_controller_that_owes_an_outcome_gets_no_more_hand_outs() {
-    // (milliseconds since the first hand-out went, its outcome came; the next one goes)
-    for (owed, told, goes) in [(0, false, true), (400, false, true), (600, false, false), (600, true, true)] {
-        let mut b = Bench::new(1);
-        b.confirm("m0", &[]);
-        b.job(1, 60, "t", "array", "standard", 1, 1.0);
-        b.tick(30);
-        let first = b.attempt(task(1, 0)).expect("handed out");
-        b.leader.handouts.get_mut(&first).unwrap().first_sent = Some(b.now);
-        if told {
-            b.sync(A, &[], &[Outcome { attempt: first, machine: Some(m("m0")) }]);
-        }
-        b.now = b.now + Micros::millis(owed);
-        b.sync(A, &[], &[]);
-        b.sync(B, &[], &[]);
-        b.job(2, 61, "t", "array", "standard", 1, 1.0);
-        b.tick(30);
-        assert_eq!(b.attempt(task(2, 0)).is_some(), goes, "{owed} ms, told: {told}");
-    }
-}
-
 #[test]
 fn pages_of_the_list_leave_calls_for_what_is_rented() {
     let mut b = Bench::new(1);
