--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -54,8 +54,9 @@
     attempts: Option<u32>,
     #[serde(rename = "p", default, skip_serializing_if = "Vec::is_empty")]
     prefer: Vec<Preference>,
-    /// Jobs that it replaces, then jobs that it depends on. Versions without
-    /// dependencies hold a job back until all of these are over.
+    /// Jobs that it replaces; if it depends on others, its own id, and jobs that it
+    /// depends on. Versions without dependencies hold a job back until all of these are
+    /// over, and so never start one that waits for itself.
     #[serde(rename = "x", default, skip_serializing_if = "Vec::is_empty")]
     after: Vec<u64>,
     /// How many of `after`, at its end, are dependencies.
@@ -66,6 +67,11 @@
     dependency_keys: u32,
 }
 
+/// Stands in the record of a job that depends on others, among the jobs that it replaces.
+fn own_id(s: &JobSpec) -> Option<&JobId> {
+    (!s.dependencies.is_empty()).then_some(&s.id)
+}
+
 fn is_default<T: Default + PartialEq>(v: &T) -> bool {
     *v == T::default()
 }
@@ -92,7 +98,7 @@
             deadline_s: s.deadline_s,
             attempts: s.attempts,
             prefer: s.prefer.clone(),
-            after: s.after.iter().chain(&s.dependencies).map(|j| j.0).collect(),
+            after: s.after.iter().chain(own_id(s)).chain(&s.dependencies).map(|j| j.0).collect(),
             dependencies: s.dependencies.len(),
             dependency_keys: 0,
         }
@@ -109,6 +115,7 @@
         let r = self;
         let mut after: Vec<JobId> = r.after.into_iter().map(JobId).collect();
         let dependencies = after.split_off(after.len().saturating_sub(r.dependencies));
+        after.retain(|job| *job != id);
         JobSpec {
             id,
             class: r.class,
@@ -474,6 +481,7 @@
         return Some(vec![(keys::job(spec.id), whole)]);
     }
     let mut record = DescriptionRecord::of(&JobSpec { dependencies: Vec::new(), ..spec.clone() });
+    record.after.extend(own_id(spec).map(|id| id.0));
     let mut values: Vec<Value> = Vec::new();
     let mut rest = &spec.dependencies[..];
     while !rest.is_empty() {
--- a/crates/core/tests/record_compatibility.rs
+++ b/crates/core/tests/record_compatibility.rs
@@ -339,32 +339,32 @@
 /// Rows are added here as what writes them comes.
 const DEPENDENTS: &[Dependent] = &[
     Dependent {
-        record: r#"{"at":7,"d":{"l":"l","t":"t","k":"array","r":"idle","n":1,"u":[1,0,1],"i":"i","x":[411],"q":1}}"#,
+        record: r#"{"at":7,"d":{"l":"l","t":"t","k":"array","r":"idle","n":1,"u":[1,0,1],"i":"i","x":[412,411],"q":1}}"#,
         further: &[],
-        after: &[411],
+        after: &[412, 411],
         replaced: &[],
         awaited: &[411],
     },
     Dependent {
         record: r#"{"at":7,"d":{"l":"l","t":"t","k":"array","r":"prod","n":9,"u":[1,0,1],"i":"i","d":900.0,
-            "x":[1000000000000000007,410,411],"q":2}}"#,
+            "x":[1000000000000000007,412,410,411],"q":2}}"#,
         further: &[],
-        after: &[1_000_000_000_000_000_007, 410, 411],
+        after: &[1_000_000_000_000_000_007, 412, 410, 411],
         replaced: &[1_000_000_000_000_000_007],
         awaited: &[410, 411],
     },
     Dependent {
-        record: r#"{"at":7,"d":{"l":"l","t":"t","k":"array","r":"high","n":2,"u":[1,0,1],"i":"i","x":[409,410],"q":2,"qk":2}}"#,
+        record: r#"{"at":7,"d":{"l":"l","t":"t","k":"array","r":"high","n":2,"u":[1,0,1],"i":"i","x":[412,409,410],"q":2,"qk":2}}"#,
         further: &[("g/d/j-000412/0", "[1,2,3]"), ("g/d/j-000412/1", "[999999999999999999]")],
-        after: &[409, 410],
+        after: &[412, 409, 410],
         replaced: &[],
         awaited: &[409, 410, 1, 2, 3, 999_999_999_999_999_999],
     },
-    // All of them in further keys: production doesn't hold such a job back.
+    // All of them in further keys.
     Dependent {
-        record: r#"{"at":7,"d":{"l":"l","t":"t","k":"array","r":"high","n":2,"u":[1,0,1],"i":"i","x":[5],"qk":1}}"#,
+        record: r#"{"at":7,"d":{"l":"l","t":"t","k":"array","r":"high","n":2,"u":[1,0,1],"i":"i","x":[5,412],"qk":1}}"#,
         further: &[("g/d/j-000412/0", "[1]")],
-        after: &[5],
+        after: &[5, 412],
         replaced: &[5],
         awaited: &[1],
     },
@@ -377,6 +377,7 @@
     let mut replaced = numbers(&d["x"]);
     let in_record = d["q"].as_u64().unwrap_or(0) as usize;
     let mut awaited = replaced.split_off(replaced.len() - in_record);
+    replaced.retain(|id| *id != 412);
     for n in 0..d["qk"].as_u64().unwrap_or(0) {
         awaited.extend(numbers(&further[format!("g/d/j-000412/{n}").as_str()]));
     }
@@ -393,6 +394,8 @@
         // But for these fields the record is one of production's own.
         let job = production_job(&record);
         assert_eq!(job.after, row.after, "{}", row.record);
+        // It waits for itself there, so it never starts.
+        assert!(job.after.contains(&412), "{}", row.record);
         let mut without = record.clone();
         for name in ["q", "qk"] {
             without["d"].as_object_mut().unwrap().remove(name);
@@ -404,6 +407,27 @@
     }
 }
 
+#[test]
+fn the_present_code_reads_and_writes_jobs_that_await_others() {
+    for row in DEPENDENTS {
+        let record = parse(row.record);
+        let mut ledger = Ledger::default();
+        ledger.apply("g/j/j-000412", Some(&record), 5);
+        for (key, value) in row.further {
+            assert!(!ledger.dependencies.released(JobId(412)), "{key} is missing");
+            ledger.apply(key, Some(&parse(value)), 5);
+        }
+        let ids = |ids: &[u64]| ids.iter().copied().map(JobId).collect::<Vec<_>>();
+        let spec = ledger.jobs[&JobId(412)].spec.clone().unwrap();
+        assert_eq!(spec.after, ids(row.replaced), "{}", row.record);
+        assert_eq!(ledger.dependencies.dependencies(JobId(412)), ids(row.awaited), "{}", row.record);
+        if row.further.is_empty() {
+            assert_eq!(job_value(&spec, 7)["d"]["x"], record["d"]["x"], "{}", row.record);
+            assert_eq!(job_value(&spec, 7)["d"]["q"], record["d"]["q"], "{}", row.record);
+        }
+    }
+}
+
 /// The end of a job that was cancelled with another one.
 #[test]
 fn production_reads_ends_of_jobs_cancelled_with_another() {
