--- a/crates/core/src/leader/machines.rs
+++ b/crates/core/src/leader/machines.rs
@@ -431,7 +431,7 @@
             let (starving, dry) = (waited(90_000), waited(THIRSTY_MS) && r.spec.kind == Kind::Array);
             thirsty += if dry { waiting as usize } else { 0 };
             list.push((
-                r.served_rank(wall_ms, slots),
+                r.urgency.rank,
                 r.order(wall_ms, slots),
                 Demand { spec: r.spec.clone(), waiting, starving, thirsty: dry, zones: self.zones_of(r) },
             ));
--- a/crates/core/src/leader/run.rs
+++ b/crates/core/src/leader/run.rs
@@ -32,13 +32,6 @@
 /// seconds.
 const NEVER_DUE_S: f64 = 1e9;
 
-/// A job is raised to the priority of those after it when so many times the time that it
-/// takes is left: estimates are wrong by half.
-const LAXITY: u64 = 3;
-
-/// It is raised, too, when this part of the time has passed in which its class is expected to start.
-const START_PART: u64 = 2;
-
 /// What a job of a pipeline takes beside its tasks' run time, in milliseconds: images,
 /// reports, the record of its end, and the hand-out of the next one.
 const STAGE_OVERHEAD_MS: u64 = 5_000;
@@ -57,8 +50,6 @@
     pub(super) ready_ms: u64,
     /// What its class is expected to be complete within, in milliseconds.
     within_ms: Option<u64>,
-    /// What tasks of its class are expected to start within, in milliseconds.
-    start_within_ms: Option<u64>,
     pub(super) done: TaskSet,
     pub(super) bound: BTreeMap<u32, Binding>,
     pub(super) again: BTreeSet<u32>,
@@ -95,8 +86,6 @@
     pub(super) fn new(job: &Job, spec: Rc<JobSpec>, objectives: &[Objective]) -> Self {
         let of_class = || objectives.iter().filter(|o| o.class == spec.class);
         let within = of_class().filter(|o| o.kind == "finished").filter_map(|o| o.within_s).reduce(f64::max);
-        let start_within =
-            of_class().filter(|o| o.kind == "wait").filter_map(|o| o.within_s).reduce(f64::min);
         let times = of_class().filter_map(|o| o.times).fold(1.0, f64::max);
         let millis = |s: f64| (s.max(0.0) * 1000.0) as u64;
         let due = spec.deadline_s.unwrap_or(NEVER_DUE_S);
@@ -112,7 +101,6 @@
             urgency: own_urgency,
             ready_ms: job.submitted_ms,
             within_ms: within.map(millis),
-            start_within_ms: start_within.map(millis),
             done: job.done.clone(),
             held: false,
             spec,
@@ -220,15 +208,6 @@
         }
         None
     }
-    /// The priority that it is served with: its own, raised to that of a job that depends
-    /// on it once little more is left than it takes until it has to be over.
-    pub(super) fn served_rank(&self, wall_ms: u64, slots: u64) -> Rank {
-        let waves = 1.0 + self.waiting() as f64 / slots.max(1) as f64;
-        let takes_ms = STAGE_OVERHEAD_MS + (self.spec.estimate_s * waves * 1000.0) as u64;
-        let waits_long = self.start_within_ms.is_some_and(|ms| wall_ms >= self.ready_ms + ms / START_PART);
-        let presses = waits_long || wall_ms + LAXITY * takes_ms >= self.urgency.due_ms;
-        if presses || !self.urgency.deadline { self.urgency.rank } else { self.own_urgency.rank }
-    }
     /// Its place among its team's jobs: the earliest due first, behind them
     /// those that can't be in time any more, until they have waited very long.
     /// `slots` is how many such tasks run at a time.
--- a/crates/core/src/leader/schedule.rs
+++ b/crates/core/src/leader/schedule.rs
@@ -195,7 +195,7 @@
                     false => overdue.push((run.ready_ms, id)),
                 }
             }
-            let (rank, cpu) = (run.served_rank(wall_ms, slots), run.spec.need.cpu);
+            let (rank, cpu) = (run.urgency.rank, run.spec.need.cpu);
             let least = waiting.least_cpu.entry(rank).or_insert(cpu);
             *least = cpu.min(*least);
             let teams = ranks.entry(rank).or_default();
