--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -467,6 +467,19 @@
     json!({"d": DescriptionRecord::of(spec), "at": submitted_ms})
 }
 
+/// The record of a cancelled job's end: when, why if the service ended it, and whether
+/// nothing of it is left on any machine.
+pub fn cancelled_value(at_ms: u64, cause: Option<&str>, settled: bool) -> Value {
+    let mut end = json!({"end": "aborted", "at": at_ms});
+    if let Some(why) = cause {
+        end["why"] = json!(why);
+    }
+    if settled {
+        end["gone"] = json!(true);
+    }
+    end
+}
+
 /// Bytes of a job's record kept free for the time of day, and for what is counted beside
 /// the text.
 const RECORD_SLACK: usize = 64;
--- a/crates/core/src/leader/bindings.rs
+++ b/crates/core/src/leader/bindings.rs
@@ -326,9 +326,7 @@
             Rc::make_mut(&mut h.machines).remove(id);
             // Of the others, those that the job may not run on don't matter.
             let (machines, spec) = (&self.machines, &run.spec);
-            let open = |m: &MachineId| {
-                machines.get(m).is_some_and(|m| spec.allows(&m.build, &m.zone, m.spot, &m.size))
-            };
+            let open = |m: &MachineId| machines.get(m).is_some_and(|m| m.suits(spec));
             if !h.machines.iter().any(open) {
                 let hint = h.hint.clone();
                 b.handed = None;
--- a/crates/core/src/leader/blocks.rs
+++ b/crates/core/src/leader/blocks.rs
@@ -339,7 +339,7 @@
                 // A hand-out went to a machine that its job may use.
                 let may_hold = |id: &MachineId| {
                     let (Some(r), Some(m)) = (run, self.machines.get(id)) else { return false };
-                    r.spec.allows(&m.build, &m.zone, m.spot, &m.size)
+                    m.suits(&r.spec)
                 };
                 let handed = bound().filter_map(|b| b.handed.as_ref()).flat_map(|h| h.machines.iter());
                 doomed.extend(handed.filter(|id| may_hold(id)).map(|id| (id.clone(), *job)));
@@ -349,7 +349,7 @@
                 && let Some(spec) = record.and_then(|j| j.spec.as_ref())
             {
                 for (id, m) in self.machines.iter().filter(|(_, m)| m.unknown) {
-                    if spec.allows(&m.build, &m.zone, m.spot, &m.size) {
+                    if m.suits(spec) {
                         doomed.push((id.clone(), *job));
                     }
                 }
--- a/crates/core/src/leader/changes.rs
+++ b/crates/core/src/leader/changes.rs
@@ -4,7 +4,7 @@
 //! each value within that of a value, whatever is to be recorded; what doesn't
 //! fit into one value goes over several keys, which change together.
 use super::{Leader, LeaderWrite};
-use crate::jobs::{Failures, Ledger, keys, split_words};
+use crate::jobs::{Failures, Ledger, cancelled_value, keys, split_words};
 use crate::limits::{StoreLimits, value_len};
 use gorseshore_protocol::ids::{JobId, MachineId};
 use gorseshore_protocol::state::{When, Write};
@@ -93,7 +93,7 @@
                 let why = self.failure_cause(*id, *index);
                 // The record as it was judged: a change of it since counts.
                 let changes = changes.given(keys::job(*id), job.stamp).given(keys::end(*id), 0);
-                Some(changes.put(keys::end(*id), json!({"end": "aborted", "at": wall_ms, "why": why})))
+                Some(changes.put(keys::end(*id), cancelled_value(wall_ms, Some(&why), false)))
             }
             LeaderWrite::Progress(id, chunk) => {
                 let parts = split_words(&self.progress(*id, *chunk)?, limits.value_bytes);
@@ -104,15 +104,13 @@
             }
             LeaderWrite::Settle(id) => {
                 let job = ledger.jobs.get(id)?;
-                let mut end = json!({"end": "aborted", "at": job.ended_ms, "gone": true});
-                if let Some(why) = &job.cause {
-                    end["why"] = json!(why);
-                }
+                let end = cancelled_value(job.ended_ms, job.cause.as_deref(), true);
                 Some(changes.given(keys::end(*id), job.end_stamp).put(keys::end(*id), end))
             }
+            // Whatever end is on record stands.
             LeaderWrite::CancelledWith(id) => {
                 let job = ledger.jobs.get(id)?;
-                let end = json!({"end": "aborted", "at": job.ended_ms, "gone": true});
+                let end = cancelled_value(job.ended_ms, None, true);
                 Some(changes.given(keys::end(*id), 0).put(keys::end(*id), end))
             }
             LeaderWrite::Forget(key) => self.forget_changes(key, recording),
--- a/crates/core/src/leader/growth.rs
+++ b/crates/core/src/leader/growth.rs
@@ -9,8 +9,8 @@
 /// Names in a deletion: the most that the cloud takes.
 pub const NAMES_A_DELETION: usize = 100;
 
-/// Lists begin so long after the one before, if the calls allow it.
-const LIST_PAUSE: Micros = Micros::secs(2);
+/// Lists begin so long after the end of the one before, if the calls allow it.
+pub const LIST_PAUSE: Micros = Micros::secs(2);
 /// One in so many of the cloud's calls may be for a page of its list: what is to be
 /// deleted and rented goes first, and more machines make more pages.
 const LIST_PART: f64 = 4.0;
@@ -25,11 +25,6 @@
     Micros::from_secs_f64(LIST_PART / calls_a_second.max(0.1)).min(LIST_PAUSE)
 }
 
-/// The least time from the end of a list to the next one.
-pub fn list_pause() -> Micros {
-    LIST_PAUSE
-}
-
 /// Rentals that may be open at a time: what the cloud takes in a second.
 pub fn open_rentals(calls_a_second: f64) -> usize {
     (calls_a_second as usize).max(OPEN_RENTALS)
--- a/crates/core/src/leader/machine.rs
+++ b/crates/core/src/leader/machine.rs
@@ -76,6 +76,10 @@
 }
 
 impl Machine {
+    /// Whether a task of such a job may be on it, by type, zone, kind and size.
+    pub(super) fn suits(&self, spec: &JobSpec) -> bool {
+        spec.allows(&self.build, &self.zone, self.spot, &self.size)
+    }
     pub(super) fn new(rec: &MachineRecord, size: Resources, stage: Stage, now: Micros) -> Self {
         Machine {
             build: rec.build.clone(),
--- a/crates/core/src/leader/machines.rs
+++ b/crates/core/src/leader/machines.rs
@@ -56,7 +56,7 @@
         }
         let pause = match self.list_from {
             Some(_) => growth::list_page_pause(self.ctx.cloud_rps),
-            None => growth::list_pause(),
+            None => growth::LIST_PAUSE,
         };
         if !self.listing && now.since(self.listed) >= pause {
             wishes.push(CloudWish::List(self.list_from.clone()));
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -490,7 +490,7 @@
     pub(super) fn nowhere(&self, id: JobId, job: &Job) -> bool {
         let unheard = |spec: &JobSpec| {
             let mut unknown = self.machines.values().filter(|m| m.unknown);
-            unknown.any(|m| spec.allows(&m.build, &m.zone, m.spot, &m.size))
+            unknown.any(|m| m.suits(spec))
         };
         // Without its description, which is kept for long, any machine could.
         let may = || match &job.spec {
--- a/crates/core/src/leader/overdue.rs
+++ b/crates/core/src/leader/overdue.rs
@@ -82,7 +82,7 @@
             .machines
             .iter()
             .filter(|(_, m)| m.in_reach(&contact) && m.gathers_for(now).is_none())
-            .filter(|(_, m)| spec.allows(&m.build, &m.zone, m.spot, &m.size))
+            .filter(|(_, m)| m.suits(&spec))
             .filter(|(_, m)| fleet::zone_ok(&spec, &m.zone, &zones))
             .filter(|(_, m)| m.size.minus(lasting(m)).fits(&spec.need))
             // The least has to end; among equals the one that is cheapest to keep.
--- a/crates/core/src/leader/schedule.rs
+++ b/crates/core/src/leader/schedule.rs
@@ -108,10 +108,7 @@
     pub(super) fn blocked(&self, run: &Run) -> bool {
         run.stamp <= self.began_stamp
             && self.waiting.unsure
-            && self
-                .machines
-                .values()
-                .any(|m| m.unknown && run.spec.allows(&m.build, &m.zone, m.spot, &m.size))
+            && self.machines.values().any(|m| m.unknown && m.suits(&run.spec))
     }
 
     pub(super) fn zones_of(&self, run: &Run) -> BTreeMap<String, u32> {
@@ -419,7 +416,7 @@
             *looked += 1;
             let Some(m) = self.machines.get(mid) else { continue };
             if image && !m.images.contains(&spec.image)
-                || !spec.allows(&m.build, &m.zone, m.spot, &m.size)
+                || !m.suits(&spec)
                 || !fleet::zone_ok(&spec, &m.zone, zones)
                 || m.kept_for.is_some_and(|(_, until)| now < until)
             {
--- a/crates/core/src/leader/waits.rs
+++ b/crates/core/src/leader/waits.rs
@@ -61,7 +61,7 @@
             return Why::Limit;
         }
         let zones = self.zones_of(run);
-        let allowed = |m: &&Machine| spec.allows(&m.build, &m.zone, m.spot, &m.size);
+        let allowed = |m: &&Machine| m.suits(spec);
         let (mut any, mut zone, mut room) = (false, false, false);
         for m in self.machines.values().filter(allowed) {
             any = true;
--- a/crates/core/src/node/cancellations.rs
+++ b/crates/core/src/node/cancellations.rs
@@ -82,15 +82,6 @@
     }
 }
 
-/// The record of an end that a cancellation tells of.
-fn end_of(c: &Cancellation) -> serde_json::Value {
-    let mut v = json!({"end": "aborted", "at": c.at_ms});
-    if let Some(why) = &c.cause {
-        v["why"] = json!(why);
-    }
-    v
-}
-
 impl Node {
     /// Jobs that a transaction ended, once it is known to be carried out: they are
     /// over here from now on, whenever the state service tells of it.
@@ -307,7 +298,8 @@
             Some(Phase::Aborted) => {}
             Some(Phase::Active) | None => {
                 debug!("{}: told of its cancellation", c.job);
-                let change = self.mirror.ledger.apply(&keys::end(c.job), Some(&end_of(c)), c.stamp);
+                let end = jobs::cancelled_value(c.at_ms, c.cause.as_deref(), false);
+                let change = self.mirror.ledger.apply(&keys::end(c.job), Some(&end), c.stamp);
                 self.changed(change);
             }
         }
--- a/crates/core/src/node/requests.rs
+++ b/crates/core/src/node/requests.rs
@@ -232,7 +232,7 @@
                     return self.out.answer(id, 404, users::error("no such job"));
                 }
                 let until = self.now + Micros::millis(3000);
-                let end = json!({"end": "aborted", "at": self.wall_ms});
+                let end = jobs::cancelled_value(self.wall_ms, None, false);
                 self.users.writes.push_back((UserWrite::Abort(id, job, end), until));
                 self.write_users();
             }
--- a/crates/nomad/src/service/reconcile.rs
+++ b/crates/nomad/src/service/reconcile.rs
@@ -7,11 +7,12 @@
 use super::register::{put, remove, when};
 use super::{Known, Pending, Service, write};
 use gorseshore_core::guest::{GuestOutput, Host};
-use gorseshore_core::jobs::{Phase, description, job_value, keys};
+use gorseshore_core::jobs::{Phase, cancelled_value, description, job_value, keys};
 use gorseshore_core::limits::value_len;
 use gorseshore_protocol::ids::{JobId, Micros};
+use gorseshore_protocol::job::JobSpec;
 use gorseshore_protocol::state::{Multi, When, Write};
-use serde_json::json;
+use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
 /// Writes of the leader under way.
@@ -21,6 +22,23 @@
 const ORPHANED: Micros = Micros::secs(120);
 const SWEEP: Micros = Micros::secs(30);
 
+/// The record of a group's native job; `None`, and a line in the log, if it is longer than
+/// the state service takes.
+fn native_record(
+    spec: &JobSpec,
+    submitted_ms: u64,
+    head: &Head,
+    group: &str,
+    host: &Host<'_>,
+) -> Option<Value> {
+    let record = job_value(spec, submitted_ms);
+    if value_len(&record) > host.value_limit {
+        log::error!("record too long job={} group={group}", head.id);
+        return None;
+    }
+    Some(record)
+}
+
 impl Service {
     /// Looks at the jobs that changed, if this node leads.
     pub(crate) fn lead(&mut self, host: &Host<'_>) {
@@ -69,7 +87,7 @@
             if job.phase == Phase::Active && room(&m) {
                 m.when.push(When { path: keys::end(id), stamp: 0 });
                 m.when.push(When { path: keys::job(id), stamp: job.stamp });
-                let v = json!({"end": "aborted", "at": host.wall_ms});
+                let v = cancelled_value(host.wall_ms, None, false);
                 m.writes.push(Write::Put { put: keys::end(id), v, hold: None });
             }
         }
@@ -95,11 +113,7 @@
                         };
                         spec.tasks = g.count;
                         spec.after = head.old.iter().copied().map(JobId).collect();
-                        let v = job_value(&spec, head.at);
-                        if value_len(&v) > host.value_limit {
-                            log::error!("record too long job={} group={}", head.id, g.name);
-                            continue;
-                        }
+                        let Some(v) = native_record(&spec, head.at, head, &g.name, host) else { continue };
                         if room(&m) {
                             m.when.push(When { path: keys::job(id), stamp: 0 });
                             m.when.push(When { path: keys::end(id), stamp: 0 });
@@ -108,13 +122,11 @@
                     }
                     Some(job) if job.phase == Phase::Active && job.tasks != g.count => {
                         if let (Some(spec), true) = (&job.spec, room(&m)) {
-                            let mut spec = gorseshore_protocol::job::JobSpec::clone(spec);
+                            let mut spec = JobSpec::clone(spec);
                             spec.tasks = g.count;
-                            let v = job_value(&spec, job.submitted_ms);
-                            if value_len(&v) > host.value_limit {
-                                log::error!("record too long job={} group={}", head.id, g.name);
+                            let Some(v) = native_record(&spec, job.submitted_ms, head, &g.name, host) else {
                                 continue;
-                            }
+                            };
                             m.when.push(When { path: keys::job(id), stamp: job.stamp });
                             m.when.push(When { path: keys::end(id), stamp: 0 });
                             m.writes.push(Write::Put { put: keys::job(id), v, hold: None });
