--- a/crates/core/src/books.rs
+++ b/crates/core/src/books.rs
@@ -1,93 +1,94 @@
-//! The leader's books at its witnesses: where each bound task may be, kept at
-//! other controllers, so that the next leader knows what may run on machines
-//! that it can't hear.
+//! The placement log: where each bound task may be. The leader replicates it to standby
+//! replicas at other controllers, so that the next leader knows what may run on machines
+//! that do not report to it.
 //!
 //! Invariants:
-//! - A hand-out leaves the leader only after every witness on record, and every
-//!   one that a record under way may name, has acknowledged books that hold it
-//!   (`Ledgers::covered`). All other changes only make fewer places of a task,
-//!   or tell of places that the books call unknown; they may come late.
-//! - Nobody is put on record as a witness who has not acknowledged everything
-//!   that left before (`Ledgers::released`).
-//! - Who is a witness is a record of the state service that only the leader
-//!   writes, under its key. In a term without that record nothing is handed out.
-//! - A record counts for the next leader only if every leader since wrote its
-//!   term there with the transaction that made it leader (`led`).
+//! - An assignment leaves the leader only after every recorded replica, and every replica
+//!   that a pending write of the record may name, has acknowledged a log that contains it
+//!   (`PlacementLog::covered`). Every other change only removes places of a task, or adds
+//!   places on machines that the log lists as unknown, so it may arrive late.
+//! - A controller is recorded as a replica only after it has acknowledged everything that
+//!   left the leader before (`PlacementLog::released`).
+//! - The set of replicas is a record of the state service that only the leader writes, on
+//!   the condition that it still holds the leader key. In a term without that record no
+//!   task is assigned.
+//! - A record is valid for the next leader only if every leader since has written its term
+//!   into it with the transaction that made it leader (`last_leader_term`).
 //!
-//! So the books of any one witness, taken after the old leader's lease ended,
-//! hold all places where a task may be (`docs/safety.md`).
+//! So the log of any single replica, read after the old leader's lease ended, contains all
+//! places where a task may be (`docs/safety.md`).
 use crate::peer::pacing::Pacer;
 use borsh::{BorshDeserialize, BorshSerialize};
 use gorseshore_protocol::ids::{Attempt, MachineId, Micros, NodeId, TaskId};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Changes that are remembered; who is further behind gets the whole books.
-const REMEMBERED: usize = 20_000;
-/// A witness that owes an acknowledgement for so long is struck off.
-const OVERDUE: Micros = Micros::millis(700);
-/// When that would leave none, it stays on record for so long, unless its
-/// process ended: a leader that is cut off from all others gives up before, and
-/// the next one needs the books of the last moment.
-const LAST_LEAVES: Micros = Micros::secs(4);
+/// Changes that the leader keeps; a replica that is further behind gets a full update.
+const MAX_LOGGED_CHANGES: usize = 20_000;
+/// A replica whose acknowledgement is due for longer than this is removed from the record.
+const ACK_TIMEOUT: Micros = Micros::millis(700);
+/// The last replica stays on record for this long, unless its process has exited: a leader
+/// that is partitioned from all other controllers steps down sooner, and its successor
+/// needs the log as it was at that moment.
+const LAST_REPLICA_TIMEOUT: Micros = Micros::secs(4);
 /// Unacknowledged changes are sent again after this.
-const AGAIN: Micros = Micros::millis(200);
-/// The same for the whole books.
-const WHOLE_AGAIN: Micros = Micros::millis(900);
-/// Books that a hand-out waits for go out no more often than this.
-const PACE: Micros = Micros::millis(10);
-/// The same for other changes, which may come late.
-const LAZY: Micros = Micros::millis(400);
-/// Who keeps up acknowledges within this.
-const ACKNOWLEDGED_WITHIN: Micros = Micros::millis(200);
-/// Most witnesses.
-const MOST: usize = 3;
+const RETRY_INTERVAL: Micros = Micros::millis(200);
+/// An unacknowledged full update is sent again after this.
+const FULL_UPDATE_RETRY_INTERVAL: Micros = Micros::millis(900);
+/// Minimum interval between updates of which an assignment waits for the acknowledgement.
+const ASSIGNMENT_UPDATE_INTERVAL: Micros = Micros::millis(10);
+/// Minimum interval between updates with other changes, which may arrive late.
+const DEFERRED_UPDATE_INTERVAL: Micros = Micros::millis(400);
+/// A replica that keeps up acknowledges within this.
+const ACK_WINDOW: Micros = Micros::millis(200);
+const MAX_REPLICAS: usize = 3;
 
 /// Where a bound task may be.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct Entry {
     /// Its attempt.
     pub attempt: Attempt,
-    /// On these machines.
+    /// Machines on which it may be.
     pub on: Vec<MachineId>,
-    /// Its start on one of them may still be on the way.
+    /// A start command to one of them may still be in flight.
     pub starting: bool,
-    /// It is done, and that is not on record yet: nobody may run it again.
+    /// It is done, and the state service has no record of that yet: it must not run again.
     pub done: bool,
-    /// Handed to a controller, whose word is not known: on any machine, or on
-    /// any of the zone if the hand-out names one.
+    /// It is assigned to a controller that has not reported an outcome: the machine that the
+    /// leader reserved capacity on, and the zone if the assignment names one. It may be on
+    /// any machine of that zone, or on any machine at all.
     pub handed: Option<(MachineId, Option<String>)>,
 }
 
-/// Books as they are sent: what changed since `base`.
+/// An update of the log as it is sent: what changed since `base`.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct Page {
     /// The leader's term.
     pub term: u64,
-    /// Number of the last change in it.
+    /// Sequence number of the last change in it.
     pub seq: u64,
-    /// What the receiver acknowledged; 0: these are the whole books.
+    /// The change that the receiver has acknowledged; 0: this is the whole log.
     pub base: u64,
     /// Tasks that changed; `None`: bound nowhere.
     pub tasks: Vec<(TaskId, Option<Entry>)>,
-    /// Machines that may hold anything: recorded before the term and not heard.
+    /// Machines that may hold any task: recorded before the term, and not seen in it yet.
     pub unknown: Vec<MachineId>,
 }
 
-/// Who holds the books, as recorded.
+/// The standby replicas of the placement log, as recorded in the state service.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Witnesses {
-    /// The term whose books they hold; 0: nobody holds any.
+    /// The term whose log they hold; 0: there is no replica.
     pub term: u64,
-    /// The last term that wrote here when it began.
+    /// The last term whose leader wrote this record when it was elected.
     pub led: u64,
-    /// Names and processes of the witnesses.
+    /// Names and incarnations of the replicas.
     pub nodes: Vec<(String, u64)>,
 }
 
 impl Witnesses {
-    /// What the leader of `term` writes when it takes the key: the books of
-    /// before still count if no term came between that did not write here.
+    /// What the leader of `term` writes when it takes the leader key. The earlier log stays
+    /// valid only if no term in between failed to write this record.
     pub fn taken_over(&self, term: u64) -> Witnesses {
         match self.led + 1 == term {
             true => Witnesses { led: term, ..self.clone() },
@@ -96,24 +97,24 @@
     }
 }
 
-/// Books that this controller keeps for leaders.
+/// The replicas that this controller holds for leaders, by term.
 #[derive(Debug, Default)]
 pub struct Kept {
-    books: BTreeMap<u64, Book>,
+    by_term: BTreeMap<u64, Book>,
 }
 
-/// Books of one term.
+/// A replica of one term's log.
 #[derive(Debug, Clone, Default)]
 pub struct Book {
     seq: u64,
     /// Bound tasks.
     pub tasks: BTreeMap<TaskId, Entry>,
-    /// Machines that may hold anything.
+    /// Machines that may hold any task.
     pub unknown: BTreeSet<MachineId>,
 }
 
 impl Book {
-    /// The whole of it, as a page.
+    /// The whole replica as a full update.
     pub fn page(&self, term: u64) -> Page {
         Page {
             term,
@@ -123,14 +124,15 @@
             unknown: self.unknown.iter().cloned().collect(),
         }
     }
-    /// From a page that is whole.
+    /// A replica from a full update; `None` if the update is incremental.
     pub fn of(page: Page) -> Option<Book> {
         let mut book = Book::default();
         (page.base == 0).then(|| book.take(page))?;
         Some(book)
     }
-    /// Takes a page; the number to acknowledge. One that builds on what was
-    /// not taken is left, and what was taken is acknowledged again.
+    /// Applies an update and returns the sequence number to acknowledge. An update that
+    /// builds on changes that are missing here is ignored, and what was applied before is
+    /// acknowledged again.
     fn take(&mut self, page: Page) -> u64 {
         if page.seq <= self.seq || page.base > self.seq {
             return self.seq;
@@ -151,76 +153,76 @@
 }
 
 impl Kept {
-    /// Takes a page into the books of its term; the number to acknowledge.
+    /// Applies an update to the replica of its term; the sequence number to acknowledge.
     pub fn take(&mut self, page: Page) -> u64 {
-        self.books.entry(page.term).or_default().take(page)
+        self.by_term.entry(page.term).or_default().take(page)
     }
-    /// The books of a term, if any are here.
+    /// The replica of a term, if there is one.
     pub fn get(&self, term: u64) -> Option<&Book> {
-        self.books.get(&term).filter(|b| b.seq > 0)
+        self.by_term.get(&term).filter(|b| b.seq > 0)
     }
-    /// All that are kept, of the earliest term first.
+    /// All replicas, the earliest term first.
     pub fn all(&self) -> impl Iterator<Item = &Book> {
-        self.books.values().filter(|b| b.seq > 0)
+        self.by_term.values().filter(|b| b.seq > 0)
     }
-    /// Books of terms before the one on record are of no use any more.
+    /// Removes replicas of terms before the recorded one, which no leader can use any more.
     pub fn drop_before(&mut self, term: u64) {
-        self.books.retain(|t, _| *t >= term);
+        self.by_term.retain(|t, _| *t >= term);
     }
 }
 
-/// What the leader knows of a controller as a witness.
+/// How far a controller has received and acknowledged the log.
 #[derive(Debug, Clone)]
-struct Reader {
+struct ReplicaProgress {
     incarnation: u64,
     acked: u64,
     sent: u64,
     pacer: Pacer,
-    /// Since when it owes an acknowledgement.
-    owes: Option<Micros>,
+    /// Since when an acknowledgement is due.
+    ack_due_since: Option<Micros>,
 }
 
-impl Reader {
-    /// A process that has taken nothing.
+impl ReplicaProgress {
+    /// Of a process that has received nothing.
     fn new(incarnation: u64) -> Self {
-        Reader { incarnation, acked: 0, sent: 0, pacer: Pacer::new(ACKNOWLEDGED_WITHIN), owes: None }
+        ReplicaProgress { incarnation, acked: 0, sent: 0, pacer: Pacer::new(ACK_WINDOW), ack_due_since: None }
     }
 }
 
-/// The leader's side: numbers for changes, who has taken what, and the record.
+/// The leader's side: the log of changes, the progress of each replica, and their record.
 #[derive(Debug)]
 pub struct Ledgers {
     term: u64,
-    /// The leader, and all controllers' names and zones.
+    /// The leader's own id, and all controllers' names and zones.
     me: NodeId,
     names: Vec<String>,
     zones: Vec<String>,
-    /// Number of the last change.
+    /// Sequence number of the last change.
     seq: u64,
-    log: VecDeque<(u64, TaskId)>,
-    /// Changes up to this are not in the log any more.
-    forgotten: u64,
-    readers: Vec<Reader>,
+    changes: VecDeque<(u64, TaskId)>,
+    /// Changes up to this one are no longer in `changes`.
+    truncated_to: u64,
+    progress: Vec<ReplicaProgress>,
     /// The record as last seen, and its version.
     record: Witnesses,
     stamp: u64,
-    /// Records that were written and may come to be, over that version.
+    /// Records sent to be written over that version, each of which may yet be committed.
     pending: Vec<Witnesses>,
-    writing: bool,
-    write_at: Micros,
-    /// Since when no witness on record is sound.
-    bare: Option<Micros>,
-    /// The last change that a hand-out waits for.
-    waited: u64,
-    /// The last change that left with a hand-out: who lacks it, or anything
-    /// before it, can't become a witness.
+    write_pending: bool,
+    write_sent_at: Micros,
+    /// Since when the record has no replica that keeps up.
+    no_replica_since: Option<Micros>,
+    /// The last change that an assignment waits for.
+    awaited: u64,
+    /// The last change that left with an assignment. A controller that lacks it, or any
+    /// change before it, can't become a replica.
     released: u64,
-    /// Somebody's acknowledgements moved: held hand-outs may be free to go.
-    pub moved: bool,
+    /// Acknowledgements or the record advanced, so that waiting assignments may be sent.
+    pub coverage_changed: bool,
 }
 
 impl Ledgers {
-    /// For a term; `record` as its leader's mirror has it.
+    /// For a term; `record` and its version `stamp` as the leader's state replica has them.
     pub fn new(
         term: u64,
         me: NodeId,
@@ -232,51 +234,52 @@
         Ledgers {
             term,
             me,
-            readers: vec![Reader::new(0); names.len()],
+            progress: vec![ReplicaProgress::new(0); names.len()],
             names,
             zones,
-            // The empty books are a page, too.
+            // The empty log is sent as an update, too.
             seq: 1,
-            log: VecDeque::new(),
-            forgotten: 1,
+            changes: VecDeque::new(),
+            truncated_to: 1,
             record,
             stamp,
             pending: Vec::new(),
-            writing: false,
-            write_at: Micros(0),
-            bare: None,
-            waited: 1,
+            write_pending: false,
+            write_sent_at: Micros(0),
+            no_replica_since: None,
+            awaited: 1,
             released: 1,
-            moved: false,
+            coverage_changed: false,
         }
     }
 
-    /// A task's places changed; the number of the change.
+    /// Logs that a task's places changed; the sequence number of the change.
     pub fn note(&mut self, task: TaskId) -> u64 {
         self.seq += 1;
-        self.log.push_back((self.seq, task));
-        if self.log.len() > REMEMBERED
-            && let Some((seq, _)) = self.log.pop_front()
+        self.changes.push_back((self.seq, task));
+        if self.changes.len() > MAX_LOGGED_CHANGES
+            && let Some((seq, _)) = self.changes.pop_front()
         {
-            self.forgotten = seq;
+            self.truncated_to = seq;
         }
         self.seq
     }
 
-    /// A task was handed out; the change that has to be covered before it goes.
+    /// Logs that a task was assigned; the change that all replicas have to acknowledge
+    /// before the assignment is sent.
     pub fn hand_out(&mut self, task: TaskId) -> u64 {
-        self.waited = self.note(task);
-        self.waited
+        self.awaited = self.note(task);
+        self.awaited
     }
 
-    /// Takes the record as the mirror shows it now. What was seen once counts
-    /// against an older sight of it.
-    pub fn recorded(&mut self, record: &Witnesses, stamp: u64) {
+    /// Takes over the record as the state replica shows it now. A version that is not newer
+    /// than the known one is ignored.
+    pub fn update_record(&mut self, record: &Witnesses, stamp: u64) {
         if stamp > self.stamp {
             self.record = record.clone();
             self.stamp = stamp;
             self.pending.clear();
-            self.moved = true;
+            self.coverage_changed = true;
         }
     }
 
@@ -285,62 +288,63 @@
         &self.record
     }
 
-    /// A hand-out of this change leaves the leader.
-    pub fn release(&mut self, at: u64) {
+    /// An assignment logged by this change leaves the leader.
+    pub fn mark_released(&mut self, at: u64) {
         self.released = self.released.max(at);
     }
 
-    /// Whether this term's witnesses are on record.
-    pub fn settled(&self) -> bool {
+    /// Whether this term's replicas are recorded.
+    pub fn is_recorded(&self) -> bool {
         self.record.term == self.term
     }
 
-    /// A witness by its node, as far as its name is known.
-    fn node(&self, (name, incarnation): &(String, u64)) -> Option<(NodeId, u64)> {
+    /// A recorded replica by its node, if its name is known.
+    fn resolve(&self, (name, incarnation): &(String, u64)) -> Option<(NodeId, u64)> {
         self.names.iter().position(|n| n == name).map(|i| (NodeId(i as u8), *incarnation))
     }
 
-    /// What is known of this very process as a reader.
-    fn reader(&self, (n, incarnation): (NodeId, u64)) -> Option<&Reader> {
-        self.readers.get(n.0 as usize).filter(|r| r.incarnation == incarnation)
+    /// The progress of exactly this incarnation.
+    fn progress_of(&self, (n, incarnation): (NodeId, u64)) -> Option<&ReplicaProgress> {
+        self.progress.get(n.0 as usize).filter(|r| r.incarnation == incarnation)
     }
 
-    /// Up to which change all witnesses have taken the books, those included
-    /// that a record under way may name. `None` before the first record.
+    /// The last change that all replicas have acknowledged, including those that a pending
+    /// write of the record may name. `None` before the first record.
     pub fn covered(&self) -> Option<u64> {
-        if !self.settled() {
+        if !self.is_recorded() {
             return None;
         }
         let all = self.pending.iter().chain([&self.record]).flat_map(|w| w.nodes.iter());
-        let acked = all.map(|w| self.node(w).and_then(|n| self.reader(n)).map_or(0, |r| r.acked));
+        let acked = all.map(|w| self.resolve(w).and_then(|n| self.progress_of(n)).map_or(0, |r| r.acked));
         Some(acked.min().unwrap_or(u64::MAX))
     }
 
-    /// A controller acknowledged books.
-    pub fn taken(&mut self, from: NodeId, incarnation: u64, seq: u64, now: Micros) {
-        let Some(r) = self.readers.get_mut(from.0 as usize) else { return };
+    /// A controller acknowledged the log up to `seq`.
+    pub fn acknowledged(&mut self, from: NodeId, incarnation: u64, seq: u64, now: Micros) {
+        let Some(r) = self.progress.get_mut(from.0 as usize) else { return };
         if r.incarnation != incarnation || seq <= r.acked || seq > self.seq {
             return;
         }
-        self.moved |= r.acked < self.waited;
+        self.coverage_changed |= r.acked < self.awaited;
         r.acked = seq;
         r.pacer.acknowledged(seq, now);
-        r.owes = (r.sent > seq).then_some(now);
+        r.ack_due_since = (r.sent > seq).then_some(now);
     }
 
-    /// Who should be a witness: of those at hand, of as many zones as there
-    /// are, other zones than the leader's first.
-    fn chosen(&self, at_hand: &[(NodeId, u64)]) -> Vec<(NodeId, u64)> {
+    /// The controllers that should be replicas: from as many zones as there are among those
+    /// in contact, preferring zones other than the leader's.
+    fn choose_replicas(&self, in_contact: &[(NodeId, u64)]) -> Vec<(NodeId, u64)> {
         let mut chosen: Vec<(NodeId, u64)> = Vec::new();
         let zone = |n: NodeId| self.zones.get(n.0 as usize).map_or("", |z| z.as_str());
-        while chosen.len() < MOST {
-            let left = at_hand.iter().filter(|(n, _)| *n != self.me && !chosen.iter().any(|(c, _)| c == n));
+        while chosen.len() < MAX_REPLICAS {
+            let left =
+                in_contact.iter().filter(|(n, _)| *n != self.me && !chosen.iter().any(|(c, _)| c == n));
             let next = left.min_by_key(|(n, inc)| {
-                let crowd = chosen.iter().filter(|(c, _)| zone(*c) == zone(*n)).count();
-                let mine = zone(*n) == zone(self.me);
-                // Who has the books already stays before who would need them.
-                let new = self.reader((*n, *inc)).is_none_or(|r| r.acked == 0);
-                (crowd + mine as usize, new, *n)
+                let same_zone = chosen.iter().filter(|(c, _)| zone(*c) == zone(*n)).count();
+                let leader_zone = zone(*n) == zone(self.me);
+                // A controller that has the log already is preferred to one that needs it.
+                let new = self.progress_of((*n, *inc)).is_none_or(|r| r.acked == 0);
+                (same_zone + leader_zone as usize, new, *n)
             });
             match next {
                 Some(n) => chosen.push(*n),
@@ -350,110 +354,115 @@
         chosen
     }
 
-    /// Pages that are due, by receiver: (whom, since which change).
-    pub fn due(&mut self, at_hand: &[(NodeId, u64)], now: Micros) -> Vec<(NodeId, u64)> {
+    /// Updates that are due: (receiver, base that its update builds on).
+    pub fn due_updates(&mut self, in_contact: &[(NodeId, u64)], now: Micros) -> Vec<(NodeId, u64)> {
         let mut due = Vec::new();
-        let mut readers = self.chosen(at_hand);
-        // Whoever may be on record is waited for.
+        let mut receivers = self.choose_replicas(in_contact);
+        // Assignments wait for every controller that may be recorded.
         let on_record = self.pending.iter().chain([&self.record]).filter(|w| w.term == self.term);
-        for node in on_record.flat_map(|w| w.nodes.iter()).filter_map(|w| self.node(w)) {
-            if at_hand.contains(&node) && !readers.contains(&node) {
-                readers.push(node);
+        for node in on_record.flat_map(|w| w.nodes.iter()).filter_map(|w| self.resolve(w)) {
+            if in_contact.contains(&node) && !receivers.contains(&node) {
+                receivers.push(node);
             }
         }
-        for (n, incarnation) in readers {
-            let Some(r) = self.readers.get_mut(n.0 as usize) else { continue };
+        for (n, incarnation) in receivers {
+            let Some(r) = self.progress.get_mut(n.0 as usize) else { continue };
             if r.incarnation != incarnation {
-                *r = Reader::new(incarnation);
+                *r = ReplicaProgress::new(incarnation);
             }
-            let again = if r.acked == 0 { WHOLE_AGAIN } else { AGAIN };
-            let pace = if self.waited > r.sent { PACE } else { LAZY };
-            let news = self.seq > r.sent && r.pacer.may_send(pace, now) && (r.acked > 0 || r.sent == 0);
-            let owed = r.acked < r.sent && r.pacer.may_send(again, now);
-            if !news && !owed {
+            let retry_interval = if r.acked == 0 { FULL_UPDATE_RETRY_INTERVAL } else { RETRY_INTERVAL };
+            let interval =
+                if self.awaited > r.sent { ASSIGNMENT_UPDATE_INTERVAL } else { DEFERRED_UPDATE_INTERVAL };
+            let changes_due =
+                self.seq > r.sent && r.pacer.may_send(interval, now) && (r.acked > 0 || r.sent == 0);
+            let retry_due = r.acked < r.sent && r.pacer.may_send(retry_interval, now);
+            if !changes_due && !retry_due {
                 continue;
             }
-            let base = if r.acked < self.forgotten { 0 } else { r.acked };
+            let base = if r.acked < self.truncated_to { 0 } else { r.acked };
             r.sent = self.seq;
             r.pacer.sent(self.seq, now);
-            r.owes.get_or_insert(now);
+            r.ack_due_since.get_or_insert(now);
             due.push((n, base));
         }
         due
     }
 
-    /// Tasks that changed after `base`; `None` for all.
-    pub fn changed(&self, base: u64) -> Option<BTreeSet<TaskId>> {
-        (base > 0).then(|| self.log.iter().rev().take_while(|(s, _)| *s > base).map(|(_, t)| *t).collect())
+    /// Tasks that changed after `base`; `None` if a full update is needed.
+    pub fn changed_since(&self, base: u64) -> Option<BTreeSet<TaskId>> {
+        (base > 0)
+            .then(|| self.changes.iter().rev().take_while(|(s, _)| *s > base).map(|(_, t)| *t).collect())
     }
 
-    /// Number of the last change.
+    /// Sequence number of the last change.
     pub fn seq(&self) -> u64 {
         self.seq
     }
 
-    /// A record that should be written now, over the version that is known.
-    /// `ended` are controllers whose hosts say that their process is gone.
-    pub fn wanted(
+    /// A record that should be written now, and the known version that it replaces.
+    /// `ended` are controllers whose hosts report that their process has exited.
+    pub fn due_record(
         &mut self,
-        at_hand: &[(NodeId, u64)],
+        in_contact: &[(NodeId, u64)],
         ended: &[NodeId],
         began: Micros,
         now: Micros,
     ) -> Option<(Witnesses, u64)> {
-        if self.writing || now.since(self.write_at) < Micros::millis(150) {
+        if self.write_pending || now.since(self.write_sent_at) < Micros::millis(150) {
             return None;
         }
-        let sound = |n: &(NodeId, u64)| {
-            self.reader(*n).is_some_and(|r| {
-                let owes = r.owes.is_some_and(|t| now.since(t) > OVERDUE);
-                r.acked >= self.released && !owes
+        let keeps_up = |n: &(NodeId, u64)| {
+            self.progress_of(*n).is_some_and(|r| {
+                let overdue = r.ack_due_since.is_some_and(|t| now.since(t) > ACK_TIMEOUT);
+                r.acked >= self.released && !overdue
             })
         };
-        let chosen = self.chosen(at_hand);
-        let good: Vec<(NodeId, u64)> = chosen.iter().filter(|n| sound(n)).copied().collect();
-        // The first record waits a moment for those who are taking the books.
-        if !self.settled() && good.len() < chosen.len() && now.since(began) < Micros::millis(400) {
+        let chosen = self.choose_replicas(in_contact);
+        let good: Vec<(NodeId, u64)> = chosen.iter().filter(|n| keeps_up(n)).copied().collect();
+        // The first record waits up to 400 ms for controllers that are receiving the log.
+        if !self.is_recorded() && good.len() < chosen.len() && now.since(began) < Micros::millis(400) {
             return None;
         }
         let name = |(n, inc): &(NodeId, u64)| Some((self.names.get(n.0 as usize)?.clone(), *inc));
         let mut nodes: Vec<(String, u64)> = good.iter().filter_map(name).collect();
         nodes.sort();
         let want = Witnesses { term: self.term, led: self.term, nodes };
-        // Others that are as good are not worth a record: a witness is struck
-        // off when it fails, and added when there are too few.
-        let keeps = self.settled() && {
-            let holds = |w: &(String, u64)| self.node(w).is_some_and(|n| at_hand.contains(&n) && sound(&n));
-            self.record.nodes.iter().all(holds) && self.record.nodes.len() >= want.nodes.len()
+        // Equally good controllers are not worth a new record: a replica is removed only when
+        // it fails, and added only when there are too few.
+        let unchanged = self.is_recorded() && {
+            let valid =
+                |w: &(String, u64)| self.resolve(w).is_some_and(|n| in_contact.contains(&n) && keeps_up(&n));
+            self.record.nodes.iter().all(valid) && self.record.nodes.len() >= want.nodes.len()
         };
-        if keeps && self.pending.is_empty() {
-            self.bare = None;
+        if unchanged && self.pending.is_empty() {
+            self.no_replica_since = None;
             return None;
         }
-        let left = |w: &(String, u64)| {
-            self.node(w).is_some_and(|(n, inc)| {
-                let another = at_hand.iter().any(|(m, i)| *m == n && *i != inc);
-                !another && !ended.contains(&n)
+        let may_be_running = |w: &(String, u64)| {
+            self.resolve(w).is_some_and(|(n, inc)| {
+                let restarted = in_contact.iter().any(|(m, i)| *m == n && *i != inc);
+                !restarted && !ended.contains(&n)
             })
         };
-        if self.settled() && want.nodes.is_empty() && self.record.nodes.iter().any(left) {
-            if now.since(*self.bare.get_or_insert(now)) < LAST_LEAVES {
+        if self.is_recorded() && want.nodes.is_empty() && self.record.nodes.iter().any(may_be_running) {
+            if now.since(*self.no_replica_since.get_or_insert(now)) < LAST_REPLICA_TIMEOUT {
                 return None;
             }
         } else {
-            self.bare = None;
+            self.no_replica_since = None;
         }
         if !self.pending.contains(&want) {
             self.pending.push(want.clone());
         }
-        self.writing = true;
-        self.write_at = now;
+        self.write_pending = true;
+        self.write_sent_at = now;
         Some((want, self.stamp))
     }
 
-    /// A record's write came back, whatever it said: what the mirror shows counts.
+    /// A write of the record returned. Its result is ignored: only what the state replica
+    /// shows counts.
     pub fn write_ended(&mut self) {
-        self.writing = false;
+        self.write_pending = false;
     }
 }
 
--- a/crates/core/src/books/tests.rs
+++ b/crates/core/src/books/tests.rs
@@ -16,37 +16,38 @@
 }
 
 #[test]
-fn pages_are_taken_in_any_order_and_never_undone() {
-    // (number, base, tasks; acknowledged, tasks held after it)
+fn updates_apply_in_any_order_and_are_never_undone() {
+    // (seq, base, tasks; acknowledged seq, tasks in the replica after it)
     type Step = (u64, u64, Vec<(u32, Option<u64>)>, u64, Vec<u32>);
     let steps: Vec<Step> = vec![
-        // Builds on what never came.
+        // Its base was never received.
         (5, 3, vec![(1, Some(1))], 0, vec![]),
         (3, 0, vec![(1, Some(1)), (2, Some(2))], 3, vec![1, 2]),
         (3, 0, vec![], 3, vec![1, 2]),
         (6, 3, vec![(2, None), (3, Some(4))], 6, vec![1, 3]),
-        // Held up on the way.
+        // Delivered late.
         (5, 3, vec![(2, Some(2))], 6, vec![1, 3]),
-        // It overlaps what was taken.
+        // It overlaps with applied changes.
         (8, 3, vec![(2, None), (3, None), (4, Some(7))], 8, vec![1, 4]),
         (9, 0, vec![(9, Some(9))], 9, vec![9]),
     ];
-    let mut kept = Kept::default();
-    for (i, (seq, base, tasks, ack, held)) in steps.into_iter().enumerate() {
+    let mut replicas = Kept::default();
+    for (i, (seq, base, tasks, ack, want)) in steps.into_iter().enumerate() {
         let tasks = tasks.into_iter().map(|(t, e)| (task(t), e.and_then(entry))).collect();
-        assert_eq!(kept.take(Page { term: 4, seq, base, tasks, unknown: vec![] }), ack, "step {i}");
-        let got: Vec<u32> = kept.books[&4].tasks.keys().map(|t| t.index).collect();
-        assert_eq!(got, held, "step {i}");
+        let update = Page { term: 4, seq, base, tasks, unknown: vec![] };
+        assert_eq!(replicas.take(update), ack, "step {i}");
+        let got: Vec<u32> = replicas.by_term[&4].tasks.keys().map(|t| t.index).collect();
+        assert_eq!(got, want, "step {i}");
     }
-    assert!(kept.get(3).is_none() && kept.get(4).is_some());
-    kept.drop_before(5);
-    assert!(kept.get(4).is_none());
+    assert!(replicas.get(3).is_none() && replicas.get(4).is_some());
+    replicas.drop_before(5);
+    assert!(replicas.get(4).is_none());
 }
 
 #[test]
-fn a_record_counts_only_if_every_leader_since_wrote_there() {
+fn a_record_is_valid_only_if_every_leader_since_wrote_it() {
     let of = |term, led| Witnesses { term, led, nodes: vec![("n1".into(), 9)] };
-    // (record, next term, term whose books count for it)
+    // (record, next term, term whose log is valid for it)
     for (record, next, want) in
         [(of(4, 4), 5, 4), (of(4, 6), 7, 4), (of(4, 4), 6, 0), (Witnesses::default(), 3, 0)]
     {
@@ -56,7 +57,7 @@
 }
 
 #[test]
-fn nothing_is_covered_that_a_witness_may_lack() {
+fn a_change_is_covered_only_if_every_possible_replica_has_it() {
     let names: Vec<String> = ["n0", "n1", "n2"].map(String::from).to_vec();
     let zones: Vec<String> = ["a", "a", "b"].map(String::from).to_vec();
     let (me, n1, n2) = (NodeId(0), (NodeId(1), 7), (NodeId(2), 8));
@@ -65,51 +66,51 @@
     let mut now = Micros::secs(10);
     let began = now;
     let covered = |l: &Ledgers| l.covered();
-    // Nobody holds this term's books, whoever held the last one's.
+    // No controller holds this term's log, whichever held the earlier term's.
     assert_eq!(covered(&l), None);
-    assert_eq!(l.due(&[n1, n2], now), [(n2.0, 0), (n1.0, 0)]);
-    l.taken(n1.0, 7, 1, now);
-    l.taken(n2.0, 8, 1, now);
-    let (both, stamp) = l.wanted(&[n1, n2], &[], began, now).unwrap();
+    assert_eq!(l.due_updates(&[n1, n2], now), [(n2.0, 0), (n1.0, 0)]);
+    l.acknowledged(n1.0, 7, 1, now);
+    l.acknowledged(n2.0, 8, 1, now);
+    let (both, stamp) = l.due_record(&[n1, n2], &[], began, now).unwrap();
     assert_eq!((both.nodes.len(), stamp), (2, 50));
     assert_eq!(covered(&l), None);
     l.write_ended();
-    l.recorded(&both, 60);
+    l.update_record(&both, 60);
     assert_eq!(covered(&l), Some(1));
     let seq = l.hand_out(task(1));
     now = now + Micros::millis(20);
-    assert_eq!(l.due(&[n1, n2], now).len(), 2);
-    l.taken(n1.0, 7, seq, now);
-    // One has it, the other not; another process of it has nothing.
+    assert_eq!(l.due_updates(&[n1, n2], now).len(), 2);
+    l.acknowledged(n1.0, 7, seq, now);
+    // One replica has the change, the other has not; another incarnation of it has nothing.
     assert_eq!(covered(&l), Some(1));
-    l.taken(n2.0, 9, seq, now);
+    l.acknowledged(n2.0, 9, seq, now);
     assert_eq!(covered(&l), Some(1));
-    // It stays silent: struck off, but only when that is on record.
-    now = now + OVERDUE + Micros::millis(50);
-    let (one, _) = l.wanted(&[n1, n2], &[], began, now).unwrap();
+    // It doesn't acknowledge: it is removed, but counts until the new record is seen.
+    now = now + ACK_TIMEOUT + Micros::millis(50);
+    let (one, _) = l.due_record(&[n1, n2], &[], began, now).unwrap();
     assert_eq!(one.nodes, [("n1".to_owned(), 7)]);
     l.write_ended();
-    assert_eq!(covered(&l), Some(1), "the write may not have come");
-    l.recorded(&both, 55);
-    assert_eq!(covered(&l), Some(1), "an older sight of the record");
-    l.recorded(&one, 70);
+    assert_eq!(covered(&l), Some(1), "the write may not have been committed");
+    l.update_record(&both, 55);
+    assert_eq!(covered(&l), Some(1), "an older version of the record");
+    l.update_record(&one, 70);
     assert_eq!(covered(&l), Some(seq));
-    // Added again: its word counts from when the record may name it.
-    l.taken(n2.0, 8, seq, now);
+    // Added again: its acknowledgement counts as soon as the record may name it.
+    l.acknowledged(n2.0, 8, seq, now);
     l.note(task(2));
-    let (again, _) = l.wanted(&[n1, n2], &[], began, now + Micros::secs(1)).unwrap();
+    let (again, _) = l.due_record(&[n1, n2], &[], began, now + Micros::secs(1)).unwrap();
     assert_eq!(again.nodes.len(), 2);
-    l.taken(n1.0, 7, seq + 1, now);
+    l.acknowledged(n1.0, 7, seq + 1, now);
     assert_eq!(covered(&l), Some(seq));
 }
 
-/// A leader that was cut off from all others struck its last witness off
-/// within a second and gave up two later: its successor had no books, and
-/// deleted 109 machines behind the cut for one cancelled job.
+/// A leader that was partitioned from all other controllers removed its last replica within
+/// a second and stepped down two seconds later. Its successor had no placement log and
+/// deleted 109 machines beyond the partition for one cancelled job.
 #[test]
-fn the_last_witness_stays_until_it_is_known_to_have_ended() {
+fn the_last_replica_stays_recorded_until_it_is_known_to_have_exited() {
     let n1 = NodeId(1);
-    // (who is at hand, who ended; whether it is struck off after 1 s, after 5 s)
+    // (controllers in contact, exited controllers; whether it is removed after 1 s, after 5 s)
     type Case = (&'static [(NodeId, u64)], &'static [NodeId], [bool; 2]);
     let cases: [Case; 4] = [
         (&[], &[], [false, true]),
@@ -117,49 +118,50 @@
         (&[], &[NodeId(1)], [true, true]),
         (&[(NodeId(1), 8)], &[], [true, true]),
     ];
-    for (at_hand, ended, want) in cases {
+    for (in_contact, ended, want) in cases {
         let names: Vec<String> = ["n0", "n1"].map(String::from).to_vec();
         let zones: Vec<String> = ["a", "b"].map(String::from).to_vec();
         let began = Micros::secs(10);
         let mut l = Ledgers::new(4, NodeId(0), names, zones, Witnesses::default(), 50);
-        l.due(&[(n1, 7)], began);
-        l.taken(n1, 7, 1, began);
-        l.recorded(&Witnesses { term: 4, led: 4, nodes: vec![("n1".into(), 7)] }, 60);
+        l.due_updates(&[(n1, 7)], began);
+        l.acknowledged(n1, 7, 1, began);
+        l.update_record(&Witnesses { term: 4, led: 4, nodes: vec![("n1".into(), 7)] }, 60);
         let at = l.hand_out(task(1));
-        l.due(&[(n1, 7)], began + Micros::millis(20));
+        l.due_updates(&[(n1, 7)], began + Micros::millis(20));
         let mut got = [false; 2];
         for i in 5..110 {
             let now = began + Micros::millis(i * 50);
-            let struck = l.wanted(at_hand, ended, began, now).is_some_and(|(w, _)| w.nodes.is_empty());
+            let record = l.due_record(in_contact, ended, began, now);
+            let removed = record.is_some_and(|(w, _)| w.nodes.is_empty());
             l.write_ended();
-            got[0] |= struck && i <= 20;
-            got[1] |= struck;
+            got[0] |= removed && i <= 20;
+            got[1] |= removed;
         }
-        assert_eq!(got, want, "at hand {at_hand:?}, ended {ended:?}");
-        assert!(l.covered().is_some_and(|c| c < at), "nothing leaves before the record is seen");
+        assert_eq!(got, want, "in contact {in_contact:?}, exited {ended:?}");
+        assert!(l.covered().is_some_and(|c| c < at), "no assignment leaves before the record is seen");
     }
 }
 
-/// World seed 1145: a witness was struck off, hand-outs left without it,
-/// and it was put on record again with its old acknowledgement.
+/// In the world of seed 1145 a replica was removed, assignments left without its
+/// acknowledgement, and it was recorded again with an acknowledgement from before.
 #[test]
-fn who_lacks_what_left_is_no_witness() {
+fn a_controller_that_lacks_a_released_change_is_no_replica() {
     let names: Vec<String> = ["n0", "n1"].map(String::from).to_vec();
     let zones: Vec<String> = ["a", "b"].map(String::from).to_vec();
     let (me, n1, began) = (NodeId(0), (NodeId(1), 7), Micros::secs(10));
     let mut l = Ledgers::new(4, me, names, zones, Witnesses::default(), 50);
-    l.due(&[n1], began);
-    l.taken(n1.0, 7, 1, began);
+    l.due_updates(&[n1], began);
+    l.acknowledged(n1.0, 7, 1, began);
     let none = Witnesses { term: 4, led: 4, nodes: Vec::new() };
-    l.recorded(&none, 60);
+    l.update_record(&none, 60);
     let at = l.hand_out(task(1));
-    assert!(l.covered().unwrap() >= at, "nobody is waited for");
-    l.release(at);
+    assert!(l.covered().unwrap() >= at, "no replica has to acknowledge it");
+    l.mark_released(at);
     let soon = began + Micros::millis(100);
-    assert!(l.wanted(&[n1], &[], began, soon).is_none_or(|(w, _)| w.nodes.is_empty()));
+    assert!(l.due_record(&[n1], &[], began, soon).is_none_or(|(w, _)| w.nodes.is_empty()));
     l.write_ended();
-    l.due(&[n1], soon);
-    l.taken(n1.0, 7, at, soon);
+    l.due_updates(&[n1], soon);
+    l.acknowledged(n1.0, 7, at, soon);
     let later = soon + Micros::secs(1);
-    assert_eq!(l.wanted(&[n1], &[], began, later).unwrap().0.nodes.len(), 1);
+    assert_eq!(l.due_record(&[n1], &[], began, later).unwrap().0.nodes.len(), 1);
 }
--- a/crates/core/src/leader/assignments.rs
+++ b/crates/core/src/leader/assignments.rs
@@ -1,14 +1,15 @@
-//! Which machines may hold a task that was assigned to a controller and whose place is not
+//! Which machines may hold a task that was assigned to a controller and whose machine is not
 //! known yet.
 //!
-//! All assignments of a time share the controller's block as it was then. Whether a machine
-//! of it may still hold the task is decided by [`may_hold`] alone, from the machine: it is
-//! gone, or its task list was seen whole under a token drawn after the task was assigned, so
-//! that no start from before can be carried out on it. Neither is ever taken back.
+//! Assignments made while a controller's block is unchanged share one set with the machines of
+//! that block. Whether a machine of the set may still hold the task is decided from the
+//! machine's state alone ([`may_hold`]). It can't if it is deleted, or if its complete task
+//! list was received under a token issued after the task was assigned, because then no earlier
+//! start can be carried out on it. Neither fact is ever reversed.
 //!
 //! Invariant: each assigned task is watched at one machine of its block that may hold it, so
-//! only the tasks watched at a machine have to be looked at when that machine is ruled out.
-//! A task is set free only after a look at its whole block.
+//! only the tasks watched at a machine have to be checked when that machine is ruled out. A
+//! task is released only after its whole block was checked.
 use super::machine::Machine;
 use gorseshore_protocol::ids::{Attempt, MachineId, TaskId};
 use gorseshore_protocol::job::JobSpec;
@@ -16,16 +17,16 @@
 use std::ops::Bound;
 use std::rc::Rc;
 
-/// A task that a controller was given and has not told about.
+/// An assignment to a controller that has not reported its outcome.
 #[derive(Debug, Clone)]
 pub(super) struct Handed {
     pub(super) incarnation: u64,
-    /// Machines on which it may have been started: the block as it was, shared
-    /// by the hand-outs of that time.
+    /// Machines on which it may have been started: the block at the time of the assignment,
+    /// shared by all assignments of that time.
     pub(super) machines: Rc<BTreeSet<MachineId>>,
     pub(super) hint: MachineId,
     pub(super) zone: String,
-    /// Where it is watched; none if its block is empty.
+    /// The machine at which it is watched; `None` if its block is empty.
     pub(super) watched: Option<MachineId>,
 }
 
@@ -35,7 +36,7 @@
     machine.task_list_token.0 <= attempt.0
 }
 
-/// Assigned tasks, and where each is watched.
+/// Assigned tasks, and the machine at which each is watched.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub(super) struct AssignedTasks {
     tasks: BTreeSet<TaskId>,
@@ -48,7 +49,7 @@
         self.tasks.len()
     }
 
-    /// Adds a task, or moves it to another machine.
+    /// Adds a task, or watches it at another machine.
     pub(super) fn watch(&mut self, task: TaskId, at: Option<&MachineId>) {
         self.tasks.insert(task);
         if let Some(id) = at {
@@ -56,7 +57,7 @@
         }
     }
 
-    /// The task's place is known, or it is nowhere.
+    /// Removes a task whose machine is known, or that is on no machine.
     pub(super) fn remove(&mut self, task: TaskId, handed: &Handed) {
         self.tasks.remove(&task);
         let Some(id) = &handed.watched else { return };
@@ -68,27 +69,28 @@
         }
     }
 
-    /// Takes out the tasks that are watched at a machine.
+    /// Removes and returns the tasks that are watched at a machine.
     pub(super) fn take_watched(&mut self, id: &MachineId) -> BTreeSet<TaskId> {
         self.watched.remove(id).unwrap_or_default()
     }
 }
 
-/// The first machine of a block, after another one, that may hold a task.
-pub(super) fn next_open(
+/// The first machine of a block after `after` that may hold a task.
+pub(super) fn next_candidate(
     block: &BTreeSet<MachineId>,
     after: Option<&MachineId>,
     spec: &JobSpec,
     attempt: Attempt,
     machines: &BTreeMap<MachineId, Machine>,
 ) -> Option<MachineId> {
-    let open = |id: &&MachineId| machines.get(*id).is_some_and(|m| m.suits(spec) && may_hold(m, attempt));
+    let is_candidate =
+        |id: &&MachineId| machines.get(*id).is_some_and(|m| m.suits(spec) && may_hold(m, attempt));
     let from = after.map_or(Bound::Unbounded, Bound::Excluded);
-    block.range::<MachineId, _>((from, Bound::Unbounded)).find(open).cloned()
+    block.range::<MachineId, _>((from, Bound::Unbounded)).find(is_candidate).cloned()
 }
 
-/// Where a task that was just assigned is watched: at a machine that may hold it, or, where
-/// none may, at any, so that the word about that one sets it free.
+/// The machine at which a newly assigned task is watched: one that may hold it, or, if there
+/// is none, any machine of the block, so that ruling that one out releases the task.
 pub(super) fn first_watched(
     block: &BTreeSet<MachineId>,
     spec: &JobSpec,
@@ -96,5 +98,5 @@
     machines: &BTreeMap<MachineId, Machine>,
 ) -> Option<MachineId> {
     let any = || block.iter().find(|id| machines.contains_key(*id)).cloned();
-    next_open(block, None, spec, attempt, machines).or_else(any)
+    next_candidate(block, None, spec, attempt, machines).or_else(any)
 }
--- a/crates/core/src/leader/bindings.rs
+++ b/crates/core/src/leader/bindings.rs
@@ -1,19 +1,19 @@
-//! What controllers say, and where that binds tasks.
-use super::assignments::{may_hold, next_open};
+//! Applies what controllers report, and updates where tasks are bound.
+use super::assignments::{may_hold, next_candidate};
 use super::blocks::CONTACT_TIMEOUT;
 use super::*;
 
 impl Leader {
-    /// A controller's view. Stale ones are dropped.
+    /// Applies a controller's `Sync`. A stale one is dropped.
     pub fn sync(&mut self, from: NodeId, incarnation: u64, view: &View<'_>, ledger: &Ledger, now: Micros) {
         let Some(node) = self.nodes.get_mut(from.0 as usize) else { return };
         if incarnation < node.incarnation {
-            // Held up on the way since before the node's restart.
+            // Sent before the controller restarted, and delayed in the network.
             return;
         }
         if incarnation != node.incarnation {
-            // Another process: what the last one held or was handed is in
-            // nobody's mind now. Its machines need a new grant.
+            // Another process: the block and the assignments of the earlier one are lost with
+            // it. Its machines need a new grant.
             let first = node.incarnation == 0;
             *node = Node { incarnation, since: now, ..Node::default() };
             if !first {
@@ -25,7 +25,7 @@
                     m.stamp = stamp;
                 }
                 self.blocks.clear();
-                self.blocks_at = Micros(0);
+                self.blocks_checked_at = Micros(0);
                 self.handouts.retain(|_, h| h.to != from);
             }
             self.dirty = true;
@@ -34,13 +34,13 @@
         }
         let Some(node) = self.nodes.get_mut(from.0 as usize) else { return };
         if view.base > node.sync_seq {
-            // It builds on one that was not taken; the next update says so.
+            // It builds on a `Sync` that was not applied; the next update names the last one.
             return;
         }
         node.sync_seq = view.seq;
-        node.seen = view.seen;
+        node.acked_update = view.seen;
         node.pacer.acknowledged(view.seen, now);
-        node.owed |= !view.machines.is_empty() || !view.outcomes.is_empty();
+        node.ack_due |= !view.machines.is_empty() || !view.outcomes.is_empty();
         if node.heard.is_none_or(|t| now.since(t) > CONTACT_TIMEOUT) {
             node.contact_since = now;
         }
@@ -53,7 +53,7 @@
         }
         for (id, ago, report) in view.heard {
             if let Some(m) = self.machines.get_mut(id) {
-                m.heard_at(now - *ago, from, *report);
+                m.record_contact(now - *ago, from, *report);
                 m.goes_on(from, now - *ago, now);
             }
         }
@@ -95,19 +95,20 @@
     pub(super) fn machine_state(&mut self, from: NodeId, s: &MachineState, ledger: &Ledger, now: Micros) {
         let Some(m) = self.machines.get_mut(&s.id) else { return };
         if !self.granted {
-            // What the controllers know already is no news when it comes again.
-            m.is_news(s.last, from);
-            // Gathering: who held it last under the highest token is its best holder.
+            // A report that the controllers know already is not new when it comes again.
+            m.is_new_report(s.last, from);
+            // Before the first grants: the controller that held it under the highest token is
+            // its best holder.
             if s.baton > m.baton && s.baton.term() < self.term {
                 m.baton = s.baton;
                 m.holder = Some(from);
             }
             return;
         }
-        // That it was heard is true under any token: a holder back from a cut
-        // has not seen its newest grant, and its machines are not dead.
+        // A report counts as contact under any token: a holder that was partitioned has not
+        // received its newest grant, and its machines are not dead.
         if let Some(ago) = s.heard_ago {
-            m.heard_at(now - ago, from, s.last);
+            m.record_contact(now - ago, from, s.last);
         }
         if m.holder != Some(from) || m.baton != s.baton {
             return;
@@ -118,8 +119,8 @@
         if let Some(ago) = s.heard_ago {
             m.hearing.told(s.obeys, now - ago, now);
         }
-        let fresh = confirmed && !m.confirmed;
-        if fresh {
+        let newly_confirmed = confirmed && !m.confirmed;
+        if newly_confirmed {
             m.confirmed = true;
             m.unknown = false;
             self.dirty = true;
@@ -152,14 +153,14 @@
             }
             let Some(spec) = ledger.jobs.get(&task.job).and_then(|j| j.spec.clone()) else { continue };
             m.images.insert(spec.image.clone());
-            // A long run is the proof that a job is not broken itself.
+            // A task that runs for more than 8 s proves that its job is not broken itself.
             let proven = m.started.get(task).is_some_and(|t| now.since(*t) > Micros::secs(8));
             if proven {
                 m.failures = 0;
                 m.failed_jobs.clear();
             }
             if let Some(job) = ledger.jobs.get(&task.job) {
-                // A job that is over may still be here: its tasks count.
+                // Tasks of an ended job may still be on the machine, and count.
                 let run = self
                     .jobs
                     .entry(task.job)
@@ -171,8 +172,8 @@
                     Binding { attempt: *attempt, handed: None, on: BTreeSet::new() }
                 });
                 m.bound.insert(*task);
-                // That a start has arrived is in the books, too: a witness that stands in
-                // for a leader deletes where it may not have.
+                // The placement log also says that a start has arrived: a replica that acts in
+                // place of a leader deletes machines where it may not have.
                 let arrived = *state != TaskState::Starting
                     && old.get(task).is_some_and(|(_, s)| *s == TaskState::Starting);
                 if b.on.insert(s.id.clone()) || arrived {
@@ -192,9 +193,9 @@
             for task in old.keys().filter(|t| !here.contains_key(t)) {
                 self.unbind(*task, &s.id);
             }
-            if fresh {
+            if newly_confirmed {
                 self.clear_handed(&s.id, Some(token));
-                // Tasks bound here by an earlier grant and not in the report.
+                // Tasks bound here under an earlier grant that are not in the report.
                 let lost: Vec<TaskId> = self
                     .machines
                     .get(&s.id)
@@ -250,13 +251,13 @@
                 run.failures += 1;
                 run.failed_on.insert(id.clone());
                 if run.failed_on.len() > 1 && !run.proven {
-                    // It fails wherever it is: wait longer each time.
+                    // It fails on every machine: the delay doubles each time.
                     run.retry_at = now + Micros::millis(500 << again.min(7));
                 } else {
                     run.retry_at = now + Micros::millis(200);
                 }
                 if run.mistaken() && run.failures == MISTAKEN + 1 {
-                    info!("{}: fails wherever it is: one task at a time from here on", task.job);
+                    info!("{}: fails on every machine; limited to one task at a time", task.job);
                 }
                 if let Some(m) = self.machines.get_mut(id) {
                     m.failures += 1;
@@ -269,15 +270,15 @@
         self.dirty = true;
     }
 
-    /// Takes a machine out of use on which tasks fail that run well elsewhere. A job
-    /// that has run well nowhere may be mistaken itself and says nothing of it yet.
+    /// Drains a machine on which tasks fail that run well elsewhere. Failures of a job that
+    /// has not run well anywhere may be its own fault and are no evidence yet.
     pub(super) fn take_out_if_guilty(&mut self, id: &MachineId) {
         let Some(m) = self.machines.get_mut(id).filter(|m| m.draining.is_none()) else { return };
         let jobs = &self.jobs;
         let proven = |j: &JobId| jobs.get(j).is_some_and(|r| r.proven);
-        let told: Vec<u32> = m.failed_jobs.iter().filter(|(j, _)| proven(j)).map(|(_, n)| *n).collect();
-        if told.iter().sum::<u32>() >= 2 {
-            info!("{id}: tasks of {} jobs that run elsewhere failed on it; taken out of use", told.len());
+        let failures: Vec<u32> = m.failed_jobs.iter().filter(|(j, _)| proven(j)).map(|(_, n)| *n).collect();
+        if failures.iter().sum::<u32>() >= 2 {
+            info!("{id}: cordoned: tasks failed on it of jobs that run elsewhere; jobs={}", failures.len());
             m.draining = Some("tasks fail on it");
             self.tell(id);
         }
@@ -315,8 +316,8 @@
         }
     }
 
-    /// The machine's task list is known under `token` (or it is gone): no
-    /// hand-out from before can be started on it any more.
+    /// The machine's task list is known under `token`, or (`None`) the machine is deleted:
+    /// no assignment made before can be started on it any more.
     pub(super) fn clear_handed(&mut self, id: &MachineId, token: Option<Baton>) {
         if let (Some(token), Some(m)) = (token, self.machines.get_mut(id)) {
             m.task_list_token = m.task_list_token.max(token);
@@ -327,8 +328,9 @@
             let Some(b) = run.bound.get_mut(&task.index) else { continue };
             let Some(h) = b.handed.as_mut() else { continue };
             if token.is_none_or(|t| b.attempt.0 < t.0) {
-                let next = |after| next_open(&h.machines, after, &run.spec, b.attempt, &self.machines);
-                // Free only if none of them may hold it: what a job allows may have changed.
+                let next = |after| next_candidate(&h.machines, after, &run.spec, b.attempt, &self.machines);
+                // Free only if no machine of the block may hold it: the machines that the job
+                // allows may have changed.
                 h.watched = next(Some(id)).or_else(|| next(None));
             }
             if h.watched.is_some() {
@@ -348,7 +350,7 @@
         }
     }
 
-    /// The cloud said that the machine and everything on it are gone.
+    /// The cloud confirmed that the machine is deleted, and with it everything on it.
     pub(super) fn machine_gone(&mut self, id: &MachineId, now: Micros) {
         let tasks = match self.machines.remove(id) {
             Some(mut m) => {
@@ -367,16 +369,16 @@
         self.dirty = true;
     }
 
-    /// A machine reported to a controller that doesn't hold it, or answered it.
+    /// A machine reported to a controller that doesn't hold it, or answered its probe.
     pub fn seen(&mut self, from: NodeId, s: &Sighting, rec: &MachineRecord, sizes: &Sizes, now: Micros) {
         let id = &s.id;
         if self.gone.contains_key(id) {
             return;
         }
         match self.machines.get_mut(id) {
-            // A copy of a report may outlive its machine, and a new leader has nothing
-            // to compare it with: only a worker that answers is taken on. One that was
-            // not expected and can't be asked shows in the cloud's list.
+            // A copy of a report may arrive after its machine was deleted, and a new leader has
+            // nothing to compare it with: only a worker that answers a probe is adopted. An
+            // unexpected one that can't be probed appears in the cloud's list.
             None if !s.asked => {
                 if self.last_seen.get(id).is_none_or(|(_, t)| now.since(*t) > Micros::millis(1500)) {
                     self.last_seen.insert(id.clone(), (from, now));
@@ -391,15 +393,15 @@
                 self.dirty = true;
             }
             Some(m) if (&m.build, &m.zone, m.spot) != (&rec.build, &rec.zone, rec.spot) => {
-                if self.apart.insert(id.clone()) {
+                if self.mismatched.insert(id.clone()) {
                     warn!(
-                        "{id}: reports as {} in {}, is {} in {}: left aside",
+                        "{id}: report ignored: it names {} in {}, the record {} in {}",
                         rec.build, rec.zone, m.build, m.zone
                     );
                 }
             }
             Some(m) => {
-                if !m.is_news(s.report, from) {
+                if !m.is_new_report(s.report, from) {
                     return;
                 }
                 self.last_seen.insert(id.clone(), (from, now));
--- a/crates/core/src/leader/blocks.rs
+++ b/crates/core/src/leader/blocks.rs
@@ -1,33 +1,34 @@
-//! Blocks: who holds which machine, and machines that fall silent.
+//! Blocks: grants of machines to controllers, and deletion of silent machines.
 use super::assignments::may_hold;
 use super::*;
 
-/// How often the fleet is gone through for machines to move or to watch.
-const BLOCKS_EVERY: Micros = Micros::millis(100);
-/// How often it is gone through for tasks of cancelled jobs.
-const STOPS_EVERY: Micros = Micros::millis(200);
+/// Interval between scans of the fleet for machines to move or to watch.
+const BLOCK_SCAN_INTERVAL: Micros = Micros::millis(100);
+/// Interval between scans of the fleet for tasks of cancelled jobs.
+const CANCELLATION_SCAN_INTERVAL: Micros = Micros::millis(200);
 
-/// A controller that said nothing for so long is out of contact.
+/// A controller that has sent no `Sync` for this long is out of contact.
 pub(super) const CONTACT_TIMEOUT: Micros = Micros::millis(2500);
-/// What waits for a leader that is behind may be its word; this long after the last one it isn't,
-/// but for `CONTACT_TIMEOUT`.
-const CONTACT_LOST_FOR_CERTAIN: Micros = Micros::secs(5);
+/// A leader that was behind may still have unhandled messages of a controller. It counts the
+/// controller's silence from when it was last behind, but from this long after the last
+/// handled message at the latest; `CONTACT_TIMEOUT` comes on top.
+const MAX_BACKLOG_ALLOWANCE: Micros = Micros::secs(5);
 
-/// Silent machines that the other controllers ask after at a time, so often.
-const PROBES_AT_ONCE: usize = 25;
+/// Silent machines that the other controllers are asked to probe in one scan.
+const MAX_PROBES_PER_SCAN: usize = 25;
 
-/// The books of the term before are waited for so long.
-const BOOKS_WAIT: Micros = Micros::millis(1200);
+/// How long a new leader waits for the placement log of the earlier term.
+const LOG_WAIT_TIMEOUT: Micros = Micros::millis(1200);
 
 impl Leader {
     pub(super) fn in_contact(&self, n: NodeId, now: Micros) -> bool {
         let heard = self.nodes.get(n.0 as usize).and_then(|x| x.heard);
         heard.is_some_and(|t| {
-            now.since(self.lateness.silent_from_within(t, CONTACT_LOST_FOR_CERTAIN)) < CONTACT_TIMEOUT
+            now.since(self.lateness.silent_from_within(t, MAX_BACKLOG_ALLOWANCE)) < CONTACT_TIMEOUT
         })
     }
 
-    /// Which controllers are in contact, by their number.
+    /// Which controllers are in contact, by their index.
     pub(super) fn contacts(&self, now: Micros) -> Vec<bool> {
         (0..self.nodes.len()).map(|i| self.in_contact(NodeId(i as u8), now)).collect()
     }
@@ -75,9 +76,9 @@
         m.granted_at = now;
         m.want_baton = false;
         m.probed = None;
-        // The new holder's word is needed; what the last one heard says nothing
-        // about it. The others learn of it with their next message, and the one
-        // that its worker reports to at once.
+        // The new holder has to report the machine itself; reports to the last one say nothing
+        // about it. The other controllers learn of the grant with their next update, and the
+        // one that the worker reports to at once.
         self.tell(id);
         if let Some((n, _)) = self.last_seen.get(id)
             && let Some(n) = self.nodes.get_mut(n.0 as usize)
@@ -86,19 +87,21 @@
         }
     }
 
-    /// Grants, moves, watches and decides. Called about every 20 ms while
-    /// this node may lead.
+    /// Grants and moves machines, watches them, and schedules tasks. Called about every 20 ms
+    /// while this node may lead.
     pub fn tick(&mut self, ledger: &Ledger, now: Micros) {
         self.lateness.works(now);
         if !self.granted {
             let all = self.contacts(now).into_iter().all(|c| c);
             let waited = now.since(self.began);
-            if !(all || waited >= Micros::millis(700)) || self.wants_books && waited < BOOKS_WAIT {
+            if !(all || waited >= Micros::millis(700)) || self.awaits_log && waited < LOG_WAIT_TIMEOUT {
                 return;
             }
-            if self.wants_books {
-                self.wants_books = false;
-                warn!("the books of before are not to be had: machines that are not heard may hold anything");
+            if self.awaits_log {
+                self.awaits_log = false;
+                warn!(
+                    "no replica of the earlier placement log is available; silent machines may hold any task"
+                );
             }
             self.granted = true;
             let ids: Vec<(MachineId, Option<NodeId>, String)> =
@@ -117,9 +120,9 @@
         if !self.held.is_empty() {
             self.release(ledger);
         }
-        // Passes over the whole fleet: often enough for what they watch.
-        if now.since(self.blocks_at) >= BLOCKS_EVERY {
-            self.blocks_at = now;
+        // Scans of the whole fleet run only as often as what they watch requires.
+        if now.since(self.blocks_checked_at) >= BLOCK_SCAN_INTERVAL {
+            self.blocks_checked_at = now;
             self.move_blocks(now);
             self.watch_silent(now);
             self.watch_deaf(now);
@@ -152,9 +155,9 @@
                         && self.in_contact(s, now)
                         && (silent || !self.in_contact(h, now))
                     {
-                        moves.push((id.clone(), s, "its worker reports there"));
+                        moves.push((id.clone(), s, "its worker reports to that controller"));
                     } else if m.want_baton && m.confirmed && now.since(m.granted_at) > Micros::secs(1) {
-                        moves.push((id.clone(), h, "a late start is ruled out"));
+                        moves.push((id.clone(), h, "a new token rules out a delayed start"));
                     } else if m.confirmed
                         && self.ctx.zones[h.0 as usize] != m.zone
                         && now.since(m.granted_at) > Micros::secs(10)
@@ -164,7 +167,7 @@
                         && now.since(self.nodes[to.0 as usize].since) > Micros::secs(4)
                         && (silent || moves.len() < 2)
                     {
-                        moves.push((id.clone(), to, "a controller of its zone is back"));
+                        moves.push((id.clone(), to, "a controller of its zone is available again"));
                     }
                 }
             }
@@ -180,14 +183,14 @@
         }
         let full = !load.is_empty() && load.iter().all(|n| *n >= self.ctx.operator.block_size);
         if std::mem::replace(&mut self.blocks_full, full) != full && full {
-            warn!("every block holds block_size machines; the rest are held by nobody");
+            warn!("every block holds block_size machines; no controller holds the rest");
         }
     }
 
-    /// Grants a machine without a holder: to the one that held it, to one of
-    /// its zone, or to one that its worker reports to. When none of these is
-    /// in contact, the zone may be cut off with its controller, which goes on
-    /// renewing its workers; a grant to a node beyond the cut would help nobody.
+    /// Grants a machine without a holder to the controller that held it, to one of its zone,
+    /// or to one that its worker reports to. If none of these is in contact, the zone may be
+    /// partitioned together with its controller, which goes on renewing its workers' leases;
+    /// a grant to a controller on the other side of the partition would not help.
     pub(super) fn grant_unheld(&mut self, load: &mut [usize], id: &MachineId, zone: &str, now: Micros) {
         let Some(m) = self.machines.get(id) else { return };
         let seen = self.last_seen.get(id).filter(|(_, t)| now.since(*t) < Micros::secs(4)).map(|x| x.0);
@@ -197,8 +200,8 @@
             .filter(|n| Some(*n) == last || self.ctx.zones[n.0 as usize] == zone);
         let Some(to) = own.or_else(|| self.choose_holder(load, zone, seen, now)) else { return };
         let of_zone = self.ctx.zones[to.0 as usize] == zone;
-        let no_own = !self.ctx.zones.iter().any(|z| z == zone);
-        if of_zone || no_own || Some(to) == last || seen.is_some() {
+        let zone_without_controller = !self.ctx.zones.iter().any(|z| z == zone);
+        if of_zone || zone_without_controller || Some(to) == last || seen.is_some() {
             self.grant(id, to, "no holder", now);
             load[to.0 as usize] += 1;
         }
@@ -207,10 +210,10 @@
     pub(super) fn watch_silent(&mut self, now: Micros) {
         let mut doomed = Vec::new();
         let mut probes = Vec::new();
-        // A cut between zones looks like the death of all machines behind it,
-        // one after the other as their reports fall due. A machine is taken for
-        // dead quickly only on proof that the way is open: its holder heard
-        // another machine of the zone after this one's report was overdue.
+        // A partition between zones looks as if all machines beyond it failed, one after the
+        // other as their reports fall due. A machine is taken for dead quickly only on proof
+        // that the network path is open: its holder received a report from another machine of
+        // the zone after this one's report was overdue.
         let mut latest: BTreeMap<(NodeId, &str), (Micros, u32)> = BTreeMap::new();
         let mut zone_latest: BTreeMap<&str, Micros> = BTreeMap::new();
         for m in self.machines.values().filter(|m| m.stage == Stage::Up) {
@@ -224,7 +227,7 @@
             let last = zone_latest.entry(&m.zone).or_default();
             *last = (*last).max(t);
         }
-        // By then it should have reported, or have answered its holder.
+        // Within this time it should have reported, or have answered its holder's probe.
         let overdue = (self.ctx.report.scale(5, 4) + Micros::secs(1)).min(ASKED_AFTER + ASK_TIMEOUT);
         let heard_by = latest.iter().map(|((h, zone), (t, _))| (Some(*h), *zone, *t));
         for (by, zone, at) in heard_by.chain(zone_latest.iter().map(|(z, t)| (None, *z, *t))) {
@@ -234,17 +237,19 @@
             if m.stage != Stage::Up {
                 continue;
             }
-            // A holder that was out of contact first gets to say what it heard.
+            // A holder that was out of contact first gets 3 s to report its machines.
             let contact = m.holder.map_or(Micros(0), |h| self.nodes[h.0 as usize].contact_since);
             let limit = self.ctx.operator.silent_delete;
-            let spoke = (contact + Micros::secs(3)) - limit;
-            // A new holder gets its time too: a day lost a hundred machines in
-            // the moment in which they were given to their zone's controller.
-            // So does a way that has just opened, to its holder or to anybody.
-            let way = |by| self.ways.open_since(by, &m.zone);
-            let opened = m.holder.map_or(Micros(0), |h| way(Some(h))).max(way(None));
+            let reported = (contact + Micros::secs(3)) - limit;
+            // The time also starts again with a new holder: without that, a day's run deleted a
+            // hundred machines at the moment they were granted to their zone's controller. So
+            // it does when the network path to the holder, or to any controller, has just
+            // opened.
+            let open_since = |by| self.ways.open_since(by, &m.zone);
+            let opened = m.holder.map_or(Micros(0), |h| open_since(Some(h))).max(open_since(None));
             let last = m.heard.unwrap_or(m.since);
-            let base = self.lateness.silent_from(last).max(self.began).max(spoke).max(m.moved_at).max(opened);
+            let base =
+                self.lateness.silent_from(last).max(self.began).max(reported).max(m.moved_at).max(opened);
             let silent = now.since(base);
             let seen = self.last_seen.get(id).is_some_and(|(_, t)| now.since(*t) < Micros::secs(5));
             let lost =
@@ -261,12 +266,12 @@
             let limit = if here >= open || near && held < 2 {
                 limit
             } else if near {
-                // The holder hears none of its machines: it may be the one that
-                // is cut off, and the workers turn to others soon.
+                // The holder receives no report from any machine of the zone: it may itself be
+                // partitioned, and the workers soon report to other controllers.
                 limit.scale(2, 1)
             } else if zone >= open {
-                // Others hear the zone: its workers turn to them one after the
-                // other, each after a few that do not answer.
+                // Other controllers receive reports from the zone: its workers switch to them
+                // one after the other, each after a few controllers that do not answer.
                 limit.scale(4, 1)
             } else {
                 Micros::secs(60)
@@ -275,11 +280,11 @@
                 doomed.push((id.clone(), silent));
             }
         }
-        // Those that were asked longest ago first, as many as a controller can
-        // ask beside its work: after the loss of most controllers all machines
-        // are silent at once, and their reports come by themselves.
+        // Least recently probed first, and only as many as a controller can probe beside its
+        // work: after the loss of most controllers all machines are silent at once, and their
+        // reports resume without probes.
         probes.sort();
-        probes.truncate(PROBES_AT_ONCE);
+        probes.truncate(MAX_PROBES_PER_SCAN);
         for (_, id) in probes {
             let Some(m) = self.machines.get_mut(&id) else { continue };
             m.probed = Some(now);
@@ -298,23 +303,22 @@
             let by = match holder {
                 Some(h) if contact => format!("controller {}, which is in contact", h.0),
                 Some(h) => format!("controller {}, which is out of contact", h.0),
-                None => "nobody".into(),
+                None => "no controller".into(),
             };
             self.delete(&id, &format!("silent for {:.1} s, held by {by}", silent.as_secs_f64()), now);
         }
     }
 
-    /// Stops what is left of cancelled jobs. Also called while the lease is not
-    /// confirmed: a stop does no harm, and a cancellation doesn't wait for the
-    /// state service.
+    /// Stops the remaining tasks of cancelled jobs. Also called while the leader's lease is not
+    /// confirmed: a stop does no harm, and a cancellation must not wait for the state service.
     pub fn stop_cancelled(&mut self, ledger: &Ledger, now: Micros) {
-        if now.since(self.stops_at) < STOPS_EVERY {
+        if now.since(self.cancellations_checked_at) < CANCELLATION_SCAN_INTERVAL {
             return;
         }
-        self.stops_at = now;
+        self.cancellations_checked_at = now;
         self.watch_cancelled(ledger, now);
-        // A controller that the state service refuses doesn't know of the
-        // cancellation; the leader tells it.
+        // A controller that the state service refuses doesn't know of the cancellation, so the
+        // leader sends it the stops.
         let mut stops = Vec::new();
         for (id, m) in &self.machines {
             for (t, (a, _)) in &m.tasks {
@@ -330,14 +334,14 @@
         }
     }
 
-    /// A cancelled job's task that can't be stopped goes with its machine.
+    /// Deletes machines that may hold a cancelled job's task that could not be stopped.
     pub(super) fn watch_cancelled(&mut self, ledger: &Ledger, now: Micros) {
         let mut doomed = Vec::new();
         let mut over = Vec::new();
         for (job, by) in &self.aborted {
             let run = self.jobs.get(job);
-            // What is not recorded as gone stays here until it is: a machine that could
-            // hold it may turn up at any later time.
+            // A job stays here until it is recorded that no task of it is left: a machine that
+            // could hold one may appear at any later time.
             let record = ledger.jobs.get(job).filter(|j| !j.settled);
             if run.is_none_or(|r| r.bound.is_empty()) && record.is_none() && now > *by + self.ctx.cancel {
                 over.push(*job);
@@ -345,7 +349,7 @@
             if now >= self.deletion_due(*by, 95, Micros::millis(1500)) {
                 let bound = || run.iter().flat_map(|r| r.bound.values());
                 doomed.extend(bound().flat_map(|b| b.on.iter()).map(|id| (id.clone(), *job)));
-                // A hand-out went to a machine that its job may use.
+                // An assigned task may be on any machine of the block that its job allows.
                 let holds = |id: &MachineId, attempt: Attempt| {
                     let (Some(r), Some(m)) = (run, self.machines.get(id)) else { return false };
                     m.suits(&r.spec) && may_hold(m, attempt)
@@ -355,7 +359,7 @@
                     doomed.extend(machines.map(|id| (id.clone(), *job)));
                 }
             }
-            // Machines that nobody heard in this term may hold its tasks.
+            // Machines that have not reported in this term may hold its tasks.
             if now >= self.deletion_due(*by, 90, Micros::millis(2500))
                 && let Some(spec) = record.and_then(|j| j.spec.as_ref())
             {
@@ -374,22 +378,23 @@
         for j in over {
             self.aborted.remove(&j);
         }
-        // Jobs that are over and hold nothing any more.
+        // Removes ended jobs without bound tasks.
         self.jobs.retain(|id, r| {
             !r.bound.is_empty() || ledger.jobs.get(id).is_none_or(|j| j.phase == Phase::Active)
         });
     }
 
-    /// When machines go that may hold tasks which have to be gone `by` then: early enough
-    /// for a cloud that is out of order for a while. A new leader first hears what its
-    /// controllers know, but not beyond `last` hundredths of the time that there was from
-    /// the telling on: a string of leaders that each begin to wait must not use it up. One
-    /// that begins after that, or has not had `least` by then, takes its whole time; what is
-    /// left in time is the deputies' (`crate::deputy`).
+    /// When to delete machines that may hold tasks which have to be terminated `by` a given
+    /// time: early enough to bridge a temporary outage of the cloud. A new leader first waits
+    /// 4 s for its controllers' reports, but only until `last` percent of the time allowed
+    /// since the confirmation to the client have passed, so that a series of leaders that each
+    /// start to wait does not use it up. A leader whose term begins too late to have waited
+    /// `least` by then waits the full 4 s; then it is left to the controllers that act in place
+    /// of a leader to meet the deadline (`crate::deputy`).
     fn deletion_due(&self, by: Micros, last: u64, least: Micros) -> Micros {
-        let heard = self.began + Micros::secs(4);
+        let reports_in = self.began + Micros::secs(4);
         let last = by - self.ctx.cancel.scale(100 - last, 100);
-        let wait = if last >= self.began + least { heard.min(last) } else { heard };
+        let wait = if last >= self.began + least { reports_in.min(last) } else { reports_in };
         wait.max(by - self.ctx.cancel.scale(35, 100))
     }
 
--- a/crates/core/src/leader/books.rs
+++ b/crates/core/src/leader/books.rs
@@ -1,20 +1,20 @@
-//! The leader's books: kept at its witnesses, and taken over from the leader
-//! before (see `crate::books` for the invariants).
+//! Replication of the leader's placement log to its standby replicas, and adoption of the
+//! log of the earlier leader (see `crate::placement_log` for the invariants).
 use super::assignments::{Handed, first_watched};
 use super::*;
 use crate::books::{Book, Entry, Page, Witnesses};
 
 impl Leader {
-    /// Controllers that are heard, with their processes.
-    fn at_hand(&self, now: Micros) -> Vec<(NodeId, u64)> {
+    /// Controllers that are in contact, with their incarnations.
+    fn incarnations_in_contact(&self, now: Micros) -> Vec<(NodeId, u64)> {
         let nodes = self.nodes.iter().enumerate().map(|(i, n)| (NodeId(i as u8), n.incarnation));
         nodes.filter(|(n, incarnation)| *incarnation > 0 && self.in_contact(*n, now)).collect()
     }
 
-    /// Pages of the books that are due at the witnesses.
-    pub(super) fn books_messages(&mut self, now: Micros) -> Vec<(NodeId, Message)> {
-        if std::mem::take(&mut self.books.moved) {
-            // What was held back for a witness may go now.
+    /// Log updates to the replicas that are due.
+    pub(super) fn log_messages(&mut self, now: Micros) -> Vec<(NodeId, Message)> {
+        if std::mem::take(&mut self.books.coverage_changed) {
+            // Assignments that waited for a replica's acknowledgement may be sent now.
             let covered = self.books.covered().unwrap_or(0);
             for OnItsWay { to: n, covered_by: at, .. } in self.handouts.values() {
                 if *at <= covered
@@ -24,20 +24,20 @@
                 }
             }
         }
-        let at_hand = self.at_hand(now);
-        let due = self.books.due(&at_hand, now);
-        due.into_iter().map(|(n, base)| (n, Message::Books(self.page(base)))).collect()
+        let in_contact = self.incarnations_in_contact(now);
+        let due = self.books.due_updates(&in_contact, now);
+        due.into_iter().map(|(n, base)| (n, Message::Books(self.log_update(base)))).collect()
     }
 
-    /// What changed in the books after `base`, as it is now.
-    fn page(&self, base: u64) -> Page {
+    /// The present places of all tasks that changed after `base`.
+    fn log_update(&self, base: u64) -> Page {
         let entry = |task: &TaskId| {
             let run = self.jobs.get(&task.job)?;
             let done = run.unrecorded.contains(&task.index);
             let Some(b) = run.bound.get(&task.index) else {
-                let nowhere =
+                let done_entry =
                     Entry { attempt: Attempt(0), on: Vec::new(), starting: false, done, handed: None };
-                return done.then_some(nowhere);
+                return done.then_some(done_entry);
             };
             let handed = b.handed.as_ref().map(|h| {
                 let zone = run.spec.has_zone_rule().then(|| h.zone.clone());
@@ -49,7 +49,7 @@
             });
             Some(Entry { attempt: b.attempt, on: b.on.iter().cloned().collect(), starting, done, handed })
         };
-        let tasks = match self.books.changed(base) {
+        let tasks = match self.books.changed_since(base) {
             Some(tasks) => tasks.into_iter().map(|t| (t, entry(&t))).collect(),
             None => {
                 let all = self.jobs.iter().flat_map(|(job, r)| {
@@ -63,51 +63,52 @@
         Page { term: self.term, seq: self.books.seq(), base, tasks, unknown }
     }
 
-    /// A witness has taken the books; whether hand-outs may be free to go.
+    /// A replica acknowledged the log up to `seq`; whether waiting assignments may be sent.
     pub fn books_taken(&mut self, from: NodeId, incarnation: u64, seq: u64, now: Micros) -> bool {
-        self.books.taken(from, incarnation, seq, now);
-        self.books.moved
+        self.books.acknowledged(from, incarnation, seq, now);
+        self.books.coverage_changed
     }
 
-    /// The record of witnesses to write now, over which version. `ended` are
-    /// controllers whose hosts say that their process is gone.
+    /// The record of replicas to write now, and the version that it replaces. `ended` are
+    /// controllers whose hosts report that their process has exited.
     pub fn books_record(
         &mut self,
         ledger: &Ledger,
         ended: &[NodeId],
         now: Micros,
     ) -> Option<(Witnesses, u64)> {
-        self.books.recorded(&ledger.books.0, ledger.books.1);
+        self.books.update_record(&ledger.books.0, ledger.books.1);
         if !self.granted {
             return None;
         }
-        let at_hand = self.at_hand(now);
-        self.books.wanted(&at_hand, ended, self.began, now)
+        let in_contact = self.incarnations_in_contact(now);
+        self.books.due_record(&in_contact, ended, self.began, now)
     }
 
-    /// The write of such a record ended, one way or another.
+    /// The write of a record of replicas ended, whether it succeeded or not.
     pub fn books_record_ended(&mut self) {
         self.books.write_ended();
     }
 
-    /// Whose books are wanted, and who may have them: processes by name.
+    /// The record that names the replicas of the earlier leader's log, while this leader
+    /// still waits for that log.
     pub fn books_wanted(&self) -> Option<&Witnesses> {
-        (!self.granted && self.wants_books).then(|| self.books.record())
+        (!self.granted && self.awaits_log).then(|| self.books.record())
     }
 
-    /// Takes over the books of the leader before. They hold all places where a
-    /// task may be, so that a machine that nobody heard holds what they say and
+    /// Adopts the placement log of the earlier leader. It contains all places where a task
+    /// may be, so a machine that no controller has heard from holds what the log says and
     /// nothing else.
     pub fn inherit(&mut self, term: u64, book: &Book, ledger: &Ledger) {
-        if self.granted || !self.wants_books || self.books.record().term != term {
+        if self.granted || !self.awaits_log || self.books.record().term != term {
             return;
         }
-        self.wants_books = false;
+        self.awaits_log = false;
         for (id, m) in self.machines.iter_mut() {
             m.unknown = book.unknown.contains(id);
         }
-        let mut taken = 0;
-        // One block for all that may be anywhere in a zone, or anywhere.
+        let mut adopted = 0;
+        // Tasks that may be on any machine of the same zone, or on any machine, share one set.
         let mut blocks: BTreeMap<&Option<String>, Rc<BTreeSet<MachineId>>> = BTreeMap::new();
         for (task, e) in &book.tasks {
             let job = ledger.jobs.get(&task.job);
@@ -121,7 +122,7 @@
                 self.progressed.insert(task.job);
                 self.books.note(*task);
             }
-            // A machine without a record is gone: it is forgotten only then.
+            // A machine without a record is deleted: its record is removed only then.
             let on: BTreeSet<MachineId> =
                 e.on.iter().filter(|id| self.machines.contains_key(*id)).cloned().collect();
             let handed = e.handed.as_ref().map(|(hint, zone)| {
@@ -132,7 +133,7 @@
                 });
                 let at_hint = self.machines.get(hint).map(|m| m.zone.clone());
                 Handed {
-                    // Nobody's: no outcome is told to this term.
+                    // No process: no controller reports its outcome to this term.
                     incarnation: 0,
                     machines: block.clone(),
                     hint: hint.clone(),
@@ -159,12 +160,12 @@
             self.sums.bound(&run.spec);
             run.bound.insert(task.index, Binding { attempt: e.attempt, handed, on });
             self.books.note(*task);
-            taken += 1;
+            adopted += 1;
         }
         self.dirty = true;
         self.requeue = true;
         info!(
-            "the books of term {term} are taken over: {taken} tasks, {} machines may hold others",
+            "placement log of term {term} adopted: tasks={adopted} unknown_machines={}",
             book.unknown.len()
         );
     }
--- a/crates/core/src/leader/changes.rs
+++ b/crates/core/src/leader/changes.rs
@@ -1,8 +1,8 @@
-//! What the leader's records change in the state service.
+//! The changes in the state service that write one of the leader's records.
 //!
-//! Invariants: a record's changes are within the limits of a transaction, and
-//! each value within that of a value, whatever is to be recorded; what doesn't
-//! fit into one value goes over several keys, which change together.
+//! Invariants: the changes of a record stay within the limits of a transaction, and each value
+//! within that of a value, whatever is to be recorded. A record that doesn't fit into one
+//! value is spread over several keys, which change in one transaction.
 use super::{Leader, LeaderWrite};
 use crate::jobs::{Failures, Ledger, cancelled_value, keys, split_words};
 use crate::limits::{StoreLimits, value_len};
@@ -11,20 +11,20 @@
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
-/// Bytes of a transaction that a change takes beside its keys and its value.
+/// Bytes that a change adds to a transaction beside its keys and its value.
 const CHANGE_OVERHEAD: usize = 120;
 
-/// Conditions and changes of a record.
+/// Conditions and changes of one transaction that writes a record.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Changes {
-    /// Conditions, beside that of the leader's key.
+    /// Conditions beside the one on the leader's key.
     pub conditions: Vec<When>,
     /// Puts and removals.
     pub writes: Vec<Write>,
 }
 
 impl Changes {
-    fn given(mut self, path: String, stamp: u64) -> Self {
+    fn on_condition(mut self, path: String, stamp: u64) -> Self {
         self.conditions.push(When { path, stamp });
         self
     }
@@ -39,7 +39,7 @@
         self
     }
 
-    /// What it takes of a transaction's length, about.
+    /// Approximate length in the transaction, in bytes.
     pub fn len(&self) -> usize {
         let length = |write: &Write| match write {
             Write::Put { put, v, .. } => put.len() * 2 + v.to_string().len() + CHANGE_OVERHEAD,
@@ -48,17 +48,17 @@
         self.writes.iter().map(length).sum()
     }
 
-    /// Whether nothing changes.
+    /// Whether there is no change.
     pub fn is_empty(&self) -> bool {
         self.writes.is_empty()
     }
 }
 
-/// What changes are made from beside the leader's own knowledge.
+/// The inputs of a record's changes beside the leader's own state.
 pub struct Recording<'a> {
-    /// What is on record.
+    /// The state replica.
     pub ledger: &'a Ledger,
-    /// What a change and a transaction may hold.
+    /// Limits of a value and of a transaction.
     pub limits: &'a StoreLimits,
     /// Time of day in milliseconds.
     pub wall_ms: u64,
@@ -67,8 +67,8 @@
 }
 
 impl Leader {
-    /// The changes of a record; `None` if there is nothing to change, or nothing
-    /// that fits.
+    /// The changes that write a record; `None` if there is nothing to change, or if the changes
+    /// don't fit into a transaction.
     pub fn changes(&self, write: &LeaderWrite, recording: &Recording<'_>) -> Option<Changes> {
         let Recording { ledger, limits, wall_ms, .. } = *recording;
         let changes = Changes::default();
@@ -77,8 +77,8 @@
             LeaderWrite::Machines(ids) => {
                 let key = keys::machines(ids.first()?);
                 let value = self.machines_record(ids, ledger)?;
-                // A late repetition must not undo what was written since.
-                Some(changes.given(key.clone(), 0).put(key, value))
+                // A delayed retry must not overwrite a later record.
+                Some(changes.on_condition(key.clone(), 0).put(key, value))
             }
             LeaderWrite::Hire(name) => Some(changes.put(keys::HIRE.into(), json!(name))),
             LeaderWrite::Failures(id, chunk) => {
@@ -91,8 +91,8 @@
             LeaderWrite::Fail(id, index) => {
                 let job = ledger.jobs.get(id)?;
                 let why = self.failure_cause(*id, *index);
-                // The record as it was judged: a change of it since counts.
-                let changes = changes.given(keys::job(*id), job.stamp).given(keys::end(*id), 0);
+                // On the condition that the job record is still the one that was evaluated.
+                let changes = changes.on_condition(keys::job(*id), job.stamp).on_condition(keys::end(*id), 0);
                 Some(changes.put(keys::end(*id), cancelled_value(wall_ms, Some(&why), false)))
             }
             LeaderWrite::Progress(id, chunk) => {
@@ -105,31 +105,31 @@
             LeaderWrite::Settle(id) => {
                 let job = ledger.jobs.get(id)?;
                 let end = cancelled_value(job.ended_ms, job.cause.as_deref(), true);
-                Some(changes.given(keys::end(*id), job.end_stamp).put(keys::end(*id), end))
+                Some(changes.on_condition(keys::end(*id), job.end_stamp).put(keys::end(*id), end))
             }
-            // Whatever end is on record stands.
+            // An end that is already recorded stays.
             LeaderWrite::CancelledWith(id) => {
                 let job = ledger.jobs.get(id)?;
                 let end = cancelled_value(job.ended_ms, None, true);
-                Some(changes.given(keys::end(*id), 0).put(keys::end(*id), end))
+                Some(changes.on_condition(keys::end(*id), 0).put(keys::end(*id), end))
             }
             LeaderWrite::Forget(key) => self.forget_changes(key, recording),
         }
     }
 
-    /// Why a job is over of which a task's attempts are used up.
+    /// The recorded cause of a job's failure when a task has used up its attempts.
     pub fn failure_cause(&self, id: JobId, index: u32) -> String {
         let times = self.attempts_of(id, index);
         format!("attempts used up: task {index} failed {times} times")
     }
 
-    /// Writes a record of machines anew without those that are gone. A record of
-    /// longer values than may be written now is spread over further keys; it
-    /// stays as it is if they are more than a transaction holds.
+    /// Rewrites a record of machines without the deleted ones. If its value is longer than may
+    /// be written now, it is spread over further keys; if those are more than a transaction
+    /// may contain, the record stays unchanged.
     fn forget_changes(&self, key: &str, recording: &Recording<'_>) -> Option<Changes> {
         let Recording { ledger, limits, .. } = *recording;
         let (ids, stamp) = ledger.records.get(key)?;
-        let changes = Changes::default().given(key.to_owned(), *stamp);
+        let changes = Changes::default().on_condition(key.to_owned(), *stamp);
         let mut lists = match key.starts_with(keys::MACHINES) {
             true => self.lists_that_fit(ids, recording),
             false => Vec::new(),
@@ -141,7 +141,7 @@
             return None;
         }
         let rest = lists.split_off(1);
-        // The further keys come first, so that no reader forgets a machine between.
+        // The further keys come first, so that a reader never misses a machine in between.
         let mut changes = changes;
         for list in &rest {
             let free = |id: &&MachineId| {
@@ -150,13 +150,13 @@
             };
             let new_key = keys::machines(list.iter().find(free)?);
             let value = self.machines_record(list, ledger)?;
-            changes = changes.given(new_key.clone(), 0).put(new_key, value);
+            changes = changes.on_condition(new_key.clone(), 0).put(new_key, value);
         }
         let value = self.machines_record(lists.first()?, ledger)?;
         Some(changes.put(key.to_owned(), value))
     }
 
-    /// Machines that are not gone, in as few records as hold them.
+    /// The machines that are not deleted, in lists that each fit into one record.
     fn lists_that_fit(&self, ids: &[MachineId], recording: &Recording<'_>) -> Vec<Vec<MachineId>> {
         let mut lists: Vec<Vec<MachineId>> = Vec::new();
         if self.machines_record(ids, recording.ledger).is_some_and(|v| recording.limits.fits(&v)) {
@@ -181,23 +181,23 @@
     }
 }
 
-/// The end of a job that is done, and as many of its keys of progress and
-/// failures removed as fit beside it. Those left say nothing any more: an end
-/// counts whatever else is on record.
+/// Records that a job is done, and removes as many of its progress and failure keys as fit
+/// into the same transaction. The remaining ones have no effect: an end counts whatever else
+/// is recorded.
 fn end_changes(id: JobId, recording: &Recording<'_>) -> Changes {
     let job = recording.ledger.jobs.get(&id);
     let progress = job.iter().flat_map(|j| j.chunks.keys()).map(|c| keys::progress(id, *c));
     let failed = job.iter().flat_map(|j| j.failed_stamps.keys()).map(|c| keys::failed(id, *c));
     let further = job.iter().flat_map(|j| j.further_parts.iter().cloned());
-    let mut changes = Changes::default().given(keys::end(id), 0);
+    let mut changes = Changes::default().on_condition(keys::end(id), 0);
     for key in progress.chain(failed).chain(further).take(recording.limits.txn_ops - 1) {
         changes = changes.remove(key);
     }
     changes.put(keys::end(id), json!({"end": "done", "at": recording.wall_ms}))
 }
 
-/// A chunk's record in its parts, written together over version `stamp` of the
-/// first. Parts beyond a transaction are left out: each says something for itself.
+/// Writes the parts of a chunk's record in one transaction over version `stamp` of the first.
+/// Parts that exceed the transaction are left out: each part is valid on its own.
 fn chunk_changes(
     id: JobId,
     stamp: u64,
@@ -205,25 +205,25 @@
     parts: Vec<Value>,
     limits: &StoreLimits,
 ) -> Changes {
-    let mut changes = Changes::default().given(key(0), stamp).given(keys::end(id), 0);
+    let mut changes = Changes::default().on_condition(key(0), stamp).on_condition(keys::end(id), 0);
     for (part, value) in parts.into_iter().take(limits.txn_ops).enumerate() {
         changes = changes.put(key(part), value);
     }
     changes
 }
 
-/// Failures of a chunk's tasks in values of at most `room` bytes.
-fn split_failures(failures: BTreeMap<u32, Failures>, room: usize) -> Vec<Value> {
+/// Splits the failures of a chunk's tasks into values of at most `max_bytes` bytes.
+fn split_failures(failures: BTreeMap<u32, Failures>, max_bytes: usize) -> Vec<Value> {
     let mut parts: Vec<BTreeMap<u32, Failures>> = vec![BTreeMap::new()];
-    let mut taken = value_len(&json!({}));
+    let mut used = value_len(&json!({}));
     for (index, failure) in failures {
         let entry = json!({ index.to_string(): failure });
         let length = value_len(&entry) - value_len(&json!({}));
-        if taken + length > room && parts.last().is_some_and(|part| !part.is_empty()) {
+        if used + length > max_bytes && parts.last().is_some_and(|part| !part.is_empty()) {
             parts.push(BTreeMap::new());
-            taken = value_len(&json!({}));
+            used = value_len(&json!({}));
         }
-        taken += length;
+        used += length;
         if let Some(part) = parts.last_mut() {
             part.insert(index, failure);
         }
--- a/crates/core/src/leader/dependents.rs
+++ b/crates/core/src/leader/dependents.rs
@@ -1,13 +1,14 @@
-//! What a job gets from the jobs that depend on it, and the records of jobs that were
-//! cancelled with one that they depend on.
+//! The urgency that a job inherits from jobs that depend on it, and the records of jobs that
+//! were cancelled together with a job that they depend on.
 //!
-//! Invariant: the urgency of a job is its own joined with that of each job after it that
-//! is neither done nor cancelled (`Urgency::inherit`), through the whole graph.
+//! Invariant: the urgency of a job is its own urgency joined with that of each dependent job
+//! that is neither done nor cancelled (`Urgency::inherit`), through the whole graph.
 use super::*;
 
 impl Leader {
-    /// Joins the urgency of a job anew, and of those before it as far as that changes
-    /// something. The graph has no cycles: a job names only such as were accepted before.
+    /// Recomputes the urgency of a job, and of the jobs that it depends on as long as that
+    /// changes something. The graph has no cycles: a job can only name jobs that were accepted
+    /// before it.
     pub(super) fn inherit_urgency(&mut self, id: JobId, ledger: &Ledger) {
         let mut queue = VecDeque::from([id]);
         while let Some(next) = queue.pop_front() {
@@ -18,7 +19,7 @@
         }
     }
 
-    /// Joins the urgency of one job; whether that changed it.
+    /// Recomputes the urgency of one job; whether it changed.
     fn join_urgency(&mut self, id: JobId, ledger: &Ledger) -> bool {
         let Some(run) = self.jobs.get(&id).filter(|r| !r.over) else { return false };
         let dependents = ledger.dependencies.dependents(id).iter().filter_map(|d| self.jobs.get(d));
@@ -35,8 +36,8 @@
         true
     }
 
-    /// Keeps in mind that the cancellation of a job with another one has to be recorded,
-    /// for versions that don't know of dependencies.
+    /// Notes whether a job's cancellation together with another job still has to be recorded,
+    /// for versions of the program that don't know dependencies.
     pub(super) fn note_cancelled_by_another(&mut self, id: JobId, job: &Job) {
         match job.cancelled_by_another() {
             true => self.unrecorded_cancellations.insert(id),
--- a/crates/core/src/leader/machine.rs
+++ b/crates/core/src/leader/machine.rs
@@ -1,54 +1,55 @@
-//! A machine as the leader knows it. Invariant: tasks may be handed only to one that is
-//! recorded, whose holder has shown the grant's token (`Machine::usable`).
+//! A machine as the leader knows it. Invariant: tasks may be assigned only to a machine that
+//! is recorded and whose holder has received a report under the grant's token
+//! (`Machine::usable`).
 use super::*;
 
-/// Where a machine is in its life.
+/// Lifecycle stage of a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
-    /// Rented, not heard yet.
+    /// Rented; no report was received yet.
     Booting,
-    /// Heard, or recorded by an earlier term.
+    /// It has reported, or an earlier term recorded it.
     Up,
-    /// Being deleted; its tasks are bound until the cloud says so.
+    /// Being deleted; its tasks stay bound until the cloud confirms the deletion.
     Deleting,
 }
 
-/// A machine.
+/// The leader's state of one machine.
 #[derive(Debug)]
 pub struct Machine {
-    /// Type.
+    /// Machine type.
     pub build: String,
     /// Zone.
     pub zone: String,
-    /// Spot.
+    /// Whether it is a spot machine.
     pub spot: bool,
     pub(super) addr: String,
     pub(super) size: Resources,
-    /// Stage of life.
+    /// Lifecycle stage.
     pub stage: Stage,
     pub(super) since: Micros,
     pub(super) recorded: bool,
-    /// Its record is being written.
+    /// A write of its record is pending.
     pub(super) recording: bool,
-    /// Recorded before this term: it may hold tasks that nobody told of yet.
+    /// Recorded before this term: it may hold tasks that no controller has reported yet.
     pub(super) unknown: bool,
     pub(super) holder: Option<NodeId>,
     pub(super) last_holder: Option<NodeId>,
     pub(super) baton: Baton,
-    /// The last token under which its task list was seen whole.
+    /// The last token under which its complete task list was received.
     pub(super) task_list_token: Baton,
-    /// The holder has seen a report under `baton`: its task list is whole.
+    /// The holder has received a report under `baton`, so its task list is complete.
     pub(super) confirmed: bool,
     pub(super) tasks: BTreeMap<TaskId, (Attempt, TaskState)>,
     pub(super) started: BTreeMap<TaskId, Micros>,
     pub(super) reserved: BTreeMap<Attempt, Resources>,
-    /// What its tasks take; `stale` if they changed since it was added up.
+    /// Resources that its tasks use; `stale` if the tasks changed since it was computed.
     pub(super) used: Resources,
     pub(super) stale: bool,
     /// Tasks that are bound to it.
     pub(super) bound: BTreeSet<TaskId>,
     pub(super) heard: Option<Micros>,
-    /// The newest report of its worker that anybody told of, and who.
+    /// The newest report of its worker that any controller forwarded, and which controller.
     pub(super) newest: ReportNo,
     pub(super) newest_from: Option<NodeId>,
     pub(super) hearing: deaf::Hearing,
@@ -56,29 +57,29 @@
     pub(super) moved_at: Micros,
     pub(super) granted_at: Micros,
     pub(super) warning: Option<Micros>,
-    /// The update that first tells of its last change.
+    /// The first update that contains its last change.
     pub(super) stamp: u64,
     pub(super) idle_since: Option<Micros>,
-    /// Its place among those with room.
+    /// Its position in the index of machines with free capacity.
     pub(super) placed: Option<room::Placed>,
     pub(super) draining: Option<&'static str>,
-    /// Failures since something ran well on it, by job.
+    /// Failures on it since a task last ran well there, by job.
     pub(super) failed_jobs: BTreeMap<JobId, u32>,
     pub(super) failures: u32,
     pub(super) images: BTreeSet<String>,
     pub(super) probed: Option<Micros>,
     pub(super) kept_for: Option<(Rank, Micros)>,
-    /// Room is gathered on it for this job, until then.
+    /// The job that free capacity is accumulated for on it, and until when.
     pub(super) gathers: Option<(JobId, Micros)>,
     pub(super) want_baton: bool,
     pub(super) delete_sent: Option<Micros>,
-    /// CPU time that tasks took of it, in thousandths of a CPU times microseconds.
+    /// CPU time that tasks used on it, in thousandths of a CPU times microseconds.
     pub(super) busy: u128,
     pub(super) born: Micros,
 }
 
 impl Machine {
-    /// Whether a task of such a job may be on it, by type, zone, kind and size.
+    /// Whether its type, zone, kind (spot or not) and size allow a task of such a job.
     pub(super) fn suits(&self, spec: &JobSpec) -> bool {
         spec.allows(&self.build, &self.zone, self.spot, &self.size)
     }
@@ -129,7 +130,7 @@
             born: now,
         }
     }
-    /// What a record of it says.
+    /// The content of its record.
     pub fn record(&self) -> MachineRecord {
         MachineRecord {
             build: self.build.clone(),
@@ -141,19 +142,19 @@
     pub(super) fn free(&self) -> Resources {
         self.reserved.values().fold(self.size.minus(self.used), |f, r| f.minus(*r))
     }
-    /// Whether a report is news, told by `from`: not a copy of one that others told
-    /// of, nor one that was held up.
-    pub(super) fn is_news(&mut self, report: ReportNo, from: NodeId) -> bool {
+    /// Whether a report forwarded by `from` is new: neither a copy of one that another
+    /// controller forwarded, nor a delayed one.
+    pub(super) fn is_new_report(&mut self, report: ReportNo, from: NodeId) -> bool {
         if report > self.newest {
             (self.newest, self.newest_from) = (report, Some(from));
             return true;
         }
         report == self.newest && self.newest_from == Some(from)
     }
-    /// It was heard by a controller; `from` its holder, that is proof that the
-    /// way between them is open. Copies of reports prove nothing.
-    pub(super) fn heard_at(&mut self, at: Micros, from: NodeId, report: ReportNo) {
-        if !self.is_news(report, from) {
+    /// Records that a controller received a report at `at`. From its holder, that proves that
+    /// the network path between them is open. Copies of reports prove nothing.
+    pub(super) fn record_contact(&mut self, at: Micros, from: NodeId, report: ReportNo) {
+        if !self.is_new_report(report, from) {
             return;
         }
         if self.holder == Some(from) {
@@ -164,17 +165,17 @@
             self.probed = None;
         }
     }
-    /// Tasks may be handed to it; `contact` says which controllers are heard.
+    /// Whether tasks may be assigned to it; `contact` says which controllers are in contact.
     pub(super) fn open(&self, contact: &[bool], now: Micros) -> bool {
         self.in_reach(contact)
             && now >= self.hearing.trusted_at
             && self.heard.is_some_and(|t| now.since(t) < Micros::secs(4))
     }
-    /// It is in use and its holder is heard.
+    /// Whether it is usable and its holder is in contact.
     pub(super) fn in_reach(&self, contact: &[bool]) -> bool {
         self.usable() && self.holder.is_some_and(|h| contact.get(h.0 as usize) == Some(&true))
     }
-    /// The job that room is gathered for here.
+    /// The job that free capacity is accumulated for on it now.
     pub(super) fn gathers_for(&self, now: Micros) -> Option<JobId> {
         self.gathers.filter(|(_, until)| now < *until).map(|(job, _)| job)
     }
--- a/crates/core/src/leader/messages.rs
+++ b/crates/core/src/leader/messages.rs
@@ -1,16 +1,16 @@
-//! What the leader tells the controllers. Invariant: an update holds everything that
-//! changed since the one that it names as its base, and no hand-out that a witness may
-//! not know of.
+//! Updates and probe requests from the leader to the controllers. Invariant: an update
+//! contains everything that changed since the one that it names as its base, and no
+//! assignment that a replica of the placement log may lack.
 use super::*;
 
-/// A hand-out that had no outcome for so long is sent again.
-const HAND_OUT_AGAIN: Micros = Micros::millis(250);
+/// An assignment without an outcome is sent again after this.
+const ASSIGNMENT_RETRY_INTERVAL: Micros = Micros::millis(250);
 
-/// Orders go to a controller this often, if it keeps up.
-const NEWS_INTERVAL: Micros = Micros::millis(15);
-/// What it told is acknowledged this often.
+/// Minimum interval between updates with changes to a controller that keeps up.
+const CHANGE_INTERVAL: Micros = Micros::millis(15);
+/// Minimum interval between updates that only acknowledge a controller's `Sync`.
 const ACKNOWLEDGEMENT_INTERVAL: Micros = Micros::millis(100);
-/// It is told who leads this often.
+/// Interval between updates without content, which show the controller who leads.
 const IDLE_INTERVAL: Micros = Micros::millis(500);
 
 impl Leader {
@@ -24,7 +24,7 @@
             return out;
         }
         if lease_ok {
-            out.extend(self.books_messages(now));
+            out.extend(self.log_messages(now));
         }
         for i in 0..self.nodes.len() {
             let to = NodeId(i as u8);
@@ -32,8 +32,8 @@
             if n.incarnation == 0 || n.heard.is_none_or(|t| now.since(t) > Micros::secs(5)) {
                 continue;
             }
-            let interval = match (n.dirty, n.owed) {
-                (true, _) => NEWS_INTERVAL,
+            let interval = match (n.dirty, n.ack_due) {
+                (true, _) => CHANGE_INTERVAL,
                 (false, true) => ACKNOWLEDGEMENT_INTERVAL,
                 (false, false) => IDLE_INTERVAL,
             };
@@ -46,10 +46,10 @@
         out
     }
 
-    /// What a controller has not acknowledged of the leader's orders.
+    /// The update with everything that a controller has not acknowledged.
     pub(super) fn update(&mut self, to: NodeId, now: Micros, lease_ok: bool) -> Message {
-        if now.since(self.counted) >= Micros::millis(300) {
-            self.counted = now;
+        if now.since(self.running_counted_at) >= Micros::millis(300) {
+            self.running_counted_at = now;
             self.count_running();
         }
         self.version += 1;
@@ -57,8 +57,8 @@
         let node = &mut self.nodes[to.0 as usize];
         node.pacer.sent(seq, now);
         node.dirty = false;
-        node.owed = false;
-        let base = if node.seen < self.forgotten { 0 } else { node.seen };
+        node.ack_due = false;
+        let base = if node.acked_update < self.forgotten { 0 } else { node.acked_update };
         let (incarnation, ack) = (node.incarnation, node.sync_seq);
         let mut block = Vec::new();
         let mut elsewhere = Vec::new();
@@ -73,13 +73,15 @@
         let gone = self.gone.iter().filter(|(_, (_, stamp))| base > 0 && *stamp > base);
         elsewhere.extend(gone.map(|(id, _)| (id.clone(), None)));
         let held = |id: &MachineId| self.machines.get(id).is_some_and(|m| m.holder == Some(to));
-        // Without a confirmed lease nothing is handed out or renewed.
-        // Nor is anything that a witness may not know of.
+        // Without a confirmed lease no task is assigned and no block lease renewed. Nor is an
+        // assignment sent that a replica may lack.
         let covered = self.books.covered().unwrap_or(0);
-        // One that may have been lost goes again; not with every update, which comes
-        // many times before the outcome does.
+        // An assignment that may be lost is sent again, but not with every update: many
+        // updates leave before its outcome arrives.
         let due = |h: &&mut OnItsWay| {
-            h.to == to && h.covered_by <= covered && h.sent.is_none_or(|t| now.since(t) >= HAND_OUT_AGAIN)
+            h.to == to
+                && h.covered_by <= covered
+                && h.sent.is_none_or(|t| now.since(t) >= ASSIGNMENT_RETRY_INTERVAL)
         };
         let mut open: Vec<(HandOut, u64)> = Vec::new();
         for h in self.handouts.values_mut().filter(|_| lease_ok).filter(due) {
@@ -87,7 +89,7 @@
             open.push((h.out.clone(), h.covered_by));
         }
         if let Some(at) = open.iter().map(|(_, at)| *at).max() {
-            self.books.release(at);
+            self.books.mark_released(at);
         }
         let running = self.jobs.iter().filter(|(_, r)| r.shown.1 > base);
         Message::Update {
@@ -105,7 +107,7 @@
         }
     }
 
-    /// Numbers of running tasks, for display.
+    /// Counts each job's running tasks, for display.
     pub(super) fn count_running(&mut self) {
         for r in self.jobs.values_mut() {
             let n = r.bound.keys().filter(|i| !r.done.contains(**i)).count() as u32;
@@ -115,7 +117,7 @@
         }
     }
 
-    /// What controllers are told of a machine changed.
+    /// Marks that a machine changed in a way that controllers have to be notified of.
     pub(super) fn tell(&mut self, id: &MachineId) {
         let stamp = self.version + 1;
         self.blocks.clear();
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -1,5 +1,5 @@
-//! The leader: which machines there are, which controller holds them, where
-//! each task is bound, and what goes next.
+//! The leader: which machines exist, which controller holds each of them, where each task
+//! is bound, and which task is assigned next.
 mod assignments;
 mod bindings;
 mod blocks;
@@ -55,12 +55,12 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
-/// Sums over bound tasks, kept as tasks are bound and freed.
+/// Totals over bound tasks, updated as tasks are bound and released.
 #[derive(Debug, Default, Clone, PartialEq)]
 struct Sums {
-    /// CPUs and GPUs of each team's tasks, wherever they may be.
+    /// CPUs and GPUs of each team's bound tasks.
     teams: BTreeMap<String, (u64, u64)>,
-    /// Tasks of arrays.
+    /// Number of bound tasks of arrays.
     arrays: u64,
 }
 
@@ -81,56 +81,57 @@
     }
 }
 
-/// Another controller, as the leader sees it.
+/// The state of the leader's communication with one controller.
 #[derive(Debug, Default, Clone)]
 struct Node {
     incarnation: u64,
     sync_seq: u64,
-    /// The last update that it has taken.
-    seen: u64,
-    /// It waits for the acknowledgement of what it told.
-    owed: bool,
+    /// The last update that it has acknowledged.
+    acked_update: u64,
+    /// It waits for the acknowledgement of its last `Sync`.
+    ack_due: bool,
     heard: Option<Micros>,
     since: Micros,
     contact_since: Micros,
-    /// Updates to it.
+    /// Paces the updates to it.
     pacer: Pacer,
     dirty: bool,
 }
 
-/// A hand-out whose outcome is not known.
+/// An assignment whose outcome is not known.
 #[derive(Debug)]
 struct OnItsWay {
     to: NodeId,
     out: HandOut,
-    /// The change of the books that has to be at the witnesses before it goes.
+    /// The change of the placement log that all replicas have to acknowledge before the
+    /// assignment is sent.
     covered_by: u64,
-    /// When it last went.
+    /// When it was last sent.
     sent: Option<Micros>,
 }
 
-/// What a controller says in a `Sync`.
+/// The content of a controller's `Sync`.
 #[derive(Debug, Clone, Copy)]
 pub struct View<'a> {
-    /// Counts up.
+    /// Sequence number of the `Sync`.
     pub seq: u64,
-    /// The `Sync` that it builds on.
+    /// Sequence number of the `Sync` that it builds on.
     pub base: u64,
-    /// The last update taken.
+    /// The last update that the controller applied.
     pub seen: u64,
     /// Machines that changed.
     pub machines: &'a [MachineState],
-    /// Machines that were heard, and how long ago.
+    /// Machines that reported without a change, and how long ago.
     pub heard: &'a [(MachineId, Micros, ReportNo)],
-    /// Machines of others whose workers report to it.
+    /// Machines of other holders whose workers report to the controller.
     pub strangers: &'a [Sighting],
-    /// Hand-outs that were decided on.
+    /// Assignments that the controller has carried out or refused.
     pub outcomes: &'a [Outcome],
 }
 
 impl<'a> View<'a> {
-    /// What a `Sync` says, and to the leader of which term; `None` of any other
-    /// message.
+    /// The content of a `Sync`, and the term of the leader that it is meant for; `None` for
+    /// any other message.
     pub fn of(m: &'a Message) -> Option<(u64, View<'a>)> {
         let Message::Sync { term, seq, base, seen, machines, heard, strangers, outcomes } = m else {
             return None;
@@ -140,7 +141,7 @@
     }
 }
 
-/// Things that stay the same for a term.
+/// Settings that stay the same for a term.
 #[derive(Debug, Clone)]
 pub struct Context {
     /// This node.
@@ -153,17 +154,17 @@
     pub operator: Operator,
     /// Teams.
     pub teams: Vec<Team>,
-    /// What is expected of classes of jobs.
+    /// Objectives of job classes.
     pub objectives: Vec<Objective>,
-    /// Workers' lease.
+    /// Duration of a worker's lease.
     pub lease: Micros,
-    /// Workers' report interval.
+    /// Interval between a worker's reports.
     pub report: Micros,
-    /// Time for a cancellation.
+    /// Time within which all tasks of a cancelled job have to be terminated.
     pub cancel: Micros,
-    /// How old a list may be.
+    /// How far the cloud's list of machines may lag behind.
     pub list_lag: Micros,
-    /// Calls a second that the cloud takes.
+    /// Calls per second that the cloud accepts.
     pub cloud_rps: f64,
 }
 
@@ -176,88 +177,89 @@
     epoch: u64,
     began: Micros,
     began_ms: u64,
-    /// Revision of the leader's key: jobs recorded later were never handed
-    /// out by an earlier leader.
+    /// Revision of the leader's key: no earlier leader assigned tasks of jobs recorded later.
     began_stamp: u64,
     lateness: Lateness,
     granted: bool,
     queues: BTreeMap<Rank, FairQueue>,
     nodes: Vec<Node>,
     machines: BTreeMap<MachineId, Machine>,
-    /// Deleted machines, when, and the update that first tells of it.
+    /// Deleted machines: when, and the first update that reports the deletion.
     gone: BTreeMap<MachineId, (Micros, u64)>,
-    /// Number of the last update sent to anybody.
+    /// Sequence number of the last update sent to any controller.
     version: u64,
-    /// Deletions told before this are forgotten.
+    /// An incremental update can't build on one before this: deletions reported before it
+    /// are removed.
     forgotten: u64,
     jobs: BTreeMap<JobId, Run>,
-    /// Cancelled jobs that are not proven to be nowhere, and by when their tasks have to
-    /// be gone.
+    /// Cancelled jobs that may still have tasks on machines, and by when those have to be
+    /// terminated.
     aborted: BTreeMap<JobId, Micros>,
-    /// Hand-outs whose outcome is not known.
+    /// Assignments whose outcome is not known.
     handouts: BTreeMap<Attempt, OnItsWay>,
     books: Ledgers,
-    /// The books of before are waited for.
-    wants_books: bool,
-    /// Jobs that wait for the end of others: which they replace, or depend on.
+    /// It waits for the placement log of the earlier leader.
+    awaits_log: bool,
+    /// Jobs that wait for the end of jobs that they replace or depend on.
     held: BTreeSet<JobId>,
-    /// A job was recorded as done, so that others may be released.
+    /// A job was recorded as done, so jobs that depend on it may be released.
     dependency_done: bool,
-    /// Jobs that were cancelled with one that they depend on and have no record of it.
+    /// Jobs that were cancelled with a job that they depend on, and whose own cancellation
+    /// is not recorded.
     unrecorded_cancellations: BTreeSet<JobId>,
-    /// Tasks that are handed out and whose place is not known.
+    /// Tasks that are assigned to a controller and whose machine is not known.
     handed: AssignedTasks,
-    /// How often an invariant that is checked at run time did not hold.
+    /// Number of violations of invariants that are checked at run time.
     violations: u64,
-    /// The blocks as sets, made when they are needed.
+    /// The machines of each controller's block, computed when needed.
     blocks: BTreeMap<NodeId, Rc<BTreeSet<MachineId>>>,
-    /// Bound tasks: what teams use of CPUs and GPUs, and how many are of arrays.
+    /// CPUs and GPUs that each team's bound tasks use, and the number of bound array tasks.
     sums: Sums,
     stops: BTreeMap<(TaskId, Attempt), (StopRequest, Micros)>,
     hires: BTreeMap<String, (HireRequest, HireStage, Micros)>,
     refused: BTreeMap<(String, String, bool), Micros>,
-    /// Spot machines that were rented of late: when, and how many.
+    /// Recent rentals of spot machines: when, and how many machines.
     spot_had: VecDeque<(Micros, usize)>,
-    /// Zones, as far as they are heard.
+    /// Which zones are closed to renting because no machine in them reports.
     health: Health,
-    /// When the ways to the zones opened.
+    /// Since when the network path to each zone is open.
     ways: Ways,
-    /// Arrays of which more is done than was recorded when last looked at.
+    /// Arrays that had more tasks done than recorded when they were last checked.
     progressed: BTreeSet<JobId>,
-    /// Machines with room, in order.
+    /// Machines with free capacity, in order.
     rooms: room::Rooms,
-    /// Jobs that wait, in order; `requeue`: some began to wait since.
+    /// Waiting jobs, in order; `requeue`: the order has to be computed again.
     waiting: schedule::Waiting,
     requeue: bool,
-    /// Something changed: schedule.
+    /// Something changed that the next scheduling pass has to consider.
     pub dirty: bool,
     fleet_at: Micros,
     measured: Micros,
-    /// When a page of the cloud's list was read, and after which machine it goes on.
+    /// When a page of the cloud's list was read, and the machine after which the next starts.
     listed: Micros,
     list_from: Option<String>,
     listing: bool,
     hire_count: u64,
     rent_not_before: Micros,
-    /// The operators' bounds are reached, and the log said so.
+    /// `block_size` or `max_machines` is reached, and that was logged.
     blocks_full: bool,
     fleet_full: bool,
     scheduled: Micros,
-    /// When blocks, silent machines and cancellations were last looked at.
-    blocks_at: Micros,
-    stops_at: Micros,
-    counted: Micros,
+    /// When blocks and silent machines, and cancellations, were last checked.
+    blocks_checked_at: Micros,
+    cancellations_checked_at: Micros,
+    running_counted_at: Micros,
     waits_told: Micros,
     probes: Vec<(NodeId, MachineId, String)>,
     last_seen: BTreeMap<MachineId, (NodeId, Micros)>,
-    /// When machines were deleted because they hear nothing.
+    /// When machines were deleted because they were unreachable for commands.
     deaf_gone: VecDeque<Micros>,
-    /// Machines whose reports contradict what is known of them, and the log said so.
-    apart: BTreeSet<MachineId>,
+    /// Machines whose reports contradict their records, and for which that was logged.
+    mismatched: BTreeSet<MachineId>,
 }
 
 impl Leader {
-    /// A leader of a new term: tags at zero, nothing known but the records.
+    /// A leader of a new term: it knows only the records, and all fair-queue tags are zero.
     pub fn new(
         ctx: Context,
         term: u64,
@@ -290,7 +292,7 @@
             aborted: BTreeMap::new(),
             handouts: BTreeMap::new(),
             books,
-            wants_books: ledger.books.0.term > 0 && !ledger.books.0.nodes.is_empty(),
+            awaits_log: ledger.books.0.term > 0 && !ledger.books.0.nodes.is_empty(),
             held: BTreeSet::new(),
             dependency_done: true,
             unrecorded_cancellations: BTreeSet::new(),
@@ -315,20 +317,20 @@
             list_from: None,
             listing: false,
             hire_count: 0,
-            // Machines that the last leader rented show in the list only
-            // after its lag; renting before that would rent them twice.
+            // Machines that the last leader rented appear in the cloud's list only after its
+            // lag; renting earlier would rent them twice.
             rent_not_before: if term == 1 { now } else { now + lag },
             blocks_full: false,
             fleet_full: false,
             scheduled: Micros(0),
-            blocks_at: Micros(0),
-            stops_at: Micros(0),
-            counted: Micros(0),
+            blocks_checked_at: Micros(0),
+            cancellations_checked_at: Micros(0),
+            running_counted_at: Micros(0),
             waits_told: now,
             probes: Vec::new(),
             last_seen: BTreeMap::new(),
             deaf_gone: VecDeque::new(),
-            apart: BTreeSet::new(),
+            mismatched: BTreeSet::new(),
         };
         for (id, rec) in &ledger.machines {
             let size = sizes.get(&rec.build).copied().unwrap_or_default();
@@ -338,9 +340,9 @@
             l.machines.insert(id.clone(), m);
         }
         for (id, job) in &ledger.jobs {
-            // What ends a cancellation is the proof that it is nowhere, never its age: a
-            // user may have been told long after its record, and whatever is left of it
-            // breaks the rule at any later time.
+            // A cancellation ends only with the proof that no task of the job is left, never by
+            // its age: it may have been confirmed to the user long after it was recorded, and
+            // a task that still runs violates that confirmation at any later time.
             match job.phase {
                 Phase::Aborted if job.settled => l.note_cancelled_by_another(*id, job),
                 Phase::Aborted => {
@@ -354,7 +356,7 @@
         l
     }
 
-    /// Compares what is kept as things change with a fresh count: for tests.
+    /// Compares the incrementally updated totals with a full count; for tests.
     pub fn check_sums(&self) -> Result<(), String> {
         let mut sums = Sums::default();
         let mut handed = AssignedTasks::default();
@@ -394,7 +396,7 @@
         Ok(())
     }
 
-    /// Whether a task is watched at a machine whose word is still to come.
+    /// Checks that an assigned task is watched at a machine that may hold it, if there is one.
     fn check_watched(&self, task: TaskId, attempt: Attempt, handed: &Handed) -> Result<(), String> {
         let there = |id: &MachineId| self.machines.get(id).is_some_and(|m| may_hold(m, attempt));
         let watched = handed.watched.as_ref().filter(|id| handed.machines.contains(*id) && there(id));
@@ -404,23 +406,23 @@
         Ok(())
     }
 
-    /// How often an invariant that is checked at run time did not hold.
+    /// Number of violations of invariants that are checked at run time.
     pub fn violations(&self) -> u64 {
         self.violations
     }
 
-    /// A number never used before in this deployment.
+    /// A fencing token that was never used before in this deployment.
     fn draw(&mut self) -> u64 {
         self.epoch += 1;
         Baton::new(self.term, self.epoch).0
     }
 
-    /// Whether the term's numbers are used up; the leader must step down.
+    /// Whether the term's fencing tokens are nearly used up, so the leader must step down.
     pub fn exhausted(&self) -> bool {
         self.epoch + 100_000 >= 1 << EPOCH_BITS
     }
 
-    /// A job's record changed.
+    /// Applies a changed job record.
     pub fn job_changed(&mut self, id: JobId, ledger: &Ledger, now: Micros) {
         let Some(job) = ledger.jobs.get(&id) else { return };
         self.dirty = true;
@@ -453,7 +455,7 @@
             Phase::Aborted if job.settled => self.note_cancelled_by_another(id, job),
             Phase::Aborted => {
                 self.aborted.entry(id).or_insert(now + self.ctx.cancel);
-                self.stops_at = Micros(0);
+                self.cancellations_checked_at = Micros(0);
             }
             Phase::Done => self.dependency_done = true,
         }
@@ -468,15 +470,15 @@
         }
     }
 
-    /// A controller asks, before it tells a user, whether this leader acts on a
-    /// cancellation: also one that was on record for long.
+    /// Starts to enforce a cancellation, even one recorded long ago: a controller requires
+    /// this before it confirms the cancellation to the client.
     pub fn told_cancelled(&mut self, id: JobId, ledger: &Ledger, now: Micros) {
         if ledger.jobs.get(&id).is_some_and(|j| j.phase == Phase::Aborted && !j.settled) {
             self.aborted.entry(id).or_insert(now + self.ctx.cancel);
         }
     }
 
-    /// Lets go of jobs that wait for the end of others.
+    /// Releases jobs whose dependencies and replaced jobs have ended.
     fn release(&mut self, ledger: &Ledger) {
         let done = std::mem::take(&mut self.dependency_done);
         let free = |id: &JobId| {
@@ -484,7 +486,8 @@
             if run.spec.after.is_empty() && !done {
                 return false;
             }
-            ledger.dependencies.released(*id) && run.spec.after.iter().all(|a| self.gone_for_good(*a, ledger))
+            ledger.dependencies.released(*id)
+                && run.spec.after.iter().all(|a| self.ended_for_good(*a, ledger))
         };
         let free: Vec<JobId> = self.held.iter().filter(|id| free(id)).copied().collect();
         for id in free {
@@ -499,9 +502,9 @@
         }
     }
 
-    /// Whether nothing of a job is on any machine, nor can come there: it is over, no
-    /// task of it is bound, and if it was cancelled, that is on record.
-    fn gone_for_good(&self, id: JobId, ledger: &Ledger) -> bool {
+    /// Whether no task of a job is on any machine or can get there: the job has ended, no
+    /// task of it is bound, and if it was cancelled, that no task is left is recorded.
+    fn ended_for_good(&self, id: JobId, ledger: &Ledger) -> bool {
         let bound = self.jobs.get(&id).is_some_and(|r| !r.bound.is_empty());
         let settled = |job: &Job| match job.phase {
             Phase::Active => false,
@@ -511,18 +514,18 @@
         !bound && ledger.jobs.get(&id).is_none_or(settled)
     }
 
-    /// Whether nothing of a job that is over is on any machine, nor can come there: no
-    /// task of it is bound, and no machine that could hold one is unheard in this term.
-    pub(super) fn nowhere(&self, id: JobId, job: &Job) -> bool {
-        let unheard = |spec: &JobSpec| {
+    /// Whether no task of an ended job is on any machine or can get there: no task of it is
+    /// bound, and every machine that could hold one has reported in this term.
+    pub(super) fn has_no_tasks(&self, id: JobId, job: &Job) -> bool {
+        let unknown_machine_suits = |spec: &JobSpec| {
             let mut unknown = self.machines.values().filter(|m| m.unknown);
             unknown.any(|m| m.suits(spec))
         };
-        // Without its description, which is kept for long, any machine could.
-        let may = || match &job.spec {
-            Some(spec) => unheard(spec),
+        // The job specification is stored for a long time; without it, any machine could.
+        let may_hold_task = || match &job.spec {
+            Some(spec) => unknown_machine_suits(spec),
             None => self.machines.values().any(|m| m.unknown),
         };
-        self.jobs.get(&id).is_none_or(|r| r.bound.is_empty()) && !may()
+        self.jobs.get(&id).is_none_or(|r| r.bound.is_empty()) && !may_hold_task()
     }
 }
--- a/crates/core/src/leader/records.rs
+++ b/crates/core/src/leader/records.rs
@@ -1,13 +1,13 @@
-//! What the leader records.
+//! Which records the leader writes to the state service, and what they contain.
 use super::*;
 use crate::jobs::{FAILED_CHUNK, machine_room, machines_value};
 use serde_json::Value;
 
-/// Records of jobs cancelled with others that are offered at a time: they are in no hurry.
-const CANCELLATIONS_AT_ONCE: usize = 100;
+/// Cancellations of dependent jobs that are recorded at a time: these records are not urgent.
+const MAX_CANCELLATION_RECORDS: usize = 100;
 
 impl Leader {
-    /// What should be written, most urgent first.
+    /// The records to write, most urgent first.
     pub fn writes(&self, ledger: &Ledger, value_limit: usize, now: Micros) -> Vec<LeaderWrite> {
         let mut v = Vec::new();
         let active = |id: &JobId| ledger.jobs.get(id).is_some_and(|j| j.phase == Phase::Active);
@@ -16,7 +16,7 @@
                 v.push(LeaderWrite::End(*id));
             }
         }
-        // A job is failed by what is recorded, never by what one leader saw.
+        // A job fails by recorded failures only, never by those that just one leader saw.
         let bounded = self.jobs.iter().filter(|(id, r)| r.spec.attempts.is_some() && active(id));
         for (id, r) in bounded {
             if let Some(i) = r.used_up().filter(|i| !r.unsaved.contains(i)) {
@@ -29,9 +29,9 @@
         let mut kinds: BTreeMap<(&str, &str, bool), (usize, Vec<MachineId>)> = BTreeMap::new();
         for (id, m) in &self.machines {
             if m.stage == Stage::Up && !m.recorded && !m.recording {
-                let (room, list) = kinds.entry((&m.build, &m.zone, m.spot)).or_default();
-                *room += machine_room(id, &m.addr);
-                if *room < value_limit.saturating_sub(200) || list.is_empty() {
+                let (length, list) = kinds.entry((&m.build, &m.zone, m.spot)).or_default();
+                *length += machine_room(id, &m.addr);
+                if *length < value_limit.saturating_sub(200) || list.is_empty() {
                     list.push(id.clone());
                 }
             }
@@ -55,16 +55,16 @@
                 v.extend(chunks.into_iter().map(|c| LeaderWrite::Progress(*id, c)));
             }
         }
-        // A later leader, which doesn't know what became of a cancelled job's
-        // tasks, would delete what machines it can't hear for its sake.
+        // A later leader doesn't know what became of a cancelled job's tasks. Without this
+        // record it would delete machines that do not report, because they may hold one.
         for (id, by) in &self.aborted {
             let job = ledger.jobs.get(id).filter(|j| !j.settled && j.end_stamp > 0);
             let known_for = (now + self.ctx.cancel).since(*by);
-            if known_for > Micros::secs(1) && job.is_some_and(|j| self.nowhere(*id, j)) {
+            if known_for > Micros::secs(1) && job.is_some_and(|j| self.has_no_tasks(*id, j)) {
                 v.push(LeaderWrite::Settle(*id));
             }
         }
-        let unrecorded = self.unrecorded_cancellations.iter().take(CANCELLATIONS_AT_ONCE);
+        let unrecorded = self.unrecorded_cancellations.iter().take(MAX_CANCELLATION_RECORDS);
         v.extend(unrecorded.map(|id| LeaderWrite::CancelledWith(*id)));
         for (key, (ids, _)) in &ledger.records {
             if ids.iter().any(|id| self.gone.contains_key(id)) {
@@ -74,10 +74,9 @@
         v
     }
 
-    /// The record of machines of one kind; those that are gone are left out,
-    /// and `None` if none is left.
+    /// The record of machines of one kind, without deleted ones; `None` if none is left.
     pub fn machines_record(&self, ids: &[MachineId], ledger: &Ledger) -> Option<Value> {
-        let there: Vec<(&MachineId, MachineRecord)> = ids
+        let present: Vec<(&MachineId, MachineRecord)> = ids
             .iter()
             .filter(|id| !self.gone.contains_key(*id))
             .filter_map(|id| {
@@ -85,40 +84,40 @@
                 Some((id, known.or_else(|| ledger.machines.get(id).cloned())?))
             })
             .collect();
-        let (_, first) = there.first()?;
+        let (_, first) = present.first()?;
         let kind = (first.build.as_str(), first.zone.as_str(), first.spot);
-        Some(machines_value(kind, there.iter().map(|(id, r)| (*id, r.addr.as_str()))))
+        Some(machines_value(kind, present.iter().map(|(id, r)| (*id, r.addr.as_str()))))
     }
 
-    /// A write is under way, or (`open` false) it failed.
-    pub fn writing(&mut self, w: &LeaderWrite, open: bool) {
+    /// A write is pending, or (`pending` is false) it failed.
+    pub fn writing(&mut self, w: &LeaderWrite, pending: bool) {
         if let LeaderWrite::Machines(ids) = w {
             for id in ids {
                 if let Some(m) = self.machines.get_mut(id) {
-                    m.recording = open;
+                    m.recording = pending;
                 }
             }
         }
     }
 
-    /// The text of a progress record.
+    /// The content of a progress record.
     pub fn progress(&self, id: JobId, chunk: u32) -> Option<String> {
         self.jobs.get(&id).map(|r| r.done.chunk_text(chunk))
     }
 
-    /// The record of a chunk of failures.
+    /// The content of a failure record: the failures of one chunk of tasks.
     pub fn failures(&self, id: JobId, chunk: u32) -> Option<BTreeMap<u32, Failures>> {
         let run = self.jobs.get(&id)?;
         let range = chunk * FAILED_CHUNK..(chunk + 1) * FAILED_CHUNK;
         Some(run.fails.range(range).map(|(i, f)| (*i, *f)).collect())
     }
 
-    /// How often a task has failed.
+    /// Number of a task's failed attempts.
     pub fn attempts_of(&self, id: JobId, index: u32) -> u32 {
         self.jobs.get(&id).and_then(|r| r.fails.get(&index)).map_or(0, |f| f.count)
     }
 
-    /// A write succeeded.
+    /// Notes that a write succeeded.
     pub fn written(&mut self, w: &LeaderWrite) {
         self.dirty = true;
         match w {
@@ -128,7 +127,7 @@
                         m.recorded = true;
                     }
                 }
-                self.blocks_at = Micros(0);
+                self.blocks_checked_at = Micros(0);
             }
             LeaderWrite::Hire(name) => {
                 if let Some(h) = self.hires.get_mut(name)
@@ -142,7 +141,7 @@
                     r.unrecorded_since = None;
                 }
             }
-            // What the mirror shows of these is what counts.
+            // For these, only what the state replica shows counts.
             LeaderWrite::End(_)
             | LeaderWrite::Failures(..)
             | LeaderWrite::Fail(..)
@@ -152,22 +151,21 @@
         }
     }
 
-    /// Machines whose record turned up after its write was given up.
+    /// Marks machines as recorded whose record appears after its write was given up.
     pub fn note_recorded(&mut self, ledger: &Ledger) {
-        let mut news = false;
+        let mut found = false;
         for (id, m) in self.machines.iter_mut().filter(|(_, m)| m.stage == Stage::Up && !m.recorded) {
             m.recorded = ledger.machines.contains_key(id);
-            news |= m.recorded;
+            found |= m.recorded;
         }
-        if news {
-            self.blocks_at = Micros(0);
+        if found {
+            self.blocks_checked_at = Micros(0);
             self.dirty = true;
         }
     }
 
-    /// Progress that came in while a record was being written. Jobs that are
-    /// over, and those whose progress is on record, are not looked at again
-    /// before more of them is done.
+    /// Notes progress that arrived while a record was being written. Ended jobs, and jobs
+    /// whose progress is recorded, are not checked again until more of their tasks are done.
     pub fn note_unrecorded(&mut self, ledger: &Ledger, now: Micros) {
         let jobs = &mut self.jobs;
         self.progressed.retain(|id| {
