--- a/crates/core/src/leader/books.rs
+++ b/crates/core/src/leader/books.rs
@@ -97,7 +97,7 @@
     }
 
     /// Adopts the placement log of the earlier leader. It contains all places where a task
-    /// may be, so a machine that no controller has heard from holds what the log says and
+    /// may be, so a machine that has not reported in this term holds what the log says and
     /// nothing else.
     pub fn inherit(&mut self, term: u64, book: &Book, ledger: &Ledger) {
         if self.granted || !self.awaits_log || self.books.record().term != term {
--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -1,4 +1,4 @@
-//! Bindings: what frees a task, and what doesn't.
+//! Leader: binding and release of tasks, deletion of machines, limits, rentals, cancellations.
 mod hand_outs;
 mod lateness;
 mod limits;
@@ -11,7 +11,7 @@
 mod pipelines;
 
 const TERM: u64 = 3;
-/// A leader that comes to its work this often is on time.
+/// A leader that ticks at this interval is not behind.
 const ON_TIME_MS: u64 = 200;
 const A: NodeId = NodeId(0);
 const B: NodeId = NodeId(1);
@@ -47,8 +47,8 @@
     TaskId { job: JobId(job), index }
 }
 
-/// A leader over recorded machines `m0` (and `m1`), with both controllers in contact.
-struct Bench {
+/// A leader over recorded machines `m0`, `m1`, …, with both controllers in contact.
+struct Harness {
     ledger: Ledger,
     leader: Leader,
     now: Micros,
@@ -56,7 +56,7 @@
     incarnation: [u64; 2],
 }
 
-impl Bench {
+impl Harness {
     fn new(machines: usize) -> Self {
         let mut ledger = Ledger::default();
         for i in 0..machines {
@@ -66,7 +66,7 @@
         let sizes = Sizes::from([("big".into(), Resources::have(8.0, 0.0, 32.0))]);
         let now = Micros::secs(100);
         let leader = Leader::new(context(), TERM, 50, &ledger, &sizes, now, 1_000_000);
-        let mut b = Bench { ledger, leader, now, seq: [0; 2], incarnation: [5, 6] };
+        let mut b = Harness { ledger, leader, now, seq: [0; 2], incarnation: [5, 6] };
         b.sync(A, &[], &[]);
         b.sync(B, &[], &[]);
         b.tick(1);
@@ -74,8 +74,8 @@
     }
 
     #[allow(clippy::too_many_arguments)]
-    /// Adds a job; recorded at `stamp` (the leader's key is at 50).
-    fn job(&mut self, id: u64, stamp: u64, team: &str, kind: &str, rank: &str, tasks: u32, cpus: f64) {
+    /// Adds a job whose record has revision `stamp` (the leader's key has 50).
+    fn add_job(&mut self, id: u64, stamp: u64, team: &str, kind: &str, rank: &str, tasks: u32, cpus: f64) {
         let body = json!({"ref": JobId(id).to_string(), "lot": "l", "crew": team, "manner": kind, "rank": rank,
             "pieces": tasks, "cpus": cpus, "gpus": 0, "memory_gb": 1, "bundle": "i", "image_gb": 1,
             "same_place": false, "apart": false, "loaners": false, "guess_s": 10, "mark_s": 0, "stow_s": 0});
@@ -84,15 +84,15 @@
         self.leader.job_changed(JobId(id), &self.ledger, self.now);
     }
 
-    /// Changes a job's record at `stamp`.
-    fn edit(&mut self, id: u64, stamp: u64, edit: impl Fn(&mut JobSpec)) {
+    /// Changes a job's record, which gets revision `stamp`.
+    fn edit_job(&mut self, id: u64, stamp: u64, edit: impl Fn(&mut JobSpec)) {
         let mut spec = JobSpec::clone(self.ledger.jobs[&JobId(id)].spec.as_ref().unwrap());
         edit(&mut spec);
         self.ledger.apply(&keys::job(JobId(id)), Some(&job_value(&spec, 1_000_000)), stamp);
         self.leader.job_changed(JobId(id), &self.ledger, self.now);
     }
 
-    /// What is written of failures goes into the records.
+    /// Applies the failure records that the leader wants to write.
     fn save_failures(&mut self, stamp: u64) {
         for w in self.leader.writes(&self.ledger, 4000, self.now) {
             if let LeaderWrite::Failures(id, chunk) = w {
@@ -103,29 +103,30 @@
         }
     }
 
-    /// The task starts and fails; its attempt.
-    fn fail(&mut self, id: u64, index: u32) -> Attempt {
-        let a = self.attempt(task(id, index)).expect("handed out");
+    /// Lets an assigned task start and fail; its attempt.
+    fn fail_task(&mut self, id: u64, index: u32) -> Attempt {
+        let a = self.attempt(task(id, index)).expect("assigned");
         self.sync(A, &[], &[Outcome { attempt: a, machine: Some(m("m0")) }]);
-        // The end comes twice, the first time under an older token, which
-        // leaves what was known before.
+        // The failure is reported twice, the first time under an older token, which leaves
+        // the known tasks unchanged.
         let token = self.token("m0");
-        let told = [(token, TaskState::Running), (Baton(0), TaskState::Failed), (token, TaskState::Failed)];
-        for (seen, state) in told {
+        let reports =
+            [(token, TaskState::Running), (Baton(0), TaskState::Failed), (token, TaskState::Failed)];
+        for (seen, state) in reports {
             let s = self.state("m0", seen, &[(task(id, index), a, state)]);
             self.sync(A, &[s], &[]);
         }
         let s = self.state("m0", token, &[]);
         self.sync(A, &[s], &[]);
-        // The machine is not what is tried here.
+        // The machine's own failures are not under test here.
         if let Some(m) = self.leader.machines.get_mut(&m("m0")) {
             (m.draining, m.failures) = (None, 0);
         }
         a
     }
 
-    /// Half seconds in which everybody is heard and nothing happens.
-    fn pass(&mut self, halves: u32) {
+    /// Passes half seconds in which the machine and both controllers report without changes.
+    fn pass_idle(&mut self, halves: u32) {
         for _ in 0..halves {
             self.tick(500);
             let s = self.state("m0", self.token("m0"), &[]);
@@ -135,7 +136,7 @@
         self.tick(30);
     }
 
-    /// Time passes for a leader that is on time.
+    /// Passes time for a leader that ticks on time.
     fn tick(&mut self, ms: u64) {
         let mut left = ms;
         while left > ON_TIME_MS {
@@ -145,7 +146,7 @@
         self.late_tick(left);
     }
 
-    /// Time passes, and the leader comes to its work only then.
+    /// Passes time without a tick of the leader, then one tick.
     fn late_tick(&mut self, ms: u64) {
         self.now = self.now + Micros::millis(ms);
         self.leader.dirty = true;
@@ -178,7 +179,7 @@
         self.leader.machines[&m(id)].baton
     }
 
-    /// The holder has seen the machine under its token, with these tasks.
+    /// The holder reports the machine under its current token, with these tasks.
     fn confirm(&mut self, id: &str, tasks: &[(TaskId, Attempt, TaskState)]) {
         let s = self.state(id, self.token(id), tasks);
         let holder = self.leader.machines[&m(id)].holder.unwrap();
@@ -191,15 +192,15 @@
 }
 
 #[test]
-fn a_task_is_free_only_on_proof() {
+fn a_task_is_released_only_on_proof() {
     let t = task(1, 0);
-    type Step = fn(&mut Bench, Attempt);
-    // (what happens after the hand-out of the only task, whether it is free then)
+    type Step = fn(&mut Harness, Attempt);
+    // (what happens after the assignment of the only task, whether the task is then released)
     let cases: [(&str, Step, bool); 11] = [
         ("nothing", |_, _| {}, false),
         ("never started", |b, a| b.sync(A, &[], &[Outcome { attempt: a, machine: None }]), true),
         (
-            "started; a report under the current token is without it",
+            "started; a report under the current token does not list it",
             |b, a| {
                 b.sync(A, &[], &[Outcome { attempt: a, machine: Some(m("m0")) }]);
                 b.confirm("m0", &[]);
@@ -207,7 +208,7 @@
             true,
         ),
         (
-            "started and not settled",
+            "started, outcome of the start unknown",
             |b, a| {
                 b.sync(A, &[], &[Outcome { attempt: a, machine: Some(m("m0")) }]);
                 b.confirm("m0", &[(task(1, 0), a, TaskState::Starting)]);
@@ -215,7 +216,7 @@
             false,
         ),
         (
-            "a report under an older token is without it",
+            "a report under an older token does not list it",
             |b, a| {
                 b.sync(A, &[], &[Outcome { attempt: a, machine: Some(m("m0")) }]);
                 b.leader.grant(&m("m0"), A, "test", b.now);
@@ -233,7 +234,7 @@
             false,
         ),
         (
-            "its controller restarts and the machine is seen under the next token",
+            "its controller restarts and the machine reports under the next token",
             |b, _| {
                 b.incarnation[0] += 1;
                 b.sync(A, &[], &[]);
@@ -243,7 +244,7 @@
             true,
         ),
         (
-            "its controller restarts and the machine has it",
+            "its controller restarts and the machine reports it",
             |b, a| {
                 b.incarnation[0] += 1;
                 b.sync(A, &[], &[]);
@@ -254,7 +255,7 @@
         ),
         ("its machine is deleted", |b, _| b.leader.deleted(&[m("m0")], b.now), true),
         (
-            "a deletion that nobody confirmed",
+            "a deletion that the cloud did not confirm",
             |b, _| {
                 b.leader.delete(&m("m0"), "test", b.now);
                 b.leader.delete_failed(&[m("m0")], b.now);
@@ -262,7 +263,7 @@
             false,
         ),
         (
-            "a word of its controller's earlier process",
+            "an outcome from its controller's earlier process",
             |b, a| {
                 b.incarnation[0] += 1;
                 b.sync(A, &[], &[]);
@@ -282,56 +283,56 @@
         ),
     ];
     for (what, step, free) in cases {
-        let mut b = Bench::new(1);
+        let mut b = Harness::new(1);
         b.confirm("m0", &[]);
-        b.job(1, 60, "t", "array", "standard", 1, 4.0);
+        b.add_job(1, 60, "t", "array", "standard", 1, 4.0);
         b.tick(30);
-        let a = b.attempt(t).expect("handed out");
+        let a = b.attempt(t).expect("assigned");
         step(&mut b, a);
         assert_eq!(b.attempt(t).is_none(), free, "{what}");
     }
 }
 
 #[test]
-fn earlier_jobs_wait_for_machines_that_nobody_heard() {
-    // (revision of the job's record, its CPUs, whether m0 was heard, handed out)
+fn earlier_jobs_wait_for_machines_that_have_not_reported() {
+    // (revision of the job's record, its CPUs, whether m0 has reported, whether it is assigned)
     let cases = [
         (40, 4.0, false, false),
         (40, 4.0, true, true),
-        // Recorded after the leader's key: no earlier leader knew it.
+        // Recorded after the leader's key: no earlier leader knew the job.
         (60, 4.0, false, true),
-        // No unheard machine could hold it; none at all can.
+        // The machine that has not reported could not hold it, nor could any other.
         (40, 9.0, false, false),
     ];
-    for (stamp, cpus, heard, want) in cases {
-        let mut b = Bench::new(2);
+    for (stamp, cpus, reported, want) in cases {
+        let mut b = Harness::new(2);
         b.confirm("m1", &[]);
-        if heard {
+        if reported {
             b.confirm("m0", &[]);
         }
-        b.job(1, stamp, "t", "array", "standard", 1, cpus);
+        b.add_job(1, stamp, "t", "array", "standard", 1, cpus);
         b.tick(30);
-        assert_eq!(b.attempt(task(1, 0)).is_some(), want, "{stamp} {cpus} {heard}");
+        assert_eq!(b.attempt(task(1, 0)).is_some(), want, "{stamp} {cpus} {reported}");
     }
 }
 
 #[test]
-fn limits_count_what_is_bound_and_guarantees_take_back() {
-    let mut b = Bench::new(1);
+fn limits_count_bound_tasks_and_guarantees_preempt_borrowers() {
+    let mut b = Harness::new(1);
     b.confirm("m0", &[]);
-    b.job(1, 60, "tight", "array", "standard", 3, 2.0);
+    b.add_job(1, 60, "tight", "array", "standard", 3, 2.0);
     b.tick(30);
-    let bound = |b: &Bench| b.leader.jobs[&JobId(1)].bound.len();
+    let bound = |b: &Harness| b.leader.jobs[&JobId(1)].bound.len();
     assert_eq!(bound(&b), 2, "4 CPUs of 2 each");
     let a0 = b.attempt(task(1, 0)).unwrap();
     b.sync(A, &[], &[Outcome { attempt: a0, machine: None }]);
     b.tick(30);
-    assert_eq!(bound(&b), 2, "one is free again, another goes");
+    assert_eq!(bound(&b), 2, "one is released, another is assigned");
 
-    // A team without work beyond its guarantee gets it back from a borrower.
-    let mut b = Bench::new(1);
+    // A team whose demand is within its guarantee gets its CPUs back from a borrower.
+    let mut b = Harness::new(1);
     b.confirm("m0", &[]);
-    b.job(1, 60, "t", "array", "high", 2, 4.0);
+    b.add_job(1, 60, "t", "array", "high", 2, 4.0);
     b.tick(30);
     let on: Vec<_> =
         (0..2).map(|i| (task(1, i), b.attempt(task(1, i)).unwrap(), TaskState::Running)).collect();
@@ -339,19 +340,19 @@
         on.iter().map(|(_, a, _)| Outcome { attempt: *a, machine: Some(m("m0")) }).collect();
     let s = b.state("m0", b.token("m0"), &on);
     b.sync(A, &[s], &outcomes);
-    b.job(2, 61, "owner", "array", "idle", 2, 4.0);
+    b.add_job(2, 61, "owner", "array", "idle", 2, 4.0);
     b.tick(30);
     assert_eq!(b.leader.stops.len(), 1, "4 CPUs are guaranteed, not 8");
     b.tick(30);
-    assert_eq!(b.leader.stops.len(), 1, "no more is stopped while the first goes");
+    assert_eq!(b.leader.stops.len(), 1, "no other task is stopped while the first ends");
 }
 
 #[test]
-fn a_cancelled_task_that_nobody_can_stop_takes_its_machine_along() {
+fn a_cancelled_task_that_can_not_be_stopped_is_deleted_with_its_machine() {
     for (seconds, deleted) in [(10, false), (20, true)] {
-        let mut b = Bench::new(1);
+        let mut b = Harness::new(1);
         b.confirm("m0", &[]);
-        b.job(1, 60, "t", "standing", "prod", 1, 4.0);
+        b.add_job(1, 60, "t", "standing", "prod", 1, 4.0);
         b.tick(30);
         assert!(b.attempt(task(1, 0)).is_some());
         b.ledger.apply(&keys::end(JobId(1)), Some(&json!({"end": "aborted", "at": 1_000_000})), 70);
@@ -362,10 +363,11 @@
     }
 }
 
-/// `A` holds `m0` and `m1`, and `m0` falls silent: whether it is deleted after so
-/// many seconds each. `hears` says who hears `m1` in a second.
-fn m0_deleted(hears: impl Fn(u64) -> Option<NodeId>, looks: &[u64]) -> Vec<bool> {
-    let mut b = Bench::new(2);
+/// `A` holds `m0` and `m1`, and `m0` falls silent: whether `m0` is deleted after each of
+/// `check_after` seconds. `receiver` says which controller receives the report of `m1` in a
+/// given second.
+fn m0_deleted(receiver: impl Fn(u64) -> Option<NodeId>, check_after: &[u64]) -> Vec<bool> {
+    let mut b = Harness::new(2);
     for id in ["m0", "m1"] {
         b.leader.grant(&m(id), A, "test", b.now);
         b.confirm(id, &[]);
@@ -373,58 +375,60 @@
     // Neither controller is in the machines' zone.
     b.leader.ctx.zones = vec!["west".into(), "west".into()];
     let mut got = Vec::new();
-    for second in 1..=looks.iter().copied().max().unwrap_or(0) {
+    for second in 1..=check_after.iter().copied().max().unwrap_or(0) {
         b.tick(1000);
         let s = b.state("m1", b.token("m1"), &[]);
         for n in [A, B] {
-            let states = if hears(second) == Some(n) { vec![s.clone()] } else { Vec::new() };
+            let states = if receiver(second) == Some(n) { vec![s.clone()] } else { Vec::new() };
             b.sync(n, &states, &[]);
         }
-        if looks.contains(&second) {
+        if check_after.contains(&second) {
             got.push(b.leader.machines[&m("m0")].stage == Stage::Deleting);
         }
     }
     got
 }
 
-/// A cut looks like the death of one machine after the other. Two grown days
-/// lost half their replicas to deletions of live machines.
+/// A partition looks as if one machine after the other failed. Two grown days lost half their
+/// replicas to deletions of live machines.
 #[test]
-fn a_machine_is_dead_only_where_its_holder_hears_a_neighbour() {
-    // (who hears m1 while m0 is silent, whether m0 is deleted after 7 s, after 30 s)
+fn a_machine_is_dead_only_if_its_holder_receives_reports_of_a_neighbour() {
+    // (who receives m1's reports while m0 is silent, whether m0 is deleted after 7 s, after 30 s)
     let cases = [
         ("its holder, which holds both", Some(A), [true, true]),
-        ("another controller, over another way", Some(B), [false, true]),
-        ("nobody: the zone may be cut off", None, [false, false]),
+        ("another controller, over another network path", Some(B), [false, true]),
+        ("no controller: the zone may be partitioned", None, [false, false]),
     ];
-    for (what, hears, deleted) in cases {
-        let got = m0_deleted(|_| hears, &[7, 30]);
-        assert_eq!(got, deleted, "m1 is heard by {what}");
+    for (what, receiver, deleted) in cases {
+        let got = m0_deleted(|_| receiver, &[7, 30]);
+        assert_eq!(got, deleted, "receiver of m1's reports: {what}");
     }
 }
 
-/// The first machine that was heard after a cut was taken for proof that all
-/// others of its zone are dead: a fleet day lost 301 live ones in that moment.
+/// The first report after a partition was taken for proof that all other machines of the zone
+/// are dead: a fleet day lost 301 live machines in that moment.
 #[test]
-fn the_end_of_a_cut_dooms_nobody() {
-    // (who hears m1 once the cut is over, whether m0 is deleted then after 2 s, 4 s, 30 s)
-    for (hears, deleted) in [(A, [false, false, true]), (B, [false, false, true])] {
-        let got = m0_deleted(|second| (second > 40).then_some(hears), &[42, 44, 70]);
-        assert_eq!(got, deleted, "m1 is heard by {hears:?}");
+fn the_end_of_a_partition_deletes_no_machine() {
+    // (who receives m1's reports from second 41 on, when the partition has ended; whether m0 is
+    // deleted 2 s, 4 s and 30 s after second 40)
+    for (receiver, deleted) in [(A, [false, false, true]), (B, [false, false, true])] {
+        let got = m0_deleted(|second| (second > 40).then_some(receiver), &[42, 44, 70]);
+        assert_eq!(got, deleted, "receiver of m1's reports: {receiver:?}");
     }
 }
 
-/// A leader that takes over does not know what became of the tasks of a job
-/// that was cancelled before; a day lost fifty machines behind a cut to that.
+/// A new leader does not know what became of the tasks of a job that was cancelled before; a
+/// day lost fifty machines beyond a partition to that. A recorded proof that no task is left
+/// keeps the machines.
 #[test]
-fn a_settled_cancellation_costs_no_machine() {
+fn a_completed_cancellation_deletes_no_machine() {
     for settled in [false, true] {
-        let mut b = Bench::new(1);
-        b.job(1, 40, "t", "standing", "prod", 1, 4.0);
+        let mut b = Harness::new(1);
+        b.add_job(1, 40, "t", "standing", "prod", 1, 4.0);
         let end = json!({"end": "aborted", "at": 1_000_000, "gone": settled});
         b.ledger.apply(&keys::end(JobId(1)), Some(&end), 45);
         let sizes = Sizes::from([("big".into(), Resources::have(8.0, 0.0, 32.0))]);
-        // No controller is in the machine's zone, so its silence may be a cut.
+        // No controller is in the machine's zone, so its silence may be a partition.
         let away = Context { zones: vec!["west".into(), "west".into()], ..context() };
         b.leader = Leader::new(away, TERM + 1, 80, &b.ledger, &sizes, b.now, 1_000_000);
         for _ in 0..25 {
@@ -432,15 +436,15 @@
             b.sync(A, &[], &[]);
             b.sync(B, &[], &[]);
         }
-        let doomed = b.leader.machines[&m("m0")].stage == Stage::Deleting;
-        assert_eq!(doomed, !settled, "settled: {settled}");
+        let deleted = b.leader.machines[&m("m0")].stage == Stage::Deleting;
+        assert_eq!(deleted, !settled, "settled: {settled}");
     }
 }
 
-/// A team's backlog beyond its limit can't start, so no machine is rented for
-/// it: a grown world rented three times what it needed and returned it idle.
+/// A team's backlog beyond its limit can't start, so no machine is rented for it: a grown world
+/// rented three times the machines it needed and returned them idle.
 #[test]
-fn nothing_is_rented_for_what_a_limit_forbids() {
+fn no_machine_is_rented_for_tasks_beyond_a_limit() {
     let flavors = [Flavor {
         sku: "big".into(),
         cpus: 8.0,
@@ -461,10 +465,10 @@
         (&[("tight", 1, 3.0), ("tight", 1, 2.0), ("t", 1, 8.0)], 2),
     ];
     for (jobs, want) in cases {
-        let mut b = Bench::new(0);
+        let mut b = Harness::new(0);
         let mut demands = Vec::new();
         for (i, (team, tasks, cpus)) in jobs.iter().enumerate() {
-            b.job(1 + i as u64, 60, team, "array", "standard", *tasks, *cpus);
+            b.add_job(1 + i as u64, 60, team, "array", "standard", *tasks, *cpus);
             let spec = b.leader.jobs[&JobId(1 + i as u64)].spec.clone();
             demands.push(Demand {
                 spec,
@@ -477,40 +481,40 @@
         b.leader.keep_to_limits(&mut demands);
         assert_eq!(demands.iter().map(|d| d.waiting).sum::<u32>(), want, "{jobs:?}");
     }
-    // The same through what is rented: 40 CPUs wait, 4 may run.
-    let mut b = Bench::new(0);
-    b.job(1, 60, "tight", "array", "standard", 20, 2.0);
+    // The same by the rentals: tasks of 40 CPUs wait, 4 CPUs may be used.
+    let mut b = Harness::new(0);
+    b.add_job(1, 60, "tight", "array", "standard", 20, 2.0);
     b.leader.plan_hires(&flavors, b.now);
     let rented: u32 = b.leader.hires.values().map(|(r, ..)| r.count).sum();
     assert_eq!(rented, 1);
 }
 
-/// A task that may fail so often is counted once an attempt, is not started
-/// again before that is recorded, and ends its job by what is recorded alone.
+/// A failure of a task with bounded attempts counts once per attempt. The task is not started
+/// again before the failure is recorded, and only recorded failures end its job.
 #[test]
-fn attempts_are_used_up_by_record() {
-    let mut b = Bench::new(1);
+fn attempts_are_used_up_by_recorded_failures() {
+    let mut b = Harness::new(1);
     b.confirm("m0", &[]);
-    b.job(1, 60, "t", "array", "standard", 2, 2.0);
-    b.edit(1, 61, |s| s.attempts = Some(2));
-    // The change of the record is not a new job: made anew here, as at a start.
+    b.add_job(1, 60, "t", "array", "standard", 2, 2.0);
+    b.edit_job(1, 61, |s| s.attempts = Some(2));
+    // A changed record does not make a new `Run`, so it is made again here, as by a new leader.
     b.leader.jobs.clear();
     b.leader.job_changed(JobId(1), &b.ledger, b.now);
-    // It ran long elsewhere: the failure is no reason to avoid the machine.
+    // The job has run well elsewhere, so its failure is no reason to avoid the machine.
     b.leader.jobs.get_mut(&JobId(1)).unwrap().proven = true;
     b.tick(30);
-    let first = b.fail(1, 0);
+    let first = b.fail_task(1, 0);
     assert_eq!(b.leader.attempts_of(JobId(1), 0), 1, "three reports of one attempt count once");
-    b.pass(4);
+    b.pass_idle(4);
     assert_eq!(b.attempt(task(1, 0)), None, "not started again before it is recorded");
     b.save_failures(70);
-    b.pass(4);
-    let fails = |b: &Bench| {
+    b.pass_idle(4);
+    let fails = |b: &Harness| {
         let w = b.leader.writes(&b.ledger, 4000, b.now);
         w.iter().filter(|w| matches!(w, LeaderWrite::Fail(..))).count()
     };
     assert_eq!(fails(&b), 0);
-    // A new leader goes on from the record.
+    // A new leader continues from the record.
     let sizes = Sizes::from([("big".into(), Resources::have(8.0, 0.0, 32.0))]);
     b.leader = Leader::new(context(), TERM + 1, 80, &b.ledger, &sizes, b.now, 1_000_000);
     b.sync(A, &[], &[]);
@@ -519,28 +523,29 @@
     b.confirm("m0", &[]);
     b.tick(30);
     assert!(b.attempt(task(1, 0)).expect("again") > first);
-    b.fail(1, 0);
+    b.fail_task(1, 0);
     assert_eq!(fails(&b), 0, "the second failure is not recorded yet");
-    b.pass(10);
+    b.pass_idle(10);
     assert_eq!(b.attempt(task(1, 0)), None);
     b.save_failures(90);
-    b.pass(10);
+    b.pass_idle(10);
     assert_eq!((fails(&b), b.attempt(task(1, 0))), (1, None));
-    // Ended by that record, it is over once and for all, and says why.
+    // The record ends the job for good, with its cause.
     let end = json!({"end": "aborted", "at": 1_000_000, "why": "attempts used up"});
     b.ledger.apply(&keys::end(JobId(1)), Some(&end), 95);
     b.leader.job_changed(JobId(1), &b.ledger, b.now);
-    b.pass(10);
+    b.pass_idle(10);
     let job = &b.ledger.jobs[&JobId(1)];
     assert_eq!((job.phase, job.cause.as_deref()), (Phase::Aborted, Some("attempts used up")));
     assert_eq!((fails(&b), b.attempt(task(1, 0))), (0, None));
 }
 
-/// A faulty machine is the one with room: a job's bounded attempts go elsewhere while
-/// there is, or may soon be, an elsewhere.
+/// A faulty machine always has free capacity, so it would use up a job's bounded attempts. They
+/// go to other machines while there is one or may soon be one.
 #[test]
 fn bounded_attempts_are_not_used_up_on_one_machine() {
-    // (machines, proven to run well, seconds after the failure; where it goes)
+    // (machines, whether the job is proven to run well, seconds after the failure; where the
+    // task is assigned then)
     let cases: [(usize, bool, u32, Option<&str>); 5] = [
         (1, false, 2, None),
         (1, false, 14, None),
@@ -549,14 +554,14 @@
         (2, false, 2, Some("m1")),
     ];
     for (machines, proven, seconds, want) in cases {
-        let mut b = Bench::new(1);
+        let mut b = Harness::new(1);
         b.confirm("m0", &[]);
-        b.job(1, 60, "t", "array", "standard", 1, 8.0);
-        b.edit(1, 61, |s| s.attempts = Some(4));
+        b.add_job(1, 60, "t", "array", "standard", 1, 8.0);
+        b.edit_job(1, 61, |s| s.attempts = Some(4));
         b.leader.jobs.clear();
         b.leader.job_changed(JobId(1), &b.ledger, b.now);
         b.tick(30);
-        b.fail(1, 0);
+        b.fail_task(1, 0);
         b.leader.machines.get_mut(&m("m0")).unwrap().failures = 1;
         b.leader.jobs.get_mut(&JobId(1)).unwrap().proven = proven;
         b.save_failures(70);
@@ -570,84 +575,84 @@
             b.tick(200);
             b.confirm("m1", &[]);
         }
-        b.pass(2 * seconds);
+        b.pass_idle(2 * seconds);
         let run = &b.leader.jobs[&JobId(1)];
         let hint = run.bound.get(&0).and_then(|x| x.handed.as_ref()).map(|h| h.hint.to_string());
         assert_eq!(hint.as_deref(), want, "{machines} machines, proven {proven}, {seconds} s");
     }
 }
 
-/// A change of the number of tasks: what is above is not started, what comes
-/// is, and what was done counts if it is still asked for.
+/// When a job's number of tasks changes, tasks above the number are not started, added ones are,
+/// and completed ones count if they are still requested.
 #[test]
 fn a_job_is_scaled_in_place() {
-    let mut b = Bench::new(1);
+    let mut b = Harness::new(1);
     b.confirm("m0", &[]);
-    b.job(1, 60, "t", "standing", "prod", 2, 1.0);
+    b.add_job(1, 60, "t", "standing", "prod", 2, 1.0);
     b.tick(30);
-    let handed = |b: &Bench| b.leader.jobs[&JobId(1)].bound.keys().copied().collect::<Vec<_>>();
-    assert_eq!(handed(&b), [0, 1]);
-    // (tasks from now on, bound after it with no report of an end)
+    let bound = |b: &Harness| b.leader.jobs[&JobId(1)].bound.keys().copied().collect::<Vec<_>>();
+    assert_eq!(bound(&b), [0, 1]);
+    // (new number of tasks, bound tasks after it while no end is reported)
     for (i, (tasks, want)) in
         [(4, vec![0, 1, 2, 3]), (1, vec![0, 1, 2, 3]), (3, vec![0, 1, 2, 3])].iter().enumerate()
     {
-        b.edit(1, 70 + i as u64, |s| s.tasks = *tasks);
+        b.edit_job(1, 70 + i as u64, |s| s.tasks = *tasks);
         b.tick(30);
-        assert_eq!(handed(&b), *want, "{tasks}");
+        assert_eq!(bound(&b), *want, "{tasks}");
         assert_eq!(b.leader.jobs[&JobId(1)].waiting(), 0, "{tasks}");
         assert!(b.leader.check_sums().is_ok());
     }
-    // The one above goes; nothing replaces it until it is asked for again.
+    // The task above the number ends; it is not replaced until it is requested again.
     let a3 = b.attempt(task(1, 3)).unwrap();
     b.sync(A, &[], &[Outcome { attempt: a3, machine: None }]);
     b.tick(30);
-    assert_eq!(handed(&b), [0, 1, 2]);
-    b.edit(1, 80, |s| s.tasks = 4);
+    assert_eq!(bound(&b), [0, 1, 2]);
+    b.edit_job(1, 80, |s| s.tasks = 4);
     b.tick(30);
-    assert_eq!(handed(&b), [0, 1, 2, 3]);
+    assert_eq!(bound(&b), [0, 1, 2, 3]);
 }
 
-/// A new version starts only when nothing of the old one is left anywhere.
+/// A new version of a job starts only when no task of the old one is left on any machine.
 #[test]
-fn a_replacement_waits_for_the_end_of_what_it_replaces() {
+fn a_replacement_waits_for_the_end_of_the_job_that_it_replaces() {
     for record_first in [false, true] {
-        let mut b = Bench::new(1);
+        let mut b = Harness::new(1);
         b.confirm("m0", &[]);
-        b.job(1, 60, "t", "standing", "prod", 1, 1.0);
+        b.add_job(1, 60, "t", "standing", "prod", 1, 1.0);
         b.tick(30);
         let a = b.attempt(task(1, 0)).unwrap();
         b.sync(A, &[], &[Outcome { attempt: a, machine: Some(m("m0")) }]);
         let on = b.state("m0", b.token("m0"), &[(task(1, 0), a, TaskState::Running)]);
         b.sync(A, &[on], &[]);
-        b.job(2, 61, "t", "standing", "prod", 1, 1.0);
-        b.edit(2, 62, |s| s.after = vec![JobId(1)]);
+        b.add_job(2, 61, "t", "standing", "prod", 1, 1.0);
+        b.edit_job(2, 62, |s| s.after = vec![JobId(1)]);
         b.leader.jobs.remove(&JobId(2));
         b.leader.job_changed(JobId(2), &b.ledger, b.now);
-        let started = |b: &mut Bench| {
+        let started = |b: &mut Harness| {
             b.tick(100);
             b.attempt(task(2, 0)).is_some()
         };
-        assert!(!started(&mut b), "the old one is active");
+        assert!(!started(&mut b), "the old version is active");
         b.ledger.apply(&keys::end(JobId(1)), Some(&json!({"end": "aborted", "at": 1_000_000})), 70);
         b.leader.job_changed(JobId(1), &b.ledger, b.now);
         assert!(!started(&mut b), "its task is still on a machine");
-        // Either alone is not enough: the record, or that nothing is known to be bound.
-        let gone = json!({"end": "aborted", "at": 1_000_000, "gone": true});
-        let record = |b: &mut Bench| {
-            b.ledger.apply(&keys::end(JobId(1)), Some(&gone), 75);
+        // Neither is enough alone: the record, or that no task is known to be bound.
+        let terminated = json!({"end": "aborted", "at": 1_000_000, "gone": true});
+        let record = |b: &mut Harness| {
+            b.ledger.apply(&keys::end(JobId(1)), Some(&terminated), 75);
             b.leader.job_changed(JobId(1), &b.ledger, b.now);
         };
-        let empty = |b: &mut Bench| {
+        let empty = |b: &mut Harness| {
             let s = b.state("m0", b.token("m0"), &[]);
             b.sync(A, &[s], &[]);
         };
         if record_first {
             record(&mut b);
-            assert!(!started(&mut b), "it is still on a machine, whatever the record says");
+            assert!(!started(&mut b), "a task is still on a machine, whatever the record says");
             empty(&mut b);
         } else {
             empty(&mut b);
-            assert!(!started(&mut b), "that nothing is left is not recorded");
+            assert!(!started(&mut b), "that no task is left is not recorded");
             record(&mut b);
         }
         assert!(started(&mut b), "{record_first}");
@@ -655,24 +660,24 @@
 }
 
 #[test]
-fn the_log_says_who_waits_longest_and_why() {
+fn the_longest_waiting_jobs_are_listed_with_the_reason() {
     use super::waits::Why;
-    type Step = fn(&mut Bench);
+    type Step = fn(&mut Harness);
     // A job that takes all of the machine's eight CPUs.
     let fill: Step = |b| {
         b.confirm("m0", &[]);
-        b.job(8, 60, "t", "array", "standard", 1, 8.0);
+        b.add_job(8, 60, "t", "array", "standard", 1, 8.0);
         b.tick(30);
     };
-    // (what comes before, the job that waits: team, tasks, CPUs; why)
+    // (what happens before, the waiting job: team, tasks, CPUs; why it waits)
     let cases: [(&str, Step, (&str, u32, f64), Why); 6] = [
-        ("nobody heard the machine", |b| b.seq[0] += 1, ("t", 1, 1.0), Why::Unheard),
+        ("the machine has not reported", |b| b.seq[0] += 1, ("t", 1, 1.0), Why::Unheard),
         ("the machine is full", fill, ("t", 1, 8.0), Why::NoRoom),
         (
             "the machine is full, and the cloud has none",
             |b| {
                 b.confirm("m0", &[]);
-                b.job(8, 60, "t", "array", "standard", 1, 8.0);
+                b.add_job(8, 60, "t", "array", "standard", 1, 8.0);
                 b.tick(30);
                 b.leader.refused.insert(("big".into(), "east".into(), false), b.now + Micros::secs(35));
             },
@@ -683,7 +688,7 @@
             "its team is at its limit",
             |b| {
                 b.confirm("m0", &[]);
-                b.job(8, 60, "tight", "array", "standard", 1, 4.0);
+                b.add_job(8, 60, "tight", "array", "standard", 1, 4.0);
                 b.tick(30);
             },
             ("tight", 1, 4.0),
@@ -693,32 +698,32 @@
             "it replaces one that runs",
             |b| {
                 b.confirm("m0", &[]);
-                b.job(8, 60, "t", "array", "standard", 1, 1.0);
+                b.add_job(8, 60, "t", "array", "standard", 1, 1.0);
                 b.tick(30);
             },
             ("t", 1, 1.0),
             Why::Held,
         ),
-        ("nothing was handed out yet", |b| b.confirm("m0", &[]), ("t", 1, 1.0), Why::Turn),
+        ("no scheduling pass has run yet", |b| b.confirm("m0", &[]), ("t", 1, 1.0), Why::Turn),
     ];
     for (what, before, (team, tasks, cpus), want) in cases {
-        let mut b = Bench::new(1);
+        let mut b = Harness::new(1);
         before(&mut b);
-        b.job(9, if want == Why::Unheard { 40 } else { 61 }, team, "array", "standard", tasks, cpus);
+        b.add_job(9, if want == Why::Unheard { 40 } else { 61 }, team, "array", "standard", tasks, cpus);
         if want == Why::Held {
-            b.edit(9, 62, |s| s.after = vec![JobId(8)]);
+            b.edit_job(9, 62, |s| s.after = vec![JobId(8)]);
             b.leader.jobs.remove(&JobId(9));
             b.leader.job_changed(JobId(9), &b.ledger, b.now);
         }
-        assert!(b.leader.longest_waits(b.now).is_empty(), "{what}: too soon");
+        assert!(b.leader.longest_waits(b.now).is_empty(), "{what}: too early");
         let waits = b.leader.longest_waits(b.now + Micros::secs(40));
         let got: Vec<(JobId, Why)> = waits.iter().map(|w| (w.1, w.3)).collect();
         assert_eq!(got, [(JobId(9), want)], "{what}");
     }
 }
 
-/// Arrays that may run on spot machines get ordinary ones only while spot ones
-/// are sold out, after a minute of that, and no more than others hold.
+/// Arrays that may run on spot machines get ordinary ones only while spot machines are sold out,
+/// only after a minute of that, and no more ordinary machines than other work holds.
 #[test]
 fn sold_out_spot_machines_are_replaced_by_a_bounded_number_of_ordinary_ones() {
     let flavor = |price| Flavor {
@@ -733,11 +738,11 @@
         boot_s: 20.0,
         yards: vec!["east".into()],
     };
-    // (ordinary machines there, seconds since the term began, spot machines had
-    // ten seconds before, rented: ordinary ones, one of them the room that is
-    // kept for replicas where there are any)
-    // In the last one of those there is a spot machine, so that some can be had: no more
-    // than room for replicas on two.
+    // (machines present, seconds since the term began, spot machines rented ten seconds before;
+    // ordinary machines rented, including the spare capacity for replicas where there are any;
+    // whether one present machine is a spot machine)
+    // In the last case that spot machine shows that some are available, so only spare capacity
+    // for replicas on two machines is rented.
     let cases = [
         (6, 100, 0, 3 + 1, false),
         (6, 30, 0, 1, false),
@@ -746,40 +751,44 @@
         (0, 100, 0, 0, false),
         (6, 100, 0, 2, true),
     ];
-    for (there, passed, had, want, spot) in cases {
-        let mut b = Bench::new(there);
+    for (machines, passed, spot_rented, want, spot) in cases {
+        let mut b = Harness::new(machines);
         if let Some(m) = b.leader.machines.get_mut(&m("m0")).filter(|_| spot) {
             m.spot = true;
         }
-        for i in 0..there {
+        for i in 0..machines {
             b.confirm(&format!("m{i}"), &[]);
-            b.job(100 + i as u64, 60, "t", "standing", "prod", 1, 8.0);
+            b.add_job(100 + i as u64, 60, "t", "standing", "prod", 1, 8.0);
         }
         b.tick(30);
-        b.job(1, 61, "t", "array", "standard", 80, 8.0);
-        b.edit(1, 62, |s| s.spot = true);
+        b.add_job(1, 61, "t", "array", "standard", 80, 8.0);
+        b.edit_job(1, 62, |s| s.spot = true);
         b.leader.jobs.remove(&JobId(1));
         b.leader.job_changed(JobId(1), &b.ledger, b.now);
         let at = b.now + Micros::secs(passed);
-        b.leader.spot_had.push_back((at - Micros::secs(10), had));
-        // Asked for just now, and refused.
+        b.leader.spot_had.push_back((at - Micros::secs(10), spot_rented));
+        // A rental was just requested, and refused.
         b.leader.refused.insert(("big".into(), "east".into(), true), at);
         b.leader.fleet(&[flavor(Some(0.3))], at);
         let rented: u32 = b.leader.hires.values().filter(|(r, ..)| !r.spot).map(|(r, ..)| r.count).sum();
-        assert_eq!(rented, want, "{there} machines, {passed} s, {had} spot machines had, some: {spot}");
+        assert_eq!(
+            rented, want,
+            "{machines} machines, {passed} s, {spot_rented} spot machines rented, one present: {spot}"
+        );
     }
 }
 
-/// Mistaken jobs fail on every machine; one machine fails everybody's tasks.
+/// A job submitted with a mistake fails on every machine; a faulty machine fails the tasks of
+/// every job.
 #[test]
-fn a_mistaken_job_is_tried_alone_and_blames_no_machine() {
-    let mut b = Bench::new(2);
+fn a_job_that_fails_everywhere_runs_one_task_and_is_no_evidence_against_machines() {
+    let mut b = Harness::new(2);
     b.confirm("m0", &[]);
     b.confirm("m1", &[]);
     for job in [1, 2] {
-        b.job(job, 60 + job, "t", "array", "standard", 20, 1.0);
+        b.add_job(job, 60 + job, "t", "array", "standard", 20, 1.0);
     }
-    // All that runs of them fails on both machines, again and again.
+    // Each of their tasks fails on both machines, again and again.
     let mut most = Vec::new();
     for _ in 0..120 {
         b.tick(500);
@@ -801,14 +810,14 @@
         }
     }
     assert!(most[0] > 2, "{most:?}");
-    // In the last half of the minute two at a time at most, and seldom.
+    // In the last half of the minute at most two tasks at a time, and at most eight in all.
     assert!(most[60..].iter().all(|n| *n <= 2), "{most:?}");
     assert!(most[60..].iter().sum::<usize>() <= 8, "{most:?}");
     for id in ["m0", "m1"] {
         assert_eq!(b.leader.machines[&m(id)].draining, None, "{id}");
     }
-    // A job that runs well elsewhere, and fails on m0: that machine is at fault.
-    b.job(3, 90, "t", "array", "standard", 1, 1.0);
+    // A job that runs well elsewhere fails on m0, so that machine is faulty.
+    b.add_job(3, 90, "t", "array", "standard", 1, 1.0);
     if let Some(run) = b.leader.jobs.get_mut(&JobId(3)) {
         run.proven = true;
     }
@@ -824,14 +833,14 @@
     assert!(b.leader.machines[&m("m0")].draining.is_some());
 }
 
-/// Small tasks of a higher priority come without end, and take what becomes free: a job
-/// whose task needs a whole machine would never begin.
+/// Small tasks of a higher priority arrive without end and take all capacity that becomes free,
+/// so a job whose task needs a whole machine would never begin.
 #[test]
 fn an_overdue_job_begins_where_small_tasks_never_end() {
-    let mut b = Bench::new(1);
+    let mut b = Harness::new(1);
     b.confirm("m0", &[]);
-    b.job(1, 61, "t", "array", "high", 5_000, 1.0);
-    b.job(2, 62, "owner", "array", "idle", 3, 8.0);
+    b.add_job(1, 61, "t", "array", "high", 5_000, 1.0);
+    b.add_job(2, 62, "owner", "array", "idle", 3, 8.0);
     let (mut on, mut began) = (Vec::<(TaskId, Attempt, u32)>::new(), None);
     let mut after = 0;
     for half in 0..400u32 {
@@ -847,20 +856,21 @@
         b.sync(A, &[], &outcomes.clone());
         b.sync(B, &[], &outcomes);
         let state = |end: u32| if end <= half { TaskState::Done } else { TaskState::Running };
-        let told: Vec<_> = on.iter().map(|(t, a, end)| (*t, *a, state(*end))).collect();
+        let reported: Vec<_> = on.iter().map(|(t, a, end)| (*t, *a, state(*end))).collect();
         b.now = b.now + Micros(1);
-        b.confirm("m0", &told);
+        b.confirm("m0", &reported);
         on.retain(|(.., end)| *end > half);
         after += (began.is_some() && on.iter().any(|(t, ..)| t.job == JobId(1))) as u32;
     }
     let began = began.expect("it never began");
     assert!((100..130).contains(&began), "it began after {began} s");
-    // One task of it, and the others go on.
+    // One task of it runs, and tasks of the other job continue.
     assert!(after > 100, "{after}");
     assert_eq!(b.leader.machines[&m("m0")].gathers, None);
 }
 
-/// Copies of reports come late, to anybody; a new leader has nothing to compare with.
+/// Copies of reports may arrive late at any controller; a new leader has nothing to compare them
+/// with.
 #[test]
 fn copies_of_reports_prove_nothing() {
     let sizes = Sizes::from([("big".into(), Resources::have(8.0, 0.0, 32.0))]);
@@ -871,8 +881,8 @@
         addr: "a:1".into(),
     };
     let no = |tally| ReportNo { shift: 1, tally };
-    // (machine, its kind, number of the report, whether it was asked; whether it counts
-    // as seen by B, whether it is on the books then)
+    // (machine, its type, number of the report, whether it answered a probe; whether it counts
+    // as seen by B, whether the leader knows the machine then)
     let cases = [
         ("m0", "big", no(5), false, false, true),
         ("m0", "big", no(1), true, false, true),
@@ -881,42 +891,43 @@
         ("m9", "big", no(7), false, true, false),
         ("m9", "big", no(7), true, true, true),
     ];
-    for (i, (id, build, report, asked, counts, there)) in cases.into_iter().enumerate() {
-        let mut b = Bench::new(1);
+    for (i, (id, build, report, asked, counts, known)) in cases.into_iter().enumerate() {
+        let mut b = Harness::new(1);
         b.confirm("m0", &[]);
         let s = Sighting { id: m(id), report, asked };
         b.leader.seen(B, &s, &rec(build), &sizes, b.now);
         let seen = b.leader.last_seen.get(&m(id)).is_some_and(|(n, _)| *n == B);
-        assert_eq!((seen, b.leader.machines.contains_key(&m(id))), (counts, there), "case {i}");
+        assert_eq!((seen, b.leader.machines.contains_key(&m(id))), (counts, known), "case {i}");
         if id == "m9" && !asked {
-            // It is asked itself, not taken at its word.
+            // The report is not trusted: the machine is probed.
             assert_eq!(b.leader.probes, [(B, m("m9"), "a:1".to_owned())]);
         }
     }
-    // A holder's word that it was heard counts once for each report.
-    let mut b = Bench::new(1);
+    // Each report counts as contact only from the first controller that forwards it.
+    let mut b = Harness::new(1);
     b.confirm("m0", &[]);
-    let heard = b.leader.machines[&m("m0")].heard;
+    let contact = b.leader.machines[&m("m0")].heard;
     let mut s = b.state("m0", b.token("m0"), &[]);
     s.last = b.leader.machines[&m("m0")].newest;
     b.now = b.now + Micros::secs(2);
     b.sync(B, &[s], &[]);
-    assert_eq!(b.leader.machines[&m("m0")].heard, heard, "a copy at another controller");
+    assert_eq!(b.leader.machines[&m("m0")].heard, contact, "a copy at another controller");
 }
 
-/// Machines that report and hear nothing: those with tasks go before their leases end,
-/// a few at a time; where most of a controller's are so, it is its way out.
+/// Machines that report but are unreachable for commands: those with tasks are deleted before
+/// their workers' leases end, a few at a time. Where most machines of a controller are
+/// unreachable, the controller itself cannot send.
 #[test]
-fn what_hears_nothing_is_deleted_within_a_budget() {
-    // (machines, those that hear nothing, with tasks; deleted after 10 s and after 30 s)
+fn machines_unreachable_for_commands_are_deleted_within_a_budget() {
+    // (machines, how many are unreachable, whether they have tasks; deleted after 10 s, after 30 s)
     let cases = [(6, 1, true, 1, 1), (6, 1, false, 0, 1), (8, 3, true, 2, 3), (10, 9, true, 0, 2)];
-    for (machines, deaf, busy, early, late) in cases {
-        let mut b = Bench::new(machines);
+    for (machines, unreachable, busy, early, late) in cases {
+        let mut b = Harness::new(machines);
         let names: Vec<String> = (0..machines).map(|i| format!("m{i}")).collect();
         names.iter().for_each(|id| b.confirm(id, &[]));
         if busy {
             for i in 0..machines {
-                b.job(100 + i as u64, 60, "t", "array", "standard", 1, 8.0);
+                b.add_job(100 + i as u64, 60, "t", "array", "standard", 1, 8.0);
             }
             b.tick(30);
             let placed = |h: &OnItsWay| Outcome { attempt: h.out.attempt, machine: Some(h.out.hint.clone()) };
@@ -924,7 +935,7 @@
             b.sync(A, &[], &outcomes);
             b.sync(B, &[], &outcomes);
         }
-        let mut gone = Vec::new();
+        let mut deleted = Vec::new();
         for half in 1..=60 {
             b.tick(500);
             let holder = b.leader.machines[&m("m0")].holder.unwrap();
@@ -935,7 +946,7 @@
                     .iter()
                     .map(|t| Held { task: *t, attempt: b.attempt(*t).unwrap(), state: TaskState::Running })
                     .collect();
-                s.obeys = i >= deaf;
+                s.obeys = i >= unreachable;
                 let from = b.leader.machines[&m(id)].holder.unwrap_or(holder);
                 b.sync(from, &[s], &[]);
             }
@@ -943,18 +954,18 @@
             b.sync(B, &[], &[]);
             let deleting = |id: &&String| b.leader.machines[&m(id)].stage == Stage::Deleting;
             if half == 20 || half == 60 {
-                gone.push(names.iter().filter(deleting).count());
+                deleted.push(names.iter().filter(deleting).count());
             }
         }
-        assert_eq!(gone, [early, late], "{deaf} of {machines}, busy {busy}");
+        assert_eq!(deleted, [early, late], "{unreachable} of {machines}, busy {busy}");
     }
 }
 
-/// A leader that stood still has a doubt from before, and all that was said meanwhile
-/// comes at once: nobody had a chance to answer it.
+/// A leader that was frozen still suspects a machine from before the freeze, and all messages of
+/// the meantime arrive at once: the machine had no chance to answer a probe.
 #[test]
-fn a_doubt_from_before_a_freeze_dooms_nobody() {
-    let mut b = Bench::new(1);
+fn a_suspicion_from_before_a_freeze_deletes_no_machine() {
+    let mut b = Harness::new(1);
     b.confirm("m0", &[]);
     let mut s = b.state("m0", b.token("m0"), &[]);
     s.obeys = false;
@@ -968,11 +979,12 @@
     assert_eq!(b.leader.machines[&m("m0")].stage, Stage::Up);
 }
 
-/// Before a user hears of a cancellation, who doesn't know of it must not be able to order
-/// a start: it holds one that was not seen on its machine, and its block's lease may run.
+/// Before a cancellation is confirmed to the client, no controller that doesn't know of it may be
+/// able to order a start: one could if a task is assigned to it or not yet seen on its machine,
+/// while its block's lease may run.
 #[test]
-fn a_start_may_follow_from_who_does_not_know_of_the_cancellation() {
-    type Step = fn(&mut Bench, Attempt);
+fn a_controller_unaware_of_the_cancellation_may_still_order_a_start() {
+    type Step = fn(&mut Harness, Attempt);
     let nothing: Step = |_, _| {};
     let placed: Step = |b, a| b.sync(B, &[], &[Outcome { attempt: a, machine: Some(m("m0")) }]);
     let running: Step = |b, a| {
@@ -983,46 +995,53 @@
         b.sync(B, &[], &[Outcome { attempt: a, machine: Some(m("m0")) }]);
         b.leader.grant(&m("m0"), A, "test", b.now);
     };
-    let (nobody, itself, earlier) = (vec![0, 0], vec![0, 6], vec![0, 5]);
+    let (no_controller, itself, earlier) = (vec![0, 0], vec![0, 6], vec![0, 5]);
     let lease = Operator::default().block_lease;
-    // (what, what happens after the hand-out to B, who knows, whose process is gone, time
-    // since B was heard, whether a start may follow)
+    // (what, what happens after the assignment to B, which controllers know, which process has
+    // exited, time since the last contact with B, whether a start may still be ordered)
     let cases = [
-        ("handed out", nothing, &nobody, None, Micros(0), true),
-        ("handed out, and it knows", nothing, &itself, None, Micros(0), false),
-        ("an earlier process of it knew", nothing, &earlier, None, Micros(0), true),
-        ("its process is gone", nothing, &nobody, Some(B), Micros(0), false),
-        ("another's process is gone", nothing, &nobody, Some(A), Micros(0), true),
-        ("its lease may run", nothing, &nobody, None, lease - Micros::millis(1), true),
-        ("its lease has run out", nothing, &nobody, None, lease, false),
+        ("assigned", nothing, &no_controller, None, Micros(0), true),
+        ("assigned, and B knows", nothing, &itself, None, Micros(0), false),
+        ("an earlier process of B knew", nothing, &earlier, None, Micros(0), true),
+        ("B's process has exited", nothing, &no_controller, Some(B), Micros(0), false),
+        ("another controller's process has exited", nothing, &no_controller, Some(A), Micros(0), true),
+        ("B's lease may run", nothing, &no_controller, None, lease - Micros::millis(1), true),
+        ("B's lease has expired", nothing, &no_controller, None, lease, false),
         (
             "refused",
             |b, a| b.sync(B, &[], &[Outcome { attempt: a, machine: None }]),
-            &nobody,
+            &no_controller,
             None,
             Micros(0),
             false,
         ),
-        ("starting", placed, &nobody, None, Micros(0), true),
-        ("starting, and it knows", placed, &itself, None, Micros(0), false),
-        ("running", running, &nobody, None, Micros(0), false),
-        ("its machine is granted to another, whose token is not seen", moved, &nobody, None, Micros(0), true),
+        ("starting", placed, &no_controller, None, Micros(0), true),
+        ("starting, and B knows", placed, &itself, None, Micros(0), false),
+        ("running", running, &no_controller, None, Micros(0), false),
+        (
+            "its machine is granted to another controller, whose token it has not reported",
+            moved,
+            &no_controller,
+            None,
+            Micros(0),
+            true,
+        ),
         (
             "its machine is deleted",
             |b, _| b.leader.deleted(&[m("m0")], b.now),
-            &nobody,
+            &no_controller,
             None,
             Micros(0),
             false,
         ),
     ];
     for (what, step, known_by, ended, later, want) in cases {
-        let mut b = Bench::new(1);
+        let mut b = Harness::new(1);
         b.leader.grant(&m("m0"), B, "test", b.now);
         b.confirm("m0", &[]);
-        b.job(1, 60, "t", "array", "standard", 1, 4.0);
+        b.add_job(1, 60, "t", "array", "standard", 1, 4.0);
         b.tick(30);
-        let attempt = b.attempt(task(1, 0)).expect("handed out");
+        let attempt = b.attempt(task(1, 0)).expect("assigned");
         b.sync(B, &[], &[]);
         step(&mut b, attempt);
         let ended: Vec<NodeId> = ended.into_iter().collect();
@@ -1032,25 +1051,25 @@
 }
 
 #[test]
-fn pages_of_the_list_leave_calls_for_what_is_rented() {
-    let mut b = Bench::new(1);
+fn list_pages_leave_cloud_calls_for_rentals() {
+    let mut b = Harness::new(1);
     let page = |name: &str, truncated| {
         let rental = json!({"ref": name, "addr": "", "build": "other", "yard": "east", "loaners": false,
             "stage": "running", "held_s": 1.0});
         serde_json::from_value(json!({"hosts": [rental], "truncated": truncated})).unwrap()
     };
-    // (what the last page was; after so many milliseconds, the next one after this machine)
+    // (the last page; milliseconds until the next, and the machine after which that starts)
     let steps: [(Option<Rentals>, u64, Option<&str>); 4] = [
         (Some(page("m500", true)), 400, Some("m500")),
         (Some(page("m900", true)), 400, Some("m900")),
-        // A call that failed is made again.
+        // A failed call is repeated.
         (None, 400, Some("m900")),
         (Some(page("m999", false)), 2_000, None),
     ];
     let sizes = Sizes::default();
     for (i, (last, pause, from)) in steps.into_iter().enumerate() {
         b.leader.listed(last.as_ref(), &sizes, b.now);
-        let lists = |b: &mut Bench, ms| {
+        let lists = |b: &mut Harness, ms| {
             let wishes = b.leader.fleet(&[], b.now + Micros::millis(ms));
             wishes.into_iter().find(|w| matches!(w, CloudWish::List(_)))
         };
@@ -1061,14 +1080,14 @@
 }
 
 #[test]
-fn many_machines_are_asked_for_in_several_rentals() {
+fn many_machines_are_requested_in_several_rentals() {
     let want = Want { build: "big".into(), zone: "east".into(), spot: false };
-    // (machines, rentals that may be open; machines in each)
+    // (machines, maximum of open rentals; machines in each)
     let cases: [(u32, usize, &[u32]); 3] = [(7, 6, &[7]), (166, 6, &[50, 50, 50, 16]), (250, 2, &[50, 50])];
     for (machines, open, counts) in cases {
-        let mut b = Bench::new(0);
+        let mut b = Harness::new(0);
         b.leader.ask_for(&want, machines, open, b.now);
-        let asked: Vec<u32> = b.leader.hires.values().map(|(r, ..)| r.count).collect();
-        assert_eq!(asked, counts, "{machines} machines");
+        let requested: Vec<u32> = b.leader.hires.values().map(|(r, ..)| r.count).collect();
+        assert_eq!(requested, counts, "{machines} machines");
     }
 }
--- a/crates/core/src/leader/tests/hand_outs.rs
+++ b/crates/core/src/leader/tests/hand_outs.rs
@@ -1,32 +1,33 @@
-//! What the leader keeps of tasks that were handed out and whose place is not known.
+//! Assigned tasks whose machine is not known: memory use and release.
 use super::*;
 
 const MACHINES: usize = 200;
 const TASKS: u32 = 600;
-/// Machines that get a new grant and confirm it while the tasks are on their way.
+/// Machines that get a new grant and confirm it while the assignments have no outcome.
 const CONFIRMED: usize = 40;
 
-/// Names of machines that all hand-outs together keep; those that share a set count once.
-fn names_kept(leader: &Leader) -> usize {
-    let handed = leader.jobs.values().flat_map(|run| run.bound.values()).filter_map(|b| b.handed.as_ref());
+/// Machine names that all assignments store together; a shared set counts once.
+fn stored_names(leader: &Leader) -> usize {
+    let unresolved =
+        leader.jobs.values().flat_map(|run| run.bound.values()).filter_map(|b| b.handed.as_ref());
     let sets: BTreeMap<*const BTreeSet<MachineId>, usize> =
-        handed.map(|h| (Rc::as_ptr(&h.machines), h.machines.len())).collect();
+        unresolved.map(|h| (Rc::as_ptr(&h.machines), h.machines.len())).collect();
     sets.values().sum()
 }
 
-/// Once, every machine that confirmed a new grant gave each hand-out a set of machines of its
-/// own: a leader with thousands of both ran out of memory and fell behind for good.
+/// Each machine that confirmed a new grant used to give each assignment its own copy of the
+/// machine set: a leader with thousands of both ran out of memory and never caught up.
 #[test]
-fn hand_outs_keep_no_sets_of_their_own_as_machines_are_confirmed() {
-    let mut b = Bench::new(MACHINES);
+fn assignments_share_their_machine_sets_as_machines_are_confirmed() {
+    let mut b = Harness::new(MACHINES);
     for i in 0..MACHINES {
         b.confirm(&format!("m{i}"), &[]);
     }
-    b.job(1, 60, "t", "array", "standard", TASKS, 1.0);
+    b.add_job(1, 60, "t", "array", "standard", TASKS, 1.0);
     b.tick(30);
-    let on_their_way = b.leader.handed.len();
-    assert_eq!(on_their_way, TASKS as usize);
-    let before = names_kept(&b.leader);
+    let unresolved = b.leader.handed.len();
+    assert_eq!(unresolved, TASKS as usize);
+    let before = stored_names(&b.leader);
     for i in 0..CONFIRMED {
         let id = format!("m{i}");
         let holder = b.leader.machines[&m(&id)].holder.unwrap();
@@ -34,26 +35,29 @@
         b.confirm(&id, &[]);
     }
     assert_eq!(b.leader.check_sums(), Ok(()));
-    assert_eq!(b.leader.handed.len(), on_their_way, "other machines may hold them");
-    let kept = names_kept(&b.leader);
-    assert!(kept <= before, "{before} names before, {kept} after {CONFIRMED} machines confirmed new grants");
+    assert_eq!(b.leader.handed.len(), unresolved, "other machines may hold them");
+    let after = stored_names(&b.leader);
+    assert!(
+        after <= before,
+        "{before} names before, {after} after {CONFIRMED} machines confirmed new grants"
+    );
 }
 
-/// Whatever the order in which machines are ruled out, a task stays bound until the last one
-/// of its block is, also when its job allows other machines meanwhile.
+/// Whatever the order in which machines are ruled out, a task stays bound until the last machine
+/// of its block is, also when its job comes to allow other machines in the meantime.
 #[test]
-fn a_hand_out_is_free_only_once_its_whole_block_is_ruled_out() {
+fn a_task_is_released_only_once_its_whole_block_is_ruled_out() {
     for seed in 0..200 {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let mut b = Bench::new(8);
+        let mut b = Harness::new(8);
         let all: Vec<String> = (0..8).map(|i| format!("m{i}")).collect();
         all.iter().for_each(|id| b.confirm(id, &[]));
-        // Some are spot machines, which the job doesn't allow at first.
+        // Some are spot machines, which the job does not allow at first.
         let spot: Vec<bool> = all.iter().map(|_| rng.u32(0..3) == 0).collect();
         for (id, spot) in all.iter().zip(&spot) {
             b.leader.machines.get_mut(&m(id)).unwrap().spot = *spot;
         }
-        b.job(1, 60, "t", "array", "standard", 1, 4.0);
+        b.add_job(1, 60, "t", "array", "standard", 1, 4.0);
         b.tick(30);
         let Some(attempt) = b.attempt(task(1, 0)) else { continue };
         let block = b.leader.jobs[&JobId(1)].bound[&0].handed.as_ref().unwrap().machines.clone();
@@ -64,7 +68,7 @@
         while let Some(id) = left.pop() {
             if !widened && left.len() == widens_at {
                 widened = true;
-                b.edit(1, 70, |spec| spec.spot = true);
+                b.edit_job(1, 70, |spec| spec.spot = true);
             }
             match rng.u32(0..3) {
                 0 => b.leader.deleted(&[m(&id)], b.now),
@@ -80,8 +84,8 @@
                 b.leader.machines.get(&m(id)).is_some_and(|m| m.suits(spec))
             };
             let bound = b.attempt(task(1, 0)) == Some(attempt);
-            assert!(bound || !left.iter().any(allowed), "seed {seed}: free, and may be on {left:?}");
+            assert!(bound || !left.iter().any(allowed), "seed {seed}: released, and may be on {left:?}");
         }
-        assert_ne!(b.attempt(task(1, 0)), Some(attempt), "seed {seed}: nothing is left, and it is bound");
+        assert_ne!(b.attempt(task(1, 0)), Some(attempt), "seed {seed}: no machine is left, and it is bound");
     }
 }
--- a/crates/core/src/leader/tests/limits.rs
+++ b/crates/core/src/leader/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Every record of the leader within the limits of the state service.
+//! Every record of the leader stays within the limits of the state service.
 use super::*;
 use crate::jobs::{CHUNK, FAILED_CHUNK};
 use crate::leader::changes::{Changes, Recording};
@@ -12,7 +12,8 @@
 const RECORD: &str = "g/h/host-000000";
 const MACHINES: usize = 102;
 
-/// Now and next of both sites, and the least that is worth a test.
+/// The present and the planned limits of both sites, and the smallest ones worth a test, as
+/// (bytes of a value, operations of a transaction).
 const LIMITS: [(usize, usize); 5] = [(16_000, 24), (8000, 8), (4000, 8), (2000, 4), (1000, 3)];
 
 fn limits((value_bytes, txn_ops): (usize, usize)) -> StoreLimits {
@@ -23,11 +24,11 @@
     m(&format!("host-{i:06}"))
 }
 
-/// Machines, all on one record of 4 KiB as the version before wrote it; an array
-/// of 100,000 tasks of which all but the last are done, an eighth of them on
-/// record; a job of which 64 tasks have failed.
-fn bench() -> Bench {
-    let mut b = Bench::new(0);
+/// Machines, all in one record of 4 KiB as the previous version wrote it; an array of 100,000
+/// tasks of which all but the last are done and the first eight of each full chunk are
+/// recorded; a job of which 64 tasks (one chunk) have failed.
+fn harness_with_long_records() -> Harness {
+    let mut b = Harness::new(0);
     let machines: Vec<(MachineId, String)> =
         (0..MACHINES).map(|i| (name(i), format!("10.20.{i}.{i}:8000"))).collect();
     let list = machines.iter().map(|(id, addr)| (id, addr.as_str()));
@@ -37,9 +38,9 @@
     b.ledger.apply(RECORD, Some(&record), 1);
     let sizes = Sizes::from([("sedlo".into(), Resources::have(8.0, 0.0, 32.0))]);
     b.leader = Leader::new(context(), TERM, 50, &b.ledger, &sizes, b.now, 1_000_000);
-    b.job(LONG.0, 60, "t", "array", "standard", TASKS, 1.0);
-    b.job(FAILING.0, 61, "t", "array", "standard", 100, 1.0);
-    b.edit(FAILING.0, 62, |spec| spec.attempts = Some(9));
+    b.add_job(LONG.0, 60, "t", "array", "standard", TASKS, 1.0);
+    b.add_job(FAILING.0, 61, "t", "array", "standard", 100, 1.0);
+    b.edit_job(FAILING.0, 62, |spec| spec.attempts = Some(9));
     for chunk in 0..TASKS / CHUNK {
         b.ledger.apply(&keys::progress(LONG, chunk), Some(&json!("ff")), 63);
     }
@@ -54,7 +55,7 @@
     b
 }
 
-fn changes(b: &Bench, write: &LeaderWrite, limits: &StoreLimits) -> Option<Changes> {
+fn changes(b: &Harness, write: &LeaderWrite, limits: &StoreLimits) -> Option<Changes> {
     let recording =
         Recording { ledger: &b.ledger, limits, wall_ms: 1_700_000_000_000, may_create: &|_| true };
     b.leader.changes(write, &recording)
@@ -71,7 +72,7 @@
 
 fn check(what: &str, changes: &Changes, limits: &StoreLimits) {
     assert!(changes.writes.len() <= limits.txn_ops, "{what}: {} changes", changes.writes.len());
-    // The leader's key is one more.
+    // The condition on the leader's key is one more.
     assert!(changes.conditions.len() < limits.txn_conditions(), "{what}");
     assert!(changes.len() < 60_000, "{what}: {} bytes", changes.len());
     for write in &changes.writes {
@@ -82,11 +83,11 @@
 }
 
 #[test]
-fn every_record_keeps_to_the_limits() {
+fn every_record_stays_within_the_limits() {
     for limit in LIMITS {
         let limits = limits(limit);
-        let mut b = bench();
-        // None of them recorded: what a large rental looks like.
+        let mut b = harness_with_long_records();
+        // No machine is recorded, as after a large rental.
         b.leader.machines.values_mut().for_each(|m| (m.recorded, m.stage) = (false, Stage::Up));
         let listed = b.leader.writes(&b.ledger, limits.value_bytes, b.now);
         let machines = listed.into_iter().find(|w| matches!(w, LeaderWrite::Machines(_))).unwrap();
@@ -105,7 +106,7 @@
         for write in &writes {
             let what = format!("{limit:?} {write:?}");
             if limit.0 == 1000 && matches!(write, LeaderWrite::Forget(_)) {
-                // 102 machines take more records than three: it stays as it is.
+                // 102 machines need more than three records: the record stays unchanged.
                 assert_eq!(changes(&b, write, &limits), None, "{what}");
                 continue;
             }
@@ -115,14 +116,14 @@
 }
 
 #[test]
-fn what_is_spread_over_keys_is_read_whole() {
+fn a_record_spread_over_keys_is_read_completely() {
     for limit in LIMITS {
         let limits = limits(limit);
-        let mut b = bench();
+        let mut b = harness_with_long_records();
         let listings = [LeaderWrite::Progress(LONG, 0), LeaderWrite::Failures(FAILING, 0)];
         for (stamp, write) in (70..).zip(&listings) {
             let changes = changes(&b, write, &limits).unwrap();
-            // In the order of the transaction, and in that of the keys.
+            // Applied in the order of the keys, and in that of the transaction.
             let mut sorted = changes.clone();
             sorted.writes.sort_by_key(|w| match w {
                 Write::Put { put, .. } => put.clone(),
@@ -138,17 +139,17 @@
         let failing = &b.ledger.jobs[&FAILING];
         assert_eq!(failing.failed, b.leader.jobs[&FAILING].fails, "{limit:?}");
         assert_eq!(failing.failed_stamps[&0], 71, "{limit:?}");
-        // A further write is over what was read.
+        // The next write is on the condition of the version that was read.
         let again = changes(&b, &listings[0], &limits).unwrap();
         assert_eq!(again.conditions[0].stamp, 70, "{limit:?}");
     }
 }
 
-/// The version before parsed the last part of a key as a number and added the
-/// words in their places, whatever the number's spelling.
+/// The previous version parses the last part of a key as a number, whatever its spelling, and
+/// adds the words at their positions.
 #[test]
-fn the_version_before_reads_further_parts_of_progress() {
-    let b = bench();
+fn the_previous_version_reads_further_parts_of_progress() {
+    let b = harness_with_long_records();
     let changes = changes(&b, &LeaderWrite::Progress(LONG, 0), &limits((2000, 4))).unwrap();
     assert_eq!(changes.writes.len(), 2);
     let mut done = TaskSet::default();
@@ -166,13 +167,13 @@
     assert_eq!(done.len(), CHUNK);
 }
 
-/// A record of the version before is written anew within the limits, over
-/// several keys, and no machine is forgotten on the way or afterwards.
+/// A record of the previous version is rewritten within the limits, over several keys, and no
+/// machine is missing from the records during that or afterwards.
 #[test]
 fn a_long_record_of_machines_is_split() {
     for limit in [(4000, 8), (2000, 4)] {
         let limits = limits(limit);
-        let mut b = bench();
+        let mut b = harness_with_long_records();
         b.leader.gone.insert(name(3), (b.now, 0));
         let changes = changes(&b, &LeaderWrite::Forget(RECORD.into()), &limits).unwrap();
         let records = if limit.0 == 4000 { 1 } else { 3 };
@@ -188,25 +189,25 @@
         let writes = b.leader.writes(&b.ledger, limits.value_bytes, b.now);
         assert!(!writes.iter().any(|w| matches!(w, LeaderWrite::Forget(_))), "{limit:?}: {writes:?}");
     }
-    // A key that is there, or that can't be had, is passed over for another.
-    let mut b = bench();
+    // A key that exists, or that may not be created, is skipped for another.
+    let mut b = harness_with_long_records();
     b.leader.gone.insert(name(3), (b.now, 0));
     let small = limits((2000, 4));
     let first = changes(&b, &LeaderWrite::Forget(RECORD.into()), &small).unwrap();
-    let taken = first.conditions[1].path.clone();
-    let free = |key: &str| key != taken;
+    let unavailable = first.conditions[1].path.clone();
+    let free = |key: &str| key != unavailable;
     let recording = Recording { ledger: &b.ledger, limits: &small, wall_ms: 0, may_create: &free };
     let second = b.leader.changes(&LeaderWrite::Forget(RECORD.into()), &recording).unwrap();
-    assert!(second.conditions.iter().all(|c| c.path != taken));
+    assert!(second.conditions.iter().all(|c| c.path != unavailable));
     assert_eq!(second.writes.len(), first.writes.len());
 }
 
-/// A job of more records than a transaction has room for ends all the same; what
-/// is left says nothing any more.
+/// A job with more records than a transaction may change ends all the same; the remaining
+/// records have no effect.
 #[test]
 fn a_job_with_many_records_ends() {
     let small = limits((2000, 4));
-    let mut b = bench();
+    let mut b = harness_with_long_records();
     let write = LeaderWrite::Progress(LONG, 0);
     let progress = changes(&b, &write, &small).unwrap();
     apply(&mut b.ledger, &progress, 70);
