--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -1,5 +1,5 @@
 //! Jobs, and the mirror of the state service that every controller keeps.
-use crate::books::Witnesses;
+use crate::placement_log::Witnesses;
 use crate::dependencies::{DependencyGraph, Outcome};
 use crate::limits::{StoreLimits, value_len};
 use gorseshore_protocol::ids::{JobId, MachineId, Resources};
--- a/crates/core/src/leader/books.rs
+++ b/crates/core/src/leader/books.rs
@@ -2,7 +2,7 @@
 //! log of the earlier leader (see `crate::placement_log` for the invariants).
 use super::assignments::{Handed, first_watched};
 use super::*;
-use crate::books::{Book, Entry, Page, Witnesses};
+use crate::placement_log::{Book, Entry, Page, Witnesses};
 
 impl Leader {
     /// Controllers that are in contact, with their incarnations.
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -31,7 +31,7 @@
 use wishes::HireStage;
 pub use wishes::{CloudWish, HireRequest, LeaderWrite};
 
-use crate::books::Ledgers;
+use crate::placement_log::Ledgers;
 use crate::controller::{ASK_TIMEOUT, ASKED_AFTER, Sizes};
 use crate::dependencies::Urgency;
 use crate::fair_queue::FairQueue;
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,7 +1,7 @@
 //! The service without input or output: a state machine that takes inputs,
 //! time among them, and returns what to send, ask and answer.
 #![warn(missing_docs)]
-pub mod books;
+pub mod placement_log;
 pub mod controller;
 pub mod dependencies;
 pub mod deputy;
--- a/crates/core/src/node/duties.rs
+++ b/crates/core/src/node/duties.rs
@@ -1,6 +1,6 @@
 //! What is due as time goes on: the mirror, the election, the leader's work.
 use super::*;
-use crate::books::Page;
+use crate::placement_log::Page;
 use crate::leader::changes::{Changes, Recording};
 
 /// Longest transaction of several records; the state service takes 64 KiB.
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -28,7 +28,7 @@
 use status::{Gauges, RefusalReason, ServiceStatus};
 use waiting::{MAX_WAITING, UserWrite, Users, Waiter};
 
-use crate::books::{Book, Kept};
+use crate::placement_log::{Book, Kept};
 use crate::controller::{CheckinReply, Controller, read_tasks};
 use crate::deputy::Deputy;
 use crate::election::Role;
--- a/crates/core/src/peer.rs
+++ b/crates/core/src/peer.rs
@@ -1,6 +1,6 @@
 //! What controllers say to each other: borsh messages, framed by a length and
 //! a version, one way on a connection that the sender opens.
-use crate::books::Page;
+use crate::placement_log::Page;
 use borsh::{BorshDeserialize, BorshSerialize};
 use gorseshore_protocol::ids::{Attempt, Baton, JobId, MachineId, Micros, NodeId, TaskId};
 use gorseshore_protocol::workers::ReportNo;
--- a/crates/core/src/peer/inbox/tests.rs
+++ b/crates/core/src/peer/inbox/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::books::Page;
+use crate::placement_log::Page;
 use gorseshore_protocol::ids::JobId;
 
 fn view(term: u64, seq: u64, base: u64) -> Message {
--- a/crates/core/tests/record_compatibility.rs
+++ b/crates/core/tests/record_compatibility.rs
@@ -4,7 +4,7 @@
 mod production;
 
 use data_encoding::BASE64;
-use gorseshore_core::books::Witnesses;
+use gorseshore_core::placement_log::Witnesses;
 use gorseshore_core::jobs::{Failures, Ledger, Phase, TaskSet, description, job_value, keys, machines_value};
 use gorseshore_core::node::Node;
 use gorseshore_core::peer::{Envelope, Message};
--- a/crates/standins/src/scale.rs
+++ b/crates/standins/src/scale.rs
@@ -4,7 +4,7 @@
 //! no time and are not encoded. What is measured is their processing only.
 use crate::cloud::flavor;
 use crate::worker::{Facts, Machine};
-use gorseshore_core::books::Kept;
+use gorseshore_core::placement_log::Kept;
 use gorseshore_core::controller::{CheckinReply, Controller, Sizes, read_tasks};
 use gorseshore_core::jobs::{Ledger, job_value, keys, machines_value};
 use gorseshore_core::leader::{Context, Leader, View};
