--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -3,7 +3,7 @@
 mod assignments;
 mod bindings;
 mod blocks;
-mod books;
+mod log_replication;
 mod cancelled;
 pub mod changes;
 mod deaf;
