--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -1,5 +1,5 @@
 //! Leader: binding and release of tasks, deletion of machines, limits, rentals, cancellations.
-mod hand_outs;
+mod task_assignments;
 mod lateness;
 mod limits;
 
