--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -1,7 +1,7 @@
 //! Jobs, and the mirror of the state service that every controller keeps.
-use crate::placement_log::Witnesses;
 use crate::dependencies::{DependencyGraph, Outcome};
 use crate::limits::{StoreLimits, value_len};
+use crate::placement_log::Witnesses;
 use gorseshore_protocol::ids::{JobId, MachineId, Resources};
 use gorseshore_protocol::job::{JobSpec, Kind, Preference, Rank};
 use gorseshore_protocol::workers::Report;
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -3,13 +3,13 @@
 mod assignments;
 mod bindings;
 mod blocks;
-mod log_replication;
 mod cancelled;
 pub mod changes;
 mod deaf;
 mod dependents;
 pub mod growth;
 pub mod health;
+mod log_replication;
 mod machine;
 mod machines;
 mod messages;
@@ -31,7 +31,6 @@
 use wishes::HireStage;
 pub use wishes::{CloudWish, HireRequest, LeaderWrite};
 
-use crate::placement_log::Ledgers;
 use crate::controller::{ASK_TIMEOUT, ASKED_AFTER, Sizes};
 use crate::dependencies::Urgency;
 use crate::fair_queue::FairQueue;
@@ -44,6 +43,7 @@
     GrantedMachine, HandOut, MachineState, Message, Outcome, Sighting, StopRequest, TaskState,
 };
 use crate::placement::{self, Candidate};
+use crate::placement_log::Ledgers;
 use gorseshore_protocol::cloud::{Flavor, Rentals};
 use gorseshore_protocol::ids::{
     Attempt, Baton, EPOCH_BITS, JobId, MachineId, Micros, NodeId, Resources, TaskId,
--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -1,7 +1,7 @@
 //! Leader: binding and release of tasks, deletion of machines, limits, rentals, cancellations.
-mod task_assignments;
 mod lateness;
 mod limits;
+mod task_assignments;
 
 use super::*;
 use crate::jobs::{job_value, keys};
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,7 +1,6 @@
 //! The service without input or output: a state machine that takes inputs,
 //! time among them, and returns what to send, ask and answer.
 #![warn(missing_docs)]
-pub mod placement_log;
 pub mod controller;
 pub mod dependencies;
 pub mod deputy;
@@ -17,6 +16,7 @@
 pub mod node;
 pub mod peer;
 pub mod placement;
+pub mod placement_log;
 pub mod rate;
 
 use crate::peer::Message;
--- a/crates/core/src/node/duties.rs
+++ b/crates/core/src/node/duties.rs
@@ -1,7 +1,7 @@
 //! What is due as time goes on: the mirror, the election, the leader's work.
 use super::*;
-use crate::placement_log::Page;
 use crate::leader::changes::{Changes, Recording};
+use crate::placement_log::Page;
 
 /// Longest transaction of several records; the state service takes 64 KiB.
 const MAX_TXN_BYTES: usize = 50_000;
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -28,7 +28,6 @@
 use status::{Gauges, RefusalReason, ServiceStatus};
 use waiting::{MAX_WAITING, UserWrite, Users, Waiter};
 
-use crate::placement_log::{Book, Kept};
 use crate::controller::{CheckinReply, Controller, read_tasks};
 use crate::deputy::Deputy;
 use crate::election::Role;
@@ -38,6 +37,7 @@
 use crate::limits::StoreLimits;
 use crate::liveness::LivenessMonitor;
 use crate::peer::{Envelope, Message, Sighting};
+use crate::placement_log::{Book, Kept};
 use crate::{Call, CallId, CallResult, Input, Outbox, Output, RequestId, Target};
 use gorseshore_protocol::cloud::{Flavors, Hosts, Rentals};
 use gorseshore_protocol::ids::{Attempt, JobId, MachineId, Micros, NodeId, OWN_IDS, Resources, TaskId};
--- a/crates/core/tests/record_compatibility.rs
+++ b/crates/core/tests/record_compatibility.rs
@@ -4,10 +4,10 @@
 mod production;
 
 use data_encoding::BASE64;
-use gorseshore_core::placement_log::Witnesses;
 use gorseshore_core::jobs::{Failures, Ledger, Phase, TaskSet, description, job_value, keys, machines_value};
 use gorseshore_core::node::Node;
 use gorseshore_core::peer::{Envelope, Message};
+use gorseshore_core::placement_log::Witnesses;
 use gorseshore_core::{Call, CallResult, Input, Output, Target};
 use gorseshore_protocol::ids::{JobId, MachineId, Micros, NodeId};
 use gorseshore_protocol::job::{JobSpec, Kind, Rank};
--- a/crates/core/tests/wire_compatibility.rs
+++ b/crates/core/tests/wire_compatibility.rs
@@ -7,11 +7,11 @@
 //! production doesn't know may only go to processes that have said that they know
 //! it (`docs/operations.md`).
 use data_encoding::HEXLOWER;
-use gorseshore_core::placement_log::{Entry, Page};
 use gorseshore_core::peer::{
     Cancellation, Envelope, FrameError, GrantedMachine, HEAD, HandOut, Held, MAX_FRAME, MachineState,
     Message, Outcome, Sighting, StopRequest, TaskState, VERSION, decode_body, decode_head, encode,
 };
+use gorseshore_core::placement_log::{Entry, Page};
 use gorseshore_protocol::ids::{Attempt, Baton, JobId, MachineId, Micros, NodeId, TaskId};
 use gorseshore_protocol::workers::ReportNo;
 
--- a/crates/standins/src/scale.rs
+++ b/crates/standins/src/scale.rs
@@ -4,11 +4,11 @@
 //! no time and are not encoded. What is measured is their processing only.
 use crate::cloud::flavor;
 use crate::worker::{Facts, Machine};
-use gorseshore_core::placement_log::Kept;
 use gorseshore_core::controller::{CheckinReply, Controller, Sizes, read_tasks};
 use gorseshore_core::jobs::{Ledger, job_value, keys, machines_value};
 use gorseshore_core::leader::{Context, Leader, View};
 use gorseshore_core::peer::Message;
+use gorseshore_core::placement_log::Kept;
 use gorseshore_protocol::ids::{JobId, MachineId, Micros, NodeId, Resources, TaskId};
 use gorseshore_protocol::users::parse_submission;
 use gorseshore_settings::{Operator, Team};
