--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -43,7 +43,7 @@
     GrantedMachine, HandOut, MachineState, Message, Outcome, Sighting, StopRequest, TaskState,
 };
 use crate::placement::{self, Candidate};
-use crate::placement_log::Ledgers;
+use crate::placement_log::PlacementLog;
 use gorseshore_protocol::cloud::{Flavor, Rentals};
 use gorseshore_protocol::ids::{
     Attempt, Baton, EPOCH_BITS, JobId, MachineId, Micros, NodeId, Resources, TaskId,
@@ -197,7 +197,7 @@
     aborted: BTreeMap<JobId, Micros>,
     /// Assignments whose outcome is not known.
     handouts: BTreeMap<Attempt, OnItsWay>,
-    books: Ledgers,
+    books: PlacementLog,
     /// It waits for the placement log of the earlier leader.
     awaits_log: bool,
     /// Jobs that wait for the end of jobs that they replace or depend on.
@@ -272,7 +272,7 @@
         let nodes = vec![Node::default(); ctx.zones.len()];
         let lag = ctx.list_lag;
         let (record, stamp_of) = ledger.books.clone();
-        let books = Ledgers::new(term, ctx.me, ctx.names.clone(), ctx.zones.clone(), record, stamp_of);
+        let books = PlacementLog::new(term, ctx.me, ctx.names.clone(), ctx.zones.clone(), record, stamp_of);
         let mut l = Leader {
             term,
             ctx,
--- a/crates/core/src/placement_log.rs
+++ b/crates/core/src/placement_log.rs
@@ -191,7 +191,7 @@
 
 /// The leader's side: the log of changes, the progress of each replica, and their record.
 #[derive(Debug)]
-pub struct Ledgers {
+pub struct PlacementLog {
     term: u64,
     /// The leader's own id, and all controllers' names and zones.
     me: NodeId,
@@ -221,7 +221,7 @@
     pub coverage_changed: bool,
 }
 
-impl Ledgers {
+impl PlacementLog {
     /// For a term; `record` and its version `stamp` as the leader's state replica has them.
     pub fn new(
         term: u64,
@@ -231,7 +231,7 @@
         record: Witnesses,
         stamp: u64,
     ) -> Self {
-        Ledgers {
+        PlacementLog {
             term,
             me,
             progress: vec![ReplicaProgress::new(0); names.len()],
--- a/crates/core/src/placement_log/tests.rs
+++ b/crates/core/src/placement_log/tests.rs
@@ -62,10 +62,10 @@
     let zones: Vec<String> = ["a", "a", "b"].map(String::from).to_vec();
     let (me, n1, n2) = (NodeId(0), (NodeId(1), 7), (NodeId(2), 8));
     let mut l =
-        Ledgers::new(4, me, names, zones, Witnesses { term: 3, led: 4, nodes: vec![("n1".into(), 7)] }, 50);
+        PlacementLog::new(4, me, names, zones, Witnesses { term: 3, led: 4, nodes: vec![("n1".into(), 7)] }, 50);
     let mut now = Micros::secs(10);
     let began = now;
-    let covered = |l: &Ledgers| l.covered();
+    let covered = |l: &PlacementLog| l.covered();
     // No controller holds this term's log, whichever held the earlier term's.
     assert_eq!(covered(&l), None);
     assert_eq!(l.due_updates(&[n1, n2], now), [(n2.0, 0), (n1.0, 0)]);
@@ -122,7 +122,7 @@
         let names: Vec<String> = ["n0", "n1"].map(String::from).to_vec();
         let zones: Vec<String> = ["a", "b"].map(String::from).to_vec();
         let began = Micros::secs(10);
-        let mut l = Ledgers::new(4, NodeId(0), names, zones, Witnesses::default(), 50);
+        let mut l = PlacementLog::new(4, NodeId(0), names, zones, Witnesses::default(), 50);
         l.due_updates(&[(n1, 7)], began);
         l.acknowledged(n1, 7, 1, began);
         l.update_record(&Witnesses { term: 4, led: 4, nodes: vec![("n1".into(), 7)] }, 60);
@@ -149,7 +149,7 @@
     let names: Vec<String> = ["n0", "n1"].map(String::from).to_vec();
     let zones: Vec<String> = ["a", "b"].map(String::from).to_vec();
     let (me, n1, began) = (NodeId(0), (NodeId(1), 7), Micros::secs(10));
-    let mut l = Ledgers::new(4, me, names, zones, Witnesses::default(), 50);
+    let mut l = PlacementLog::new(4, me, names, zones, Witnesses::default(), 50);
     l.due_updates(&[n1], began);
     l.acknowledged(n1.0, 7, 1, began);
     let none = Witnesses { term: 4, led: 4, nodes: Vec::new() };
