--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -1,7 +1,7 @@
 //! Jobs, and the mirror of the state service that every controller keeps.
 use crate::dependencies::{DependencyGraph, Outcome};
 use crate::limits::{StoreLimits, value_len};
-use crate::placement_log::Witnesses;
+use crate::placement_log::StandbyReplicas;
 use gorseshore_protocol::ids::{JobId, MachineId, Resources};
 use gorseshore_protocol::job::{JobSpec, Kind, Preference, Rank};
 use gorseshore_protocol::workers::Report;
@@ -562,7 +562,7 @@
     /// The term and its version.
     pub term: (u64, u64),
     /// Who holds the leaders' books, and the record's version.
-    pub books: (Witnesses, u64),
+    pub books: (StandbyReplicas, u64),
     /// Everything up to this revision is applied.
     pub applied: u64,
     /// Keys of the guest's space that a listing came by, if there is a guest.
@@ -600,7 +600,7 @@
         }
         if path == keys::BOOKS {
             // What can't be read counts as nobody.
-            let record = value.and_then(|v| Witnesses::deserialize(v).ok()).unwrap_or_default();
+            let record = value.and_then(|v| StandbyReplicas::deserialize(v).ok()).unwrap_or_default();
             self.books = (record, stamp);
             return Change::Other;
         }
--- a/crates/core/src/leader/log_replication.rs
+++ b/crates/core/src/leader/log_replication.rs
@@ -2,7 +2,7 @@
 //! log of the earlier leader (see `crate::placement_log` for the invariants).
 use super::assignments::{Handed, first_watched};
 use super::*;
-use crate::placement_log::{Book, Entry, Page, Witnesses};
+use crate::placement_log::{Book, Entry, Page, StandbyReplicas};
 
 impl Leader {
     /// Controllers that are in contact, with their incarnations.
@@ -76,7 +76,7 @@
         ledger: &Ledger,
         ended: &[NodeId],
         now: Micros,
-    ) -> Option<(Witnesses, u64)> {
+    ) -> Option<(StandbyReplicas, u64)> {
         self.books.update_record(&ledger.books.0, ledger.books.1);
         if !self.granted {
             return None;
@@ -92,7 +92,7 @@
 
     /// The record that names the replicas of the earlier leader's log, while this leader
     /// still waits for that log.
-    pub fn books_wanted(&self) -> Option<&Witnesses> {
+    pub fn books_wanted(&self) -> Option<&StandbyReplicas> {
         (!self.granted && self.awaits_log).then(|| self.books.record())
     }
 
--- a/crates/core/src/placement_log.rs
+++ b/crates/core/src/placement_log.rs
@@ -77,7 +77,7 @@
 
 /// The standby replicas of the placement log, as recorded in the state service.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Witnesses {
+pub struct StandbyReplicas {
     /// The term whose log they hold; 0: there is no replica.
     pub term: u64,
     /// The last term whose leader wrote this record when it was elected.
@@ -86,13 +86,13 @@
     pub nodes: Vec<(String, u64)>,
 }
 
-impl Witnesses {
+impl StandbyReplicas {
     /// What the leader of `term` writes when it takes the leader key. The earlier log stays
     /// valid only if no term in between failed to write this record.
-    pub fn taken_over(&self, term: u64) -> Witnesses {
+    pub fn taken_over(&self, term: u64) -> StandbyReplicas {
         match self.led + 1 == term {
-            true => Witnesses { led: term, ..self.clone() },
-            false => Witnesses { term: 0, led: term, nodes: Vec::new() },
+            true => StandbyReplicas { led: term, ..self.clone() },
+            false => StandbyReplicas { term: 0, led: term, nodes: Vec::new() },
         }
     }
 }
@@ -204,10 +204,10 @@
     truncated_to: u64,
     progress: Vec<ReplicaProgress>,
     /// The record as last seen, and its version.
-    record: Witnesses,
+    record: StandbyReplicas,
     stamp: u64,
     /// Records sent to be written over that version, each of which may yet be committed.
-    pending: Vec<Witnesses>,
+    pending: Vec<StandbyReplicas>,
     write_pending: bool,
     write_sent_at: Micros,
     /// Since when the record has no replica that keeps up.
@@ -228,7 +228,7 @@
         me: NodeId,
         names: Vec<String>,
         zones: Vec<String>,
-        record: Witnesses,
+        record: StandbyReplicas,
         stamp: u64,
     ) -> Self {
         PlacementLog {
@@ -274,7 +274,7 @@
 
     /// Takes over the record as the state replica shows it now. A version that is not newer
     /// than the known one is ignored.
-    pub fn update_record(&mut self, record: &Witnesses, stamp: u64) {
+    pub fn update_record(&mut self, record: &StandbyReplicas, stamp: u64) {
         if stamp > self.stamp {
             self.record = record.clone();
             self.stamp = stamp;
@@ -284,7 +284,7 @@
     }
 
     /// The record as last seen.
-    pub fn record(&self) -> &Witnesses {
+    pub fn record(&self) -> &StandbyReplicas {
         &self.record
     }
 
@@ -407,7 +407,7 @@
         ended: &[NodeId],
         began: Micros,
         now: Micros,
-    ) -> Option<(Witnesses, u64)> {
+    ) -> Option<(StandbyReplicas, u64)> {
         if self.write_pending || now.since(self.write_sent_at) < Micros::millis(150) {
             return None;
         }
@@ -426,7 +426,7 @@
         let name = |(n, inc): &(NodeId, u64)| Some((self.names.get(n.0 as usize)?.clone(), *inc));
         let mut nodes: Vec<(String, u64)> = good.iter().filter_map(name).collect();
         nodes.sort();
-        let want = Witnesses { term: self.term, led: self.term, nodes };
+        let want = StandbyReplicas { term: self.term, led: self.term, nodes };
         // Equally good controllers are not worth a new record: a replica is removed only when
         // it fails, and added only when there are too few.
         let unchanged = self.is_recorded() && {
--- a/crates/core/tests/record_compatibility.rs
+++ b/crates/core/tests/record_compatibility.rs
@@ -7,7 +7,7 @@
 use gorseshore_core::jobs::{Failures, Ledger, Phase, TaskSet, description, job_value, keys, machines_value};
 use gorseshore_core::node::Node;
 use gorseshore_core::peer::{Envelope, Message};
-use gorseshore_core::placement_log::Witnesses;
+use gorseshore_core::placement_log::StandbyReplicas;
 use gorseshore_core::{Call, CallResult, Input, Output, Target};
 use gorseshore_protocol::ids::{JobId, MachineId, Micros, NodeId};
 use gorseshore_protocol::job::{JobSpec, Kind, Rank};
@@ -267,7 +267,7 @@
     assert_eq!((leader.node.as_str(), leader.term, leader.lease, stamp), ("n1", 7, 42, 10));
     assert_eq!(ledger.term, (7, 11));
     let books =
-        Witnesses { term: 6, led: 7, nodes: vec![("n0".into(), 451_737_600_031_523), ("n2".into(), 9)] };
+        StandbyReplicas { term: 6, led: 7, nodes: vec![("n0".into(), 451_737_600_031_523), ("n2".into(), 9)] };
     assert_eq!(ledger.books, (books.clone(), 12));
 
     // (key, as it is written, as production reads it)
