--- a/crates/core/src/leader/messages.rs
+++ b/crates/core/src/leader/messages.rs
@@ -78,7 +78,7 @@
         let covered = self.books.covered().unwrap_or(0);
         // An assignment that may be lost is sent again, but not with every update: many
         // updates leave before its outcome arrives.
-        let due = |h: &&mut OnItsWay| {
+        let due = |h: &&mut PendingAssignment| {
             h.to == to
                 && h.covered_by <= covered
                 && h.sent.is_none_or(|t| now.since(t) >= ASSIGNMENT_RETRY_INTERVAL)
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -100,7 +100,7 @@
 
 /// An assignment whose outcome is not known.
 #[derive(Debug)]
-struct OnItsWay {
+struct PendingAssignment {
     to: NodeId,
     out: HandOut,
     /// The change of the placement log that all replicas have to acknowledge before the
@@ -196,7 +196,7 @@
     /// terminated.
     aborted: BTreeMap<JobId, Micros>,
     /// Assignments whose outcome is not known.
-    handouts: BTreeMap<Attempt, OnItsWay>,
+    handouts: BTreeMap<Attempt, PendingAssignment>,
     books: PlacementLog,
     /// It waits for the placement log of the earlier leader.
     awaits_log: bool,
