--- a/crates/core/src/leader/assignments.rs
+++ b/crates/core/src/leader/assignments.rs
@@ -19,7 +19,7 @@
 
 /// An assignment to a controller that has not reported its outcome.
 #[derive(Debug, Clone)]
-pub(super) struct Handed {
+pub(super) struct UnresolvedAssignment {
     pub(super) incarnation: u64,
     /// Machines on which it may have been started: the block at the time of the assignment,
     /// shared by all assignments of that time.
@@ -58,7 +58,7 @@
     }
 
     /// Removes a task whose machine is known, or that is on no machine.
-    pub(super) fn remove(&mut self, task: TaskId, handed: &Handed) {
+    pub(super) fn remove(&mut self, task: TaskId, handed: &UnresolvedAssignment) {
         self.tasks.remove(&task);
         let Some(id) = &handed.watched else { return };
         if let Some(tasks) = self.watched.get_mut(id) {
--- a/crates/core/src/leader/log_replication.rs
+++ b/crates/core/src/leader/log_replication.rs
@@ -1,6 +1,6 @@
 //! Replication of the leader's placement log to its standby replicas, and adoption of the
 //! log of the earlier leader (see `crate::placement_log` for the invariants).
-use super::assignments::{Handed, first_watched};
+use super::assignments::{UnresolvedAssignment, first_watched};
 use super::*;
 use crate::placement_log::{Book, Entry, Page, StandbyReplicas};
 
@@ -132,7 +132,7 @@
                     Rc::new(all.map(|(id, _)| id.clone()).collect())
                 });
                 let at_hint = self.machines.get(hint).map(|m| m.zone.clone());
-                Handed {
+                UnresolvedAssignment {
                     // No process: no controller reports its outcome to this term.
                     incarnation: 0,
                     machines: block.clone(),
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -25,7 +25,7 @@
 mod wishes;
 
 use crate::lateness::Lateness;
-use assignments::{AssignedTasks, Handed, may_hold};
+use assignments::{AssignedTasks, UnresolvedAssignment, may_hold};
 pub use machine::{Machine, Stage};
 use run::{Binding, MISTAKEN, Run};
 use wishes::HireStage;
@@ -397,7 +397,7 @@
     }
 
     /// Checks that an assigned task is watched at a machine that may hold it, if there is one.
-    fn check_watched(&self, task: TaskId, attempt: Attempt, handed: &Handed) -> Result<(), String> {
+    fn check_watched(&self, task: TaskId, attempt: Attempt, handed: &UnresolvedAssignment) -> Result<(), String> {
         let there = |id: &MachineId| self.machines.get(id).is_some_and(|m| may_hold(m, attempt));
         let watched = handed.watched.as_ref().filter(|id| handed.machines.contains(*id) && there(id));
         if watched.is_none() && handed.machines.iter().any(there) {
--- a/crates/core/src/leader/run.rs
+++ b/crates/core/src/leader/run.rs
@@ -6,7 +6,7 @@
 #[derive(Debug, Clone)]
 pub(super) struct Binding {
     pub(super) attempt: Attempt,
-    pub(super) handed: Option<Handed>,
+    pub(super) handed: Option<UnresolvedAssignment>,
     pub(super) on: BTreeSet<MachineId>,
 }
 
--- a/crates/core/src/leader/schedule.rs
+++ b/crates/core/src/leader/schedule.rs
@@ -1,5 +1,5 @@
 //! What goes next, and where: SFQ, limits, placement, preemption.
-use super::assignments::{Handed, first_watched};
+use super::assignments::{UnresolvedAssignment, first_watched};
 use super::*;
 
 /// What the tasks of a machine take. A task whose job is forgotten takes all.
@@ -360,7 +360,7 @@
         self.sums.bound(&run.spec);
         let watched = first_watched(&machines, &run.spec, attempt, &self.machines);
         self.handed.watch(task, watched.as_ref());
-        let handed = Handed { incarnation, machines, hint: hint.clone(), zone, watched };
+        let handed = UnresolvedAssignment { incarnation, machines, hint: hint.clone(), zone, watched };
         let binding = Binding { attempt, handed: Some(handed), on: BTreeSet::new() };
         let bound_before = run.bound.insert(task.index, binding);
         if bound_before.is_some() {
