--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -57,14 +57,14 @@
 
 /// Totals over bound tasks, updated as tasks are bound and released.
 #[derive(Debug, Default, Clone, PartialEq)]
-struct Sums {
+struct BoundTotals {
     /// CPUs and GPUs of each team's bound tasks.
     teams: BTreeMap<String, (u64, u64)>,
     /// Number of bound tasks of arrays.
     arrays: u64,
 }
 
-impl Sums {
+impl BoundTotals {
     fn bound(&mut self, spec: &JobSpec) {
         self.arrays += (spec.kind == Kind::Array) as u64;
         let (c, g) = match self.teams.get_mut(&spec.team) {
@@ -214,7 +214,7 @@
     /// The machines of each controller's block, computed when needed.
     blocks: BTreeMap<NodeId, Rc<BTreeSet<MachineId>>>,
     /// CPUs and GPUs that each team's bound tasks use, and the number of bound array tasks.
-    sums: Sums,
+    sums: BoundTotals,
     stops: BTreeMap<(TaskId, Attempt), (StopRequest, Micros)>,
     hires: BTreeMap<String, (HireRequest, HireStage, Micros)>,
     refused: BTreeMap<(String, String, bool), Micros>,
@@ -299,7 +299,7 @@
             handed: AssignedTasks::default(),
             violations: 0,
             blocks: BTreeMap::new(),
-            sums: Sums::default(),
+            sums: BoundTotals::default(),
             stops: BTreeMap::new(),
             hires: BTreeMap::new(),
             refused: BTreeMap::new(),
@@ -358,7 +358,7 @@
 
     /// Compares the incrementally updated totals with a full count; for tests.
     pub fn check_sums(&self) -> Result<(), String> {
-        let mut sums = Sums::default();
+        let mut sums = BoundTotals::default();
         let mut handed = AssignedTasks::default();
         let mut on: BTreeMap<&MachineId, BTreeSet<TaskId>> = BTreeMap::new();
         for (job, r) in &self.jobs {
