--- a/crates/core/src/leader/changes.rs
+++ b/crates/core/src/leader/changes.rs
@@ -55,7 +55,7 @@
 }
 
 /// The inputs of a record's changes beside the leader's own state.
-pub struct Recording<'a> {
+pub struct RecordContext<'a> {
     /// The state replica.
     pub ledger: &'a Ledger,
     /// Limits of a value and of a transaction.
@@ -69,8 +69,8 @@
 impl Leader {
     /// The changes that write a record; `None` if there is nothing to change, or if the changes
     /// don't fit into a transaction.
-    pub fn changes(&self, write: &LeaderWrite, recording: &Recording<'_>) -> Option<Changes> {
-        let Recording { ledger, limits, wall_ms, .. } = *recording;
+    pub fn changes(&self, write: &LeaderWrite, recording: &RecordContext<'_>) -> Option<Changes> {
+        let RecordContext { ledger, limits, wall_ms, .. } = *recording;
         let changes = Changes::default();
         match write {
             LeaderWrite::End(id) => Some(end_changes(*id, recording)),
@@ -126,8 +126,8 @@
     /// Rewrites a record of machines without the deleted ones. If its value is longer than may
     /// be written now, it is spread over further keys; if those are more than a transaction
     /// may contain, the record stays unchanged.
-    fn forget_changes(&self, key: &str, recording: &Recording<'_>) -> Option<Changes> {
-        let Recording { ledger, limits, .. } = *recording;
+    fn forget_changes(&self, key: &str, recording: &RecordContext<'_>) -> Option<Changes> {
+        let RecordContext { ledger, limits, .. } = *recording;
         let (ids, stamp) = ledger.records.get(key)?;
         let changes = Changes::default().on_condition(key.to_owned(), *stamp);
         let mut lists = match key.starts_with(keys::MACHINES) {
@@ -157,7 +157,7 @@
     }
 
     /// The machines that are not deleted, in lists that each fit into one record.
-    fn lists_that_fit(&self, ids: &[MachineId], recording: &Recording<'_>) -> Vec<Vec<MachineId>> {
+    fn lists_that_fit(&self, ids: &[MachineId], recording: &RecordContext<'_>) -> Vec<Vec<MachineId>> {
         let mut lists: Vec<Vec<MachineId>> = Vec::new();
         if self.machines_record(ids, recording.ledger).is_some_and(|v| recording.limits.fits(&v)) {
             return vec![ids.to_vec()];
@@ -184,7 +184,7 @@
 /// Records that a job is done, and removes as many of its progress and failure keys as fit
 /// into the same transaction. The remaining ones have no effect: an end counts whatever else
 /// is recorded.
-fn end_changes(id: JobId, recording: &Recording<'_>) -> Changes {
+fn end_changes(id: JobId, recording: &RecordContext<'_>) -> Changes {
     let job = recording.ledger.jobs.get(&id);
     let progress = job.iter().flat_map(|j| j.chunks.keys()).map(|c| keys::progress(id, *c));
     let failed = job.iter().flat_map(|j| j.failed_stamps.keys()).map(|c| keys::failed(id, *c));
--- a/crates/core/src/leader/tests/limits.rs
+++ b/crates/core/src/leader/tests/limits.rs
@@ -1,7 +1,7 @@
 //! Every record of the leader stays within the limits of the state service.
 use super::*;
 use crate::jobs::{CHUNK, FAILED_CHUNK};
-use crate::leader::changes::{Changes, Recording};
+use crate::leader::changes::{Changes, RecordContext};
 use crate::limits::{StoreLimits, value_len};
 use gorseshore_protocol::state::Write;
 use serde_json::Value;
@@ -57,7 +57,7 @@
 
 fn changes(b: &Harness, write: &LeaderWrite, limits: &StoreLimits) -> Option<Changes> {
     let recording =
-        Recording { ledger: &b.ledger, limits, wall_ms: 1_700_000_000_000, may_create: &|_| true };
+        RecordContext { ledger: &b.ledger, limits, wall_ms: 1_700_000_000_000, may_create: &|_| true };
     b.leader.changes(write, &recording)
 }
 
@@ -196,7 +196,7 @@
     let first = changes(&b, &LeaderWrite::Forget(RECORD.into()), &small).unwrap();
     let unavailable = first.conditions[1].path.clone();
     let free = |key: &str| key != unavailable;
-    let recording = Recording { ledger: &b.ledger, limits: &small, wall_ms: 0, may_create: &free };
+    let recording = RecordContext { ledger: &b.ledger, limits: &small, wall_ms: 0, may_create: &free };
     let second = b.leader.changes(&LeaderWrite::Forget(RECORD.into()), &recording).unwrap();
     assert!(second.conditions.iter().all(|c| c.path != unavailable));
     assert_eq!(second.writes.len(), first.writes.len());
--- a/crates/core/src/node/duties.rs
+++ b/crates/core/src/node/duties.rs
@@ -1,6 +1,6 @@
 //! What is due as time goes on: the mirror, the election, the leader's work.
 use super::*;
-use crate::leader::changes::{Changes, Recording};
+use crate::leader::changes::{Changes, RecordContext};
 use crate::placement_log::Page;
 
 /// Longest transaction of several records; the state service takes 64 KiB.
@@ -428,7 +428,7 @@
     /// What a leader's write changes.
     fn changes_of(&self, write: &LeaderWrite) -> Option<Changes> {
         let may_create = |key: &str| self.leadership.may_create(key, self.now);
-        let recording = Recording {
+        let recording = RecordContext {
             ledger: &self.mirror.ledger,
             limits: &self.limits,
             wall_ms: self.wall_ms,
