--- a/crates/core/src/leader/bindings.rs
+++ b/crates/core/src/leader/bindings.rs
@@ -263,7 +263,7 @@
                     m.failures += 1;
                     *m.failed_jobs.entry(task.job).or_default() += 1;
                 }
-                self.take_out_if_guilty(id);
+                self.drain_if_faulty(id);
             }
             _ => {}
         }
@@ -272,7 +272,7 @@
 
     /// Drains a machine on which tasks fail that run well elsewhere. Failures of a job that
     /// has not run well anywhere may be its own fault and are no evidence yet.
-    pub(super) fn take_out_if_guilty(&mut self, id: &MachineId) {
+    pub(super) fn drain_if_faulty(&mut self, id: &MachineId) {
         let Some(m) = self.machines.get_mut(id).filter(|m| m.draining.is_none()) else { return };
         let jobs = &self.jobs;
         let proven = |j: &JobId| jobs.get(j).is_some_and(|r| r.proven);
--- a/crates/core/src/leader/machines.rs
+++ b/crates/core/src/leader/machines.rs
@@ -34,7 +34,7 @@
             self.drain_warned(now);
             let suspects = self.machines.iter().filter(|(_, m)| !m.failed_jobs.is_empty());
             let suspects: Vec<MachineId> = suspects.map(|(id, _)| id.clone()).collect();
-            suspects.iter().for_each(|id| self.take_out_if_guilty(id));
+            suspects.iter().for_each(|id| self.drain_if_faulty(id));
             self.watch_zones(now);
             self.return_idle(flavors, now);
             self.tell_waits(now);
