--- a/crates/core/src/leader/bindings.rs
+++ b/crates/core/src/leader/bindings.rs
@@ -351,7 +351,7 @@
     }
 
     /// The cloud confirmed that the machine is deleted, and with it everything on it.
-    pub(super) fn machine_gone(&mut self, id: &MachineId, now: Micros) {
+    pub(super) fn remove_machine(&mut self, id: &MachineId, now: Micros) {
         let tasks = match self.machines.remove(id) {
             Some(mut m) => {
                 self.rooms.take(id, &mut m);
--- a/crates/core/src/leader/machines.rs
+++ b/crates/core/src/leader/machines.rs
@@ -101,7 +101,7 @@
     /// The cloud deleted these.
     pub fn deleted(&mut self, ids: &[MachineId], now: Micros) {
         for id in ids {
-            self.machine_gone(id, now);
+            self.remove_machine(id, now);
         }
     }
 
