--- a/crates/core/src/leader/assignments.rs
+++ b/crates/core/src/leader/assignments.rs
@@ -91,7 +91,7 @@
 
 /// The machine at which a newly assigned task is watched: one that may hold it, or, if there
 /// is none, any machine of the block, so that ruling that one out releases the task.
-pub(super) fn first_watched(
+pub(super) fn first_candidate(
     block: &BTreeSet<MachineId>,
     spec: &JobSpec,
     attempt: Attempt,
--- a/crates/core/src/leader/log_replication.rs
+++ b/crates/core/src/leader/log_replication.rs
@@ -1,6 +1,6 @@
 //! Replication of the leader's placement log to its standby replicas, and adoption of the
 //! log of the earlier leader (see `crate::placement_log` for the invariants).
-use super::assignments::{UnresolvedAssignment, first_watched};
+use super::assignments::{UnresolvedAssignment, first_candidate};
 use super::*;
 use crate::placement_log::{Book, Entry, Page, StandbyReplicas};
 
@@ -138,7 +138,7 @@
                     machines: block.clone(),
                     hint: hint.clone(),
                     zone: zone.clone().or(at_hint).unwrap_or_default(),
-                    watched: first_watched(block, &spec, e.attempt, &self.machines),
+                    watched: first_candidate(block, &spec, e.attempt, &self.machines),
                 }
             });
             if on.is_empty() && handed.is_none() {
--- a/crates/core/src/leader/schedule.rs
+++ b/crates/core/src/leader/schedule.rs
@@ -1,5 +1,5 @@
 //! What goes next, and where: SFQ, limits, placement, preemption.
-use super::assignments::{UnresolvedAssignment, first_watched};
+use super::assignments::{UnresolvedAssignment, first_candidate};
 use super::*;
 
 /// What the tasks of a machine take. A task whose job is forgotten takes all.
@@ -358,7 +358,7 @@
         let need = run.spec.need;
         run.again.remove(&task.index);
         self.sums.bound(&run.spec);
-        let watched = first_watched(&machines, &run.spec, attempt, &self.machines);
+        let watched = first_candidate(&machines, &run.spec, attempt, &self.machines);
         self.handed.watch(task, watched.as_ref());
         let handed = UnresolvedAssignment { incarnation, machines, hint: hint.clone(), zone, watched };
         let binding = Binding { attempt, handed: Some(handed), on: BTreeSet::new() };
