--- a/crates/core/src/leader/log_replication.rs
+++ b/crates/core/src/leader/log_replication.rs
@@ -16,7 +16,7 @@
         if std::mem::take(&mut self.books.coverage_changed) {
             // Assignments that waited for a replica's acknowledgement may be sent now.
             let covered = self.books.covered().unwrap_or(0);
-            for PendingAssignment { to: n, covered_by: at, .. } in self.handouts.values() {
+            for PendingAssignment { to: n, log_seq: at, .. } in self.handouts.values() {
                 if *at <= covered
                     && let Some(n) = self.nodes.get_mut(n.0 as usize)
                 {
--- a/crates/core/src/leader/messages.rs
+++ b/crates/core/src/leader/messages.rs
@@ -80,13 +80,13 @@
         // updates leave before its outcome arrives.
         let due = |h: &&mut PendingAssignment| {
             h.to == to
-                && h.covered_by <= covered
+                && h.log_seq <= covered
                 && h.sent.is_none_or(|t| now.since(t) >= ASSIGNMENT_RETRY_INTERVAL)
         };
         let mut open: Vec<(HandOut, u64)> = Vec::new();
         for h in self.handouts.values_mut().filter(|_| lease_ok).filter(due) {
             h.sent = Some(now);
-            open.push((h.out.clone(), h.covered_by));
+            open.push((h.out.clone(), h.log_seq));
         }
         if let Some(at) = open.iter().map(|(_, at)| *at).max() {
             self.books.mark_released(at);
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -105,7 +105,7 @@
     out: HandOut,
     /// The change of the placement log that all replicas have to acknowledge before the
     /// assignment is sent.
-    covered_by: u64,
+    log_seq: u64,
     /// When it was last sent.
     sent: Option<Micros>,
 }
