--- a/crates/core/src/leader/machines.rs
+++ b/crates/core/src/leader/machines.rs
@@ -126,7 +126,7 @@
         };
         self.hires.remove(&req.name);
         if req.spot && !hosts.is_empty() {
-            self.spot_had.push_back((now, hosts.len()));
+            self.recent_spot_rentals.push_back((now, hosts.len()));
         }
         if hosts.len() < req.count as usize {
             self.refused.insert((req.build.clone(), req.zone.clone(), req.spot), now);
@@ -508,10 +508,10 @@
     /// out: with those that hold nothing but arrays now, a part of all that are
     /// there. Replicas that come stop work on these, as on any.
     fn ordinary_for_arrays(&mut self, thirsty: usize, now: Micros) -> usize {
-        while self.spot_had.front().is_some_and(|(t, _)| now.since(*t) >= SOLD_OUT) {
-            self.spot_had.pop_front();
+        while self.recent_spot_rentals.front().is_some_and(|(t, _)| now.since(*t) >= SOLD_OUT) {
+            self.recent_spot_rentals.pop_front();
         }
-        let had: usize = self.spot_had.iter().map(|(_, n)| n).sum();
+        let had: usize = self.recent_spot_rentals.iter().map(|(_, n)| n).sum();
         if thirsty <= had * FEW || now.since(self.began) < SOLD_OUT {
             return 0;
         }
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -219,7 +219,7 @@
     hires: BTreeMap<String, (HireRequest, HireStage, Micros)>,
     refused: BTreeMap<(String, String, bool), Micros>,
     /// Recent rentals of spot machines: when, and how many machines.
-    spot_had: VecDeque<(Micros, usize)>,
+    recent_spot_rentals: VecDeque<(Micros, usize)>,
     /// Which zones are closed to renting because no machine in them reports.
     health: Health,
     /// Since when the network path to each zone is open.
@@ -303,7 +303,7 @@
             stops: BTreeMap::new(),
             hires: BTreeMap::new(),
             refused: BTreeMap::new(),
-            spot_had: VecDeque::new(),
+            recent_spot_rentals: VecDeque::new(),
             health: Health::default(),
             ways: Ways::default(),
             progressed: BTreeSet::new(),
--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -766,7 +766,7 @@
         b.leader.jobs.remove(&JobId(1));
         b.leader.job_changed(JobId(1), &b.ledger, b.now);
         let at = b.now + Micros::secs(passed);
-        b.leader.spot_had.push_back((at - Micros::secs(10), spot_rented));
+        b.leader.recent_spot_rentals.push_back((at - Micros::secs(10), spot_rented));
         // A rental was just requested, and refused.
         b.leader.refused.insert(("big".into(), "east".into(), true), at);
         b.leader.fleet(&[flavor(Some(0.3))], at);
