--- a/crates/core/src/leader/deaf.rs
+++ b/crates/core/src/leader/deaf.rs
@@ -126,10 +126,10 @@
         if !any {
             return;
         }
-        while self.deaf_gone.front().is_some_and(|t| now.since(*t) > BUDGET_OF) {
-            self.deaf_gone.pop_front();
+        while self.unreachable_deletions.front().is_some_and(|t| now.since(*t) > BUDGET_OF) {
+            self.unreachable_deletions.pop_front();
         }
-        let left = (up / BUDGET).max(2).saturating_sub(self.deaf_gone.len());
+        let left = (up / BUDGET).max(2).saturating_sub(self.unreachable_deletions.len());
         let mut doomed = Vec::new();
         for (id, m) in &self.machines {
             let h = &m.hearing;
@@ -151,7 +151,7 @@
         }
         doomed.sort();
         for (span, id) in doomed.into_iter().take(left) {
-            self.deaf_gone.push_back(now);
+            self.unreachable_deletions.push_back(now);
             let why = format!("it reports and has heard nothing for {:.1} s", span.0.as_secs_f64());
             self.delete(&id, &why, now);
         }
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -253,7 +253,7 @@
     probes: Vec<(NodeId, MachineId, String)>,
     last_seen: BTreeMap<MachineId, (NodeId, Micros)>,
     /// When machines were deleted because they were unreachable for commands.
-    deaf_gone: VecDeque<Micros>,
+    unreachable_deletions: VecDeque<Micros>,
     /// Machines whose reports contradict their records, and for which that was logged.
     mismatched: BTreeSet<MachineId>,
 }
@@ -329,7 +329,7 @@
             waits_told: now,
             probes: Vec::new(),
             last_seen: BTreeMap::new(),
-            deaf_gone: VecDeque::new(),
+            unreachable_deletions: VecDeque::new(),
             mismatched: BTreeSet::new(),
         };
         for (id, rec) in &ledger.machines {
