--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -178,7 +178,7 @@
     began: Micros,
     began_ms: u64,
     /// Revision of the leader's key: no earlier leader assigned tasks of jobs recorded later.
-    began_stamp: u64,
+    leader_key_revision: u64,
     lateness: Lateness,
     granted: bool,
     queues: BTreeMap<Rank, FairQueue>,
@@ -279,7 +279,7 @@
             epoch: 0,
             began: now,
             began_ms: wall_ms,
-            began_stamp: stamp,
+            leader_key_revision: stamp,
             lateness: Lateness::new(now),
             granted: false,
             queues: BTreeMap::new(),
--- a/crates/core/src/leader/schedule.rs
+++ b/crates/core/src/leader/schedule.rs
@@ -107,7 +107,7 @@
 
     /// Whether a machine that nobody heard may hold a task of the job.
     pub(super) fn blocked(&self, run: &Run) -> bool {
-        run.stamp <= self.began_stamp
+        run.stamp <= self.leader_key_revision
             && self.waiting.unsure
             && self.machines.values().any(|m| m.unknown && m.suits(&run.spec))
     }
