--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -176,7 +176,7 @@
     ctx: Context,
     epoch: u64,
     began: Micros,
-    began_ms: u64,
+    term_start_wall_ms: u64,
     /// Revision of the leader's key: no earlier leader assigned tasks of jobs recorded later.
     leader_key_revision: u64,
     lateness: Lateness,
@@ -278,7 +278,7 @@
             ctx,
             epoch: 0,
             began: now,
-            began_ms: wall_ms,
+            term_start_wall_ms: wall_ms,
             leader_key_revision: stamp,
             lateness: Lateness::new(now),
             granted: false,
--- a/crates/core/src/leader/schedule.rs
+++ b/crates/core/src/leader/schedule.rs
@@ -132,7 +132,7 @@
 
     /// The time of day, as far as it can be told from the steady clock.
     pub(super) fn wall_ms(&self, now: Micros) -> u64 {
-        self.began_ms + now.since(self.began).0 / 1000
+        self.term_start_wall_ms + now.since(self.began).0 / 1000
     }
 
     /// Hands out what can be: first what fits into the teams' guarantees, then
