--- a/crates/core/src/leader/machines.rs
+++ b/crates/core/src/leader/machines.rs
@@ -487,8 +487,8 @@
         let mut left = machines;
         loop {
             let count = left.min(growth::MACHINES_A_RENTAL);
-            self.hire_count += 1;
-            let name = format!("g-{}-{}", self.term, self.hire_count);
+            self.scale_out_count += 1;
+            let name = format!("g-{}-{}", self.term, self.scale_out_count);
             let req = HireRequest {
                 name: name.clone(),
                 build: want.build.clone(),
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -239,7 +239,7 @@
     listed: Micros,
     list_from: Option<String>,
     listing: bool,
-    hire_count: u64,
+    scale_out_count: u64,
     rent_not_before: Micros,
     /// `block_size` or `max_machines` is reached, and that was logged.
     blocks_full: bool,
@@ -316,7 +316,7 @@
             listed: Micros(0),
             list_from: None,
             listing: false,
-            hire_count: 0,
+            scale_out_count: 0,
             // Machines that the last leader rented appear in the cloud's list only after its
             // lag; renting earlier would rent them twice.
             rent_not_before: if term == 1 { now } else { now + lag },
