--- a/crates/core/src/leader/machines.rs
+++ b/crates/core/src/leader/machines.rs
@@ -49,7 +49,7 @@
             });
         }
         wishes.extend(self.deletions(now));
-        for (req, stage, _) in self.hires.values() {
+        for (req, stage, _) in self.scale_out_requests.values() {
             if *stage == HireStage::Recorded {
                 wishes.push(CloudWish::Hire(req.clone()));
             }
@@ -89,7 +89,7 @@
                 }
             }
             CloudWish::Hire(r) => {
-                if let Some(h) = self.hires.get_mut(&r.name) {
+                if let Some(h) = self.scale_out_requests.get_mut(&r.name) {
                     h.1 = HireStage::Called;
                     h.2 = now;
                 }
@@ -119,12 +119,12 @@
     pub fn hired(&mut self, req: &HireRequest, got: Option<&[String]>, sizes: &Sizes, now: Micros) {
         let Some(hosts) = got else {
             // The same name again gives the same machines.
-            if let Some(h) = self.hires.get_mut(&req.name) {
+            if let Some(h) = self.scale_out_requests.get_mut(&req.name) {
                 h.1 = HireStage::Recorded;
             }
             return;
         };
-        self.hires.remove(&req.name);
+        self.scale_out_requests.remove(&req.name);
         if req.spot && !hosts.is_empty() {
             self.recent_spot_rentals.push_back((now, hosts.len()));
         }
@@ -232,7 +232,7 @@
     fn probes_left(&self, zone: &str, now: Micros) -> Option<u32> {
         let allowed = self.health.allowed(zone, now)?;
         let booting = self.machines.values().filter(|m| m.stage == Stage::Booting && m.zone == zone).count();
-        let asked: u32 = self.hires.values().filter(|(r, ..)| r.zone == zone).map(|(r, ..)| r.count).sum();
+        let asked: u32 = self.scale_out_requests.values().filter(|(r, ..)| r.zone == zone).map(|(r, ..)| r.count).sum();
         Some(allowed.saturating_sub(booting as u32 + asked))
     }
 
@@ -351,7 +351,7 @@
 
     pub(super) fn plan_hires(&mut self, flavors: &[Flavor], now: Micros) {
         let open = growth::open_rentals(self.ctx.cloud_rps);
-        if self.hires.len() >= open {
+        if self.scale_out_requests.len() >= open {
             return;
         }
         let mut offers = Vec::new();
@@ -363,7 +363,7 @@
                     let Some(price) = price else { continue };
                     let key = (f.sku.clone(), z.clone(), spot);
                     let refused = self.refused.get(&key).is_some_and(|t| now.since(*t) < Micros::secs(8));
-                    if self.hires.values().any(|(r, ..)| (&r.build, &r.zone, r.spot) == (&f.sku, z, spot)) {
+                    if self.scale_out_requests.values().any(|(r, ..)| (&r.build, &r.zone, r.spot) == (&f.sku, z, spot)) {
                         continue;
                     }
                     offers.push(Offer {
@@ -398,7 +398,7 @@
                 lent: if m.spot { 0 } else { self.lent(m) },
             })
             .collect();
-        for (r, ..) in self.hires.values().filter(|(r, ..)| !self.health.is_closed(&r.zone)) {
+        for (r, ..) in self.scale_out_requests.values().filter(|(r, ..)| !self.health.is_closed(&r.zone)) {
             if let Some(f) = flavors.iter().find(|f| f.sku == r.build) {
                 let size = Resources::have(f.cpus, f.gpus, f.memory_gb);
                 for _ in 0..r.count {
@@ -496,9 +496,9 @@
                 spot: want.spot,
                 count,
             };
-            self.hires.insert(name, (req, HireStage::ToRecord, now));
+            self.scale_out_requests.insert(name, (req, HireStage::ToRecord, now));
             left -= count;
-            if left == 0 || self.hires.len() >= open {
+            if left == 0 || self.scale_out_requests.len() >= open {
                 return;
             }
         }
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -216,7 +216,7 @@
     /// CPUs and GPUs that each team's bound tasks use, and the number of bound array tasks.
     sums: BoundTotals,
     stops: BTreeMap<(TaskId, Attempt), (StopRequest, Micros)>,
-    hires: BTreeMap<String, (HireRequest, HireStage, Micros)>,
+    scale_out_requests: BTreeMap<String, (HireRequest, HireStage, Micros)>,
     refused: BTreeMap<(String, String, bool), Micros>,
     /// Recent rentals of spot machines: when, and how many machines.
     recent_spot_rentals: VecDeque<(Micros, usize)>,
@@ -301,7 +301,7 @@
             blocks: BTreeMap::new(),
             sums: BoundTotals::default(),
             stops: BTreeMap::new(),
-            hires: BTreeMap::new(),
+            scale_out_requests: BTreeMap::new(),
             refused: BTreeMap::new(),
             recent_spot_rentals: VecDeque::new(),
             health: Health::default(),
--- a/crates/core/src/leader/records.rs
+++ b/crates/core/src/leader/records.rs
@@ -37,7 +37,7 @@
             }
         }
         v.extend(kinds.into_values().map(|(_, list)| LeaderWrite::Machines(list)));
-        for (name, (_, stage, _)) in &self.hires {
+        for (name, (_, stage, _)) in &self.scale_out_requests {
             if *stage == HireStage::ToRecord {
                 v.push(LeaderWrite::Hire(name.clone()));
             }
@@ -130,7 +130,7 @@
                 self.blocks_checked_at = Micros(0);
             }
             LeaderWrite::Hire(name) => {
-                if let Some(h) = self.hires.get_mut(name)
+                if let Some(h) = self.scale_out_requests.get_mut(name)
                     && h.1 == HireStage::ToRecord
                 {
                     h.1 = HireStage::Recorded;
--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -485,7 +485,7 @@
     let mut b = Harness::new(0);
     b.add_job(1, 60, "tight", "array", "standard", 20, 2.0);
     b.leader.plan_hires(&flavors, b.now);
-    let rented: u32 = b.leader.hires.values().map(|(r, ..)| r.count).sum();
+    let rented: u32 = b.leader.scale_out_requests.values().map(|(r, ..)| r.count).sum();
     assert_eq!(rented, 1);
 }
 
@@ -770,7 +770,7 @@
         // A rental was just requested, and refused.
         b.leader.refused.insert(("big".into(), "east".into(), true), at);
         b.leader.fleet(&[flavor(Some(0.3))], at);
-        let rented: u32 = b.leader.hires.values().filter(|(r, ..)| !r.spot).map(|(r, ..)| r.count).sum();
+        let rented: u32 = b.leader.scale_out_requests.values().filter(|(r, ..)| !r.spot).map(|(r, ..)| r.count).sum();
         assert_eq!(
             rented, want,
             "{machines} machines, {passed} s, {spot_rented} spot machines rented, one present: {spot}"
@@ -1087,7 +1087,7 @@
     for (machines, open, counts) in cases {
         let mut b = Harness::new(0);
         b.leader.ask_for(&want, machines, open, b.now);
-        let requested: Vec<u32> = b.leader.hires.values().map(|(r, ..)| r.count).collect();
+        let requested: Vec<u32> = b.leader.scale_out_requests.values().map(|(r, ..)| r.count).collect();
         assert_eq!(requested, counts, "{machines} machines");
     }
 }
