--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -249,7 +249,7 @@
     blocks_checked_at: Micros,
     cancellations_checked_at: Micros,
     running_counted_at: Micros,
-    waits_told: Micros,
+    pending_logged_at: Micros,
     probes: Vec<(NodeId, MachineId, String)>,
     last_seen: BTreeMap<MachineId, (NodeId, Micros)>,
     /// When machines were deleted because they were unreachable for commands.
@@ -326,7 +326,7 @@
             blocks_checked_at: Micros(0),
             cancellations_checked_at: Micros(0),
             running_counted_at: Micros(0),
-            waits_told: now,
+            pending_logged_at: now,
             probes: Vec::new(),
             last_seen: BTreeMap::new(),
             unreachable_deletions: VecDeque::new(),
--- a/crates/core/src/leader/waits.rs
+++ b/crates/core/src/leader/waits.rs
@@ -103,10 +103,10 @@
 
     /// Says so, once a minute.
     pub(super) fn tell_waits(&mut self, now: Micros) {
-        if now.since(self.waits_told) < EVERY {
+        if now.since(self.pending_logged_at) < EVERY {
             return;
         }
-        self.waits_told = now;
+        self.pending_logged_at = now;
         for (class, id, waited, why) in self.longest_waits(now) {
             let left =
                 self.jobs.values().filter(|r| !r.over && r.spec.class == class && r.waiting() > 0).count();
