--- a/crates/core/src/leader/machines.rs
+++ b/crates/core/src/leader/machines.rs
@@ -23,10 +23,10 @@
         if !self.granted {
             return wishes;
         }
-        if now >= self.fleet_at {
+        if now >= self.next_autoscale_at {
             let passed = now.since(self.measured);
             self.measured = now;
-            self.fleet_at = now + Micros::millis(400);
+            self.next_autoscale_at = now + Micros::millis(400);
             self.measure();
             for m in self.machines.values_mut() {
                 m.busy += m.used.cpu as u128 * passed.0 as u128;
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -233,7 +233,7 @@
     requeue: bool,
     /// Something changed that the next scheduling pass has to consider.
     pub dirty: bool,
-    fleet_at: Micros,
+    next_autoscale_at: Micros,
     measured: Micros,
     /// When a page of the cloud's list was read, and the machine after which the next starts.
     listed: Micros,
@@ -311,7 +311,7 @@
             waiting: schedule::Waiting::new(),
             requeue: true,
             dirty: true,
-            fleet_at: now,
+            next_autoscale_at: now,
             measured: now,
             listed: Micros(0),
             list_from: None,
