--- a/crates/core/src/leader/machines.rs
+++ b/crates/core/src/leader/machines.rs
@@ -54,12 +54,12 @@
                 wishes.push(CloudWish::Hire(req.clone()));
             }
         }
-        let pause = match self.list_from {
+        let pause = match self.list_cursor {
             Some(_) => growth::list_page_pause(self.ctx.cloud_rps),
             None => growth::LIST_PAUSE,
         };
         if !self.listing && now.since(self.listed) >= pause {
-            wishes.push(CloudWish::List(self.list_from.clone()));
+            wishes.push(CloudWish::List(self.list_cursor.clone()));
         }
         wishes
     }
@@ -161,7 +161,7 @@
         self.listed = now;
         let Some(page) = page else { return };
         let last = page.hosts.last().filter(|_| page.truncated);
-        self.list_from = last.map(|r| r.name.clone());
+        self.list_cursor = last.map(|r| r.name.clone());
         for r in &page.hosts {
             let id = MachineId::from(&*r.name);
             if self.gone.contains_key(&id) {
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -237,7 +237,7 @@
     measured: Micros,
     /// When a page of the cloud's list was read, and the machine after which the next starts.
     listed: Micros,
-    list_from: Option<String>,
+    list_cursor: Option<String>,
     listing: bool,
     scale_out_count: u64,
     rent_not_before: Micros,
@@ -314,7 +314,7 @@
             next_autoscale_at: now,
             measured: now,
             listed: Micros(0),
-            list_from: None,
+            list_cursor: None,
             listing: false,
             scale_out_count: 0,
             // Machines that the last leader rented appear in the cloud's list only after its
