--- a/crates/core/src/leader/bindings.rs
+++ b/crates/core/src/leader/bindings.rs
@@ -309,7 +309,7 @@
             self.sums.freed(&run.spec);
             if !run.done.contains(task.index) {
                 run.again.insert(task.index);
-                self.requeue = true;
+                self.queue_stale = true;
             }
             self.stops.remove(&(task, attempt));
             self.dirty = true;
--- a/crates/core/src/leader/dependents.rs
+++ b/crates/core/src/leader/dependents.rs
@@ -32,7 +32,7 @@
         if let Some(run) = self.jobs.get_mut(&id) {
             run.urgency = urgency;
         }
-        self.requeue = true;
+        self.queue_stale = true;
         true
     }
 
--- a/crates/core/src/leader/log_replication.rs
+++ b/crates/core/src/leader/log_replication.rs
@@ -163,7 +163,7 @@
             adopted += 1;
         }
         self.dirty = true;
-        self.requeue = true;
+        self.queue_stale = true;
         info!(
             "placement log of term {term} adopted: tasks={adopted} unknown_machines={}",
             book.unknown.len()
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -228,9 +228,9 @@
     progressed: BTreeSet<JobId>,
     /// Machines with free capacity, in order.
     rooms: room::Rooms,
-    /// Waiting jobs, in order; `requeue`: the order has to be computed again.
+    /// Waiting jobs, in order; `queue_stale`: the order has to be computed again.
     waiting: schedule::Waiting,
-    requeue: bool,
+    queue_stale: bool,
     /// Something changed that the next scheduling pass has to consider.
     pub dirty: bool,
     next_autoscale_at: Micros,
@@ -309,7 +309,7 @@
             progressed: BTreeSet::new(),
             rooms: room::Rooms::default(),
             waiting: schedule::Waiting::new(),
-            requeue: true,
+            queue_stale: true,
             dirty: true,
             next_autoscale_at: now,
             measured: now,
@@ -426,7 +426,7 @@
     pub fn job_changed(&mut self, id: JobId, ledger: &Ledger, now: Micros) {
         let Some(job) = ledger.jobs.get(&id) else { return };
         self.dirty = true;
-        self.requeue = true;
+        self.queue_stale = true;
         match job.phase {
             Phase::Active => {
                 if !job.done.is_empty() {
@@ -493,7 +493,7 @@
         for id in free {
             self.held.remove(&id);
             self.dirty = true;
-            self.requeue = true;
+            self.queue_stale = true;
             if let Some(run) = self.jobs.get_mut(&id) {
                 run.held = false;
                 run.ready_at(ledger.released_ms(id));
--- a/crates/core/src/leader/schedule.rs
+++ b/crates/core/src/leader/schedule.rs
@@ -140,8 +140,8 @@
     pub(super) fn schedule(&mut self, now: Micros) {
         self.measure();
         let kept = now.since(self.waiting.made) < ORDER_KEPT && !self.waiting.unsure;
-        if self.requeue || !kept || self.waiting.retry.is_some_and(|t| now >= t) {
-            self.requeue = false;
+        if self.queue_stale || !kept || self.waiting.retry.is_some_and(|t| now >= t) {
+            self.queue_stale = false;
             self.waiting = self.waiting_jobs(now);
         }
         // Who waits only for time is looked at again when it has passed.
