--- a/crates/core/src/leader/machine.rs
+++ b/crates/core/src/leader/machine.rs
@@ -167,12 +167,12 @@
     }
     /// Whether tasks may be assigned to it; `contact` says which controllers are in contact.
     pub(super) fn open(&self, contact: &[bool], now: Micros) -> bool {
-        self.in_reach(contact)
+        self.is_reachable(contact)
             && now >= self.hearing.trusted_at
             && self.heard.is_some_and(|t| now.since(t) < Micros::secs(4))
     }
     /// Whether it is usable and its holder is in contact.
-    pub(super) fn in_reach(&self, contact: &[bool]) -> bool {
+    pub(super) fn is_reachable(&self, contact: &[bool]) -> bool {
         self.usable() && self.holder.is_some_and(|h| contact.get(h.0 as usize) == Some(&true))
     }
     /// The job that free capacity is accumulated for on it now.
--- a/crates/core/src/leader/overdue.rs
+++ b/crates/core/src/leader/overdue.rs
@@ -81,7 +81,7 @@
         let best = self
             .machines
             .iter()
-            .filter(|(_, m)| m.in_reach(&contact) && m.gathers_for(now).is_none())
+            .filter(|(_, m)| m.is_reachable(&contact) && m.gathers_for(now).is_none())
             .filter(|(_, m)| m.suits(&spec))
             .filter(|(_, m)| fleet::zone_ok(&spec, &m.zone, &zones))
             .filter(|(_, m)| m.size.minus(lasting(m)).fits(&spec.need))
--- a/crates/core/src/leader/schedule.rs
+++ b/crates/core/src/leader/schedule.rs
@@ -483,7 +483,7 @@
         let contact = self.contacts(now);
         let mut l = Lendable::default();
         let mut machines = Vec::new();
-        for (id, m) in self.machines.iter().filter(|(_, m)| m.in_reach(&contact)) {
+        for (id, m) in self.machines.iter().filter(|(_, m)| m.is_reachable(&contact)) {
             let mut room = m.free();
             let mut some = false;
             for (t, _) in m.tasks.iter().filter(|(_, (_, s))| *s != TaskState::Starting) {
