--- a/crates/core/src/leader/machine.rs
+++ b/crates/core/src/leader/machine.rs
@@ -176,7 +176,7 @@
         self.usable() && self.holder.is_some_and(|h| contact.get(h.0 as usize) == Some(&true))
     }
     /// The job that free capacity is accumulated for on it now.
-    pub(super) fn gathers_for(&self, now: Micros) -> Option<JobId> {
+    pub(super) fn accumulating_job(&self, now: Micros) -> Option<JobId> {
         self.gathers.filter(|(_, until)| now < *until).map(|(job, _)| job)
     }
     pub(super) fn empty(&self) -> bool {
--- a/crates/core/src/leader/overdue.rs
+++ b/crates/core/src/leader/overdue.rs
@@ -31,7 +31,7 @@
             return;
         }
         let overdue = std::mem::take(&mut self.waiting.overdue);
-        let there = self.machines.values().filter(|m| m.gathers_for(now).is_some()).count();
+        let there = self.machines.values().filter(|m| m.accumulating_job(now).is_some()).count();
         let mut left = (self.machines.len() / GATHERING + 1).saturating_sub(there);
         for id in &overdue {
             let Some(run) = self.jobs.get_mut(id) else { continue };
@@ -66,7 +66,7 @@
     fn gather(&mut self, id: JobId, now: Micros) -> bool {
         let Some(run) = self.jobs.get(&id) else { return false };
         let (spec, zones, contact) = (run.spec.clone(), self.zones_of(run), self.contacts(now));
-        if self.machines.values().any(|m| m.gathers_for(now) == Some(id)) {
+        if self.machines.values().any(|m| m.accumulating_job(now) == Some(id)) {
             return false;
         }
         // Replicas don't end, so that what they hold is no room to come.
@@ -81,7 +81,7 @@
         let best = self
             .machines
             .iter()
-            .filter(|(_, m)| m.is_reachable(&contact) && m.gathers_for(now).is_none())
+            .filter(|(_, m)| m.is_reachable(&contact) && m.accumulating_job(now).is_none())
             .filter(|(_, m)| m.suits(&spec))
             .filter(|(_, m)| fleet::zone_ok(&spec, &m.zone, &zones))
             .filter(|(_, m)| m.size.minus(lasting(m)).fits(&spec.need))
