--- a/crates/core/src/leader/blocks.rs
+++ b/crates/core/src/leader/blocks.rs
@@ -415,7 +415,7 @@
         );
         m.stage = Stage::Deleting;
         m.since = now;
-        m.delete_sent = None;
+        m.delete_sent_at = None;
         self.dirty = true;
         self.tell(id);
     }
--- a/crates/core/src/leader/machine.rs
+++ b/crates/core/src/leader/machine.rs
@@ -72,7 +72,7 @@
     /// The job that free capacity is accumulated for on it, and until when.
     pub(super) gathers: Option<(JobId, Micros)>,
     pub(super) want_baton: bool,
-    pub(super) delete_sent: Option<Micros>,
+    pub(super) delete_sent_at: Option<Micros>,
     /// CPU time that tasks used on it, in thousandths of a CPU times microseconds.
     pub(super) busy: u128,
     pub(super) born: Micros,
@@ -125,7 +125,7 @@
             kept_for: None,
             gathers: None,
             want_baton: false,
-            delete_sent: None,
+            delete_sent_at: None,
             busy: 0,
             born: now,
         }
--- a/crates/core/src/leader/machines.rs
+++ b/crates/core/src/leader/machines.rs
@@ -70,7 +70,7 @@
             .machines
             .iter()
             .filter(|(_, m)| {
-                m.stage == Stage::Deleting && m.delete_sent.is_none_or(|t| now.since(t) > Micros::secs(3))
+                m.stage == Stage::Deleting && m.delete_sent_at.is_none_or(|t| now.since(t) > Micros::secs(3))
             })
             .map(|(id, _)| id.clone())
             .take(growth::NAMES_A_DELETION)
@@ -84,7 +84,7 @@
             CloudWish::Delete(ids) => {
                 for id in ids {
                     if let Some(m) = self.machines.get_mut(id) {
-                        m.delete_sent = Some(now);
+                        m.delete_sent_at = Some(now);
                     }
                 }
             }
@@ -110,7 +110,7 @@
         for id in ids {
             if let Some(m) = self.machines.get_mut(id) {
                 // In half a second, whatever the usual pause.
-                m.delete_sent = Some(now - Micros::millis(2500));
+                m.delete_sent_at = Some(now - Micros::millis(2500));
             }
         }
     }
