--- a/crates/core/src/leader/machine.rs
+++ b/crates/core/src/leader/machine.rs
@@ -68,7 +68,7 @@
     pub(super) failures: u32,
     pub(super) images: BTreeSet<String>,
     pub(super) probed: Option<Micros>,
-    pub(super) kept_for: Option<(Rank, Micros)>,
+    pub(super) reserved_priority: Option<(Rank, Micros)>,
     /// The job that free capacity is accumulated for on it, and until when.
     pub(super) gathers: Option<(JobId, Micros)>,
     pub(super) want_baton: bool,
@@ -122,7 +122,7 @@
             failures: 0,
             images: BTreeSet::new(),
             probed: None,
-            kept_for: None,
+            reserved_priority: None,
             gathers: None,
             want_baton: false,
             delete_sent_at: None,
--- a/crates/core/src/leader/room.rs
+++ b/crates/core/src/leader/room.rs
@@ -197,7 +197,7 @@
         self.rooms.best(&Asked { spec, zones }, |id| {
             let m = self.machines.get(id)?;
             let gathers = m.accumulating_job(now).is_some_and(|job| job != spec.id);
-            let kept = m.kept_for.is_some_and(|(r, until)| run.urgency.rank < r && now < until)
+            let kept = m.reserved_priority.is_some_and(|(r, until)| run.urgency.rank < r && now < until)
                 || gathers && run.urgency.rank < Rank::Production;
             let failed = !again && run.failed_on.contains(id);
             let free = m.free();
--- a/crates/core/src/leader/schedule.rs
+++ b/crates/core/src/leader/schedule.rs
@@ -419,7 +419,7 @@
             if image && !m.images.contains(&spec.image)
                 || !m.suits(&spec)
                 || !fleet::zone_ok(&spec, &m.zone, zones)
-                || m.kept_for.is_some_and(|(_, until)| now < until)
+                || m.reserved_priority.is_some_and(|(_, until)| now < until)
             {
                 continue;
             }
@@ -472,7 +472,7 @@
             self.stop(*task, *attempt, &mid, Micros(0), now);
         }
         let m = self.machines.get_mut(&mid)?;
-        m.kept_for = Some((rank, now + Micros::secs(2)));
+        m.reserved_priority = Some((rank, now + Micros::secs(2)));
         let here = zones.get(&m.zone).copied().unwrap_or(0);
         Some((m.zone.clone(), room.min(spec.zone_cap().saturating_sub(here)).max(1)))
     }
