--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -472,7 +472,7 @@
 
     /// Starts to enforce a cancellation, even one recorded long ago: a controller requires
     /// this before it confirms the cancellation to the client.
-    pub fn told_cancelled(&mut self, id: JobId, ledger: &Ledger, now: Micros) {
+    pub fn track_cancellation(&mut self, id: JobId, ledger: &Ledger, now: Micros) {
         if ledger.jobs.get(&id).is_some_and(|j| j.phase == Phase::Aborted && !j.settled) {
             self.aborted.entry(id).or_insert(now + self.ctx.cancel);
         }
--- a/crates/core/src/node/cancellations.rs
+++ b/crates/core/src/node/cancellations.rs
@@ -304,7 +304,7 @@
             }
         }
         if let Some(l) = self.leadership.leader.as_mut() {
-            l.told_cancelled(c.job, &self.mirror.ledger, self.now);
+            l.track_cancellation(c.job, &self.mirror.ledger, self.now);
         }
     }
 
