--- a/crates/core/src/leader/cancelled.rs
+++ b/crates/core/src/leader/cancelled.rs
@@ -9,7 +9,7 @@
     /// Whether a start of a cancelled job may still be ordered. `known_by` are the
     /// incarnations that act on the cancellation, by controller; `ended` are controllers whose
     /// hosts report that their process has exited.
-    pub fn start_may_follow(&self, id: JobId, known_by: &[u64], ended: &[NodeId], now: Micros) -> bool {
+    pub fn may_still_start(&self, id: JobId, known_by: &[u64], ended: &[NodeId], now: Micros) -> bool {
         let unaware = self.unaware(known_by, ended, now);
         if unaware.is_empty() {
             return false;
--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -1045,7 +1045,7 @@
         b.sync(B, &[], &[]);
         step(&mut b, attempt);
         let ended: Vec<NodeId> = ended.into_iter().collect();
-        let got = b.leader.start_may_follow(JobId(1), known_by, &ended, b.now + later);
+        let got = b.leader.may_still_start(JobId(1), known_by, &ended, b.now + later);
         assert_eq!(got, want, "{what}");
     }
 }
--- a/crates/core/src/node/cancellations.rs
+++ b/crates/core/src/node/cancellations.rs
@@ -184,7 +184,7 @@
     fn vouched_term(&self, k: &Known) -> Option<u64> {
         let leader = self.leadership.leader.as_ref()?;
         let ended: Vec<NodeId> = self.peers.all().filter(|n| self.peers.refuses(*n, self.now)).collect();
-        let open = leader.start_may_follow(k.record.job, &k.record.known_by, &ended, self.now);
+        let open = leader.may_still_start(k.record.job, &k.record.known_by, &ended, self.now);
         (!open).then_some(leader.term)
     }
 
