--- a/crates/core/src/leader/log_replication.rs
+++ b/crates/core/src/leader/log_replication.rs
@@ -64,7 +64,7 @@
     }
 
     /// A replica acknowledged the log up to `seq`; whether waiting assignments may be sent.
-    pub fn books_taken(&mut self, from: NodeId, incarnation: u64, seq: u64, now: Micros) -> bool {
+    pub fn log_acknowledged(&mut self, from: NodeId, incarnation: u64, seq: u64, now: Micros) -> bool {
         self.books.acknowledged(from, incarnation, seq, now);
         self.books.coverage_changed
     }
--- a/crates/core/src/node/peers.rs
+++ b/crates/core/src/node/peers.rs
@@ -182,7 +182,7 @@
             Message::BooksTaken { term, seq } => {
                 let may = self.leadership.election.may_lead(self.now);
                 if let Some(l) = self.leadership.leader.as_mut().filter(|l| l.term == term)
-                    && l.books_taken(from, incarnation, seq, self.now)
+                    && l.log_acknowledged(from, incarnation, seq, self.now)
                 {
                     let messages = l.messages(self.now, may);
                     messages.into_iter().for_each(|(to, m)| self.send(to, m));
--- a/crates/core/tests/wire_compatibility.rs
+++ b/crates/core/tests/wire_compatibility.rs
@@ -379,8 +379,8 @@
         assert_eq!(Envelope::unpack(&packed), Some(envelope(message.clone())), "{name}");
         assert_eq!(envelope(message).pack(), packed, "{name}");
     }
-    let books_taken = bytes("05030807060504030201090700000000000000e803000000000000");
-    assert_eq!(Envelope::unpack(&books_taken), Some(envelope(Message::BooksTaken { term: 7, seq: 1000 })));
+    let log_acknowledged = bytes("05030807060504030201090700000000000000e803000000000000");
+    assert_eq!(Envelope::unpack(&log_acknowledged), Some(envelope(Message::BooksTaken { term: 7, seq: 1000 })));
 }
 
 #[test]
--- a/crates/standins/src/scale.rs
+++ b/crates/standins/src/scale.rs
@@ -198,7 +198,7 @@
                 }
                 Message::Books(page) => {
                     let seq = self.kept.take(page);
-                    self.leader.books_taken(to, 1, seq, self.now);
+                    self.leader.log_acknowledged(to, 1, seq, self.now);
                 }
                 _ => {}
             }
