--- a/crates/core/src/leader/log_replication.rs
+++ b/crates/core/src/leader/log_replication.rs
@@ -71,7 +71,7 @@
 
     /// The record of replicas to write now, and the version that it replaces. `ended` are
     /// controllers whose hosts report that their process has exited.
-    pub fn books_record(
+    pub fn due_replica_record(
         &mut self,
         ledger: &Ledger,
         ended: &[NodeId],
--- a/crates/standins/src/scale.rs
+++ b/crates/standins/src/scale.rs
@@ -166,7 +166,7 @@
 
     /// The leader's messages go out and are answered.
     fn exchange(&mut self) {
-        if let Some((record, _)) = self.leader.books_record(&self.ledger, &[], self.now) {
+        if let Some((record, _)) = self.leader.due_replica_record(&self.ledger, &[], self.now) {
             self.stamp += 1;
             self.ledger.apply(keys::BOOKS, Some(&json!(record)), self.stamp);
             self.leader.books_record_ended();
