--- a/crates/core/src/leader/log_replication.rs
+++ b/crates/core/src/leader/log_replication.rs
@@ -86,7 +86,7 @@
     }
 
     /// The write of a record of replicas ended, whether it succeeded or not.
-    pub fn books_record_ended(&mut self) {
+    pub fn replica_record_write_ended(&mut self) {
         self.books.write_ended();
     }
 
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -423,7 +423,7 @@
             Purpose::LeaderWrites(term, w) => self.leader_written(term, w, &result),
             Purpose::BooksRecord(term) => {
                 if let Some(l) = self.leadership.leader.as_mut().filter(|l| l.term == term) {
-                    l.books_record_ended();
+                    l.replica_record_write_ended();
                 }
             }
             Purpose::Cloud(term, w) => self.cloud_called(term, w, &result),
--- a/crates/standins/src/scale.rs
+++ b/crates/standins/src/scale.rs
@@ -169,7 +169,7 @@
         if let Some((record, _)) = self.leader.due_replica_record(&self.ledger, &[], self.now) {
             self.stamp += 1;
             self.ledger.apply(keys::BOOKS, Some(&json!(record)), self.stamp);
-            self.leader.books_record_ended();
+            self.leader.replica_record_write_ended();
         }
         for (to, m) in self.leader.messages(self.now, true) {
             match m {
