--- a/crates/core/src/leader/log_replication.rs
+++ b/crates/core/src/leader/log_replication.rs
@@ -92,7 +92,7 @@
 
     /// The record that names the replicas of the earlier leader's log, while this leader
     /// still waits for that log.
-    pub fn books_wanted(&self) -> Option<&StandbyReplicas> {
+    pub fn wanted_log(&self) -> Option<&StandbyReplicas> {
         (!self.granted && self.awaits_log).then(|| self.books.record())
     }
 
--- a/crates/core/src/node/duties.rs
+++ b/crates/core/src/node/duties.rs
@@ -300,7 +300,7 @@
     /// a witness, else from another.
     fn take_over_books(&mut self) {
         let Some(l) = self.leadership.leader.as_mut() else { return };
-        let Some(w) = l.books_wanted() else { return };
+        let Some(w) = l.wanted_log() else { return };
         let term = w.term;
         let me = &self.nodes.names[self.nodes.me.0 as usize];
         let mine = w.nodes.iter().any(|(name, process)| name == me && *process == self.incarnation);
@@ -320,7 +320,7 @@
     /// Another controller sent the books that were wanted.
     pub(super) fn books_came(&mut self, from: NodeId, incarnation: u64, page: Page) {
         let Some(l) = self.leadership.leader.as_mut() else { return };
-        let Some(w) = l.books_wanted() else { return };
+        let Some(w) = l.wanted_log() else { return };
         // Only the very process on record: a later one has not been kept up.
         let name = self.nodes.names.get(from.0 as usize);
         let holds = w.nodes.iter().any(|(n, process)| Some(n) == name && *process == incarnation);
