--- a/crates/core/src/leader/records.rs
+++ b/crates/core/src/leader/records.rs
@@ -152,7 +152,7 @@
     }
 
     /// Marks machines as recorded whose record appears after its write was given up.
-    pub fn note_recorded(&mut self, ledger: &Ledger) {
+    pub fn mark_late_records(&mut self, ledger: &Ledger) {
         let mut found = false;
         for (id, m) in self.machines.iter_mut().filter(|(_, m)| m.stage == Stage::Up && !m.recorded) {
             m.recorded = ledger.machines.contains_key(id);
