--- a/crates/core/src/leader/records.rs
+++ b/crates/core/src/leader/records.rs
@@ -166,7 +166,7 @@
 
     /// Notes progress that arrived while a record was being written. Ended jobs, and jobs
     /// whose progress is recorded, are not checked again until more of their tasks are done.
-    pub fn note_unrecorded(&mut self, ledger: &Ledger, now: Micros) {
+    pub fn mark_unrecorded_progress(&mut self, ledger: &Ledger, now: Micros) {
         let jobs = &mut self.jobs;
         self.progressed.retain(|id| {
             let active = ledger.jobs.get(id).filter(|j| j.phase == Phase::Active);
--- a/crates/core/src/node/duties.rs
+++ b/crates/core/src/node/duties.rs
@@ -363,7 +363,7 @@
         }
         self.leadership.wrote_at = self.now;
         let Some(l) = self.leadership.leader.as_mut() else { return };
-        l.note_unrecorded(&self.mirror.ledger, self.now);
+        l.mark_unrecorded_progress(&self.mirror.ledger, self.now);
         l.mark_late_records(&self.mirror.ledger);
         let Some(l) = self.leadership.leader.as_ref() else { return };
         let todo: Vec<LeaderWrite> = l
