--- a/crates/core/src/node/peers.rs
+++ b/crates/core/src/node/peers.rs
@@ -170,7 +170,7 @@
             }
             Message::Books(page) => {
                 let (on_record, _) = &self.mirror.ledger.books;
-                self.kept.drop_before(on_record.term);
+                self.kept.remove_before(on_record.term);
                 // A leader that another has followed is kept no books for.
                 if page.term < self.mirror.ledger.term.0 {
                     return;
--- a/crates/core/src/placement_log.rs
+++ b/crates/core/src/placement_log.rs
@@ -166,7 +166,7 @@
         self.by_term.values().filter(|b| b.seq > 0)
     }
     /// Removes replicas of terms before the recorded one, which no leader can use any more.
-    pub fn drop_before(&mut self, term: u64) {
+    pub fn remove_before(&mut self, term: u64) {
         self.by_term.retain(|t, _| *t >= term);
     }
 }
--- a/crates/core/src/placement_log/tests.rs
+++ b/crates/core/src/placement_log/tests.rs
@@ -40,7 +40,7 @@
         assert_eq!(got, want, "step {i}");
     }
     assert!(replicas.get(3).is_none() && replicas.get(4).is_some());
-    replicas.drop_before(5);
+    replicas.remove_before(5);
     assert!(replicas.get(4).is_none());
 }
 
