--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -372,7 +372,7 @@
                             writes: vec![
                                 Write::Put {
                                     put: keys::BOOKS.into(),
-                                    v: json!(self.mirror.ledger.books.0.taken_over(term + 1)),
+                                    v: json!(self.mirror.ledger.books.0.for_new_term(term + 1)),
                                     hold: None,
                                 },
                                 Write::Put { put: keys::TERM.into(), v: json!(term + 1), hold: None },
--- a/crates/core/src/placement_log.rs
+++ b/crates/core/src/placement_log.rs
@@ -89,7 +89,7 @@
 impl StandbyReplicas {
     /// What the leader of `term` writes when it takes the leader key. The earlier log stays
     /// valid only if no term in between failed to write this record.
-    pub fn taken_over(&self, term: u64) -> StandbyReplicas {
+    pub fn for_new_term(&self, term: u64) -> StandbyReplicas {
         match self.led + 1 == term {
             true => StandbyReplicas { led: term, ..self.clone() },
             false => StandbyReplicas { term: 0, led: term, nodes: Vec::new() },
--- a/crates/core/src/placement_log/tests.rs
+++ b/crates/core/src/placement_log/tests.rs
@@ -51,7 +51,7 @@
     for (record, next, want) in
         [(of(4, 4), 5, 4), (of(4, 6), 7, 4), (of(4, 4), 6, 0), (StandbyReplicas::default(), 3, 0)]
     {
-        let w = record.taken_over(next);
+        let w = record.for_new_term(next);
         assert_eq!((w.term, w.led), (want, next), "{record:?}");
     }
 }
--- a/crates/core/tests/record_compatibility.rs
+++ b/crates/core/tests/record_compatibility.rs
@@ -276,10 +276,10 @@
         ("g/books", json!(books), Record::Books { term: 6, led: 7, nodes: books.nodes.clone() }),
         (
             "g/books",
-            json!(books.taken_over(8)),
+            json!(books.for_new_term(8)),
             Record::Books { term: 6, led: 8, nodes: books.nodes.clone() },
         ),
-        ("g/books", json!(books.taken_over(9)), Record::Books { term: 0, led: 9, nodes: vec![] }),
+        ("g/books", json!(books.for_new_term(9)), Record::Books { term: 0, led: 9, nodes: vec![] }),
         ("g/term", json!(8), Record::Term(8)),
         // Written for the names of rentals; production never reads it.
         ("g/hire", json!("7-12"), Record::PassedOver),
