--- a/crates/core/src/leader/log_replication.rs
+++ b/crates/core/src/leader/log_replication.rs
@@ -2,7 +2,7 @@
 //! log of the earlier leader (see `crate::placement_log` for the invariants).
 use super::assignments::{UnresolvedAssignment, first_candidate};
 use super::*;
-use crate::placement_log::{Book, Entry, Page, StandbyReplicas};
+use crate::placement_log::{LogReplica, PlacementEntry, LogUpdate, StandbyReplicas};
 
 impl Leader {
     /// Controllers that are in contact, with their incarnations.
@@ -30,13 +30,13 @@
     }
 
     /// The present places of all tasks that changed after `base`.
-    fn log_update(&self, base: u64) -> Page {
+    fn log_update(&self, base: u64) -> LogUpdate {
         let entry = |task: &TaskId| {
             let run = self.jobs.get(&task.job)?;
             let done = run.unrecorded.contains(&task.index);
             let Some(b) = run.bound.get(&task.index) else {
                 let done_entry =
-                    Entry { attempt: Attempt(0), on: Vec::new(), starting: false, done, handed: None };
+                    PlacementEntry { attempt: Attempt(0), on: Vec::new(), starting: false, done, handed: None };
                 return done.then_some(done_entry);
             };
             let handed = b.handed.as_ref().map(|h| {
@@ -47,7 +47,7 @@
                 let state = self.machines.get(id).and_then(|m| m.tasks.get(task)).map(|t| t.1);
                 state.is_none_or(|s| s == TaskState::Starting)
             });
-            Some(Entry { attempt: b.attempt, on: b.on.iter().cloned().collect(), starting, done, handed })
+            Some(PlacementEntry { attempt: b.attempt, on: b.on.iter().cloned().collect(), starting, done, handed })
         };
         let tasks = match self.books.changed_since(base) {
             Some(tasks) => tasks.into_iter().map(|t| (t, entry(&t))).collect(),
@@ -60,7 +60,7 @@
             }
         };
         let unknown = self.machines.iter().filter(|(_, m)| m.unknown).map(|(id, _)| id.clone()).collect();
-        Page { term: self.term, seq: self.books.seq(), base, tasks, unknown }
+        LogUpdate { term: self.term, seq: self.books.seq(), base, tasks, unknown }
     }
 
     /// A replica acknowledged the log up to `seq`; whether waiting assignments may be sent.
@@ -99,7 +99,7 @@
     /// Adopts the placement log of the earlier leader. It contains all places where a task
     /// may be, so a machine that has not reported in this term holds what the log says and
     /// nothing else.
-    pub fn inherit(&mut self, term: u64, book: &Book, ledger: &Ledger) {
+    pub fn inherit(&mut self, term: u64, book: &LogReplica, ledger: &Ledger) {
         if self.granted || !self.awaits_log || self.books.record().term != term {
             return;
         }
--- a/crates/core/src/node/duties.rs
+++ b/crates/core/src/node/duties.rs
@@ -1,7 +1,7 @@
 //! What is due as time goes on: the mirror, the election, the leader's work.
 use super::*;
 use crate::leader::changes::{Changes, RecordContext};
-use crate::placement_log::Page;
+use crate::placement_log::LogUpdate;
 
 /// Longest transaction of several records; the state service takes 64 KiB.
 const MAX_TXN_BYTES: usize = 50_000;
@@ -318,7 +318,7 @@
     }
 
     /// Another controller sent the books that were wanted.
-    pub(super) fn books_came(&mut self, from: NodeId, incarnation: u64, page: Page) {
+    pub(super) fn books_came(&mut self, from: NodeId, incarnation: u64, page: LogUpdate) {
         let Some(l) = self.leadership.leader.as_mut() else { return };
         let Some(w) = l.wanted_log() else { return };
         // Only the very process on record: a later one has not been kept up.
@@ -327,7 +327,7 @@
         let term = page.term;
         if holds
             && term == w.term
-            && let Some(book) = Book::of(page)
+            && let Some(book) = LogReplica::of(page)
         {
             l.inherit(term, &book, &self.mirror.ledger);
         }
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -37,7 +37,7 @@
 use crate::limits::StoreLimits;
 use crate::liveness::LivenessMonitor;
 use crate::peer::{Envelope, Message, Sighting};
-use crate::placement_log::{Book, Kept};
+use crate::placement_log::{LogReplica, LogReplicas};
 use crate::{Call, CallId, CallResult, Input, Outbox, Output, RequestId, Target};
 use gorseshore_protocol::cloud::{Flavors, Hosts, Rentals};
 use gorseshore_protocol::ids::{Attempt, JobId, MachineId, Micros, NodeId, OWN_IDS, Resources, TaskId};
@@ -148,7 +148,7 @@
     held_check_ins: HeldCheckIns,
     ctl: Controller,
     /// Books of leaders that this node is a witness of.
-    kept: Kept,
+    kept: LogReplicas,
     deputy: Deputy,
     liveness: LivenessMonitor,
     liveness_logged: Micros,
@@ -202,7 +202,7 @@
             catalogue: Catalogue::new(d.cloud.rps, now),
             held_check_ins: HeldCheckIns::default(),
             ctl: Controller::default(),
-            kept: Kept::default(),
+            kept: LogReplicas::default(),
             deputy: Deputy::new(incarnation),
             liveness: LivenessMonitor::new(
                 &p.domain,
--- a/crates/core/src/peer.rs
+++ b/crates/core/src/peer.rs
@@ -1,6 +1,6 @@
 //! What controllers say to each other: borsh messages, framed by a length and
 //! a version, one way on a connection that the sender opens.
-use crate::placement_log::Page;
+use crate::placement_log::LogUpdate;
 use borsh::{BorshDeserialize, BorshSerialize};
 use gorseshore_protocol::ids::{Attempt, Baton, JobId, MachineId, Micros, NodeId, TaskId};
 use gorseshore_protocol::workers::ReportNo;
@@ -260,7 +260,7 @@
         addr: String,
     },
     /// From the leader to a witness: its books.
-    Books(Page),
+    Books(LogUpdate),
     /// From a witness: the books of that term are taken up to this change.
     BooksTaken {
         /// Term.
@@ -274,7 +274,7 @@
         term: u64,
     },
     /// To the new leader: the whole books of that term.
-    BooksOf(Page),
+    BooksOf(LogUpdate),
 }
 
 /// A frame's content.
--- a/crates/core/src/placement_log.rs
+++ b/crates/core/src/placement_log.rs
@@ -45,7 +45,7 @@
 
 /// Where a bound task may be.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
-pub struct Entry {
+pub struct PlacementEntry {
     /// Its attempt.
     pub attempt: Attempt,
     /// Machines on which it may be.
@@ -62,7 +62,7 @@
 
 /// An update of the log as it is sent: what changed since `base`.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
-pub struct Page {
+pub struct LogUpdate {
     /// The leader's term.
     pub term: u64,
     /// Sequence number of the last change in it.
@@ -70,7 +70,7 @@
     /// The change that the receiver has acknowledged; 0: this is the whole log.
     pub base: u64,
     /// Tasks that changed; `None`: bound nowhere.
-    pub tasks: Vec<(TaskId, Option<Entry>)>,
+    pub tasks: Vec<(TaskId, Option<PlacementEntry>)>,
     /// Machines that may hold any task: recorded before the term, and not seen in it yet.
     pub unknown: Vec<MachineId>,
 }
@@ -99,24 +99,24 @@
 
 /// The replicas that this controller holds for leaders, by term.
 #[derive(Debug, Default)]
-pub struct Kept {
-    by_term: BTreeMap<u64, Book>,
+pub struct LogReplicas {
+    by_term: BTreeMap<u64, LogReplica>,
 }
 
 /// A replica of one term's log.
 #[derive(Debug, Clone, Default)]
-pub struct Book {
+pub struct LogReplica {
     seq: u64,
     /// Bound tasks.
-    pub tasks: BTreeMap<TaskId, Entry>,
+    pub tasks: BTreeMap<TaskId, PlacementEntry>,
     /// Machines that may hold any task.
     pub unknown: BTreeSet<MachineId>,
 }
 
-impl Book {
+impl LogReplica {
     /// The whole replica as a full update.
-    pub fn page(&self, term: u64) -> Page {
-        Page {
+    pub fn page(&self, term: u64) -> LogUpdate {
+        LogUpdate {
             term,
             seq: self.seq,
             base: 0,
@@ -125,15 +125,15 @@
         }
     }
     /// A replica from a full update; `None` if the update is incremental.
-    pub fn of(page: Page) -> Option<Book> {
-        let mut book = Book::default();
+    pub fn of(page: LogUpdate) -> Option<LogReplica> {
+        let mut book = LogReplica::default();
         (page.base == 0).then(|| book.take(page))?;
         Some(book)
     }
     /// Applies an update and returns the sequence number to acknowledge. An update that
     /// builds on changes that are missing here is ignored, and what was applied before is
     /// acknowledged again.
-    fn take(&mut self, page: Page) -> u64 {
+    fn take(&mut self, page: LogUpdate) -> u64 {
         if page.seq <= self.seq || page.base > self.seq {
             return self.seq;
         }
@@ -152,17 +152,17 @@
     }
 }
 
-impl Kept {
+impl LogReplicas {
     /// Applies an update to the replica of its term; the sequence number to acknowledge.
-    pub fn take(&mut self, page: Page) -> u64 {
+    pub fn take(&mut self, page: LogUpdate) -> u64 {
         self.by_term.entry(page.term).or_default().take(page)
     }
     /// The replica of a term, if there is one.
-    pub fn get(&self, term: u64) -> Option<&Book> {
+    pub fn get(&self, term: u64) -> Option<&LogReplica> {
         self.by_term.get(&term).filter(|b| b.seq > 0)
     }
     /// All replicas, the earliest term first.
-    pub fn all(&self) -> impl Iterator<Item = &Book> {
+    pub fn all(&self) -> impl Iterator<Item = &LogReplica> {
         self.by_term.values().filter(|b| b.seq > 0)
     }
     /// Removes replicas of terms before the recorded one, which no leader can use any more.
--- a/crates/core/src/placement_log/tests.rs
+++ b/crates/core/src/placement_log/tests.rs
@@ -5,8 +5,8 @@
     TaskId { job: JobId(1), index: i }
 }
 
-fn entry(attempt: u64) -> Option<Entry> {
-    Some(Entry {
+fn entry(attempt: u64) -> Option<PlacementEntry> {
+    Some(PlacementEntry {
         attempt: Attempt(attempt),
         on: vec!["m".into()],
         starting: false,
@@ -31,10 +31,10 @@
         (8, 3, vec![(2, None), (3, None), (4, Some(7))], 8, vec![1, 4]),
         (9, 0, vec![(9, Some(9))], 9, vec![9]),
     ];
-    let mut replicas = Kept::default();
+    let mut replicas = LogReplicas::default();
     for (i, (seq, base, tasks, ack, want)) in steps.into_iter().enumerate() {
         let tasks = tasks.into_iter().map(|(t, e)| (task(t), e.and_then(entry))).collect();
-        let update = Page { term: 4, seq, base, tasks, unknown: vec![] };
+        let update = LogUpdate { term: 4, seq, base, tasks, unknown: vec![] };
         assert_eq!(replicas.take(update), ack, "step {i}");
         let got: Vec<u32> = replicas.by_term[&4].tasks.keys().map(|t| t.index).collect();
         assert_eq!(got, want, "step {i}");
--- a/crates/core/tests/wire_compatibility.rs
+++ b/crates/core/tests/wire_compatibility.rs
@@ -11,7 +11,7 @@
     Cancellation, Envelope, FrameError, GrantedMachine, HEAD, HandOut, Held, MAX_FRAME, MachineState,
     Message, Outcome, Sighting, StopRequest, TaskState, VERSION, decode_body, decode_head, encode,
 };
-use gorseshore_core::placement_log::{Entry, Page};
+use gorseshore_core::placement_log::{PlacementEntry, LogUpdate};
 use gorseshore_protocol::ids::{Attempt, Baton, JobId, MachineId, Micros, NodeId, TaskId};
 use gorseshore_protocol::workers::ReportNo;
 
@@ -159,22 +159,22 @@
     vec![silent, busy]
 }
 
-fn page(base: u64) -> Page {
-    let on_machines = Entry {
+fn page(base: u64) -> LogUpdate {
+    let on_machines = PlacementEntry {
         attempt: Attempt(0x7000_0001),
         on: vec![MachineId::from("host-000001"), MachineId::from("host-000002")],
         starting: true,
         done: false,
         handed: None,
     };
-    let handed = |zone: Option<&str>| Entry {
+    let handed = |zone: Option<&str>| PlacementEntry {
         attempt: Attempt(0x7000_0002),
         on: Vec::new(),
         starting: false,
         done: true,
         handed: Some((MachineId::from("host-000003"), zone.map(str::to_owned))),
     };
-    Page {
+    LogUpdate {
         term: 7,
         seq: 1000,
         base,
