--- a/crates/core/src/node/peers.rs
+++ b/crates/core/src/node/peers.rs
@@ -176,7 +176,7 @@
                     return;
                 }
                 let term = page.term;
-                let seq = self.kept.take(page);
+                let seq = self.kept.apply(page);
                 self.out.send(from, Message::BooksTaken { term, seq });
             }
             Message::BooksTaken { term, seq } => {
--- a/crates/core/src/node/stand_in.rs
+++ b/crates/core/src/node/stand_in.rs
@@ -152,11 +152,11 @@
             true => Some(self.nodes.me),
             false => self.ctl.directory.get(id).copied(),
         };
-        let unsettled: Vec<(Micros, &Job)> = match self.kept.all().any(|b| !b.unknown.is_empty()) {
+        let unsettled: Vec<(Micros, &Job)> = match self.kept.iter().any(|b| !b.unknown.is_empty()) {
             true => self.mirror.ledger.jobs.keys().filter_map(|id| self.unsettled(*id)).collect(),
             false => Vec::new(),
         };
-        for book in self.kept.all() {
+        for book in self.kept.iter() {
             for (task, e) in &book.tasks {
                 let Some((by, job)) = self.unsettled(task.job) else { continue };
                 let start = (*task, e.attempt);
--- a/crates/core/src/placement_log.rs
+++ b/crates/core/src/placement_log.rs
@@ -154,7 +154,7 @@
 
 impl LogReplicas {
     /// Applies an update to the replica of its term; the sequence number to acknowledge.
-    pub fn take(&mut self, page: LogUpdate) -> u64 {
+    pub fn apply(&mut self, page: LogUpdate) -> u64 {
         self.by_term.entry(page.term).or_default().take(page)
     }
     /// The replica of a term, if there is one.
@@ -162,7 +162,7 @@
         self.by_term.get(&term).filter(|b| b.seq > 0)
     }
     /// All replicas, the earliest term first.
-    pub fn all(&self) -> impl Iterator<Item = &LogReplica> {
+    pub fn iter(&self) -> impl Iterator<Item = &LogReplica> {
         self.by_term.values().filter(|b| b.seq > 0)
     }
     /// Removes replicas of terms before the recorded one, which no leader can use any more.
