--- a/crates/core/src/leader/log_replication.rs
+++ b/crates/core/src/leader/log_replication.rs
@@ -105,7 +105,7 @@
         }
         self.awaits_log = false;
         for (id, m) in self.machines.iter_mut() {
-            m.unknown = book.unknown.contains(id);
+            m.unknown = book.unknown_machines.contains(id);
         }
         let mut adopted = 0;
         // Tasks that may be on any machine of the same zone, or on any machine, share one set.
@@ -166,7 +166,7 @@
         self.queue_stale = true;
         info!(
             "placement log of term {term} adopted: tasks={adopted} unknown_machines={}",
-            book.unknown.len()
+            book.unknown_machines.len()
         );
     }
 }
--- a/crates/core/src/node/duties.rs
+++ b/crates/core/src/node/duties.rs
@@ -327,7 +327,7 @@
         let term = page.term;
         if holds
             && term == w.term
-            && let Some(book) = LogReplica::of(page)
+            && let Some(book) = LogReplica::from_full_update(page)
         {
             l.inherit(term, &book, &self.mirror.ledger);
         }
--- a/crates/core/src/node/peers.rs
+++ b/crates/core/src/node/peers.rs
@@ -190,7 +190,7 @@
             }
             Message::BooksWanted { term } => {
                 if let Some(book) = self.kept.get(term) {
-                    self.out.send(from, Message::BooksOf(book.page(term)));
+                    self.out.send(from, Message::BooksOf(book.full_update(term)));
                 }
             }
             Message::BooksOf(page) => {
--- a/crates/core/src/node/stand_in.rs
+++ b/crates/core/src/node/stand_in.rs
@@ -152,7 +152,7 @@
             true => Some(self.nodes.me),
             false => self.ctl.directory.get(id).copied(),
         };
-        let unsettled: Vec<(Micros, &Job)> = match self.kept.iter().any(|b| !b.unknown.is_empty()) {
+        let unsettled: Vec<(Micros, &Job)> = match self.kept.iter().any(|b| !b.unknown_machines.is_empty()) {
             true => self.mirror.ledger.jobs.keys().filter_map(|id| self.unsettled(*id)).collect(),
             false => Vec::new(),
         };
@@ -172,7 +172,7 @@
                     }
                 }
             }
-            for id in &book.unknown {
+            for id in &book.unknown_machines {
                 let Some(m) = machines.get(id) else { continue };
                 for (by, _) in unsettled.iter().filter(|(_, job)| self.may_hold(job, m)) {
                     add(id, *by, None);
--- a/crates/core/src/placement_log.rs
+++ b/crates/core/src/placement_log.rs
@@ -110,22 +110,22 @@
     /// Bound tasks.
     pub tasks: BTreeMap<TaskId, PlacementEntry>,
     /// Machines that may hold any task.
-    pub unknown: BTreeSet<MachineId>,
+    pub unknown_machines: BTreeSet<MachineId>,
 }
 
 impl LogReplica {
     /// The whole replica as a full update.
-    pub fn page(&self, term: u64) -> LogUpdate {
+    pub fn full_update(&self, term: u64) -> LogUpdate {
         LogUpdate {
             term,
             seq: self.seq,
             base: 0,
             tasks: self.tasks.iter().map(|(t, e)| (*t, Some(e.clone()))).collect(),
-            unknown: self.unknown.iter().cloned().collect(),
+            unknown: self.unknown_machines.iter().cloned().collect(),
         }
     }
     /// A replica from a full update; `None` if the update is incremental.
-    pub fn of(page: LogUpdate) -> Option<LogReplica> {
+    pub fn from_full_update(page: LogUpdate) -> Option<LogReplica> {
         let mut book = LogReplica::default();
         (page.base == 0).then(|| book.take(page))?;
         Some(book)
@@ -146,7 +146,7 @@
                 None => self.tasks.remove(&task),
             };
         }
-        self.unknown = page.unknown.into_iter().collect();
+        self.unknown_machines = page.unknown.into_iter().collect();
         self.seq = page.seq;
         self.seq
     }
