--- a/crates/core/src/leader/log_replication.rs
+++ b/crates/core/src/leader/log_replication.rs
@@ -60,7 +60,7 @@
             }
         };
         let unknown = self.machines.iter().filter(|(_, m)| m.unknown).map(|(id, _)| id.clone()).collect();
-        LogUpdate { term: self.term, seq: self.books.seq(), base, tasks, unknown }
+        LogUpdate { term: self.term, seq: self.books.seq(), base, tasks, unknown_machines: unknown }
     }
 
     /// A replica acknowledged the log up to `seq`; whether waiting assignments may be sent.
--- a/crates/core/src/peer/inbox/tests.rs
+++ b/crates/core/src/peer/inbox/tests.rs
@@ -16,7 +16,7 @@
 }
 
 fn page(term: u64, seq: u64) -> Message {
-    Message::Books(LogUpdate { term, seq, base: 1, tasks: Vec::new(), unknown: Vec::new() })
+    Message::Books(LogUpdate { term, seq, base: 1, tasks: Vec::new(), unknown_machines: Vec::new() })
 }
 
 fn ping(queued: u32) -> Message {
--- a/crates/core/src/placement_log.rs
+++ b/crates/core/src/placement_log.rs
@@ -72,7 +72,7 @@
     /// Tasks that changed; `None`: bound nowhere.
     pub tasks: Vec<(TaskId, Option<PlacementEntry>)>,
     /// Machines that may hold any task: recorded before the term, and not seen in it yet.
-    pub unknown: Vec<MachineId>,
+    pub unknown_machines: Vec<MachineId>,
 }
 
 /// The standby replicas of the placement log, as recorded in the state service.
@@ -121,7 +121,7 @@
             seq: self.seq,
             base: 0,
             tasks: self.tasks.iter().map(|(t, e)| (*t, Some(e.clone()))).collect(),
-            unknown: self.unknown_machines.iter().cloned().collect(),
+            unknown_machines: self.unknown_machines.iter().cloned().collect(),
         }
     }
     /// A replica from a full update; `None` if the update is incremental.
@@ -146,7 +146,7 @@
                 None => self.tasks.remove(&task),
             };
         }
-        self.unknown_machines = page.unknown.into_iter().collect();
+        self.unknown_machines = page.unknown_machines.into_iter().collect();
         self.seq = page.seq;
         self.seq
     }
--- a/crates/core/src/placement_log/tests.rs
+++ b/crates/core/src/placement_log/tests.rs
@@ -34,7 +34,7 @@
     let mut replicas = LogReplicas::default();
     for (i, (seq, base, tasks, ack, want)) in steps.into_iter().enumerate() {
         let tasks = tasks.into_iter().map(|(t, e)| (task(t), e.and_then(entry))).collect();
-        let update = LogUpdate { term: 4, seq, base, tasks, unknown: vec![] };
+        let update = LogUpdate { term: 4, seq, base, tasks, unknown_machines: vec![] };
         assert_eq!(replicas.apply(update), ack, "step {i}");
         let got: Vec<u32> = replicas.by_term[&4].tasks.keys().map(|t| t.index).collect();
         assert_eq!(got, want, "step {i}");
--- a/crates/core/tests/wire_compatibility.rs
+++ b/crates/core/tests/wire_compatibility.rs
@@ -184,7 +184,7 @@
             (task(412, 2), Some(handed(Some("east")))),
             (task(1_000_000_000_000_000_007, 3), None),
         ],
-        unknown: vec![MachineId::from("host-000009")],
+        unknown_machines: vec![MachineId::from("host-000009")],
     }
 }
 
