--- a/crates/core/src/leader/log_replication.rs
+++ b/crates/core/src/leader/log_replication.rs
@@ -36,7 +36,7 @@
             let done = run.unrecorded.contains(&task.index);
             let Some(b) = run.bound.get(&task.index) else {
                 let done_entry =
-                    PlacementEntry { attempt: Attempt(0), on: Vec::new(), starting: false, done, handed: None };
+                    PlacementEntry { attempt: Attempt(0), machines: Vec::new(), starting: false, done, unresolved_assignment: None };
                 return done.then_some(done_entry);
             };
             let handed = b.handed.as_ref().map(|h| {
@@ -47,7 +47,7 @@
                 let state = self.machines.get(id).and_then(|m| m.tasks.get(task)).map(|t| t.1);
                 state.is_none_or(|s| s == TaskState::Starting)
             });
-            Some(PlacementEntry { attempt: b.attempt, on: b.on.iter().cloned().collect(), starting, done, handed })
+            Some(PlacementEntry { attempt: b.attempt, machines: b.on.iter().cloned().collect(), starting, done, unresolved_assignment: handed })
         };
         let tasks = match self.books.changed_since(base) {
             Some(tasks) => tasks.into_iter().map(|t| (t, entry(&t))).collect(),
@@ -124,8 +124,8 @@
             }
             // A machine without a record is deleted: its record is removed only then.
             let on: BTreeSet<MachineId> =
-                e.on.iter().filter(|id| self.machines.contains_key(*id)).cloned().collect();
-            let handed = e.handed.as_ref().map(|(hint, zone)| {
+                e.machines.iter().filter(|id| self.machines.contains_key(*id)).cloned().collect();
+            let handed = e.unresolved_assignment.as_ref().map(|(hint, zone)| {
                 let block = blocks.entry(zone).or_insert_with(|| {
                     let in_zone = |m: &Machine| zone.as_ref().is_none_or(|z| *z == m.zone);
                     let all = self.machines.iter().filter(|(_, m)| in_zone(m));
--- a/crates/core/src/node/stand_in.rs
+++ b/crates/core/src/node/stand_in.rs
@@ -160,8 +160,8 @@
             for (task, e) in &book.tasks {
                 let Some((by, job)) = self.unsettled(task.job) else { continue };
                 let start = (*task, e.attempt);
-                e.on.iter().for_each(|id| add(id, by, e.starting.then_some(start)));
-                let Some((hint, zone)) = &e.handed else { continue };
+                e.machines.iter().for_each(|id| add(id, by, e.starting.then_some(start)));
+                let Some((hint, zone)) = &e.unresolved_assignment else { continue };
                 add(hint, by, Some(start));
                 let to = holder(hint);
                 let in_block = machines.iter().filter(|(id, _)| to.is_some() && holder(id) == to);
--- a/crates/core/src/placement_log.rs
+++ b/crates/core/src/placement_log.rs
@@ -49,7 +49,7 @@
     /// Its attempt.
     pub attempt: Attempt,
     /// Machines on which it may be.
-    pub on: Vec<MachineId>,
+    pub machines: Vec<MachineId>,
     /// A start command to one of them may still be in flight.
     pub starting: bool,
     /// It is done, and the state service has no record of that yet: it must not run again.
@@ -57,7 +57,7 @@
     /// It is assigned to a controller that has not reported an outcome: the machine that the
     /// leader reserved capacity on, and the zone if the assignment names one. It may be on
     /// any machine of that zone, or on any machine at all.
-    pub handed: Option<(MachineId, Option<String>)>,
+    pub unresolved_assignment: Option<(MachineId, Option<String>)>,
 }
 
 /// An update of the log as it is sent: what changed since `base`.
--- a/crates/core/src/placement_log/tests.rs
+++ b/crates/core/src/placement_log/tests.rs
@@ -8,10 +8,10 @@
 fn entry(attempt: u64) -> Option<PlacementEntry> {
     Some(PlacementEntry {
         attempt: Attempt(attempt),
-        on: vec!["m".into()],
+        machines: vec!["m".into()],
         starting: false,
         done: false,
-        handed: None,
+        unresolved_assignment: None,
     })
 }
 
--- a/crates/core/tests/wire_compatibility.rs
+++ b/crates/core/tests/wire_compatibility.rs
@@ -162,17 +162,17 @@
 fn page(base: u64) -> LogUpdate {
     let on_machines = PlacementEntry {
         attempt: Attempt(0x7000_0001),
-        on: vec![MachineId::from("host-000001"), MachineId::from("host-000002")],
+        machines: vec![MachineId::from("host-000001"), MachineId::from("host-000002")],
         starting: true,
         done: false,
-        handed: None,
+        unresolved_assignment: None,
     };
     let handed = |zone: Option<&str>| PlacementEntry {
         attempt: Attempt(0x7000_0002),
-        on: Vec::new(),
+        machines: Vec::new(),
         starting: false,
         done: true,
-        handed: Some((MachineId::from("host-000003"), zone.map(str::to_owned))),
+        unresolved_assignment: Some((MachineId::from("host-000003"), zone.map(str::to_owned))),
     };
     LogUpdate {
         term: 7,
