--- a/crates/core/src/placement_log.rs
+++ b/crates/core/src/placement_log.rs
@@ -81,7 +81,8 @@
     /// The term whose log they hold; 0: there is no replica.
     pub term: u64,
     /// The last term whose leader wrote this record when it was elected.
-    pub led: u64,
+    #[serde(rename = "led")]
+    pub last_leader_term: u64,
     /// Names and incarnations of the replicas.
     pub nodes: Vec<(String, u64)>,
 }
@@ -90,9 +91,9 @@
     /// What the leader of `term` writes when it takes the leader key. The earlier log stays
     /// valid only if no term in between failed to write this record.
     pub fn for_new_term(&self, term: u64) -> StandbyReplicas {
-        match self.led + 1 == term {
-            true => StandbyReplicas { led: term, ..self.clone() },
-            false => StandbyReplicas { term: 0, led: term, nodes: Vec::new() },
+        match self.last_leader_term + 1 == term {
+            true => StandbyReplicas { last_leader_term: term, ..self.clone() },
+            false => StandbyReplicas { term: 0, last_leader_term: term, nodes: Vec::new() },
         }
     }
 }
@@ -426,7 +427,7 @@
         let name = |(n, inc): &(NodeId, u64)| Some((self.names.get(n.0 as usize)?.clone(), *inc));
         let mut nodes: Vec<(String, u64)> = good.iter().filter_map(name).collect();
         nodes.sort();
-        let want = StandbyReplicas { term: self.term, led: self.term, nodes };
+        let want = StandbyReplicas { term: self.term, last_leader_term: self.term, nodes };
         // Equally good controllers are not worth a new record: a replica is removed only when
         // it fails, and added only when there are too few.
         let unchanged = self.is_recorded() && {
--- a/crates/core/src/placement_log/tests.rs
+++ b/crates/core/src/placement_log/tests.rs
@@ -46,13 +46,13 @@
 
 #[test]
 fn a_record_is_valid_only_if_every_leader_since_wrote_it() {
-    let of = |term, led| StandbyReplicas { term, led, nodes: vec![("n1".into(), 9)] };
+    let of = |term, led| StandbyReplicas { term, last_leader_term: led, nodes: vec![("n1".into(), 9)] };
     // (record, next term, term whose log is valid for it)
     for (record, next, want) in
         [(of(4, 4), 5, 4), (of(4, 6), 7, 4), (of(4, 4), 6, 0), (StandbyReplicas::default(), 3, 0)]
     {
         let w = record.for_new_term(next);
-        assert_eq!((w.term, w.led), (want, next), "{record:?}");
+        assert_eq!((w.term, w.last_leader_term), (want, next), "{record:?}");
     }
 }
 
@@ -62,7 +62,7 @@
     let zones: Vec<String> = ["a", "a", "b"].map(String::from).to_vec();
     let (me, n1, n2) = (NodeId(0), (NodeId(1), 7), (NodeId(2), 8));
     let mut l =
-        PlacementLog::new(4, me, names, zones, StandbyReplicas { term: 3, led: 4, nodes: vec![("n1".into(), 7)] }, 50);
+        PlacementLog::new(4, me, names, zones, StandbyReplicas { term: 3, last_leader_term: 4, nodes: vec![("n1".into(), 7)] }, 50);
     let mut now = Micros::secs(10);
     let began = now;
     let covered = |l: &PlacementLog| l.covered();
@@ -125,7 +125,7 @@
         let mut l = PlacementLog::new(4, NodeId(0), names, zones, StandbyReplicas::default(), 50);
         l.due_updates(&[(n1, 7)], began);
         l.acknowledged(n1, 7, 1, began);
-        l.update_record(&StandbyReplicas { term: 4, led: 4, nodes: vec![("n1".into(), 7)] }, 60);
+        l.update_record(&StandbyReplicas { term: 4, last_leader_term: 4, nodes: vec![("n1".into(), 7)] }, 60);
         let at = l.hand_out(task(1));
         l.due_updates(&[(n1, 7)], began + Micros::millis(20));
         let mut got = [false; 2];
@@ -152,7 +152,7 @@
     let mut l = PlacementLog::new(4, me, names, zones, StandbyReplicas::default(), 50);
     l.due_updates(&[n1], began);
     l.acknowledged(n1.0, 7, 1, began);
-    let none = StandbyReplicas { term: 4, led: 4, nodes: Vec::new() };
+    let none = StandbyReplicas { term: 4, last_leader_term: 4, nodes: Vec::new() };
     l.update_record(&none, 60);
     let at = l.hand_out(task(1));
     assert!(l.covered().unwrap() >= at, "no replica has to acknowledge it");
