--- a/crates/core/src/leader/bindings.rs
+++ b/crates/core/src/leader/bindings.rs
@@ -88,7 +88,7 @@
             m.tasks.insert(h.task, (o.attempt, TaskState::Starting));
             m.stale = true;
         }
-        self.books.note(h.task);
+        self.books.record_change(h.task);
         self.free_if_nowhere(h.task);
     }
 
@@ -177,7 +177,7 @@
                 let arrived = *state != TaskState::Starting
                     && old.get(task).is_some_and(|(_, s)| *s == TaskState::Starting);
                 if b.on.insert(s.id.clone()) || arrived {
-                    self.books.note(*task);
+                    self.books.record_change(*task);
                     if b.on.len() > 1 {
                         warn!("{task} may be on several machines: {:?}", b.on);
                     }
@@ -229,7 +229,7 @@
                 {
                     run.unrecorded_since.get_or_insert(now);
                     run.unrecorded.insert(task.index);
-                    self.books.note(task);
+                    self.books.record_change(task);
                 }
                 if let Some(m) = self.machines.get_mut(id) {
                     m.failures = 0;
@@ -289,7 +289,7 @@
             && let Some(b) = run.bound.get_mut(&task.index)
         {
             b.on.remove(id);
-            self.books.note(task);
+            self.books.record_change(task);
         }
         if let Some(m) = self.machines.get_mut(id) {
             m.bound.remove(&task);
@@ -305,7 +305,7 @@
         {
             let attempt = b.attempt;
             run.bound.remove(&task.index);
-            self.books.note(task);
+            self.books.record_change(task);
             self.sums.freed(&run.spec);
             if !run.done.contains(task.index) {
                 run.again.insert(task.index);
@@ -337,7 +337,7 @@
                 self.handed.watch(task, h.watched.as_ref());
             } else if let Some(handed) = b.handed.take() {
                 self.handed.remove(task, &handed);
-                self.books.note(task);
+                self.books.record_change(task);
                 free.push((task, b.attempt, handed.hint));
             }
         }
--- a/crates/core/src/leader/log_replication.rs
+++ b/crates/core/src/leader/log_replication.rs
@@ -120,7 +120,7 @@
                 run.done.insert(task.index);
                 run.unrecorded.insert(task.index);
                 self.progressed.insert(task.job);
-                self.books.note(*task);
+                self.books.record_change(*task);
             }
             // A machine without a record is deleted: its record is removed only then.
             let on: BTreeSet<MachineId> =
@@ -159,7 +159,7 @@
             }
             self.sums.bound(&run.spec);
             run.bound.insert(task.index, Binding { attempt: e.attempt, handed, on });
-            self.books.note(*task);
+            self.books.record_change(*task);
             adopted += 1;
         }
         self.dirty = true;
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -447,7 +447,7 @@
                     }
                     Some(run) => {
                         for index in run.recorded(job, spec) {
-                            self.books.note(TaskId { job: id, index });
+                            self.books.record_change(TaskId { job: id, index });
                         }
                     }
                 }
@@ -464,7 +464,7 @@
         {
             run.over = true;
             for index in std::mem::take(&mut run.unrecorded) {
-                self.books.note(TaskId { job: id, index });
+                self.books.record_change(TaskId { job: id, index });
             }
             self.inherit_urgency(id, ledger);
         }
--- a/crates/core/src/leader/schedule.rs
+++ b/crates/core/src/leader/schedule.rs
@@ -373,7 +373,7 @@
             m.idle_since = None;
             self.rooms.put(&hint, m, true);
         }
-        let at = self.books.hand_out(task);
+        let at = self.books.record_assignment(task);
         self.handouts.insert(attempt, PendingAssignment { to: node, out, log_seq: at, sent: None });
         if let Some(n) = self.nodes.get_mut(node.0 as usize) {
             n.dirty = true;
--- a/crates/core/src/placement_log.rs
+++ b/crates/core/src/placement_log.rs
@@ -255,7 +255,7 @@
     }
 
     /// Logs that a task's places changed; the sequence number of the change.
-    pub fn note(&mut self, task: TaskId) -> u64 {
+    pub fn record_change(&mut self, task: TaskId) -> u64 {
         self.seq += 1;
         self.changes.push_back((self.seq, task));
         if self.changes.len() > MAX_LOGGED_CHANGES
@@ -268,8 +268,8 @@
 
     /// Logs that a task was assigned; the change that all replicas have to acknowledge
     /// before the assignment is sent.
-    pub fn hand_out(&mut self, task: TaskId) -> u64 {
-        self.awaited = self.note(task);
+    pub fn record_assignment(&mut self, task: TaskId) -> u64 {
+        self.awaited = self.record_change(task);
         self.awaited
     }
 
--- a/crates/core/src/placement_log/tests.rs
+++ b/crates/core/src/placement_log/tests.rs
@@ -77,7 +77,7 @@
     l.write_ended();
     l.update_record(&both, 60);
     assert_eq!(covered(&l), Some(1));
-    let seq = l.hand_out(task(1));
+    let seq = l.record_assignment(task(1));
     now = now + Micros::millis(20);
     assert_eq!(l.due_updates(&[n1, n2], now).len(), 2);
     l.acknowledged(n1.0, 7, seq, now);
@@ -97,7 +97,7 @@
     assert_eq!(covered(&l), Some(seq));
     // Added again: its acknowledgement counts as soon as the record may name it.
     l.acknowledged(n2.0, 8, seq, now);
-    l.note(task(2));
+    l.record_change(task(2));
     let (again, _) = l.due_record(&[n1, n2], &[], began, now + Micros::secs(1)).unwrap();
     assert_eq!(again.nodes.len(), 2);
     l.acknowledged(n1.0, 7, seq + 1, now);
@@ -126,7 +126,7 @@
         l.due_updates(&[(n1, 7)], began);
         l.acknowledged(n1, 7, 1, began);
         l.update_record(&StandbyReplicas { term: 4, last_leader_term: 4, nodes: vec![("n1".into(), 7)] }, 60);
-        let at = l.hand_out(task(1));
+        let at = l.record_assignment(task(1));
         l.due_updates(&[(n1, 7)], began + Micros::millis(20));
         let mut got = [false; 2];
         for i in 5..110 {
@@ -154,7 +154,7 @@
     l.acknowledged(n1.0, 7, 1, began);
     let none = StandbyReplicas { term: 4, last_leader_term: 4, nodes: Vec::new() };
     l.update_record(&none, 60);
-    let at = l.hand_out(task(1));
+    let at = l.record_assignment(task(1));
     assert!(l.covered().unwrap() >= at, "no replica has to acknowledge it");
     l.mark_released(at);
     let soon = began + Micros::millis(100);
