--- a/crates/core/src/leader/bindings.rs
+++ b/crates/core/src/leader/bindings.rs
@@ -168,7 +168,7 @@
                 run.proven |= proven;
                 let sums = &mut self.sums;
                 let b = run.bound.entry(task.index).or_insert_with(|| {
-                    sums.bound(&spec);
+                    sums.add(&spec);
                     Binding { attempt: *attempt, handed: None, on: BTreeSet::new() }
                 });
                 m.bound.insert(*task);
@@ -306,7 +306,7 @@
             let attempt = b.attempt;
             run.bound.remove(&task.index);
             self.books.record_change(task);
-            self.sums.freed(&run.spec);
+            self.sums.subtract(&run.spec);
             if !run.done.contains(task.index) {
                 run.again.insert(task.index);
                 self.queue_stale = true;
--- a/crates/core/src/leader/log_replication.rs
+++ b/crates/core/src/leader/log_replication.rs
@@ -157,7 +157,7 @@
             if let Some(handed) = &handed {
                 self.handed.watch(*task, handed.watched.as_ref());
             }
-            self.sums.bound(&run.spec);
+            self.sums.add(&run.spec);
             run.bound.insert(task.index, Binding { attempt: e.attempt, handed, on });
             self.books.record_change(*task);
             adopted += 1;
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -65,7 +65,7 @@
 }
 
 impl BoundTotals {
-    fn bound(&mut self, spec: &JobSpec) {
+    fn add(&mut self, spec: &JobSpec) {
         self.arrays += (spec.kind == Kind::Array) as u64;
         let (c, g) = match self.teams.get_mut(&spec.team) {
             Some(t) => t,
@@ -73,7 +73,7 @@
         };
         (*c, *g) = (*c + spec.need.cpu, *g + spec.need.gpu);
     }
-    fn freed(&mut self, spec: &JobSpec) {
+    fn subtract(&mut self, spec: &JobSpec) {
         self.arrays -= (spec.kind == Kind::Array) as u64;
         if let Some((c, g)) = self.teams.get_mut(&spec.team) {
             (*c, *g) = (*c - spec.need.cpu, *g - spec.need.gpu);
@@ -364,7 +364,7 @@
         for (job, r) in &self.jobs {
             for (index, b) in &r.bound {
                 let task = TaskId { job: *job, index: *index };
-                sums.bound(&r.spec);
+                sums.add(&r.spec);
                 if let Some(h) = &b.handed {
                     handed.watch(task, h.watched.as_ref());
                     self.check_watched(task, b.attempt, h)?;
--- a/crates/core/src/leader/schedule.rs
+++ b/crates/core/src/leader/schedule.rs
@@ -357,7 +357,7 @@
         let out = HandOut { task, attempt, zone: fixed.then(|| zone.clone()), hint: hint.clone() };
         let need = run.spec.need;
         run.again.remove(&task.index);
-        self.sums.bound(&run.spec);
+        self.sums.add(&run.spec);
         let watched = first_candidate(&machines, &run.spec, attempt, &self.machines);
         self.handed.watch(task, watched.as_ref());
         let handed = UnresolvedAssignment { incarnation, machines, hint: hint.clone(), zone, watched };
