--- a/crates/core/src/leader/bindings.rs
+++ b/crates/core/src/leader/bindings.rs
@@ -66,7 +66,7 @@
     }
 
     pub(super) fn outcome(&mut self, from: NodeId, incarnation: u64, o: &Outcome) {
-        let Some(PendingAssignment { to, out: h, .. }) = self.handouts.remove(&o.attempt) else { return };
+        let Some(PendingAssignment { to, assignment: h, .. }) = self.handouts.remove(&o.attempt) else { return };
         debug_assert_eq!(to, from);
         self.dirty = true;
         if let Some(m) = self.machines.get_mut(&h.hint) {
--- a/crates/core/src/leader/messages.rs
+++ b/crates/core/src/leader/messages.rs
@@ -86,7 +86,7 @@
         let mut open: Vec<(HandOut, u64)> = Vec::new();
         for h in self.handouts.values_mut().filter(|_| lease_ok).filter(due) {
             h.sent = Some(now);
-            open.push((h.out.clone(), h.log_seq));
+            open.push((h.assignment.clone(), h.log_seq));
         }
         if let Some(at) = open.iter().map(|(_, at)| *at).max() {
             self.books.mark_released(at);
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -102,7 +102,7 @@
 #[derive(Debug)]
 struct PendingAssignment {
     to: NodeId,
-    out: HandOut,
+    assignment: HandOut,
     /// The change of the placement log that all replicas have to acknowledge before the
     /// assignment is sent.
     log_seq: u64,
--- a/crates/core/src/leader/schedule.rs
+++ b/crates/core/src/leader/schedule.rs
@@ -374,7 +374,7 @@
             self.rooms.put(&hint, m, true);
         }
         let at = self.books.record_assignment(task);
-        self.handouts.insert(attempt, PendingAssignment { to: node, out, log_seq: at, sent: None });
+        self.handouts.insert(attempt, PendingAssignment { to: node, assignment: out, log_seq: at, sent: None });
         if let Some(n) = self.nodes.get_mut(node.0 as usize) {
             n.dirty = true;
         }
--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -794,7 +794,7 @@
         b.tick(500);
         let mut ends: BTreeMap<MachineId, Vec<(TaskId, Attempt, TaskState)>> = BTreeMap::new();
         let mut outcomes = Vec::new();
-        for PendingAssignment { out: h, .. } in b.leader.handouts.values() {
+        for PendingAssignment { assignment: h, .. } in b.leader.handouts.values() {
             outcomes.push(Outcome { attempt: h.attempt, machine: Some(h.hint.clone()) });
             ends.entry(h.hint.clone()).or_default().push((h.task, h.attempt, TaskState::Failed));
         }
@@ -846,7 +846,7 @@
     for half in 0..400u32 {
         b.tick(500);
         let mut outcomes = Vec::new();
-        for PendingAssignment { out: h, .. } in b.leader.handouts.values() {
+        for PendingAssignment { assignment: h, .. } in b.leader.handouts.values() {
             if h.task.job == JobId(2) {
                 began.get_or_insert(half / 2);
             }
@@ -930,7 +930,7 @@
                 b.add_job(100 + i as u64, 60, "t", "array", "standard", 1, 8.0);
             }
             b.tick(30);
-            let placed = |h: &PendingAssignment| Outcome { attempt: h.out.attempt, machine: Some(h.out.hint.clone()) };
+            let placed = |h: &PendingAssignment| Outcome { attempt: h.assignment.attempt, machine: Some(h.assignment.hint.clone()) };
             let outcomes: Vec<Outcome> = b.leader.handouts.values().map(placed).collect();
             b.sync(A, &[], &outcomes);
             b.sync(B, &[], &outcomes);
