--- a/crates/core/src/leader/bindings.rs
+++ b/crates/core/src/leader/bindings.rs
@@ -5,7 +5,7 @@
 
 impl Leader {
     /// Applies a controller's `Sync`. A stale one is dropped.
-    pub fn sync(&mut self, from: NodeId, incarnation: u64, view: &View<'_>, ledger: &Ledger, now: Micros) {
+    pub fn sync(&mut self, from: NodeId, incarnation: u64, view: &SyncView<'_>, ledger: &Ledger, now: Micros) {
         let Some(node) = self.nodes.get_mut(from.0 as usize) else { return };
         if incarnation < node.incarnation {
             // Sent before the controller restarted, and delayed in the network.
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -112,7 +112,7 @@
 
 /// The content of a controller's `Sync`.
 #[derive(Debug, Clone, Copy)]
-pub struct View<'a> {
+pub struct SyncView<'a> {
     /// Sequence number of the `Sync`.
     pub seq: u64,
     /// Sequence number of the `Sync` that it builds on.
@@ -129,21 +129,21 @@
     pub outcomes: &'a [Outcome],
 }
 
-impl<'a> View<'a> {
+impl<'a> SyncView<'a> {
     /// The content of a `Sync`, and the term of the leader that it is meant for; `None` for
     /// any other message.
-    pub fn of(m: &'a Message) -> Option<(u64, View<'a>)> {
+    pub fn of(m: &'a Message) -> Option<(u64, SyncView<'a>)> {
         let Message::Sync { term, seq, base, seen, machines, heard, strangers, outcomes } = m else {
             return None;
         };
         let (seq, base, seen) = (*seq, *base, *seen);
-        Some((*term, View { seq, base, seen, machines, heard, strangers, outcomes }))
+        Some((*term, SyncView { seq, base, seen, machines, heard, strangers, outcomes }))
     }
 }
 
 /// Settings that stay the same for a term.
 #[derive(Debug, Clone)]
-pub struct Context {
+pub struct LeaderConfig {
     /// This node.
     pub me: NodeId,
     /// All nodes' names.
@@ -173,7 +173,7 @@
 pub struct Leader {
     /// Its term.
     pub term: u64,
-    ctx: Context,
+    ctx: LeaderConfig,
     epoch: u64,
     began: Micros,
     term_start_wall_ms: u64,
@@ -261,7 +261,7 @@
 impl Leader {
     /// A leader of a new term: it knows only the records, and all fair-queue tags are zero.
     pub fn new(
-        ctx: Context,
+        ctx: LeaderConfig,
         term: u64,
         stamp: u64,
         ledger: &Ledger,
--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -16,7 +16,7 @@
 const A: NodeId = NodeId(0);
 const B: NodeId = NodeId(1);
 
-fn context() -> Context {
+fn context() -> LeaderConfig {
     let team = |name: &str, cpus: f64, max: f64| Team {
         name: name.into(),
         cpus,
@@ -24,7 +24,7 @@
         gpus: 0.0,
         gpus_max: 0.0,
     };
-    Context {
+    LeaderConfig {
         me: A,
         names: vec!["n0".into(), "n1".into()],
         zones: vec!["east".into(), "east".into()],
@@ -157,7 +157,7 @@
         let i = from.0 as usize;
         self.seq[i] += 1;
         let view =
-            View { seq: self.seq[i], base: 0, seen: 0, machines, heard: &[], strangers: &[], outcomes };
+            SyncView { seq: self.seq[i], base: 0, seen: 0, machines, heard: &[], strangers: &[], outcomes };
         self.leader.sync(from, self.incarnation[i], &view, &self.ledger, self.now);
     }
 
@@ -268,7 +268,7 @@
                 b.incarnation[0] += 1;
                 b.sync(A, &[], &[]);
                 let outcomes = [Outcome { attempt: a, machine: None }];
-                let view = View {
+                let view = SyncView {
                     seq: 99,
                     base: 0,
                     seen: 0,
@@ -429,7 +429,7 @@
         b.ledger.apply(&keys::end(JobId(1)), Some(&end), 45);
         let sizes = Sizes::from([("big".into(), Resources::have(8.0, 0.0, 32.0))]);
         // No controller is in the machine's zone, so its silence may be a partition.
-        let away = Context { zones: vec!["west".into(), "west".into()], ..context() };
+        let away = LeaderConfig { zones: vec!["west".into(), "west".into()], ..context() };
         b.leader = Leader::new(away, TERM + 1, 80, &b.ledger, &sizes, b.now, 1_000_000);
         for _ in 0..25 {
             b.tick(1000);
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -33,7 +33,7 @@
 use crate::election::Role;
 use crate::guest::{Guest, GuestInput, GuestOutput, Host, Ticket};
 use crate::jobs::{self, Change, LeaderRecord, Ledger, MachineRecord, Phase, keys};
-use crate::leader::{CloudWish, Context, HireRequest, Leader, LeaderWrite, View};
+use crate::leader::{CloudWish, LeaderConfig, HireRequest, Leader, LeaderWrite, SyncView};
 use crate::limits::StoreLimits;
 use crate::liveness::LivenessMonitor;
 use crate::peer::{Envelope, Message, Sighting};
@@ -124,7 +124,7 @@
     nodes: Nodes,
     operator: Operator,
     teams: Vec<Team>,
-    ctx: Context,
+    ctx: LeaderConfig,
     limits: StoreLimits,
     now: Micros,
     /// When this process began, and when it could last know what was cancelled.
@@ -165,7 +165,7 @@
         let nodes = Nodes::new(p);
         let d = &p.deployment;
         let n = nodes.names.len() as f64;
-        let ctx = Context {
+        let ctx = LeaderConfig {
             me: nodes.me,
             names: nodes.names.clone(),
             zones: nodes.zones.clone(),
--- a/crates/core/src/node/peers.rs
+++ b/crates/core/src/node/peers.rs
@@ -125,7 +125,7 @@
                 }
             }
             m @ Message::Sync { .. } => {
-                if let Some((term, view)) = View::of(&m)
+                if let Some((term, view)) = SyncView::of(&m)
                     && let Some(l) = self.leadership.leader.as_mut().filter(|l| l.term == term)
                 {
                     l.sync(from, incarnation, &view, &self.mirror.ledger, self.now);
