--- a/crates/core/src/leader/bindings.rs
+++ b/crates/core/src/leader/bindings.rs
@@ -38,8 +38,8 @@
             return;
         }
         node.sync_seq = view.seq;
-        node.acked_update = view.seen;
-        node.pacer.acknowledged(view.seen, now);
+        node.acked_update = view.acked_update;
+        node.pacer.acknowledged(view.acked_update, now);
         node.ack_due |= !view.machines.is_empty() || !view.outcomes.is_empty();
         if node.heard.is_none_or(|t| now.since(t) > CONTACT_TIMEOUT) {
             node.contact_since = now;
@@ -51,13 +51,13 @@
         for s in view.machines {
             self.machine_state(from, s, ledger, now);
         }
-        for (id, ago, report) in view.heard {
+        for (id, ago, report) in view.contacts {
             if let Some(m) = self.machines.get_mut(id) {
                 m.record_contact(now - *ago, from, *report);
                 m.goes_on(from, now - *ago, now);
             }
         }
-        for s in view.strangers {
+        for s in view.unleased_reports {
             if let Some(m) = self.machines.get(&s.id) {
                 let rec = m.record();
                 self.seen(from, s, &rec, &Sizes::new(), now);
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -118,13 +118,13 @@
     /// Sequence number of the `Sync` that it builds on.
     pub base: u64,
     /// The last update that the controller applied.
-    pub seen: u64,
+    pub acked_update: u64,
     /// Machines that changed.
     pub machines: &'a [MachineState],
     /// Machines that reported without a change, and how long ago.
-    pub heard: &'a [(MachineId, Micros, ReportNo)],
+    pub contacts: &'a [(MachineId, Micros, ReportNo)],
     /// Machines of other holders whose workers report to the controller.
-    pub strangers: &'a [Sighting],
+    pub unleased_reports: &'a [Sighting],
     /// Assignments that the controller has carried out or refused.
     pub outcomes: &'a [Outcome],
 }
@@ -137,7 +137,7 @@
             return None;
         };
         let (seq, base, seen) = (*seq, *base, *seen);
-        Some((*term, SyncView { seq, base, seen, machines, heard, strangers, outcomes }))
+        Some((*term, SyncView { seq, base, acked_update: seen, machines, contacts: heard, unleased_reports: strangers, outcomes }))
     }
 }
 
--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -157,7 +157,7 @@
         let i = from.0 as usize;
         self.seq[i] += 1;
         let view =
-            SyncView { seq: self.seq[i], base: 0, seen: 0, machines, heard: &[], strangers: &[], outcomes };
+            SyncView { seq: self.seq[i], base: 0, acked_update: 0, machines, contacts: &[], unleased_reports: &[], outcomes };
         self.leader.sync(from, self.incarnation[i], &view, &self.ledger, self.now);
     }
 
@@ -271,10 +271,10 @@
                 let view = SyncView {
                     seq: 99,
                     base: 0,
-                    seen: 0,
+                    acked_update: 0,
                     machines: &[],
-                    heard: &[],
-                    strangers: &[],
+                    contacts: &[],
+                    unleased_reports: &[],
                     outcomes: &outcomes,
                 };
                 b.leader.sync(A, 5, &view, &b.ledger, b.now);
