--- a/crates/core/src/leader/blocks.rs
+++ b/crates/core/src/leader/blocks.rs
@@ -228,7 +228,7 @@
             *last = (*last).max(t);
         }
         // Within this time it should have reported, or have answered its holder's probe.
-        let overdue = (self.ctx.report.scale(5, 4) + Micros::secs(1)).min(ASKED_AFTER + ASK_TIMEOUT);
+        let overdue = (self.ctx.report_interval.scale(5, 4) + Micros::secs(1)).min(ASKED_AFTER + ASK_TIMEOUT);
         let heard_by = latest.iter().map(|((h, zone), (t, _))| (Some(*h), *zone, *t));
         for (by, zone, at) in heard_by.chain(zone_latest.iter().map(|(z, t)| (None, *z, *t))) {
             self.ways.heard(by, zone, at, overdue);
@@ -343,7 +343,7 @@
             // A job stays here until it is recorded that no task of it is left: a machine that
             // could hold one may appear at any later time.
             let record = ledger.jobs.get(job).filter(|j| !j.settled);
-            if run.is_none_or(|r| r.bound.is_empty()) && record.is_none() && now > *by + self.ctx.cancel {
+            if run.is_none_or(|r| r.bound.is_empty()) && record.is_none() && now > *by + self.ctx.cancel_timeout {
                 over.push(*job);
             }
             if now >= self.deletion_due(*by, 95, Micros::millis(1500)) {
@@ -393,9 +393,9 @@
     /// of a leader to meet the deadline (`crate::deputy`).
     fn deletion_due(&self, by: Micros, last: u64, least: Micros) -> Micros {
         let reports_in = self.began + Micros::secs(4);
-        let last = by - self.ctx.cancel.scale(100 - last, 100);
+        let last = by - self.ctx.cancel_timeout.scale(100 - last, 100);
         let wait = if last >= self.began + least { reports_in.min(last) } else { reports_in };
-        wait.max(by - self.ctx.cancel.scale(35, 100))
+        wait.max(by - self.ctx.cancel_timeout.scale(35, 100))
     }
 
     pub(super) fn delete(&mut self, id: &MachineId, why: &str, now: Micros) {
--- a/crates/core/src/leader/cancelled.rs
+++ b/crates/core/src/leader/cancelled.rs
@@ -29,7 +29,7 @@
             let n = NodeId(*i as u8);
             let known = known_by.get(*i).is_some_and(|known| *known >= node.incarnation.max(1));
             let lease_until = node.heard.unwrap_or(self.began) + self.ctx.operator.block_lease;
-            n != self.ctx.me && !known && !ended.contains(&n) && now < lease_until
+            n != self.ctx.node_id && !known && !ended.contains(&n) && now < lease_until
         };
         self.nodes.iter().enumerate().filter(may_start).map(|(i, _)| NodeId(i as u8)).collect()
     }
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -145,7 +145,7 @@
 #[derive(Debug, Clone)]
 pub struct LeaderConfig {
     /// This node.
-    pub me: NodeId,
+    pub node_id: NodeId,
     /// All nodes' names.
     pub names: Vec<String>,
     /// All nodes' zones.
@@ -157,11 +157,11 @@
     /// Objectives of job classes.
     pub objectives: Vec<Objective>,
     /// Duration of a worker's lease.
-    pub lease: Micros,
+    pub worker_lease: Micros,
     /// Interval between a worker's reports.
-    pub report: Micros,
+    pub report_interval: Micros,
     /// Time within which all tasks of a cancelled job have to be terminated.
-    pub cancel: Micros,
+    pub cancel_timeout: Micros,
     /// How far the cloud's list of machines may lag behind.
     pub list_lag: Micros,
     /// Calls per second that the cloud accepts.
@@ -272,7 +272,7 @@
         let nodes = vec![Node::default(); ctx.zones.len()];
         let lag = ctx.list_lag;
         let (record, stamp_of) = ledger.books.clone();
-        let books = PlacementLog::new(term, ctx.me, ctx.names.clone(), ctx.zones.clone(), record, stamp_of);
+        let books = PlacementLog::new(term, ctx.node_id, ctx.names.clone(), ctx.zones.clone(), record, stamp_of);
         let mut l = Leader {
             term,
             ctx,
@@ -346,7 +346,7 @@
             match job.phase {
                 Phase::Aborted if job.settled => l.note_cancelled_by_another(*id, job),
                 Phase::Aborted => {
-                    let by = crate::deputy::gone_by(job.ended_ms, wall_ms, l.ctx.cancel, now);
+                    let by = crate::deputy::gone_by(job.ended_ms, wall_ms, l.ctx.cancel_timeout, now);
                     l.aborted.insert(*id, by);
                 }
                 _ => l.job_changed(*id, ledger, now),
@@ -454,7 +454,7 @@
             }
             Phase::Aborted if job.settled => self.note_cancelled_by_another(id, job),
             Phase::Aborted => {
-                self.aborted.entry(id).or_insert(now + self.ctx.cancel);
+                self.aborted.entry(id).or_insert(now + self.ctx.cancel_timeout);
                 self.cancellations_checked_at = Micros(0);
             }
             Phase::Done => self.dependency_done = true,
@@ -474,7 +474,7 @@
     /// this before it confirms the cancellation to the client.
     pub fn track_cancellation(&mut self, id: JobId, ledger: &Ledger, now: Micros) {
         if ledger.jobs.get(&id).is_some_and(|j| j.phase == Phase::Aborted && !j.settled) {
-            self.aborted.entry(id).or_insert(now + self.ctx.cancel);
+            self.aborted.entry(id).or_insert(now + self.ctx.cancel_timeout);
         }
     }
 
--- a/crates/core/src/leader/records.rs
+++ b/crates/core/src/leader/records.rs
@@ -59,7 +59,7 @@
         // record it would delete machines that do not report, because they may hold one.
         for (id, by) in &self.aborted {
             let job = ledger.jobs.get(id).filter(|j| !j.settled && j.end_stamp > 0);
-            let known_for = (now + self.ctx.cancel).since(*by);
+            let known_for = (now + self.ctx.cancel_timeout).since(*by);
             if known_for > Micros::secs(1) && job.is_some_and(|j| self.has_no_tasks(*id, j)) {
                 v.push(LeaderWrite::Settle(*id));
             }
--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -25,15 +25,15 @@
         gpus_max: 0.0,
     };
     LeaderConfig {
-        me: A,
+        node_id: A,
         names: vec!["n0".into(), "n1".into()],
         zones: vec!["east".into(), "east".into()],
         operator: Operator::default(),
         teams: vec![team("t", 0.0, 0.0), team("tight", 0.0, 4.0), team("owner", 4.0, 0.0)],
         objectives: Vec::new(),
-        lease: Micros::secs(12),
-        report: Micros::secs(2),
-        cancel: Micros::secs(30),
+        worker_lease: Micros::secs(12),
+        report_interval: Micros::secs(2),
+        cancel_timeout: Micros::secs(30),
         list_lag: Micros::secs(5),
         cloud_rps: 10.0,
     }
--- a/crates/core/src/node/cancellations.rs
+++ b/crates/core/src/node/cancellations.rs
@@ -198,7 +198,7 @@
         self.cancellations.looked = now;
         // What is settled on record is over; what nobody asks about any more was left
         // by its machines long ago, or is the state service's to tell.
-        let (keep, ledger) = (self.ctx.cancel.scale(4, 1), &self.mirror.ledger);
+        let (keep, ledger) = (self.ctx.cancel_timeout.scale(4, 1), &self.mirror.ledger);
         self.cancellations.jobs.retain(|job, k| {
             !k.askers.is_empty()
                 || now.since(k.since) < keep && ledger.jobs.get(job).is_none_or(|j| !j.settled)
@@ -366,7 +366,7 @@
     /// within its lease, and so within what is left of a cancellation. What was confirmed
     /// before this process began may be any time ago; half is left for that.
     pub(super) fn may_renew(&self) -> bool {
-        let spare = self.ctx.cancel - self.ctx.lease;
+        let spare = self.ctx.cancel_timeout - self.ctx.worker_lease;
         match self.informed {
             Some(t) => self.now.since(t) + Micros::secs(1) <= spare,
             None => self.now.since(self.began) <= spare.scale(1, 2),
--- a/crates/core/src/node/knowledge.rs
+++ b/crates/core/src/node/knowledge.rs
@@ -51,7 +51,7 @@
             return None;
         }
         let open = self.mirror.ledger.jobs.values().filter(|j| j.phase == Phase::Aborted && !j.settled);
-        open.map(|job| gone_by(job.ended_ms, self.wall_ms, self.ctx.cancel, self.now))
+        open.map(|job| gone_by(job.ended_ms, self.wall_ms, self.ctx.cancel_timeout, self.now))
             .filter(|by| *by > self.now)
             .min()
     }
@@ -62,7 +62,7 @@
         let peer_knows =
             self.peers.all().any(|n| self.hears(n, HEARD) && self.peers.states[n.0 as usize].loaded);
         let since = self.informed.unwrap_or(self.began);
-        let may_be_left = self.now.since(since) < self.ctx.cancel;
-        (!peer_knows && may_be_left).then(|| since + self.ctx.cancel.scale(UNKNOWN_DEADLINE_PERCENT, 100))
+        let may_be_left = self.now.since(since) < self.ctx.cancel_timeout;
+        (!peer_knows && may_be_left).then(|| since + self.ctx.cancel_timeout.scale(UNKNOWN_DEADLINE_PERCENT, 100))
     }
 }
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -166,15 +166,15 @@
         let d = &p.deployment;
         let n = nodes.names.len() as f64;
         let ctx = LeaderConfig {
-            me: nodes.me,
+            node_id: nodes.me,
             names: nodes.names.clone(),
             zones: nodes.zones.clone(),
             operator: operator.clone(),
             teams: d.teams.clone(),
             objectives: d.objectives.clone(),
-            lease: Micros::from_secs_f64(d.workers.lease_s),
-            report: Micros::from_secs_f64(d.workers.report_s),
-            cancel: Micros::from_secs_f64(d.workers.cancel_s),
+            worker_lease: Micros::from_secs_f64(d.workers.lease_s),
+            report_interval: Micros::from_secs_f64(d.workers.report_s),
+            cancel_timeout: Micros::from_secs_f64(d.workers.cancel_s),
             list_lag: Micros::from_secs_f64(d.cloud.list_lag_s),
             cloud_rps: d.cloud.rps,
         };
--- a/crates/core/src/node/stand_in.rs
+++ b/crates/core/src/node/stand_in.rs
@@ -86,7 +86,7 @@
     }
 
     fn enforce_cancellations(&mut self, suspects: &BTreeMap<MachineId, Suspect>, machines: usize) {
-        for act in self.deputy.tick(suspects, self.ctx.cancel, machines, self.now) {
+        for act in self.deputy.tick(suspects, self.ctx.cancel_timeout, machines, self.now) {
             match act {
                 Act::Ask(ids) => ids.into_iter().for_each(|id| self.ask_suspect(id)),
                 Act::Delete(ids) => self.delete_suspects(ids),
@@ -133,7 +133,7 @@
     fn unsettled(&self, id: JobId) -> Option<(Micros, &Job)> {
         let job = self.mirror.ledger.jobs.get(&id)?;
         let open = job.phase == Phase::Aborted && !job.settled;
-        open.then(|| (gone_by(job.ended_ms, self.wall_ms, self.ctx.cancel, self.now), job))
+        open.then(|| (gone_by(job.ended_ms, self.wall_ms, self.ctx.cancel_timeout, self.now), job))
     }
 
     /// Machines where cancelled tasks may be, by all books that are kept here: those of a
