--- a/crates/core/src/leader/bindings.rs
+++ b/crates/core/src/leader/bindings.rs
@@ -18,7 +18,7 @@
             *node = Node { incarnation, since: now, ..Node::default() };
             if !first {
                 info!("controller {} restarted", from.0);
-                let stamp = self.version + 1;
+                let stamp = self.update_seq + 1;
                 for m in self.machines.values_mut().filter(|m| m.holder == Some(from)) {
                     m.last_holder = m.holder.take();
                     m.confirmed = false;
@@ -26,9 +26,9 @@
                 }
                 self.blocks.clear();
                 self.blocks_checked_at = Micros(0);
-                self.handouts.retain(|_, h| h.to != from);
+                self.pending_assignments.retain(|_, h| h.to != from);
             }
-            self.dirty = true;
+            self.needs_scheduling = true;
         } else if view.seq <= node.sync_seq {
             return;
         }
@@ -66,9 +66,9 @@
     }
 
     pub(super) fn outcome(&mut self, from: NodeId, incarnation: u64, o: &Outcome) {
-        let Some(PendingAssignment { to, assignment: h, .. }) = self.handouts.remove(&o.attempt) else { return };
+        let Some(PendingAssignment { to, assignment: h, .. }) = self.pending_assignments.remove(&o.attempt) else { return };
         debug_assert_eq!(to, from);
-        self.dirty = true;
+        self.needs_scheduling = true;
         if let Some(m) = self.machines.get_mut(&h.hint) {
             m.reserved.remove(&o.attempt);
         }
@@ -78,7 +78,7 @@
             return;
         }
         let Some(handed) = b.handed.take() else { return };
-        self.handed.remove(h.task, &handed);
+        self.unresolved_tasks.remove(h.task, &handed);
         if let Some(id) = &o.machine
             && handed.machines.contains(id)
             && let Some(m) = self.machines.get_mut(id).filter(|m| may_hold(m, o.attempt))
@@ -88,13 +88,13 @@
             m.tasks.insert(h.task, (o.attempt, TaskState::Starting));
             m.stale = true;
         }
-        self.books.record_change(h.task);
+        self.placement_log.record_change(h.task);
         self.free_if_nowhere(h.task);
     }
 
     pub(super) fn machine_state(&mut self, from: NodeId, s: &MachineState, ledger: &Ledger, now: Micros) {
         let Some(m) = self.machines.get_mut(&s.id) else { return };
-        if !self.granted {
+        if !self.grants_started {
             // A report that the controllers know already is not new when it comes again.
             m.is_new_report(s.last, from);
             // Before the first grants: the controller that held it under the highest token is
@@ -123,7 +123,7 @@
         if newly_confirmed {
             m.confirmed = true;
             m.unknown = false;
-            self.dirty = true;
+            self.needs_scheduling = true;
         }
         let mut here: BTreeMap<TaskId, (Attempt, TaskState)> = BTreeMap::new();
         let mut exits = Vec::new();
@@ -136,7 +136,7 @@
         }
         let old = m.tasks.clone();
         if old != here {
-            self.dirty = true;
+            self.needs_scheduling = true;
             m.stale = true;
         }
         if confirmed {
@@ -164,9 +164,9 @@
                 let run = self
                     .jobs
                     .entry(task.job)
-                    .or_insert_with(|| Run::new(job, spec.clone(), &self.ctx.objectives));
+                    .or_insert_with(|| Run::new(job, spec.clone(), &self.config.objectives));
                 run.proven |= proven;
-                let sums = &mut self.sums;
+                let sums = &mut self.bound_totals;
                 let b = run.bound.entry(task.index).or_insert_with(|| {
                     sums.add(&spec);
                     Binding { attempt: *attempt, handed: None, on: BTreeSet::new() }
@@ -177,7 +177,7 @@
                 let arrived = *state != TaskState::Starting
                     && old.get(task).is_some_and(|(_, s)| *s == TaskState::Starting);
                 if b.on.insert(s.id.clone()) || arrived {
-                    self.books.record_change(*task);
+                    self.placement_log.record_change(*task);
                     if b.on.len() > 1 {
                         warn!("{task} may be on several machines: {:?}", b.on);
                     }
@@ -223,13 +223,13 @@
         match state {
             TaskState::Done if run.spec.kind == Kind::Array && task.index < run.spec.tasks => {
                 (run.proven, run.begun) = (true, true);
-                self.progressed.insert(task.job);
+                self.arrays_with_progress.insert(task.job);
                 if run.done.insert(task.index)
                     && ledger.jobs.get(&task.job).is_some_and(|j| !j.done.contains(task.index))
                 {
                     run.unrecorded_since.get_or_insert(now);
                     run.unrecorded.insert(task.index);
-                    self.books.record_change(task);
+                    self.placement_log.record_change(task);
                 }
                 if let Some(m) = self.machines.get_mut(id) {
                     m.failures = 0;
@@ -267,7 +267,7 @@
             }
             _ => {}
         }
-        self.dirty = true;
+        self.needs_scheduling = true;
     }
 
     /// Drains a machine on which tasks fail that run well elsewhere. Failures of a job that
@@ -289,7 +289,7 @@
             && let Some(b) = run.bound.get_mut(&task.index)
         {
             b.on.remove(id);
-            self.books.record_change(task);
+            self.placement_log.record_change(task);
         }
         if let Some(m) = self.machines.get_mut(id) {
             m.bound.remove(&task);
@@ -305,14 +305,14 @@
         {
             let attempt = b.attempt;
             run.bound.remove(&task.index);
-            self.books.record_change(task);
-            self.sums.subtract(&run.spec);
+            self.placement_log.record_change(task);
+            self.bound_totals.subtract(&run.spec);
             if !run.done.contains(task.index) {
                 run.again.insert(task.index);
                 self.queue_stale = true;
             }
-            self.stops.remove(&(task, attempt));
-            self.dirty = true;
+            self.pending_stops.remove(&(task, attempt));
+            self.needs_scheduling = true;
         }
     }
 
@@ -323,7 +323,7 @@
             m.task_list_token = m.task_list_token.max(token);
         }
         let mut free = Vec::new();
-        for task in self.handed.take_watched(id) {
+        for task in self.unresolved_tasks.take_watched(id) {
             let Some(run) = self.jobs.get_mut(&task.job) else { continue };
             let Some(b) = run.bound.get_mut(&task.index) else { continue };
             let Some(h) = b.handed.as_mut() else { continue };
@@ -334,15 +334,15 @@
                 h.watched = next(Some(id)).or_else(|| next(None));
             }
             if h.watched.is_some() {
-                self.handed.watch(task, h.watched.as_ref());
+                self.unresolved_tasks.watch(task, h.watched.as_ref());
             } else if let Some(handed) = b.handed.take() {
-                self.handed.remove(task, &handed);
-                self.books.record_change(task);
+                self.unresolved_tasks.remove(task, &handed);
+                self.placement_log.record_change(task);
                 free.push((task, b.attempt, handed.hint));
             }
         }
         for (task, attempt, hint) in free {
-            self.handouts.remove(&attempt);
+            self.pending_assignments.remove(&attempt);
             if let Some(m) = self.machines.get_mut(&hint) {
                 m.reserved.remove(&attempt);
             }
@@ -354,25 +354,25 @@
     pub(super) fn remove_machine(&mut self, id: &MachineId, now: Micros) {
         let tasks = match self.machines.remove(id) {
             Some(mut m) => {
-                self.rooms.take(id, &mut m);
+                self.capacity_index.take(id, &mut m);
                 m.bound
             }
             None => BTreeSet::new(),
         };
         self.blocks.clear();
-        self.gone.insert(id.clone(), (now, self.version + 1));
+        self.deleted_machines.insert(id.clone(), (now, self.update_seq + 1));
         self.last_seen.remove(id);
         self.clear_handed(id, None);
         for t in tasks {
             self.unbind(t, id);
         }
-        self.dirty = true;
+        self.needs_scheduling = true;
     }
 
     /// A machine reported to a controller that doesn't hold it, or answered its probe.
     pub fn seen(&mut self, from: NodeId, s: &Sighting, rec: &MachineRecord, sizes: &Sizes, now: Micros) {
         let id = &s.id;
-        if self.gone.contains_key(id) {
+        if self.deleted_machines.contains_key(id) {
             return;
         }
         match self.machines.get_mut(id) {
@@ -390,7 +390,7 @@
                 info!("{id}: adopted ({} in {})", rec.build, rec.zone);
                 self.last_seen.insert(id.clone(), (from, now));
                 self.machines.insert(id.clone(), Machine::new(rec, *size, Stage::Up, now));
-                self.dirty = true;
+                self.needs_scheduling = true;
             }
             Some(m) if (&m.build, &m.zone, m.spot) != (&rec.build, &rec.zone, rec.spot) => {
                 if self.mismatched.insert(id.clone()) {
@@ -410,7 +410,7 @@
                     m.stage = Stage::Up;
                     m.since = now;
                     m.hearing = deaf::Hearing::new(now);
-                    self.dirty = true;
+                    self.needs_scheduling = true;
                 }
                 if !rec.addr.is_empty() && m.addr != rec.addr {
                     m.addr = rec.addr.clone();
--- a/crates/core/src/leader/blocks.rs
+++ b/crates/core/src/leader/blocks.rs
@@ -54,9 +54,9 @@
     ) -> Option<NodeId> {
         (0..self.nodes.len())
             .map(|i| NodeId(i as u8))
-            .filter(|n| self.in_contact(*n, now) && load[n.0 as usize] < self.ctx.operator.block_size)
+            .filter(|n| self.in_contact(*n, now) && load[n.0 as usize] < self.config.operator.block_size)
             .min_by_key(|n| {
-                (Some(*n) != prefer, self.ctx.zones[n.0 as usize] != zone, load[n.0 as usize], *n)
+                (Some(*n) != prefer, self.config.zones[n.0 as usize] != zone, load[n.0 as usize], *n)
             })
     }
 
@@ -91,9 +91,9 @@
     /// while this node may lead.
     pub fn tick(&mut self, ledger: &Ledger, now: Micros) {
         self.lateness.works(now);
-        if !self.granted {
+        if !self.grants_started {
             let all = self.contacts(now).into_iter().all(|c| c);
-            let waited = now.since(self.began);
+            let waited = now.since(self.term_start);
             if !(all || waited >= Micros::millis(700)) || self.awaits_log && waited < LOG_WAIT_TIMEOUT {
                 return;
             }
@@ -103,7 +103,7 @@
                     "no replica of the earlier placement log is available; silent machines may hold any task"
                 );
             }
-            self.granted = true;
+            self.grants_started = true;
             let ids: Vec<(MachineId, Option<NodeId>, String)> =
                 self.machines.iter().map(|(i, m)| (i.clone(), m.holder, m.zone.clone())).collect();
             for (id, holder, _) in &ids {
@@ -117,7 +117,7 @@
                 self.grant_unheld(&mut load, &id, &zone, now);
             }
         }
-        if !self.held.is_empty() {
+        if !self.unreleased_jobs.is_empty() {
             self.release(ledger);
         }
         // Scans of the whole fleet run only as often as what they watch requires.
@@ -128,9 +128,9 @@
             self.watch_deaf(now);
         }
         self.stop_cancelled(ledger, now);
-        if self.dirty && now.since(self.scheduled) >= Micros::millis(20) {
-            self.dirty = false;
-            self.scheduled = now;
+        if self.needs_scheduling && now.since(self.scheduled_at) >= Micros::millis(20) {
+            self.needs_scheduling = false;
+            self.scheduled_at = now;
             self.schedule(now);
         }
     }
@@ -159,11 +159,11 @@
                     } else if m.want_baton && m.confirmed && now.since(m.granted_at) > Micros::secs(1) {
                         moves.push((id.clone(), h, "a new token rules out a delayed start"));
                     } else if m.confirmed
-                        && self.ctx.zones[h.0 as usize] != m.zone
+                        && self.config.zones[h.0 as usize] != m.zone
                         && now.since(m.granted_at) > Micros::secs(10)
                         && m.reserved.is_empty()
                         && let Some(to) = self.choose_holder(&load, &m.zone, None, now)
-                        && self.ctx.zones[to.0 as usize] == m.zone
+                        && self.config.zones[to.0 as usize] == m.zone
                         && now.since(self.nodes[to.0 as usize].since) > Micros::secs(4)
                         && (silent || moves.len() < 2)
                     {
@@ -181,7 +181,7 @@
         for (id, zone) in unheld {
             self.grant_unheld(&mut load, &id, &zone, now);
         }
-        let full = !load.is_empty() && load.iter().all(|n| *n >= self.ctx.operator.block_size);
+        let full = !load.is_empty() && load.iter().all(|n| *n >= self.config.operator.block_size);
         if std::mem::replace(&mut self.blocks_full, full) != full && full {
             warn!("every block holds block_size machines; no controller holds the rest");
         }
@@ -197,10 +197,10 @@
         let last = m.last_holder.filter(|h| self.in_contact(*h, now));
         let own = self
             .choose_holder(load, zone, last, now)
-            .filter(|n| Some(*n) == last || self.ctx.zones[n.0 as usize] == zone);
+            .filter(|n| Some(*n) == last || self.config.zones[n.0 as usize] == zone);
         let Some(to) = own.or_else(|| self.choose_holder(load, zone, seen, now)) else { return };
-        let of_zone = self.ctx.zones[to.0 as usize] == zone;
-        let zone_without_controller = !self.ctx.zones.iter().any(|z| z == zone);
+        let of_zone = self.config.zones[to.0 as usize] == zone;
+        let zone_without_controller = !self.config.zones.iter().any(|z| z == zone);
         if of_zone || zone_without_controller || Some(to) == last || seen.is_some() {
             self.grant(id, to, "no holder", now);
             load[to.0 as usize] += 1;
@@ -228,10 +228,10 @@
             *last = (*last).max(t);
         }
         // Within this time it should have reported, or have answered its holder's probe.
-        let overdue = (self.ctx.report_interval.scale(5, 4) + Micros::secs(1)).min(ASKED_AFTER + ASK_TIMEOUT);
+        let overdue = (self.config.report_interval.scale(5, 4) + Micros::secs(1)).min(ASKED_AFTER + ASK_TIMEOUT);
         let heard_by = latest.iter().map(|((h, zone), (t, _))| (Some(*h), *zone, *t));
         for (by, zone, at) in heard_by.chain(zone_latest.iter().map(|(z, t)| (None, *z, *t))) {
-            self.ways.heard(by, zone, at, overdue);
+            self.network_paths.heard(by, zone, at, overdue);
         }
         for (id, m) in &self.machines {
             if m.stage != Stage::Up {
@@ -239,17 +239,17 @@
             }
             // A holder that was out of contact first gets 3 s to report its machines.
             let contact = m.holder.map_or(Micros(0), |h| self.nodes[h.0 as usize].contact_since);
-            let limit = self.ctx.operator.silent_delete;
+            let limit = self.config.operator.silent_delete;
             let reported = (contact + Micros::secs(3)) - limit;
             // The time also starts again with a new holder: without that, a day's run deleted a
             // hundred machines at the moment they were granted to their zone's controller. So
             // it does when the network path to the holder, or to any controller, has just
             // opened.
-            let open_since = |by| self.ways.open_since(by, &m.zone);
+            let open_since = |by| self.network_paths.open_since(by, &m.zone);
             let opened = m.holder.map_or(Micros(0), |h| open_since(Some(h))).max(open_since(None));
             let last = m.heard.unwrap_or(m.since);
             let base =
-                self.lateness.silent_from(last).max(self.began).max(reported).max(m.moved_at).max(opened);
+                self.lateness.silent_from(last).max(self.term_start).max(reported).max(m.moved_at).max(opened);
             let silent = now.since(base);
             let seen = self.last_seen.get(id).is_some_and(|(_, t)| now.since(*t) < Micros::secs(5));
             let lost =
@@ -261,7 +261,7 @@
             let (here, held) =
                 m.holder.and_then(|h| latest.get(&(h, m.zone.as_str()))).copied().unwrap_or_default();
             let near =
-                m.holder.is_some_and(|h| self.in_contact(h, now) && self.ctx.zones[h.0 as usize] == m.zone);
+                m.holder.is_some_and(|h| self.in_contact(h, now) && self.config.zones[h.0 as usize] == m.zone);
             let zone = zone_latest.get(m.zone.as_str()).copied().unwrap_or_default();
             let limit = if here >= open || near && held < 2 {
                 limit
@@ -322,8 +322,8 @@
         let mut stops = Vec::new();
         for (id, m) in &self.machines {
             for (t, (a, _)) in &m.tasks {
-                if self.aborted.contains_key(&t.job)
-                    && self.stops.get(&(*t, *a)).is_none_or(|s| s.0.grace.0 > 0)
+                if self.cancelled_jobs.contains_key(&t.job)
+                    && self.pending_stops.get(&(*t, *a)).is_none_or(|s| s.0.grace.0 > 0)
                 {
                     stops.push((*t, *a, id.clone()));
                 }
@@ -338,12 +338,12 @@
     pub(super) fn watch_cancelled(&mut self, ledger: &Ledger, now: Micros) {
         let mut doomed = Vec::new();
         let mut over = Vec::new();
-        for (job, by) in &self.aborted {
+        for (job, by) in &self.cancelled_jobs {
             let run = self.jobs.get(job);
             // A job stays here until it is recorded that no task of it is left: a machine that
             // could hold one may appear at any later time.
             let record = ledger.jobs.get(job).filter(|j| !j.settled);
-            if run.is_none_or(|r| r.bound.is_empty()) && record.is_none() && now > *by + self.ctx.cancel_timeout {
+            if run.is_none_or(|r| r.bound.is_empty()) && record.is_none() && now > *by + self.config.cancel_timeout {
                 over.push(*job);
             }
             if now >= self.deletion_due(*by, 95, Micros::millis(1500)) {
@@ -376,7 +376,7 @@
             }
         }
         for j in over {
-            self.aborted.remove(&j);
+            self.cancelled_jobs.remove(&j);
         }
         // Removes ended jobs without bound tasks.
         self.jobs.retain(|id, r| {
@@ -392,10 +392,10 @@
     /// `least` by then waits the full 4 s; then it is left to the controllers that act in place
     /// of a leader to meet the deadline (`crate::deputy`).
     fn deletion_due(&self, by: Micros, last: u64, least: Micros) -> Micros {
-        let reports_in = self.began + Micros::secs(4);
-        let last = by - self.ctx.cancel_timeout.scale(100 - last, 100);
-        let wait = if last >= self.began + least { reports_in.min(last) } else { reports_in };
-        wait.max(by - self.ctx.cancel_timeout.scale(35, 100))
+        let reports_in = self.term_start + Micros::secs(4);
+        let last = by - self.config.cancel_timeout.scale(100 - last, 100);
+        let wait = if last >= self.term_start + least { reports_in.min(last) } else { reports_in };
+        wait.max(by - self.config.cancel_timeout.scale(35, 100))
     }
 
     pub(super) fn delete(&mut self, id: &MachineId, why: &str, now: Micros) {
@@ -416,7 +416,7 @@
         m.stage = Stage::Deleting;
         m.since = now;
         m.delete_sent_at = None;
-        self.dirty = true;
+        self.needs_scheduling = true;
         self.tell(id);
     }
 }
--- a/crates/core/src/leader/cancelled.rs
+++ b/crates/core/src/leader/cancelled.rs
@@ -15,7 +15,7 @@
             return false;
         }
         // Machines may hold tasks that this leader does not know of.
-        if !self.granted || self.machines.values().any(|m| m.unknown) {
+        if !self.grants_started || self.machines.values().any(|m| m.unknown) {
             return true;
         }
         let Some(run) = self.jobs.get(&id) else { return false };
@@ -28,8 +28,8 @@
         let may_start = |(i, node): &(usize, &Node)| {
             let n = NodeId(*i as u8);
             let known = known_by.get(*i).is_some_and(|known| *known >= node.incarnation.max(1));
-            let lease_until = node.heard.unwrap_or(self.began) + self.ctx.operator.block_lease;
-            n != self.ctx.node_id && !known && !ended.contains(&n) && now < lease_until
+            let lease_until = node.heard.unwrap_or(self.term_start) + self.config.operator.block_lease;
+            n != self.config.node_id && !known && !ended.contains(&n) && now < lease_until
         };
         self.nodes.iter().enumerate().filter(may_start).map(|(i, _)| NodeId(i as u8)).collect()
     }
@@ -37,7 +37,7 @@
     /// Whether one of these controllers may still order the start of a bound task.
     fn start_is_open(&self, task: TaskId, b: &Binding, unaware: &[NodeId]) -> bool {
         // An assignment of an earlier term belongs to no controller in this one.
-        let handed_to = self.handouts.get(&b.attempt).map(|h| h.to);
+        let handed_to = self.pending_assignments.get(&b.attempt).map(|h| h.to);
         if b.handed.is_some() && handed_to.is_none_or(|n| unaware.contains(&n)) {
             return true;
         }
--- a/crates/core/src/leader/deaf.rs
+++ b/crates/core/src/leader/deaf.rs
@@ -112,7 +112,7 @@
     /// Deletes machines that hear nothing: those with tasks shortly before their
     /// workers' leases end, so that one that hears again in time loses nothing.
     pub(super) fn watch_deaf(&mut self, now: Micros) {
-        let lease = self.ctx.worker_lease;
+        let lease = self.config.worker_lease;
         let mut held: BTreeMap<NodeId, (usize, usize)> = BTreeMap::new();
         let (mut up, mut any) = (0, false);
         for m in self.machines.values().filter(|m| m.stage == Stage::Up) {
--- a/crates/core/src/leader/log_replication.rs
+++ b/crates/core/src/leader/log_replication.rs
@@ -13,10 +13,10 @@
 
     /// Log updates to the replicas that are due.
     pub(super) fn log_messages(&mut self, now: Micros) -> Vec<(NodeId, Message)> {
-        if std::mem::take(&mut self.books.coverage_changed) {
+        if std::mem::take(&mut self.placement_log.coverage_changed) {
             // Assignments that waited for a replica's acknowledgement may be sent now.
-            let covered = self.books.covered().unwrap_or(0);
-            for PendingAssignment { to: n, log_seq: at, .. } in self.handouts.values() {
+            let covered = self.placement_log.covered().unwrap_or(0);
+            for PendingAssignment { to: n, log_seq: at, .. } in self.pending_assignments.values() {
                 if *at <= covered
                     && let Some(n) = self.nodes.get_mut(n.0 as usize)
                 {
@@ -25,7 +25,7 @@
             }
         }
         let in_contact = self.incarnations_in_contact(now);
-        let due = self.books.due_updates(&in_contact, now);
+        let due = self.placement_log.due_updates(&in_contact, now);
         due.into_iter().map(|(n, base)| (n, Message::Books(self.log_update(base)))).collect()
     }
 
@@ -49,7 +49,7 @@
             });
             Some(PlacementEntry { attempt: b.attempt, machines: b.on.iter().cloned().collect(), starting, done, unresolved_assignment: handed })
         };
-        let tasks = match self.books.changed_since(base) {
+        let tasks = match self.placement_log.changed_since(base) {
             Some(tasks) => tasks.into_iter().map(|t| (t, entry(&t))).collect(),
             None => {
                 let all = self.jobs.iter().flat_map(|(job, r)| {
@@ -60,13 +60,13 @@
             }
         };
         let unknown = self.machines.iter().filter(|(_, m)| m.unknown).map(|(id, _)| id.clone()).collect();
-        LogUpdate { term: self.term, seq: self.books.seq(), base, tasks, unknown_machines: unknown }
+        LogUpdate { term: self.term, seq: self.placement_log.seq(), base, tasks, unknown_machines: unknown }
     }
 
     /// A replica acknowledged the log up to `seq`; whether waiting assignments may be sent.
     pub fn log_acknowledged(&mut self, from: NodeId, incarnation: u64, seq: u64, now: Micros) -> bool {
-        self.books.acknowledged(from, incarnation, seq, now);
-        self.books.coverage_changed
+        self.placement_log.acknowledged(from, incarnation, seq, now);
+        self.placement_log.coverage_changed
     }
 
     /// The record of replicas to write now, and the version that it replaces. `ended` are
@@ -77,30 +77,30 @@
         ended: &[NodeId],
         now: Micros,
     ) -> Option<(StandbyReplicas, u64)> {
-        self.books.update_record(&ledger.books.0, ledger.books.1);
-        if !self.granted {
+        self.placement_log.update_record(&ledger.books.0, ledger.books.1);
+        if !self.grants_started {
             return None;
         }
         let in_contact = self.incarnations_in_contact(now);
-        self.books.due_record(&in_contact, ended, self.began, now)
+        self.placement_log.due_record(&in_contact, ended, self.term_start, now)
     }
 
     /// The write of a record of replicas ended, whether it succeeded or not.
     pub fn replica_record_write_ended(&mut self) {
-        self.books.write_ended();
+        self.placement_log.write_ended();
     }
 
     /// The record that names the replicas of the earlier leader's log, while this leader
     /// still waits for that log.
     pub fn wanted_log(&self) -> Option<&StandbyReplicas> {
-        (!self.granted && self.awaits_log).then(|| self.books.record())
+        (!self.grants_started && self.awaits_log).then(|| self.placement_log.record())
     }
 
     /// Adopts the placement log of the earlier leader. It contains all places where a task
     /// may be, so a machine that has not reported in this term holds what the log says and
     /// nothing else.
     pub fn inherit(&mut self, term: u64, book: &LogReplica, ledger: &Ledger) {
-        if self.granted || !self.awaits_log || self.books.record().term != term {
+        if self.grants_started || !self.awaits_log || self.placement_log.record().term != term {
             return;
         }
         self.awaits_log = false;
@@ -114,13 +114,13 @@
             let job = ledger.jobs.get(&task.job);
             let Some((job, spec)) = job.and_then(|j| Some((j, j.spec.clone()?))) else { continue };
             if e.done && job.phase == Phase::Active && !job.done.contains(task.index) {
-                let objectives = &self.ctx.objectives;
+                let objectives = &self.config.objectives;
                 let run =
                     self.jobs.entry(task.job).or_insert_with(|| Run::new(job, spec.clone(), objectives));
                 run.done.insert(task.index);
                 run.unrecorded.insert(task.index);
-                self.progressed.insert(task.job);
-                self.books.record_change(*task);
+                self.arrays_with_progress.insert(task.job);
+                self.placement_log.record_change(*task);
             }
             // A machine without a record is deleted: its record is removed only then.
             let on: BTreeSet<MachineId> =
@@ -144,7 +144,7 @@
             if on.is_empty() && handed.is_none() {
                 continue;
             }
-            let objectives = &self.ctx.objectives;
+            let objectives = &self.config.objectives;
             let run = self.jobs.entry(task.job).or_insert_with(|| Run::new(job, spec.clone(), objectives));
             for id in &on {
                 if let Some(m) = self.machines.get_mut(id) {
@@ -155,14 +155,14 @@
                 }
             }
             if let Some(handed) = &handed {
-                self.handed.watch(*task, handed.watched.as_ref());
+                self.unresolved_tasks.watch(*task, handed.watched.as_ref());
             }
-            self.sums.add(&run.spec);
+            self.bound_totals.add(&run.spec);
             run.bound.insert(task.index, Binding { attempt: e.attempt, handed, on });
-            self.books.record_change(*task);
+            self.placement_log.record_change(*task);
             adopted += 1;
         }
-        self.dirty = true;
+        self.needs_scheduling = true;
         self.queue_stale = true;
         info!(
             "placement log of term {term} adopted: tasks={adopted} unknown_machines={}",
--- a/crates/core/src/leader/machines.rs
+++ b/crates/core/src/leader/machines.rs
@@ -20,12 +20,12 @@
     /// Decides what to rent and return; what to ask the cloud now.
     pub fn fleet(&mut self, flavors: &[Flavor], now: Micros) -> Vec<CloudWish> {
         let mut wishes = Vec::new();
-        if !self.granted {
+        if !self.grants_started {
             return wishes;
         }
         if now >= self.next_autoscale_at {
-            let passed = now.since(self.measured);
-            self.measured = now;
+            let passed = now.since(self.usage_measured_at);
+            self.usage_measured_at = now;
             self.next_autoscale_at = now + Micros::millis(400);
             self.measure();
             for m in self.machines.values_mut() {
@@ -41,8 +41,8 @@
             if now >= self.rent_not_before {
                 self.plan_hires(flavors, now);
             }
-            let forgotten = &mut self.forgotten;
-            self.gone.retain(|_, (t, stamp)| {
+            let forgotten = &mut self.min_update_base;
+            self.deleted_machines.retain(|_, (t, stamp)| {
                 let keep = now.since(*t) < Micros::secs(600);
                 *forgotten = if keep { *forgotten } else { (*forgotten).max(*stamp) };
                 keep
@@ -55,10 +55,10 @@
             }
         }
         let pause = match self.list_cursor {
-            Some(_) => growth::list_page_pause(self.ctx.cloud_rps),
+            Some(_) => growth::list_page_pause(self.config.cloud_rps),
             None => growth::LIST_PAUSE,
         };
-        if !self.listing && now.since(self.listed) >= pause {
+        if !self.list_pending && now.since(self.listed_at) >= pause {
             wishes.push(CloudWish::List(self.list_cursor.clone()));
         }
         wishes
@@ -94,7 +94,7 @@
                     h.2 = now;
                 }
             }
-            CloudWish::List(_) => self.listing = true,
+            CloudWish::List(_) => self.list_pending = true,
         }
     }
 
@@ -129,7 +129,7 @@
             self.recent_spot_rentals.push_back((now, hosts.len()));
         }
         if hosts.len() < req.count as usize {
-            self.refused.insert((req.build.clone(), req.zone.clone(), req.spot), now);
+            self.refused_offers.insert((req.build.clone(), req.zone.clone(), req.spot), now);
         }
         info!(
             "rented {} of {} {} in {}{}",
@@ -141,7 +141,7 @@
         );
         for h in hosts {
             let id = MachineId::from(&**h);
-            if self.gone.contains_key(&id) || self.machines.contains_key(&id) {
+            if self.deleted_machines.contains_key(&id) || self.machines.contains_key(&id) {
                 continue;
             }
             let rec = MachineRecord {
@@ -157,14 +157,14 @@
 
     /// A page of the list (or none, if the call failed).
     pub fn listed(&mut self, page: Option<&Rentals>, sizes: &Sizes, now: Micros) {
-        self.listing = false;
-        self.listed = now;
+        self.list_pending = false;
+        self.listed_at = now;
         let Some(page) = page else { return };
         let last = page.hosts.last().filter(|_| page.truncated);
         self.list_cursor = last.map(|r| r.name.clone());
         for r in &page.hosts {
             let id = MachineId::from(&*r.name);
-            if self.gone.contains_key(&id) {
+            if self.deleted_machines.contains_key(&id) {
                 continue;
             }
             match self.machines.get_mut(&id) {
@@ -212,10 +212,10 @@
             sight.heard = sight.heard.max(m.heard.max(seen));
         }
         // All of a zone's workers report in a quarter more than this.
-        let patience = self.ctx.report_interval.max(Micros::secs(4)) + Micros::secs(2);
-        let listens_from = self.lateness.silent_from(self.began + Micros::secs(2));
-        for turn in self.health.look(&sights, listens_from, patience, now) {
-            self.dirty = true;
+        let patience = self.config.report_interval.max(Micros::secs(4)) + Micros::secs(2);
+        let listens_from = self.lateness.silent_from(self.term_start + Micros::secs(2));
+        for turn in self.zone_health.look(&sights, listens_from, patience, now) {
+            self.needs_scheduling = true;
             match turn {
                 Turn::Closed(zone, up, silent) => warn!(
                     "zone {zone} is closed to renting: nothing of its {up} machines for {:.1} s, while others are heard",
@@ -230,7 +230,7 @@
 
     /// How many more machines may be asked for in a zone; no bound while it is open.
     fn probes_left(&self, zone: &str, now: Micros) -> Option<u32> {
-        let allowed = self.health.allowed(zone, now)?;
+        let allowed = self.zone_health.allowed(zone, now)?;
         let booting = self.machines.values().filter(|m| m.stage == Stage::Booting && m.zone == zone).count();
         let asked: u32 = self.scale_out_requests.values().filter(|(r, ..)| r.zone == zone).map(|(r, ..)| r.count).sum();
         Some(allowed.saturating_sub(booting as u32 + asked))
@@ -250,7 +250,7 @@
                     && *s == TaskState::Running
                     && left.scale(1, 2) <= save + Micros::millis(2500)
                     && left > save
-                    && !self.stops.contains_key(&(*t, *a))
+                    && !self.pending_stops.contains_key(&(*t, *a))
                 {
                     stops.push((*t, *a, id.clone(), save.scale(3, 2) + Micros::millis(1000)));
                 }
@@ -261,7 +261,7 @@
             self.stop(t, a, &id, grace, now);
         }
         let machines = &self.machines;
-        self.stops.retain(|(t, a), (r, _)| {
+        self.pending_stops.retain(|(t, a), (r, _)| {
             machines.get(&r.machine).is_some_and(|m| m.tasks.get(t).is_some_and(|x| x.0 == *a))
         });
     }
@@ -275,7 +275,7 @@
             *spare.entry(m.zone.clone()).or_default() += m.free().cpu;
         }
         let targets = self.spare_targets(now);
-        let least = (self.ctx.operator.spare_cpus * 1000.0) as u64;
+        let least = (self.config.operator.spare_cpus * 1000.0) as u64;
         let list: Vec<MachineId> = self.machines.keys().cloned().collect();
         for id in list {
             let Some(m) = self.machines.get_mut(&id) else { continue };
@@ -292,7 +292,7 @@
                         back.push((id, "out of use and empty"));
                         continue;
                     }
-                    if idle < self.ctx.operator.idle_return || m.warning.is_some() {
+                    if idle < self.config.operator.idle_return || m.warning.is_some() {
                         continue;
                     }
                     if !m.spot {
@@ -303,7 +303,7 @@
                         }
                         *s -= m.size.cpu;
                     }
-                    if waiting && idle < self.ctx.operator.idle_return.scale(3, 1) {
+                    if waiting && idle < self.config.operator.idle_return.scale(3, 1) {
                         continue;
                     }
                     back.push((id, "idle"));
@@ -328,9 +328,9 @@
     /// boots, as far as the last minute tells; never more than a tenth of what
     /// runs, or a start from nothing would be taken for the usual flow.
     fn spare_targets(&self, now: Micros) -> BTreeMap<String, u64> {
-        let least = (self.ctx.operator.spare_cpus * 1000.0) as u64;
+        let least = (self.config.operator.spare_cpus * 1000.0) as u64;
         let all = self.machines.values().map(|m| &m.zone);
-        let zones: BTreeSet<&String> = all.filter(|z| !self.health.is_closed(z)).collect();
+        let zones: BTreeSet<&String> = all.filter(|z| !self.zone_health.is_closed(z)).collect();
         let minute_ago = self.wall_ms(now).saturating_sub(60_000);
         let (mut largest, mut recent, mut running) = (0, 0, 0);
         let services =
@@ -350,7 +350,7 @@
     }
 
     pub(super) fn plan_hires(&mut self, flavors: &[Flavor], now: Micros) {
-        let open = growth::open_rentals(self.ctx.cloud_rps);
+        let open = growth::open_rentals(self.config.cloud_rps);
         if self.scale_out_requests.len() >= open {
             return;
         }
@@ -362,7 +362,7 @@
                     let price = if spot { f.spot_price } else { Some(f.hourly) };
                     let Some(price) = price else { continue };
                     let key = (f.sku.clone(), z.clone(), spot);
-                    let refused = self.refused.get(&key).is_some_and(|t| now.since(*t) < Micros::secs(8));
+                    let refused = self.refused_offers.get(&key).is_some_and(|t| now.since(*t) < Micros::secs(8));
                     if self.scale_out_requests.values().any(|(r, ..)| (&r.build, &r.zone, r.spot) == (&f.sku, z, spot)) {
                         continue;
                     }
@@ -381,7 +381,7 @@
         let mut rooms: Vec<Room> = self
             .machines
             .values()
-            .filter(|m| m.draining.is_none() && m.warning.is_none() && !self.health.is_closed(&m.zone))
+            .filter(|m| m.draining.is_none() && m.warning.is_none() && !self.zone_health.is_closed(&m.zone))
             .filter(|m| m.stage == Stage::Booting || (m.stage == Stage::Up && (m.confirmed || !m.unknown)))
             .filter(|m| !m.hearing.doubted_for(Micros::secs(5), now))
             .filter(|m| {
@@ -398,7 +398,7 @@
                 lent: if m.spot { 0 } else { self.lent(m) },
             })
             .collect();
-        for (r, ..) in self.scale_out_requests.values().filter(|(r, ..)| !self.health.is_closed(&r.zone)) {
+        for (r, ..) in self.scale_out_requests.values().filter(|(r, ..)| !self.zone_health.is_closed(&r.zone)) {
             if let Some(f) = flavors.iter().find(|f| f.sku == r.build) {
                 let size = Resources::have(f.cpus, f.gpus, f.memory_gb);
                 for _ in 0..r.count {
@@ -446,7 +446,7 @@
             running_arrays: running,
             ordinary_for_arrays: self.ordinary_for_arrays(thirsty, now),
             max_new: self
-                .ctx
+                .config
                 .operator
                 .max_machines
                 .saturating_sub(self.machines.len())
@@ -459,9 +459,9 @@
         // A closed zone is tried with a few machines, and only where the work
         // would want them there.
         let mut wants = BTreeMap::new();
-        if self.health.any_closed() {
+        if self.zone_health.any_closed() {
             let (closed, open): (Vec<Offer>, Vec<Offer>) =
-                offers.iter().cloned().partition(|o| self.health.is_closed(&o.zone));
+                offers.iter().cloned().partition(|o| self.zone_health.is_closed(&o.zone));
             let zones: BTreeSet<&String> = closed.iter().map(|o| &o.zone).collect();
             let mut left: BTreeMap<String, u32> =
                 zones.into_iter().filter_map(|z| Some((z.clone(), self.probes_left(z, now)?))).collect();
@@ -512,7 +512,7 @@
             self.recent_spot_rentals.pop_front();
         }
         let had: usize = self.recent_spot_rentals.iter().map(|(_, n)| n).sum();
-        if thirsty <= had * FEW || now.since(self.began) < SOLD_OUT {
+        if thirsty <= had * FEW || now.since(self.term_start) < SOLD_OUT {
             return 0;
         }
         let cpus = |spot| {
@@ -532,10 +532,10 @@
     /// Tasks of an array whose ends will be heard: where nothing is heard,
     /// nothing ends.
     fn ends_soon(&self, r: &Run) -> usize {
-        if !self.health.any_closed() {
+        if !self.zone_health.any_closed() {
             return r.bound.len();
         }
-        let lost = |id: &MachineId| self.machines.get(id).is_some_and(|m| self.health.is_closed(&m.zone));
+        let lost = |id: &MachineId| self.machines.get(id).is_some_and(|m| self.zone_health.is_closed(&m.zone));
         r.bound.values().filter(|b| b.on.is_empty() || !b.on.iter().all(lost)).count()
     }
 
@@ -543,12 +543,12 @@
     /// teams' limits let start: a machine for the rest would stand idle.
     pub(super) fn keep_to_limits(&self, demands: &mut Vec<Demand>) {
         let mut left: BTreeMap<&str, Resources> = BTreeMap::new();
-        for team in &self.ctx.teams {
+        for team in &self.config.teams {
             let max = Resources::have(team.cpus_max, team.gpus_max, 0.0);
             if max.cpu == 0 && max.gpu == 0 {
                 continue;
             }
-            let (cpu, gpu) = self.sums.teams.get(&team.name).copied().unwrap_or_default();
+            let (cpu, gpu) = self.bound_totals.teams.get(&team.name).copied().unwrap_or_default();
             // No limit is meant by 0.
             let of = |max: u64, used: u64| if max == 0 { u64::MAX } else { max.saturating_sub(used) };
             left.insert(
--- a/crates/core/src/leader/messages.rs
+++ b/crates/core/src/leader/messages.rs
@@ -20,7 +20,7 @@
         for (n, id, addr) in std::mem::take(&mut self.probes) {
             out.push((n, Message::Probe { id, addr }));
         }
-        if !self.granted {
+        if !self.grants_started {
             return out;
         }
         if lease_ok {
@@ -52,13 +52,13 @@
             self.running_counted_at = now;
             self.count_running();
         }
-        self.version += 1;
-        let seq = self.version;
+        self.update_seq += 1;
+        let seq = self.update_seq;
         let node = &mut self.nodes[to.0 as usize];
         node.pacer.sent(seq, now);
         node.dirty = false;
         node.ack_due = false;
-        let base = if node.acked_update < self.forgotten { 0 } else { node.acked_update };
+        let base = if node.acked_update < self.min_update_base { 0 } else { node.acked_update };
         let (incarnation, ack) = (node.incarnation, node.sync_seq);
         let mut block = Vec::new();
         let mut elsewhere = Vec::new();
@@ -70,12 +70,12 @@
                 elsewhere.push((id.clone(), m.holder));
             }
         }
-        let gone = self.gone.iter().filter(|(_, (_, stamp))| base > 0 && *stamp > base);
+        let gone = self.deleted_machines.iter().filter(|(_, (_, stamp))| base > 0 && *stamp > base);
         elsewhere.extend(gone.map(|(id, _)| (id.clone(), None)));
         let held = |id: &MachineId| self.machines.get(id).is_some_and(|m| m.holder == Some(to));
         // Without a confirmed lease no task is assigned and no block lease renewed. Nor is an
         // assignment sent that a replica may lack.
-        let covered = self.books.covered().unwrap_or(0);
+        let covered = self.placement_log.covered().unwrap_or(0);
         // An assignment that may be lost is sent again, but not with every update: many
         // updates leave before its outcome arrives.
         let due = |h: &&mut PendingAssignment| {
@@ -84,12 +84,12 @@
                 && h.sent.is_none_or(|t| now.since(t) >= ASSIGNMENT_RETRY_INTERVAL)
         };
         let mut open: Vec<(HandOut, u64)> = Vec::new();
-        for h in self.handouts.values_mut().filter(|_| lease_ok).filter(due) {
+        for h in self.pending_assignments.values_mut().filter(|_| lease_ok).filter(due) {
             h.sent = Some(now);
             open.push((h.assignment.clone(), h.log_seq));
         }
         if let Some(at) = open.iter().map(|(_, at)| *at).max() {
-            self.books.mark_released(at);
+            self.placement_log.mark_released(at);
         }
         let running = self.jobs.iter().filter(|(_, r)| r.shown.1 > base);
         Message::Update {
@@ -98,11 +98,11 @@
             base,
             incarnation,
             ack,
-            lease: if lease_ok { self.ctx.operator.block_lease } else { Micros(0) },
+            lease: if lease_ok { self.config.operator.block_lease } else { Micros(0) },
             block,
             elsewhere,
             handouts: open.into_iter().map(|(h, _)| h).collect(),
-            stops: self.stops.values().filter(|(r, _)| held(&r.machine)).map(|(r, _)| r.clone()).collect(),
+            stops: self.pending_stops.values().filter(|(r, _)| held(&r.machine)).map(|(r, _)| r.clone()).collect(),
             running: running.map(|(id, r)| (*id, r.shown.0)).collect(),
         }
     }
@@ -112,14 +112,14 @@
         for r in self.jobs.values_mut() {
             let n = r.bound.keys().filter(|i| !r.done.contains(**i)).count() as u32;
             if n != r.shown.0 {
-                r.shown = (n, self.version + 1);
+                r.shown = (n, self.update_seq + 1);
             }
         }
     }
 
     /// Marks that a machine changed in a way that controllers have to be notified of.
     pub(super) fn tell(&mut self, id: &MachineId) {
-        let stamp = self.version + 1;
+        let stamp = self.update_seq + 1;
         self.blocks.clear();
         if let Some(m) = self.machines.get_mut(id) {
             m.stamp = stamp;
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -173,78 +173,78 @@
 pub struct Leader {
     /// Its term.
     pub term: u64,
-    ctx: LeaderConfig,
+    config: LeaderConfig,
     epoch: u64,
-    began: Micros,
+    term_start: Micros,
     term_start_wall_ms: u64,
     /// Revision of the leader's key: no earlier leader assigned tasks of jobs recorded later.
     leader_key_revision: u64,
     lateness: Lateness,
-    granted: bool,
+    grants_started: bool,
     queues: BTreeMap<Rank, FairQueue>,
     nodes: Vec<Node>,
     machines: BTreeMap<MachineId, Machine>,
     /// Deleted machines: when, and the first update that reports the deletion.
-    gone: BTreeMap<MachineId, (Micros, u64)>,
+    deleted_machines: BTreeMap<MachineId, (Micros, u64)>,
     /// Sequence number of the last update sent to any controller.
-    version: u64,
+    update_seq: u64,
     /// An incremental update can't build on one before this: deletions reported before it
     /// are removed.
-    forgotten: u64,
+    min_update_base: u64,
     jobs: BTreeMap<JobId, Run>,
     /// Cancelled jobs that may still have tasks on machines, and by when those have to be
     /// terminated.
-    aborted: BTreeMap<JobId, Micros>,
+    cancelled_jobs: BTreeMap<JobId, Micros>,
     /// Assignments whose outcome is not known.
-    handouts: BTreeMap<Attempt, PendingAssignment>,
-    books: PlacementLog,
+    pending_assignments: BTreeMap<Attempt, PendingAssignment>,
+    placement_log: PlacementLog,
     /// It waits for the placement log of the earlier leader.
     awaits_log: bool,
     /// Jobs that wait for the end of jobs that they replace or depend on.
-    held: BTreeSet<JobId>,
+    unreleased_jobs: BTreeSet<JobId>,
     /// A job was recorded as done, so jobs that depend on it may be released.
     dependency_done: bool,
     /// Jobs that were cancelled with a job that they depend on, and whose own cancellation
     /// is not recorded.
     unrecorded_cancellations: BTreeSet<JobId>,
     /// Tasks that are assigned to a controller and whose machine is not known.
-    handed: AssignedTasks,
+    unresolved_tasks: AssignedTasks,
     /// Number of violations of invariants that are checked at run time.
     violations: u64,
     /// The machines of each controller's block, computed when needed.
     blocks: BTreeMap<NodeId, Rc<BTreeSet<MachineId>>>,
     /// CPUs and GPUs that each team's bound tasks use, and the number of bound array tasks.
-    sums: BoundTotals,
-    stops: BTreeMap<(TaskId, Attempt), (StopRequest, Micros)>,
+    bound_totals: BoundTotals,
+    pending_stops: BTreeMap<(TaskId, Attempt), (StopRequest, Micros)>,
     scale_out_requests: BTreeMap<String, (HireRequest, HireStage, Micros)>,
-    refused: BTreeMap<(String, String, bool), Micros>,
+    refused_offers: BTreeMap<(String, String, bool), Micros>,
     /// Recent rentals of spot machines: when, and how many machines.
     recent_spot_rentals: VecDeque<(Micros, usize)>,
     /// Which zones are closed to renting because no machine in them reports.
-    health: Health,
+    zone_health: Health,
     /// Since when the network path to each zone is open.
-    ways: Ways,
+    network_paths: Ways,
     /// Arrays that had more tasks done than recorded when they were last checked.
-    progressed: BTreeSet<JobId>,
+    arrays_with_progress: BTreeSet<JobId>,
     /// Machines with free capacity, in order.
-    rooms: room::Rooms,
+    capacity_index: room::Rooms,
     /// Waiting jobs, in order; `queue_stale`: the order has to be computed again.
-    waiting: schedule::Waiting,
+    pending_jobs: schedule::Waiting,
     queue_stale: bool,
     /// Something changed that the next scheduling pass has to consider.
-    pub dirty: bool,
+    pub needs_scheduling: bool,
     next_autoscale_at: Micros,
-    measured: Micros,
+    usage_measured_at: Micros,
     /// When a page of the cloud's list was read, and the machine after which the next starts.
-    listed: Micros,
+    listed_at: Micros,
     list_cursor: Option<String>,
-    listing: bool,
+    list_pending: bool,
     scale_out_count: u64,
     rent_not_before: Micros,
     /// `block_size` or `max_machines` is reached, and that was logged.
     blocks_full: bool,
     fleet_full: bool,
-    scheduled: Micros,
+    scheduled_at: Micros,
     /// When blocks and silent machines, and cancellations, were last checked.
     blocks_checked_at: Micros,
     cancellations_checked_at: Micros,
@@ -275,54 +275,54 @@
         let books = PlacementLog::new(term, ctx.node_id, ctx.names.clone(), ctx.zones.clone(), record, stamp_of);
         let mut l = Leader {
             term,
-            ctx,
+            config: ctx,
             epoch: 0,
-            began: now,
+            term_start: now,
             term_start_wall_ms: wall_ms,
             leader_key_revision: stamp,
             lateness: Lateness::new(now),
-            granted: false,
+            grants_started: false,
             queues: BTreeMap::new(),
             nodes,
             machines: BTreeMap::new(),
-            gone: BTreeMap::new(),
-            version: 0,
-            forgotten: 0,
+            deleted_machines: BTreeMap::new(),
+            update_seq: 0,
+            min_update_base: 0,
             jobs: BTreeMap::new(),
-            aborted: BTreeMap::new(),
-            handouts: BTreeMap::new(),
-            books,
+            cancelled_jobs: BTreeMap::new(),
+            pending_assignments: BTreeMap::new(),
+            placement_log: books,
             awaits_log: ledger.books.0.term > 0 && !ledger.books.0.nodes.is_empty(),
-            held: BTreeSet::new(),
+            unreleased_jobs: BTreeSet::new(),
             dependency_done: true,
             unrecorded_cancellations: BTreeSet::new(),
-            handed: AssignedTasks::default(),
+            unresolved_tasks: AssignedTasks::default(),
             violations: 0,
             blocks: BTreeMap::new(),
-            sums: BoundTotals::default(),
-            stops: BTreeMap::new(),
+            bound_totals: BoundTotals::default(),
+            pending_stops: BTreeMap::new(),
             scale_out_requests: BTreeMap::new(),
-            refused: BTreeMap::new(),
+            refused_offers: BTreeMap::new(),
             recent_spot_rentals: VecDeque::new(),
-            health: Health::default(),
-            ways: Ways::default(),
-            progressed: BTreeSet::new(),
-            rooms: room::Rooms::default(),
-            waiting: schedule::Waiting::new(),
+            zone_health: Health::default(),
+            network_paths: Ways::default(),
+            arrays_with_progress: BTreeSet::new(),
+            capacity_index: room::Rooms::default(),
+            pending_jobs: schedule::Waiting::new(),
             queue_stale: true,
-            dirty: true,
+            needs_scheduling: true,
             next_autoscale_at: now,
-            measured: now,
-            listed: Micros(0),
+            usage_measured_at: now,
+            listed_at: Micros(0),
             list_cursor: None,
-            listing: false,
+            list_pending: false,
             scale_out_count: 0,
             // Machines that the last leader rented appear in the cloud's list only after its
             // lag; renting earlier would rent them twice.
             rent_not_before: if term == 1 { now } else { now + lag },
             blocks_full: false,
             fleet_full: false,
-            scheduled: Micros(0),
+            scheduled_at: Micros(0),
             blocks_checked_at: Micros(0),
             cancellations_checked_at: Micros(0),
             running_counted_at: Micros(0),
@@ -346,8 +346,8 @@
             match job.phase {
                 Phase::Aborted if job.settled => l.note_cancelled_by_another(*id, job),
                 Phase::Aborted => {
-                    let by = crate::deputy::gone_by(job.ended_ms, wall_ms, l.ctx.cancel_timeout, now);
-                    l.aborted.insert(*id, by);
+                    let by = crate::deputy::gone_by(job.ended_ms, wall_ms, l.config.cancel_timeout, now);
+                    l.cancelled_jobs.insert(*id, by);
                 }
                 _ => l.job_changed(*id, ledger, now),
             }
@@ -374,15 +374,15 @@
                 }
             }
         }
-        let mut kept = self.sums.clone();
+        let mut kept = self.bound_totals.clone();
         kept.teams.retain(|_, u| *u != (0, 0));
         sums.teams.retain(|_, u| *u != (0, 0));
         if sums != kept {
             return Err(format!("bound tasks: {kept:?} kept, {sums:?} counted"));
         }
         self.check_rooms()?;
-        if handed != self.handed {
-            return Err(format!("handed: {:?} kept, {handed:?} counted", self.handed));
+        if handed != self.unresolved_tasks {
+            return Err(format!("handed: {:?} kept, {handed:?} counted", self.unresolved_tasks));
         }
         for (id, m) in &self.machines {
             let counted = on.remove(id).unwrap_or_default();
@@ -425,20 +425,20 @@
     /// Applies a changed job record.
     pub fn job_changed(&mut self, id: JobId, ledger: &Ledger, now: Micros) {
         let Some(job) = ledger.jobs.get(&id) else { return };
-        self.dirty = true;
+        self.needs_scheduling = true;
         self.queue_stale = true;
         match job.phase {
             Phase::Active => {
                 if !job.done.is_empty() {
-                    self.progressed.insert(id);
+                    self.arrays_with_progress.insert(id);
                 }
                 let Some(spec) = &job.spec else { return };
                 match self.jobs.get_mut(&id) {
                     None => {
-                        let mut run = Run::new(job, spec.clone(), &self.ctx.objectives);
+                        let mut run = Run::new(job, spec.clone(), &self.config.objectives);
                         run.held = !spec.after.is_empty() || !ledger.dependencies.released(id);
                         if run.held {
-                            self.held.insert(id);
+                            self.unreleased_jobs.insert(id);
                         } else {
                             run.ready_at(ledger.released_ms(id));
                         }
@@ -447,14 +447,14 @@
                     }
                     Some(run) => {
                         for index in run.recorded(job, spec) {
-                            self.books.record_change(TaskId { job: id, index });
+                            self.placement_log.record_change(TaskId { job: id, index });
                         }
                     }
                 }
             }
             Phase::Aborted if job.settled => self.note_cancelled_by_another(id, job),
             Phase::Aborted => {
-                self.aborted.entry(id).or_insert(now + self.ctx.cancel_timeout);
+                self.cancelled_jobs.entry(id).or_insert(now + self.config.cancel_timeout);
                 self.cancellations_checked_at = Micros(0);
             }
             Phase::Done => self.dependency_done = true,
@@ -464,7 +464,7 @@
         {
             run.over = true;
             for index in std::mem::take(&mut run.unrecorded) {
-                self.books.record_change(TaskId { job: id, index });
+                self.placement_log.record_change(TaskId { job: id, index });
             }
             self.inherit_urgency(id, ledger);
         }
@@ -474,7 +474,7 @@
     /// this before it confirms the cancellation to the client.
     pub fn track_cancellation(&mut self, id: JobId, ledger: &Ledger, now: Micros) {
         if ledger.jobs.get(&id).is_some_and(|j| j.phase == Phase::Aborted && !j.settled) {
-            self.aborted.entry(id).or_insert(now + self.ctx.cancel_timeout);
+            self.cancelled_jobs.entry(id).or_insert(now + self.config.cancel_timeout);
         }
     }
 
@@ -489,10 +489,10 @@
             ledger.dependencies.released(*id)
                 && run.spec.after.iter().all(|a| self.ended_for_good(*a, ledger))
         };
-        let free: Vec<JobId> = self.held.iter().filter(|id| free(id)).copied().collect();
+        let free: Vec<JobId> = self.unreleased_jobs.iter().filter(|id| free(id)).copied().collect();
         for id in free {
-            self.held.remove(&id);
-            self.dirty = true;
+            self.unreleased_jobs.remove(&id);
+            self.needs_scheduling = true;
             self.queue_stale = true;
             if let Some(run) = self.jobs.get_mut(&id) {
                 run.held = false;
--- a/crates/core/src/leader/overdue.rs
+++ b/crates/core/src/leader/overdue.rs
@@ -27,10 +27,10 @@
 
     /// Hands out one task of each overdue job for which there is room.
     pub(super) fn serve_overdue(&mut self, now: Micros) {
-        if self.waiting.overdue.is_empty() {
+        if self.pending_jobs.overdue.is_empty() {
             return;
         }
-        let overdue = std::mem::take(&mut self.waiting.overdue);
+        let overdue = std::mem::take(&mut self.pending_jobs.overdue);
         let there = self.machines.values().filter(|m| m.accumulating_job(now).is_some()).count();
         let mut left = (self.machines.len() / GATHERING + 1).saturating_sub(there);
         for id in &overdue {
@@ -49,7 +49,7 @@
                 self.hand_out(TaskId { job: *id, index }, machine);
                 let w = self.weight(&team);
                 let queue = self.queues.entry(rank).or_default();
-                queue.set_waiting(&team, true, self.ctx.operator.task_cost, w);
+                queue.set_waiting(&team, true, self.config.operator.task_cost, w);
                 queue.serve(&team);
                 for m in self.machines.values_mut().filter(|m| m.gathers.is_some_and(|(j, _)| j == *id)) {
                     m.gathers = None;
@@ -58,7 +58,7 @@
                 left -= 1;
             }
         }
-        self.waiting.overdue = overdue;
+        self.pending_jobs.overdue = overdue;
     }
 
     /// Keeps a machine from others until it has room for a task of the job; false if
--- a/crates/core/src/leader/records.rs
+++ b/crates/core/src/leader/records.rs
@@ -11,7 +11,7 @@
     pub fn writes(&self, ledger: &Ledger, value_limit: usize, now: Micros) -> Vec<LeaderWrite> {
         let mut v = Vec::new();
         let active = |id: &JobId| ledger.jobs.get(id).is_some_and(|j| j.phase == Phase::Active);
-        for (id, r) in self.progressed.iter().filter_map(|id| Some((id, self.jobs.get(id)?))) {
+        for (id, r) in self.arrays_with_progress.iter().filter_map(|id| Some((id, self.jobs.get(id)?))) {
             if r.spec.kind == Kind::Array && r.done.below(r.spec.tasks) >= r.spec.tasks && active(id) {
                 v.push(LeaderWrite::End(*id));
             }
@@ -42,7 +42,7 @@
                 v.push(LeaderWrite::Hire(name.clone()));
             }
         }
-        for (id, r) in self.progressed.iter().filter_map(|id| Some((id, self.jobs.get(id)?))) {
+        for (id, r) in self.arrays_with_progress.iter().filter_map(|id| Some((id, self.jobs.get(id)?))) {
             if r.done.below(r.spec.tasks) < r.spec.tasks
                 && active(id)
                 && r.unrecorded_since.is_some_and(|t| now.since(t) > Micros::millis(1500))
@@ -57,9 +57,9 @@
         }
         // A later leader doesn't know what became of a cancelled job's tasks. Without this
         // record it would delete machines that do not report, because they may hold one.
-        for (id, by) in &self.aborted {
+        for (id, by) in &self.cancelled_jobs {
             let job = ledger.jobs.get(id).filter(|j| !j.settled && j.end_stamp > 0);
-            let known_for = (now + self.ctx.cancel_timeout).since(*by);
+            let known_for = (now + self.config.cancel_timeout).since(*by);
             if known_for > Micros::secs(1) && job.is_some_and(|j| self.has_no_tasks(*id, j)) {
                 v.push(LeaderWrite::Settle(*id));
             }
@@ -67,7 +67,7 @@
         let unrecorded = self.unrecorded_cancellations.iter().take(MAX_CANCELLATION_RECORDS);
         v.extend(unrecorded.map(|id| LeaderWrite::CancelledWith(*id)));
         for (key, (ids, _)) in &ledger.records {
-            if ids.iter().any(|id| self.gone.contains_key(id)) {
+            if ids.iter().any(|id| self.deleted_machines.contains_key(id)) {
                 v.push(LeaderWrite::Forget(key.clone()));
             }
         }
@@ -78,7 +78,7 @@
     pub fn machines_record(&self, ids: &[MachineId], ledger: &Ledger) -> Option<Value> {
         let present: Vec<(&MachineId, MachineRecord)> = ids
             .iter()
-            .filter(|id| !self.gone.contains_key(*id))
+            .filter(|id| !self.deleted_machines.contains_key(*id))
             .filter_map(|id| {
                 let known = self.machines.get(id).map(Machine::record);
                 Some((id, known.or_else(|| ledger.machines.get(id).cloned())?))
@@ -119,7 +119,7 @@
 
     /// Notes that a write succeeded.
     pub fn written(&mut self, w: &LeaderWrite) {
-        self.dirty = true;
+        self.needs_scheduling = true;
         match w {
             LeaderWrite::Machines(ids) => {
                 for id in ids {
@@ -160,7 +160,7 @@
         }
         if found {
             self.blocks_checked_at = Micros(0);
-            self.dirty = true;
+            self.needs_scheduling = true;
         }
     }
 
@@ -168,7 +168,7 @@
     /// whose progress is recorded, are not checked again until more of their tasks are done.
     pub fn mark_unrecorded_progress(&mut self, ledger: &Ledger, now: Micros) {
         let jobs = &mut self.jobs;
-        self.progressed.retain(|id| {
+        self.arrays_with_progress.retain(|id| {
             let active = ledger.jobs.get(id).filter(|j| j.phase == Phase::Active);
             let (Some(job), Some(r)) = (active, jobs.get_mut(id)) else { return false };
             if job.done.len() < r.done.len() {
--- a/crates/core/src/leader/room.rs
+++ b/crates/core/src/leader/room.rs
@@ -177,16 +177,16 @@
     /// Brings the places up to date with all that changed since the last pass.
     pub(super) fn settle_rooms(&mut self, now: Micros) {
         let contact = self.contacts(now);
-        self.rooms.zone_cpu.values_mut().for_each(|z| *z = 0);
+        self.capacity_index.zone_cpu.values_mut().for_each(|z| *z = 0);
         for (id, m) in self.machines.iter_mut() {
             if !m.spot && m.stage != Stage::Deleting {
-                match self.rooms.zone_cpu.get_mut(&m.zone) {
+                match self.capacity_index.zone_cpu.get_mut(&m.zone) {
                     Some(z) => *z += m.size.cpu,
-                    None => drop(self.rooms.zone_cpu.insert(m.zone.clone(), m.size.cpu)),
+                    None => drop(self.capacity_index.zone_cpu.insert(m.zone.clone(), m.size.cpu)),
                 }
             }
             let open = m.open(&contact, now);
-            self.rooms.put(id, m, open);
+            self.capacity_index.put(id, m, open);
         }
     }
 
@@ -194,7 +194,7 @@
     pub(super) fn find(&self, run: &Run, zones: &BTreeMap<String, u32>, now: Micros) -> Option<MachineId> {
         let spec = &run.spec;
         let again = run.may_go_back(now);
-        self.rooms.best(&Asked { spec, zones }, |id| {
+        self.capacity_index.best(&Asked { spec, zones }, |id| {
             let m = self.machines.get(id)?;
             let gathers = m.accumulating_job(now).is_some_and(|job| job != spec.id);
             let kept = m.reserved_priority.is_some_and(|(r, until)| run.urgency.rank < r && now < until)
@@ -209,7 +209,7 @@
     pub(super) fn check_rooms(&self) -> Result<(), String> {
         for (id, m) in &self.machines {
             let Some(p) = m.placed else { continue };
-            let k = &self.rooms.kinds[p.kind];
+            let k = &self.capacity_index.kinds[p.kind];
             let place = (p.failed, p.free.cpu, id.clone());
             let images = m.images.iter().filter(|i| k.by_image.get(*i).is_some_and(|s| s.contains(&place)));
             if !k.all.contains(&place) || images.count() < p.images {
@@ -217,7 +217,7 @@
             }
         }
         let placed = self.machines.values().filter(|m| m.placed.is_some()).count();
-        let kept: usize = self.rooms.kinds.iter().map(|k| k.all.len()).sum();
+        let kept: usize = self.capacity_index.kinds.iter().map(|k| k.all.len()).sum();
         if placed != kept {
             return Err(format!("{placed} machines have a place, {kept} are kept"));
         }
--- a/crates/core/src/leader/schedule.rs
+++ b/crates/core/src/leader/schedule.rs
@@ -82,11 +82,11 @@
 
     /// CPUs and GPUs of a team's bound tasks, wherever they may be.
     pub(super) fn team_use(&self, team: &str) -> (u64, u64) {
-        self.sums.teams.get(team).copied().unwrap_or_default()
+        self.bound_totals.teams.get(team).copied().unwrap_or_default()
     }
 
     pub(super) fn over_limit(&self, spec: &JobSpec) -> bool {
-        let Some(team) = self.ctx.teams.iter().find(|t| t.name == spec.team) else { return true };
+        let Some(team) = self.config.teams.iter().find(|t| t.name == spec.team) else { return true };
         if team.cpus_max == 0.0 && team.gpus_max == 0.0 {
             return false;
         }
@@ -102,13 +102,13 @@
     /// Whether there are machines that nobody heard in this term. Once there are
     /// none, there are none for the rest of it.
     fn unsure(&self) -> bool {
-        self.waiting.unsure && self.machines.values().any(|m| m.unknown)
+        self.pending_jobs.unsure && self.machines.values().any(|m| m.unknown)
     }
 
     /// Whether a machine that nobody heard may hold a task of the job.
     pub(super) fn blocked(&self, run: &Run) -> bool {
         run.stamp <= self.leader_key_revision
-            && self.waiting.unsure
+            && self.pending_jobs.unsure
             && self.machines.values().any(|m| m.unknown && m.suits(&run.spec))
     }
 
@@ -132,26 +132,26 @@
 
     /// The time of day, as far as it can be told from the steady clock.
     pub(super) fn wall_ms(&self, now: Micros) -> u64 {
-        self.term_start_wall_ms + now.since(self.began).0 / 1000
+        self.term_start_wall_ms + now.since(self.term_start).0 / 1000
     }
 
     /// Hands out what can be: first what fits into the teams' guarantees, then
     /// by priority, and within it by the smallest eligible start tag.
     pub(super) fn schedule(&mut self, now: Micros) {
         self.measure();
-        let kept = now.since(self.waiting.made) < ORDER_KEPT && !self.waiting.unsure;
-        if self.queue_stale || !kept || self.waiting.retry.is_some_and(|t| now >= t) {
+        let kept = now.since(self.pending_jobs.made) < ORDER_KEPT && !self.pending_jobs.unsure;
+        if self.queue_stale || !kept || self.pending_jobs.retry.is_some_and(|t| now >= t) {
             self.queue_stale = false;
-            self.waiting = self.waiting_jobs(now);
+            self.pending_jobs = self.waiting_jobs(now);
         }
         // Who waits only for time is looked at again when it has passed.
-        self.dirty |= self.waiting.retry.is_some();
-        if self.waiting.ranks.is_empty() {
+        self.needs_scheduling |= self.pending_jobs.retry.is_some();
+        if self.pending_jobs.ranks.is_empty() {
             return;
         }
         self.settle_rooms(now);
         self.serve_overdue(now);
-        let borrowing = self.ctx.teams.iter().any(|t| t.cpus > 0.0 || t.gpus > 0.0);
+        let borrowing = self.config.teams.iter().any(|t| t.cpus > 0.0 || t.gpus > 0.0);
         for guaranteed in [true, false].into_iter().filter(|g| borrowing || !g) {
             let mut pass = Pass { guaranteed, lendable: Lendable::default(), now };
             for rank in RANKS {
@@ -162,7 +162,7 @@
 
     /// Array tasks that are on machines or on their way.
     pub fn array_slots(&self) -> u64 {
-        self.sums.arrays
+        self.bound_totals.arrays
     }
 
     /// The jobs that have a task to start, by priority and team, in order.
@@ -220,15 +220,15 @@
 
     /// A team's weight in the queues.
     pub(super) fn weight(&self, team: &str) -> f64 {
-        self.ctx.operator.team_weights.get(team).copied().unwrap_or(1.0)
+        self.config.operator.team_weights.get(team).copied().unwrap_or(1.0)
     }
 
     fn serve_rank(&mut self, rank: Rank, pass: &mut Pass) {
-        let teams = self.waiting.ranks.get(&rank).cloned().unwrap_or_default();
-        let least = self.waiting.least_cpu.get(&rank).copied().unwrap_or(0);
+        let teams = self.pending_jobs.ranks.get(&rank).cloned().unwrap_or_default();
+        let least = self.pending_jobs.least_cpu.get(&rank).copied().unwrap_or(0);
         let mut queue = self.queues.remove(&rank).unwrap_or_default();
-        let cost = self.ctx.operator.task_cost;
-        for t in &self.ctx.teams {
+        let cost = self.config.operator.task_cost;
+        for t in &self.config.teams {
             queue.set_waiting(&t.name, teams.contains_key(&t.name), cost, self.weight(&t.name));
         }
         let mut next: BTreeMap<&str, usize> = BTreeMap::new();
@@ -247,7 +247,7 @@
                 *at += 1;
                 // Where nothing has room for the least that waits, the rest of
                 // them need not be looked at.
-                if !(self.rooms.any(least) || preempts && pass.lendable.any(&need)) {
+                if !(self.capacity_index.any(least) || preempts && pass.lendable.any(&need)) {
                     break 'rank;
                 }
             }
@@ -267,11 +267,11 @@
         let Some(index) = run.peek() else { return false };
         let may_preempt = (pass.guaranteed || run.urgency.rank == Rank::Production) && now >= run.room_until;
         let need = run.spec.need;
-        if !(self.rooms.any(need.cpu) || may_preempt && pass.lendable.any(&need)) {
+        if !(self.capacity_index.any(need.cpu) || may_preempt && pass.lendable.any(&need)) {
             return false;
         }
         let Some(run) = self.jobs.get(&id) else { return false };
-        let crowded = self.handouts.len() >= ON_THEIR_WAY && run.spec.kind == Kind::Array;
+        let crowded = self.pending_assignments.len() >= ON_THEIR_WAY && run.spec.kind == Kind::Array;
         if crowded
             || run.held_back()
             || self.over_limit(&run.spec)
@@ -288,7 +288,7 @@
                 if let Some(run) = self.jobs.get_mut(&id) {
                     run.patience.get_or_insert(if made { now + Micros::millis(700) } else { now });
                 }
-                self.dirty = true;
+                self.needs_scheduling = true;
                 false
             }
             Some(machine) => {
@@ -296,7 +296,7 @@
                 true
             }
             None if may_preempt && pass.lendable.looked >= LOOKED_AT => {
-                self.dirty = true;
+                self.needs_scheduling = true;
                 false
             }
             None if may_preempt => {
@@ -319,7 +319,7 @@
 
     /// Whether one more such task fits into its team's guarantee.
     fn within_guarantee(&self, spec: &JobSpec) -> bool {
-        let Some(team) = self.ctx.teams.iter().find(|t| t.name == spec.team) else { return false };
+        let Some(team) = self.config.teams.iter().find(|t| t.name == spec.team) else { return false };
         let (c, g) = self.team_use(&spec.team);
         let own = Resources::have(team.cpus, team.gpus, 0.0);
         (c + spec.need.cpu <= own.cpu || spec.need.cpu == 0)
@@ -328,7 +328,7 @@
 
     /// Teams that use more than their guarantee, and by how much.
     fn borrowed(&self) -> BTreeMap<String, (u64, u64)> {
-        let teams = self.ctx.teams.iter().map(|t| {
+        let teams = self.config.teams.iter().map(|t| {
             let (c, g) = self.team_use(&t.name);
             let own = Resources::have(t.cpus, t.gpus, 0.0);
             (t.name.clone(), (c.saturating_sub(own.cpu), g.saturating_sub(own.gpu)))
@@ -357,9 +357,9 @@
         let out = HandOut { task, attempt, zone: fixed.then(|| zone.clone()), hint: hint.clone() };
         let need = run.spec.need;
         run.again.remove(&task.index);
-        self.sums.add(&run.spec);
+        self.bound_totals.add(&run.spec);
         let watched = first_candidate(&machines, &run.spec, attempt, &self.machines);
-        self.handed.watch(task, watched.as_ref());
+        self.unresolved_tasks.watch(task, watched.as_ref());
         let handed = UnresolvedAssignment { incarnation, machines, hint: hint.clone(), zone, watched };
         let binding = Binding { attempt, handed: Some(handed), on: BTreeSet::new() };
         let bound_before = run.bound.insert(task.index, binding);
@@ -371,10 +371,10 @@
             m.reserved.insert(attempt, need);
             m.images.insert(run.spec.image.clone());
             m.idle_since = None;
-            self.rooms.put(&hint, m, true);
+            self.capacity_index.put(&hint, m, true);
         }
-        let at = self.books.record_assignment(task);
-        self.handouts.insert(attempt, PendingAssignment { to: node, assignment: out, log_seq: at, sent: None });
+        let at = self.placement_log.record_assignment(task);
+        self.pending_assignments.insert(attempt, PendingAssignment { to: node, assignment: out, log_seq: at, sent: None });
         if let Some(n) = self.nodes.get_mut(node.0 as usize) {
             n.dirty = true;
         }
@@ -513,7 +513,7 @@
         now: Micros,
     ) {
         let req = StopRequest { task, attempt, machine: machine.clone(), grace };
-        self.stops.insert((task, attempt), (req, now));
+        self.pending_stops.insert((task, attempt), (req, now));
         if let Some(h) = self.machines.get(machine).and_then(|m| m.holder)
             && let Some(n) = self.nodes.get_mut(h.0 as usize)
         {
--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -149,7 +149,7 @@
     /// Passes time without a tick of the leader, then one tick.
     fn late_tick(&mut self, ms: u64) {
         self.now = self.now + Micros::millis(ms);
-        self.leader.dirty = true;
+        self.leader.needs_scheduling = true;
         self.leader.tick(&self.ledger, self.now);
     }
 
@@ -342,9 +342,9 @@
     b.sync(A, &[s], &outcomes);
     b.add_job(2, 61, "owner", "array", "idle", 2, 4.0);
     b.tick(30);
-    assert_eq!(b.leader.stops.len(), 1, "4 CPUs are guaranteed, not 8");
+    assert_eq!(b.leader.pending_stops.len(), 1, "4 CPUs are guaranteed, not 8");
     b.tick(30);
-    assert_eq!(b.leader.stops.len(), 1, "no other task is stopped while the first ends");
+    assert_eq!(b.leader.pending_stops.len(), 1, "no other task is stopped while the first ends");
 }
 
 #[test]
@@ -373,7 +373,7 @@
         b.confirm(id, &[]);
     }
     // Neither controller is in the machines' zone.
-    b.leader.ctx.zones = vec!["west".into(), "west".into()];
+    b.leader.config.zones = vec!["west".into(), "west".into()];
     let mut got = Vec::new();
     for second in 1..=check_after.iter().copied().max().unwrap_or(0) {
         b.tick(1000);
@@ -679,7 +679,7 @@
                 b.confirm("m0", &[]);
                 b.add_job(8, 60, "t", "array", "standard", 1, 8.0);
                 b.tick(30);
-                b.leader.refused.insert(("big".into(), "east".into(), false), b.now + Micros::secs(35));
+                b.leader.refused_offers.insert(("big".into(), "east".into(), false), b.now + Micros::secs(35));
             },
             ("t", 1, 8.0),
             Why::SoldOut,
@@ -768,7 +768,7 @@
         let at = b.now + Micros::secs(passed);
         b.leader.recent_spot_rentals.push_back((at - Micros::secs(10), spot_rented));
         // A rental was just requested, and refused.
-        b.leader.refused.insert(("big".into(), "east".into(), true), at);
+        b.leader.refused_offers.insert(("big".into(), "east".into(), true), at);
         b.leader.fleet(&[flavor(Some(0.3))], at);
         let rented: u32 = b.leader.scale_out_requests.values().filter(|(r, ..)| !r.spot).map(|(r, ..)| r.count).sum();
         assert_eq!(
@@ -794,7 +794,7 @@
         b.tick(500);
         let mut ends: BTreeMap<MachineId, Vec<(TaskId, Attempt, TaskState)>> = BTreeMap::new();
         let mut outcomes = Vec::new();
-        for PendingAssignment { assignment: h, .. } in b.leader.handouts.values() {
+        for PendingAssignment { assignment: h, .. } in b.leader.pending_assignments.values() {
             outcomes.push(Outcome { attempt: h.attempt, machine: Some(h.hint.clone()) });
             ends.entry(h.hint.clone()).or_default().push((h.task, h.attempt, TaskState::Failed));
         }
@@ -846,7 +846,7 @@
     for half in 0..400u32 {
         b.tick(500);
         let mut outcomes = Vec::new();
-        for PendingAssignment { assignment: h, .. } in b.leader.handouts.values() {
+        for PendingAssignment { assignment: h, .. } in b.leader.pending_assignments.values() {
             if h.task.job == JobId(2) {
                 began.get_or_insert(half / 2);
             }
@@ -931,7 +931,7 @@
             }
             b.tick(30);
             let placed = |h: &PendingAssignment| Outcome { attempt: h.assignment.attempt, machine: Some(h.assignment.hint.clone()) };
-            let outcomes: Vec<Outcome> = b.leader.handouts.values().map(placed).collect();
+            let outcomes: Vec<Outcome> = b.leader.pending_assignments.values().map(placed).collect();
             b.sync(A, &[], &outcomes);
             b.sync(B, &[], &outcomes);
         }
--- a/crates/core/src/leader/tests/lateness.rs
+++ b/crates/core/src/leader/tests/lateness.rs
@@ -48,7 +48,7 @@
     b.add_job(100, 60, "t", "array", "standard", 1, 1.0);
     b.tick(30);
     let placed = |h: &PendingAssignment| (h.to, Outcome { attempt: h.assignment.attempt, machine: Some(h.assignment.hint.clone()) });
-    let (to, outcome) = b.leader.handouts.values().map(placed).next().unwrap();
+    let (to, outcome) = b.leader.pending_assignments.values().map(placed).next().unwrap();
     b.sync(to, &[], &[outcome]);
     let report = |b: &Harness, obeys| {
         let task = (task(100, 0), b.attempt(task(100, 0)).unwrap(), TaskState::Running);
@@ -79,8 +79,8 @@
 fn a_leader_that_was_behind_closes_no_zone_to_renting() {
     let mut b = Harness::new(8);
     // Only zones are under test here: machines must not be deleted.
-    b.leader.ctx.operator.silent_delete = Micros::secs(60);
-    b.leader.ctx.operator.idle_return = Micros::secs(60);
+    b.leader.config.operator.silent_delete = Micros::secs(60);
+    b.leader.config.operator.idle_return = Micros::secs(60);
     let (east, west) = (["m0", "m1", "m2", "m3"], ["m4", "m5", "m6", "m7"]);
     west.iter().for_each(|id| b.leader.machines.get_mut(&m(id)).unwrap().zone = "west".into());
     east.iter().chain(&west).for_each(|id| b.confirm(id, &[]));
@@ -90,13 +90,13 @@
         east.iter().for_each(|id| b.confirm(id, &[]));
         b.leader.fleet(&[], b.now);
     }
-    assert!(!b.leader.health.is_closed("west"));
+    assert!(!b.leader.zone_health.is_closed("west"));
     for _ in 0..20 {
         b.tick(400);
         east.iter().for_each(|id| b.confirm(id, &[]));
         b.leader.fleet(&[], b.now);
     }
-    assert!(b.leader.health.is_closed("west"), "silent while the leader is on time");
+    assert!(b.leader.zone_health.is_closed("west"), "silent while the leader is on time");
 }
 
 /// `Sync` messages waited for a leader that was behind, and it took their senders for out of
--- a/crates/core/src/leader/tests/limits.rs
+++ b/crates/core/src/leader/tests/limits.rs
@@ -91,7 +91,7 @@
         b.leader.machines.values_mut().for_each(|m| (m.recorded, m.stage) = (false, Stage::Up));
         let listed = b.leader.writes(&b.ledger, limits.value_bytes, b.now);
         let machines = listed.into_iter().find(|w| matches!(w, LeaderWrite::Machines(_))).unwrap();
-        b.leader.gone.insert(name(3), (b.now, 0));
+        b.leader.deleted_machines.insert(name(3), (b.now, 0));
         let writes = [
             LeaderWrite::End(LONG),
             machines,
@@ -174,7 +174,7 @@
     for limit in [(4000, 8), (2000, 4)] {
         let limits = limits(limit);
         let mut b = harness_with_long_records();
-        b.leader.gone.insert(name(3), (b.now, 0));
+        b.leader.deleted_machines.insert(name(3), (b.now, 0));
         let changes = changes(&b, &LeaderWrite::Forget(RECORD.into()), &limits).unwrap();
         let records = if limit.0 == 4000 { 1 } else { 3 };
         assert_eq!((changes.writes.len(), changes.conditions.len()), (records, records), "{limit:?}");
@@ -191,7 +191,7 @@
     }
     // A key that exists, or that may not be created, is skipped for another.
     let mut b = harness_with_long_records();
-    b.leader.gone.insert(name(3), (b.now, 0));
+    b.leader.deleted_machines.insert(name(3), (b.now, 0));
     let small = limits((2000, 4));
     let first = changes(&b, &LeaderWrite::Forget(RECORD.into()), &small).unwrap();
     let unavailable = first.conditions[1].path.clone();
--- a/crates/core/src/leader/tests/pipelines.rs
+++ b/crates/core/src/leader/tests/pipelines.rs
@@ -143,7 +143,7 @@
         b.sync(A, &[state], &[]);
         b.add_job(9, 62, "t", "standing", "prod", 1, 8.0);
         b.tick(1000);
-        assert_eq!(b.leader.stops.is_empty(), needed, "needed by production work: {needed}");
+        assert_eq!(b.leader.pending_stops.is_empty(), needed, "needed by production work: {needed}");
     }
 }
 
--- a/crates/core/src/leader/tests/task_assignments.rs
+++ b/crates/core/src/leader/tests/task_assignments.rs
@@ -25,7 +25,7 @@
     }
     b.add_job(1, 60, "t", "array", "standard", TASKS, 1.0);
     b.tick(30);
-    let unresolved = b.leader.handed.len();
+    let unresolved = b.leader.unresolved_tasks.len();
     assert_eq!(unresolved, TASKS as usize);
     let before = stored_names(&b.leader);
     for i in 0..CONFIRMED {
@@ -35,7 +35,7 @@
         b.confirm(&id, &[]);
     }
     assert_eq!(b.leader.check_sums(), Ok(()));
-    assert_eq!(b.leader.handed.len(), unresolved, "other machines may hold them");
+    assert_eq!(b.leader.unresolved_tasks.len(), unresolved, "other machines may hold them");
     let after = stored_names(&b.leader);
     assert!(
         after <= before,
--- a/crates/core/src/leader/waits.rs
+++ b/crates/core/src/leader/waits.rs
@@ -79,7 +79,7 @@
         let in_zones = |z: &str| spec.zones.as_ref().is_none_or(|l| l.iter().any(|x| x == z));
         let of_types = |b: &str| spec.types.as_ref().is_none_or(|l| l.iter().any(|x| x == b));
         let refused = self
-            .refused
+            .refused_offers
             .iter()
             .any(|((build, z, spot), t)| recent(t) && of_types(build) && in_zones(z) && (spec.spot || !spot));
         if refused { Why::SoldOut } else { Why::NoRoom }
