--- a/crates/core/src/leader/bindings.rs
+++ b/crates/core/src/leader/bindings.rs
@@ -5,7 +5,7 @@
 
 impl Leader {
     /// Applies a controller's `Sync`. A stale one is dropped.
-    pub fn sync(&mut self, from: NodeId, incarnation: u64, view: &SyncView<'_>, ledger: &Ledger, now: Micros) {
+    pub fn apply_sync(&mut self, from: NodeId, incarnation: u64, view: &SyncView<'_>, ledger: &Ledger, now: Micros) {
         let Some(node) = self.nodes.get_mut(from.0 as usize) else { return };
         if incarnation < node.incarnation {
             // Sent before the controller restarted, and delayed in the network.
@@ -46,10 +46,10 @@
         }
         node.heard = Some(now);
         for o in view.outcomes {
-            self.outcome(from, incarnation, o);
+            self.apply_outcome(from, incarnation, o);
         }
         for s in view.machines {
-            self.machine_state(from, s, ledger, now);
+            self.apply_machine_state(from, s, ledger, now);
         }
         for (id, ago, report) in view.contacts {
             if let Some(m) = self.machines.get_mut(id) {
@@ -60,12 +60,12 @@
         for s in view.unleased_reports {
             if let Some(m) = self.machines.get(&s.id) {
                 let rec = m.record();
-                self.seen(from, s, &rec, &Sizes::new(), now);
+                self.apply_unleased_report(from, s, &rec, &Sizes::new(), now);
             }
         }
     }
 
-    pub(super) fn outcome(&mut self, from: NodeId, incarnation: u64, o: &Outcome) {
+    pub(super) fn apply_outcome(&mut self, from: NodeId, incarnation: u64, o: &Outcome) {
         let Some(PendingAssignment { to, assignment: h, .. }) = self.pending_assignments.remove(&o.attempt) else { return };
         debug_assert_eq!(to, from);
         self.needs_scheduling = true;
@@ -92,7 +92,7 @@
         self.free_if_nowhere(h.task);
     }
 
-    pub(super) fn machine_state(&mut self, from: NodeId, s: &MachineState, ledger: &Ledger, now: Micros) {
+    pub(super) fn apply_machine_state(&mut self, from: NodeId, s: &MachineState, ledger: &Ledger, now: Micros) {
         let Some(m) = self.machines.get_mut(&s.id) else { return };
         if !self.grants_started {
             // A report that the controllers know already is not new when it comes again.
@@ -186,7 +186,7 @@
         }
         for e in exits {
             if old.contains_key(&e.task) || e.state == TaskState::Done {
-                self.ended(&s.id, e.task, e.state, ledger, now);
+                self.task_exited(&s.id, e.task, e.state, ledger, now);
             }
         }
         if confirmed {
@@ -210,7 +210,7 @@
     }
 
     /// A task exited on a machine.
-    pub(super) fn ended(
+    pub(super) fn task_exited(
         &mut self,
         id: &MachineId,
         task: TaskId,
@@ -280,7 +280,7 @@
         if failures.iter().sum::<u32>() >= 2 {
             info!("{id}: cordoned: tasks failed on it of jobs that run elsewhere; jobs={}", failures.len());
             m.draining = Some("tasks fail on it");
-            self.tell(id);
+            self.mark_changed(id);
         }
     }
 
@@ -370,7 +370,7 @@
     }
 
     /// A machine reported to a controller that doesn't hold it, or answered its probe.
-    pub fn seen(&mut self, from: NodeId, s: &Sighting, rec: &MachineRecord, sizes: &Sizes, now: Micros) {
+    pub fn apply_unleased_report(&mut self, from: NodeId, s: &Sighting, rec: &MachineRecord, sizes: &Sizes, now: Micros) {
         let id = &s.id;
         if self.deleted_machines.contains_key(id) {
             return;
@@ -414,7 +414,7 @@
                 }
                 if !rec.addr.is_empty() && m.addr != rec.addr {
                     m.addr = rec.addr.clone();
-                    self.tell(id);
+                    self.mark_changed(id);
                 }
             }
         }
--- a/crates/core/src/leader/blocks.rs
+++ b/crates/core/src/leader/blocks.rs
@@ -29,7 +29,7 @@
     }
 
     /// Which controllers are in contact, by their index.
-    pub(super) fn contacts(&self, now: Micros) -> Vec<bool> {
+    pub(super) fn controllers_in_contact(&self, now: Micros) -> Vec<bool> {
         (0..self.nodes.len()).map(|i| self.in_contact(NodeId(i as u8), now)).collect()
     }
 
@@ -61,7 +61,7 @@
     }
 
     pub(super) fn grant(&mut self, id: &MachineId, to: NodeId, why: &str, now: Micros) {
-        let baton = Baton(self.draw());
+        let baton = Baton(self.next_token());
         let Some(m) = self.machines.get_mut(id) else { return };
         if m.holder.is_some_and(|h| h != to) {
             info!("{id}: block moves from controller {} to {}: {why}", m.holder.map_or(0, |h| h.0), to.0);
@@ -79,7 +79,7 @@
         // The new holder has to report the machine itself; reports to the last one say nothing
         // about it. The other controllers learn of the grant with their next update, and the
         // one that the worker reports to at once.
-        self.tell(id);
+        self.mark_changed(id);
         if let Some((n, _)) = self.last_seen.get(id)
             && let Some(n) = self.nodes.get_mut(n.0 as usize)
         {
@@ -92,7 +92,7 @@
     pub fn tick(&mut self, ledger: &Ledger, now: Micros) {
         self.lateness.works(now);
         if !self.grants_started {
-            let all = self.contacts(now).into_iter().all(|c| c);
+            let all = self.controllers_in_contact(now).into_iter().all(|c| c);
             let waited = now.since(self.term_start);
             if !(all || waited >= Micros::millis(700)) || self.awaits_log && waited < LOG_WAIT_TIMEOUT {
                 return;
@@ -417,6 +417,6 @@
         m.since = now;
         m.delete_sent_at = None;
         self.needs_scheduling = true;
-        self.tell(id);
+        self.mark_changed(id);
     }
 }
--- a/crates/core/src/leader/log_replication.rs
+++ b/crates/core/src/leader/log_replication.rs
@@ -99,7 +99,7 @@
     /// Adopts the placement log of the earlier leader. It contains all places where a task
     /// may be, so a machine that has not reported in this term holds what the log says and
     /// nothing else.
-    pub fn inherit(&mut self, term: u64, book: &LogReplica, ledger: &Ledger) {
+    pub fn adopt_log(&mut self, term: u64, book: &LogReplica, ledger: &Ledger) {
         if self.grants_started || !self.awaits_log || self.placement_log.record().term != term {
             return;
         }
--- a/crates/core/src/leader/machines.rs
+++ b/crates/core/src/leader/machines.rs
@@ -172,7 +172,7 @@
                     let (failed, deleting) = (r.stage == "failed", m.stage == Stage::Deleting);
                     if m.addr.is_empty() {
                         m.addr = r.addr.clone();
-                        self.tell(&id);
+                        self.mark_changed(&id);
                     }
                     if failed && !deleting {
                         self.delete(&id, "it failed", now);
--- a/crates/core/src/leader/messages.rs
+++ b/crates/core/src/leader/messages.rs
@@ -15,7 +15,7 @@
 
 impl Leader {
     /// Messages that are due.
-    pub fn messages(&mut self, now: Micros, lease_ok: bool) -> Vec<(NodeId, Message)> {
+    pub fn due_messages(&mut self, now: Micros, lease_ok: bool) -> Vec<(NodeId, Message)> {
         let mut out = Vec::new();
         for (n, id, addr) in std::mem::take(&mut self.probes) {
             out.push((n, Message::Probe { id, addr }));
@@ -118,7 +118,7 @@
     }
 
     /// Marks that a machine changed in a way that controllers have to be notified of.
-    pub(super) fn tell(&mut self, id: &MachineId) {
+    pub(super) fn mark_changed(&mut self, id: &MachineId) {
         let stamp = self.update_seq + 1;
         self.blocks.clear();
         if let Some(m) = self.machines.get_mut(id) {
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -412,13 +412,13 @@
     }
 
     /// A fencing token that was never used before in this deployment.
-    fn draw(&mut self) -> u64 {
+    fn next_token(&mut self) -> u64 {
         self.epoch += 1;
         Baton::new(self.term, self.epoch).0
     }
 
     /// Whether the term's fencing tokens are nearly used up, so the leader must step down.
-    pub fn exhausted(&self) -> bool {
+    pub fn tokens_exhausted(&self) -> bool {
         self.epoch + 100_000 >= 1 << EPOCH_BITS
     }
 
--- a/crates/core/src/leader/overdue.rs
+++ b/crates/core/src/leader/overdue.rs
@@ -65,7 +65,7 @@
     /// one is kept already, or none will do.
     fn gather(&mut self, id: JobId, now: Micros) -> bool {
         let Some(run) = self.jobs.get(&id) else { return false };
-        let (spec, zones, contact) = (run.spec.clone(), self.zones_of(run), self.contacts(now));
+        let (spec, zones, contact) = (run.spec.clone(), self.zones_of(run), self.controllers_in_contact(now));
         if self.machines.values().any(|m| m.accumulating_job(now) == Some(id)) {
             return false;
         }
--- a/crates/core/src/leader/records.rs
+++ b/crates/core/src/leader/records.rs
@@ -8,7 +8,7 @@
 
 impl Leader {
     /// The records to write, most urgent first.
-    pub fn writes(&self, ledger: &Ledger, value_limit: usize, now: Micros) -> Vec<LeaderWrite> {
+    pub fn due_writes(&self, ledger: &Ledger, value_limit: usize, now: Micros) -> Vec<LeaderWrite> {
         let mut v = Vec::new();
         let active = |id: &JobId| ledger.jobs.get(id).is_some_and(|j| j.phase == Phase::Active);
         for (id, r) in self.arrays_with_progress.iter().filter_map(|id| Some((id, self.jobs.get(id)?))) {
@@ -90,7 +90,7 @@
     }
 
     /// A write is pending, or (`pending` is false) it failed.
-    pub fn writing(&mut self, w: &LeaderWrite, pending: bool) {
+    pub fn set_write_pending(&mut self, w: &LeaderWrite, pending: bool) {
         if let LeaderWrite::Machines(ids) = w {
             for id in ids {
                 if let Some(m) = self.machines.get_mut(id) {
@@ -118,7 +118,7 @@
     }
 
     /// Notes that a write succeeded.
-    pub fn written(&mut self, w: &LeaderWrite) {
+    pub fn write_succeeded(&mut self, w: &LeaderWrite) {
         self.needs_scheduling = true;
         match w {
             LeaderWrite::Machines(ids) => {
--- a/crates/core/src/leader/room.rs
+++ b/crates/core/src/leader/room.rs
@@ -176,7 +176,7 @@
 impl Leader {
     /// Brings the places up to date with all that changed since the last pass.
     pub(super) fn settle_rooms(&mut self, now: Micros) {
-        let contact = self.contacts(now);
+        let contact = self.controllers_in_contact(now);
         self.capacity_index.zone_cpu.values_mut().for_each(|z| *z = 0);
         for (id, m) in self.machines.iter_mut() {
             if !m.spot && m.stage != Stage::Deleting {
--- a/crates/core/src/leader/schedule.rs
+++ b/crates/core/src/leader/schedule.rs
@@ -337,7 +337,7 @@
     }
 
     pub(super) fn hand_out(&mut self, task: TaskId, hint: MachineId) {
-        let attempt = Attempt(self.draw());
+        let attempt = Attempt(self.next_token());
         let Some(m) = self.machines.get(&hint) else { return };
         let (Some(node), zone) = (m.holder, m.zone.clone()) else { return };
         let Some(run) = self.jobs.get_mut(&task.job) else { return };
@@ -480,7 +480,7 @@
     /// Machines with work that replicas, or a team within its guarantee, may
     /// have stopped, and the most room that this would leave.
     fn lendable(&self, guaranteed: bool, now: Micros) -> Lendable {
-        let contact = self.contacts(now);
+        let contact = self.controllers_in_contact(now);
         let mut l = Lendable::default();
         let mut machines = Vec::new();
         for (id, m) in self.machines.iter().filter(|(_, m)| m.is_reachable(&contact)) {
--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -94,7 +94,7 @@
 
     /// Applies the failure records that the leader wants to write.
     fn save_failures(&mut self, stamp: u64) {
-        for w in self.leader.writes(&self.ledger, 4000, self.now) {
+        for w in self.leader.due_writes(&self.ledger, 4000, self.now) {
             if let LeaderWrite::Failures(id, chunk) = w {
                 let v = json!(self.leader.failures(id, chunk).unwrap());
                 self.ledger.apply(&keys::failed(id, chunk), Some(&v), stamp);
@@ -158,7 +158,7 @@
         self.seq[i] += 1;
         let view =
             SyncView { seq: self.seq[i], base: 0, acked_update: 0, machines, contacts: &[], unleased_reports: &[], outcomes };
-        self.leader.sync(from, self.incarnation[i], &view, &self.ledger, self.now);
+        self.leader.apply_sync(from, self.incarnation[i], &view, &self.ledger, self.now);
     }
 
     fn state(&self, id: &str, seen: Baton, tasks: &[(TaskId, Attempt, TaskState)]) -> MachineState {
@@ -277,7 +277,7 @@
                     unleased_reports: &[],
                     outcomes: &outcomes,
                 };
-                b.leader.sync(A, 5, &view, &b.ledger, b.now);
+                b.leader.apply_sync(A, 5, &view, &b.ledger, b.now);
             },
             false,
         ),
@@ -510,7 +510,7 @@
     b.save_failures(70);
     b.pass_idle(4);
     let fails = |b: &Harness| {
-        let w = b.leader.writes(&b.ledger, 4000, b.now);
+        let w = b.leader.due_writes(&b.ledger, 4000, b.now);
         w.iter().filter(|w| matches!(w, LeaderWrite::Fail(..))).count()
     };
     assert_eq!(fails(&b), 0);
@@ -895,7 +895,7 @@
         let mut b = Harness::new(1);
         b.confirm("m0", &[]);
         let s = Sighting { id: m(id), report, asked };
-        b.leader.seen(B, &s, &rec(build), &sizes, b.now);
+        b.leader.apply_unleased_report(B, &s, &rec(build), &sizes, b.now);
         let seen = b.leader.last_seen.get(&m(id)).is_some_and(|(n, _)| *n == B);
         assert_eq!((seen, b.leader.machines.contains_key(&m(id))), (counts, known), "case {i}");
         if id == "m9" && !asked {
--- a/crates/core/src/leader/tests/limits.rs
+++ b/crates/core/src/leader/tests/limits.rs
@@ -89,7 +89,7 @@
         let mut b = harness_with_long_records();
         // No machine is recorded, as after a large rental.
         b.leader.machines.values_mut().for_each(|m| (m.recorded, m.stage) = (false, Stage::Up));
-        let listed = b.leader.writes(&b.ledger, limits.value_bytes, b.now);
+        let listed = b.leader.due_writes(&b.ledger, limits.value_bytes, b.now);
         let machines = listed.into_iter().find(|w| matches!(w, LeaderWrite::Machines(_))).unwrap();
         b.leader.deleted_machines.insert(name(3), (b.now, 0));
         let writes = [
@@ -186,7 +186,7 @@
         }
         assert!(!b.ledger.machines.contains_key(&name(3)));
         assert_eq!(b.ledger.machines.len(), MACHINES - 1);
-        let writes = b.leader.writes(&b.ledger, limits.value_bytes, b.now);
+        let writes = b.leader.due_writes(&b.ledger, limits.value_bytes, b.now);
         assert!(!writes.iter().any(|w| matches!(w, LeaderWrite::Forget(_))), "{limit:?}: {writes:?}");
     }
     // A key that exists, or that may not be created, is skipped for another.
--- a/crates/core/src/leader/tests/pipelines.rs
+++ b/crates/core/src/leader/tests/pipelines.rs
@@ -90,7 +90,7 @@
     let state = b.state("m0", b.token("m0"), &[(task(1, 0), attempt, TaskState::Done)]);
     b.sync(A, &[state], &[]);
     b.tick(100);
-    assert!(b.leader.writes(&b.ledger, 4000, b.now).contains(&LeaderWrite::End(JobId(1))));
+    assert!(b.leader.due_writes(&b.ledger, 4000, b.now).contains(&LeaderWrite::End(JobId(1))));
     assert!(!b.is_assigned(2), "its end is not recorded");
     b.next_leader();
     assert!(b.leader.jobs[&JobId(2)].held);
@@ -186,7 +186,7 @@
     }
     b.record_end(1, "aborted");
     let wanted = |b: &Harness| {
-        let writes = b.leader.writes(&b.ledger, 4000, b.now);
+        let writes = b.leader.due_writes(&b.ledger, 4000, b.now);
         let with = |w: &LeaderWrite| matches!(w, LeaderWrite::CancelledWith(_));
         writes.into_iter().filter(with).collect::<Vec<_>>()
     };
--- a/crates/core/src/node/duties.rs
+++ b/crates/core/src/node/duties.rs
@@ -277,7 +277,7 @@
         self.take_over_books();
         let may = self.leadership.election.may_lead(self.now);
         let Some(l) = self.leadership.leader.as_mut() else { return };
-        if l.exhausted() {
+        if l.tokens_exhausted() {
             return self.step_down("its numbers are used up");
         }
         if may {
@@ -285,7 +285,7 @@
         } else {
             l.stop_cancelled(&self.mirror.ledger, self.now);
         }
-        let messages = l.messages(self.now, may);
+        let messages = l.due_messages(self.now, may);
         for (to, m) in messages {
             self.send(to, m);
         }
@@ -305,7 +305,7 @@
         let me = &self.nodes.names[self.nodes.me.0 as usize];
         let mine = w.nodes.iter().any(|(name, process)| name == me && *process == self.incarnation);
         if mine && let Some(book) = self.kept.get(term) {
-            return l.inherit(term, book, &self.mirror.ledger);
+            return l.adopt_log(term, book, &self.mirror.ledger);
         }
         if self.now.since(self.books_asked) < Micros::millis(200) {
             return;
@@ -329,7 +329,7 @@
             && term == w.term
             && let Some(book) = LogReplica::from_full_update(page)
         {
-            l.inherit(term, &book, &self.mirror.ledger);
+            l.adopt_log(term, &book, &self.mirror.ledger);
         }
     }
 
@@ -367,7 +367,7 @@
         l.mark_late_records(&self.mirror.ledger);
         let Some(l) = self.leadership.leader.as_ref() else { return };
         let todo: Vec<LeaderWrite> = l
-            .writes(&self.mirror.ledger, self.limits.value_bytes, self.now)
+            .due_writes(&self.mirror.ledger, self.limits.value_bytes, self.now)
             .into_iter()
             .filter(|w| !self.leadership.inflight.contains(w))
             .filter(|w| !self.leadership.refused.waits(w, self.now))
@@ -417,7 +417,7 @@
             return;
         }
         if let Some(l) = self.leadership.leader.as_mut() {
-            taken.iter().for_each(|w| l.writing(w, true));
+            taken.iter().for_each(|w| l.set_write_pending(w, true));
         }
         self.leadership.inflight.extend(taken.iter().cloned());
         self.leadership.txns += 1;
@@ -445,12 +445,12 @@
         self.leadership.returned(&writes);
         let Some(l) = self.leadership.leader.as_mut() else { return };
         for w in &writes {
-            l.writing(w, false);
+            l.set_write_pending(w, false);
         }
         match result {
             CallResult::Answer { status: 200, .. } => {
                 for w in &writes {
-                    l.written(w);
+                    l.write_succeeded(w);
                 }
                 self.leadership.refused.accepted(&writes);
                 self.lead();
--- a/crates/core/src/node/peers.rs
+++ b/crates/core/src/node/peers.rs
@@ -128,14 +128,14 @@
                 if let Some((term, view)) = SyncView::of(&m)
                     && let Some(l) = self.leadership.leader.as_mut().filter(|l| l.term == term)
                 {
-                    l.sync(from, incarnation, &view, &self.mirror.ledger, self.now);
+                    l.apply_sync(from, incarnation, &view, &self.mirror.ledger, self.now);
                 }
             }
             Message::Seen { id, build, zone, spot, addr, report, asked } => {
                 if let Some(l) = self.leadership.leader.as_mut() {
                     let rec = MachineRecord { build, zone, spot, addr };
                     let s = Sighting { id, report, asked };
-                    l.seen(from, &s, &rec, &self.catalogue.sizes, self.now);
+                    l.apply_unleased_report(from, &s, &rec, &self.catalogue.sizes, self.now);
                 }
             }
             Message::Update {
@@ -184,7 +184,7 @@
                 if let Some(l) = self.leadership.leader.as_mut().filter(|l| l.term == term)
                     && l.log_acknowledged(from, incarnation, seq, self.now)
                 {
-                    let messages = l.messages(self.now, may);
+                    let messages = l.due_messages(self.now, may);
                     messages.into_iter().for_each(|(to, m)| self.send(to, m));
                 }
             }
