--- a/crates/core/src/leader/bindings.rs
+++ b/crates/core/src/leader/bindings.rs
@@ -15,7 +15,7 @@
             // Another process: the block and the assignments of the earlier one are lost with
             // it. Its machines need a new grant.
             let first = node.incarnation == 0;
-            *node = Node { incarnation, since: now, ..Node::default() };
+            *node = Node { incarnation, incarnation_since: now, ..Node::default() };
             if !first {
                 info!("controller {} restarted", from.0);
                 let stamp = self.update_seq + 1;
@@ -41,10 +41,10 @@
         node.acked_update = view.acked_update;
         node.pacer.acknowledged(view.acked_update, now);
         node.ack_due |= !view.machines.is_empty() || !view.outcomes.is_empty();
-        if node.heard.is_none_or(|t| now.since(t) > CONTACT_TIMEOUT) {
+        if node.last_contact.is_none_or(|t| now.since(t) > CONTACT_TIMEOUT) {
             node.contact_since = now;
         }
-        node.heard = Some(now);
+        node.last_contact = Some(now);
         for o in view.outcomes {
             self.apply_outcome(from, incarnation, o);
         }
--- a/crates/core/src/leader/blocks.rs
+++ b/crates/core/src/leader/blocks.rs
@@ -22,7 +22,7 @@
 
 impl Leader {
     pub(super) fn in_contact(&self, n: NodeId, now: Micros) -> bool {
-        let heard = self.nodes.get(n.0 as usize).and_then(|x| x.heard);
+        let heard = self.nodes.get(n.0 as usize).and_then(|x| x.last_contact);
         heard.is_some_and(|t| {
             now.since(self.lateness.silent_from_within(t, MAX_BACKLOG_ALLOWANCE)) < CONTACT_TIMEOUT
         })
@@ -83,7 +83,7 @@
         if let Some((n, _)) = self.last_seen.get(id)
             && let Some(n) = self.nodes.get_mut(n.0 as usize)
         {
-            n.dirty = true;
+            n.update_due = true;
         }
     }
 
@@ -164,7 +164,7 @@
                         && m.reserved.is_empty()
                         && let Some(to) = self.choose_holder(&load, &m.zone, None, now)
                         && self.config.zones[to.0 as usize] == m.zone
-                        && now.since(self.nodes[to.0 as usize].since) > Micros::secs(4)
+                        && now.since(self.nodes[to.0 as usize].incarnation_since) > Micros::secs(4)
                         && (silent || moves.len() < 2)
                     {
                         moves.push((id.clone(), to, "a controller of its zone is available again"));
--- a/crates/core/src/leader/cancelled.rs
+++ b/crates/core/src/leader/cancelled.rs
@@ -28,7 +28,7 @@
         let may_start = |(i, node): &(usize, &Node)| {
             let n = NodeId(*i as u8);
             let known = known_by.get(*i).is_some_and(|known| *known >= node.incarnation.max(1));
-            let lease_until = node.heard.unwrap_or(self.term_start) + self.config.operator.block_lease;
+            let lease_until = node.last_contact.unwrap_or(self.term_start) + self.config.operator.block_lease;
             n != self.config.node_id && !known && !ended.contains(&n) && now < lease_until
         };
         self.nodes.iter().enumerate().filter(may_start).map(|(i, _)| NodeId(i as u8)).collect()
--- a/crates/core/src/leader/log_replication.rs
+++ b/crates/core/src/leader/log_replication.rs
@@ -20,7 +20,7 @@
                 if *at <= covered
                     && let Some(n) = self.nodes.get_mut(n.0 as usize)
                 {
-                    n.dirty = true;
+                    n.update_due = true;
                 }
             }
         }
--- a/crates/core/src/leader/messages.rs
+++ b/crates/core/src/leader/messages.rs
@@ -29,10 +29,10 @@
         for i in 0..self.nodes.len() {
             let to = NodeId(i as u8);
             let n = &self.nodes[i];
-            if n.incarnation == 0 || n.heard.is_none_or(|t| now.since(t) > Micros::secs(5)) {
+            if n.incarnation == 0 || n.last_contact.is_none_or(|t| now.since(t) > Micros::secs(5)) {
                 continue;
             }
-            let interval = match (n.dirty, n.ack_due) {
+            let interval = match (n.update_due, n.ack_due) {
                 (true, _) => CHANGE_INTERVAL,
                 (false, true) => ACKNOWLEDGEMENT_INTERVAL,
                 (false, false) => IDLE_INTERVAL,
@@ -56,7 +56,7 @@
         let seq = self.update_seq;
         let node = &mut self.nodes[to.0 as usize];
         node.pacer.sent(seq, now);
-        node.dirty = false;
+        node.update_due = false;
         node.ack_due = false;
         let base = if node.acked_update < self.min_update_base { 0 } else { node.acked_update };
         let (incarnation, ack) = (node.incarnation, node.sync_seq);
@@ -124,7 +124,7 @@
         if let Some(m) = self.machines.get_mut(id) {
             m.stamp = stamp;
             if let Some(n) = m.holder.and_then(|h| self.nodes.get_mut(h.0 as usize)) {
-                n.dirty = true;
+                n.update_due = true;
             }
         }
     }
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -90,12 +90,12 @@
     acked_update: u64,
     /// It waits for the acknowledgement of its last `Sync`.
     ack_due: bool,
-    heard: Option<Micros>,
-    since: Micros,
+    last_contact: Option<Micros>,
+    incarnation_since: Micros,
     contact_since: Micros,
     /// Paces the updates to it.
     pacer: Pacer,
-    dirty: bool,
+    update_due: bool,
 }
 
 /// An assignment whose outcome is not known.
--- a/crates/core/src/leader/schedule.rs
+++ b/crates/core/src/leader/schedule.rs
@@ -376,7 +376,7 @@
         let at = self.placement_log.record_assignment(task);
         self.pending_assignments.insert(attempt, PendingAssignment { to: node, assignment: out, log_seq: at, sent: None });
         if let Some(n) = self.nodes.get_mut(node.0 as usize) {
-            n.dirty = true;
+            n.update_due = true;
         }
     }
 
@@ -517,7 +517,7 @@
         if let Some(h) = self.machines.get(machine).and_then(|m| m.holder)
             && let Some(n) = self.nodes.get_mut(h.0 as usize)
         {
-            n.dirty = true;
+            n.update_due = true;
         }
     }
 }
