--- a/crates/core/src/leader/assignments.rs
+++ b/crates/core/src/leader/assignments.rs
@@ -23,11 +23,11 @@
     pub(super) incarnation: u64,
     /// Machines on which it may have been started: the block at the time of the assignment,
     /// shared by all assignments of that time.
-    pub(super) machines: Rc<BTreeSet<MachineId>>,
+    pub(super) candidates: Rc<BTreeSet<MachineId>>,
     pub(super) hint: MachineId,
     pub(super) zone: String,
     /// The machine at which it is watched; `None` if its block is empty.
-    pub(super) watched: Option<MachineId>,
+    pub(super) watched_at: Option<MachineId>,
 }
 
 /// Whether a machine may hold a task of this attempt, if the machine was in the block that
@@ -60,7 +60,7 @@
     /// Removes a task whose machine is known, or that is on no machine.
     pub(super) fn remove(&mut self, task: TaskId, handed: &UnresolvedAssignment) {
         self.tasks.remove(&task);
-        let Some(id) = &handed.watched else { return };
+        let Some(id) = &handed.watched_at else { return };
         if let Some(tasks) = self.watched.get_mut(id) {
             tasks.remove(&task);
             if tasks.is_empty() {
--- a/crates/core/src/leader/bindings.rs
+++ b/crates/core/src/leader/bindings.rs
@@ -80,7 +80,7 @@
         let Some(handed) = b.handed.take() else { return };
         self.unresolved_tasks.remove(h.task, &handed);
         if let Some(id) = &o.machine
-            && handed.machines.contains(id)
+            && handed.candidates.contains(id)
             && let Some(m) = self.machines.get_mut(id).filter(|m| may_hold(m, o.attempt))
         {
             b.on.insert(id.clone());
@@ -328,13 +328,13 @@
             let Some(b) = run.bound.get_mut(&task.index) else { continue };
             let Some(h) = b.handed.as_mut() else { continue };
             if token.is_none_or(|t| b.attempt.0 < t.0) {
-                let next = |after| next_candidate(&h.machines, after, &run.spec, b.attempt, &self.machines);
+                let next = |after| next_candidate(&h.candidates, after, &run.spec, b.attempt, &self.machines);
                 // Free only if no machine of the block may hold it: the machines that the job
                 // allows may have changed.
-                h.watched = next(Some(id)).or_else(|| next(None));
+                h.watched_at = next(Some(id)).or_else(|| next(None));
             }
-            if h.watched.is_some() {
-                self.unresolved_tasks.watch(task, h.watched.as_ref());
+            if h.watched_at.is_some() {
+                self.unresolved_tasks.watch(task, h.watched_at.as_ref());
             } else if let Some(handed) = b.handed.take() {
                 self.unresolved_tasks.remove(task, &handed);
                 self.placement_log.record_change(task);
--- a/crates/core/src/leader/blocks.rs
+++ b/crates/core/src/leader/blocks.rs
@@ -355,7 +355,7 @@
                     m.suits(&r.spec) && may_hold(m, attempt)
                 };
                 for (b, h) in bound().filter_map(|b| Some((b, b.handed.as_ref()?))) {
-                    let machines = h.machines.iter().filter(|id| holds(id, b.attempt));
+                    let machines = h.candidates.iter().filter(|id| holds(id, b.attempt));
                     doomed.extend(machines.map(|id| (id.clone(), *job)));
                 }
             }
--- a/crates/core/src/leader/log_replication.rs
+++ b/crates/core/src/leader/log_replication.rs
@@ -135,10 +135,10 @@
                 UnresolvedAssignment {
                     // No process: no controller reports its outcome to this term.
                     incarnation: 0,
-                    machines: block.clone(),
+                    candidates: block.clone(),
                     hint: hint.clone(),
                     zone: zone.clone().or(at_hint).unwrap_or_default(),
-                    watched: first_candidate(block, &spec, e.attempt, &self.machines),
+                    watched_at: first_candidate(block, &spec, e.attempt, &self.machines),
                 }
             });
             if on.is_empty() && handed.is_none() {
@@ -155,7 +155,7 @@
                 }
             }
             if let Some(handed) = &handed {
-                self.unresolved_tasks.watch(*task, handed.watched.as_ref());
+                self.unresolved_tasks.watch(*task, handed.watched_at.as_ref());
             }
             self.bound_totals.add(&run.spec);
             run.bound.insert(task.index, Binding { attempt: e.attempt, handed, on });
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -366,7 +366,7 @@
                 let task = TaskId { job: *job, index: *index };
                 sums.add(&r.spec);
                 if let Some(h) = &b.handed {
-                    handed.watch(task, h.watched.as_ref());
+                    handed.watch(task, h.watched_at.as_ref());
                     self.check_watched(task, b.attempt, h)?;
                 }
                 for id in &b.on {
@@ -399,9 +399,9 @@
     /// Checks that an assigned task is watched at a machine that may hold it, if there is one.
     fn check_watched(&self, task: TaskId, attempt: Attempt, handed: &UnresolvedAssignment) -> Result<(), String> {
         let there = |id: &MachineId| self.machines.get(id).is_some_and(|m| may_hold(m, attempt));
-        let watched = handed.watched.as_ref().filter(|id| handed.machines.contains(*id) && there(id));
-        if watched.is_none() && handed.machines.iter().any(there) {
-            return Err(format!("{task}: watched at {:?}, which can't hold it", handed.watched));
+        let watched = handed.watched_at.as_ref().filter(|id| handed.candidates.contains(*id) && there(id));
+        if watched.is_none() && handed.candidates.iter().any(there) {
+            return Err(format!("{task}: watched at {:?}, which can't hold it", handed.watched_at));
         }
         Ok(())
     }
--- a/crates/core/src/leader/schedule.rs
+++ b/crates/core/src/leader/schedule.rs
@@ -360,7 +360,7 @@
         self.bound_totals.add(&run.spec);
         let watched = first_candidate(&machines, &run.spec, attempt, &self.machines);
         self.unresolved_tasks.watch(task, watched.as_ref());
-        let handed = UnresolvedAssignment { incarnation, machines, hint: hint.clone(), zone, watched };
+        let handed = UnresolvedAssignment { incarnation, candidates: machines, hint: hint.clone(), zone, watched_at: watched };
         let binding = Binding { attempt, handed: Some(handed), on: BTreeSet::new() };
         let bound_before = run.bound.insert(task.index, binding);
         if bound_before.is_some() {
--- a/crates/core/src/leader/tests/task_assignments.rs
+++ b/crates/core/src/leader/tests/task_assignments.rs
@@ -11,7 +11,7 @@
     let unresolved =
         leader.jobs.values().flat_map(|run| run.bound.values()).filter_map(|b| b.handed.as_ref());
     let sets: BTreeMap<*const BTreeSet<MachineId>, usize> =
-        unresolved.map(|h| (Rc::as_ptr(&h.machines), h.machines.len())).collect();
+        unresolved.map(|h| (Rc::as_ptr(&h.candidates), h.candidates.len())).collect();
     sets.values().sum()
 }
 
@@ -60,7 +60,7 @@
         b.add_job(1, 60, "t", "array", "standard", 1, 4.0);
         b.tick(30);
         let Some(attempt) = b.attempt(task(1, 0)) else { continue };
-        let block = b.leader.jobs[&JobId(1)].bound[&0].handed.as_ref().unwrap().machines.clone();
+        let block = b.leader.jobs[&JobId(1)].bound[&0].handed.as_ref().unwrap().candidates.clone();
         let mut left: Vec<String> = all.into_iter().filter(|id| block.contains(&m(id))).collect();
         let widens_at = rng.usize(0..left.len() * 2);
         rng.shuffle(&mut left);
