--- a/crates/core/src/leader/bindings.rs
+++ b/crates/core/src/leader/bindings.rs
@@ -22,7 +22,7 @@
                 for m in self.machines.values_mut().filter(|m| m.holder == Some(from)) {
                     m.last_holder = m.holder.take();
                     m.confirmed = false;
-                    m.stamp = stamp;
+                    m.changed_in = stamp;
                 }
                 self.blocks.clear();
                 self.blocks_checked_at = Micros(0);
@@ -86,7 +86,7 @@
             b.on.insert(id.clone());
             m.bound.insert(h.task);
             m.tasks.insert(h.task, (o.attempt, TaskState::Starting));
-            m.stale = true;
+            m.used_stale = true;
         }
         self.placement_log.record_change(h.task);
         self.free_if_nowhere(h.task);
@@ -99,8 +99,8 @@
             m.is_new_report(s.last, from);
             // Before the first grants: the controller that held it under the highest token is
             // its best holder.
-            if s.baton > m.baton && s.baton.term() < self.term {
-                m.baton = s.baton;
+            if s.baton > m.fencing_token && s.baton.term() < self.term {
+                m.fencing_token = s.baton;
                 m.holder = Some(from);
             }
             return;
@@ -110,19 +110,19 @@
         if let Some(ago) = s.heard_ago {
             m.record_contact(now - ago, from, s.last);
         }
-        if m.holder != Some(from) || m.baton != s.baton {
+        if m.holder != Some(from) || m.fencing_token != s.baton {
             return;
         }
-        m.warning = s.warning.map(|w| now + w);
-        m.want_baton = s.want_baton;
-        let confirmed = s.seen_baton >= m.baton;
+        m.preemption_at = s.warning.map(|w| now + w);
+        m.needs_new_token = s.want_baton;
+        let confirmed = s.seen_baton >= m.fencing_token;
         if let Some(ago) = s.heard_ago {
-            m.hearing.told(s.obeys, now - ago, now);
+            m.command_reachability.told(s.obeys, now - ago, now);
         }
         let newly_confirmed = confirmed && !m.confirmed;
         if newly_confirmed {
             m.confirmed = true;
-            m.unknown = false;
+            m.tasks_unknown = false;
             self.needs_scheduling = true;
         }
         let mut here: BTreeMap<TaskId, (Attempt, TaskState)> = BTreeMap::new();
@@ -137,7 +137,7 @@
         let old = m.tasks.clone();
         if old != here {
             self.needs_scheduling = true;
-            m.stale = true;
+            m.used_stale = true;
         }
         if confirmed {
             m.started.retain(|t, _| here.contains_key(t));
@@ -145,7 +145,7 @@
         } else {
             m.tasks.extend(here.clone());
         }
-        let token = m.baton;
+        let token = m.fencing_token;
         for (task, (attempt, state)) in &here {
             if *state == TaskState::Running && !m.started.contains_key(task) {
                 debug!("{task}: runs on {}", s.id);
@@ -392,11 +392,11 @@
                 self.machines.insert(id.clone(), Machine::new(rec, *size, Stage::Up, now));
                 self.needs_scheduling = true;
             }
-            Some(m) if (&m.build, &m.zone, m.spot) != (&rec.build, &rec.zone, rec.spot) => {
+            Some(m) if (&m.machine_type, &m.zone, m.spot) != (&rec.build, &rec.zone, rec.spot) => {
                 if self.mismatched.insert(id.clone()) {
                     warn!(
                         "{id}: report ignored: it names {} in {}, the record {} in {}",
-                        rec.build, rec.zone, m.build, m.zone
+                        rec.build, rec.zone, m.machine_type, m.zone
                     );
                 }
             }
@@ -405,11 +405,11 @@
                     return;
                 }
                 self.last_seen.insert(id.clone(), (from, now));
-                m.hearing.seen(s.asked, m.holder != Some(from), now);
+                m.command_reachability.seen(s.asked, m.holder != Some(from), now);
                 if m.stage == Stage::Booting {
                     m.stage = Stage::Up;
-                    m.since = now;
-                    m.hearing = deaf::Hearing::new(now);
+                    m.stage_since = now;
+                    m.command_reachability = deaf::Hearing::new(now);
                     self.needs_scheduling = true;
                 }
                 if !rec.addr.is_empty() && m.addr != rec.addr {
--- a/crates/core/src/leader/blocks.rs
+++ b/crates/core/src/leader/blocks.rs
@@ -67,15 +67,15 @@
             info!("{id}: block moves from controller {} to {}: {why}", m.holder.map_or(0, |h| h.0), to.0);
         }
         if m.holder != Some(to) {
-            m.held_heard = Micros(0);
-            m.moved_at = now;
+            m.holder_contact = Micros(0);
+            m.holder_changed_at = now;
         }
         m.holder = Some(to);
-        m.baton = baton;
+        m.fencing_token = baton;
         m.confirmed = false;
         m.granted_at = now;
-        m.want_baton = false;
-        m.probed = None;
+        m.needs_new_token = false;
+        m.probed_at = None;
         // The new holder has to report the machine itself; reports to the last one say nothing
         // about it. The other controllers learn of the grant with their next update, and the
         // one that the worker reports to at once.
@@ -147,7 +147,7 @@
             match m.holder {
                 None => unheld.push((id.clone(), m.zone.clone())),
                 Some(h) => {
-                    let silent_from = m.heard.map(|t| self.lateness.silent_from(t));
+                    let silent_from = m.last_contact.map(|t| self.lateness.silent_from(t));
                     let silent = silent_from.is_none_or(|t| now.since(t) > Micros::millis(3500))
                         && now.since(m.granted_at) > Micros::millis(1500);
                     if let Some(s) = seen
@@ -156,7 +156,7 @@
                         && (silent || !self.in_contact(h, now))
                     {
                         moves.push((id.clone(), s, "its worker reports to that controller"));
-                    } else if m.want_baton && m.confirmed && now.since(m.granted_at) > Micros::secs(1) {
+                    } else if m.needs_new_token && m.confirmed && now.since(m.granted_at) > Micros::secs(1) {
                         moves.push((id.clone(), h, "a new token rules out a delayed start"));
                     } else if m.confirmed
                         && self.config.zones[h.0 as usize] != m.zone
@@ -217,12 +217,12 @@
         let mut latest: BTreeMap<(NodeId, &str), (Micros, u32)> = BTreeMap::new();
         let mut zone_latest: BTreeMap<&str, Micros> = BTreeMap::new();
         for m in self.machines.values().filter(|m| m.stage == Stage::Up) {
-            let (Some(h), Some(t)) = (m.holder, m.heard) else { continue };
+            let (Some(h), Some(t)) = (m.holder, m.last_contact) else { continue };
             if !self.in_contact(h, now) {
                 continue;
             }
             let (last, n) = latest.entry((h, &m.zone)).or_default();
-            *last = (*last).max(m.held_heard);
+            *last = (*last).max(m.holder_contact);
             *n += 1;
             let last = zone_latest.entry(&m.zone).or_default();
             *last = (*last).max(t);
@@ -247,15 +247,15 @@
             // opened.
             let open_since = |by| self.network_paths.open_since(by, &m.zone);
             let opened = m.holder.map_or(Micros(0), |h| open_since(Some(h))).max(open_since(None));
-            let last = m.heard.unwrap_or(m.since);
+            let last = m.last_contact.unwrap_or(m.stage_since);
             let base =
-                self.lateness.silent_from(last).max(self.term_start).max(reported).max(m.moved_at).max(opened);
+                self.lateness.silent_from(last).max(self.term_start).max(reported).max(m.holder_changed_at).max(opened);
             let silent = now.since(base);
             let seen = self.last_seen.get(id).is_some_and(|(_, t)| now.since(*t) < Micros::secs(5));
             let lost =
-                silent > Micros::millis(3200) && m.probed.is_none_or(|t| now.since(t) > Micros::millis(1500));
-            if lost || m.hearing.ask_due(now) {
-                probes.push((m.probed, id.clone()));
+                silent > Micros::millis(3200) && m.probed_at.is_none_or(|t| now.since(t) > Micros::millis(1500));
+            if lost || m.command_reachability.ask_due(now) {
+                probes.push((m.probed_at, id.clone()));
             }
             let open = base + overdue;
             let (here, held) =
@@ -287,8 +287,8 @@
         probes.truncate(MAX_PROBES_PER_SCAN);
         for (_, id) in probes {
             let Some(m) = self.machines.get_mut(&id) else { continue };
-            m.probed = Some(now);
-            m.hearing.ask(now);
+            m.probed_at = Some(now);
+            m.command_reachability.ask(now);
             let (holder, addr) = (m.holder, m.addr.clone());
             for n in 0..self.nodes.len() {
                 let n = NodeId(n as u8);
@@ -363,7 +363,7 @@
             if now >= self.deletion_due(*by, 90, Micros::millis(2500))
                 && let Some(spec) = record.and_then(|j| j.spec.as_ref())
             {
-                for (id, m) in self.machines.iter().filter(|(_, m)| m.unknown) {
+                for (id, m) in self.machines.iter().filter(|(_, m)| m.tasks_unknown) {
                     if m.suits(spec) {
                         doomed.push((id.clone(), *job));
                     }
@@ -403,18 +403,18 @@
         if m.stage == Stage::Deleting {
             return;
         }
-        let age = now.since(m.born);
+        let age = now.since(m.first_known_at);
         let whole = m.size.cpu as u128 * age.0 as u128;
         info!(
             "{id}: deleted ({} in {}{}) after {:.0} s, {}% used: {why}",
-            m.build,
+            m.machine_type,
             m.zone,
             if m.spot { ", spot" } else { "" },
             age.as_secs_f64(),
-            m.busy * 100 / whole.max(1)
+            m.used_cpu_time * 100 / whole.max(1)
         );
         m.stage = Stage::Deleting;
-        m.since = now;
+        m.stage_since = now;
         m.delete_sent_at = None;
         self.needs_scheduling = true;
         self.mark_changed(id);
--- a/crates/core/src/leader/cancelled.rs
+++ b/crates/core/src/leader/cancelled.rs
@@ -15,7 +15,7 @@
             return false;
         }
         // Machines may hold tasks that this leader does not know of.
-        if !self.grants_started || self.machines.values().any(|m| m.unknown) {
+        if !self.grants_started || self.machines.values().any(|m| m.tasks_unknown) {
             return true;
         }
         let Some(run) = self.jobs.get(&id) else { return false };
--- a/crates/core/src/leader/deaf.rs
+++ b/crates/core/src/leader/deaf.rs
@@ -102,8 +102,8 @@
 impl Machine {
     /// Its holder tells that a report came that changed nothing.
     pub(super) fn goes_on(&mut self, from: NodeId, at: Micros, now: Micros) {
-        if self.holder == Some(from) && self.confirmed && self.hearing.obeys {
-            self.hearing.shown(at, now);
+        if self.holder == Some(from) && self.confirmed && self.command_reachability.obeys {
+            self.command_reachability.shown(at, now);
         }
     }
 }
@@ -116,7 +116,7 @@
         let mut held: BTreeMap<NodeId, (usize, usize)> = BTreeMap::new();
         let (mut up, mut any) = (0, false);
         for m in self.machines.values().filter(|m| m.stage == Stage::Up) {
-            let doubted = m.hearing.doubted.is_some();
+            let doubted = m.command_reachability.doubted.is_some();
             (up, any) = (up + 1, any || doubted);
             if let Some(h) = m.holder {
                 let (n, of) = held.entry(h).or_default();
@@ -132,8 +132,8 @@
         let left = (up / BUDGET).max(2).saturating_sub(self.unreachable_deletions.len());
         let mut doomed = Vec::new();
         for (id, m) in &self.machines {
-            let h = &m.hearing;
-            let last = m.heard.max(self.last_seen.get(id).map(|x| x.1));
+            let h = &m.command_reachability;
+            let last = m.last_contact.max(self.last_seen.get(id).map(|x| x.1));
             let alive = last.is_some_and(|t| now.since(t) < ALIVE);
             // The last question may still be answered.
             if m.stage != Stage::Up || h.doubted.is_none() || !alive || h.asked <= IN_VAIN {
--- a/crates/core/src/leader/log_replication.rs
+++ b/crates/core/src/leader/log_replication.rs
@@ -59,7 +59,7 @@
                 all.map(|t| (t, entry(&t))).collect()
             }
         };
-        let unknown = self.machines.iter().filter(|(_, m)| m.unknown).map(|(id, _)| id.clone()).collect();
+        let unknown = self.machines.iter().filter(|(_, m)| m.tasks_unknown).map(|(id, _)| id.clone()).collect();
         LogUpdate { term: self.term, seq: self.placement_log.seq(), base, tasks, unknown_machines: unknown }
     }
 
@@ -105,7 +105,7 @@
         }
         self.awaits_log = false;
         for (id, m) in self.machines.iter_mut() {
-            m.unknown = book.unknown_machines.contains(id);
+            m.tasks_unknown = book.unknown_machines.contains(id);
         }
         let mut adopted = 0;
         // Tasks that may be on any machine of the same zone, or on any machine, share one set.
@@ -151,7 +151,7 @@
                     m.bound.insert(*task);
                     m.tasks.insert(*task, (e.attempt, TaskState::Running));
                     m.images.insert(spec.image.clone());
-                    m.stale = true;
+                    m.used_stale = true;
                 }
             }
             if let Some(handed) = &handed {
--- a/crates/core/src/leader/machine.rs
+++ b/crates/core/src/leader/machine.rs
@@ -18,7 +18,7 @@
 #[derive(Debug)]
 pub struct Machine {
     /// Machine type.
-    pub build: String,
+    pub machine_type: String,
     /// Zone.
     pub zone: String,
     /// Whether it is a spot machine.
@@ -27,15 +27,15 @@
     pub(super) size: Resources,
     /// Lifecycle stage.
     pub stage: Stage,
-    pub(super) since: Micros,
+    pub(super) stage_since: Micros,
     pub(super) recorded: bool,
     /// A write of its record is pending.
     pub(super) recording: bool,
     /// Recorded before this term: it may hold tasks that no controller has reported yet.
-    pub(super) unknown: bool,
+    pub(super) tasks_unknown: bool,
     pub(super) holder: Option<NodeId>,
     pub(super) last_holder: Option<NodeId>,
-    pub(super) baton: Baton,
+    pub(super) fencing_token: Baton,
     /// The last token under which its complete task list was received.
     pub(super) task_list_token: Baton,
     /// The holder has received a report under `baton`, so its task list is complete.
@@ -45,95 +45,95 @@
     pub(super) reserved: BTreeMap<Attempt, Resources>,
     /// Resources that its tasks use; `stale` if the tasks changed since it was computed.
     pub(super) used: Resources,
-    pub(super) stale: bool,
+    pub(super) used_stale: bool,
     /// Tasks that are bound to it.
     pub(super) bound: BTreeSet<TaskId>,
-    pub(super) heard: Option<Micros>,
+    pub(super) last_contact: Option<Micros>,
     /// The newest report of its worker that any controller forwarded, and which controller.
-    pub(super) newest: ReportNo,
-    pub(super) newest_from: Option<NodeId>,
-    pub(super) hearing: deaf::Hearing,
-    pub(super) held_heard: Micros,
-    pub(super) moved_at: Micros,
+    pub(super) newest_report: ReportNo,
+    pub(super) newest_report_from: Option<NodeId>,
+    pub(super) command_reachability: deaf::Hearing,
+    pub(super) holder_contact: Micros,
+    pub(super) holder_changed_at: Micros,
     pub(super) granted_at: Micros,
-    pub(super) warning: Option<Micros>,
+    pub(super) preemption_at: Option<Micros>,
     /// The first update that contains its last change.
-    pub(super) stamp: u64,
+    pub(super) changed_in: u64,
     pub(super) idle_since: Option<Micros>,
     /// Its position in the index of machines with free capacity.
-    pub(super) placed: Option<room::Placed>,
+    pub(super) index_entry: Option<room::Placed>,
     pub(super) draining: Option<&'static str>,
     /// Failures on it since a task last ran well there, by job.
     pub(super) failed_jobs: BTreeMap<JobId, u32>,
     pub(super) failures: u32,
     pub(super) images: BTreeSet<String>,
-    pub(super) probed: Option<Micros>,
+    pub(super) probed_at: Option<Micros>,
     pub(super) reserved_priority: Option<(Rank, Micros)>,
     /// The job that free capacity is accumulated for on it, and until when.
-    pub(super) gathers: Option<(JobId, Micros)>,
-    pub(super) want_baton: bool,
+    pub(super) accumulates_for: Option<(JobId, Micros)>,
+    pub(super) needs_new_token: bool,
     pub(super) delete_sent_at: Option<Micros>,
     /// CPU time that tasks used on it, in thousandths of a CPU times microseconds.
-    pub(super) busy: u128,
-    pub(super) born: Micros,
+    pub(super) used_cpu_time: u128,
+    pub(super) first_known_at: Micros,
 }
 
 impl Machine {
     /// Whether its type, zone, kind (spot or not) and size allow a task of such a job.
     pub(super) fn suits(&self, spec: &JobSpec) -> bool {
-        spec.allows(&self.build, &self.zone, self.spot, &self.size)
+        spec.allows(&self.machine_type, &self.zone, self.spot, &self.size)
     }
     pub(super) fn new(rec: &MachineRecord, size: Resources, stage: Stage, now: Micros) -> Self {
         Machine {
-            build: rec.build.clone(),
+            machine_type: rec.build.clone(),
             zone: rec.zone.clone(),
             spot: rec.spot,
             addr: rec.addr.clone(),
             size,
             stage,
-            since: now,
+            stage_since: now,
             recorded: false,
             recording: false,
-            unknown: false,
+            tasks_unknown: false,
             holder: None,
             last_holder: None,
-            baton: Baton(0),
+            fencing_token: Baton(0),
             task_list_token: Baton(0),
             confirmed: false,
             tasks: BTreeMap::new(),
             started: BTreeMap::new(),
             reserved: BTreeMap::new(),
             used: Resources::default(),
-            stale: true,
+            used_stale: true,
             bound: BTreeSet::new(),
-            heard: None,
-            newest: ReportNo::default(),
-            newest_from: None,
-            hearing: deaf::Hearing::new(now),
-            held_heard: Micros(0),
-            moved_at: Micros(0),
+            last_contact: None,
+            newest_report: ReportNo::default(),
+            newest_report_from: None,
+            command_reachability: deaf::Hearing::new(now),
+            holder_contact: Micros(0),
+            holder_changed_at: Micros(0),
             granted_at: now,
-            warning: None,
-            stamp: 0,
+            preemption_at: None,
+            changed_in: 0,
             idle_since: None,
-            placed: None,
+            index_entry: None,
             draining: None,
             failed_jobs: BTreeMap::new(),
             failures: 0,
             images: BTreeSet::new(),
-            probed: None,
+            probed_at: None,
             reserved_priority: None,
-            gathers: None,
-            want_baton: false,
+            accumulates_for: None,
+            needs_new_token: false,
             delete_sent_at: None,
-            busy: 0,
-            born: now,
+            used_cpu_time: 0,
+            first_known_at: now,
         }
     }
     /// The content of its record.
     pub fn record(&self) -> MachineRecord {
         MachineRecord {
-            build: self.build.clone(),
+            build: self.machine_type.clone(),
             zone: self.zone.clone(),
             spot: self.spot,
             addr: self.addr.clone(),
@@ -145,11 +145,11 @@
     /// Whether a report forwarded by `from` is new: neither a copy of one that another
     /// controller forwarded, nor a delayed one.
     pub(super) fn is_new_report(&mut self, report: ReportNo, from: NodeId) -> bool {
-        if report > self.newest {
-            (self.newest, self.newest_from) = (report, Some(from));
+        if report > self.newest_report {
+            (self.newest_report, self.newest_report_from) = (report, Some(from));
             return true;
         }
-        report == self.newest && self.newest_from == Some(from)
+        report == self.newest_report && self.newest_report_from == Some(from)
     }
     /// Records that a controller received a report at `at`. From its holder, that proves that
     /// the network path between them is open. Copies of reports prove nothing.
@@ -158,18 +158,18 @@
             return;
         }
         if self.holder == Some(from) {
-            self.held_heard = self.held_heard.max(at);
+            self.holder_contact = self.holder_contact.max(at);
         }
-        if self.heard.is_none_or(|t| at > t) {
-            self.heard = Some(at);
-            self.probed = None;
+        if self.last_contact.is_none_or(|t| at > t) {
+            self.last_contact = Some(at);
+            self.probed_at = None;
         }
     }
     /// Whether tasks may be assigned to it; `contact` says which controllers are in contact.
     pub(super) fn open(&self, contact: &[bool], now: Micros) -> bool {
         self.is_reachable(contact)
-            && now >= self.hearing.trusted_at
-            && self.heard.is_some_and(|t| now.since(t) < Micros::secs(4))
+            && now >= self.command_reachability.trusted_at
+            && self.last_contact.is_some_and(|t| now.since(t) < Micros::secs(4))
     }
     /// Whether it is usable and its holder is in contact.
     pub(super) fn is_reachable(&self, contact: &[bool]) -> bool {
@@ -177,7 +177,7 @@
     }
     /// The job that free capacity is accumulated for on it now.
     pub(super) fn accumulating_job(&self, now: Micros) -> Option<JobId> {
-        self.gathers.filter(|(_, until)| now < *until).map(|(job, _)| job)
+        self.accumulates_for.filter(|(_, until)| now < *until).map(|(job, _)| job)
     }
     pub(super) fn empty(&self) -> bool {
         self.tasks.is_empty() && self.reserved.is_empty()
@@ -187,7 +187,7 @@
             && self.recorded
             && self.confirmed
             && self.draining.is_none()
-            && self.hearing.obeys
-            && self.warning.is_none()
+            && self.command_reachability.obeys
+            && self.preemption_at.is_none()
     }
 }
--- a/crates/core/src/leader/machines.rs
+++ b/crates/core/src/leader/machines.rs
@@ -29,7 +29,7 @@
             self.next_autoscale_at = now + Micros::millis(400);
             self.measure();
             for m in self.machines.values_mut() {
-                m.busy += m.used.cpu as u128 * passed.0 as u128;
+                m.used_cpu_time += m.used.cpu as u128 * passed.0 as u128;
             }
             self.drain_warned(now);
             let suspects = self.machines.iter().filter(|(_, m)| !m.failed_jobs.is_empty());
@@ -188,7 +188,7 @@
                     };
                     info!("{id}: found in the list ({} in {}, {})", r.build, rec.zone, r.stage);
                     let mut m = Machine::new(&rec, *size, Stage::Booting, now);
-                    m.since = now - Micros::from_secs_f64(r.held_s);
+                    m.stage_since = now - Micros::from_secs_f64(r.held_s);
                     self.machines.insert(id.clone(), m);
                     if r.stage == "failed" {
                         self.delete(&id, "it failed", now);
@@ -209,7 +209,7 @@
             };
             sight.up += (m.stage == Stage::Up) as u32;
             // Also of one that is being deleted: it is the way that counts.
-            sight.heard = sight.heard.max(m.heard.max(seen));
+            sight.heard = sight.heard.max(m.last_contact.max(seen));
         }
         // All of a zone's workers report in a quarter more than this.
         let patience = self.config.report_interval.max(Micros::secs(4)) + Micros::secs(2);
@@ -240,7 +240,7 @@
         // Work that can be saved is saved before the cloud takes the machine.
         let mut stops = Vec::new();
         for (id, m) in &self.machines {
-            let Some(until) = m.warning else { continue };
+            let Some(until) = m.preemption_at else { continue };
             for (t, (a, s)) in &m.tasks {
                 let Some(r) = self.jobs.get(&t.job) else { continue };
                 let save = Micros::from_secs_f64(r.spec.save_s);
@@ -281,8 +281,8 @@
             let Some(m) = self.machines.get_mut(&id) else { continue };
             match m.stage {
                 Stage::Booting => {
-                    let boot = flavors.iter().find(|f| f.sku == m.build).map_or(60.0, |f| f.boot_s);
-                    if now.since(m.since) > Micros::from_secs_f64(boot * 4.0 + 20.0) {
+                    let boot = flavors.iter().find(|f| f.sku == m.machine_type).map_or(60.0, |f| f.boot_s);
+                    if now.since(m.stage_since) > Micros::from_secs_f64(boot * 4.0 + 20.0) {
                         back.push((id, "it never came up"));
                     }
                 }
@@ -292,7 +292,7 @@
                         back.push((id, "out of use and empty"));
                         continue;
                     }
-                    if idle < self.config.operator.idle_return || m.warning.is_some() {
+                    if idle < self.config.operator.idle_return || m.preemption_at.is_some() {
                         continue;
                     }
                     if !m.spot {
@@ -381,16 +381,16 @@
         let mut rooms: Vec<Room> = self
             .machines
             .values()
-            .filter(|m| m.draining.is_none() && m.warning.is_none() && !self.zone_health.is_closed(&m.zone))
-            .filter(|m| m.stage == Stage::Booting || (m.stage == Stage::Up && (m.confirmed || !m.unknown)))
-            .filter(|m| !m.hearing.doubted_for(Micros::secs(5), now))
+            .filter(|m| m.draining.is_none() && m.preemption_at.is_none() && !self.zone_health.is_closed(&m.zone))
+            .filter(|m| m.stage == Stage::Booting || (m.stage == Stage::Up && (m.confirmed || !m.tasks_unknown)))
+            .filter(|m| !m.command_reachability.doubted_for(Micros::secs(5), now))
             .filter(|m| {
                 // One that is late may never come.
-                let boot = flavors.iter().find(|f| f.sku == m.build).map_or(60.0, |f| f.boot_s);
-                m.stage == Stage::Up || now.since(m.since) < Micros::from_secs_f64(boot * 1.8 + 5.0)
+                let boot = flavors.iter().find(|f| f.sku == m.machine_type).map_or(60.0, |f| f.boot_s);
+                m.stage == Stage::Up || now.since(m.stage_since) < Micros::from_secs_f64(boot * 1.8 + 5.0)
             })
             .map(|m| Room {
-                build: m.build.clone(),
+                build: m.machine_type.clone(),
                 zone: m.zone.clone(),
                 spot: m.spot,
                 size: m.size,
--- a/crates/core/src/leader/messages.rs
+++ b/crates/core/src/leader/messages.rs
@@ -62,10 +62,10 @@
         let (incarnation, ack) = (node.incarnation, node.sync_seq);
         let mut block = Vec::new();
         let mut elsewhere = Vec::new();
-        for (id, m) in self.machines.iter().filter(|(_, m)| base == 0 || m.stamp > base) {
+        for (id, m) in self.machines.iter().filter(|(_, m)| base == 0 || m.changed_in > base) {
             if m.holder == Some(to) {
                 let draining = m.draining.is_some() || m.stage == Stage::Deleting;
-                block.push(GrantedMachine { id: id.clone(), baton: m.baton, addr: m.addr.clone(), draining });
+                block.push(GrantedMachine { id: id.clone(), baton: m.fencing_token, addr: m.addr.clone(), draining });
             } else {
                 elsewhere.push((id.clone(), m.holder));
             }
@@ -122,7 +122,7 @@
         let stamp = self.update_seq + 1;
         self.blocks.clear();
         if let Some(m) = self.machines.get_mut(id) {
-            m.stamp = stamp;
+            m.changed_in = stamp;
             if let Some(n) = m.holder.and_then(|h| self.nodes.get_mut(h.0 as usize)) {
                 n.update_due = true;
             }
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -336,7 +336,7 @@
             let size = sizes.get(&rec.build).copied().unwrap_or_default();
             let mut m = Machine::new(rec, size, Stage::Up, now);
             m.recorded = true;
-            m.unknown = true;
+            m.tasks_unknown = true;
             l.machines.insert(id.clone(), m);
         }
         for (id, job) in &ledger.jobs {
@@ -389,7 +389,7 @@
             if m.bound != counted {
                 return Err(format!("bound to {id}: {:?} kept, {counted:?} counted", m.bound));
             }
-            if !m.stale && m.used != schedule::used(m, &self.jobs) {
+            if !m.used_stale && m.used != schedule::used(m, &self.jobs) {
                 return Err(format!("used of {id}: {:?} kept", m.used));
             }
         }
@@ -518,13 +518,13 @@
     /// bound, and every machine that could hold one has reported in this term.
     pub(super) fn has_no_tasks(&self, id: JobId, job: &Job) -> bool {
         let unknown_machine_suits = |spec: &JobSpec| {
-            let mut unknown = self.machines.values().filter(|m| m.unknown);
+            let mut unknown = self.machines.values().filter(|m| m.tasks_unknown);
             unknown.any(|m| m.suits(spec))
         };
         // The job specification is stored for a long time; without it, any machine could.
         let may_hold_task = || match &job.spec {
             Some(spec) => unknown_machine_suits(spec),
-            None => self.machines.values().any(|m| m.unknown),
+            None => self.machines.values().any(|m| m.tasks_unknown),
         };
         self.jobs.get(&id).is_none_or(|r| r.bound.is_empty()) && !may_hold_task()
     }
--- a/crates/core/src/leader/overdue.rs
+++ b/crates/core/src/leader/overdue.rs
@@ -51,8 +51,8 @@
                 let queue = self.queues.entry(rank).or_default();
                 queue.set_waiting(&team, true, self.config.operator.task_cost, w);
                 queue.serve(&team);
-                for m in self.machines.values_mut().filter(|m| m.gathers.is_some_and(|(j, _)| j == *id)) {
-                    m.gathers = None;
+                for m in self.machines.values_mut().filter(|m| m.accumulates_for.is_some_and(|(j, _)| j == *id)) {
+                    m.accumulates_for = None;
                 }
             } else if left > 0 && self.gather(*id, now) {
                 left -= 1;
@@ -90,7 +90,7 @@
         let Some(best) = best.map(|(id, _)| id.clone()) else { return false };
         debug!("{id} waited too long: room is gathered for it on {best}");
         if let Some(m) = self.machines.get_mut(&best) {
-            m.gathers = Some((id, now + GATHER));
+            m.accumulates_for = Some((id, now + GATHER));
         }
         true
     }
--- a/crates/core/src/leader/records.rs
+++ b/crates/core/src/leader/records.rs
@@ -29,7 +29,7 @@
         let mut kinds: BTreeMap<(&str, &str, bool), (usize, Vec<MachineId>)> = BTreeMap::new();
         for (id, m) in &self.machines {
             if m.stage == Stage::Up && !m.recorded && !m.recording {
-                let (length, list) = kinds.entry((&m.build, &m.zone, m.spot)).or_default();
+                let (length, list) = kinds.entry((&m.machine_type, &m.zone, m.spot)).or_default();
                 *length += machine_room(id, &m.addr);
                 if *length < value_limit.saturating_sub(200) || list.is_empty() {
                     list.push(id.clone());
--- a/crates/core/src/leader/room.rs
+++ b/crates/core/src/leader/room.rs
@@ -57,10 +57,10 @@
 impl Rooms {
     fn kind(&mut self, m: &Machine) -> usize {
         let same =
-            |k: &KindRooms| k.spot == m.spot && k.size == m.size && k.build == m.build && k.zone == m.zone;
+            |k: &KindRooms| k.spot == m.spot && k.size == m.size && k.build == m.machine_type && k.zone == m.zone;
         self.kinds.iter().position(same).unwrap_or_else(|| {
             self.kinds.push(KindRooms {
-                build: m.build.clone(),
+                build: m.machine_type.clone(),
                 zone: m.zone.clone(),
                 spot: m.spot,
                 size: m.size,
@@ -74,12 +74,12 @@
     /// Brings a machine's place up to date; `open`: tasks may be handed to it.
     pub(super) fn put(&mut self, id: &MachineId, m: &mut Machine, open: bool) {
         let now = open.then(|| Placed {
-            kind: m.placed.map_or_else(|| self.kind(m), |p| p.kind),
+            kind: m.index_entry.map_or_else(|| self.kind(m), |p| p.kind),
             failed: m.failures > 0,
             free: m.free(),
             images: m.images.len(),
         });
-        if m.placed == now {
+        if m.index_entry == now {
             return;
         }
         self.take(id, m);
@@ -94,12 +94,12 @@
             }
             kind.all.insert(place);
         }
-        m.placed = now;
+        m.index_entry = now;
     }
 
     /// Takes a machine out.
     pub(super) fn take(&mut self, id: &MachineId, m: &mut Machine) {
-        let Some(p) = m.placed.take() else { return };
+        let Some(p) = m.index_entry.take() else { return };
         let place = (p.failed, p.free.cpu, id.clone());
         let kind = &mut self.kinds[p.kind];
         kind.all.remove(&place);
@@ -208,7 +208,7 @@
     /// Whether the places are those that the machines have now: for tests.
     pub(super) fn check_rooms(&self) -> Result<(), String> {
         for (id, m) in &self.machines {
-            let Some(p) = m.placed else { continue };
+            let Some(p) = m.index_entry else { continue };
             let k = &self.capacity_index.kinds[p.kind];
             let place = (p.failed, p.free.cpu, id.clone());
             let images = m.images.iter().filter(|i| k.by_image.get(*i).is_some_and(|s| s.contains(&place)));
@@ -216,7 +216,7 @@
                 return Err(format!("{id}: its place {p:?} is not kept"));
             }
         }
-        let placed = self.machines.values().filter(|m| m.placed.is_some()).count();
+        let placed = self.machines.values().filter(|m| m.index_entry.is_some()).count();
         let kept: usize = self.capacity_index.kinds.iter().map(|k| k.all.len()).sum();
         if placed != kept {
             return Err(format!("{placed} machines have a place, {kept} are kept"));
@@ -249,7 +249,7 @@
                 Kind::Array => 0,
             };
             let c = Candidate {
-                build: &m.build,
+                build: &m.machine_type,
                 zone: &m.zone,
                 spot: m.spot,
                 size: &m.size,
@@ -259,7 +259,7 @@
             };
             Some((m.failures > 0, placement::score(a.spec, &c, None)?))
         };
-        let open = machines.iter().filter(|(_, m)| m.placed.is_some());
+        let open = machines.iter().filter(|(_, m)| m.index_entry.is_some());
         let there = open.filter(|(_, m)| fleet::zone_ok(a.spec, &m.zone, a.zones));
         there.filter_map(|(id, m)| Some((rate(m)?, id))).min().map(|(_, id)| id.clone())
     }
--- a/crates/core/src/leader/schedule.rs
+++ b/crates/core/src/leader/schedule.rs
@@ -74,8 +74,8 @@
     /// Adds up what the tasks take of machines on which they changed.
     pub(super) fn measure(&mut self) {
         let jobs = &self.jobs;
-        for m in self.machines.values_mut().filter(|m| m.stale) {
-            m.stale = false;
+        for m in self.machines.values_mut().filter(|m| m.used_stale) {
+            m.used_stale = false;
             m.used = used(m, jobs);
         }
     }
@@ -102,14 +102,14 @@
     /// Whether there are machines that nobody heard in this term. Once there are
     /// none, there are none for the rest of it.
     fn unsure(&self) -> bool {
-        self.pending_jobs.unsure && self.machines.values().any(|m| m.unknown)
+        self.pending_jobs.unsure && self.machines.values().any(|m| m.tasks_unknown)
     }
 
     /// Whether a machine that nobody heard may hold a task of the job.
     pub(super) fn blocked(&self, run: &Run) -> bool {
         run.stamp <= self.leader_key_revision
             && self.pending_jobs.unsure
-            && self.machines.values().any(|m| m.unknown && m.suits(&run.spec))
+            && self.machines.values().any(|m| m.tasks_unknown && m.suits(&run.spec))
     }
 
     pub(super) fn zones_of(&self, run: &Run) -> BTreeMap<String, u32> {
--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -164,7 +164,7 @@
     fn state(&self, id: &str, seen: Baton, tasks: &[(TaskId, Attempt, TaskState)]) -> MachineState {
         MachineState {
             id: m(id),
-            baton: self.leader.machines[&m(id)].baton,
+            baton: self.leader.machines[&m(id)].fencing_token,
             seen_baton: seen,
             last: ReportNo { shift: 1, tally: self.now.0 },
             obeys: true,
@@ -176,7 +176,7 @@
     }
 
     fn token(&self, id: &str) -> Baton {
-        self.leader.machines[&m(id)].baton
+        self.leader.machines[&m(id)].fencing_token
     }
 
     /// The holder reports the machine under its current token, with these tasks.
@@ -866,7 +866,7 @@
     assert!((100..130).contains(&began), "it began after {began} s");
     // One task of it runs, and tasks of the other job continue.
     assert!(after > 100, "{after}");
-    assert_eq!(b.leader.machines[&m("m0")].gathers, None);
+    assert_eq!(b.leader.machines[&m("m0")].accumulates_for, None);
 }
 
 /// Copies of reports may arrive late at any controller; a new leader has nothing to compare them
@@ -906,12 +906,12 @@
     // Each report counts as contact only from the first controller that forwards it.
     let mut b = Harness::new(1);
     b.confirm("m0", &[]);
-    let contact = b.leader.machines[&m("m0")].heard;
+    let contact = b.leader.machines[&m("m0")].last_contact;
     let mut s = b.state("m0", b.token("m0"), &[]);
-    s.last = b.leader.machines[&m("m0")].newest;
+    s.last = b.leader.machines[&m("m0")].newest_report;
     b.now = b.now + Micros::secs(2);
     b.sync(B, &[s], &[]);
-    assert_eq!(b.leader.machines[&m("m0")].heard, contact, "a copy at another controller");
+    assert_eq!(b.leader.machines[&m("m0")].last_contact, contact, "a copy at another controller");
 }
 
 /// Machines that report but are unreachable for commands: those with tasks are deleted before
