--- a/crates/core/src/leader/machine.rs
+++ b/crates/core/src/leader/machine.rs
@@ -166,23 +166,23 @@
         }
     }
     /// Whether tasks may be assigned to it; `contact` says which controllers are in contact.
-    pub(super) fn open(&self, contact: &[bool], now: Micros) -> bool {
+    pub(super) fn accepts_tasks(&self, contact: &[bool], now: Micros) -> bool {
         self.is_reachable(contact)
             && now >= self.command_reachability.trusted_at
             && self.last_contact.is_some_and(|t| now.since(t) < Micros::secs(4))
     }
     /// Whether it is usable and its holder is in contact.
     pub(super) fn is_reachable(&self, contact: &[bool]) -> bool {
-        self.usable() && self.holder.is_some_and(|h| contact.get(h.0 as usize) == Some(&true))
+        self.is_usable() && self.holder.is_some_and(|h| contact.get(h.0 as usize) == Some(&true))
     }
     /// The job that free capacity is accumulated for on it now.
     pub(super) fn accumulating_job(&self, now: Micros) -> Option<JobId> {
         self.accumulates_for.filter(|(_, until)| now < *until).map(|(job, _)| job)
     }
-    pub(super) fn empty(&self) -> bool {
+    pub(super) fn is_empty(&self) -> bool {
         self.tasks.is_empty() && self.reserved.is_empty()
     }
-    pub(super) fn usable(&self) -> bool {
+    pub(super) fn is_usable(&self) -> bool {
         self.stage == Stage::Up
             && self.recorded
             && self.confirmed
--- a/crates/core/src/leader/machines.rs
+++ b/crates/core/src/leader/machines.rs
@@ -271,7 +271,7 @@
         let waiting = self.jobs.values().any(|r| !r.over && !r.held && r.waiting() > 0);
         // Room for replicas that come, by zone: ordinary machines only.
         let mut spare: BTreeMap<String, u64> = BTreeMap::new();
-        for m in self.machines.values().filter(|m| !m.spot && m.usable()) {
+        for m in self.machines.values().filter(|m| !m.spot && m.is_usable()) {
             *spare.entry(m.zone.clone()).or_default() += m.free().cpu;
         }
         let targets = self.spare_targets(now);
@@ -286,7 +286,7 @@
                         back.push((id, "it never came up"));
                     }
                 }
-                Stage::Up if m.confirmed && m.empty() => {
+                Stage::Up if m.confirmed && m.is_empty() => {
                     let idle = now.since(*m.idle_since.get_or_insert(now));
                     if m.draining.is_some() {
                         back.push((id, "out of use and empty"));
--- a/crates/core/src/leader/room.rs
+++ b/crates/core/src/leader/room.rs
@@ -185,7 +185,7 @@
                     None => drop(self.capacity_index.zone_cpu.insert(m.zone.clone(), m.size.cpu)),
                 }
             }
-            let open = m.open(&contact, now);
+            let open = m.accepts_tasks(&contact, now);
             self.capacity_index.put(id, m, open);
         }
     }
