--- a/crates/core/src/leader/bindings.rs
+++ b/crates/core/src/leader/bindings.rs
@@ -5,7 +5,14 @@
 
 impl Leader {
     /// Applies a controller's `Sync`. A stale one is dropped.
-    pub fn apply_sync(&mut self, from: NodeId, incarnation: u64, view: &SyncView<'_>, ledger: &Ledger, now: Micros) {
+    pub fn apply_sync(
+        &mut self,
+        from: NodeId,
+        incarnation: u64,
+        view: &SyncView<'_>,
+        ledger: &Ledger,
+        now: Micros,
+    ) {
         let Some(node) = self.nodes.get_mut(from.0 as usize) else { return };
         if incarnation < node.incarnation {
             // Sent before the controller restarted, and delayed in the network.
@@ -66,7 +73,10 @@
     }
 
     pub(super) fn apply_outcome(&mut self, from: NodeId, incarnation: u64, o: &Outcome) {
-        let Some(PendingAssignment { to, assignment: h, .. }) = self.pending_assignments.remove(&o.attempt) else { return };
+        let Some(PendingAssignment { to, assignment: h, .. }) = self.pending_assignments.remove(&o.attempt)
+        else {
+            return;
+        };
         debug_assert_eq!(to, from);
         self.needs_scheduling = true;
         if let Some(m) = self.machines.get_mut(&h.hint) {
@@ -92,7 +102,13 @@
         self.free_if_nowhere(h.task);
     }
 
-    pub(super) fn apply_machine_state(&mut self, from: NodeId, s: &MachineState, ledger: &Ledger, now: Micros) {
+    pub(super) fn apply_machine_state(
+        &mut self,
+        from: NodeId,
+        s: &MachineState,
+        ledger: &Ledger,
+        now: Micros,
+    ) {
         let Some(m) = self.machines.get_mut(&s.id) else { return };
         if !self.grants_started {
             // A report that the controllers know already is not new when it comes again.
@@ -370,7 +386,14 @@
     }
 
     /// A machine reported to a controller that doesn't hold it, or answered its probe.
-    pub fn apply_unleased_report(&mut self, from: NodeId, s: &Sighting, rec: &MachineRecord, sizes: &Sizes, now: Micros) {
+    pub fn apply_unleased_report(
+        &mut self,
+        from: NodeId,
+        s: &Sighting,
+        rec: &MachineRecord,
+        sizes: &Sizes,
+        now: Micros,
+    ) {
         let id = &s.id;
         if self.deleted_machines.contains_key(id) {
             return;
--- a/crates/core/src/leader/blocks.rs
+++ b/crates/core/src/leader/blocks.rs
@@ -228,7 +228,8 @@
             *last = (*last).max(t);
         }
         // Within this time it should have reported, or have answered its holder's probe.
-        let overdue = (self.config.report_interval.scale(5, 4) + Micros::secs(1)).min(ASKED_AFTER + ASK_TIMEOUT);
+        let overdue =
+            (self.config.report_interval.scale(5, 4) + Micros::secs(1)).min(ASKED_AFTER + ASK_TIMEOUT);
         let heard_by = latest.iter().map(|((h, zone), (t, _))| (Some(*h), *zone, *t));
         for (by, zone, at) in heard_by.chain(zone_latest.iter().map(|(z, t)| (None, *z, *t))) {
             self.network_paths.heard(by, zone, at, overdue);
@@ -248,20 +249,26 @@
             let open_since = |by| self.network_paths.open_since(by, &m.zone);
             let opened = m.holder.map_or(Micros(0), |h| open_since(Some(h))).max(open_since(None));
             let last = m.last_contact.unwrap_or(m.stage_since);
-            let base =
-                self.lateness.silent_from(last).max(self.term_start).max(reported).max(m.holder_changed_at).max(opened);
+            let base = self
+                .lateness
+                .silent_from(last)
+                .max(self.term_start)
+                .max(reported)
+                .max(m.holder_changed_at)
+                .max(opened);
             let silent = now.since(base);
             let seen = self.last_seen.get(id).is_some_and(|(_, t)| now.since(*t) < Micros::secs(5));
-            let lost =
-                silent > Micros::millis(3200) && m.probed_at.is_none_or(|t| now.since(t) > Micros::millis(1500));
+            let lost = silent > Micros::millis(3200)
+                && m.probed_at.is_none_or(|t| now.since(t) > Micros::millis(1500));
             if lost || m.command_reachability.ask_due(now) {
                 probes.push((m.probed_at, id.clone()));
             }
             let open = base + overdue;
             let (here, held) =
                 m.holder.and_then(|h| latest.get(&(h, m.zone.as_str()))).copied().unwrap_or_default();
-            let near =
-                m.holder.is_some_and(|h| self.in_contact(h, now) && self.config.zones[h.0 as usize] == m.zone);
+            let near = m
+                .holder
+                .is_some_and(|h| self.in_contact(h, now) && self.config.zones[h.0 as usize] == m.zone);
             let zone = zone_latest.get(m.zone.as_str()).copied().unwrap_or_default();
             let limit = if here >= open || near && held < 2 {
                 limit
@@ -343,7 +350,10 @@
             // A job stays here until it is recorded that no task of it is left: a machine that
             // could hold one may appear at any later time.
             let record = ledger.jobs.get(job).filter(|j| !j.settled);
-            if run.is_none_or(|r| r.bound.is_empty()) && record.is_none() && now > *by + self.config.cancel_timeout {
+            if run.is_none_or(|r| r.bound.is_empty())
+                && record.is_none()
+                && now > *by + self.config.cancel_timeout
+            {
                 over.push(*job);
             }
             if now >= self.deletion_due(*by, 95, Micros::millis(1500)) {
--- a/crates/core/src/leader/log_replication.rs
+++ b/crates/core/src/leader/log_replication.rs
@@ -2,7 +2,7 @@
 //! log of the earlier leader (see `crate::placement_log` for the invariants).
 use super::assignments::{UnresolvedAssignment, first_candidate};
 use super::*;
-use crate::placement_log::{LogReplica, PlacementEntry, LogUpdate, StandbyReplicas};
+use crate::placement_log::{LogReplica, LogUpdate, PlacementEntry, StandbyReplicas};
 
 impl Leader {
     /// Controllers that are in contact, with their incarnations.
@@ -35,8 +35,13 @@
             let run = self.jobs.get(&task.job)?;
             let done = run.unrecorded.contains(&task.index);
             let Some(b) = run.bound.get(&task.index) else {
-                let done_entry =
-                    PlacementEntry { attempt: Attempt(0), machines: Vec::new(), starting: false, done, unresolved_assignment: None };
+                let done_entry = PlacementEntry {
+                    attempt: Attempt(0),
+                    machines: Vec::new(),
+                    starting: false,
+                    done,
+                    unresolved_assignment: None,
+                };
                 return done.then_some(done_entry);
             };
             let handed = b.handed.as_ref().map(|h| {
@@ -47,7 +52,13 @@
                 let state = self.machines.get(id).and_then(|m| m.tasks.get(task)).map(|t| t.1);
                 state.is_none_or(|s| s == TaskState::Starting)
             });
-            Some(PlacementEntry { attempt: b.attempt, machines: b.on.iter().cloned().collect(), starting, done, unresolved_assignment: handed })
+            Some(PlacementEntry {
+                attempt: b.attempt,
+                machines: b.on.iter().cloned().collect(),
+                starting,
+                done,
+                unresolved_assignment: handed,
+            })
         };
         let tasks = match self.placement_log.changed_since(base) {
             Some(tasks) => tasks.into_iter().map(|t| (t, entry(&t))).collect(),
@@ -59,7 +70,8 @@
                 all.map(|t| (t, entry(&t))).collect()
             }
         };
-        let unknown = self.machines.iter().filter(|(_, m)| m.tasks_unknown).map(|(id, _)| id.clone()).collect();
+        let unknown =
+            self.machines.iter().filter(|(_, m)| m.tasks_unknown).map(|(id, _)| id.clone()).collect();
         LogUpdate { term: self.term, seq: self.placement_log.seq(), base, tasks, unknown_machines: unknown }
     }
 
--- a/crates/core/src/leader/machines.rs
+++ b/crates/core/src/leader/machines.rs
@@ -232,7 +232,8 @@
     fn probes_left(&self, zone: &str, now: Micros) -> Option<u32> {
         let allowed = self.zone_health.allowed(zone, now)?;
         let booting = self.machines.values().filter(|m| m.stage == Stage::Booting && m.zone == zone).count();
-        let asked: u32 = self.scale_out_requests.values().filter(|(r, ..)| r.zone == zone).map(|(r, ..)| r.count).sum();
+        let asked: u32 =
+            self.scale_out_requests.values().filter(|(r, ..)| r.zone == zone).map(|(r, ..)| r.count).sum();
         Some(allowed.saturating_sub(booting as u32 + asked))
     }
 
@@ -362,8 +363,13 @@
                     let price = if spot { f.spot_price } else { Some(f.hourly) };
                     let Some(price) = price else { continue };
                     let key = (f.sku.clone(), z.clone(), spot);
-                    let refused = self.refused_offers.get(&key).is_some_and(|t| now.since(*t) < Micros::secs(8));
-                    if self.scale_out_requests.values().any(|(r, ..)| (&r.build, &r.zone, r.spot) == (&f.sku, z, spot)) {
+                    let refused =
+                        self.refused_offers.get(&key).is_some_and(|t| now.since(*t) < Micros::secs(8));
+                    if self
+                        .scale_out_requests
+                        .values()
+                        .any(|(r, ..)| (&r.build, &r.zone, r.spot) == (&f.sku, z, spot))
+                    {
                         continue;
                     }
                     offers.push(Offer {
@@ -381,8 +387,12 @@
         let mut rooms: Vec<Room> = self
             .machines
             .values()
-            .filter(|m| m.draining.is_none() && m.preemption_at.is_none() && !self.zone_health.is_closed(&m.zone))
-            .filter(|m| m.stage == Stage::Booting || (m.stage == Stage::Up && (m.confirmed || !m.tasks_unknown)))
+            .filter(|m| {
+                m.draining.is_none() && m.preemption_at.is_none() && !self.zone_health.is_closed(&m.zone)
+            })
+            .filter(|m| {
+                m.stage == Stage::Booting || (m.stage == Stage::Up && (m.confirmed || !m.tasks_unknown))
+            })
             .filter(|m| !m.command_reachability.doubted_for(Micros::secs(5), now))
             .filter(|m| {
                 // One that is late may never come.
@@ -398,7 +408,8 @@
                 lent: if m.spot { 0 } else { self.lent(m) },
             })
             .collect();
-        for (r, ..) in self.scale_out_requests.values().filter(|(r, ..)| !self.zone_health.is_closed(&r.zone)) {
+        for (r, ..) in self.scale_out_requests.values().filter(|(r, ..)| !self.zone_health.is_closed(&r.zone))
+        {
             if let Some(f) = flavors.iter().find(|f| f.sku == r.build) {
                 let size = Resources::have(f.cpus, f.gpus, f.memory_gb);
                 for _ in 0..r.count {
@@ -535,7 +546,8 @@
         if !self.zone_health.any_closed() {
             return r.bound.len();
         }
-        let lost = |id: &MachineId| self.machines.get(id).is_some_and(|m| self.zone_health.is_closed(&m.zone));
+        let lost =
+            |id: &MachineId| self.machines.get(id).is_some_and(|m| self.zone_health.is_closed(&m.zone));
         r.bound.values().filter(|b| b.on.is_empty() || !b.on.iter().all(lost)).count()
     }
 
--- a/crates/core/src/leader/messages.rs
+++ b/crates/core/src/leader/messages.rs
@@ -65,7 +65,12 @@
         for (id, m) in self.machines.iter().filter(|(_, m)| base == 0 || m.changed_in > base) {
             if m.holder == Some(to) {
                 let draining = m.draining.is_some() || m.stage == Stage::Deleting;
-                block.push(GrantedMachine { id: id.clone(), baton: m.fencing_token, addr: m.addr.clone(), draining });
+                block.push(GrantedMachine {
+                    id: id.clone(),
+                    baton: m.fencing_token,
+                    addr: m.addr.clone(),
+                    draining,
+                });
             } else {
                 elsewhere.push((id.clone(), m.holder));
             }
@@ -102,7 +107,12 @@
             block,
             elsewhere,
             handouts: open.into_iter().map(|(h, _)| h).collect(),
-            stops: self.pending_stops.values().filter(|(r, _)| held(&r.machine)).map(|(r, _)| r.clone()).collect(),
+            stops: self
+                .pending_stops
+                .values()
+                .filter(|(r, _)| held(&r.machine))
+                .map(|(r, _)| r.clone())
+                .collect(),
             running: running.map(|(id, r)| (*id, r.shown.0)).collect(),
         }
     }
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -137,7 +137,18 @@
             return None;
         };
         let (seq, base, seen) = (*seq, *base, *seen);
-        Some((*term, SyncView { seq, base, acked_update: seen, machines, contacts: heard, unleased_reports: strangers, outcomes }))
+        Some((
+            *term,
+            SyncView {
+                seq,
+                base,
+                acked_update: seen,
+                machines,
+                contacts: heard,
+                unleased_reports: strangers,
+                outcomes,
+            },
+        ))
     }
 }
 
@@ -272,7 +283,8 @@
         let nodes = vec![Node::default(); ctx.zones.len()];
         let lag = ctx.list_lag;
         let (record, stamp_of) = ledger.books.clone();
-        let books = PlacementLog::new(term, ctx.node_id, ctx.names.clone(), ctx.zones.clone(), record, stamp_of);
+        let books =
+            PlacementLog::new(term, ctx.node_id, ctx.names.clone(), ctx.zones.clone(), record, stamp_of);
         let mut l = Leader {
             term,
             config: ctx,
@@ -397,7 +409,12 @@
     }
 
     /// Checks that an assigned task is watched at a machine that may hold it, if there is one.
-    fn check_watched(&self, task: TaskId, attempt: Attempt, handed: &UnresolvedAssignment) -> Result<(), String> {
+    fn check_watched(
+        &self,
+        task: TaskId,
+        attempt: Attempt,
+        handed: &UnresolvedAssignment,
+    ) -> Result<(), String> {
         let there = |id: &MachineId| self.machines.get(id).is_some_and(|m| may_hold(m, attempt));
         let watched = handed.watched_at.as_ref().filter(|id| handed.candidates.contains(*id) && there(id));
         if watched.is_none() && handed.candidates.iter().any(there) {
--- a/crates/core/src/leader/overdue.rs
+++ b/crates/core/src/leader/overdue.rs
@@ -51,7 +51,9 @@
                 let queue = self.queues.entry(rank).or_default();
                 queue.set_waiting(&team, true, self.config.operator.task_cost, w);
                 queue.serve(&team);
-                for m in self.machines.values_mut().filter(|m| m.accumulates_for.is_some_and(|(j, _)| j == *id)) {
+                for m in
+                    self.machines.values_mut().filter(|m| m.accumulates_for.is_some_and(|(j, _)| j == *id))
+                {
                     m.accumulates_for = None;
                 }
             } else if left > 0 && self.gather(*id, now) {
--- a/crates/core/src/leader/room.rs
+++ b/crates/core/src/leader/room.rs
@@ -56,8 +56,9 @@
 
 impl Rooms {
     fn kind(&mut self, m: &Machine) -> usize {
-        let same =
-            |k: &KindRooms| k.spot == m.spot && k.size == m.size && k.build == m.machine_type && k.zone == m.zone;
+        let same = |k: &KindRooms| {
+            k.spot == m.spot && k.size == m.size && k.build == m.machine_type && k.zone == m.zone
+        };
         self.kinds.iter().position(same).unwrap_or_else(|| {
             self.kinds.push(KindRooms {
                 build: m.machine_type.clone(),
--- a/crates/core/src/leader/schedule.rs
+++ b/crates/core/src/leader/schedule.rs
@@ -360,7 +360,13 @@
         self.bound_totals.add(&run.spec);
         let watched = first_candidate(&machines, &run.spec, attempt, &self.machines);
         self.unresolved_tasks.watch(task, watched.as_ref());
-        let handed = UnresolvedAssignment { incarnation, candidates: machines, hint: hint.clone(), zone, watched_at: watched };
+        let handed = UnresolvedAssignment {
+            incarnation,
+            candidates: machines,
+            hint: hint.clone(),
+            zone,
+            watched_at: watched,
+        };
         let binding = Binding { attempt, handed: Some(handed), on: BTreeSet::new() };
         let bound_before = run.bound.insert(task.index, binding);
         if bound_before.is_some() {
@@ -374,7 +380,8 @@
             self.capacity_index.put(&hint, m, true);
         }
         let at = self.placement_log.record_assignment(task);
-        self.pending_assignments.insert(attempt, PendingAssignment { to: node, assignment: out, log_seq: at, sent: None });
+        self.pending_assignments
+            .insert(attempt, PendingAssignment { to: node, assignment: out, log_seq: at, sent: None });
         if let Some(n) = self.nodes.get_mut(node.0 as usize) {
             n.update_due = true;
         }
--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -156,8 +156,15 @@
     fn sync(&mut self, from: NodeId, machines: &[MachineState], outcomes: &[Outcome]) {
         let i = from.0 as usize;
         self.seq[i] += 1;
-        let view =
-            SyncView { seq: self.seq[i], base: 0, acked_update: 0, machines, contacts: &[], unleased_reports: &[], outcomes };
+        let view = SyncView {
+            seq: self.seq[i],
+            base: 0,
+            acked_update: 0,
+            machines,
+            contacts: &[],
+            unleased_reports: &[],
+            outcomes,
+        };
         self.leader.apply_sync(from, self.incarnation[i], &view, &self.ledger, self.now);
     }
 
@@ -679,7 +686,9 @@
                 b.confirm("m0", &[]);
                 b.add_job(8, 60, "t", "array", "standard", 1, 8.0);
                 b.tick(30);
-                b.leader.refused_offers.insert(("big".into(), "east".into(), false), b.now + Micros::secs(35));
+                b.leader
+                    .refused_offers
+                    .insert(("big".into(), "east".into(), false), b.now + Micros::secs(35));
             },
             ("t", 1, 8.0),
             Why::SoldOut,
@@ -770,7 +779,8 @@
         // A rental was just requested, and refused.
         b.leader.refused_offers.insert(("big".into(), "east".into(), true), at);
         b.leader.fleet(&[flavor(Some(0.3))], at);
-        let rented: u32 = b.leader.scale_out_requests.values().filter(|(r, ..)| !r.spot).map(|(r, ..)| r.count).sum();
+        let rented: u32 =
+            b.leader.scale_out_requests.values().filter(|(r, ..)| !r.spot).map(|(r, ..)| r.count).sum();
         assert_eq!(
             rented, want,
             "{machines} machines, {passed} s, {spot_rented} spot machines rented, one present: {spot}"
@@ -930,7 +940,10 @@
                 b.add_job(100 + i as u64, 60, "t", "array", "standard", 1, 8.0);
             }
             b.tick(30);
-            let placed = |h: &PendingAssignment| Outcome { attempt: h.assignment.attempt, machine: Some(h.assignment.hint.clone()) };
+            let placed = |h: &PendingAssignment| Outcome {
+                attempt: h.assignment.attempt,
+                machine: Some(h.assignment.hint.clone()),
+            };
             let outcomes: Vec<Outcome> = b.leader.pending_assignments.values().map(placed).collect();
             b.sync(A, &[], &outcomes);
             b.sync(B, &[], &outcomes);
--- a/crates/core/src/leader/tests/lateness.rs
+++ b/crates/core/src/leader/tests/lateness.rs
@@ -47,7 +47,9 @@
     b.confirm("m0", &[]);
     b.add_job(100, 60, "t", "array", "standard", 1, 1.0);
     b.tick(30);
-    let placed = |h: &PendingAssignment| (h.to, Outcome { attempt: h.assignment.attempt, machine: Some(h.assignment.hint.clone()) });
+    let placed = |h: &PendingAssignment| {
+        (h.to, Outcome { attempt: h.assignment.attempt, machine: Some(h.assignment.hint.clone()) })
+    };
     let (to, outcome) = b.leader.pending_assignments.values().map(placed).next().unwrap();
     b.sync(to, &[], &[outcome]);
     let report = |b: &Harness, obeys| {
--- a/crates/core/src/node/duties.rs
+++ b/crates/core/src/node/duties.rs
@@ -339,7 +339,9 @@
         let Some(l) = self.leadership.leader.as_mut() else { return };
         let all = (0..self.peers.states.len()).map(|i| NodeId(i as u8));
         let ended: Vec<NodeId> = all.filter(|n| self.peers.refuses(*n, self.now)).collect();
-        let Some((record, stamp)) = l.due_replica_record(&self.mirror.ledger, &ended, self.now) else { return };
+        let Some((record, stamp)) = l.due_replica_record(&self.mirror.ledger, &ended, self.now) else {
+            return;
+        };
         let names: Vec<&str> = record.nodes.iter().map(|(n, _)| n.as_str()).collect();
         debug!("witnesses of term {term}: {}", names.join(", "));
         self.leadership.bucket.force(self.now, 1.0);
--- a/crates/core/src/node/knowledge.rs
+++ b/crates/core/src/node/knowledge.rs
@@ -63,6 +63,7 @@
             self.peers.all().any(|n| self.hears(n, HEARD) && self.peers.states[n.0 as usize].loaded);
         let since = self.informed.unwrap_or(self.began);
         let may_be_left = self.now.since(since) < self.ctx.cancel_timeout;
-        (!peer_knows && may_be_left).then(|| since + self.ctx.cancel_timeout.scale(UNKNOWN_DEADLINE_PERCENT, 100))
+        (!peer_knows && may_be_left)
+            .then(|| since + self.ctx.cancel_timeout.scale(UNKNOWN_DEADLINE_PERCENT, 100))
     }
 }
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -33,7 +33,7 @@
 use crate::election::Role;
 use crate::guest::{Guest, GuestInput, GuestOutput, Host, Ticket};
 use crate::jobs::{self, Change, LeaderRecord, Ledger, MachineRecord, Phase, keys};
-use crate::leader::{CloudWish, LeaderConfig, HireRequest, Leader, LeaderWrite, SyncView};
+use crate::leader::{CloudWish, HireRequest, Leader, LeaderConfig, LeaderWrite, SyncView};
 use crate::limits::StoreLimits;
 use crate::liveness::LivenessMonitor;
 use crate::peer::{Envelope, Message, Sighting};
--- a/crates/core/src/placement_log/tests.rs
+++ b/crates/core/src/placement_log/tests.rs
@@ -61,8 +61,14 @@
     let names: Vec<String> = ["n0", "n1", "n2"].map(String::from).to_vec();
     let zones: Vec<String> = ["a", "a", "b"].map(String::from).to_vec();
     let (me, n1, n2) = (NodeId(0), (NodeId(1), 7), (NodeId(2), 8));
-    let mut l =
-        PlacementLog::new(4, me, names, zones, StandbyReplicas { term: 3, last_leader_term: 4, nodes: vec![("n1".into(), 7)] }, 50);
+    let mut l = PlacementLog::new(
+        4,
+        me,
+        names,
+        zones,
+        StandbyReplicas { term: 3, last_leader_term: 4, nodes: vec![("n1".into(), 7)] },
+        50,
+    );
     let mut now = Micros::secs(10);
     let began = now;
     let covered = |l: &PlacementLog| l.covered();
--- a/crates/core/tests/record_compatibility.rs
+++ b/crates/core/tests/record_compatibility.rs
@@ -266,8 +266,11 @@
     let (leader, stamp) = ledger.leader.clone().expect("leader");
     assert_eq!((leader.node.as_str(), leader.term, leader.lease, stamp), ("n1", 7, 42, 10));
     assert_eq!(ledger.term, (7, 11));
-    let books =
-        StandbyReplicas { term: 6, last_leader_term: 7, nodes: vec![("n0".into(), 451_737_600_031_523), ("n2".into(), 9)] };
+    let books = StandbyReplicas {
+        term: 6,
+        last_leader_term: 7,
+        nodes: vec![("n0".into(), 451_737_600_031_523), ("n2".into(), 9)],
+    };
     assert_eq!(ledger.books, (books.clone(), 12));
 
     // (key, as it is written, as production reads it)
--- a/crates/core/tests/wire_compatibility.rs
+++ b/crates/core/tests/wire_compatibility.rs
@@ -11,7 +11,7 @@
     Cancellation, Envelope, FrameError, GrantedMachine, HEAD, HandOut, Held, MAX_FRAME, MachineState,
     Message, Outcome, Sighting, StopRequest, TaskState, VERSION, decode_body, decode_head, encode,
 };
-use gorseshore_core::placement_log::{PlacementEntry, LogUpdate};
+use gorseshore_core::placement_log::{LogUpdate, PlacementEntry};
 use gorseshore_protocol::ids::{Attempt, Baton, JobId, MachineId, Micros, NodeId, TaskId};
 use gorseshore_protocol::workers::ReportNo;
 
@@ -380,7 +380,10 @@
         assert_eq!(envelope(message).pack(), packed, "{name}");
     }
     let log_acknowledged = bytes("05030807060504030201090700000000000000e803000000000000");
-    assert_eq!(Envelope::unpack(&log_acknowledged), Some(envelope(Message::BooksTaken { term: 7, seq: 1000 })));
+    assert_eq!(
+        Envelope::unpack(&log_acknowledged),
+        Some(envelope(Message::BooksTaken { term: 7, seq: 1000 }))
+    );
 }
 
 #[test]
--- a/crates/standins/src/scale.rs
+++ b/crates/standins/src/scale.rs
@@ -6,9 +6,9 @@
 use crate::worker::{Facts, Machine};
 use gorseshore_core::controller::{CheckinReply, Controller, Sizes, read_tasks};
 use gorseshore_core::jobs::{Ledger, job_value, keys, machines_value};
-use gorseshore_core::leader::{Context, Leader, View};
+use gorseshore_core::leader::{Leader, LeaderConfig, SyncView};
 use gorseshore_core::peer::Message;
-use gorseshore_core::placement_log::Kept;
+use gorseshore_core::placement_log::LogReplicas;
 use gorseshore_protocol::ids::{JobId, MachineId, Micros, NodeId, Resources, TaskId};
 use gorseshore_protocol::users::parse_submission;
 use gorseshore_settings::{Operator, Team};
@@ -76,24 +76,24 @@
     sizes: Sizes,
     leader: Leader,
     controllers: Vec<Controller>,
-    kept: Kept,
+    kept: LogReplicas,
     workers: Vec<Machine>,
     now: Micros,
     stamp: u64,
     jobs: u64,
 }
 
-fn context(controllers: usize) -> Context {
-    Context {
-        me: NodeId(0),
+fn context(controllers: usize) -> LeaderConfig {
+    LeaderConfig {
+        node_id: NodeId(0),
         names: (0..controllers).map(|i| format!("n{i}")).collect(),
         zones: (0..controllers).map(|i| ZONES[i % 3].to_owned()).collect(),
         operator: Operator { block_size: 100_000, max_machines: 100_000, ..Operator::default() },
         teams: vec![Team { name: "t".into(), cpus: 0.0, cpus_max: 0.0, gpus: 0.0, gpus_max: 0.0 }],
         objectives: Vec::new(),
-        lease: Micros::secs(26),
-        report: Micros::secs(5),
-        cancel: Micros::secs(46),
+        worker_lease: Micros::secs(26),
+        report_interval: Micros::secs(5),
+        cancel_timeout: Micros::secs(46),
         list_lag: Micros::secs(5),
         cloud_rps: 10.0,
     }
@@ -127,7 +127,7 @@
             sizes: sizes(),
             leader,
             controllers: (0..controllers).map(|_| Controller::default()).collect(),
-            kept: Kept::default(),
+            kept: LogReplicas::default(),
             workers,
             now,
             stamp: 20,
@@ -171,7 +171,7 @@
             self.ledger.apply(keys::BOOKS, Some(&json!(record)), self.stamp);
             self.leader.replica_record_write_ended();
         }
-        for (to, m) in self.leader.messages(self.now, true) {
+        for (to, m) in self.leader.due_messages(self.now, true) {
             match m {
                 Message::Update {
                     term,
@@ -197,7 +197,7 @@
                     c.take_stops(&stops);
                 }
                 Message::Books(page) => {
-                    let seq = self.kept.take(page);
+                    let seq = self.kept.apply(page);
                     self.leader.log_acknowledged(to, 1, seq, self.now);
                 }
                 _ => {}
@@ -205,8 +205,8 @@
         }
         for i in 0..self.controllers.len() {
             let m = self.controllers[i].sync(1, Vec::new(), &self.ledger, self.now);
-            if let Some((_, view)) = View::of(&m) {
-                self.leader.sync(NodeId(i as u8), 1, &view, &self.ledger, self.now);
+            if let Some((_, view)) = SyncView::of(&m) {
+                self.leader.apply_sync(NodeId(i as u8), 1, &view, &self.ledger, self.now);
             }
         }
     }
@@ -342,7 +342,7 @@
     for i in 0..50 * ROUNDS {
         b.now = b.now + Micros::millis(20);
         // Reports come in all the time, and something is always changed by one.
-        b.leader.dirty = true;
+        b.leader.needs_scheduling = true;
         let t = Instant::now();
         b.leader.tick(&b.ledger, b.now);
         passes += t.elapsed().as_secs_f64();
