--- a/crates/core/src/leader/bindings.rs
+++ b/crates/core/src/leader/bindings.rs
@@ -10,7 +10,7 @@
         from: NodeId,
         incarnation: u64,
         view: &SyncView<'_>,
-        ledger: &Ledger,
+        state_replica: &Ledger,
         now: Micros,
     ) {
         let Some(node) = self.nodes.get_mut(from.0 as usize) else { return };
@@ -56,7 +56,7 @@
             self.apply_outcome(from, incarnation, o);
         }
         for s in view.machines {
-            self.apply_machine_state(from, s, ledger, now);
+            self.apply_machine_state(from, s, state_replica, now);
         }
         for (id, ago, report) in view.contacts {
             if let Some(m) = self.machines.get_mut(id) {
@@ -106,7 +106,7 @@
         &mut self,
         from: NodeId,
         s: &MachineState,
-        ledger: &Ledger,
+        state_replica: &Ledger,
         now: Micros,
     ) {
         let Some(m) = self.machines.get_mut(&s.id) else { return };
@@ -167,7 +167,7 @@
                 debug!("{task}: runs on {}", s.id);
                 m.started.insert(*task, now);
             }
-            let Some(spec) = ledger.jobs.get(&task.job).and_then(|j| j.spec.clone()) else { continue };
+            let Some(spec) = state_replica.jobs.get(&task.job).and_then(|j| j.spec.clone()) else { continue };
             m.images.insert(spec.image.clone());
             // A task that runs for more than 8 s proves that its job is not broken itself.
             let proven = m.started.get(task).is_some_and(|t| now.since(*t) > Micros::secs(8));
@@ -175,7 +175,7 @@
                 m.failures = 0;
                 m.failed_jobs.clear();
             }
-            if let Some(job) = ledger.jobs.get(&task.job) {
+            if let Some(job) = state_replica.jobs.get(&task.job) {
                 // Tasks of an ended job may still be on the machine, and count.
                 let run = self
                     .jobs
@@ -202,7 +202,7 @@
         }
         for e in exits {
             if old.contains_key(&e.task) || e.state == TaskState::Done {
-                self.task_exited(&s.id, e.task, e.state, ledger, now);
+                self.task_exited(&s.id, e.task, e.state, state_replica, now);
             }
         }
         if confirmed {
@@ -231,7 +231,7 @@
         id: &MachineId,
         task: TaskId,
         state: TaskState,
-        ledger: &Ledger,
+        state_replica: &Ledger,
         now: Micros,
     ) {
         let Some(run) = self.jobs.get_mut(&task.job) else { return };
@@ -241,7 +241,7 @@
                 (run.proven, run.begun) = (true, true);
                 self.arrays_with_progress.insert(task.job);
                 if run.done.insert(task.index)
-                    && ledger.jobs.get(&task.job).is_some_and(|j| !j.done.contains(task.index))
+                    && state_replica.jobs.get(&task.job).is_some_and(|j| !j.done.contains(task.index))
                 {
                     run.unrecorded_since.get_or_insert(now);
                     run.unrecorded.insert(task.index);
--- a/crates/core/src/leader/blocks.rs
+++ b/crates/core/src/leader/blocks.rs
@@ -89,7 +89,7 @@
 
     /// Grants and moves machines, watches them, and schedules tasks. Called about every 20 ms
     /// while this node may lead.
-    pub fn tick(&mut self, ledger: &Ledger, now: Micros) {
+    pub fn tick(&mut self, state_replica: &Ledger, now: Micros) {
         self.lateness.works(now);
         if !self.grants_started {
             let all = self.controllers_in_contact(now).into_iter().all(|c| c);
@@ -118,7 +118,7 @@
             }
         }
         if !self.unreleased_jobs.is_empty() {
-            self.release(ledger);
+            self.release(state_replica);
         }
         // Scans of the whole fleet run only as often as what they watch requires.
         if now.since(self.blocks_checked_at) >= BLOCK_SCAN_INTERVAL {
@@ -127,7 +127,7 @@
             self.watch_silent(now);
             self.watch_deaf(now);
         }
-        self.stop_cancelled(ledger, now);
+        self.stop_cancelled(state_replica, now);
         if self.needs_scheduling && now.since(self.scheduled_at) >= Micros::millis(20) {
             self.needs_scheduling = false;
             self.scheduled_at = now;
@@ -318,12 +318,12 @@
 
     /// Stops the remaining tasks of cancelled jobs. Also called while the leader's lease is not
     /// confirmed: a stop does no harm, and a cancellation must not wait for the state service.
-    pub fn stop_cancelled(&mut self, ledger: &Ledger, now: Micros) {
+    pub fn stop_cancelled(&mut self, state_replica: &Ledger, now: Micros) {
         if now.since(self.cancellations_checked_at) < CANCELLATION_SCAN_INTERVAL {
             return;
         }
         self.cancellations_checked_at = now;
-        self.watch_cancelled(ledger, now);
+        self.watch_cancelled(state_replica, now);
         // A controller that the state service refuses doesn't know of the cancellation, so the
         // leader sends it the stops.
         let mut stops = Vec::new();
@@ -342,14 +342,14 @@
     }
 
     /// Deletes machines that may hold a cancelled job's task that could not be stopped.
-    pub(super) fn watch_cancelled(&mut self, ledger: &Ledger, now: Micros) {
+    pub(super) fn watch_cancelled(&mut self, state_replica: &Ledger, now: Micros) {
         let mut doomed = Vec::new();
         let mut over = Vec::new();
         for (job, by) in &self.cancelled_jobs {
             let run = self.jobs.get(job);
             // A job stays here until it is recorded that no task of it is left: a machine that
             // could hold one may appear at any later time.
-            let record = ledger.jobs.get(job).filter(|j| !j.settled);
+            let record = state_replica.jobs.get(job).filter(|j| !j.settled);
             if run.is_none_or(|r| r.bound.is_empty())
                 && record.is_none()
                 && now > *by + self.config.cancel_timeout
@@ -390,7 +390,7 @@
         }
         // Removes ended jobs without bound tasks.
         self.jobs.retain(|id, r| {
-            !r.bound.is_empty() || ledger.jobs.get(id).is_none_or(|j| j.phase == Phase::Active)
+            !r.bound.is_empty() || state_replica.jobs.get(id).is_none_or(|j| j.phase == Phase::Active)
         });
     }
 
--- a/crates/core/src/leader/changes.rs
+++ b/crates/core/src/leader/changes.rs
@@ -57,7 +57,7 @@
 /// The inputs of a record's changes beside the leader's own state.
 pub struct RecordContext<'a> {
     /// The state replica.
-    pub ledger: &'a Ledger,
+    pub state_replica: &'a Ledger,
     /// Limits of a value and of a transaction.
     pub limits: &'a StoreLimits,
     /// Time of day in milliseconds.
@@ -69,27 +69,27 @@
 impl Leader {
     /// The changes that write a record; `None` if there is nothing to change, or if the changes
     /// don't fit into a transaction.
-    pub fn changes(&self, write: &LeaderWrite, recording: &RecordContext<'_>) -> Option<Changes> {
-        let RecordContext { ledger, limits, wall_ms, .. } = *recording;
+    pub fn changes(&self, write: &LeaderWrite, context: &RecordContext<'_>) -> Option<Changes> {
+        let RecordContext { state_replica, limits, wall_ms, .. } = *context;
         let changes = Changes::default();
         match write {
-            LeaderWrite::End(id) => Some(end_changes(*id, recording)),
+            LeaderWrite::End(id) => Some(end_changes(*id, context)),
             LeaderWrite::Machines(ids) => {
                 let key = keys::machines(ids.first()?);
-                let value = self.machines_record(ids, ledger)?;
+                let value = self.machines_record(ids, state_replica)?;
                 // A delayed retry must not overwrite a later record.
                 Some(changes.on_condition(key.clone(), 0).put(key, value))
             }
             LeaderWrite::Hire(name) => Some(changes.put(keys::HIRE.into(), json!(name))),
             LeaderWrite::Failures(id, chunk) => {
                 let parts = split_failures(self.failures(*id, *chunk)?, limits.value_bytes);
-                let job = ledger.jobs.get(id);
+                let job = state_replica.jobs.get(id);
                 let stamp = job.and_then(|j| j.failed_stamps.get(chunk).copied()).unwrap_or(0);
                 let key = |part| keys::failed_part(*id, *chunk, part);
                 Some(chunk_changes(*id, stamp, key, parts, limits))
             }
             LeaderWrite::Fail(id, index) => {
-                let job = ledger.jobs.get(id)?;
+                let job = state_replica.jobs.get(id)?;
                 let why = self.failure_cause(*id, *index);
                 // On the condition that the job record is still the one that was evaluated.
                 let changes = changes.on_condition(keys::job(*id), job.stamp).on_condition(keys::end(*id), 0);
@@ -97,23 +97,23 @@
             }
             LeaderWrite::Progress(id, chunk) => {
                 let parts = split_words(&self.progress(*id, *chunk)?, limits.value_bytes);
-                let job = ledger.jobs.get(id);
+                let job = state_replica.jobs.get(id);
                 let stamp = job.and_then(|j| j.chunks.get(chunk).copied()).unwrap_or(0);
                 let key = |part| keys::progress_part(*id, *chunk, part);
                 Some(chunk_changes(*id, stamp, key, parts, limits))
             }
             LeaderWrite::Settle(id) => {
-                let job = ledger.jobs.get(id)?;
+                let job = state_replica.jobs.get(id)?;
                 let end = cancelled_value(job.ended_ms, job.cause.as_deref(), true);
                 Some(changes.on_condition(keys::end(*id), job.end_stamp).put(keys::end(*id), end))
             }
             // An end that is already recorded stays.
             LeaderWrite::CancelledWith(id) => {
-                let job = ledger.jobs.get(id)?;
+                let job = state_replica.jobs.get(id)?;
                 let end = cancelled_value(job.ended_ms, None, true);
                 Some(changes.on_condition(keys::end(*id), 0).put(keys::end(*id), end))
             }
-            LeaderWrite::Forget(key) => self.forget_changes(key, recording),
+            LeaderWrite::Forget(key) => self.forget_changes(key, context),
         }
     }
 
@@ -126,12 +126,12 @@
     /// Rewrites a record of machines without the deleted ones. If its value is longer than may
     /// be written now, it is spread over further keys; if those are more than a transaction
     /// may contain, the record stays unchanged.
-    fn forget_changes(&self, key: &str, recording: &RecordContext<'_>) -> Option<Changes> {
-        let RecordContext { ledger, limits, .. } = *recording;
-        let (ids, stamp) = ledger.records.get(key)?;
+    fn forget_changes(&self, key: &str, context: &RecordContext<'_>) -> Option<Changes> {
+        let RecordContext { state_replica, limits, .. } = *context;
+        let (ids, stamp) = state_replica.records.get(key)?;
         let changes = Changes::default().on_condition(key.to_owned(), *stamp);
         let mut lists = match key.starts_with(keys::MACHINES) {
-            true => self.lists_that_fit(ids, recording),
+            true => self.lists_that_fit(ids, context),
             false => Vec::new(),
         };
         if lists.is_empty() {
@@ -146,31 +146,31 @@
         for list in &rest {
             let free = |id: &&MachineId| {
                 let name = keys::machines(id);
-                !ledger.records.contains_key(&name) && (recording.may_create)(&name)
+                !state_replica.records.contains_key(&name) && (context.may_create)(&name)
             };
             let new_key = keys::machines(list.iter().find(free)?);
-            let value = self.machines_record(list, ledger)?;
+            let value = self.machines_record(list, state_replica)?;
             changes = changes.on_condition(new_key.clone(), 0).put(new_key, value);
         }
-        let value = self.machines_record(lists.first()?, ledger)?;
+        let value = self.machines_record(lists.first()?, state_replica)?;
         Some(changes.put(key.to_owned(), value))
     }
 
     /// The machines that are not deleted, in lists that each fit into one record.
-    fn lists_that_fit(&self, ids: &[MachineId], recording: &RecordContext<'_>) -> Vec<Vec<MachineId>> {
+    fn lists_that_fit(&self, ids: &[MachineId], context: &RecordContext<'_>) -> Vec<Vec<MachineId>> {
         let mut lists: Vec<Vec<MachineId>> = Vec::new();
-        if self.machines_record(ids, recording.ledger).is_some_and(|v| recording.limits.fits(&v)) {
+        if self.machines_record(ids, context.state_replica).is_some_and(|v| context.limits.fits(&v)) {
             return vec![ids.to_vec()];
         }
         for id in ids {
             let one = std::slice::from_ref(id);
-            if self.machines_record(one, recording.ledger).is_none() {
+            if self.machines_record(one, context.state_replica).is_none() {
                 continue;
             }
             if let Some(list) = lists.last_mut() {
                 list.push(id.clone());
-                let value = self.machines_record(list, recording.ledger);
-                if value.is_some_and(|v| recording.limits.fits(&v)) {
+                let value = self.machines_record(list, context.state_replica);
+                if value.is_some_and(|v| context.limits.fits(&v)) {
                     continue;
                 }
                 list.pop();
@@ -184,16 +184,16 @@
 /// Records that a job is done, and removes as many of its progress and failure keys as fit
 /// into the same transaction. The remaining ones have no effect: an end counts whatever else
 /// is recorded.
-fn end_changes(id: JobId, recording: &RecordContext<'_>) -> Changes {
-    let job = recording.ledger.jobs.get(&id);
+fn end_changes(id: JobId, context: &RecordContext<'_>) -> Changes {
+    let job = context.state_replica.jobs.get(&id);
     let progress = job.iter().flat_map(|j| j.chunks.keys()).map(|c| keys::progress(id, *c));
     let failed = job.iter().flat_map(|j| j.failed_stamps.keys()).map(|c| keys::failed(id, *c));
     let further = job.iter().flat_map(|j| j.further_parts.iter().cloned());
     let mut changes = Changes::default().on_condition(keys::end(id), 0);
-    for key in progress.chain(failed).chain(further).take(recording.limits.txn_ops - 1) {
+    for key in progress.chain(failed).chain(further).take(context.limits.txn_ops - 1) {
         changes = changes.remove(key);
     }
-    changes.put(keys::end(id), json!({"end": "done", "at": recording.wall_ms}))
+    changes.put(keys::end(id), json!({"end": "done", "at": context.wall_ms}))
 }
 
 /// Writes the parts of a chunk's record in one transaction over version `stamp` of the first.
--- a/crates/core/src/leader/dependents.rs
+++ b/crates/core/src/leader/dependents.rs
@@ -9,20 +9,20 @@
     /// Recomputes the urgency of a job, and of the jobs that it depends on as long as that
     /// changes something. The graph has no cycles: a job can only name jobs that were accepted
     /// before it.
-    pub(super) fn inherit_urgency(&mut self, id: JobId, ledger: &Ledger) {
+    pub(super) fn inherit_urgency(&mut self, id: JobId, state_replica: &Ledger) {
         let mut queue = VecDeque::from([id]);
         while let Some(next) = queue.pop_front() {
-            let changed = self.join_urgency(next, ledger);
+            let changed = self.join_urgency(next, state_replica);
             if changed || next == id {
-                queue.extend(ledger.dependencies.dependencies(next).iter().copied());
+                queue.extend(state_replica.dependencies.dependencies(next).iter().copied());
             }
         }
     }
 
     /// Recomputes the urgency of one job; whether it changed.
-    fn join_urgency(&mut self, id: JobId, ledger: &Ledger) -> bool {
+    fn join_urgency(&mut self, id: JobId, state_replica: &Ledger) -> bool {
         let Some(run) = self.jobs.get(&id).filter(|r| !r.over) else { return false };
-        let dependents = ledger.dependencies.dependents(id).iter().filter_map(|d| self.jobs.get(d));
+        let dependents = state_replica.dependencies.dependents(id).iter().filter_map(|d| self.jobs.get(d));
         let urgency = dependents
             .filter(|r| !r.over)
             .fold(run.own_urgency, |urgency, r| urgency.inherit(&r.urgency, r.span_ms()));
--- a/crates/core/src/leader/log_replication.rs
+++ b/crates/core/src/leader/log_replication.rs
@@ -85,11 +85,11 @@
     /// controllers whose hosts report that their process has exited.
     pub fn due_replica_record(
         &mut self,
-        ledger: &Ledger,
+        state_replica: &Ledger,
         ended: &[NodeId],
         now: Micros,
     ) -> Option<(StandbyReplicas, u64)> {
-        self.placement_log.update_record(&ledger.books.0, ledger.books.1);
+        self.placement_log.update_record(&state_replica.books.0, state_replica.books.1);
         if !self.grants_started {
             return None;
         }
@@ -111,7 +111,7 @@
     /// Adopts the placement log of the earlier leader. It contains all places where a task
     /// may be, so a machine that has not reported in this term holds what the log says and
     /// nothing else.
-    pub fn adopt_log(&mut self, term: u64, book: &LogReplica, ledger: &Ledger) {
+    pub fn adopt_log(&mut self, term: u64, book: &LogReplica, state_replica: &Ledger) {
         if self.grants_started || !self.awaits_log || self.placement_log.record().term != term {
             return;
         }
@@ -123,7 +123,7 @@
         // Tasks that may be on any machine of the same zone, or on any machine, share one set.
         let mut blocks: BTreeMap<&Option<String>, Rc<BTreeSet<MachineId>>> = BTreeMap::new();
         for (task, e) in &book.tasks {
-            let job = ledger.jobs.get(&task.job);
+            let job = state_replica.jobs.get(&task.job);
             let Some((job, spec)) = job.and_then(|j| Some((j, j.spec.clone()?))) else { continue };
             if e.done && job.phase == Phase::Active && !job.done.contains(task.index) {
                 let objectives = &self.config.objectives;
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -275,14 +275,14 @@
         ctx: LeaderConfig,
         term: u64,
         stamp: u64,
-        ledger: &Ledger,
+        state_replica: &Ledger,
         sizes: &Sizes,
         now: Micros,
         wall_ms: u64,
     ) -> Self {
         let nodes = vec![Node::default(); ctx.zones.len()];
         let lag = ctx.list_lag;
-        let (record, stamp_of) = ledger.books.clone();
+        let (record, stamp_of) = state_replica.books.clone();
         let books =
             PlacementLog::new(term, ctx.node_id, ctx.names.clone(), ctx.zones.clone(), record, stamp_of);
         let mut l = Leader {
@@ -304,7 +304,7 @@
             cancelled_jobs: BTreeMap::new(),
             pending_assignments: BTreeMap::new(),
             placement_log: books,
-            awaits_log: ledger.books.0.term > 0 && !ledger.books.0.nodes.is_empty(),
+            awaits_log: state_replica.books.0.term > 0 && !state_replica.books.0.nodes.is_empty(),
             unreleased_jobs: BTreeSet::new(),
             dependency_done: true,
             unrecorded_cancellations: BTreeSet::new(),
@@ -344,14 +344,14 @@
             unreachable_deletions: VecDeque::new(),
             mismatched: BTreeSet::new(),
         };
-        for (id, rec) in &ledger.machines {
+        for (id, rec) in &state_replica.machines {
             let size = sizes.get(&rec.build).copied().unwrap_or_default();
             let mut m = Machine::new(rec, size, Stage::Up, now);
             m.recorded = true;
             m.tasks_unknown = true;
             l.machines.insert(id.clone(), m);
         }
-        for (id, job) in &ledger.jobs {
+        for (id, job) in &state_replica.jobs {
             // A cancellation ends only with the proof that no task of the job is left, never by
             // its age: it may have been confirmed to the user long after it was recorded, and
             // a task that still runs violates that confirmation at any later time.
@@ -361,7 +361,7 @@
                     let by = crate::deputy::gone_by(job.ended_ms, wall_ms, l.config.cancel_timeout, now);
                     l.cancelled_jobs.insert(*id, by);
                 }
-                _ => l.job_changed(*id, ledger, now),
+                _ => l.job_changed(*id, state_replica, now),
             }
         }
         info!("elected term={term} machines={} active_jobs={}", l.machines.len(), l.jobs.len());
@@ -440,8 +440,8 @@
     }
 
     /// Applies a changed job record.
-    pub fn job_changed(&mut self, id: JobId, ledger: &Ledger, now: Micros) {
-        let Some(job) = ledger.jobs.get(&id) else { return };
+    pub fn job_changed(&mut self, id: JobId, state_replica: &Ledger, now: Micros) {
+        let Some(job) = state_replica.jobs.get(&id) else { return };
         self.needs_scheduling = true;
         self.queue_stale = true;
         match job.phase {
@@ -453,14 +453,14 @@
                 match self.jobs.get_mut(&id) {
                     None => {
                         let mut run = Run::new(job, spec.clone(), &self.config.objectives);
-                        run.held = !spec.after.is_empty() || !ledger.dependencies.released(id);
+                        run.held = !spec.after.is_empty() || !state_replica.dependencies.released(id);
                         if run.held {
                             self.unreleased_jobs.insert(id);
                         } else {
-                            run.ready_at(ledger.released_ms(id));
+                            run.ready_at(state_replica.released_ms(id));
                         }
                         self.jobs.insert(id, run);
-                        self.inherit_urgency(id, ledger);
+                        self.inherit_urgency(id, state_replica);
                     }
                     Some(run) => {
                         for index in run.recorded(job, spec) {
@@ -483,28 +483,28 @@
             for index in std::mem::take(&mut run.unrecorded) {
                 self.placement_log.record_change(TaskId { job: id, index });
             }
-            self.inherit_urgency(id, ledger);
+            self.inherit_urgency(id, state_replica);
         }
     }
 
     /// Starts to enforce a cancellation, even one recorded long ago: a controller requires
     /// this before it confirms the cancellation to the client.
-    pub fn track_cancellation(&mut self, id: JobId, ledger: &Ledger, now: Micros) {
-        if ledger.jobs.get(&id).is_some_and(|j| j.phase == Phase::Aborted && !j.settled) {
+    pub fn track_cancellation(&mut self, id: JobId, state_replica: &Ledger, now: Micros) {
+        if state_replica.jobs.get(&id).is_some_and(|j| j.phase == Phase::Aborted && !j.settled) {
             self.cancelled_jobs.entry(id).or_insert(now + self.config.cancel_timeout);
         }
     }
 
     /// Releases jobs whose dependencies and replaced jobs have ended.
-    fn release(&mut self, ledger: &Ledger) {
+    fn release(&mut self, state_replica: &Ledger) {
         let done = std::mem::take(&mut self.dependency_done);
         let free = |id: &JobId| {
             let Some(run) = self.jobs.get(id) else { return true };
             if run.spec.after.is_empty() && !done {
                 return false;
             }
-            ledger.dependencies.released(*id)
-                && run.spec.after.iter().all(|a| self.ended_for_good(*a, ledger))
+            state_replica.dependencies.released(*id)
+                && run.spec.after.iter().all(|a| self.ended_for_good(*a, state_replica))
         };
         let free: Vec<JobId> = self.unreleased_jobs.iter().filter(|id| free(id)).copied().collect();
         for id in free {
@@ -513,22 +513,22 @@
             self.queue_stale = true;
             if let Some(run) = self.jobs.get_mut(&id) {
                 run.held = false;
-                run.ready_at(ledger.released_ms(id));
+                run.ready_at(state_replica.released_ms(id));
             }
-            self.inherit_urgency(id, ledger);
+            self.inherit_urgency(id, state_replica);
         }
     }
 
     /// Whether no task of a job is on any machine or can get there: the job has ended, no
     /// task of it is bound, and if it was cancelled, that no task is left is recorded.
-    fn ended_for_good(&self, id: JobId, ledger: &Ledger) -> bool {
+    fn ended_for_good(&self, id: JobId, state_replica: &Ledger) -> bool {
         let bound = self.jobs.get(&id).is_some_and(|r| !r.bound.is_empty());
         let settled = |job: &Job| match job.phase {
             Phase::Active => false,
             Phase::Done => true,
             Phase::Aborted => job.settled,
         };
-        !bound && ledger.jobs.get(&id).is_none_or(settled)
+        !bound && state_replica.jobs.get(&id).is_none_or(settled)
     }
 
     /// Whether no task of an ended job is on any machine or can get there: no task of it is
--- a/crates/core/src/leader/records.rs
+++ b/crates/core/src/leader/records.rs
@@ -8,9 +8,9 @@
 
 impl Leader {
     /// The records to write, most urgent first.
-    pub fn due_writes(&self, ledger: &Ledger, value_limit: usize, now: Micros) -> Vec<LeaderWrite> {
+    pub fn due_writes(&self, state_replica: &Ledger, value_limit: usize, now: Micros) -> Vec<LeaderWrite> {
         let mut v = Vec::new();
-        let active = |id: &JobId| ledger.jobs.get(id).is_some_and(|j| j.phase == Phase::Active);
+        let active = |id: &JobId| state_replica.jobs.get(id).is_some_and(|j| j.phase == Phase::Active);
         for (id, r) in self.arrays_with_progress.iter().filter_map(|id| Some((id, self.jobs.get(id)?))) {
             if r.spec.kind == Kind::Array && r.done.below(r.spec.tasks) >= r.spec.tasks && active(id) {
                 v.push(LeaderWrite::End(*id));
@@ -47,7 +47,7 @@
                 && active(id)
                 && r.unrecorded_since.is_some_and(|t| now.since(t) > Micros::millis(1500))
             {
-                let recorded = &ledger.jobs[id].done;
+                let recorded = &state_replica.jobs[id].done;
                 let chunks: BTreeSet<u32> = (0..r.spec.tasks)
                     .filter(|i| r.done.contains(*i) && !recorded.contains(*i))
                     .map(|i| i / crate::jobs::CHUNK)
@@ -58,7 +58,7 @@
         // A later leader doesn't know what became of a cancelled job's tasks. Without this
         // record it would delete machines that do not report, because they may hold one.
         for (id, by) in &self.cancelled_jobs {
-            let job = ledger.jobs.get(id).filter(|j| !j.settled && j.end_stamp > 0);
+            let job = state_replica.jobs.get(id).filter(|j| !j.settled && j.end_stamp > 0);
             let known_for = (now + self.config.cancel_timeout).since(*by);
             if known_for > Micros::secs(1) && job.is_some_and(|j| self.has_no_tasks(*id, j)) {
                 v.push(LeaderWrite::Settle(*id));
@@ -66,7 +66,7 @@
         }
         let unrecorded = self.unrecorded_cancellations.iter().take(MAX_CANCELLATION_RECORDS);
         v.extend(unrecorded.map(|id| LeaderWrite::CancelledWith(*id)));
-        for (key, (ids, _)) in &ledger.records {
+        for (key, (ids, _)) in &state_replica.records {
             if ids.iter().any(|id| self.deleted_machines.contains_key(id)) {
                 v.push(LeaderWrite::Forget(key.clone()));
             }
@@ -75,13 +75,13 @@
     }
 
     /// The record of machines of one kind, without deleted ones; `None` if none is left.
-    pub fn machines_record(&self, ids: &[MachineId], ledger: &Ledger) -> Option<Value> {
+    pub fn machines_record(&self, ids: &[MachineId], state_replica: &Ledger) -> Option<Value> {
         let present: Vec<(&MachineId, MachineRecord)> = ids
             .iter()
             .filter(|id| !self.deleted_machines.contains_key(*id))
             .filter_map(|id| {
                 let known = self.machines.get(id).map(Machine::record);
-                Some((id, known.or_else(|| ledger.machines.get(id).cloned())?))
+                Some((id, known.or_else(|| state_replica.machines.get(id).cloned())?))
             })
             .collect();
         let (_, first) = present.first()?;
@@ -152,10 +152,10 @@
     }
 
     /// Marks machines as recorded whose record appears after its write was given up.
-    pub fn mark_late_records(&mut self, ledger: &Ledger) {
+    pub fn mark_late_records(&mut self, state_replica: &Ledger) {
         let mut found = false;
         for (id, m) in self.machines.iter_mut().filter(|(_, m)| m.stage == Stage::Up && !m.recorded) {
-            m.recorded = ledger.machines.contains_key(id);
+            m.recorded = state_replica.machines.contains_key(id);
             found |= m.recorded;
         }
         if found {
@@ -166,10 +166,10 @@
 
     /// Notes progress that arrived while a record was being written. Ended jobs, and jobs
     /// whose progress is recorded, are not checked again until more of their tasks are done.
-    pub fn mark_unrecorded_progress(&mut self, ledger: &Ledger, now: Micros) {
+    pub fn mark_unrecorded_progress(&mut self, state_replica: &Ledger, now: Micros) {
         let jobs = &mut self.jobs;
         self.arrays_with_progress.retain(|id| {
-            let active = ledger.jobs.get(id).filter(|j| j.phase == Phase::Active);
+            let active = state_replica.jobs.get(id).filter(|j| j.phase == Phase::Active);
             let (Some(job), Some(r)) = (active, jobs.get_mut(id)) else { return false };
             if job.done.len() < r.done.len() {
                 r.unrecorded_since.get_or_insert(now);
--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -49,7 +49,7 @@
 
 /// A leader over recorded machines `m0`, `m1`, …, with both controllers in contact.
 struct Harness {
-    ledger: Ledger,
+    state_replica: Ledger,
     leader: Leader,
     now: Micros,
     seq: [u64; 2],
@@ -58,15 +58,15 @@
 
 impl Harness {
     fn new(machines: usize) -> Self {
-        let mut ledger = Ledger::default();
+        let mut state_replica = Ledger::default();
         for i in 0..machines {
             let v = json!({"t": "big", "z": "east", "s": false, "a": format!("addr{i}")});
-            ledger.apply(&keys::machine(&m(&format!("m{i}"))), Some(&v), 1);
+            state_replica.apply(&keys::machine(&m(&format!("m{i}"))), Some(&v), 1);
         }
         let sizes = Sizes::from([("big".into(), Resources::have(8.0, 0.0, 32.0))]);
         let now = Micros::secs(100);
-        let leader = Leader::new(context(), TERM, 50, &ledger, &sizes, now, 1_000_000);
-        let mut b = Harness { ledger, leader, now, seq: [0; 2], incarnation: [5, 6] };
+        let leader = Leader::new(context(), TERM, 50, &state_replica, &sizes, now, 1_000_000);
+        let mut b = Harness { state_replica, leader, now, seq: [0; 2], incarnation: [5, 6] };
         b.sync(A, &[], &[]);
         b.sync(B, &[], &[]);
         b.tick(1);
@@ -80,25 +80,25 @@
             "pieces": tasks, "cpus": cpus, "gpus": 0, "memory_gb": 1, "bundle": "i", "image_gb": 1,
             "same_place": false, "apart": false, "loaners": false, "guess_s": 10, "mark_s": 0, "stow_s": 0});
         let spec = gorseshore_protocol::users::parse_submission(body.to_string().as_bytes()).unwrap();
-        self.ledger.apply(&keys::job(JobId(id)), Some(&job_value(&spec, 1_000_000)), stamp);
-        self.leader.job_changed(JobId(id), &self.ledger, self.now);
+        self.state_replica.apply(&keys::job(JobId(id)), Some(&job_value(&spec, 1_000_000)), stamp);
+        self.leader.job_changed(JobId(id), &self.state_replica, self.now);
     }
 
     /// Changes a job's record, which gets revision `stamp`.
     fn edit_job(&mut self, id: u64, stamp: u64, edit: impl Fn(&mut JobSpec)) {
-        let mut spec = JobSpec::clone(self.ledger.jobs[&JobId(id)].spec.as_ref().unwrap());
+        let mut spec = JobSpec::clone(self.state_replica.jobs[&JobId(id)].spec.as_ref().unwrap());
         edit(&mut spec);
-        self.ledger.apply(&keys::job(JobId(id)), Some(&job_value(&spec, 1_000_000)), stamp);
-        self.leader.job_changed(JobId(id), &self.ledger, self.now);
+        self.state_replica.apply(&keys::job(JobId(id)), Some(&job_value(&spec, 1_000_000)), stamp);
+        self.leader.job_changed(JobId(id), &self.state_replica, self.now);
     }
 
     /// Applies the failure records that the leader wants to write.
     fn save_failures(&mut self, stamp: u64) {
-        for w in self.leader.due_writes(&self.ledger, 4000, self.now) {
+        for w in self.leader.due_writes(&self.state_replica, 4000, self.now) {
             if let LeaderWrite::Failures(id, chunk) = w {
                 let v = json!(self.leader.failures(id, chunk).unwrap());
-                self.ledger.apply(&keys::failed(id, chunk), Some(&v), stamp);
-                self.leader.job_changed(id, &self.ledger, self.now);
+                self.state_replica.apply(&keys::failed(id, chunk), Some(&v), stamp);
+                self.leader.job_changed(id, &self.state_replica, self.now);
             }
         }
     }
@@ -150,7 +150,7 @@
     fn late_tick(&mut self, ms: u64) {
         self.now = self.now + Micros::millis(ms);
         self.leader.needs_scheduling = true;
-        self.leader.tick(&self.ledger, self.now);
+        self.leader.tick(&self.state_replica, self.now);
     }
 
     fn sync(&mut self, from: NodeId, machines: &[MachineState], outcomes: &[Outcome]) {
@@ -165,7 +165,7 @@
             unleased_reports: &[],
             outcomes,
         };
-        self.leader.apply_sync(from, self.incarnation[i], &view, &self.ledger, self.now);
+        self.leader.apply_sync(from, self.incarnation[i], &view, &self.state_replica, self.now);
     }
 
     fn state(&self, id: &str, seen: Baton, tasks: &[(TaskId, Attempt, TaskState)]) -> MachineState {
@@ -284,7 +284,7 @@
                     unleased_reports: &[],
                     outcomes: &outcomes,
                 };
-                b.leader.apply_sync(A, 5, &view, &b.ledger, b.now);
+                b.leader.apply_sync(A, 5, &view, &b.state_replica, b.now);
             },
             false,
         ),
@@ -362,10 +362,10 @@
         b.add_job(1, 60, "t", "standing", "prod", 1, 4.0);
         b.tick(30);
         assert!(b.attempt(task(1, 0)).is_some());
-        b.ledger.apply(&keys::end(JobId(1)), Some(&json!({"end": "aborted", "at": 1_000_000})), 70);
-        b.leader.job_changed(JobId(1), &b.ledger, b.now);
+        b.state_replica.apply(&keys::end(JobId(1)), Some(&json!({"end": "aborted", "at": 1_000_000})), 70);
+        b.leader.job_changed(JobId(1), &b.state_replica, b.now);
         b.now = b.now + Micros::secs(seconds);
-        b.leader.stop_cancelled(&b.ledger, b.now);
+        b.leader.stop_cancelled(&b.state_replica, b.now);
         assert_eq!(b.leader.machines[&m("m0")].stage == Stage::Deleting, deleted, "{seconds} s");
     }
 }
@@ -433,11 +433,11 @@
         let mut b = Harness::new(1);
         b.add_job(1, 40, "t", "standing", "prod", 1, 4.0);
         let end = json!({"end": "aborted", "at": 1_000_000, "gone": settled});
-        b.ledger.apply(&keys::end(JobId(1)), Some(&end), 45);
+        b.state_replica.apply(&keys::end(JobId(1)), Some(&end), 45);
         let sizes = Sizes::from([("big".into(), Resources::have(8.0, 0.0, 32.0))]);
         // No controller is in the machine's zone, so its silence may be a partition.
         let away = LeaderConfig { zones: vec!["west".into(), "west".into()], ..context() };
-        b.leader = Leader::new(away, TERM + 1, 80, &b.ledger, &sizes, b.now, 1_000_000);
+        b.leader = Leader::new(away, TERM + 1, 80, &b.state_replica, &sizes, b.now, 1_000_000);
         for _ in 0..25 {
             b.tick(1000);
             b.sync(A, &[], &[]);
@@ -506,7 +506,7 @@
     b.edit_job(1, 61, |s| s.attempts = Some(2));
     // A changed record does not make a new `Run`, so it is made again here, as by a new leader.
     b.leader.jobs.clear();
-    b.leader.job_changed(JobId(1), &b.ledger, b.now);
+    b.leader.job_changed(JobId(1), &b.state_replica, b.now);
     // The job has run well elsewhere, so its failure is no reason to avoid the machine.
     b.leader.jobs.get_mut(&JobId(1)).unwrap().proven = true;
     b.tick(30);
@@ -517,13 +517,13 @@
     b.save_failures(70);
     b.pass_idle(4);
     let fails = |b: &Harness| {
-        let w = b.leader.due_writes(&b.ledger, 4000, b.now);
+        let w = b.leader.due_writes(&b.state_replica, 4000, b.now);
         w.iter().filter(|w| matches!(w, LeaderWrite::Fail(..))).count()
     };
     assert_eq!(fails(&b), 0);
     // A new leader continues from the record.
     let sizes = Sizes::from([("big".into(), Resources::have(8.0, 0.0, 32.0))]);
-    b.leader = Leader::new(context(), TERM + 1, 80, &b.ledger, &sizes, b.now, 1_000_000);
+    b.leader = Leader::new(context(), TERM + 1, 80, &b.state_replica, &sizes, b.now, 1_000_000);
     b.sync(A, &[], &[]);
     b.sync(B, &[], &[]);
     b.tick(1000);
@@ -539,10 +539,10 @@
     assert_eq!((fails(&b), b.attempt(task(1, 0))), (1, None));
     // The record ends the job for good, with its cause.
     let end = json!({"end": "aborted", "at": 1_000_000, "why": "attempts used up"});
-    b.ledger.apply(&keys::end(JobId(1)), Some(&end), 95);
-    b.leader.job_changed(JobId(1), &b.ledger, b.now);
+    b.state_replica.apply(&keys::end(JobId(1)), Some(&end), 95);
+    b.leader.job_changed(JobId(1), &b.state_replica, b.now);
     b.pass_idle(10);
-    let job = &b.ledger.jobs[&JobId(1)];
+    let job = &b.state_replica.jobs[&JobId(1)];
     assert_eq!((job.phase, job.cause.as_deref()), (Phase::Aborted, Some("attempts used up")));
     assert_eq!((fails(&b), b.attempt(task(1, 0))), (0, None));
 }
@@ -566,7 +566,7 @@
         b.add_job(1, 60, "t", "array", "standard", 1, 8.0);
         b.edit_job(1, 61, |s| s.attempts = Some(4));
         b.leader.jobs.clear();
-        b.leader.job_changed(JobId(1), &b.ledger, b.now);
+        b.leader.job_changed(JobId(1), &b.state_replica, b.now);
         b.tick(30);
         b.fail_task(1, 0);
         b.leader.machines.get_mut(&m("m0")).unwrap().failures = 1;
@@ -574,9 +574,9 @@
         b.save_failures(70);
         if machines == 2 {
             let v = json!({"t": "big", "z": "east", "s": false, "a": "addr1"});
-            b.ledger.apply(&keys::machine(&m("m1")), Some(&v), 71);
+            b.state_replica.apply(&keys::machine(&m("m1")), Some(&v), 71);
             let sizes = Sizes::from([("big".into(), Resources::have(8.0, 0.0, 32.0))]);
-            let mut new = Machine::new(&b.ledger.machines[&m("m1")], sizes["big"], Stage::Up, b.now);
+            let mut new = Machine::new(&b.state_replica.machines[&m("m1")], sizes["big"], Stage::Up, b.now);
             new.recorded = true;
             b.leader.machines.insert(m("m1"), new);
             b.tick(200);
@@ -634,20 +634,20 @@
         b.add_job(2, 61, "t", "standing", "prod", 1, 1.0);
         b.edit_job(2, 62, |s| s.after = vec![JobId(1)]);
         b.leader.jobs.remove(&JobId(2));
-        b.leader.job_changed(JobId(2), &b.ledger, b.now);
+        b.leader.job_changed(JobId(2), &b.state_replica, b.now);
         let started = |b: &mut Harness| {
             b.tick(100);
             b.attempt(task(2, 0)).is_some()
         };
         assert!(!started(&mut b), "the old version is active");
-        b.ledger.apply(&keys::end(JobId(1)), Some(&json!({"end": "aborted", "at": 1_000_000})), 70);
-        b.leader.job_changed(JobId(1), &b.ledger, b.now);
+        b.state_replica.apply(&keys::end(JobId(1)), Some(&json!({"end": "aborted", "at": 1_000_000})), 70);
+        b.leader.job_changed(JobId(1), &b.state_replica, b.now);
         assert!(!started(&mut b), "its task is still on a machine");
         // Neither is enough alone: the record, or that no task is known to be bound.
         let terminated = json!({"end": "aborted", "at": 1_000_000, "gone": true});
         let record = |b: &mut Harness| {
-            b.ledger.apply(&keys::end(JobId(1)), Some(&terminated), 75);
-            b.leader.job_changed(JobId(1), &b.ledger, b.now);
+            b.state_replica.apply(&keys::end(JobId(1)), Some(&terminated), 75);
+            b.leader.job_changed(JobId(1), &b.state_replica, b.now);
         };
         let empty = |b: &mut Harness| {
             let s = b.state("m0", b.token("m0"), &[]);
@@ -722,7 +722,7 @@
         if want == Why::Held {
             b.edit_job(9, 62, |s| s.after = vec![JobId(8)]);
             b.leader.jobs.remove(&JobId(9));
-            b.leader.job_changed(JobId(9), &b.ledger, b.now);
+            b.leader.job_changed(JobId(9), &b.state_replica, b.now);
         }
         assert!(b.leader.longest_waits(b.now).is_empty(), "{what}: too early");
         let waits = b.leader.longest_waits(b.now + Micros::secs(40));
@@ -773,7 +773,7 @@
         b.add_job(1, 61, "t", "array", "standard", 80, 8.0);
         b.edit_job(1, 62, |s| s.spot = true);
         b.leader.jobs.remove(&JobId(1));
-        b.leader.job_changed(JobId(1), &b.ledger, b.now);
+        b.leader.job_changed(JobId(1), &b.state_replica, b.now);
         let at = b.now + Micros::secs(passed);
         b.leader.recent_spot_rentals.push_back((at - Micros::secs(10), spot_rented));
         // A rental was just requested, and refused.
--- a/crates/core/src/leader/tests/limits.rs
+++ b/crates/core/src/leader/tests/limits.rs
@@ -35,14 +35,14 @@
     let record = crate::jobs::machines_value(("sedlo", "morava", false), list);
     let length = record.to_string().len();
     assert!((3500..4096).contains(&length), "{length}");
-    b.ledger.apply(RECORD, Some(&record), 1);
+    b.state_replica.apply(RECORD, Some(&record), 1);
     let sizes = Sizes::from([("sedlo".into(), Resources::have(8.0, 0.0, 32.0))]);
-    b.leader = Leader::new(context(), TERM, 50, &b.ledger, &sizes, b.now, 1_000_000);
+    b.leader = Leader::new(context(), TERM, 50, &b.state_replica, &sizes, b.now, 1_000_000);
     b.add_job(LONG.0, 60, "t", "array", "standard", TASKS, 1.0);
     b.add_job(FAILING.0, 61, "t", "array", "standard", 100, 1.0);
     b.edit_job(FAILING.0, 62, |spec| spec.attempts = Some(9));
     for chunk in 0..TASKS / CHUNK {
-        b.ledger.apply(&keys::progress(LONG, chunk), Some(&json!("ff")), 63);
+        b.state_replica.apply(&keys::progress(LONG, chunk), Some(&json!("ff")), 63);
     }
     let long = b.leader.jobs.get_mut(&LONG).unwrap();
     for i in 0..TASKS - 1 {
@@ -56,16 +56,20 @@
 }
 
 fn changes(b: &Harness, write: &LeaderWrite, limits: &StoreLimits) -> Option<Changes> {
-    let recording =
-        RecordContext { ledger: &b.ledger, limits, wall_ms: 1_700_000_000_000, may_create: &|_| true };
-    b.leader.changes(write, &recording)
+    let context = RecordContext {
+        state_replica: &b.state_replica,
+        limits,
+        wall_ms: 1_700_000_000_000,
+        may_create: &|_| true,
+    };
+    b.leader.changes(write, &context)
 }
 
-fn apply(ledger: &mut Ledger, changes: &Changes, stamp: u64) {
+fn apply(state_replica: &mut Ledger, changes: &Changes, stamp: u64) {
     for write in &changes.writes {
         match write {
-            Write::Put { put, v, .. } => ledger.apply(put, Some(v), stamp),
-            Write::Remove { remove } => ledger.apply(remove, None, stamp),
+            Write::Put { put, v, .. } => state_replica.apply(put, Some(v), stamp),
+            Write::Remove { remove } => state_replica.apply(remove, None, stamp),
         };
     }
 }
@@ -89,7 +93,7 @@
         let mut b = harness_with_long_records();
         // No machine is recorded, as after a large rental.
         b.leader.machines.values_mut().for_each(|m| (m.recorded, m.stage) = (false, Stage::Up));
-        let listed = b.leader.due_writes(&b.ledger, limits.value_bytes, b.now);
+        let listed = b.leader.due_writes(&b.state_replica, limits.value_bytes, b.now);
         let machines = listed.into_iter().find(|w| matches!(w, LeaderWrite::Machines(_))).unwrap();
         b.leader.deleted_machines.insert(name(3), (b.now, 0));
         let writes = [
@@ -129,14 +133,14 @@
                 Write::Put { put, .. } => put.clone(),
                 Write::Remove { remove } => remove.clone(),
             });
-            apply(&mut b.ledger, &sorted, stamp);
-            apply(&mut b.ledger, &changes, stamp);
+            apply(&mut b.state_replica, &sorted, stamp);
+            apply(&mut b.state_replica, &changes, stamp);
         }
-        let long = &b.ledger.jobs[&LONG];
+        let long = &b.state_replica.jobs[&LONG];
         assert!((0..CHUNK).all(|i| long.done.contains(i)), "{limit:?}");
         assert!(!long.done.contains(CHUNK + 8) && long.done.contains(CHUNK + 7), "{limit:?}");
         assert_eq!((long.chunks[&0], long.chunks[&1]), (70, 63), "{limit:?}");
-        let failing = &b.ledger.jobs[&FAILING];
+        let failing = &b.state_replica.jobs[&FAILING];
         assert_eq!(failing.failed, b.leader.jobs[&FAILING].fails, "{limit:?}");
         assert_eq!(failing.failed_stamps[&0], 71, "{limit:?}");
         // The next write is on the condition of the version that was read.
@@ -180,13 +184,13 @@
         assert_eq!((changes.writes.len(), changes.conditions.len()), (records, records), "{limit:?}");
         for write in &changes.writes {
             let Write::Put { put, v, .. } = write else { panic!("{write:?}") };
-            b.ledger.apply(put, Some(v), 80);
-            let known = b.ledger.machines.len();
+            b.state_replica.apply(put, Some(v), 80);
+            let known = b.state_replica.machines.len();
             assert!(known >= MACHINES - 1, "{limit:?}: {known} machines known after {put}");
         }
-        assert!(!b.ledger.machines.contains_key(&name(3)));
-        assert_eq!(b.ledger.machines.len(), MACHINES - 1);
-        let writes = b.leader.due_writes(&b.ledger, limits.value_bytes, b.now);
+        assert!(!b.state_replica.machines.contains_key(&name(3)));
+        assert_eq!(b.state_replica.machines.len(), MACHINES - 1);
+        let writes = b.leader.due_writes(&b.state_replica, limits.value_bytes, b.now);
         assert!(!writes.iter().any(|w| matches!(w, LeaderWrite::Forget(_))), "{limit:?}: {writes:?}");
     }
     // A key that exists, or that may not be created, is skipped for another.
@@ -196,8 +200,9 @@
     let first = changes(&b, &LeaderWrite::Forget(RECORD.into()), &small).unwrap();
     let unavailable = first.conditions[1].path.clone();
     let free = |key: &str| key != unavailable;
-    let recording = RecordContext { ledger: &b.ledger, limits: &small, wall_ms: 0, may_create: &free };
-    let second = b.leader.changes(&LeaderWrite::Forget(RECORD.into()), &recording).unwrap();
+    let context =
+        RecordContext { state_replica: &b.state_replica, limits: &small, wall_ms: 0, may_create: &free };
+    let second = b.leader.changes(&LeaderWrite::Forget(RECORD.into()), &context).unwrap();
     assert!(second.conditions.iter().all(|c| c.path != unavailable));
     assert_eq!(second.writes.len(), first.writes.len());
 }
@@ -210,11 +215,11 @@
     let mut b = harness_with_long_records();
     let write = LeaderWrite::Progress(LONG, 0);
     let progress = changes(&b, &write, &small).unwrap();
-    apply(&mut b.ledger, &progress, 70);
+    apply(&mut b.state_replica, &progress, 70);
     let end = changes(&b, &LeaderWrite::End(LONG), &small).unwrap();
     assert_eq!(end.writes.len(), 4);
-    apply(&mut b.ledger, &end, 71);
-    apply(&mut b.ledger, &progress, 70);
-    let job = &b.ledger.jobs[&LONG];
+    apply(&mut b.state_replica, &end, 71);
+    apply(&mut b.state_replica, &progress, 70);
+    let job = &b.state_replica.jobs[&LONG];
     assert_eq!((job.phase, job.done.len(), job.further_parts.len()), (Phase::Done, 0, 0));
 }
--- a/crates/core/src/leader/tests/pipelines.rs
+++ b/crates/core/src/leader/tests/pipelines.rs
@@ -32,11 +32,11 @@
 
     /// Applies a record to the state replica and the leader.
     fn apply_record(&mut self, key: &str, value: serde_json::Value) {
-        self.ledger.applied += 1;
-        let change = self.ledger.apply(key, Some(&value), 100 + self.ledger.applied);
+        self.state_replica.applied += 1;
+        let change = self.state_replica.apply(key, Some(&value), 100 + self.state_replica.applied);
         let crate::jobs::Change::Job { id, cancelled } = change else { panic!("{change:?}") };
         for id in std::iter::once(id).chain(cancelled) {
-            self.leader.job_changed(id, &self.ledger, self.now);
+            self.leader.job_changed(id, &self.state_replica, self.now);
         }
     }
 
@@ -47,7 +47,7 @@
     /// Replaces the leader by a new one over the same records.
     fn next_leader(&mut self) {
         let sizes = Sizes::from([("big".into(), Resources::have(8.0, 0.0, 32.0))]);
-        self.leader = Leader::new(context(), TERM + 1, 500, &self.ledger, &sizes, self.now, 1_000_000);
+        self.leader = Leader::new(context(), TERM + 1, 500, &self.state_replica, &sizes, self.now, 1_000_000);
     }
 }
 
@@ -90,7 +90,7 @@
     let state = b.state("m0", b.token("m0"), &[(task(1, 0), attempt, TaskState::Done)]);
     b.sync(A, &[state], &[]);
     b.tick(100);
-    assert!(b.leader.due_writes(&b.ledger, 4000, b.now).contains(&LeaderWrite::End(JobId(1))));
+    assert!(b.leader.due_writes(&b.state_replica, 4000, b.now).contains(&LeaderWrite::End(JobId(1))));
     assert!(!b.is_assigned(2), "its end is not recorded");
     b.next_leader();
     assert!(b.leader.jobs[&JobId(2)].held);
@@ -186,7 +186,7 @@
     }
     b.record_end(1, "aborted");
     let wanted = |b: &Harness| {
-        let writes = b.leader.due_writes(&b.ledger, 4000, b.now);
+        let writes = b.leader.due_writes(&b.state_replica, 4000, b.now);
         let with = |w: &LeaderWrite| matches!(w, LeaderWrite::CancelledWith(_));
         writes.into_iter().filter(with).collect::<Vec<_>>()
     };
--- a/crates/core/src/node/duties.rs
+++ b/crates/core/src/node/duties.rs
@@ -431,7 +431,7 @@
     fn changes_of(&self, write: &LeaderWrite) -> Option<Changes> {
         let may_create = |key: &str| self.leadership.may_create(key, self.now);
         let recording = RecordContext {
-            ledger: &self.mirror.ledger,
+            state_replica: &self.mirror.ledger,
             limits: &self.limits,
             wall_ms: self.wall_ms,
             may_create: &may_create,
