--- a/crates/core/src/leader/assignments.rs
+++ b/crates/core/src/leader/assignments.rs
@@ -38,12 +38,12 @@
 
 /// Assigned tasks, and the machine at which each is watched.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub(super) struct AssignedTasks {
+pub(super) struct UnresolvedTasks {
     tasks: BTreeSet<TaskId>,
     watched: BTreeMap<MachineId, BTreeSet<TaskId>>,
 }
 
-impl AssignedTasks {
+impl UnresolvedTasks {
     #[cfg(test)]
     pub(super) fn len(&self) -> usize {
         self.tasks.len()
@@ -58,9 +58,9 @@
     }
 
     /// Removes a task whose machine is known, or that is on no machine.
-    pub(super) fn remove(&mut self, task: TaskId, handed: &UnresolvedAssignment) {
+    pub(super) fn remove(&mut self, task: TaskId, unresolved: &UnresolvedAssignment) {
         self.tasks.remove(&task);
-        let Some(id) = &handed.watched_at else { return };
+        let Some(id) = &unresolved.watched_at else { return };
         if let Some(tasks) = self.watched.get_mut(id) {
             tasks.remove(&task);
             if tasks.is_empty() {
--- a/crates/core/src/leader/bindings.rs
+++ b/crates/core/src/leader/bindings.rs
@@ -9,7 +9,7 @@
         &mut self,
         from: NodeId,
         incarnation: u64,
-        view: &SyncView<'_>,
+        sync: &SyncView<'_>,
         state_replica: &Ledger,
         now: Micros,
     ) {
@@ -25,46 +25,46 @@
             *node = Node { incarnation, incarnation_since: now, ..Node::default() };
             if !first {
                 info!("controller {} restarted", from.0);
-                let stamp = self.update_seq + 1;
+                let next_update = self.update_seq + 1;
                 for m in self.machines.values_mut().filter(|m| m.holder == Some(from)) {
                     m.last_holder = m.holder.take();
                     m.confirmed = false;
-                    m.changed_in = stamp;
+                    m.changed_in = next_update;
                 }
                 self.blocks.clear();
                 self.blocks_checked_at = Micros(0);
                 self.pending_assignments.retain(|_, h| h.to != from);
             }
             self.needs_scheduling = true;
-        } else if view.seq <= node.sync_seq {
+        } else if sync.seq <= node.sync_seq {
             return;
         }
         let Some(node) = self.nodes.get_mut(from.0 as usize) else { return };
-        if view.base > node.sync_seq {
+        if sync.base > node.sync_seq {
             // It builds on a `Sync` that was not applied; the next update names the last one.
             return;
         }
-        node.sync_seq = view.seq;
-        node.acked_update = view.acked_update;
-        node.pacer.acknowledged(view.acked_update, now);
-        node.ack_due |= !view.machines.is_empty() || !view.outcomes.is_empty();
+        node.sync_seq = sync.seq;
+        node.acked_update = sync.acked_update;
+        node.pacer.acknowledged(sync.acked_update, now);
+        node.ack_due |= !sync.machines.is_empty() || !sync.outcomes.is_empty();
         if node.last_contact.is_none_or(|t| now.since(t) > CONTACT_TIMEOUT) {
             node.contact_since = now;
         }
         node.last_contact = Some(now);
-        for o in view.outcomes {
+        for o in sync.outcomes {
             self.apply_outcome(from, incarnation, o);
         }
-        for s in view.machines {
+        for s in sync.machines {
             self.apply_machine_state(from, s, state_replica, now);
         }
-        for (id, ago, report) in view.contacts {
+        for (id, ago, report) in sync.contacts {
             if let Some(m) = self.machines.get_mut(id) {
                 m.record_contact(now - *ago, from, *report);
                 m.goes_on(from, now - *ago, now);
             }
         }
-        for s in view.unleased_reports {
+        for s in sync.unleased_reports {
             if let Some(m) = self.machines.get(&s.id) {
                 let rec = m.record();
                 self.apply_unleased_report(from, s, &rec, &Sizes::new(), now);
@@ -87,10 +87,10 @@
         if b.attempt != o.attempt || b.handed.as_ref().is_none_or(|x| x.incarnation != incarnation) {
             return;
         }
-        let Some(handed) = b.handed.take() else { return };
-        self.unresolved_tasks.remove(h.task, &handed);
+        let Some(unresolved) = b.handed.take() else { return };
+        self.unresolved_tasks.remove(h.task, &unresolved);
         if let Some(id) = &o.machine
-            && handed.candidates.contains(id)
+            && unresolved.candidates.contains(id)
             && let Some(m) = self.machines.get_mut(id).filter(|m| may_hold(m, o.attempt))
         {
             b.on.insert(id.clone());
@@ -99,7 +99,7 @@
             m.used_stale = true;
         }
         self.placement_log.record_change(h.task);
-        self.free_if_nowhere(h.task);
+        self.release_if_unplaced(h.task);
     }
 
     pub(super) fn apply_machine_state(
@@ -111,8 +111,8 @@
     ) {
         let Some(m) = self.machines.get_mut(&s.id) else { return };
         if !self.grants_started {
-            // A report that the controllers know already is not new when it comes again.
-            m.is_new_report(s.last, from);
+            // A heartbeat that the controllers know already is not new when it comes again.
+            m.is_new_heartbeat(s.last, from);
             // Before the first grants: the controller that held it under the highest token is
             // its best holder.
             if s.baton > m.fencing_token && s.baton.term() < self.term {
@@ -121,7 +121,7 @@
             }
             return;
         }
-        // A report counts as contact under any token: a holder that was partitioned has not
+        // A heartbeat counts as contact under any token: a holder that was partitioned has not
         // received its newest grant, and its machines are not dead.
         if let Some(ago) = s.heard_ago {
             m.record_contact(now - ago, from, s.last);
@@ -141,28 +141,28 @@
             m.tasks_unknown = false;
             self.needs_scheduling = true;
         }
-        let mut here: BTreeMap<TaskId, (Attempt, TaskState)> = BTreeMap::new();
+        let mut reported: BTreeMap<TaskId, (Attempt, TaskState)> = BTreeMap::new();
         let mut exits = Vec::new();
         for t in &s.tasks {
             if t.state.exited() {
                 exits.push(t.clone());
             } else {
-                here.insert(t.task, (t.attempt, t.state));
+                reported.insert(t.task, (t.attempt, t.state));
             }
         }
         let old = m.tasks.clone();
-        if old != here {
+        if old != reported {
             self.needs_scheduling = true;
             m.used_stale = true;
         }
         if confirmed {
-            m.started.retain(|t, _| here.contains_key(t));
-            m.tasks = here.clone();
+            m.started.retain(|t, _| reported.contains_key(t));
+            m.tasks = reported.clone();
         } else {
-            m.tasks.extend(here.clone());
+            m.tasks.extend(reported.clone());
         }
         let token = m.fencing_token;
-        for (task, (attempt, state)) in &here {
+        for (task, (attempt, state)) in &reported {
             if *state == TaskState::Running && !m.started.contains_key(task) {
                 debug!("{task}: runs on {}", s.id);
                 m.started.insert(*task, now);
@@ -182,9 +182,9 @@
                     .entry(task.job)
                     .or_insert_with(|| Run::new(job, spec.clone(), &self.config.objectives));
                 run.proven |= proven;
-                let sums = &mut self.bound_totals;
+                let totals = &mut self.bound_totals;
                 let b = run.bound.entry(task.index).or_insert_with(|| {
-                    sums.add(&spec);
+                    totals.add(&spec);
                     Binding { attempt: *attempt, handed: None, on: BTreeSet::new() }
                 });
                 m.bound.insert(*task);
@@ -206,17 +206,17 @@
             }
         }
         if confirmed {
-            for task in old.keys().filter(|t| !here.contains_key(t)) {
+            for task in old.keys().filter(|t| !reported.contains_key(t)) {
                 self.unbind(*task, &s.id);
             }
             if newly_confirmed {
-                self.clear_handed(&s.id, Some(token));
-                // Tasks bound here under an earlier grant that are not in the report.
+                self.rule_out_assignments(&s.id, Some(token));
+                // Tasks bound here under an earlier grant that are not in the heartbeat.
                 let lost: Vec<TaskId> = self
                     .machines
                     .get(&s.id)
                     .iter()
-                    .flat_map(|m| m.bound.iter().filter(|t| !here.contains_key(t)).copied())
+                    .flat_map(|m| m.bound.iter().filter(|t| !reported.contains_key(t)).copied())
                     .collect();
                 for t in lost {
                     self.unbind(t, &s.id);
@@ -253,7 +253,7 @@
                 }
             }
             TaskState::Failed if known => {
-                let mut again = run.failures + 1;
+                let mut failures = run.failures + 1;
                 if run.spec.attempts.is_some()
                     && let Some(attempt) = run.bound.get(&task.index).map(|b| b.attempt.0)
                 {
@@ -262,13 +262,13 @@
                         *f = Failures { count: f.count + 1, last: attempt };
                         run.unsaved.insert(task.index);
                     }
-                    again = f.count;
+                    failures = f.count;
                 }
                 run.failures += 1;
                 run.failed_on.insert(id.clone());
                 if run.failed_on.len() > 1 && !run.proven {
                     // It fails on every machine: the delay doubles each time.
-                    run.retry_at = now + Micros::millis(500 << again.min(7));
+                    run.retry_at = now + Micros::millis(500 << failures.min(7));
                 } else {
                     run.retry_at = now + Micros::millis(200);
                 }
@@ -310,10 +310,10 @@
         if let Some(m) = self.machines.get_mut(id) {
             m.bound.remove(&task);
         }
-        self.free_if_nowhere(task);
+        self.release_if_unplaced(task);
     }
 
-    pub(super) fn free_if_nowhere(&mut self, task: TaskId) {
+    pub(super) fn release_if_unplaced(&mut self, task: TaskId) {
         if let Some(run) = self.jobs.get_mut(&task.job)
             && let Some(b) = run.bound.get(&task.index)
             && b.on.is_empty()
@@ -334,35 +334,35 @@
 
     /// The machine's task list is known under `token`, or (`None`) the machine is deleted:
     /// no assignment made before can be started on it any more.
-    pub(super) fn clear_handed(&mut self, id: &MachineId, token: Option<Baton>) {
+    pub(super) fn rule_out_assignments(&mut self, id: &MachineId, token: Option<Baton>) {
         if let (Some(token), Some(m)) = (token, self.machines.get_mut(id)) {
             m.task_list_token = m.task_list_token.max(token);
         }
-        let mut free = Vec::new();
+        let mut released = Vec::new();
         for task in self.unresolved_tasks.take_watched(id) {
             let Some(run) = self.jobs.get_mut(&task.job) else { continue };
             let Some(b) = run.bound.get_mut(&task.index) else { continue };
             let Some(h) = b.handed.as_mut() else { continue };
             if token.is_none_or(|t| b.attempt.0 < t.0) {
                 let next = |after| next_candidate(&h.candidates, after, &run.spec, b.attempt, &self.machines);
-                // Free only if no machine of the block may hold it: the machines that the job
+                // Release it only if no machine of the block may hold it: the machines that the job
                 // allows may have changed.
                 h.watched_at = next(Some(id)).or_else(|| next(None));
             }
             if h.watched_at.is_some() {
                 self.unresolved_tasks.watch(task, h.watched_at.as_ref());
-            } else if let Some(handed) = b.handed.take() {
-                self.unresolved_tasks.remove(task, &handed);
+            } else if let Some(unresolved) = b.handed.take() {
+                self.unresolved_tasks.remove(task, &unresolved);
                 self.placement_log.record_change(task);
-                free.push((task, b.attempt, handed.hint));
+                released.push((task, b.attempt, unresolved.hint));
             }
         }
-        for (task, attempt, hint) in free {
+        for (task, attempt, hint) in released {
             self.pending_assignments.remove(&attempt);
             if let Some(m) = self.machines.get_mut(&hint) {
                 m.reserved.remove(&attempt);
             }
-            self.free_if_nowhere(task);
+            self.release_if_unplaced(task);
         }
     }
 
@@ -378,14 +378,15 @@
         self.blocks.clear();
         self.deleted_machines.insert(id.clone(), (now, self.update_seq + 1));
         self.last_seen.remove(id);
-        self.clear_handed(id, None);
+        self.rule_out_assignments(id, None);
         for t in tasks {
             self.unbind(t, id);
         }
         self.needs_scheduling = true;
     }
 
-    /// A machine reported to a controller that doesn't hold it, or answered its probe.
+    /// Applies a heartbeat of a machine to a controller that doesn't hold it, or the machine's
+    /// answer to a probe.
     pub fn apply_unleased_report(
         &mut self,
         from: NodeId,
@@ -399,7 +400,7 @@
             return;
         }
         match self.machines.get_mut(id) {
-            // A copy of a report may arrive after its machine was deleted, and a new leader has
+            // A copy of a heartbeat may arrive after its machine was deleted, and a new leader has
             // nothing to compare it with: only a worker that answers a probe is adopted. An
             // unexpected one that can't be probed appears in the cloud's list.
             None if !s.asked => {
@@ -418,13 +419,13 @@
             Some(m) if (&m.machine_type, &m.zone, m.spot) != (&rec.build, &rec.zone, rec.spot) => {
                 if self.mismatched.insert(id.clone()) {
                     warn!(
-                        "{id}: report ignored: it names {} in {}, the record {} in {}",
+                        "{id}: heartbeat ignored: it names {} in {}, the record {} in {}",
                         rec.build, rec.zone, m.machine_type, m.zone
                     );
                 }
             }
             Some(m) => {
-                if !m.is_new_report(s.report, from) {
+                if !m.is_new_heartbeat(s.report, from) {
                     return;
                 }
                 self.last_seen.insert(id.clone(), (from, now));
--- a/crates/core/src/leader/blocks.rs
+++ b/crates/core/src/leader/blocks.rs
@@ -76,9 +76,9 @@
         m.granted_at = now;
         m.needs_new_token = false;
         m.probed_at = None;
-        // The new holder has to report the machine itself; reports to the last one say nothing
-        // about it. The other controllers learn of the grant with their next update, and the
-        // one that the worker reports to at once.
+        // The new holder has to receive a heartbeat itself; those to the last holder say nothing
+        // about that. The other controllers learn of the grant with their next update, and the
+        // one that the worker sends heartbeats to at once.
         self.mark_changed(id);
         if let Some((n, _)) = self.last_seen.get(id)
             && let Some(n) = self.nodes.get_mut(n.0 as usize)
@@ -155,7 +155,7 @@
                         && self.in_contact(s, now)
                         && (silent || !self.in_contact(h, now))
                     {
-                        moves.push((id.clone(), s, "its worker reports to that controller"));
+                        moves.push((id.clone(), s, "its worker sends heartbeats to that controller"));
                     } else if m.needs_new_token && m.confirmed && now.since(m.granted_at) > Micros::secs(1) {
                         moves.push((id.clone(), h, "a new token rules out a delayed start"));
                     } else if m.confirmed
@@ -188,7 +188,7 @@
     }
 
     /// Grants a machine without a holder to the controller that held it, to one of its zone,
-    /// or to one that its worker reports to. If none of these is in contact, the zone may be
+    /// or to one that its worker sends heartbeats to. If none of these is in contact, the zone may be
     /// partitioned together with its controller, which goes on renewing its workers' leases;
     /// a grant to a controller on the other side of the partition would not help.
     pub(super) fn grant_unheld(&mut self, load: &mut [usize], id: &MachineId, zone: &str, now: Micros) {
@@ -211,9 +211,9 @@
         let mut doomed = Vec::new();
         let mut probes = Vec::new();
         // A partition between zones looks as if all machines beyond it failed, one after the
-        // other as their reports fall due. A machine is taken for dead quickly only on proof
-        // that the network path is open: its holder received a report from another machine of
-        // the zone after this one's report was overdue.
+        // other as their heartbeats fall due. A machine is taken for dead quickly only on proof
+        // that the network path is open: its holder received a heartbeat from another machine of
+        // the zone after this one's heartbeat was overdue.
         let mut latest: BTreeMap<(NodeId, &str), (Micros, u32)> = BTreeMap::new();
         let mut zone_latest: BTreeMap<&str, Micros> = BTreeMap::new();
         for m in self.machines.values().filter(|m| m.stage == Stage::Up) {
@@ -227,7 +227,7 @@
             let last = zone_latest.entry(&m.zone).or_default();
             *last = (*last).max(t);
         }
-        // Within this time it should have reported, or have answered its holder's probe.
+        // Within this time it should have sent a heartbeat, or have answered its holder's probe.
         let overdue =
             (self.config.report_interval.scale(5, 4) + Micros::secs(1)).min(ASKED_AFTER + ASK_TIMEOUT);
         let heard_by = latest.iter().map(|((h, zone), (t, _))| (Some(*h), *zone, *t));
@@ -273,11 +273,11 @@
             let limit = if here >= open || near && held < 2 {
                 limit
             } else if near {
-                // The holder receives no report from any machine of the zone: it may itself be
-                // partitioned, and the workers soon report to other controllers.
+                // The holder receives no heartbeat from any machine of the zone: it may itself be
+                // partitioned, and the workers soon turn to other controllers.
                 limit.scale(2, 1)
             } else if zone >= open {
-                // Other controllers receive reports from the zone: its workers switch to them
+                // Other controllers receive heartbeats from the zone: its workers switch to them
                 // one after the other, each after a few controllers that do not answer.
                 limit.scale(4, 1)
             } else {
@@ -289,7 +289,7 @@
         }
         // Least recently probed first, and only as many as a controller can probe beside its
         // work: after the loss of most controllers all machines are silent at once, and their
-        // reports resume without probes.
+        // heartbeats resume without probes.
         probes.sort();
         probes.truncate(MAX_PROBES_PER_SCAN);
         for (_, id) in probes {
@@ -369,7 +369,7 @@
                     doomed.extend(machines.map(|id| (id.clone(), *job)));
                 }
             }
-            // Machines that have not reported in this term may hold its tasks.
+            // Machines without a heartbeat in this term may hold its tasks.
             if now >= self.deletion_due(*by, 90, Micros::millis(2500))
                 && let Some(spec) = record.and_then(|j| j.spec.as_ref())
             {
--- a/crates/core/src/leader/cancelled.rs
+++ b/crates/core/src/leader/cancelled.rs
@@ -7,10 +7,10 @@
 
 impl Leader {
     /// Whether a start of a cancelled job may still be ordered. `known_by` are the
-    /// incarnations that act on the cancellation, by controller; `ended` are controllers whose
+    /// incarnations that act on the cancellation, by controller; `exited` are controllers whose
     /// hosts report that their process has exited.
-    pub fn may_still_start(&self, id: JobId, known_by: &[u64], ended: &[NodeId], now: Micros) -> bool {
-        let unaware = self.unaware(known_by, ended, now);
+    pub fn may_still_start(&self, id: JobId, known_by: &[u64], exited: &[NodeId], now: Micros) -> bool {
+        let unaware = self.unaware(known_by, exited, now);
         if unaware.is_empty() {
             return false;
         }
@@ -24,12 +24,12 @@
 
     /// Controllers that may start tasks and don't act on a cancellation. A controller's block
     /// lease began before this leader last received its `Sync`, or before this term.
-    fn unaware(&self, known_by: &[u64], ended: &[NodeId], now: Micros) -> Vec<NodeId> {
+    fn unaware(&self, known_by: &[u64], exited: &[NodeId], now: Micros) -> Vec<NodeId> {
         let may_start = |(i, node): &(usize, &Node)| {
             let n = NodeId(*i as u8);
             let known = known_by.get(*i).is_some_and(|known| *known >= node.incarnation.max(1));
             let lease_until = node.last_contact.unwrap_or(self.term_start) + self.config.operator.block_lease;
-            n != self.config.node_id && !known && !ended.contains(&n) && now < lease_until
+            n != self.config.node_id && !known && !exited.contains(&n) && now < lease_until
         };
         self.nodes.iter().enumerate().filter(may_start).map(|(i, _)| NodeId(i as u8)).collect()
     }
@@ -43,7 +43,7 @@
         }
         b.on.iter().filter_map(|id| self.machines.get(id)).any(|m| {
             let seen = m.tasks.get(&task).is_some_and(|(_, state)| *state != TaskState::Starting);
-            // A grant to another holder proves nothing before the worker reports its token.
+            // A grant to another holder proves nothing before the worker's heartbeat shows its token.
             let arrived = m.started.contains_key(&task) || m.confirmed && seen;
             let held_by = m.holder.filter(|_| m.confirmed);
             !arrived && held_by.is_none_or(|n| unaware.contains(&n))
--- a/crates/core/src/leader/log_replication.rs
+++ b/crates/core/src/leader/log_replication.rs
@@ -29,7 +29,7 @@
         due.into_iter().map(|(n, base)| (n, Message::Books(self.log_update(base)))).collect()
     }
 
-    /// The present places of all tasks that changed after `base`.
+    /// The current places of all tasks that changed after `base`.
     fn log_update(&self, base: u64) -> LogUpdate {
         let entry = |task: &TaskId| {
             let run = self.jobs.get(&task.job)?;
@@ -44,7 +44,7 @@
                 };
                 return done.then_some(done_entry);
             };
-            let handed = b.handed.as_ref().map(|h| {
+            let unresolved = b.handed.as_ref().map(|h| {
                 let zone = run.spec.has_zone_rule().then(|| h.zone.clone());
                 (h.hint.clone(), zone)
             });
@@ -57,15 +57,15 @@
                 machines: b.on.iter().cloned().collect(),
                 starting,
                 done,
-                unresolved_assignment: handed,
+                unresolved_assignment: unresolved,
             })
         };
         let tasks = match self.placement_log.changed_since(base) {
             Some(tasks) => tasks.into_iter().map(|t| (t, entry(&t))).collect(),
             None => {
                 let all = self.jobs.iter().flat_map(|(job, r)| {
-                    let kept = r.bound.keys().chain(r.unrecorded.iter());
-                    kept.map(|index| TaskId { job: *job, index: *index })
+                    let logged = r.bound.keys().chain(r.unrecorded.iter());
+                    logged.map(|index| TaskId { job: *job, index: *index })
                 });
                 all.map(|t| (t, entry(&t))).collect()
             }
@@ -81,12 +81,12 @@
         self.placement_log.coverage_changed
     }
 
-    /// The record of replicas to write now, and the version that it replaces. `ended` are
+    /// The record of replicas to write now, and the revision that it replaces. `exited` are
     /// controllers whose hosts report that their process has exited.
     pub fn due_replica_record(
         &mut self,
         state_replica: &Ledger,
-        ended: &[NodeId],
+        exited: &[NodeId],
         now: Micros,
     ) -> Option<(StandbyReplicas, u64)> {
         self.placement_log.update_record(&state_replica.books.0, state_replica.books.1);
@@ -94,7 +94,7 @@
             return None;
         }
         let in_contact = self.incarnations_in_contact(now);
-        self.placement_log.due_record(&in_contact, ended, self.term_start, now)
+        self.placement_log.due_record(&in_contact, exited, self.term_start, now)
     }
 
     /// The write of a record of replicas ended, whether it succeeded or not.
@@ -109,20 +109,20 @@
     }
 
     /// Adopts the placement log of the earlier leader. It contains all places where a task
-    /// may be, so a machine that has not reported in this term holds what the log says and
+    /// may be, so a machine without a heartbeat in this term holds what the log says and
     /// nothing else.
-    pub fn adopt_log(&mut self, term: u64, book: &LogReplica, state_replica: &Ledger) {
+    pub fn adopt_log(&mut self, term: u64, log: &LogReplica, state_replica: &Ledger) {
         if self.grants_started || !self.awaits_log || self.placement_log.record().term != term {
             return;
         }
         self.awaits_log = false;
         for (id, m) in self.machines.iter_mut() {
-            m.tasks_unknown = book.unknown_machines.contains(id);
+            m.tasks_unknown = log.unknown_machines.contains(id);
         }
         let mut adopted = 0;
         // Tasks that may be on any machine of the same zone, or on any machine, share one set.
         let mut blocks: BTreeMap<&Option<String>, Rc<BTreeSet<MachineId>>> = BTreeMap::new();
-        for (task, e) in &book.tasks {
+        for (task, e) in &log.tasks {
             let job = state_replica.jobs.get(&task.job);
             let Some((job, spec)) = job.and_then(|j| Some((j, j.spec.clone()?))) else { continue };
             if e.done && job.phase == Phase::Active && !job.done.contains(task.index) {
@@ -137,7 +137,7 @@
             // A machine without a record is deleted: its record is removed only then.
             let on: BTreeSet<MachineId> =
                 e.machines.iter().filter(|id| self.machines.contains_key(*id)).cloned().collect();
-            let handed = e.unresolved_assignment.as_ref().map(|(hint, zone)| {
+            let unresolved = e.unresolved_assignment.as_ref().map(|(hint, zone)| {
                 let block = blocks.entry(zone).or_insert_with(|| {
                     let in_zone = |m: &Machine| zone.as_ref().is_none_or(|z| *z == m.zone);
                     let all = self.machines.iter().filter(|(_, m)| in_zone(m));
@@ -153,7 +153,7 @@
                     watched_at: first_candidate(block, &spec, e.attempt, &self.machines),
                 }
             });
-            if on.is_empty() && handed.is_none() {
+            if on.is_empty() && unresolved.is_none() {
                 continue;
             }
             let objectives = &self.config.objectives;
@@ -166,11 +166,11 @@
                     m.used_stale = true;
                 }
             }
-            if let Some(handed) = &handed {
-                self.unresolved_tasks.watch(*task, handed.watched_at.as_ref());
+            if let Some(unresolved) = &unresolved {
+                self.unresolved_tasks.watch(*task, unresolved.watched_at.as_ref());
             }
             self.bound_totals.add(&run.spec);
-            run.bound.insert(task.index, Binding { attempt: e.attempt, handed, on });
+            run.bound.insert(task.index, Binding { attempt: e.attempt, handed: unresolved, on });
             self.placement_log.record_change(*task);
             adopted += 1;
         }
@@ -178,7 +178,7 @@
         self.queue_stale = true;
         info!(
             "placement log of term {term} adopted: tasks={adopted} unknown_machines={}",
-            book.unknown_machines.len()
+            log.unknown_machines.len()
         );
     }
 }
--- a/crates/core/src/leader/machine.rs
+++ b/crates/core/src/leader/machine.rs
@@ -1,14 +1,14 @@
 //! A machine as the leader knows it. Invariant: tasks may be assigned only to a machine that
-//! is recorded and whose holder has received a report under the grant's token
-//! (`Machine::usable`).
+//! is recorded and whose holder has received a heartbeat under the grant's token
+//! (`Machine::is_usable`).
 use super::*;
 
 /// Lifecycle stage of a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
-    /// Rented; no report was received yet.
+    /// Rented; no heartbeat was received yet.
     Booting,
-    /// It has reported, or an earlier term recorded it.
+    /// It has sent a heartbeat, or an earlier term recorded it.
     Up,
     /// Being deleted; its tasks stay bound until the cloud confirms the deletion.
     Deleting,
@@ -38,20 +38,20 @@
     pub(super) fencing_token: Baton,
     /// The last token under which its complete task list was received.
     pub(super) task_list_token: Baton,
-    /// The holder has received a report under `baton`, so its task list is complete.
+    /// The holder has received a heartbeat under `fencing_token`, so its task list is complete.
     pub(super) confirmed: bool,
     pub(super) tasks: BTreeMap<TaskId, (Attempt, TaskState)>,
     pub(super) started: BTreeMap<TaskId, Micros>,
     pub(super) reserved: BTreeMap<Attempt, Resources>,
-    /// Resources that its tasks use; `stale` if the tasks changed since it was computed.
+    /// Resources that its tasks use; `used_stale` if the tasks changed since it was computed.
     pub(super) used: Resources,
     pub(super) used_stale: bool,
     /// Tasks that are bound to it.
     pub(super) bound: BTreeSet<TaskId>,
     pub(super) last_contact: Option<Micros>,
-    /// The newest report of its worker that any controller forwarded, and which controller.
-    pub(super) newest_report: ReportNo,
-    pub(super) newest_report_from: Option<NodeId>,
+    /// The newest heartbeat of its worker that any controller forwarded, and which controller.
+    pub(super) newest_heartbeat: ReportNo,
+    pub(super) newest_heartbeat_from: Option<NodeId>,
     pub(super) command_reachability: deaf::Hearing,
     pub(super) holder_contact: Micros,
     pub(super) holder_changed_at: Micros,
@@ -107,8 +107,8 @@
             used_stale: true,
             bound: BTreeSet::new(),
             last_contact: None,
-            newest_report: ReportNo::default(),
-            newest_report_from: None,
+            newest_heartbeat: ReportNo::default(),
+            newest_heartbeat_from: None,
             command_reachability: deaf::Hearing::new(now),
             holder_contact: Micros(0),
             holder_changed_at: Micros(0),
@@ -142,19 +142,19 @@
     pub(super) fn free(&self) -> Resources {
         self.reserved.values().fold(self.size.minus(self.used), |f, r| f.minus(*r))
     }
-    /// Whether a report forwarded by `from` is new: neither a copy of one that another
+    /// Whether a heartbeat forwarded by `from` is new: neither a copy of one that another
     /// controller forwarded, nor a delayed one.
-    pub(super) fn is_new_report(&mut self, report: ReportNo, from: NodeId) -> bool {
-        if report > self.newest_report {
-            (self.newest_report, self.newest_report_from) = (report, Some(from));
+    pub(super) fn is_new_heartbeat(&mut self, report: ReportNo, from: NodeId) -> bool {
+        if report > self.newest_heartbeat {
+            (self.newest_heartbeat, self.newest_heartbeat_from) = (report, Some(from));
             return true;
         }
-        report == self.newest_report && self.newest_report_from == Some(from)
+        report == self.newest_heartbeat && self.newest_heartbeat_from == Some(from)
     }
-    /// Records that a controller received a report at `at`. From its holder, that proves that
-    /// the network path between them is open. Copies of reports prove nothing.
+    /// Records that a controller received a heartbeat at `at`. From its holder, that proves that
+    /// the network path between them is open. Copies of heartbeats prove nothing.
     pub(super) fn record_contact(&mut self, at: Micros, from: NodeId, report: ReportNo) {
-        if !self.is_new_report(report, from) {
+        if !self.is_new_heartbeat(report, from) {
             return;
         }
         if self.holder == Some(from) {
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -25,7 +25,7 @@
 mod wishes;
 
 use crate::lateness::Lateness;
-use assignments::{AssignedTasks, UnresolvedAssignment, may_hold};
+use assignments::{UnresolvedAssignment, UnresolvedTasks, may_hold};
 pub use machine::{Machine, Stage};
 use run::{Binding, MISTAKEN, Run};
 use wishes::HireStage;
@@ -121,9 +121,9 @@
     pub acked_update: u64,
     /// Machines that changed.
     pub machines: &'a [MachineState],
-    /// Machines that reported without a change, and how long ago.
+    /// Machines that sent a heartbeat without a change, and how long ago.
     pub contacts: &'a [(MachineId, Micros, ReportNo)],
-    /// Machines of other holders whose workers report to the controller.
+    /// Machines that the controller does not hold and whose workers send it heartbeats.
     pub unleased_reports: &'a [Sighting],
     /// Assignments that the controller has carried out or refused.
     pub outcomes: &'a [Outcome],
@@ -169,7 +169,7 @@
     pub objectives: Vec<Objective>,
     /// Duration of a worker's lease.
     pub worker_lease: Micros,
-    /// Interval between a worker's reports.
+    /// Interval between a worker's heartbeats.
     pub report_interval: Micros,
     /// Time within which all tasks of a cancelled job have to be terminated.
     pub cancel_timeout: Micros,
@@ -219,7 +219,7 @@
     /// is not recorded.
     unrecorded_cancellations: BTreeSet<JobId>,
     /// Tasks that are assigned to a controller and whose machine is not known.
-    unresolved_tasks: AssignedTasks,
+    unresolved_tasks: UnresolvedTasks,
     /// Number of violations of invariants that are checked at run time.
     violations: u64,
     /// The machines of each controller's block, computed when needed.
@@ -231,7 +231,7 @@
     refused_offers: BTreeMap<(String, String, bool), Micros>,
     /// Recent rentals of spot machines: when, and how many machines.
     recent_spot_rentals: VecDeque<(Micros, usize)>,
-    /// Which zones are closed to renting because no machine in them reports.
+    /// Which zones are closed to renting because no machine in them sends heartbeats.
     zone_health: Health,
     /// Since when the network path to each zone is open.
     network_paths: Ways,
@@ -265,7 +265,7 @@
     last_seen: BTreeMap<MachineId, (NodeId, Micros)>,
     /// When machines were deleted because they were unreachable for commands.
     unreachable_deletions: VecDeque<Micros>,
-    /// Machines whose reports contradict their records, and for which that was logged.
+    /// Machines whose heartbeats contradict their records, and for which that was logged.
     mismatched: BTreeSet<MachineId>,
 }
 
@@ -274,7 +274,7 @@
     pub fn new(
         ctx: LeaderConfig,
         term: u64,
-        stamp: u64,
+        leader_key_revision: u64,
         state_replica: &Ledger,
         sizes: &Sizes,
         now: Micros,
@@ -282,16 +282,22 @@
     ) -> Self {
         let nodes = vec![Node::default(); ctx.zones.len()];
         let lag = ctx.list_lag;
-        let (record, stamp_of) = state_replica.books.clone();
-        let books =
-            PlacementLog::new(term, ctx.node_id, ctx.names.clone(), ctx.zones.clone(), record, stamp_of);
+        let (record, record_revision) = state_replica.books.clone();
+        let books = PlacementLog::new(
+            term,
+            ctx.node_id,
+            ctx.names.clone(),
+            ctx.zones.clone(),
+            record,
+            record_revision,
+        );
         let mut l = Leader {
             term,
             config: ctx,
             epoch: 0,
             term_start: now,
             term_start_wall_ms: wall_ms,
-            leader_key_revision: stamp,
+            leader_key_revision,
             lateness: Lateness::new(now),
             grants_started: false,
             queues: BTreeMap::new(),
@@ -308,7 +314,7 @@
             unreleased_jobs: BTreeSet::new(),
             dependency_done: true,
             unrecorded_cancellations: BTreeSet::new(),
-            unresolved_tasks: AssignedTasks::default(),
+            unresolved_tasks: UnresolvedTasks::default(),
             violations: 0,
             blocks: BTreeMap::new(),
             bound_totals: BoundTotals::default(),
@@ -371,14 +377,14 @@
     /// Compares the incrementally updated totals with a full count; for tests.
     pub fn check_sums(&self) -> Result<(), String> {
         let mut sums = BoundTotals::default();
-        let mut handed = AssignedTasks::default();
+        let mut unresolved = UnresolvedTasks::default();
         let mut on: BTreeMap<&MachineId, BTreeSet<TaskId>> = BTreeMap::new();
         for (job, r) in &self.jobs {
             for (index, b) in &r.bound {
                 let task = TaskId { job: *job, index: *index };
                 sums.add(&r.spec);
                 if let Some(h) = &b.handed {
-                    handed.watch(task, h.watched_at.as_ref());
+                    unresolved.watch(task, h.watched_at.as_ref());
                     self.check_watched(task, b.attempt, h)?;
                 }
                 for id in &b.on {
@@ -386,23 +392,26 @@
                 }
             }
         }
-        let mut kept = self.bound_totals.clone();
-        kept.teams.retain(|_, u| *u != (0, 0));
+        let mut stored = self.bound_totals.clone();
+        stored.teams.retain(|_, u| *u != (0, 0));
         sums.teams.retain(|_, u| *u != (0, 0));
-        if sums != kept {
-            return Err(format!("bound tasks: {kept:?} kept, {sums:?} counted"));
+        if sums != stored {
+            return Err(format!("bound tasks: {stored:?} stored, {sums:?} counted"));
         }
         self.check_rooms()?;
-        if handed != self.unresolved_tasks {
-            return Err(format!("handed: {:?} kept, {handed:?} counted", self.unresolved_tasks));
+        if unresolved != self.unresolved_tasks {
+            return Err(format!(
+                "unresolved tasks: {:?} stored, {unresolved:?} counted",
+                self.unresolved_tasks
+            ));
         }
         for (id, m) in &self.machines {
             let counted = on.remove(id).unwrap_or_default();
             if m.bound != counted {
-                return Err(format!("bound to {id}: {:?} kept, {counted:?} counted", m.bound));
+                return Err(format!("bound to {id}: {:?} stored, {counted:?} counted", m.bound));
             }
             if !m.used_stale && m.used != schedule::used(m, &self.jobs) {
-                return Err(format!("used of {id}: {:?} kept", m.used));
+                return Err(format!("used of {id}: {:?} stored", m.used));
             }
         }
         Ok(())
@@ -413,12 +422,13 @@
         &self,
         task: TaskId,
         attempt: Attempt,
-        handed: &UnresolvedAssignment,
+        unresolved: &UnresolvedAssignment,
     ) -> Result<(), String> {
         let there = |id: &MachineId| self.machines.get(id).is_some_and(|m| may_hold(m, attempt));
-        let watched = handed.watched_at.as_ref().filter(|id| handed.candidates.contains(*id) && there(id));
-        if watched.is_none() && handed.candidates.iter().any(there) {
-            return Err(format!("{task}: watched at {:?}, which can't hold it", handed.watched_at));
+        let watched =
+            unresolved.watched_at.as_ref().filter(|id| unresolved.candidates.contains(*id) && there(id));
+        if watched.is_none() && unresolved.candidates.iter().any(there) {
+            return Err(format!("{task}: watched at {:?}, which can't hold it", unresolved.watched_at));
         }
         Ok(())
     }
@@ -532,7 +542,7 @@
     }
 
     /// Whether no task of an ended job is on any machine or can get there: no task of it is
-    /// bound, and every machine that could hold one has reported in this term.
+    /// bound, and every machine that could hold one has sent its task list in this term.
     pub(super) fn has_no_tasks(&self, id: JobId, job: &Job) -> bool {
         let unknown_machine_suits = |spec: &JobSpec| {
             let mut unknown = self.machines.values().filter(|m| m.tasks_unknown);
--- a/crates/core/src/leader/records.rs
+++ b/crates/core/src/leader/records.rs
@@ -56,7 +56,7 @@
             }
         }
         // A later leader doesn't know what became of a cancelled job's tasks. Without this
-        // record it would delete machines that do not report, because they may hold one.
+        // record it would delete machines that send no heartbeats, because they may hold one.
         for (id, by) in &self.cancelled_jobs {
             let job = state_replica.jobs.get(id).filter(|j| !j.settled && j.end_stamp > 0);
             let known_for = (now + self.config.cancel_timeout).since(*by);
--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -125,7 +125,7 @@
         a
     }
 
-    /// Passes half seconds in which the machine and both controllers report without changes.
+    /// Passes half seconds in which the machine and both controllers send their messages without changes.
     fn pass_idle(&mut self, halves: u32) {
         for _ in 0..halves {
             self.tick(500);
@@ -207,7 +207,7 @@
         ("nothing", |_, _| {}, false),
         ("never started", |b, a| b.sync(A, &[], &[Outcome { attempt: a, machine: None }]), true),
         (
-            "started; a report under the current token does not list it",
+            "started; a heartbeat under the current token does not list it",
             |b, a| {
                 b.sync(A, &[], &[Outcome { attempt: a, machine: Some(m("m0")) }]);
                 b.confirm("m0", &[]);
@@ -223,7 +223,7 @@
             false,
         ),
         (
-            "a report under an older token does not list it",
+            "a heartbeat under an older token does not list it",
             |b, a| {
                 b.sync(A, &[], &[Outcome { attempt: a, machine: Some(m("m0")) }]);
                 b.leader.grant(&m("m0"), A, "test", b.now);
@@ -241,7 +241,7 @@
             false,
         ),
         (
-            "its controller restarts and the machine reports under the next token",
+            "its controller restarts and the machine sends a heartbeat under the next token",
             |b, _| {
                 b.incarnation[0] += 1;
                 b.sync(A, &[], &[]);
@@ -301,25 +301,25 @@
 }
 
 #[test]
-fn earlier_jobs_wait_for_machines_that_have_not_reported() {
-    // (revision of the job's record, its CPUs, whether m0 has reported, whether it is assigned)
+fn earlier_jobs_wait_for_machines_without_a_heartbeat() {
+    // (revision of the job's record, its CPUs, whether m0 sent a heartbeat, whether it is assigned)
     let cases = [
         (40, 4.0, false, false),
         (40, 4.0, true, true),
         // Recorded after the leader's key: no earlier leader knew the job.
         (60, 4.0, false, true),
-        // The machine that has not reported could not hold it, nor could any other.
+        // The machine without a heartbeat could not hold it, nor could any other.
         (40, 9.0, false, false),
     ];
-    for (stamp, cpus, reported, want) in cases {
+    for (stamp, cpus, contacted, want) in cases {
         let mut b = Harness::new(2);
         b.confirm("m1", &[]);
-        if reported {
+        if contacted {
             b.confirm("m0", &[]);
         }
         b.add_job(1, stamp, "t", "array", "standard", 1, cpus);
         b.tick(30);
-        assert_eq!(b.attempt(task(1, 0)).is_some(), want, "{stamp} {cpus} {reported}");
+        assert_eq!(b.attempt(task(1, 0)).is_some(), want, "{stamp} {cpus} {contacted}");
     }
 }
 
@@ -371,7 +371,7 @@
 }
 
 /// `A` holds `m0` and `m1`, and `m0` falls silent: whether `m0` is deleted after each of
-/// `check_after` seconds. `receiver` says which controller receives the report of `m1` in a
+/// `check_after` seconds. `receiver` says which controller receives the heartbeat of `m1` in a
 /// given second.
 fn m0_deleted(receiver: impl Fn(u64) -> Option<NodeId>, check_after: &[u64]) -> Vec<bool> {
     let mut b = Harness::new(2);
@@ -399,8 +399,8 @@
 /// A partition looks as if one machine after the other failed. Two grown days lost half their
 /// replicas to deletions of live machines.
 #[test]
-fn a_machine_is_dead_only_if_its_holder_receives_reports_of_a_neighbour() {
-    // (who receives m1's reports while m0 is silent, whether m0 is deleted after 7 s, after 30 s)
+fn a_machine_is_dead_only_if_its_holder_receives_heartbeats_of_a_neighbour() {
+    // (who receives m1's heartbeats while m0 is silent, whether m0 is deleted after 7 s, after 30 s)
     let cases = [
         ("its holder, which holds both", Some(A), [true, true]),
         ("another controller, over another network path", Some(B), [false, true]),
@@ -408,19 +408,19 @@
     ];
     for (what, receiver, deleted) in cases {
         let got = m0_deleted(|_| receiver, &[7, 30]);
-        assert_eq!(got, deleted, "receiver of m1's reports: {what}");
+        assert_eq!(got, deleted, "receiver of m1's heartbeats: {what}");
     }
 }
 
-/// The first report after a partition was taken for proof that all other machines of the zone
+/// The first heartbeat after a partition was taken for proof that all other machines of the zone
 /// are dead: a fleet day lost 301 live machines in that moment.
 #[test]
 fn the_end_of_a_partition_deletes_no_machine() {
-    // (who receives m1's reports from second 41 on, when the partition has ended; whether m0 is
+    // (who receives m1's heartbeats from second 41 on, when the partition has ended; whether m0 is
     // deleted 2 s, 4 s and 30 s after second 40)
     for (receiver, deleted) in [(A, [false, false, true]), (B, [false, false, true])] {
         let got = m0_deleted(|second| (second > 40).then_some(receiver), &[42, 44, 70]);
-        assert_eq!(got, deleted, "receiver of m1's reports: {receiver:?}");
+        assert_eq!(got, deleted, "receiver of m1's heartbeats: {receiver:?}");
     }
 }
 
@@ -678,7 +678,7 @@
     };
     // (what happens before, the waiting job: team, tasks, CPUs; why it waits)
     let cases: [(&str, Step, (&str, u32, f64), Why); 6] = [
-        ("the machine has not reported", |b| b.seq[0] += 1, ("t", 1, 1.0), Why::Unheard),
+        ("no heartbeat of the machine", |b| b.seq[0] += 1, ("t", 1, 1.0), Why::Unheard),
         ("the machine is full", fill, ("t", 1, 8.0), Why::NoRoom),
         (
             "the machine is full, and the cloud has none",
@@ -879,10 +879,10 @@
     assert_eq!(b.leader.machines[&m("m0")].accumulates_for, None);
 }
 
-/// Copies of reports may arrive late at any controller; a new leader has nothing to compare them
+/// Copies of heartbeats may arrive late at any controller; a new leader has nothing to compare them
 /// with.
 #[test]
-fn copies_of_reports_prove_nothing() {
+fn copies_of_heartbeats_prove_nothing() {
     let sizes = Sizes::from([("big".into(), Resources::have(8.0, 0.0, 32.0))]);
     let rec = |build: &str| MachineRecord {
         build: build.into(),
@@ -891,7 +891,7 @@
         addr: "a:1".into(),
     };
     let no = |tally| ReportNo { shift: 1, tally };
-    // (machine, its type, number of the report, whether it answered a probe; whether it counts
+    // (machine, its type, number of the heartbeat, whether it answers a probe; whether it counts
     // as seen by B, whether the leader knows the machine then)
     let cases = [
         ("m0", "big", no(5), false, false, true),
@@ -909,22 +909,22 @@
         let seen = b.leader.last_seen.get(&m(id)).is_some_and(|(n, _)| *n == B);
         assert_eq!((seen, b.leader.machines.contains_key(&m(id))), (counts, known), "case {i}");
         if id == "m9" && !asked {
-            // The report is not trusted: the machine is probed.
+            // The heartbeat is not trusted: the machine is probed.
             assert_eq!(b.leader.probes, [(B, m("m9"), "a:1".to_owned())]);
         }
     }
-    // Each report counts as contact only from the first controller that forwards it.
+    // Each heartbeat counts as contact only from the first controller that forwards it.
     let mut b = Harness::new(1);
     b.confirm("m0", &[]);
     let contact = b.leader.machines[&m("m0")].last_contact;
     let mut s = b.state("m0", b.token("m0"), &[]);
-    s.last = b.leader.machines[&m("m0")].newest_report;
+    s.last = b.leader.machines[&m("m0")].newest_heartbeat;
     b.now = b.now + Micros::secs(2);
     b.sync(B, &[s], &[]);
     assert_eq!(b.leader.machines[&m("m0")].last_contact, contact, "a copy at another controller");
 }
 
-/// Machines that report but are unreachable for commands: those with tasks are deleted before
+/// Machines that send heartbeats but are unreachable for commands: those with tasks are deleted before
 /// their workers' leases end, a few at a time. Where most machines of a controller are
 /// unreachable, the controller itself cannot send.
 #[test]
@@ -1032,7 +1032,7 @@
         ("starting, and B knows", placed, &itself, None, Micros(0), false),
         ("running", running, &no_controller, None, Micros(0), false),
         (
-            "its machine is granted to another controller, whose token it has not reported",
+            "its machine is granted to another controller, whose token it has not shown",
             moved,
             &no_controller,
             None,
--- a/crates/core/src/leader/tests/lateness.rs
+++ b/crates/core/src/leader/tests/lateness.rs
@@ -1,7 +1,7 @@
 //! A leader that is behind: messages that it has not handled yet are no evidence of silence.
 use super::*;
 
-/// The leader ticks only at this interval, while reports wait for it.
+/// The leader ticks only at this interval, while messages wait for it.
 const LATE_MS: u64 = 1_500;
 
 /// A leader that was behind took its own lateness for the silence of machines: it deleted live
@@ -76,7 +76,7 @@
     assert_eq!(b.leader.machines[&m("m0")].stage, Stage::Deleting);
 }
 
-/// Reports of a zone waited for a leader that was behind, and it stopped renting there.
+/// Heartbeats of a zone waited for a leader that was behind, and it stopped renting there.
 #[test]
 fn a_leader_that_was_behind_closes_no_zone_to_renting() {
     let mut b = Harness::new(8);
--- a/crates/core/src/placement_log.rs
+++ b/crates/core/src/placement_log.rs
@@ -1,6 +1,6 @@
 //! The placement log: where each bound task may be. The leader replicates it to standby
 //! replicas at other controllers, so that the next leader knows what may run on machines
-//! that do not report to it.
+//! from which it receives no heartbeats.
 //!
 //! Invariants:
 //! - An assignment leaves the leader only after every recorded replica, and every replica
@@ -71,7 +71,7 @@
     pub base: u64,
     /// Tasks that changed; `None`: bound nowhere.
     pub tasks: Vec<(TaskId, Option<PlacementEntry>)>,
-    /// Machines that may hold any task: recorded before the term, and not seen in it yet.
+    /// Machines that may hold any task: recorded before the term, with no heartbeat in it yet.
     pub unknown_machines: Vec<MachineId>,
 }
 
@@ -126,45 +126,45 @@
         }
     }
     /// A replica from a full update; `None` if the update is incremental.
-    pub fn from_full_update(page: LogUpdate) -> Option<LogReplica> {
-        let mut book = LogReplica::default();
-        (page.base == 0).then(|| book.take(page))?;
-        Some(book)
+    pub fn from_full_update(update: LogUpdate) -> Option<LogReplica> {
+        let mut replica = LogReplica::default();
+        (update.base == 0).then(|| replica.apply(update))?;
+        Some(replica)
     }
     /// Applies an update and returns the sequence number to acknowledge. An update that
     /// builds on changes that are missing here is ignored, and what was applied before is
     /// acknowledged again.
-    fn take(&mut self, page: LogUpdate) -> u64 {
-        if page.seq <= self.seq || page.base > self.seq {
+    fn apply(&mut self, update: LogUpdate) -> u64 {
+        if update.seq <= self.seq || update.base > self.seq {
             return self.seq;
         }
-        if page.base == 0 {
+        if update.base == 0 {
             self.tasks.clear();
         }
-        for (task, entry) in page.tasks {
+        for (task, entry) in update.tasks {
             match entry {
                 Some(e) => self.tasks.insert(task, e),
                 None => self.tasks.remove(&task),
             };
         }
-        self.unknown_machines = page.unknown_machines.into_iter().collect();
-        self.seq = page.seq;
+        self.unknown_machines = update.unknown_machines.into_iter().collect();
+        self.seq = update.seq;
         self.seq
     }
 }
 
 impl LogReplicas {
     /// Applies an update to the replica of its term; the sequence number to acknowledge.
-    pub fn apply(&mut self, page: LogUpdate) -> u64 {
-        self.by_term.entry(page.term).or_default().take(page)
+    pub fn apply(&mut self, update: LogUpdate) -> u64 {
+        self.by_term.entry(update.term).or_default().apply(update)
     }
     /// The replica of a term, if there is one.
     pub fn get(&self, term: u64) -> Option<&LogReplica> {
-        self.by_term.get(&term).filter(|b| b.seq > 0)
+        self.by_term.get(&term).filter(|r| r.seq > 0)
     }
     /// All replicas, the earliest term first.
     pub fn iter(&self) -> impl Iterator<Item = &LogReplica> {
-        self.by_term.values().filter(|b| b.seq > 0)
+        self.by_term.values().filter(|r| r.seq > 0)
     }
     /// Removes replicas of terms before the recorded one, which no leader can use any more.
     pub fn remove_before(&mut self, term: u64) {
@@ -195,7 +195,7 @@
 pub struct PlacementLog {
     term: u64,
     /// The leader's own id, and all controllers' names and zones.
-    me: NodeId,
+    node_id: NodeId,
     names: Vec<String>,
     zones: Vec<String>,
     /// Sequence number of the last change.
@@ -204,11 +204,11 @@
     /// Changes up to this one are no longer in `changes`.
     truncated_to: u64,
     progress: Vec<ReplicaProgress>,
-    /// The record as last seen, and its version.
+    /// The record as last seen, and its revision.
     record: StandbyReplicas,
-    stamp: u64,
-    /// Records sent to be written over that version, each of which may yet be committed.
-    pending: Vec<StandbyReplicas>,
+    revision: u64,
+    /// Records sent to be written over that revision, each of which may yet be committed.
+    pending_records: Vec<StandbyReplicas>,
     write_pending: bool,
     write_sent_at: Micros,
     /// Since when the record has no replica that keeps up.
@@ -223,18 +223,18 @@
 }
 
 impl PlacementLog {
-    /// For a term; `record` and its version `stamp` as the leader's state replica has them.
+    /// For a term; `record` and its `revision` as the leader's state replica has them.
     pub fn new(
         term: u64,
-        me: NodeId,
+        node_id: NodeId,
         names: Vec<String>,
         zones: Vec<String>,
         record: StandbyReplicas,
-        stamp: u64,
+        revision: u64,
     ) -> Self {
         PlacementLog {
             term,
-            me,
+            node_id,
             progress: vec![ReplicaProgress::new(0); names.len()],
             names,
             zones,
@@ -243,8 +243,8 @@
             changes: VecDeque::new(),
             truncated_to: 1,
             record,
-            stamp,
-            pending: Vec::new(),
+            revision,
+            pending_records: Vec::new(),
             write_pending: false,
             write_sent_at: Micros(0),
             no_replica_since: None,
@@ -273,13 +273,13 @@
         self.awaited
     }
 
-    /// Takes over the record as the state replica shows it now. A version that is not newer
+    /// Takes over the record as the state replica shows it now. A revision that is not newer
     /// than the known one is ignored.
-    pub fn update_record(&mut self, record: &StandbyReplicas, stamp: u64) {
-        if stamp > self.stamp {
+    pub fn update_record(&mut self, record: &StandbyReplicas, revision: u64) {
+        if revision > self.revision {
             self.record = record.clone();
-            self.stamp = stamp;
-            self.pending.clear();
+            self.revision = revision;
+            self.pending_records.clear();
             self.coverage_changed = true;
         }
     }
@@ -315,7 +315,7 @@
         if !self.is_recorded() {
             return None;
         }
-        let all = self.pending.iter().chain([&self.record]).flat_map(|w| w.nodes.iter());
+        let all = self.pending_records.iter().chain([&self.record]).flat_map(|w| w.nodes.iter());
         let acked = all.map(|w| self.resolve(w).and_then(|n| self.progress_of(n)).map_or(0, |r| r.acked));
         Some(acked.min().unwrap_or(u64::MAX))
     }
@@ -338,11 +338,11 @@
         let mut chosen: Vec<(NodeId, u64)> = Vec::new();
         let zone = |n: NodeId| self.zones.get(n.0 as usize).map_or("", |z| z.as_str());
         while chosen.len() < MAX_REPLICAS {
-            let left =
-                in_contact.iter().filter(|(n, _)| *n != self.me && !chosen.iter().any(|(c, _)| c == n));
-            let next = left.min_by_key(|(n, inc)| {
+            let candidates =
+                in_contact.iter().filter(|(n, _)| *n != self.node_id && !chosen.iter().any(|(c, _)| c == n));
+            let next = candidates.min_by_key(|(n, inc)| {
                 let same_zone = chosen.iter().filter(|(c, _)| zone(*c) == zone(*n)).count();
-                let leader_zone = zone(*n) == zone(self.me);
+                let leader_zone = zone(*n) == zone(self.node_id);
                 // A controller that has the log already is preferred to one that needs it.
                 let new = self.progress_of((*n, *inc)).is_none_or(|r| r.acked == 0);
                 (same_zone + leader_zone as usize, new, *n)
@@ -360,7 +360,7 @@
         let mut due = Vec::new();
         let mut receivers = self.choose_replicas(in_contact);
         // Assignments wait for every controller that may be recorded.
-        let on_record = self.pending.iter().chain([&self.record]).filter(|w| w.term == self.term);
+        let on_record = self.pending_records.iter().chain([&self.record]).filter(|w| w.term == self.term);
         for node in on_record.flat_map(|w| w.nodes.iter()).filter_map(|w| self.resolve(w)) {
             if in_contact.contains(&node) && !receivers.contains(&node) {
                 receivers.push(node);
@@ -400,13 +400,13 @@
         self.seq
     }
 
-    /// A record that should be written now, and the known version that it replaces.
-    /// `ended` are controllers whose hosts report that their process has exited.
+    /// A record that should be written now, and the known revision that it replaces.
+    /// `exited` are controllers whose hosts report that their process has exited.
     pub fn due_record(
         &mut self,
         in_contact: &[(NodeId, u64)],
-        ended: &[NodeId],
-        began: Micros,
+        exited: &[NodeId],
+        term_start: Micros,
         now: Micros,
     ) -> Option<(StandbyReplicas, u64)> {
         if self.write_pending || now.since(self.write_sent_at) < Micros::millis(150) {
@@ -419,45 +419,46 @@
             })
         };
         let chosen = self.choose_replicas(in_contact);
-        let good: Vec<(NodeId, u64)> = chosen.iter().filter(|n| keeps_up(n)).copied().collect();
+        let healthy: Vec<(NodeId, u64)> = chosen.iter().filter(|n| keeps_up(n)).copied().collect();
         // The first record waits up to 400 ms for controllers that are receiving the log.
-        if !self.is_recorded() && good.len() < chosen.len() && now.since(began) < Micros::millis(400) {
+        if !self.is_recorded() && healthy.len() < chosen.len() && now.since(term_start) < Micros::millis(400)
+        {
             return None;
         }
         let name = |(n, inc): &(NodeId, u64)| Some((self.names.get(n.0 as usize)?.clone(), *inc));
-        let mut nodes: Vec<(String, u64)> = good.iter().filter_map(name).collect();
+        let mut nodes: Vec<(String, u64)> = healthy.iter().filter_map(name).collect();
         nodes.sort();
-        let want = StandbyReplicas { term: self.term, last_leader_term: self.term, nodes };
-        // Equally good controllers are not worth a new record: a replica is removed only when
+        let desired = StandbyReplicas { term: self.term, last_leader_term: self.term, nodes };
+        // Equally suitable controllers are not worth a new record: a replica is removed only when
         // it fails, and added only when there are too few.
         let unchanged = self.is_recorded() && {
             let valid =
                 |w: &(String, u64)| self.resolve(w).is_some_and(|n| in_contact.contains(&n) && keeps_up(&n));
-            self.record.nodes.iter().all(valid) && self.record.nodes.len() >= want.nodes.len()
+            self.record.nodes.iter().all(valid) && self.record.nodes.len() >= desired.nodes.len()
         };
-        if unchanged && self.pending.is_empty() {
+        if unchanged && self.pending_records.is_empty() {
             self.no_replica_since = None;
             return None;
         }
         let may_be_running = |w: &(String, u64)| {
             self.resolve(w).is_some_and(|(n, inc)| {
                 let restarted = in_contact.iter().any(|(m, i)| *m == n && *i != inc);
-                !restarted && !ended.contains(&n)
+                !restarted && !exited.contains(&n)
             })
         };
-        if self.is_recorded() && want.nodes.is_empty() && self.record.nodes.iter().any(may_be_running) {
+        if self.is_recorded() && desired.nodes.is_empty() && self.record.nodes.iter().any(may_be_running) {
             if now.since(*self.no_replica_since.get_or_insert(now)) < LAST_REPLICA_TIMEOUT {
                 return None;
             }
         } else {
             self.no_replica_since = None;
         }
-        if !self.pending.contains(&want) {
-            self.pending.push(want.clone());
+        if !self.pending_records.contains(&desired) {
+            self.pending_records.push(desired.clone());
         }
         self.write_pending = true;
         self.write_sent_at = now;
-        Some((want, self.stamp))
+        Some((desired, self.revision))
     }
 
     /// A write of the record returned. Its result is ignored: only what the state replica
