--- a/crates/core/src/leader/blocks.rs
+++ b/crates/core/src/leader/blocks.rs
@@ -61,7 +61,7 @@
     }
 
     pub(super) fn grant(&mut self, id: &MachineId, to: NodeId, why: &str, now: Micros) {
-        let baton = Baton(self.next_token());
+        let token = Baton(self.next_token());
         let Some(m) = self.machines.get_mut(id) else { return };
         if m.holder.is_some_and(|h| h != to) {
             info!("{id}: block moves from controller {} to {}: {why}", m.holder.map_or(0, |h| h.0), to.0);
@@ -71,7 +71,7 @@
             m.holder_changed_at = now;
         }
         m.holder = Some(to);
-        m.fencing_token = baton;
+        m.fencing_token = token;
         m.confirmed = false;
         m.granted_at = now;
         m.needs_new_token = false;
@@ -92,9 +92,11 @@
     pub fn tick(&mut self, state_replica: &Ledger, now: Micros) {
         self.lateness.works(now);
         if !self.grants_started {
-            let all = self.controllers_in_contact(now).into_iter().all(|c| c);
+            let all_in_contact = self.controllers_in_contact(now).into_iter().all(|c| c);
             let waited = now.since(self.term_start);
-            if !(all || waited >= Micros::millis(700)) || self.awaits_log && waited < LOG_WAIT_TIMEOUT {
+            if !(all_in_contact || waited >= Micros::millis(700))
+                || self.awaits_log && waited < LOG_WAIT_TIMEOUT
+            {
                 return;
             }
             if self.awaits_log {
@@ -123,8 +125,8 @@
         // Scans of the whole fleet run only as often as what they watch requires.
         if now.since(self.blocks_checked_at) >= BLOCK_SCAN_INTERVAL {
             self.blocks_checked_at = now;
-            self.move_blocks(now);
-            self.watch_silent(now);
+            self.move_machines(now);
+            self.delete_silent(now);
             self.watch_deaf(now);
         }
         self.stop_cancelled(state_replica, now);
@@ -135,7 +137,7 @@
         }
     }
 
-    pub(super) fn move_blocks(&mut self, now: Micros) {
+    pub(super) fn move_machines(&mut self, now: Micros) {
         let mut moves: Vec<(MachineId, NodeId, &'static str)> = Vec::new();
         let mut unheld = Vec::new();
         let mut load = self.loads();
@@ -207,8 +209,8 @@
         }
     }
 
-    pub(super) fn watch_silent(&mut self, now: Micros) {
-        let mut doomed = Vec::new();
+    pub(super) fn delete_silent(&mut self, now: Micros) {
+        let mut to_delete = Vec::new();
         let mut probes = Vec::new();
         // A partition between zones looks as if all machines beyond it failed, one after the
         // other as their heartbeats fall due. A machine is taken for dead quickly only on proof
@@ -258,25 +260,25 @@
                 .max(opened);
             let silent = now.since(base);
             let seen = self.last_seen.get(id).is_some_and(|(_, t)| now.since(*t) < Micros::secs(5));
-            let lost = silent > Micros::millis(3200)
+            let probe_due = silent > Micros::millis(3200)
                 && m.probed_at.is_none_or(|t| now.since(t) > Micros::millis(1500));
-            if lost || m.command_reachability.ask_due(now) {
+            if probe_due || m.command_reachability.ask_due(now) {
                 probes.push((m.probed_at, id.clone()));
             }
-            let open = base + overdue;
-            let (here, held) =
+            let path_proven_from = base + overdue;
+            let (holder_contact, holder_machines) =
                 m.holder.and_then(|h| latest.get(&(h, m.zone.as_str()))).copied().unwrap_or_default();
-            let near = m
+            let holder_in_zone = m
                 .holder
                 .is_some_and(|h| self.in_contact(h, now) && self.config.zones[h.0 as usize] == m.zone);
-            let zone = zone_latest.get(m.zone.as_str()).copied().unwrap_or_default();
-            let limit = if here >= open || near && held < 2 {
+            let zone_contact = zone_latest.get(m.zone.as_str()).copied().unwrap_or_default();
+            let limit = if holder_contact >= path_proven_from || holder_in_zone && holder_machines < 2 {
                 limit
-            } else if near {
+            } else if holder_in_zone {
                 // The holder receives no heartbeat from any machine of the zone: it may itself be
                 // partitioned, and the workers soon turn to other controllers.
                 limit.scale(2, 1)
-            } else if zone >= open {
+            } else if zone_contact >= path_proven_from {
                 // Other controllers receive heartbeats from the zone: its workers switch to them
                 // one after the other, each after a few controllers that do not answer.
                 limit.scale(4, 1)
@@ -284,7 +286,7 @@
                 Micros::secs(60)
             };
             if silent > limit && !seen {
-                doomed.push((id.clone(), silent));
+                to_delete.push((id.clone(), silent));
             }
         }
         // Least recently probed first, and only as many as a controller can probe beside its
@@ -304,7 +306,7 @@
                 }
             }
         }
-        for (id, silent) in doomed {
+        for (id, silent) in to_delete {
             let holder = self.machines.get(&id).and_then(|m| m.holder);
             let contact = holder.is_some_and(|h| self.in_contact(h, now));
             let by = match holder {
@@ -323,7 +325,7 @@
             return;
         }
         self.cancellations_checked_at = now;
-        self.watch_cancelled(state_replica, now);
+        self.delete_for_cancelled(state_replica, now);
         // A controller that the state service refuses doesn't know of the cancellation, so the
         // leader sends it the stops.
         let mut stops = Vec::new();
@@ -342,9 +344,9 @@
     }
 
     /// Deletes machines that may hold a cancelled job's task that could not be stopped.
-    pub(super) fn watch_cancelled(&mut self, state_replica: &Ledger, now: Micros) {
-        let mut doomed = Vec::new();
-        let mut over = Vec::new();
+    pub(super) fn delete_for_cancelled(&mut self, state_replica: &Ledger, now: Micros) {
+        let mut to_delete = Vec::new();
+        let mut finished = Vec::new();
         for (job, by) in &self.cancelled_jobs {
             let run = self.jobs.get(job);
             // A job stays here until it is recorded that no task of it is left: a machine that
@@ -354,11 +356,11 @@
                 && record.is_none()
                 && now > *by + self.config.cancel_timeout
             {
-                over.push(*job);
+                finished.push(*job);
             }
             if now >= self.deletion_due(*by, 95, Micros::millis(1500)) {
                 let bound = || run.iter().flat_map(|r| r.bound.values());
-                doomed.extend(bound().flat_map(|b| b.on.iter()).map(|id| (id.clone(), *job)));
+                to_delete.extend(bound().flat_map(|b| b.on.iter()).map(|id| (id.clone(), *job)));
                 // An assigned task may be on any machine of the block that its job allows.
                 let holds = |id: &MachineId, attempt: Attempt| {
                     let (Some(r), Some(m)) = (run, self.machines.get(id)) else { return false };
@@ -366,7 +368,7 @@
                 };
                 for (b, h) in bound().filter_map(|b| Some((b, b.handed.as_ref()?))) {
                     let machines = h.candidates.iter().filter(|id| holds(id, b.attempt));
-                    doomed.extend(machines.map(|id| (id.clone(), *job)));
+                    to_delete.extend(machines.map(|id| (id.clone(), *job)));
                 }
             }
             // Machines without a heartbeat in this term may hold its tasks.
@@ -375,17 +377,17 @@
             {
                 for (id, m) in self.machines.iter().filter(|(_, m)| m.tasks_unknown) {
                     if m.suits(spec) {
-                        doomed.push((id.clone(), *job));
+                        to_delete.push((id.clone(), *job));
                     }
                 }
             }
         }
-        for (id, job) in doomed {
+        for (id, job) in to_delete {
             if self.machines.get(&id).is_some_and(|m| m.stage == Stage::Up) {
                 self.delete(&id, &format!("a task of cancelled {job} may be on it"), now);
             }
         }
-        for j in over {
+        for j in finished {
             self.cancelled_jobs.remove(&j);
         }
         // Removes ended jobs without bound tasks.
@@ -414,14 +416,14 @@
             return;
         }
         let age = now.since(m.first_known_at);
-        let whole = m.size.cpu as u128 * age.0 as u128;
+        let total = m.size.cpu as u128 * age.0 as u128;
         info!(
             "{id}: deleted ({} in {}{}) after {:.0} s, {}% used: {why}",
             m.machine_type,
             m.zone,
             if m.spot { ", spot" } else { "" },
             age.as_secs_f64(),
-            m.used_cpu_time * 100 / whole.max(1)
+            m.used_cpu_time * 100 / total.max(1)
         );
         m.stage = Stage::Deleting;
         m.stage_since = now;
--- a/crates/core/src/leader/cancelled.rs
+++ b/crates/core/src/leader/cancelled.rs
@@ -19,7 +19,9 @@
             return true;
         }
         let Some(run) = self.jobs.get(&id) else { return false };
-        run.bound.iter().any(|(index, b)| self.start_is_open(TaskId { job: id, index: *index }, b, &unaware))
+        run.bound
+            .iter()
+            .any(|(index, b)| self.start_is_possible(TaskId { job: id, index: *index }, b, &unaware))
     }
 
     /// Controllers that may start tasks and don't act on a cancellation. A controller's block
@@ -35,7 +37,7 @@
     }
 
     /// Whether one of these controllers may still order the start of a bound task.
-    fn start_is_open(&self, task: TaskId, b: &Binding, unaware: &[NodeId]) -> bool {
+    fn start_is_possible(&self, task: TaskId, b: &Binding, unaware: &[NodeId]) -> bool {
         // An assignment of an earlier term belongs to no controller in this one.
         let handed_to = self.pending_assignments.get(&b.attempt).map(|h| h.to);
         if b.handed.is_some() && handed_to.is_none_or(|n| unaware.contains(&n)) {
--- a/crates/core/src/leader/changes.rs
+++ b/crates/core/src/leader/changes.rs
@@ -131,7 +131,7 @@
         let (ids, stamp) = state_replica.records.get(key)?;
         let changes = Changes::default().on_condition(key.to_owned(), *stamp);
         let mut lists = match key.starts_with(keys::MACHINES) {
-            true => self.lists_that_fit(ids, context),
+            true => self.split_into_records(ids, context),
             false => Vec::new(),
         };
         if lists.is_empty() {
@@ -157,7 +157,7 @@
     }
 
     /// The machines that are not deleted, in lists that each fit into one record.
-    fn lists_that_fit(&self, ids: &[MachineId], context: &RecordContext<'_>) -> Vec<Vec<MachineId>> {
+    fn split_into_records(&self, ids: &[MachineId], context: &RecordContext<'_>) -> Vec<Vec<MachineId>> {
         let mut lists: Vec<Vec<MachineId>> = Vec::new();
         if self.machines_record(ids, context.state_replica).is_some_and(|v| context.limits.fits(&v)) {
             return vec![ids.to_vec()];
--- a/crates/core/src/leader/messages.rs
+++ b/crates/core/src/leader/messages.rs
@@ -75,8 +75,8 @@
                 elsewhere.push((id.clone(), m.holder));
             }
         }
-        let gone = self.deleted_machines.iter().filter(|(_, (_, stamp))| base > 0 && *stamp > base);
-        elsewhere.extend(gone.map(|(id, _)| (id.clone(), None)));
+        let deleted = self.deleted_machines.iter().filter(|(_, (_, stamp))| base > 0 && *stamp > base);
+        elsewhere.extend(deleted.map(|(id, _)| (id.clone(), None)));
         let held = |id: &MachineId| self.machines.get(id).is_some_and(|m| m.holder == Some(to));
         // Without a confirmed lease no task is assigned and no block lease renewed. Nor is an
         // assignment sent that a replica may lack.
@@ -88,12 +88,12 @@
                 && h.log_seq <= covered
                 && h.sent.is_none_or(|t| now.since(t) >= ASSIGNMENT_RETRY_INTERVAL)
         };
-        let mut open: Vec<(HandOut, u64)> = Vec::new();
+        let mut assignments: Vec<(HandOut, u64)> = Vec::new();
         for h in self.pending_assignments.values_mut().filter(|_| lease_ok).filter(due) {
             h.sent = Some(now);
-            open.push((h.assignment.clone(), h.log_seq));
+            assignments.push((h.assignment.clone(), h.log_seq));
         }
-        if let Some(at) = open.iter().map(|(_, at)| *at).max() {
+        if let Some(at) = assignments.iter().map(|(_, at)| *at).max() {
             self.placement_log.mark_released(at);
         }
         let running = self.jobs.iter().filter(|(_, r)| r.shown.1 > base);
@@ -106,7 +106,7 @@
             lease: if lease_ok { self.config.operator.block_lease } else { Micros(0) },
             block,
             elsewhere,
-            handouts: open.into_iter().map(|(h, _)| h).collect(),
+            handouts: assignments.into_iter().map(|(h, _)| h).collect(),
             stops: self
                 .pending_stops
                 .values()
