--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -375,7 +375,7 @@
     }
 
     /// Compares the incrementally updated totals with a full count; for tests.
-    pub fn check_sums(&self) -> Result<(), String> {
+    pub fn check_totals(&self) -> Result<(), String> {
         let mut sums = BoundTotals::default();
         let mut unresolved = UnresolvedTasks::default();
         let mut on: BTreeMap<&MachineId, BTreeSet<TaskId>> = BTreeMap::new();
--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -607,7 +607,7 @@
         b.tick(30);
         assert_eq!(bound(&b), *want, "{tasks}");
         assert_eq!(b.leader.jobs[&JobId(1)].waiting(), 0, "{tasks}");
-        assert!(b.leader.check_sums().is_ok());
+        assert!(b.leader.check_totals().is_ok());
     }
     // The task above the number ends; it is not replaced until it is requested again.
     let a3 = b.attempt(task(1, 3)).unwrap();
--- a/crates/core/src/leader/tests/task_assignments.rs
+++ b/crates/core/src/leader/tests/task_assignments.rs
@@ -34,7 +34,7 @@
         b.leader.grant(&m(&id), holder, "test", b.now);
         b.confirm(&id, &[]);
     }
-    assert_eq!(b.leader.check_sums(), Ok(()));
+    assert_eq!(b.leader.check_totals(), Ok(()));
     assert_eq!(b.leader.unresolved_tasks.len(), unresolved, "other machines may hold them");
     let after = stored_names(&b.leader);
     assert!(
@@ -78,7 +78,7 @@
                     b.confirm(&id, &[]);
                 }
             }
-            assert_eq!(b.leader.check_sums(), Ok(()), "seed {seed}");
+            assert_eq!(b.leader.check_totals(), Ok(()), "seed {seed}");
             let allowed = |id: &String| {
                 let spec = &b.leader.jobs[&JobId(1)].spec;
                 b.leader.machines.get(&m(id)).is_some_and(|m| m.suits(spec))
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -296,7 +296,7 @@
     /// Whether what this node keeps as things change agrees with a fresh
     /// count: for tests.
     pub fn check_kept(&self) -> Result<(), String> {
-        self.leadership.leader.as_ref().map_or(Ok(()), Leader::check_sums)
+        self.leadership.leader.as_ref().map_or(Ok(()), Leader::check_totals)
     }
 
     fn called(&mut self, id: CallId, result: CallResult) {
