--- a/crates/core/src/leader/bindings.rs
+++ b/crates/core/src/leader/bindings.rs
@@ -267,13 +267,13 @@
                 run.failures += 1;
                 run.failed_on.insert(id.clone());
                 if run.failed_on.len() > 1 && !run.proven {
-                    // It fails on every machine: the delay doubles each time.
+                    // It fails on more than one machine: the delay doubles with each failure.
                     run.retry_at = now + Micros::millis(500 << failures.min(7));
                 } else {
                     run.retry_at = now + Micros::millis(200);
                 }
                 if run.mistaken() && run.failures == MISTAKEN + 1 {
-                    info!("{}: fails on every machine; limited to one task at a time", task.job);
+                    info!("{}: fails on several machines; limited to one task at a time", task.job);
                 }
                 if let Some(m) = self.machines.get_mut(id) {
                     m.failures += 1;
--- a/crates/core/src/leader/changes.rs
+++ b/crates/core/src/leader/changes.rs
@@ -156,7 +156,8 @@
         Some(changes.put(key.to_owned(), value))
     }
 
-    /// The machines that are not deleted, in lists that each fit into one record.
+    /// The machines that are not deleted, in lists filled one after the other with as many as
+    /// fit into one record.
     fn split_into_records(&self, ids: &[MachineId], context: &RecordContext<'_>) -> Vec<Vec<MachineId>> {
         let mut lists: Vec<Vec<MachineId>> = Vec::new();
         if self.machines_record(ids, context.state_replica).is_some_and(|v| context.limits.fits(&v)) {
--- a/crates/core/src/leader/log_replication.rs
+++ b/crates/core/src/leader/log_replication.rs
@@ -134,7 +134,7 @@
                 self.arrays_with_progress.insert(task.job);
                 self.placement_log.record_change(*task);
             }
-            // A machine without a record is deleted: its record is removed only then.
+            // A machine without a record is deleted: only a deleted machine loses its record.
             let on: BTreeSet<MachineId> =
                 e.machines.iter().filter(|id| self.machines.contains_key(*id)).cloned().collect();
             let unresolved = e.unresolved_assignment.as_ref().map(|(hint, zone)| {
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -200,7 +200,7 @@
     /// Sequence number of the last update sent to any controller.
     update_seq: u64,
     /// An incremental update can't build on one before this: deletions reported before it
-    /// are removed.
+    /// are no longer stored.
     min_update_base: u64,
     jobs: BTreeMap<JobId, Run>,
     /// Cancelled jobs that may still have tasks on machines, and by when those have to be
