--- a/crates/core/src/leader/bindings.rs
+++ b/crates/core/src/leader/bindings.rs
@@ -188,8 +188,8 @@
                     Binding { attempt: *attempt, handed: None, on: BTreeSet::new() }
                 });
                 m.bound.insert(*task);
-                // The placement log also says that a start has arrived: a replica that acts in
-                // place of a leader deletes machines where it may not have.
+                // The placement log also says that a start has arrived: the cancellation enforcer
+                // at a replica, in place of a leader, deletes machines where it may not have.
                 let arrived = *state != TaskState::Starting
                     && old.get(task).is_some_and(|(_, s)| *s == TaskState::Starting);
                 if b.on.insert(s.id.clone()) || arrived {
