--- a/crates/core/src/election.rs
+++ b/crates/core/src/election.rs
@@ -1,44 +1,44 @@
-//! Who leads: a key in the state service that hangs on a lease, and a term
-//! that rises in the transaction that takes the key.
+//! Leader election: a key in the state service that is attached to a lease, and a term that is
+//! incremented in the transaction that creates the key.
 use gorseshore_protocol::ids::Micros;
 
-/// This node's part in the election.
+/// This node's role in the election.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Role {
-    /// Follows whoever leads.
+    /// Follows the leader, if there is one.
     Follower,
-    /// Asks for a lease, or takes the key with it.
+    /// Requests a lease, or creates the leader key with it.
     Candidate,
-    /// Holds the key.
+    /// Holds the leader key.
     Leader {
-        /// Its term.
+        /// The node's term.
         term: u64,
-        /// The lease the key hangs on.
+        /// The lease that the key is attached to.
         lease: u64,
-        /// Version of the leader's key.
+        /// Version of the leader key.
         stamp: u64,
     },
 }
 
-/// Timing of a lease that must not be overrun.
+/// This node's role, and the timing of its lease. A leader must not act beyond the lease.
 #[derive(Debug, Clone)]
 pub struct Election {
-    /// Part played.
+    /// Current role.
     pub role: Role,
-    /// The lease's life.
+    /// Duration of the lease.
     pub life: Micros,
-    /// Sending time of the last renewal that was confirmed.
+    /// When the last confirmed renewal was sent.
     confirmed: Micros,
     /// When the last renewal was sent.
     pub last_sent: Micros,
-    /// A renewal is under way.
+    /// A renewal is in flight.
     pub renewing: bool,
-    /// No attempt before this.
+    /// No election attempt before this.
     pub not_before: Micros,
 }
 
 impl Election {
-    /// A follower.
+    /// Creates a follower.
     pub fn new(life: Micros) -> Self {
         Election {
             role: Role::Follower,
@@ -49,7 +49,7 @@
             not_before: Micros(0),
         }
     }
-    /// The key was taken; the lease was asked for at `asked`.
+    /// The leader key was created; its lease was requested at `asked`.
     pub fn won(&mut self, term: u64, lease: u64, stamp: u64, asked: Micros) {
         self.role = Role::Leader { term, lease, stamp };
         self.confirmed = asked;
@@ -61,22 +61,21 @@
         self.confirmed = self.confirmed.max(sent);
         self.renewing = false;
     }
-    /// Steps down.
+    /// Becomes a follower, with no new attempt for `pause`.
     pub fn lost(&mut self, now: Micros, pause: Micros) {
         self.role = Role::Follower;
         self.renewing = false;
         self.not_before = now + pause;
     }
-    /// The term led, whether or not the lease is fresh.
+    /// The term in which this node holds the leader key, whether or not the lease is confirmed.
     pub fn term(&self) -> Option<u64> {
         match self.role {
             Role::Leader { term, .. } => Some(term),
             _ => None,
         }
     }
-    /// Whether this node may act as leader now: its last confirmed renewal,
-    /// counted from sending, is within the lease, less 1% for the clocks'
-    /// drift and 50 ms for what is under way.
+    /// Whether this node may act as leader now: its last confirmed renewal, counted from when it
+    /// was sent, is within the lease, less 1% for clock drift and 50 ms for calls in flight.
     pub fn may_lead(&self, now: Micros) -> bool {
         let usable = self.life.scale(99, 100) - Micros::millis(50);
         matches!(self.role, Role::Leader { .. }) && now < self.confirmed + usable
@@ -101,12 +100,13 @@
         for (t, want) in [(100, true), (3019, true), (3020, false), (9000, false)] {
             assert_eq!(e.may_lead(ms(t)), want, "{t}");
         }
-        // A renewal sent at 2000 and answered late extends from 2000, not from its answer.
+        // A renewal sent at 2000 ms and answered late extends the lease from 2000 ms, not from its
+        // answer.
         e.renewed(ms(2000));
         for (t, want) in [(4919, true), (4920, false)] {
             assert_eq!(e.may_lead(ms(t)), want, "{t}");
         }
-        // An older confirmation that comes late takes nothing back.
+        // A late confirmation of an older renewal does not shorten the lease.
         e.renewed(ms(500));
         assert!(e.may_lead(ms(4900)));
         e.lost(ms(4900), ms(10));
--- a/crates/core/src/guest.rs
+++ b/crates/core/src/guest.rs
@@ -1,9 +1,9 @@
-//! A subsystem that lives beside the scheduler on the same mirror, the same
-//! proof of being up to date and the same budgets: another form of job files,
-//! for one. It has a space of keys of its own and an address of its own.
+//! Interface of an extension: a subsystem that runs beside the scheduler and shares its state
+//! replica, read barriers and budgets, such as an API for another job file format. It has its own
+//! key space and its own address.
 //!
-//! Invariant: a guest changes nothing of the scheduler's but through writes
-//! with conditions, which go through the users' budget.
+//! Invariant: an extension changes the scheduler's records only through conditional writes, which
+//! count against the clients' write budget.
 use crate::jobs::Ledger;
 use crate::{CallResult, RequestId};
 use gorseshore_protocol::cloud::Flavor;
@@ -13,96 +13,96 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// Names what a guest waits for.
+/// Identifies a pending operation of the extension.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// What a guest sees of the node.
+/// What the extension sees of the node.
 pub struct Host<'a> {
-    /// Steady clock.
+    /// Monotonic clock.
     pub now: Micros,
     /// Time of day in milliseconds.
     pub wall_ms: u64,
-    /// The mirror.
+    /// The state replica.
     pub ledger: &'a Ledger,
-    /// Running tasks of jobs, for display.
+    /// Number of running tasks by job, for display.
     pub running: &'a BTreeMap<JobId, u32>,
     /// Machine types; empty until they are known.
     pub flavors: &'a [Flavor],
     /// Teams.
     pub teams: &'a [Team],
-    /// The mirror was up to date once.
+    /// The state replica has been up to date at least once.
     pub loaded: bool,
-    /// The state service's last word was a refusal, just now.
+    /// The last call to the state service failed, a moment ago.
     pub state_refuses: bool,
     /// This node leads.
     pub leads: bool,
-    /// The leader's name, if there is one.
+    /// The leader's name, if there is a leader.
     pub leader: Option<&'a str>,
     /// This node's name.
     pub me: &'a str,
     /// Longest value in bytes.
     pub value_limit: usize,
-    /// Most changes in a transaction.
+    /// Most writes in a transaction.
     pub changes_at_once: usize,
 }
 
-/// What comes in.
+/// Inputs to the extension.
 #[derive(Debug, Clone)]
 pub enum GuestInput {
-    /// Time went on.
+    /// Time passed.
     Tick,
-    /// The mirror went on.
+    /// The state replica applied events.
     News,
-    /// A request on the guest's address.
+    /// A request on the extension's address.
     Request {
-        /// Its name.
+        /// Identifies the request.
         id: RequestId,
         /// Method.
         method: String,
         /// Path with query.
         path: String,
-        /// The token that it carries.
+        /// The token in the request.
         token: Option<String>,
         /// Body.
         body: Vec<u8>,
     },
-    /// The requester went away.
+    /// The client of this request disconnected.
     Gone(RequestId),
-    /// The proof that was asked for: whether the mirror was up to date after
-    /// the asking.
+    /// A read barrier ended; `true` if the state replica was up to date at some time after the
+    /// request for it.
     Proved(Ticket, bool),
     /// A write or a read ended.
     Called(Ticket, CallResult),
 }
 
-/// What goes out.
+/// Actions that the extension requests.
 #[derive(Debug, Clone, PartialEq)]
 pub enum GuestOutput {
-    /// Answers a request, whole.
+    /// Sends a complete response.
     Answer(RequestId, Answer),
-    /// Begins an answer without end.
+    /// Starts a streamed response.
     Open(RequestId, Answer),
-    /// Goes on with it.
+    /// Sends a chunk of the stream.
     Chunk(RequestId, Vec<u8>),
-    /// Ends it.
+    /// Ends the stream.
     Close(RequestId),
-    /// Asks for proof that the mirror is up to date.
+    /// Starts a read barrier.
     Prove(Ticket),
-    /// Reads keys with a prefix from the state service.
+    /// Reads the keys with this prefix from the state service.
     Read(Ticket, String),
-    /// Writes; with `as_leader` only while this node holds the leader's key.
+    /// Writes; with `as_leader` only while this node holds the leader key.
     Write {
-        /// Name.
+        /// Identifies the write.
         ticket: Ticket,
         /// The transaction.
         multi: Multi,
-        /// The leader's key is among the conditions.
+        /// The leader key is added to the conditions.
         as_leader: bool,
     },
 }
 
-/// An answer.
+/// An HTTP response.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Answer {
     /// HTTP status.
@@ -113,15 +113,15 @@
     pub body: Vec<u8>,
 }
 
-/// The subsystem.
+/// An extension.
 pub trait Guest {
-    /// The mirror is read anew; it is complete as of revision `floor`, and of
-    /// what was removed before nothing is known.
+    /// The state replica was read from the start and is complete as of revision `floor`; what was
+    /// removed before is unknown.
     fn begin(&mut self, floor: u64);
-    /// A key of the guest's space; `None` for a removal.
+    /// A key of the extension's key space changed; `None` if it was removed.
     fn apply(&mut self, name: &str, value: Option<&Value>, stamp: u64);
-    /// A record of a job with an id of the service's own changed.
+    /// A record changed of a job whose id was assigned by the service.
     fn job_changed(&mut self, id: JobId, stamp: u64);
-    /// Takes an input; what to do about it.
+    /// Handles an input; returns the actions to take.
     fn handle(&mut self, host: &Host<'_>, input: GuestInput) -> Vec<GuestOutput>;
 }
--- a/crates/core/src/node/cancellations.rs
+++ b/crates/core/src/node/cancellations.rs
@@ -1,68 +1,73 @@
-//! Cancellations: who has been told of one, and who must be before a user is.
+//! Cancellations: which controllers have acknowledged one, and which must have before it is
+//! confirmed to the client.
 //!
-//! Invariant: a user hears that a job is cancelled only when
-//! - its cancellation is on record, or was told by a controller that saw it so;
-//! - the leader of the latest term that is known acts on it: it stops the job's tasks
-//!   through their holders and deletes the machines that can't be reached, for which
+//! Invariant: a cancellation is confirmed to a client only when
+//! - it is recorded in the state service, as read here or reported by a controller that read the
+//!   record;
+//! - the leader of the latest known term acts on it: it stops the job's tasks through the
+//!   controllers that hold their machines, and deletes the machines that are unreachable, for which
 //!   it needs neither the state service nor a confirmed lease;
-//! - every controller that is heard acts on it, with whatever workers report to it;
-//! - no other one can order a start of it, by the word of that leader, which knows what
-//!   was handed to whom and for how long (`leader/cancelled.rs`).
+//! - every controller within contact acts on it, for all workers that report to it;
+//! - no other controller can order a start of the job, which that leader guarantees: it knows what
+//!   was assigned to which controller and until when (`leader/cancelled.rs`).
 //!
-//! Who was told once stays told: an end never changes, and the leader of a later term
-//! has read it before it leads. A process that begins anew is told by all the others.
-//! Where one who must know can't be told, the user hears 503 at once or after
-//! `PATIENCE`, from any controller, and the telling goes on.
+//! An acknowledgement stays valid: a job's end never changes, and the leader of a later term has
+//! read the record before it leads. A restarted process is notified by all other controllers. Where
+//! a controller that must acknowledge is unreachable, the client gets 503, at once or after
+//! `CONFIRMATION_TIMEOUT`, from any controller, and the notifications go on.
 use super::*;
 use crate::peer::Cancellation;
 
-/// A user's answer waits for the word of the others for so long, a few times what
-/// their answers take; then it is 503, and the user comes back.
+/// How long a client's response waits for acknowledgements, a few times their usual round trip;
+/// then the response is 503 and the client retries.
 const PATIENCE: Micros = Micros::millis(700);
-/// Who has not acknowledged a cancellation that a user waits for is told again after this.
+/// How long until a controller that has not acknowledged a cancellation is notified again, while a
+/// client waits for the confirmation.
 const AGAIN: Micros = Micros::millis(150);
-/// The same where nobody waits: for processes that have begun since.
+/// The same while no client waits: reaches processes that have restarted since.
 const AGAIN_LATER: Micros = Micros::secs(1);
-/// All are looked at so often.
+/// How often all cancellations are scanned.
 const LOOKED_AT: Micros = Micros::millis(100);
-/// Cancellations told in one message.
+/// Most cancellations in one message.
 const AT_ONCE: usize = 500;
 
-/// Who waits until everybody who must know does.
+/// A request that waits until every controller that must know of a cancellation has acknowledged
+/// it.
 #[derive(Debug)]
 enum Asker {
     User(RequestId),
-    /// The guest, whose transaction ended jobs; how that went.
+    /// The extension, whose transaction ended jobs, and the result of that transaction.
     Guest(Ticket, CallResult),
 }
 
-/// One cancellation.
+/// A cancellation and its acknowledgements.
 #[derive(Debug)]
 struct Known {
     record: Cancellation,
     since: Micros,
-    /// The highest term whose leader acts on it, and vouches that no start follows.
+    /// The highest term whose leader acts on it and guarantees that no start follows.
     led: u64,
-    /// Another controller waits for this leader's word.
+    /// This leader owes another controller that guarantee.
     word_owed: bool,
     askers: Vec<(Asker, Micros)>,
-    /// When each controller was last told.
+    /// When each controller was last notified.
     sent: Vec<Option<Micros>>,
-    /// It was told here that all know; the others hear of that once.
+    /// It was confirmed complete here; the other controllers are notified of that once.
     announce: bool,
 }
 
-/// Cancellations that somebody may still have to hear of.
+/// Cancellations that some controller may not have acknowledged yet.
 #[derive(Debug, Default)]
 pub(super) struct Cancellations {
     jobs: BTreeMap<JobId, Known>,
-    /// Somebody asks, or answered: to be looked at now. Otherwise as time goes on.
+    /// A request or an acknowledgement arrived: scan at the next call. Otherwise every
+    /// `SCAN_INTERVAL`.
     dirty: bool,
     looked: Micros,
 }
 
 impl Cancellations {
-    /// Takes a cancellation; whether it was not known here.
+    /// Merges a cancellation; returns whether it was new here.
     fn take(&mut self, c: &Cancellation, nodes: usize, now: Micros) -> bool {
         if let Some(k) = self.jobs.get_mut(&c.job) {
             k.record.told |= c.told;
@@ -83,8 +88,8 @@
 }
 
 impl Node {
-    /// Jobs that a transaction ended, once it is known to be carried out: they are
-    /// over here from now on, whenever the state service tells of it.
+    /// Applies job ends of a transaction that the state service has confirmed, ahead of the watch's
+    /// events. Returns the jobs that ended.
     pub(super) fn ended_by(&mut self, writes: &[Write], stamp: u64) -> Vec<JobId> {
         let mut ended = Vec::new();
         for w in writes {
@@ -99,14 +104,14 @@
         ended
     }
 
-    /// Answers for a cancelled job as soon as a user may be told.
+    /// Answers a request about a cancelled job as soon as the cancellation may be confirmed.
     pub(super) fn tell_user(&mut self, id: RequestId, job: JobId) {
         self.tell(Asker::User(id), job);
     }
 
-    /// The guest hears of its transaction when users may hear of the ends in it.
+    /// Completes the extension's transaction when the job ends in it may be confirmed.
     pub(super) fn tell_guest(&mut self, t: Ticket, jobs: &[JobId], result: CallResult) {
-        // All are told of together, and the guest waits for the last of them.
+        // All controllers are notified of all jobs together; the extension waits for the last one.
         for job in jobs {
             self.note_cancelled(*job);
         }
@@ -129,7 +134,7 @@
         self.spread_cancellations();
     }
 
-    /// A way to a controller is known: direct, or by another one.
+    /// Whether a network path to a controller is known: direct, or through another controller.
     fn reaches(&self, n: NodeId) -> bool {
         self.hears(n, HEARD) || self.peers.relay(n, self.now).is_some()
     }
@@ -141,7 +146,7 @@
         }
     }
 
-    /// Takes a cancellation from the mirror.
+    /// Records a cancellation from the state replica.
     fn note_cancelled(&mut self, job: JobId) {
         let Some(j) = self.mirror.ledger.jobs.get(&job).filter(|j| j.phase == Phase::Aborted) else { return };
         let record = Cancellation {
@@ -155,9 +160,9 @@
         self.cancellations.take(&record, self.nodes.names.len(), self.now);
     }
 
-    /// Whether a user may be told that a job is cancelled.
+    /// Whether a cancellation may be confirmed to a client.
     pub(super) fn may_tell(&self, job: JobId) -> bool {
-        // Nothing of it is on any machine: there is nothing that anybody has to know.
+        // Nothing of the job is on any machine, so no controller needs to know.
         if self.mirror.ledger.jobs.get(&job).is_some_and(|j| j.settled) {
             return true;
         }
@@ -165,10 +170,10 @@
         k.record.told || self.all_know(k)
     }
 
-    /// Whether everybody who must know of a cancellation does.
+    /// Whether every controller that must know of a cancellation has acknowledged it.
     fn all_know(&self, k: &Known) -> bool {
-        // A leader that took its key before the record has to be told; whether there is
-        // one, only a mirror that holds the record knows.
+        // A leader that acquired its key before the record was written has to be notified. Only a
+        // state replica that holds the record shows whether there is such a leader.
         let applied = self.mirror.ledger.applied >= k.record.stamp;
         let heard_know = self.peers.all().filter(|n| *n != self.nodes.me && self.hears(*n, HEARD)).all(|n| {
             let process = self.peers.states[n.0 as usize].incarnation;
@@ -188,7 +193,8 @@
         (!open).then_some(leader.term)
     }
 
-    /// Tells who has to know, and answers those for whom everybody does.
+    /// Notifies controllers that have to know, and answers requests whose cancellation is fully
+    /// acknowledged.
     pub(super) fn spread_cancellations(&mut self) {
         let (now, me) = (self.now, self.nodes.me);
         let waits = now.since(self.cancellations.looked) < LOOKED_AT;
@@ -196,8 +202,9 @@
             return;
         }
         self.cancellations.looked = now;
-        // What is settled on record is over; what nobody asks about any more was left
-        // by its machines long ago, or is the state service's to tell.
+        // Drops jobs whose settlement is on record. Without a waiting request, a cancellation is
+        // kept only for four times the cancellation time: by then its tasks have left their
+        // machines, or the state service provides it.
         let (keep, ledger) = (self.ctx.cancel.scale(4, 1), &self.mirror.ledger);
         self.cancellations.jobs.retain(|job, k| {
             !k.askers.is_empty()
@@ -212,7 +219,8 @@
         for job in told {
             let Some(k) = self.cancellations.jobs.get_mut(&job) else { continue };
             if !std::mem::replace(&mut k.record.told, true) {
-                // The others may tell users as well, and need not ask each other.
+                // The other controllers may confirm it to clients as well, without querying each
+                // other.
                 k.announce = true;
                 k.sent.fill(None);
             }
@@ -244,8 +252,8 @@
             let due = |k: &&mut Known| {
                 let waited = !k.askers.is_empty() || k.word_owed && !k.record.told;
                 let again = if waited { AGAIN } else { AGAIN_LATER };
-                // Who is told the first time after the end learned of it in another
-                // way as a rule; then its acknowledgement comes with those of others.
+                // A controller that is not notified yet usually learns of the end from the state
+                // service; then its acknowledgement is batched with others.
                 let first = if waited || k.record.told { Micros(0) } else { AGAIN_LATER };
                 let knows = k.record.known_by[i] >= process && !(leads && waited && k.led < term);
                 let news = k.announce && k.sent[i].is_none();
@@ -264,8 +272,8 @@
         }
     }
 
-    /// Another controller tells of cancellations. A late or repeated one says nothing
-    /// new: an end never changes.
+    /// Handles another controller's notification of cancellations. A late or repeated one changes
+    /// nothing: a job's end never changes.
     pub(super) fn cancellations_came(&mut self, from: NodeId, all: &[Cancellation]) {
         let nodes = self.nodes.names.len();
         for c in all {
@@ -290,7 +298,7 @@
         self.drive();
     }
 
-    /// Ends a job in the mirror, ahead of the state service.
+    /// Ends a job in the state replica, ahead of the state service.
     fn act_on(&mut self, c: &Cancellation) {
         let phase = self.mirror.ledger.jobs.get(&c.job).map(|j| j.phase);
         match phase {
@@ -308,7 +316,8 @@
         }
     }
 
-    /// The state was read anew: what was told ahead of it still holds.
+    /// Applies the known cancellations again after the state was read from the start: they still
+    /// hold.
     pub(super) fn reapply_cancellations(&mut self) {
         let all: Vec<Cancellation> = self.cancellations.jobs.values().map(|k| k.record.clone()).collect();
         all.iter().for_each(|c| self.act_on(c));
@@ -321,7 +330,7 @@
         }
     }
 
-    /// Another controller acts on cancellations.
+    /// Handles another controller's acknowledgement that it acts on cancellations.
     pub(super) fn cancellations_known(
         &mut self,
         from: NodeId,
@@ -335,7 +344,8 @@
             self.mark_known(*job, from, process);
             let Some(k) = self.cancellations.jobs.get_mut(job) else { continue };
             k.led = k.led.max(leads.unwrap_or(0));
-            // A leader that didn't vouch for it may have waited for just this.
+            // A leader that gave no guarantee may have been waiting for exactly this
+            // acknowledgement.
             if let Some(i) = leader.map(|n| n.0 as usize)
                 && k.led < term
                 && k.record.known_by[i] >= self.peers.states[i].incarnation.max(1)
@@ -347,10 +357,11 @@
         self.spread_cancellations();
     }
 
-    /// Notes that this process can know what was cancelled: it has read the state and
-    /// can ask for news; or, in an outage, it is in touch with most of the controllers, one
-    /// of whom has read it. Fewer may be what is cut off from a state service that goes on
-    /// serving the others, and nobody outside need be left to end what they keep alive.
+    /// Records that this process can know of new cancellations: it has read the state and reaches
+    /// the state service; or, in an outage, it is in contact with a majority of controllers, one of
+    /// which has read the state. A minority may be cut off from a state service that still serves
+    /// the other controllers, and no controller outside the minority may be left to stop the tasks
+    /// that it keeps alive.
     pub(super) fn note_informed(&mut self) {
         let heard = |n: &NodeId| *n != self.nodes.me && self.hears(*n, HEARD);
         let heard: Vec<NodeId> = self.peers.all().filter(heard).collect();
@@ -361,10 +372,11 @@
         }
     }
 
-    /// Whether workers may be kept alive by this process's word. Without news, it may
-    /// keep tasks alive that were cancelled since: a worker that nobody renews kills them
-    /// within its lease, and so within what is left of a cancellation. What was confirmed
-    /// before this process began may be any time ago; half is left for that.
+    /// Whether this process may renew workers' leases. Without new events, it may keep tasks alive
+    /// that were cancelled since: a worker whose lease is not renewed kills its tasks within the
+    /// lease, and so within what is left of the cancellation time. A cancellation from before this
+    /// process started may have been confirmed at any earlier time; half of the spare time is left
+    /// for that.
     pub(super) fn may_renew(&self) -> bool {
         let spare = self.ctx.cancel - self.ctx.lease;
         match self.informed {
--- a/crates/core/src/node/catalogue.rs
+++ b/crates/core/src/node/catalogue.rs
@@ -1,4 +1,4 @@
-//! Machine types as the cloud sells them, its calls and their budget.
+//! Machine types that the cloud offers, calls to the cloud, and their budget.
 use crate::controller::Sizes;
 use crate::leader::HireRequest;
 use crate::leader::growth::LIST_PAGE;
@@ -7,19 +7,19 @@
 use gorseshore_protocol::cloud::{Flavor, Flavors, Hire, Hosts};
 use gorseshore_protocol::ids::{Micros, Resources};
 
-/// Machine types and the calls that may be made.
+/// Machine types and the budget for calls to the cloud.
 #[derive(Debug)]
 pub(super) struct Catalogue {
     pub flavors: Vec<Flavor>,
     pub sizes: Sizes,
     pub asked_at: Micros,
-    /// The types were asked for.
+    /// A request for the machine types is in flight.
     pub open: bool,
     pub bucket: Bucket,
 }
 
 impl Catalogue {
-    /// Nothing known; `calls` a second are the cloud's.
+    /// Creates an empty catalogue; `calls` is the cloud's limit in calls per second.
     pub fn new(calls: f64, now: Micros) -> Self {
         Catalogue {
             flavors: Vec::new(),
@@ -30,8 +30,8 @@
         }
     }
 
-    /// Whether the types should be asked for: often until they are known, now
-    /// and then for the leader, who goes by their prices.
+    /// Whether to request the machine types: every second until they are known, then every 30 s for
+    /// the leader, which decides by their prices, and every 600 s otherwise.
     pub fn due(&self, leads: bool, now: Micros) -> bool {
         let period = match (self.flavors.is_empty(), leads) {
             (true, _) => Micros::millis(1000),
@@ -41,7 +41,7 @@
         !self.open && (self.asked_at == Micros(0) || now.since(self.asked_at) >= period)
     }
 
-    /// The cloud's answer.
+    /// Stores the cloud's answer.
     pub fn take(&mut self, f: Flavors) {
         let size = |b: &Flavor| Resources::have(b.cpus, b.gpus, b.memory_gb);
         self.sizes = f.builds.iter().map(|b| (b.sku.clone(), size(b))).collect();
@@ -49,14 +49,14 @@
     }
 }
 
-/// A call of the cloud is given up after this.
+/// Timeout of a call to the cloud.
 const CALL_TIMEOUT: Micros = Micros::secs(4);
 
 fn cloud_call(method: &'static str, path: String, body: Vec<u8>) -> Call {
     Call { target: Target::Cloud, method, path, body, timeout: CALL_TIMEOUT }
 }
 
-/// Rents machines.
+/// A call that rents machines.
 pub(super) fn rent_call(request: &HireRequest) -> Call {
     let body = Hire {
         hire: request.name.clone(),
@@ -68,13 +68,13 @@
     cloud_call("POST", "/rentals".into(), serde_json::to_vec(&body).unwrap_or_default())
 }
 
-/// Deletes machines.
+/// A call that deletes machines.
 pub(super) fn delete_call(names: Vec<String>) -> Call {
     let body = Hosts { hosts: names };
     cloud_call("POST", "/rentals/delete".into(), serde_json::to_vec(&body).unwrap_or_default())
 }
 
-/// Asks for a page of the list of machines, after a name.
+/// A call for a page of the cloud's list of machines, starting after a name.
 pub(super) fn list_call(from: Option<&str>) -> Call {
     let from = from.map_or(String::new(), |name| format!("from={name}&"));
     cloud_call("GET", format!("/rentals?{from}limit={LIST_PAGE}"), Vec::new())
--- a/crates/core/src/node/duties.rs
+++ b/crates/core/src/node/duties.rs
@@ -1,9 +1,9 @@
-//! What is due as time goes on: the mirror, the election, the leader's work.
+//! Periodic work: the state replica's list and watch, the election, the leader's work.
 use super::*;
 use crate::books::Page;
 use crate::leader::changes::{Changes, Recording};
 
-/// Longest transaction of several records; the state service takes 64 KiB.
+/// Size limit of a transaction with several records, in bytes; the state service accepts 64 KiB.
 const MAX_TXN_BYTES: usize = 50_000;
 
 impl Node {
@@ -133,7 +133,7 @@
             self.changed(change);
         }
         self.mirror.ledger.applied = base.max(news.ledger);
-        // Only now: a hand-out may be of a job whose end came with it.
+        // Only after all events: an assignment may be of a job whose end came with them.
         for p in messages {
             self.peer(p.from, p.incarnation, p.message);
         }
@@ -182,8 +182,8 @@
                     if rec.node == self.nodes.names[self.nodes.me.0 as usize]
                         && self.leadership.ended_lease != Some(rec.lease) =>
                 {
-                    // An earlier process of this node led; its lease need not
-                    // run out first.
+                    // An earlier process of this node led; revoking its lease avoids waiting until
+                    // it expires.
                     info!("ending the lease of this node's earlier process");
                     let path = format!("/grants/{}", rec.lease);
                     self.leadership.ended_lease = Some(rec.lease);
@@ -200,8 +200,8 @@
                     return self.step_down("its key is gone");
                 }
                 if self.alone() {
-                    // Cut off from the others: one that hears more of the
-                    // cluster serves it better.
+                    // Cut off from the other controllers: one that reaches more of the cluster
+                    // serves it better.
                     self.end_lease(lease);
                     self.step_down("it hears no other controller");
                     self.leadership.election.not_before = self.now + Micros::secs(4);
@@ -219,8 +219,9 @@
         }
     }
 
-    /// Whether this node, when nobody leads, should try now: those who hear
-    /// more of the others go first.
+    /// Whether this node should campaign now while there is no leader. Controllers in contact with
+    /// more of the others go first: a node waits 400 ms for each controller that is out of contact,
+    /// unless that controller's process is known to be down.
     pub(super) fn my_turn(&mut self) -> bool {
         let unheard = (0..self.peers.states.len())
             .map(|i| NodeId(i as u8))
@@ -230,7 +231,8 @@
         self.now.since(since) >= Micros::millis(400 * unheard)
     }
 
-    /// Whether this leader lost all others, and not because they ended.
+    /// Whether this leader lost contact with all other controllers, and not because their processes
+    /// ended.
     pub(super) fn alone(&mut self) -> bool {
         let others: Vec<NodeId> =
             (0..self.peers.states.len()).map(|i| NodeId(i as u8)).filter(|n| *n != self.nodes.me).collect();
@@ -252,9 +254,10 @@
         self.leadership.won = None;
     }
 
-    /// The leader's work.
+    /// Runs the leader's work.
     pub(super) fn lead(&mut self) {
-        // The mirror must hold everything that was there when the key was taken.
+        // The state replica must hold everything that was written before the leader key was
+        // acquired.
         if let Some((term, stamp)) = self.leadership.won
             && self.mirror.ledger.applied >= stamp
             && !self.catalogue.sizes.is_empty()
@@ -296,8 +299,8 @@
         self.cloud(may);
     }
 
-    /// Gets a new leader the books of the one before: from this node if it was
-    /// a witness, else from another.
+    /// Gets a new leader the placement log of its predecessor: from this node if it was a standby
+    /// replica, else from another standby.
     fn take_over_books(&mut self) {
         let Some(l) = self.leadership.leader.as_mut() else { return };
         let Some(w) = l.books_wanted() else { return };
@@ -317,11 +320,12 @@
         }
     }
 
-    /// Another controller sent the books that were wanted.
+    /// Handles the placement log that another controller sent on request.
     pub(super) fn books_came(&mut self, from: NodeId, incarnation: u64, page: Page) {
         let Some(l) = self.leadership.leader.as_mut() else { return };
         let Some(w) = l.books_wanted() else { return };
-        // Only the very process on record: a later one has not been kept up.
+        // Only from the very process on record: a later process of that controller has not kept the
+        // log up to date.
         let name = self.nodes.names.get(from.0 as usize);
         let holds = w.nodes.iter().any(|(n, process)| Some(n) == name && *process == incarnation);
         let term = page.term;
@@ -333,7 +337,7 @@
         }
     }
 
-    /// Writes who holds the books, when that changes.
+    /// Records which standby replicas hold the placement log, when that changes.
     fn record_witnesses(&mut self) {
         let Role::Leader { stamp: mine, term, .. } = self.leadership.election.role else { return };
         let Some(l) = self.leadership.leader.as_mut() else { return };
@@ -352,8 +356,7 @@
 
     pub(super) fn leader_writes(&mut self) {
         let Role::Leader { stamp: mine, term, .. } = self.leadership.election.role else { return };
-        // What is to be written is looked for in all jobs and machines: not at
-        // every input.
+        // Finding what to write scans all jobs and machines, so it is not done at every input.
         let again = Micros::millis(40);
         if self.leadership.txns >= 3
             || self.now < self.leadership.retry_at
@@ -388,7 +391,7 @@
             if ops > self.limits.txn_ops || conditions > self.limits.txn_conditions() || too_long {
                 break;
             }
-            // Progress and clearing up leave room for what users wait for.
+            // Progress and cleanup leave budget for writes that clients wait for.
             let keep = match w {
                 LeaderWrite::End(_) | LeaderWrite::Machines(_) | LeaderWrite::Hire(_) => 0.0,
                 LeaderWrite::Failures(..) | LeaderWrite::Fail(..) => 0.0,
@@ -404,7 +407,7 @@
             size += changes.len();
             m.when.extend(changes.conditions);
             m.writes.extend(changes.writes);
-            // One name a transaction: they share a key.
+            // One rental name per transaction: rentals share a key.
             let full = alone
                 || matches!(w, LeaderWrite::Hire(_))
                     && taken.iter().any(|x| matches!(x, LeaderWrite::Hire(_)));
@@ -425,7 +428,7 @@
         self.calls.insert(id, Purpose::LeaderWrites(term, taken));
     }
 
-    /// What a leader's write changes.
+    /// The conditions and writes of a leader's record, if there are any.
     fn changes_of(&self, write: &LeaderWrite) -> Option<Changes> {
         let may_create = |key: &str| self.leadership.may_create(key, self.now);
         let recording = Recording {
@@ -461,7 +464,7 @@
                 if failed.iter().any(|k| k == keys::LEADER) {
                     return self.step_down("another took the key");
                 }
-                // The mirror is behind: what failed will show there.
+                // The state replica is behind: the watch will show the conflicting change.
                 debug!("records changed meanwhile: {failed:?}");
                 self.leadership.retry_at = self.now + Micros::millis(60);
                 self.leadership.contest(&failed, self.now);
--- a/crates/core/src/node/held_check_ins.rs
+++ b/crates/core/src/node/held_check_ins.rs
@@ -1,33 +1,34 @@
-//! Workers' check-ins that need a second look.
+//! Check-ins of workers whose machines this controller does not hold.
 use crate::RequestId;
 use gorseshore_protocol::ids::{MachineId, Micros};
 use gorseshore_protocol::workers::{Report, ReportNo};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Check-ins that wait, and workers of others that report here.
+/// Deferred check-ins, and what is known of workers whose machines other controllers hold.
 #[derive(Debug, Default)]
 pub(super) struct HeldCheckIns {
-    /// Check-ins that wait for a grant, and until when.
+    /// Check-ins that wait for a grant of their machine, and until when.
     pub held: BTreeMap<MachineId, (RequestId, Report, Micros)>,
-    /// Machines of others that reported here: when, by which report, and whether they
-    /// were asked.
+    /// Machines not held here that reported here: when, by which report, and whether that was the
+    /// answer to a probe.
     pub strangers: BTreeMap<MachineId, (Micros, ReportNo, bool)>,
-    /// Machines whose reports contradict their records, and the log said so.
+    /// Machines whose reports contradict their records; this was logged.
     pub apart: BTreeSet<MachineId>,
-    /// The token with which workers of others were kept alive here.
+    /// The fencing token with which the lease of a worker not held here was renewed.
     pub kept: BTreeMap<MachineId, u64>,
-    /// The newest report of each machine of others.
+    /// The newest report of each machine not held here.
     newest: BTreeMap<MachineId, ReportNo>,
-    /// Workers that were sent to the holder of their machine, when.
+    /// When workers were redirected to the controller that holds their machine.
     pub redirected: BTreeMap<MachineId, Micros>,
 }
 
-/// Machines whose newest report is remembered; a copy of one that is forgotten counts
-/// as a sighting once more, which the leader compares with what it knows.
+/// Most machines whose newest report is kept. A copy of a report that was dropped counts as a
+/// sighting again, which the leader compares with what it knows.
 const REMEMBERED: usize = 20_000;
 
 impl HeldCheckIns {
-    /// A worker of others was kept alive here with the token that it showed.
+    /// Records that the lease of a worker not held here was renewed with the token that it
+    /// reported.
     pub fn kept_alive(&mut self, machine: MachineId, baton: u64) {
         if self.kept.len() >= REMEMBERED {
             self.kept.clear();
@@ -35,8 +36,8 @@
         self.kept.insert(machine, baton);
     }
 
-    /// Whether a report is newer than all of this machine that came here: copies of
-    /// reports move nothing and are held for nothing.
+    /// Whether a report is newer than all earlier ones of this machine here: copies of reports
+    /// change nothing and their answers are not deferred.
     pub fn is_news(&mut self, machine: &MachineId, report: ReportNo) -> bool {
         if self.newest.get(machine).is_some_and(|n| report <= *n) {
             return false;
--- a/crates/core/src/node/host.rs
+++ b/crates/core/src/node/host.rs
@@ -1,17 +1,17 @@
-//! What the node does for its guest.
+//! Runs the extension: passes inputs to it and carries out its outputs.
 use super::*;
 
-/// Most keys of one reading.
+/// Most keys of one read.
 const MAX_READ: usize = 2000;
 
 impl Node {
-    /// Gives an input to the guest, if there is one, and does what it says.
+    /// Passes an input to the extension, if there is one, and carries out its outputs.
     pub(super) fn ask_guest(&mut self, input: GuestInput) {
         if !self.has_guest {
             return;
         }
-        // Out of its place while it is asked: what it asks for may come back
-        // to it at once, which waits its turn here.
+        // The extension is taken out of the node while it handles an input: an output may cause
+        // another input at once, which waits in the queue.
         self.guest_inputs.push(input);
         let Some(mut guest) = self.guest.take() else { return };
         while !self.guest_inputs.is_empty() {
@@ -69,7 +69,8 @@
         self.calls.insert(id, Purpose::GuestRead(t, prefix, so_far));
     }
 
-    /// A page of what the guest reads came; it is told when all are there.
+    /// Handles a page of the extension's read; the extension gets the result when all pages are
+    /// there.
     pub(super) fn guest_page(&mut self, t: Ticket, prefix: String, mut so_far: Listing, result: CallResult) {
         let page: Option<Listing> = match &result {
             CallResult::Answer { status: 200, body } => serde_json::from_slice(body).ok(),
@@ -85,7 +86,7 @@
         self.ask_guest(GuestInput::Called(t, CallResult::Answer { status: 200, body }));
     }
 
-    /// There is no proof that the mirror is up to date.
+    /// Fails a request whose read barrier can't be completed.
     pub(super) fn cant_ask(&mut self, w: &Waiter, reason: RefusalReason) {
         match w.asker() {
             Ok(id) => self.refuse(id, reason),
--- a/crates/core/src/node/knowledge.rs
+++ b/crates/core/src/node/knowledge.rs
@@ -1,18 +1,18 @@
-//! Whether anybody in touch knows where cancelled tasks may be.
+//! Whether a controller in contact knows where cancelled tasks may be.
 //!
-//! The leader knows, and so do the controllers that hold its placements (`crate::books`). A
+//! The leader knows, and so do the standby replicas of its placement log (`crate::books`). A
 //! process that has read the state knows at least what was cancelled. In an outage of the state
-//! service, all who know may have ended; then only the silence of a machine is left to go by
-//! (`crate::liveness`).
+//! service, all processes that know may have ended; then unanswered probes are the only evidence
+//! left (`crate::liveness`).
 use super::*;
 use crate::deputy::gone_by;
 
-/// Silent machines go one by one until this part of a cancellation's time has passed, in
-/// hundredths, where nobody knows since when there are cancellations.
+/// Where it is unknown since when there are cancellations, unreachable machines are deleted one by
+/// one until this part of the cancellation time has passed, in percent.
 const UNKNOWN_DEADLINE_PERCENT: u64 = 20;
 
 impl Node {
-    /// Notes that a controller is in touch that knows where tasks may be.
+    /// Records contact with a controller that knows where tasks may be.
     pub(super) fn note_placements(&mut self) {
         let leads = self.leadership.leader.is_some() || self.now.since(self.peers.led_at) < HEARD;
         if leads || self.peers.all().any(|n| self.holds_placements(n)) {
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Whether a controller is in touch and on record as a holder of the leader's placements.
+    /// Whether a controller is in contact and on record as a standby replica of the placement log.
     fn holds_placements(&self, n: NodeId) -> bool {
         let (record, _) = &self.mirror.ledger.books;
         let process = if n == self.nodes.me {
@@ -34,18 +34,18 @@
         record.nodes.iter().any(|(holder, of)| holder == name && *of == process)
     }
 
-    /// By when cancelled tasks have to be gone of which nobody in touch knows where they may be.
-    /// `None` where somebody knows, and where nothing that was cancelled can be left.
+    /// The deadline for stopping cancelled tasks whose placements no controller in contact knows.
+    /// `None` where such a controller is in contact, and where no cancelled task can be left.
     pub(super) fn deadline_without_knowledge(&self) -> Option<Micros> {
         if self.mirror.loaded { self.deadline_without_placements() } else { self.deadline_without_records() }
     }
 
-    /// Whether the state service's last answer was none: nobody can be elected by it.
+    /// Whether the state service's last call failed: no leader can be elected through it.
     pub(super) fn state_is_away(&self) -> bool {
         self.mirror.fail_at > self.mirror.ok_at
     }
 
-    /// Of the cancellations that are known here, the earliest that is not past its time.
+    /// The earliest deadline that is not past, of the cancellations known here.
     fn deadline_without_placements(&self) -> Option<Micros> {
         if self.now.since(self.placements_at) < HEARD {
             return None;
@@ -56,8 +56,8 @@
             .min()
     }
 
-    /// Anything may have been cancelled just before this process began, or just before it lost
-    /// touch with who had read the state.
+    /// Jobs may have been cancelled just before this process started, or just before it lost
+    /// contact with the controllers that had read the state.
     fn deadline_without_records(&self) -> Option<Micros> {
         let peer_knows =
             self.peers.all().any(|n| self.hears(n, HEARD) && self.peers.states[n.0 as usize].loaded);
--- a/crates/core/src/node/leadership.rs
+++ b/crates/core/src/node/leadership.rs
@@ -1,5 +1,4 @@
-//! Leadership: this node's part in the election, and the leader's work and
-//! writes while it leads.
+//! State of this node's leadership: the election, and the leader's records in flight.
 use super::refusals::Refusals;
 use crate::election::Election;
 use crate::jobs::keys;
@@ -9,32 +8,32 @@
 use gorseshore_settings::Operator;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The election, and what this node does as leader.
+/// The election, and the leader's work and writes while this node leads.
 pub(super) struct Leadership {
     pub election: Election,
-    /// Term and stamp of a key that was taken and is not yet in the mirror.
+    /// Term and version of a leader key that was created and is not in the state replica yet.
     pub won: Option<(u64, u64)>,
     pub leader: Option<Leader>,
-    /// Writes under way.
+    /// Records in flight.
     pub inflight: BTreeSet<LeaderWrite>,
     pub txns: usize,
     pub retry_at: Micros,
     pub wrote_at: Micros,
-    /// Keys whose condition did not hold: how often in a row, and until when
-    /// what needs them is left out.
+    /// Keys whose condition failed: how often in a row, and until when records that need them are
+    /// skipped.
     pub contested: BTreeMap<String, (u32, Micros)>,
-    /// Writes that the state service called wrong.
+    /// Records that the state service rejected as invalid.
     pub refused: Refusals,
     pub bucket: Bucket,
-    /// Another controller was heard in this term as leader.
+    /// This node was in contact with another controller in this term of leadership.
     pub had_peers: bool,
     pub vacant_since: Option<Micros>,
-    /// A lease of this node that was ended, or runs out by itself.
+    /// A lease of this node that was revoked, or is left to expire.
     pub ended_lease: Option<u64>,
 }
 
 impl Leadership {
-    /// Vacant; `changes` a second are the state service's.
+    /// Not leading; `changes` is the state service's limit in writes per second.
     pub fn new(operator: &Operator, changes: f64, now: Micros) -> Self {
         Leadership {
             election: Election::new(operator.leader_lease),
@@ -53,7 +52,7 @@
         }
     }
 
-    /// Nothing of an earlier term is under way any more.
+    /// Starts a term of leadership: no record of an earlier term is in flight any more.
     pub fn take_up(&mut self, leader: Leader) {
         self.inflight.clear();
         self.contested.clear();
@@ -62,11 +61,11 @@
         self.leader = Some(leader);
     }
 
-    /// A transaction failed on these keys. The mirror may only be behind, which
-    /// a moment mends; where it isn't, what needs the key must not hold up the
-    /// rest, so it is left out for longer each time.
+    /// A transaction failed on the conditions of these keys. If the state replica is only behind, a
+    /// short pause resolves it. If not, records that need these keys must not block the others, so
+    /// they are skipped for longer each time.
     pub fn contest(&mut self, failed: &[String], now: Micros) {
-        // Who fails no more is forgotten.
+        // Drops keys that have not failed again within 10 s after their pause.
         self.contested.retain(|_, (_, until)| now < *until + Micros::secs(10));
         for key in failed {
             let (times, until) = self.contested.entry(key.clone()).or_default();
@@ -75,7 +74,7 @@
         }
     }
 
-    /// Whether a new key of this name may be tried.
+    /// Whether a new key of this name may be created now.
     pub fn may_create(&self, key: &str, now: Micros) -> bool {
         !self.is_contested(key, now)
     }
@@ -84,14 +83,14 @@
         self.contested.get(key).is_some_and(|(times, until)| *times > 1 && now < *until)
     }
 
-    /// The write as far as its keys are not contested now.
+    /// The part of the record whose keys are not contested now.
     pub fn uncontested(&self, w: LeaderWrite, now: Micros) -> Option<LeaderWrite> {
         if self.contested.is_empty() {
             return Some(w);
         }
         let free = |key: String| !self.is_contested(&key, now);
         let good = match &w {
-            // Any of them can give the record its name.
+            // The record's key is named after one of the machines, and any of them will do.
             LeaderWrite::Machines(ids) => {
                 let left: Vec<_> = ids.iter().filter(|id| free(keys::machines(id))).cloned().collect();
                 return (!left.is_empty()).then_some(LeaderWrite::Machines(left));
@@ -108,7 +107,7 @@
         good.then_some(w)
     }
 
-    /// These writes came back, whatever the answer.
+    /// A transaction with these records ended, with whatever result.
     pub fn returned(&mut self, writes: &[LeaderWrite]) {
         self.txns = self.txns.saturating_sub(1);
         for w in writes {
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -1,5 +1,5 @@
-//! A whole controller node: its mirror of the state service, its part in the
-//! election, its block, and the leader's work while it leads.
+//! A controller node: its replica of the state service, its part in the election, its lease of
+//! machines, and the leader's work while it leads.
 mod cancellations;
 mod catalogue;
 mod duties;
@@ -50,19 +50,19 @@
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Who is who.
+/// All controllers of the cluster.
 #[derive(Debug, Clone)]
 pub struct Nodes {
-    /// Names, sorted; a `NodeId` is an index.
+    /// Host names, sorted; a `NodeId` is an index.
     pub names: Vec<String>,
-    /// Zones.
+    /// Zones, in the order of the names.
     pub zones: Vec<String>,
-    /// This node.
+    /// This controller.
     pub me: NodeId,
 }
 
 impl Nodes {
-    /// From the platform's settings.
+    /// Reads the platform's settings.
     pub fn new(p: &Platform) -> Self {
         let mut all: Vec<(String, String)> =
             p.peers.iter().map(|x| (x.host_name.clone(), x.domain.clone())).collect();
@@ -74,7 +74,7 @@
     }
 }
 
-/// What a call was for.
+/// What a call was made for.
 #[derive(Debug)]
 enum Purpose {
     List {
@@ -85,7 +85,7 @@
     Follow,
     Barrier(Vec<(Waiter, Micros)>),
     Write(UserWrite),
-    /// Pages of a guest's reading: the prefix, and what came so far.
+    /// Pages of an extension's read: the prefix, and the pages received so far.
     GuestRead(Ticket, String, Listing),
     GrantNew {
         asked: Micros,
@@ -99,27 +99,27 @@
         sent: Micros,
     },
     EndLease,
-    /// A transaction of a relayed message, by the message's number.
+    /// A transaction of a relayed message, with the message's number.
     Mail(u64),
     LeaderWrites(u64, Vec<LeaderWrite>),
-    /// The record of a term's witnesses.
+    /// The record of a term's standby replicas.
     BooksRecord(u64),
     Cloud(u64, CloudWish),
     Flavors,
     Worker(MachineId),
     Probe(MachineId),
-    /// A page of the cloud's list, in a leader's place.
+    /// A page of the cloud's list, fetched as standby.
     MachineList,
-    /// A machine that may hold a cancelled task, asked or told in a leader's place.
+    /// A machine that may hold a cancelled task, probed or sent a stop as standby.
     Deputy {
         machine: MachineId,
         sent: Micros,
     },
-    /// Machines deleted in a leader's place.
+    /// Machines deleted as standby.
     DeputyDelete(Vec<MachineId>),
 }
 
-/// The node. Each part owns the state of one duty; what crosses parts is here.
+/// A controller node. Each field owns the state of one duty; what several duties share is here.
 pub struct Node {
     nodes: Nodes,
     operator: Operator,
@@ -127,10 +127,10 @@
     ctx: Context,
     limits: StoreLimits,
     now: Micros,
-    /// When this process began, and when it could last know what was cancelled.
+    /// When this process started, and when it could last learn of new cancellations.
     began: Micros,
     informed: Option<Micros>,
-    /// When a controller was last in touch that knows where tasks may be.
+    /// When this node was last in contact with a controller that knows where tasks may be.
     placements_at: Micros,
     wall_ms: u64,
     rng: fastrand::Rng,
@@ -147,7 +147,7 @@
     catalogue: Catalogue,
     held_check_ins: HeldCheckIns,
     ctl: Controller,
-    /// Books of leaders that this node is a witness of.
+    /// Leaders' placement logs of which this node is a standby replica.
     kept: Kept,
     deputy: Deputy,
     liveness: LivenessMonitor,
@@ -155,12 +155,12 @@
     books_asked: Micros,
     has_guest: bool,
     guest: Option<Box<dyn Guest>>,
-    /// What came for the guest while it was being asked.
+    /// Inputs that arrived while the extension was handling another one.
     guest_inputs: Vec<GuestInput>,
 }
 
 impl Node {
-    /// A node that knows nothing yet.
+    /// Creates a node with an empty state replica.
     pub fn new(p: &Platform, operator: Operator, seed: u64, incarnation: u64, now: Micros) -> Self {
         let nodes = Nodes::new(p);
         let d = &p.deployment;
@@ -220,14 +220,14 @@
         }
     }
 
-    /// A node with a guest beside the scheduler.
+    /// Adds an extension beside the scheduler.
     pub fn with_guest(mut self, guest: Box<dyn Guest>) -> Self {
         self.has_guest = true;
         self.guest = Some(guest);
         self
     }
 
-    /// Takes an input at a time; what to do about it.
+    /// Handles one input; returns what to send and call.
     pub fn handle(&mut self, now: Micros, wall_ms: u64, input: Input) -> Vec<Output> {
         self.now = self.now.max(now);
         self.wall_ms = wall_ms;
@@ -260,7 +260,7 @@
         std::mem::take(&mut self.out.items)
     }
 
-    /// The `status` line of a controller, if one is due.
+    /// The `status` line, if one is due.
     pub fn status_line(&mut self) -> Option<String> {
         let gauges = Gauges {
             revision: self.mirror.ledger.applied,
@@ -272,29 +272,27 @@
         self.status.line(gauges, self.now)
     }
 
-    /// How often an invariant that is checked at run time did not hold.
+    /// How many violations of invariants this process has detected at run time.
     pub fn invariant_violations(&self) -> u64 {
         self.status.violations() + self.leadership.leader.as_ref().map_or(0, Leader::violations)
     }
 
-    /// Whether this node leads, and may say so.
+    /// Whether this node leads and its lease is confirmed.
     pub fn leads(&self) -> bool {
         self.leadership.leader.is_some() && self.leadership.election.may_lead(self.now)
     }
 
-    /// Whether users are served here; `GET /ready` says the same.
+    /// Whether clients are served here; `GET /ready` returns the same.
     pub fn serves_users(&self) -> bool {
         self.ready()
     }
 
-    /// Whether this node is ready for users and holds a block that it may start
-    /// tasks on.
+    /// Whether this node serves clients and holds a lease of machines that it may start tasks on.
     pub fn in_service(&self) -> bool {
         self.ready() && self.ctl.lease_valid(self.now)
     }
 
-    /// Whether what this node keeps as things change agrees with a fresh
-    /// count: for tests.
+    /// For tests: compares the sums that are updated incrementally with a recount.
     pub fn check_kept(&self) -> Result<(), String> {
         self.leadership.leader.as_ref().map_or(Ok(()), Leader::check_sums)
     }
@@ -400,7 +398,7 @@
                     self.barrier();
                 }
                 _ => {
-                    // Lost, or nobody knows: without its lease a late key goes too.
+                    // Lost or unknown. Revoking the lease also deletes a key that is written late.
                     self.end_lease(lease);
                     let pause = Micros::millis(200 + self.rng.u64(0..400));
                     self.leadership.election.lost(self.now, pause);
@@ -472,8 +470,8 @@
             _ => None,
         };
         let Some(page) = page else {
-            // Many that start at once share the state service's budget: what was
-            // read is kept, and goes on after a pause.
+            // Many processes that start at once share the state service's budget: the pages read so
+            // far are kept, and the read resumes after a pause.
             let pause = Micros::millis(150 + self.rng.u64(0..300));
             self.mirror.retry_list_at = self.now + pause;
             self.mirror.reading.interruptions += 1;
@@ -490,8 +488,8 @@
         for p in &page.pairs {
             ledger.apply(&p.path, Some(&p.v), p.stamp);
         }
-        // Later pages are newer: the news from the first page's revision on
-        // is applied over them.
+        // Later pages are newer: the watch starts at the first page's revision and its events are
+        // applied over them.
         let first = first.unwrap_or(page.ledger);
         if let (true, Some(last)) = (page.truncated, page.pairs.last()) {
             return self.list(Some(last.path.clone()), Some(first), ledger);
--- a/crates/core/src/node/peers.rs
+++ b/crates/core/src/node/peers.rs
@@ -1,12 +1,12 @@
-//! Messages between controllers, and their ways round a cut.
+//! Messages between controllers, and their paths around a network partition.
 use super::stand_in::status_call;
 use super::*;
 
-/// News go to the leader this often, if it keeps up.
+/// How often changes of the view are sent to a leader that keeps up.
 const VIEW_INTERVAL: Micros = Micros::millis(40);
-/// The same while it knows nothing of this controller yet.
+/// How often the whole view is sent, while the leader has none of this controller.
 const WHOLE_VIEW_INTERVAL: Micros = Micros::millis(200);
-/// The same where there are none.
+/// How often a view without changes is sent.
 const IDLE_VIEW_INTERVAL: Micros = Micros::millis(500);
 
 impl Node {
@@ -34,9 +34,9 @@
         if self.hears(to, HEARD) {
             return self.out.send(to, m);
         }
-        // A cut: another controller that hears the receiver passes it on, or,
-        // if there is none, the state service does, which no cut between
-        // controllers concerns. Whatever comes twice is dropped by its number.
+        // A network partition: another controller that is in contact with the receiver forwards the
+        // message. Without one it goes through the state service, which no partition between
+        // controllers affects. The receiver drops duplicates by sequence number.
         let relay = self.peers.relay(to, self.now);
         match relay {
             Some(r) => {
@@ -53,9 +53,9 @@
         self.peers.hears(n, limit, self.now)
     }
 
-    /// Posts what no other way is left for, in as many parts as the values'
-    /// limit asks for, as often as a small part of the budget allows. A message
-    /// of more parts than a transaction holds goes in several, one by one.
+    /// Posts messages for which no other path is left, in as many parts as the limit on values
+    /// requires, and as often as a small part of the budget allows. A message with more parts than
+    /// a transaction holds is posted in several transactions, one after another.
     pub(super) fn send_relayed(&mut self) {
         if self.relay.outgoing.is_empty()
             || self.relay.posting()
@@ -86,13 +86,13 @@
                 break;
             }
         }
-        // A seventh of all changes, shared by those who may be in the same need.
+        // A seventh of all writes, shared by the controllers that may have to post as well.
         let share = self.limits.changes_per_s / 7.0 / self.nodes.names.len() as f64;
         let pause = Micros::from_secs_f64(posted as f64 / share.max(0.1));
         self.relay.next_at = self.now + pause.clamp(Micros::millis(400), Micros::millis(1500));
     }
 
-    /// Posts the next transaction of a message, if the one before it was taken.
+    /// Posts the next transaction of a message, if the previous one succeeded.
     pub(super) fn post_relayed(&mut self, number: u64, taken: bool) {
         if let Some(txn) = self.relay.next_txn(number, taken) {
             let call = self.multi(&txn);
@@ -118,7 +118,7 @@
                 if to != self.nodes.me {
                     self.out.send(to, Message::Forward { to, envelope });
                 } else if let Some(p) = Envelope::unpack(&envelope).filter(|p| p.from != to) {
-                    // One hop: a envelope holds no other envelope that is passed on.
+                    // One hop: a forwarded envelope holds no other envelope to forward.
                     if !matches!(p.message, Message::Forward { .. }) {
                         self.peer(p.from, p.incarnation, p.message);
                     }
@@ -171,7 +171,7 @@
             Message::Books(page) => {
                 let (on_record, _) = &self.mirror.ledger.books;
                 self.kept.drop_before(on_record.term);
-                // A leader that another has followed is kept no books for.
+                // No placement log is kept for a leader that has a successor.
                 if page.term < self.mirror.ledger.term.0 {
                     return;
                 }
@@ -204,13 +204,14 @@
         }
     }
 
-    /// Messages to itself carry incarnation 1; the shell puts the process's
-    /// own number on the others and drops updates for another process.
+    /// The incarnation that updates from a controller must be meant for. A node's messages to
+    /// itself carry incarnation 1, those to other controllers the process's own. Updates that are
+    /// meant for another process are dropped.
     pub(super) fn my_incarnation(&self, from: NodeId) -> u64 {
         if from == self.nodes.me { 1 } else { self.incarnation() }
     }
 
-    /// The number that this process puts on its messages.
+    /// The incarnation that this process puts on its messages.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
@@ -219,7 +220,7 @@
         let Some(to) = self.leader_node() else { return };
         let term = self.leader_term();
         let first = std::mem::replace(&mut self.peers.sync_term, term) != term;
-        // A leader that has acknowledged nothing is sent everything, less often.
+        // A leader that has acknowledged nothing gets the whole view, less often.
         let pause = match (self.ctl.dirty, self.ctl.unknown_to(term)) {
             (true, true) => WHOLE_VIEW_INTERVAL,
             (true, false) => VIEW_INTERVAL,
--- a/crates/core/src/node/refusals.rs
+++ b/crates/core/src/node/refusals.rs
@@ -1,46 +1,45 @@
-//! Leader's writes that the state service answered with 400: never valid as they
-//! are. Repeated together with others they would hold those up for ever, so each
-//! of a refused transaction goes alone from then on, and one that is refused
-//! alone is left out for growing pauses.
+//! Leader's records that the state service rejected with 400: they are invalid as they are. Retried
+//! in a transaction with others, they would block those forever. So each record of a rejected
+//! transaction is retried alone from then on, and one that is rejected alone is skipped for
+//! increasing pauses.
 use crate::jobs::keys;
 use crate::leader::LeaderWrite;
 use gorseshore_protocol::ids::Micros;
 use log::error;
 use std::collections::BTreeMap;
 
-/// The first pause of a write that was refused alone; each further one is twice
-/// as long.
+/// Pause after a record is rejected alone for the first time; each further pause is twice as long.
 const FIRST_PAUSE: Micros = Micros::secs(1);
-/// How often the pause doubles at most.
+/// Limit on how often the pause doubles.
 const MAX_DOUBLINGS: u32 = 8;
 
-/// A write that was part of a refused transaction.
+/// A record that was part of a rejected transaction.
 #[derive(Debug, Clone, Copy, Default)]
 struct Refusal {
-    /// How often it was refused alone.
+    /// How often it was rejected alone.
     times: u32,
-    /// It is left out until then.
+    /// It is skipped until then.
     until: Micros,
 }
 
-/// Writes that go alone, by the key that they are about.
+/// Records to write alone, by key.
 #[derive(Debug, Default)]
 pub(super) struct Refusals {
     by_key: BTreeMap<String, Refusal>,
 }
 
 impl Refusals {
-    /// Whether the write must not share a transaction.
+    /// Whether the record must not share a transaction.
     pub fn goes_alone(&self, write: &LeaderWrite) -> bool {
         !self.by_key.is_empty() && self.by_key.contains_key(&key_of(write))
     }
 
-    /// Whether the write is left out for now.
+    /// Whether the record is skipped for now.
     pub fn waits(&self, write: &LeaderWrite, now: Micros) -> bool {
         !self.by_key.is_empty() && self.by_key.get(&key_of(write)).is_some_and(|r| now < r.until)
     }
 
-    /// A transaction of these writes was refused.
+    /// A transaction with these records was rejected.
     pub fn refused(&mut self, writes: &[LeaderWrite], reason: &str, now: Micros) {
         let alone = writes.len() == 1;
         for write in writes {
@@ -58,7 +57,7 @@
         }
     }
 
-    /// A transaction of these writes was taken.
+    /// A transaction with these records was accepted.
     pub fn accepted(&mut self, writes: &[LeaderWrite]) {
         if self.by_key.is_empty() {
             return;
@@ -69,7 +68,7 @@
     }
 }
 
-/// The key that tells a write from others: also when what it says has changed.
+/// The key that identifies a record, also when its content has changed.
 fn key_of(write: &LeaderWrite) -> String {
     match write {
         LeaderWrite::End(id)
@@ -94,14 +93,14 @@
         let (bad, good) = (LeaderWrite::End(JobId(1)), LeaderWrite::End(JobId(2)));
         let mut refusals = Refusals::default();
         assert!(!refusals.goes_alone(&bad));
-        // Together: nobody knows yet which of them it was.
+        // Rejected together: it is unknown which of them is invalid.
         refusals.refused(&[bad.clone(), good.clone()], "too long", Micros(0));
         for w in [&bad, &good] {
             assert!(refusals.goes_alone(w) && !refusals.waits(w, Micros(0)), "{w:?}");
         }
         refusals.accepted(std::slice::from_ref(&good));
         assert!(!refusals.goes_alone(&good));
-        // (refused alone at, left out until), in seconds
+        // (rejected alone at, skipped until), in seconds
         let pauses = [(0, 1), (1, 3), (3, 7), (100, 108)];
         for (at, until) in pauses {
             refusals.refused(std::slice::from_ref(&bad), "too long", Micros::secs(at));
--- a/crates/core/src/node/relay.rs
+++ b/crates/core/src/node/relay.rs
@@ -1,5 +1,5 @@
-//! Messages through the state service, for messages that no other way is left
-//! for: outgoing ones, and the parts of incoming ones.
+//! Messages relayed through the state service when no other path is left: outgoing ones, and
+//! received parts of incoming ones.
 use crate::jobs::keys;
 use crate::limits::StoreLimits;
 use crate::peer::{Envelope, Message};
@@ -10,34 +10,34 @@
 use serde_json::json;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Bytes of a part's value beside its text.
+/// Bytes of a part's value besides its text.
 const PART_OVERHEAD: usize = 100;
-/// Bytes for the text of a transaction's parts, of the 64 KiB that one may have.
+/// Bytes for the text of a transaction's parts, out of the 64 KiB that a transaction may have.
 const TXN_TEXT_BYTES: usize = 56_000;
-/// Most transactions of one message, one after another.
+/// Most transactions of one message; they are posted one after another.
 const MAX_TXNS: usize = 4;
 
-/// A part of a message as it is recorded: sender's process, number, place,
-/// number of parts, text.
+/// A part of a message as it is stored: the sender's incarnation, message number, index of the
+/// part, number of parts, text.
 type Part = (u64, u64, usize, usize, String);
 
-/// Messages that wait to go that way, and parts that came.
+/// Messages that wait to be posted, and received parts.
 #[derive(Debug, Default)]
 pub(super) struct Relay {
-    /// The last message of each sort for each controller.
+    /// The last message of each kind for each controller.
     pub outgoing: BTreeMap<(NodeId, u8), Message>,
     pub next_at: Micros,
     count: u64,
-    /// Transactions of the message that is being posted, after the one under way.
+    /// Transactions of the current message that follow the one in flight.
     rest: VecDeque<Multi>,
-    /// Messages of which parts have come, by the sender's process: number, text
-    /// so far, parts so far.
+    /// Messages received in part, by the sender's incarnation: message number, text so far, parts
+    /// so far.
     open: BTreeMap<u64, (u64, String, usize)>,
 }
 
 impl Relay {
-    /// Keeps a message until it can be posted; only what stands for a whole
-    /// state is worth it.
+    /// Queues a message until it can be posted. Only messages that carry a sender's state are worth
+    /// it; a newer one replaces an older one.
     pub fn keep(&mut self, to: NodeId, m: &Message) {
         let sort = match m {
             Message::Sync { .. } => 0,
@@ -47,15 +47,14 @@
         self.outgoing.insert((to, sort), m.clone());
     }
 
-    /// Whether the last message is still being posted: parts of two would mix at
-    /// the receiver.
+    /// Whether a message is still being posted: the parts of two messages would mix at the
+    /// receiver.
     pub fn posting(&self) -> bool {
         !self.rest.is_empty()
     }
 
-    /// Cuts a message into transactions, as many parts in each as the limits
-    /// allow, and keeps them to be posted; the number of parts, or `None` if it
-    /// is too long.
+    /// Splits a message into transactions, each with as many parts as the limits allow, and queues
+    /// them. Returns the number of parts, or `None` if the message is too long.
     pub fn cut(&mut self, to: &str, from: &str, envelope: &Envelope, limits: &StoreLimits) -> Option<usize> {
         let text = BASE64.encode(&envelope.pack());
         let in_txn = TXN_TEXT_BYTES / limits.txn_ops.max(1);
@@ -77,25 +76,25 @@
         Some(parts.len())
     }
 
-    /// Number of the message that was cut last.
+    /// Number of the last message that was split.
     pub fn number(&self) -> u64 {
         self.count
     }
 
-    /// The next transaction of message `number`, if the one before was taken.
+    /// The next transaction of message `number`, if the previous one succeeded.
     pub fn next_txn(&mut self, number: u64, taken: bool) -> Option<Multi> {
         if number != self.count {
             return None;
         }
         if !taken {
-            // What comes late without the parts before it is passed over.
+            // The receiver skips later parts without the parts before them.
             self.rest.clear();
         }
         self.rest.pop_front()
     }
 
-    /// A part came; the parts of one message come in order. The
-    /// envelope, once it is whole.
+    /// Handles a received part; the parts of one message arrive in order. Returns the envelope once
+    /// it is complete.
     pub fn open(&mut self, v: &serde_json::Value) -> Option<Envelope> {
         let (sender, number, i, n, text) = Part::deserialize(v).ok()?;
         let partial = self.open.entry(sender).or_default();
@@ -128,7 +127,7 @@
         Envelope { from: NodeId(0), incarnation: 5, message }
     }
 
-    /// All transactions of the message that was cut last.
+    /// All transactions of the last message that was split.
     fn transactions(relay: &mut Relay) -> Vec<Multi> {
         let number = relay.number();
         std::iter::from_fn(|| relay.next_txn(number, true)).collect()
@@ -144,7 +143,7 @@
 
     #[test]
     fn messages_go_in_parts_within_the_limits() {
-        // (longest value, changes in a transaction, bytes, transactions; none: too long)
+        // (longest value, writes per transaction, message bytes, transactions; `None`: too long)
         let cases = [
             (4000, 8, 100, Some(1)),
             (4000, 8, 20_000, Some(1)),
@@ -188,7 +187,7 @@
         assert!(!from.posting());
         let second = envelope(9000);
         from.cut("n1", "n0", &second, &small);
-        // The answer of the message before concerns this one no more.
+        // A late result of the previous message does not affect this one.
         assert_eq!(from.next_txn(number, false), None);
         assert!(from.posting());
         let second_transactions = transactions(&mut from);
--- a/crates/core/src/node/requests.rs
+++ b/crates/core/src/node/requests.rs
@@ -1,4 +1,4 @@
-//! Users' requests, and the proof that the mirror is up to date.
+//! Clients' requests, and the read barrier that shows that the state replica is up to date.
 use super::*;
 
 impl Node {
@@ -26,8 +26,8 @@
                 if m != if abort { "POST" } else { "GET" } {
                     return self.out.answer(id, 405, users::error("wrong method"));
                 }
-                // Jobs with an id of the service's own can be looked at; they end
-                // by the interface that they came by.
+                // Jobs with an id assigned by the service (from the extension) can be queried here,
+                // but are cancelled only through the interface that submitted them.
                 match JobId::parse(job).filter(|j| !(abort && j.own())) {
                     None => self.out.answer(id, 404, users::error("no such job")),
                     Some(j) if abort => self.wait(Waiter::Abort(id, j), Micros::millis(3500)),
@@ -48,15 +48,16 @@
         if self.mirror.state_ok(self.now) || self.nodes.names.len() == 1 {
             return true;
         }
-        // Alone refused: the others serve the users. When all lost the state
-        // service, leaving would help nobody.
+        // If only this controller fails to reach the state service, the other controllers serve the
+        // clients. If all fail, withdrawing would help no client.
         let fresh = |p: &&membership::Peer| p.heard.is_some_and(|t| self.now.since(t) < Micros::millis(2500));
         let mut heard = self.peers.states.iter().filter(fresh).peekable();
         heard.peek().is_some() && heard.all(|p| !p.state_ok)
     }
 
-    /// The answer for a job whose end is known; ends never change. A cancellation
-    /// is answered for when everybody who must know of it does.
+    /// Answers for a job that has ended; ends never change. A cancellation is confirmed only when
+    /// every controller that must know of it has acknowledged it. Returns false if the job is
+    /// active or unknown.
     pub(super) fn final_answer(&mut self, id: RequestId, job: JobId) -> bool {
         let Some(j) = self.mirror.ledger.jobs.get(&job) else { return false };
         match j.phase {
@@ -106,8 +107,8 @@
         self.barrier();
     }
 
-    /// Why a user's request is refused at once, if it is; `waiting` are those of its
-    /// kind that wait already.
+    /// Why a request is refused at once, if it is; `waiting` is the number of requests of its kind
+    /// that wait already.
     fn refusal(&self, waiting: usize) -> Option<RefusalReason> {
         if !self.mirror.loaded {
             return Some(RefusalReason::StateUnread);
@@ -118,7 +119,7 @@
         (waiting >= MAX_WAITING).then_some(RefusalReason::TooManyWaiting)
     }
 
-    /// Tells a user to ask again, and counts why.
+    /// Answers 503 with `Retry-After`, and counts the reason.
     pub(super) fn refuse(&mut self, id: RequestId, reason: RefusalReason) {
         self.status.refused(reason);
         self.out.later(id, reason.sentence());
@@ -149,7 +150,7 @@
         }
     }
 
-    /// What can never run: 422; what can't be told yet: 503.
+    /// Rejects with 422 a job that can never run, and with 503 one that can't be checked yet.
     pub(super) fn check(&self, s: JobSpec) -> Result<JobSpec, (u16, String)> {
         let Some(team) = self.teams.iter().find(|t| t.name == s.team) else {
             return Err((422, format!("unknown team {}", s.team)));
@@ -180,13 +181,13 @@
         Ok(s)
     }
 
-    /// A job that the submission depends on and that is not in the replica: it was never
-    /// accepted, or this replica is behind.
+    /// A dependency of the submission that is not in the state replica: it was never accepted, or
+    /// this replica is behind.
     fn unknown_dependency(&self, s: &JobSpec) -> Option<JobId> {
         s.dependencies.iter().find(|id| !self.mirror.ledger.jobs.contains_key(id)).copied()
     }
 
-    /// Asks once for all that wait whether the mirror is up to date.
+    /// Starts one read barrier for all waiting requests.
     pub(super) fn barrier(&mut self) {
         if self.users.barrier_open || !self.mirror.listed {
             return;
@@ -228,7 +229,7 @@
                 if self.mirror.ledger.jobs.contains_key(&job) {
                     return self.current_answer(id, job);
                 }
-                // What it depends on may have come with the proof.
+                // The read barrier's events may have brought the dependency.
                 match checked.and_then(|spec| self.check(spec)) {
                     Ok(spec) => {
                         if let Some(dependency) = self.unknown_dependency(&spec) {
@@ -258,12 +259,12 @@
         }
     }
 
-    /// The records of a job that was checked (`check`).
+    /// The records of a job that passed `check`.
     fn records_of(&self, spec: &JobSpec) -> Vec<(String, serde_json::Value)> {
         jobs::job_records(spec, self.wall_ms, &self.limits).unwrap_or_default()
     }
 
-    /// Sends users' changes as far as the budget goes.
+    /// Sends clients' writes within the write budget.
     pub(super) fn write_users(&mut self) {
         while let Some((w, until)) = self.users.writes.pop_front() {
             if self.now > until {
@@ -329,7 +330,7 @@
                 debug!("{job}: accepted at {stamp}");
                 let cancelled =
                     |id: &JobId| self.mirror.ledger.jobs.get(id).is_some_and(|j| j.phase == Phase::Aborted);
-                // Accepted all the same, and cancelled with what it depends on.
+                // Accepted, but cancelled together with its dependency.
                 let stage = if spec.dependencies.iter().any(cancelled) { "aborted" } else { "queued" };
                 self.out.answer(id, 201, users::job_answer(job, stage, 0, 0));
             }
@@ -344,7 +345,7 @@
                 let ended = self.ended_by(&m.writes, stamp);
                 self.tell_guest(t, &ended, result.clone());
             }
-            // The key is there already: the current state is the answer.
+            // The key exists already: the response is the job's current state.
             (UserWrite::Submit(id, spec), CallResult::Answer { status: 409, .. }) => {
                 self.wait(Waiter::Poll(id, spec.id), Micros::millis(1500));
             }
--- a/crates/core/src/node/stand_in.rs
+++ b/crates/core/src/node/stand_in.rs
@@ -1,20 +1,21 @@
-//! A witness's work in place of a leader that is silent (`crate::deputy`).
+//! Work of a standby replica in place of an unreachable leader (`crate::deputy`).
 use super::*;
 use crate::deputy::{Act, Evidence, SILENT, Suspect, gone_by};
 use crate::jobs::Job;
 use crate::liveness::LivenessSummary;
 use crate::peer::Held;
 
-/// A line about the machines is written this often while silence is all there is to go by.
+/// How often a `liveness` line is logged while probes are the only evidence.
 const LIVENESS_LOG_INTERVAL: Micros = Micros::secs(5);
-/// A machine's worker is asked for its report so long.
+/// Timeout of a status request to a worker.
 const STATUS_TIMEOUT: Micros = Micros::millis(1200);
 
 impl Node {
     pub(super) fn stand_in(&mut self) {
         self.liveness.works(self.now);
         if let Some(deadline) = self.deadline_without_knowledge() {
-            // A good answer now and then elects nobody: what is known of the machines is kept.
+            // An occasional good answer of the state service elects no leader, so what is known of
+            // the machines is kept.
             if self.state_is_away() || self.liveness.listed_count() > 0 {
                 return self.stand_in_blindly(deadline);
             }
@@ -22,7 +23,7 @@
         if self.liveness.listed_count() > 0 {
             self.deputy.stand_down();
         }
-        // Also what was heard before the state was read: it is not kept up from then on.
+        // Drops also what was received before the state was read: it is not updated from then on.
         self.liveness.clear();
         let term = self.leader_term();
         let long = self.deputy.long_led(term, self.now);
@@ -37,8 +38,9 @@
         self.enforce_cancellations(&suspects, machines);
     }
 
-    /// In an outage, where nobody knows what runs where: machines that answer nobody may go on
-    /// with cancelled tasks. Nothing is deleted while the state service's last answer was good.
+    /// In an outage, when no controller in contact knows the placements: unreachable machines may
+    /// still run cancelled tasks. No machine is deleted while the state service's last answer was
+    /// good.
     fn stand_in_blindly(&mut self, deadline: Micros) {
         self.list_machines();
         if !self.deputy.due(self.now) {
@@ -53,7 +55,8 @@
         self.enforce_cancellations(&suspects, machines);
     }
 
-    /// Says from time to time what is known of the machines, and why silent ones stay.
+    /// Logs from time to time what is known of the machines, and why unreachable ones are not
+    /// deleted.
     fn log_liveness(&mut self) {
         if self.now.since(self.liveness_logged) < LIVENESS_LOG_INTERVAL {
             return;
@@ -76,7 +79,7 @@
         }
     }
 
-    /// A page of the cloud's list came, or none did.
+    /// Handles a page of the cloud's list, or the failure to get one.
     pub(super) fn machines_listed(&mut self, result: &CallResult) {
         let page: Option<Rentals> = match result {
             CallResult::Answer { status: 200, body } => serde_json::from_slice(body).ok(),
@@ -109,7 +112,7 @@
         self.calls.insert(call, Purpose::DeputyDelete(ids));
     }
 
-    /// A deletion ended.
+    /// Handles the result of a deletion.
     pub(super) fn suspects_deleted(&mut self, ids: &[MachineId], result: &CallResult) {
         let done = match result {
             CallResult::Answer { status, .. } => Some(*status == 200),
@@ -122,24 +125,25 @@
         }
     }
 
-    /// A leader is heard, or holds its key where the state service can be asked: one behind
-    /// a cut deals with what it can reach, and its books here are late.
+    /// A leader is in contact, or holds its key while the state service is reachable here: a leader
+    /// behind a network partition handles what it can reach, and the copy of its placement log here
+    /// is stale.
     fn somebody_leads(&self) -> bool {
         let heard = self.leadership.leader.is_some() || self.now.since(self.peers.led_at) < SILENT;
         heard || self.mirror.state_ok(self.now) && self.mirror.ledger.leader.is_some()
     }
 
-    /// A cancelled job that may be on machines, and by when it has to be gone.
+    /// A cancelled job that may still be on machines, and the deadline for stopping it.
     fn unsettled(&self, id: JobId) -> Option<(Micros, &Job)> {
         let job = self.mirror.ledger.jobs.get(&id)?;
         let open = job.phase == Phase::Aborted && !job.settled;
         open.then(|| (gone_by(job.ended_ms, self.wall_ms, self.ctx.cancel, self.now), job))
     }
 
-    /// Machines where cancelled tasks may be, by all books that are kept here: those of a
-    /// leader that ended before its witnesses were on record say less than those of the
-    /// one before. A hand-out may have been started on any machine of its controller, and
-    /// what the leader itself had not heard may hold anything.
+    /// Machines where cancelled tasks may be, according to every placement log kept here: the log
+    /// of a leader that ended before its standby replicas were on record holds less than its
+    /// predecessor's. An assignment may have been started on any machine that its controller holds,
+    /// and a machine from which the leader itself had received nothing may hold anything.
     fn suspects(&self) -> BTreeMap<MachineId, Suspect> {
         let mut suspects: BTreeMap<MachineId, (Micros, BTreeSet<(TaskId, Attempt)>)> = BTreeMap::new();
         let mut add = |id: &MachineId, by: Micros, start: Option<(TaskId, Attempt)>| {
@@ -191,7 +195,7 @@
         spec.allows(&m.build, &m.zone, m.spot, size)
     }
 
-    /// A question or a stop ended; a machine answers both with its report.
+    /// Handles the result of a probe or a stop; a machine answers both with its report.
     pub(super) fn deputy_answered(&mut self, machine: &MachineId, sent: Micros, result: &CallResult) {
         if *result == CallResult::Unknown {
             return self.liveness.unanswered(machine, sent, self.now);
@@ -222,14 +226,14 @@
         self.calls.insert(call, Purpose::Deputy { machine: machine.clone(), sent: self.now });
     }
 
-    /// An answer that changes nothing; said once for each machine.
+    /// Logs an answer that changes nothing, once per machine.
     fn note_odd_answer(&mut self, machine: &MachineId, what: &str) {
         if self.liveness.note_odd_answer(machine) {
             warn!("ignored: an answer to a question to {machine} {what}");
         }
     }
 
-    /// A worker sent a heartbeat.
+    /// Records a worker's heartbeat.
     pub(super) fn note_heartbeat(&mut self, report: &Report, tasks: &[Held]) {
         if self.watches_liveness() {
             let machine = MachineId::from(&*report.host);
@@ -237,7 +241,8 @@
         }
     }
 
-    /// Whether silence may have to be gone by: otherwise records and placements say more.
+    /// Whether liveness may have to serve as evidence: otherwise records and placements are better
+    /// evidence.
     fn watches_liveness(&self) -> bool {
         !self.mirror.loaded || self.liveness.listed_count() > 0
     }
@@ -253,7 +258,7 @@
     tasks.iter().any(|task| !task.state.exited())
 }
 
-/// Asks a worker for its report.
+/// A request for a worker's report.
 pub(super) fn status_call(address: String) -> Call {
     Call {
         target: Target::Worker(address),
--- a/crates/core/src/node/stand_in/tests.rs
+++ b/crates/core/src/node/stand_in/tests.rs
@@ -1,4 +1,4 @@
-//! What a node makes of heartbeats and answers while silence is all there is to go by.
+//! Heartbeats and probe answers while probes are the only evidence of where tasks may be.
 use super::*;
 use crate::deputy::ProbeReason;
 use gorseshore_protocol::cloud::Rental;
@@ -57,7 +57,8 @@
     node.liveness.listed(Some((&rentals, false)), node.now);
 }
 
-/// Probes of `m0` are not answered from a time on, while `m1` answers: why `m0` is probed in the end.
+/// Lets probes of `m0` fail from a time on while `m1` answers; returns why `m0` is probed in the
+/// end.
 fn reason_after_silence(node: &mut Node, from: Micros) -> Option<ProbeReason> {
     let (m0, m1) = (MachineId::from("m0"), MachineId::from("m1"));
     let by = from + Micros::secs(30);
@@ -78,9 +79,9 @@
     }
 }
 
-/// A heartbeat that came before the state was read was once kept for ever, and none that came later
-/// replaced it: a machine that was idle then counted as idle in an outage an hour later, whatever
-/// it held.
+/// Guards against stale heartbeats: one received before the state was read was kept and never
+/// replaced by later ones, so a machine that was idle then counted as idle in an outage an hour
+/// later, whatever it held.
 #[test]
 fn what_was_heard_before_the_state_was_read_does_not_speak_for_a_machine_later() {
     let mut node = node();
@@ -89,11 +90,11 @@
     node.mirror.loaded = true;
     node.mirror.ok_at = Some(BEGAN);
     node.stand_in();
-    // Tasks are started on it: heartbeats are not noted while the state is known.
+    // Tasks are started on it: heartbeats are not recorded while the state is known.
     node.now = BEGAN + Micros::secs(3_600);
     node.mirror.ok_at = Some(node.now);
     node.stand_in();
-    // An outage, in which nobody who holds placements is left; the machine hangs.
+    // An outage in which no controller with the placement log is left; the machine hangs.
     list(&mut node, &["m0", "m1"]);
     let began = node.now;
     let reason = reason_after_silence(&mut node, began);
@@ -109,7 +110,7 @@
 fn answers_that_are_not_the_machines_own_report_are_no_sign_of_life() {
     let answer = |status, body: Vec<u8>| CallResult::Answer { status, body };
     let whole = idle_report("m0", 9);
-    // What comes for m0 after its silence, and how many machines don't answer then.
+    // What arrives for m0 after its probes failed, and how many machines do not answer then.
     let cases = [
         ("its report", answer(200, whole.clone()), 0),
         ("its report, refused orders", answer(409, whole.clone()), 0),
--- a/crates/core/src/node/status.rs
+++ b/crates/core/src/node/status.rs
@@ -1,43 +1,43 @@
-//! What a controller counts for its operators, and the `status` line that shows it.
+//! Counters of one controller for its operators, and the `status` line that shows them.
 //!
-//! Every question of a user is noted when it comes and again when it is answered, so
-//! that the line tells how many got an answer, why the others did not, and how long
-//! the oldest has been waiting. Counters start anew with each line.
+//! Every client's query of a job is recorded when it arrives and when it is answered, so that the
+//! line shows how many were answered, why the others were not, and how long the oldest has been
+//! waiting. Counters restart with each line.
 use crate::{CallResult, Output, RequestId};
 use gorseshore_protocol::ids::Micros;
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// A `status` line is due this often.
+/// How often a `status` line is due.
 const STATUS_INTERVAL: Micros = Micros::secs(10);
-/// `Input::Tick` is due this often.
+/// How often `Input::Tick` is due.
 const TICK_INTERVAL: Micros = Micros::millis(20);
 
-/// Why a user is told to ask again.
+/// Why a client gets 503 and has to retry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum RefusalReason {
     /// This process has not read the state service's keys yet.
     StateUnread,
-    /// The state service refused this process a moment ago.
+    /// The state service's last call failed a moment ago.
     StateRefused,
-    /// As many requests wait for proof as may.
+    /// The maximum number of requests already waits.
     TooManyWaiting,
-    /// The state service did not prove in time that the replica is caught up.
+    /// The read barrier did not complete in time.
     ProofFailed,
-    /// A change waited too long for its part of the write budget.
+    /// A write waited too long for its part of the write budget.
     WriteBudget,
-    /// The state service did not confirm a change.
+    /// The state service did not confirm a write.
     WriteUnconfirmed,
     /// Some controller may not know of a cancellation yet.
     CancellationUnconfirmed,
     /// The machine types are not known yet.
     MachineTypesUnknown,
-    /// The load balancer's probe: this controller does not serve users.
+    /// For the load balancer's health check: this controller does not serve clients.
     NotReady,
 }
 
 impl RefusalReason {
-    /// What the user reads.
+    /// The error text that the client gets.
     pub(super) fn sentence(self) -> &'static str {
         match self {
             RefusalReason::StateUnread
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Its name in the `status` line.
+    /// The reason's name in the `status` line.
     fn key(self) -> &'static str {
         match self {
             RefusalReason::StateUnread => "state_unread",
@@ -68,15 +68,15 @@
     }
 }
 
-/// How a request for proof ended.
+/// Read barriers by result.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 struct ProofOutcomes {
     proved: u32,
-    /// 429: beyond the budget of requests.
+    /// 429: the request budget was exceeded.
     limited: u32,
-    /// 410: the replica is too far behind.
+    /// 410: the state replica is too far behind.
     too_old: u32,
-    /// Any other answer of the service.
+    /// Any other status of the service.
     refused: u32,
     /// No answer in time, or no connection.
     unanswered: u32,
@@ -87,13 +87,13 @@
 pub(super) struct ServiceStatus {
     since: Micros,
     ticked: Micros,
-    /// The longest that a tick came after it was due.
+    /// The longest delay of a tick.
     tick_late: Micros,
-    /// Questions about jobs that are not answered yet.
+    /// Job queries that are not answered yet.
     open_polls: BTreeMap<RequestId, Micros>,
     polls_answered: u32,
     polls_refused: u32,
-    /// The asker went away first.
+    /// The client disconnected first.
     polls_abandoned: u32,
     refused: BTreeMap<RefusalReason, u32>,
     proof_sent: Micros,
@@ -103,7 +103,7 @@
     violations: u64,
 }
 
-/// What the `status` line says beside its counters.
+/// Gauges of the `status` line.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Gauges {
     pub revision: u64,
@@ -132,20 +132,20 @@
         }
     }
 
-    /// A tick came.
+    /// Records a tick.
     pub(super) fn ticked(&mut self, now: Micros) {
         let late = now.since(self.ticked + TICK_INTERVAL);
         self.tick_late = self.tick_late.max(late);
         self.ticked = now;
     }
 
-    /// A user asks about a job.
+    /// Records a client's query of a job.
     pub(super) fn poll_came(&mut self, id: RequestId, now: Micros) {
         self.open_polls.insert(id, now);
     }
 
-    /// A question is about to be answered from the replica: proof that was asked for
-    /// before the question came shows nothing about what was recorded in between.
+    /// Checks the read barrier before a query is answered from the state replica: a barrier that
+    /// was sent before the query arrived shows nothing about what was recorded in between.
     pub(super) fn answered_by_proof(&mut self, id: RequestId) {
         let Some(came) = self.open_polls.get(&id).copied() else { return };
         if came > self.proof_sent {
@@ -154,14 +154,14 @@
         }
     }
 
-    /// The asker closed the connection.
+    /// The client closed the connection.
     pub(super) fn asker_gone(&mut self, id: RequestId) {
         if self.open_polls.remove(&id).is_some() {
             self.polls_abandoned += 1;
         }
     }
 
-    /// Answers are about to leave.
+    /// Counts responses that are about to be sent.
     pub(super) fn answers_leave(&mut self, outputs: &[Output]) {
         for output in outputs {
             let Output::Answer { id, status, .. } = output else { continue };
@@ -175,17 +175,17 @@
         }
     }
 
-    /// A user is told to ask again.
+    /// Counts a response of 503.
     pub(super) fn refused(&mut self, reason: RefusalReason) {
         *self.refused.entry(reason).or_default() += 1;
     }
 
-    /// Proof that the replica is caught up was asked for.
+    /// Records that a read barrier was sent.
     pub(super) fn proof_asked(&mut self, now: Micros) {
         self.proof_sent = now;
     }
 
-    /// The request for proof ended.
+    /// Records the result of a read barrier.
     pub(super) fn proof_ended(&mut self, result: &CallResult, now: Micros) {
         self.proof_slowest = self.proof_slowest.max(now.since(self.proof_sent));
         let outcome = match result {
@@ -198,23 +198,23 @@
         *outcome += 1;
     }
 
-    /// The replica holds everything up to a moment ago.
+    /// Records that the state replica is up to date.
     pub(super) fn caught_up(&mut self, now: Micros) {
         self.caught_up = now;
     }
 
-    /// An invariant does not hold. Said at once, and counted for the `status` line.
+    /// Logs a violated invariant and counts it for the `status` line.
     pub(super) fn violated(&mut self, invariant: &str, detail: fmt::Arguments<'_>) {
         self.violations += 1;
         log::error!("invariant violated name={invariant} {detail}");
     }
 
-    /// How often an invariant did not hold.
+    /// Violations detected so far; this counter does not restart.
     pub(super) fn violations(&self) -> u64 {
         self.violations
     }
 
-    /// The line, if it is due; counters begin anew.
+    /// The line, if it is due; its counters restart.
     pub(super) fn line(&mut self, gauges: Gauges, now: Micros) -> Option<String> {
         let length = now.since(self.since);
         if length < STATUS_INTERVAL {
--- a/crates/core/src/node/status/tests.rs
+++ b/crates/core/src/node/status/tests.rs
@@ -45,7 +45,7 @@
     for field in expected {
         assert!(line.split(' ').any(|word| word == field), "{field} in {line}");
     }
-    // Counters begin anew; what is still open stays.
+    // Counters restart; the open query remains.
     let line = status.line(GAUGES, ms(21_000)).unwrap();
     for field in ["polls_answered=0", "refused=none", "oldest_poll_ms=19000", "proofs=0"] {
         assert!(line.split(' ').any(|word| word == field), "{field} in {line}");
@@ -54,7 +54,7 @@
 
 #[test]
 fn an_answer_on_proof_that_is_older_than_its_question_is_noticed() {
-    // (question came, proof was asked for, violations), in milliseconds
+    // (query arrived, read barrier sent, violations), in milliseconds
     for (came, sent, violations) in [(2000, 2000, 0), (2000, 2500, 0), (2500, 2000, 1)] {
         let mut status = ServiceStatus::new(Micros::millis(1000));
         status.poll_came(RequestId(1), Micros::millis(came));
--- a/crates/core/src/node/waiting.rs
+++ b/crates/core/src/node/waiting.rs
@@ -1,6 +1,6 @@
-//! What users asked for and is not answered yet, and its part of the budgets.
-//! Invariant: an answer that is not final waits here for proof that the mirror
-//! is up to date, and a change for its turn.
+//! Clients' requests that are not answered yet, and this node's part of the budgets.
+//! Invariant: an answer that is not final waits here for a read barrier, and a write for its turn
+//! in the budget.
 use crate::RequestId;
 use crate::guest::Ticket;
 use crate::rate::Bucket;
@@ -9,22 +9,22 @@
 use gorseshore_protocol::state::Multi;
 use std::collections::VecDeque;
 
-/// Most requests that wait, of each sort.
+/// Most waiting requests of each kind.
 pub(super) const MAX_WAITING: usize = 2000;
 
-/// A user's request that waits for proof that the mirror is up to date.
+/// A request that waits for a read barrier.
 #[derive(Debug)]
 pub(super) enum Waiter {
     Poll(RequestId, JobId),
-    /// A submission whose job may be known; its checked form.
+    /// A submission whose job may exist already, with the result of its validation.
     Submit(RequestId, JobId, Box<Result<JobSpec, (u16, String)>>),
     Abort(RequestId, JobId),
-    /// The guest's.
+    /// A read barrier of the extension.
     Guest(Ticket),
 }
 
 impl Waiter {
-    /// Whom it is for: a request, or the guest.
+    /// The client's request, or the extension's operation.
     pub(super) fn asker(&self) -> Result<RequestId, Ticket> {
         match self {
             Waiter::Poll(r, _) | Waiter::Submit(r, ..) | Waiter::Abort(r, _) => Ok(*r),
@@ -33,31 +33,31 @@
     }
 }
 
-/// A user's change that waits for its turn in the write budget.
+/// A write that waits for its turn in the write budget.
 #[derive(Debug)]
 pub(super) enum UserWrite {
     Submit(RequestId, Box<JobSpec>),
-    /// With the record of the end.
+    /// With the record of the job's end.
     Abort(RequestId, JobId, serde_json::Value),
-    /// The guest's; with `true` only under the leader's key.
+    /// Of the extension; `true`: only under the leader key.
     Guest(Ticket, Box<Multi>, bool),
 }
 
-/// Waiting requests and changes.
+/// Waiting requests and writes.
 #[derive(Debug)]
 pub(super) struct Users {
-    /// For proof that the mirror is up to date; until when.
+    /// Requests that wait for a read barrier, and until when.
     pub waiters: Vec<(Waiter, Micros)>,
-    /// For their turn in the budget of changes; until when.
+    /// Writes that wait for their turn in the write budget, and until when.
     pub writes: VecDeque<(UserWrite, Micros)>,
     pub bucket: Bucket,
-    /// The proof was asked for.
+    /// A read barrier is in flight.
     pub barrier_open: bool,
     pub barrier_bucket: Bucket,
 }
 
 impl Users {
-    /// With this node's part of changes and requests a second.
+    /// Creates the queues with this node's part of the writes and requests per second.
     pub fn new(changes: f64, requests: f64, now: Micros) -> Self {
         Users {
             waiters: Vec::new(),
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Takes out those that waited too long.
+    /// Takes out the requests whose time is up.
     pub fn expired(&mut self, now: Micros) -> Vec<Waiter> {
         let (late, waiting): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.waiters).into_iter().partition(|(_, until)| now >= *until);
@@ -76,8 +76,8 @@
         late.into_iter().map(|(w, _)| w).collect()
     }
 
-    /// This node's part of the budget for users' changes: an equal one, or,
-    /// when more wait here than elsewhere, what the others leave.
+    /// Sets this node's part of the budget for clients' writes: an equal one, or, when more writes
+    /// wait here than at the other controllers, what those leave.
     pub fn share_budget(&mut self, others: u32, nodes: usize, changes: f64) {
         let queued = self.writes.len() as u32;
         let equal = 1.0 / nodes as f64;
--- a/crates/core/src/node/workers.rs
+++ b/crates/core/src/node/workers.rs
@@ -1,4 +1,4 @@
-//! Check-ins.
+//! Workers' check-ins.
 use super::*;
 
 impl Node {
@@ -11,8 +11,9 @@
         };
         self.note_heartbeat(&r, &tasks);
         let machine = MachineId::from(&*r.host);
-        // What contradicts the records is no report of that machine: two workers under
-        // one name, or one that is set up wrongly. It is neither used nor kept alive.
+        // A report that contradicts the machine's record does not come from that machine: two
+        // workers share a name, or one is misconfigured. It is ignored and its lease is not
+        // renewed.
         if self.mirror.ledger.machines.get(&machine).is_some_and(|rec| !rec.is_kind_of(&r)) {
             if self.held_check_ins.apart.insert(machine.clone()) {
                 warn!("{machine}: reports as {} in {}, which its record contradicts", r.build, r.yard);
@@ -24,28 +25,30 @@
             CheckinReply::Elsewhere(to) | CheckinReply::Lost(to)
                 if !self.held_check_ins.is_news(&machine, r.number()) =>
             {
-                // A copy, or held up on the way: nobody waits for the answer.
+                // A copy, or a delayed report: no worker waits for this answer.
                 self.send_elsewhere(id, to);
             }
             reply @ (CheckinReply::Elsewhere(to) | CheckinReply::Lost(to)) => {
                 self.tell_seen(&machine, MachineRecord::of(&r), r.number(), false);
-                // Others reach it if it has a token from them, here or since it was
-                // kept alive here; one without tasks loses nothing on its way to them.
+                // Other controllers reach the worker if it has a token from them, now or since its
+                // lease was renewed here. A worker without tasks loses nothing on the way to them.
                 let kept = self.held_check_ins.kept.get(&machine).copied();
                 let lost = matches!(reply, CheckinReply::Lost(_))
                     || kept.is_some_and(|b| r.baton > b)
                     || r.pieces.is_empty();
                 match self.holder_to_name(&machine, to) {
                     Some(n) => self.send_elsewhere(id, Some(n)),
-                    // This node reaches nobody and can't serve it. One with tasks that
-                    // nobody seems to reach is kept alive: all may be as cut off.
+                    // This node has no contact with the state service or any controller and can't
+                    // serve the worker. A worker with tasks that no other controller seems to reach
+                    // is kept alive: they may all be as isolated.
                     None if lost && self.out_of_touch() => {
                         debug!("{machine}: sent on, this controller can't serve it");
-                        // Back with the same token: they couldn't either.
+                        // If it returns with the same token, no other controller could serve it
+                        // either.
                         self.held_check_ins.kept_alive(machine, r.baton);
                         self.send_elsewhere(id, None);
                     }
-                    // A grant may come in a moment: the answer waits for it.
+                    // A grant may arrive shortly, so the answer is deferred.
                     None => {
                         let until = self.now + Micros::millis(600);
                         if let Some((old, r, _)) = self.held_check_ins.held.insert(machine, (id, r, until)) {
@@ -58,8 +61,8 @@
         self.drive();
     }
 
-    /// The holder that a worker is sent to, unless it was sent there just now
-    /// and came back: it can't reach it.
+    /// The holder to redirect a worker to, unless the worker was redirected there recently and came
+    /// back: it can't reach that holder.
     fn holder_to_name(&mut self, machine: &MachineId, holder: Option<NodeId>) -> Option<NodeId> {
         let n = holder.filter(|n| *n != self.nodes.me && self.hears(*n, HEARD))?;
         let now = self.now;
@@ -74,10 +77,9 @@
         }
     }
 
-    /// Renews the lease of a worker whose machine this node does not hold, and
-    /// whose holder it does not know or the worker can't reach: with the token
-    /// that the worker showed, so that nothing is started and a newer grant is
-    /// not touched. Only what is over is stopped.
+    /// Renews the lease of a worker whose machine this node does not hold, and whose holder is
+    /// unknown or unreachable for the worker. It uses the token that the worker reported, so that
+    /// nothing is started and a newer grant is not affected. It only stops tasks that are over.
     fn keep_alive(&mut self, id: RequestId, r: &Report) {
         let tasks = read_tasks(r).unwrap_or_default();
         let orders = Controller::stops_for_stranger(&tasks, &self.mirror.ledger);
@@ -85,7 +87,7 @@
         self.renew(id, r.baton, orders);
     }
 
-    /// Answers a check-in, which renews its worker's lease, if this process may.
+    /// Answers a check-in, which renews the worker's lease, if this process may renew leases.
     fn renew(&mut self, id: RequestId, baton: u64, orders: Vec<Order>) {
         if !self.may_renew() {
             return self.send_elsewhere(id, None);
@@ -94,7 +96,7 @@
         self.out.answer(id, 200, body);
     }
 
-    /// Neither the state service nor another controller is heard.
+    /// Whether neither the state service nor another controller is in contact.
     pub(super) fn out_of_touch(&self) -> bool {
         !self.mirror.state_ok(self.now)
             && self.peers.all().all(|n| n == self.nodes.me || !self.hears(n, HEARD))
@@ -110,7 +112,7 @@
 
     pub(super) fn tell_seen(&mut self, id: &MachineId, rec: MachineRecord, report: ReportNo, asked: bool) {
         if self.mirror.ledger.machines.contains_key(id) {
-            // The leader knows it: the next `Sync` names it.
+            // The leader knows the machine: the next `Sync` reports the sighting.
             self.held_check_ins.strangers.insert(id.clone(), (self.now, report, asked));
             self.ctl.dirty = true;
         } else if let Some(to) = self.leader_node() {
@@ -148,7 +150,7 @@
         }
     }
 
-    /// Sends what the block's workers should hear.
+    /// Sends the calls that are due to workers of machines held here.
     pub(super) fn drive(&mut self) {
         for (call, machine) in self.ctl.drive(&self.mirror.ledger, self.now, &mut self.out) {
             self.calls.insert(call, Purpose::Worker(machine));
