--- a/crates/core/src/node/cancellations.rs
+++ b/crates/core/src/node/cancellations.rs
@@ -302,10 +302,10 @@
     fn act_on(&mut self, c: &Cancellation) {
         let phase = self.mirror.ledger.jobs.get(&c.job).map(|j| j.phase);
         match phase {
-            Some(Phase::Done) => return warn!("{}: cancelled and done", c.job),
+            Some(Phase::Done) => return warn!("{}: notified of its cancellation after it was done", c.job),
             Some(Phase::Aborted) => {}
             Some(Phase::Active) | None => {
-                debug!("{}: told of its cancellation", c.job);
+                debug!("{}: notified of its cancellation", c.job);
                 let end = jobs::cancelled_value(c.at_ms, c.cause.as_deref(), false);
                 let change = self.mirror.ledger.apply(&keys::end(c.job), Some(&end), c.stamp);
                 self.changed(change);
--- a/crates/core/src/node/duties.rs
+++ b/crates/core/src/node/duties.rs
@@ -184,7 +184,7 @@
                 {
                     // An earlier process of this node led; revoking its lease avoids waiting until
                     // it expires.
-                    info!("ending the lease of this node's earlier process");
+                    info!("revoking the leader lease of this node's previous process");
                     let path = format!("/grants/{}", rec.lease);
                     self.leadership.ended_lease = Some(rec.lease);
                     let id = self.state("DELETE", path, Vec::new(), Micros::millis(1000));
@@ -197,13 +197,13 @@
                 if self.mirror.ledger.applied >= stamp
                     && self.mirror.ledger.leader.as_ref().is_none_or(|(r, s)| *s != stamp || r.term != term)
                 {
-                    return self.step_down("its key is gone");
+                    return self.step_down("leader key deleted or replaced");
                 }
                 if self.alone() {
                     // Cut off from the other controllers: one that reaches more of the cluster
                     // serves it better.
                     self.end_lease(lease);
-                    self.step_down("it hears no other controller");
+                    self.step_down("no contact with any other controller");
                     self.leadership.election.not_before = self.now + Micros::secs(4);
                     return;
                 }
@@ -281,7 +281,7 @@
         let may = self.leadership.election.may_lead(self.now);
         let Some(l) = self.leadership.leader.as_mut() else { return };
         if l.exhausted() {
-            return self.step_down("its numbers are used up");
+            return self.step_down("fencing tokens of the term exhausted");
         }
         if may {
             l.tick(&self.mirror.ledger, self.now);
@@ -345,7 +345,7 @@
         let ended: Vec<NodeId> = all.filter(|n| self.peers.refuses(*n, self.now)).collect();
         let Some((record, stamp)) = l.books_record(&self.mirror.ledger, &ended, self.now) else { return };
         let names: Vec<&str> = record.nodes.iter().map(|(n, _)| n.as_str()).collect();
-        debug!("witnesses of term {term}: {}", names.join(", "));
+        debug!("standby replicas of term {term}: {}", names.join(", "));
         self.leadership.bucket.force(self.now, 1.0);
         let when =
             vec![When { path: keys::LEADER.into(), stamp: mine }, When { path: keys::BOOKS.into(), stamp }];
@@ -462,7 +462,7 @@
                 let failed =
                     serde_json::from_slice::<MultiAnswer>(body).map(|a| a.failed).unwrap_or_default();
                 if failed.iter().any(|k| k == keys::LEADER) {
-                    return self.step_down("another took the key");
+                    return self.step_down("leader key changed");
                 }
                 // The state replica is behind: the watch will show the conflicting change.
                 debug!("records changed meanwhile: {failed:?}");
@@ -474,7 +474,7 @@
                 self.leadership.refused.refused(&writes, &reason, self.now);
             }
             r => {
-                debug!("leader's records not confirmed: {r:?}");
+                debug!("leader's transaction not confirmed: {r:?}");
                 let pause = Micros::millis(150 + self.rng.u64(0..200));
                 self.leadership.retry_at = self.now + pause;
             }
@@ -540,7 +540,7 @@
                 l.hired(&req, Some(&[]), &self.catalogue.sizes, self.now);
             }
             CallResult::Answer { status: 400, body } => {
-                error!("rental refused: {}", String::from_utf8_lossy(body));
+                error!("rental rejected: {}", String::from_utf8_lossy(body));
                 l.hired(&req, Some(&[]), &self.catalogue.sizes, self.now);
             }
             _ => l.hired(&req, None, &self.catalogue.sizes, self.now),
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -330,13 +330,13 @@
                             self.apply(n);
                         }
                         Err(e) => {
-                            warn!("unreadable news: {e}");
+                            warn!("invalid watch response: {e}");
                             self.mirror.follow_at = self.now + Micros::millis(500);
                         }
                     },
                     CallResult::Answer { status: 410, .. } => {
                         info!(
-                            "watch expired revision={}: reading the state anew",
+                            "watch expired revision={}: reading the state from the start",
                             self.mirror.ledger.applied
                         );
                         self.mirror.listed = false;
@@ -408,7 +408,7 @@
                 CallResult::Answer { status: 200, .. } => self.leadership.election.renewed(sent),
                 CallResult::Answer { status: 404, .. } => {
                     if self.leadership.election.term().is_some() {
-                        self.step_down("its lease ended");
+                        self.step_down("lease expired");
                     }
                 }
                 _ => self.leadership.election.renewing = false,
@@ -476,7 +476,7 @@
             self.mirror.retry_list_at = self.now + pause;
             self.mirror.reading.interruptions += 1;
             if from.is_some() {
-                debug!("reading the state was interrupted");
+                debug!("state read interrupted");
                 self.mirror.so_far = Some((from, first, ledger));
             }
             return;
@@ -535,7 +535,10 @@
         let news: Option<News> = match &result {
             CallResult::Answer { status: 200, body } => serde_json::from_slice(body).ok(),
             CallResult::Answer { status: 410, .. } => {
-                info!("proof expired revision={}: reading the state anew", self.mirror.ledger.applied);
+                info!(
+                    "proof expired revision={}: reading the state from the start",
+                    self.mirror.ledger.applied
+                );
                 self.mirror.listed = false;
                 None
             }
--- a/crates/core/src/node/peers.rs
+++ b/crates/core/src/node/peers.rs
@@ -157,7 +157,7 @@
                 self.peers.lead_heard(term, from, self.now);
                 let added = self.ctl.take_block(base == 0, &block, &elsewhere);
                 if added > 0 {
-                    debug!("block: {added} machines granted");
+                    debug!("machine lease: {added} machines granted");
                 }
                 self.ctl.view_acknowledged(ack, self.now);
                 self.ctl.take_ack(ack, lease);
--- a/crates/core/src/node/requests.rs
+++ b/crates/core/src/node/requests.rs
@@ -156,7 +156,7 @@
             return Err((422, format!("unknown team {}", s.team)));
         };
         if !team.could_run(&s) {
-            return Err((422, format!("more than the limit of team {}", s.team)));
+            return Err((422, format!("exceeds the limits of team {}", s.team)));
         }
         if self.catalogue.flavors.is_empty() {
             return Err((503, RefusalReason::MachineTypesUnknown.sentence().into()));
@@ -176,7 +176,7 @@
         }
         let service = |id: &&JobId| self.mirror.ledger.jobs.get(*id).is_some_and(|j| j.service);
         if let Some(id) = s.dependencies.iter().find(service) {
-            return Err((422, format!("awaits: {id} is a service, which is never done")));
+            return Err((422, format!("awaits: {id} is a service, which never completes")));
         }
         Ok(s)
     }
@@ -327,7 +327,7 @@
             (UserWrite::Submit(id, spec), CallResult::Answer { status: 200, body }) => {
                 let job = spec.id;
                 let stamp = serde_json::from_slice::<MultiAnswer>(body).map_or(0, |a| a.ledger);
-                debug!("{job}: accepted at {stamp}");
+                debug!("{job}: accepted revision={stamp}");
                 let cancelled =
                     |id: &JobId| self.mirror.ledger.jobs.get(id).is_some_and(|j| j.phase == Phase::Aborted);
                 // Accepted, but cancelled together with its dependency.
--- a/crates/core/src/node/stand_in.rs
+++ b/crates/core/src/node/stand_in.rs
@@ -106,7 +106,7 @@
 
     fn delete_suspects(&mut self, ids: Vec<MachineId>) {
         let names: Vec<String> = ids.iter().map(|i| i.to_string()).collect();
-        warn!("nobody leads: deleted for cancelled tasks that may be there: {}", names.join(" "));
+        warn!("no leader: deleted for cancelled tasks that may be there: {}", names.join(" "));
         self.catalogue.bucket.force(self.now, 1.0);
         let call = self.out.call(delete_call(names));
         self.calls.insert(call, Purpose::DeputyDelete(ids));
@@ -202,16 +202,16 @@
         }
         let CallResult::Answer { status: 200 | 409, body } = result else { return };
         let Some((r, tasks)) = readable_report(body) else {
-            return self.note_odd_answer(machine, "is unreadable");
+            return self.note_odd_answer(machine, "is not a valid report");
         };
         if r.host != machine.as_str() {
-            return self.note_odd_answer(machine, "comes from another machine");
+            return self.note_odd_answer(machine, "is from another machine");
         }
         if self.watches_liveness() {
             let has_tasks = has_tasks(&tasks);
             let news = self.liveness.answered(machine.clone(), r.number(), has_tasks, sent, self.now);
             if !news {
-                debug!("{machine}: its answer is older than another message, and changes nothing");
+                debug!("{machine}: ignored a probe answer that is older than another report");
             }
         }
         let unwanted = Controller::stops_for_stranger(&tasks, &self.mirror.ledger);
@@ -229,7 +229,7 @@
     /// Logs an answer that changes nothing, once per machine.
     fn note_odd_answer(&mut self, machine: &MachineId, what: &str) {
         if self.liveness.note_odd_answer(machine) {
-            warn!("ignored: an answer to a question to {machine} {what}");
+            warn!("{machine}: ignored a probe answer that {what}");
         }
     }
 
--- a/crates/core/src/node/workers.rs
+++ b/crates/core/src/node/workers.rs
@@ -4,10 +4,10 @@
 impl Node {
     pub(super) fn checkin(&mut self, id: RequestId, body: &[u8]) {
         let Ok(r) = serde_json::from_slice::<Report>(body) else {
-            return self.out.answer(id, 400, users::error("not a report"));
+            return self.out.answer(id, 400, users::error("invalid report"));
         };
         let Some(tasks) = read_tasks(&r) else {
-            return self.out.answer(id, 400, users::error("a task's name is unreadable"));
+            return self.out.answer(id, 400, users::error("invalid task id in the report"));
         };
         self.note_heartbeat(&r, &tasks);
         let machine = MachineId::from(&*r.host);
@@ -16,7 +16,10 @@
         // renewed.
         if self.mirror.ledger.machines.get(&machine).is_some_and(|rec| !rec.is_kind_of(&r)) {
             if self.held_check_ins.apart.insert(machine.clone()) {
-                warn!("{machine}: reports as {} in {}, which its record contradicts", r.build, r.yard);
+                warn!(
+                    "{machine}: ignored a report with type={} zone={}, which contradicts its record",
+                    r.build, r.yard
+                );
             }
             return self.send_elsewhere(id, None);
         }
@@ -42,7 +45,7 @@
                     // serve the worker. A worker with tasks that no other controller seems to reach
                     // is kept alive: they may all be as isolated.
                     None if lost && self.out_of_touch() => {
-                        debug!("{machine}: sent on, this controller can't serve it");
+                        debug!("{machine}: redirected, this controller can't serve it");
                         // If it returns with the same token, no other controller could serve it
                         // either.
                         self.held_check_ins.kept_alive(machine, r.baton);
