--- a/crates/core/src/node/cancellations.rs
+++ b/crates/core/src/node/cancellations.rs
@@ -20,21 +20,21 @@
 
 /// How long a client's response waits for acknowledgements, a few times their usual round trip;
 /// then the response is 503 and the client retries.
-const PATIENCE: Micros = Micros::millis(700);
+const CONFIRMATION_TIMEOUT: Micros = Micros::millis(700);
 /// How long until a controller that has not acknowledged a cancellation is notified again, while a
 /// client waits for the confirmation.
-const AGAIN: Micros = Micros::millis(150);
+const RETRY_INTERVAL: Micros = Micros::millis(150);
 /// The same while no client waits: reaches processes that have restarted since.
-const AGAIN_LATER: Micros = Micros::secs(1);
+const IDLE_RETRY_INTERVAL: Micros = Micros::secs(1);
 /// How often all cancellations are scanned.
-const LOOKED_AT: Micros = Micros::millis(100);
+const SCAN_INTERVAL: Micros = Micros::millis(100);
 /// Most cancellations in one message.
-const AT_ONCE: usize = 500;
+const MAX_CANCELLATIONS_PER_MESSAGE: usize = 500;
 
 /// A request that waits until every controller that must know of a cancellation has acknowledged
 /// it.
 #[derive(Debug)]
-enum Asker {
+enum Requester {
     User(RequestId),
     /// The extension, whose transaction ended jobs, and the result of that transaction.
     Guest(Ticket, CallResult),
@@ -42,33 +42,33 @@
 
 /// A cancellation and its acknowledgements.
 #[derive(Debug)]
-struct Known {
+struct TrackedCancellation {
     record: Cancellation,
     since: Micros,
     /// The highest term whose leader acts on it and guarantees that no start follows.
-    led: u64,
+    guaranteed_term: u64,
     /// This leader owes another controller that guarantee.
-    word_owed: bool,
-    askers: Vec<(Asker, Micros)>,
+    guarantee_owed: bool,
+    requesters: Vec<(Requester, Micros)>,
     /// When each controller was last notified.
-    sent: Vec<Option<Micros>>,
+    notified_at: Vec<Option<Micros>>,
     /// It was confirmed complete here; the other controllers are notified of that once.
-    announce: bool,
+    announce_confirmation: bool,
 }
 
 /// Cancellations that some controller may not have acknowledged yet.
 #[derive(Debug, Default)]
 pub(super) struct Cancellations {
-    jobs: BTreeMap<JobId, Known>,
+    jobs: BTreeMap<JobId, TrackedCancellation>,
     /// A request or an acknowledgement arrived: scan at the next call. Otherwise every
     /// `SCAN_INTERVAL`.
-    dirty: bool,
-    looked: Micros,
+    scan_now: bool,
+    scanned_at: Micros,
 }
 
 impl Cancellations {
     /// Merges a cancellation; returns whether it was new here.
-    fn take(&mut self, c: &Cancellation, nodes: usize, now: Micros) -> bool {
+    fn merge(&mut self, c: &Cancellation, nodes: usize, now: Micros) -> bool {
         if let Some(k) = self.jobs.get_mut(&c.job) {
             k.record.told |= c.told;
             for (mine, theirs) in k.record.known_by.iter_mut().zip(&c.known_by) {
@@ -78,10 +78,18 @@
         }
         let mut record = c.clone();
         record.known_by.resize(nodes, 0);
-        let sent = vec![None; nodes];
+        let notified_at = vec![None; nodes];
         self.jobs.insert(
             c.job,
-            Known { record, since: now, led: 0, word_owed: false, askers: Vec::new(), sent, announce: false },
+            TrackedCancellation {
+                record,
+                since: now,
+                guaranteed_term: 0,
+                guarantee_owed: false,
+                requesters: Vec::new(),
+                notified_at,
+                announce_confirmation: false,
+            },
         );
         true
     }
@@ -90,14 +98,14 @@
 impl Node {
     /// Applies job ends of a transaction that the state service has confirmed, ahead of the watch's
     /// events. Returns the jobs that ended.
-    pub(super) fn ended_by(&mut self, writes: &[Write], stamp: u64) -> Vec<JobId> {
+    pub(super) fn apply_confirmed_ends(&mut self, writes: &[Write], stamp: u64) -> Vec<JobId> {
         let mut ended = Vec::new();
         for w in writes {
             let Write::Put { put, v, .. } = w else { continue };
             if v["end"] == "aborted"
                 && let change @ Change::Job { id, .. } = self.mirror.ledger.apply(put, Some(v), stamp)
             {
-                self.changed(change);
+                self.record_job_change(change);
                 ended.push(id);
             }
         }
@@ -105,49 +113,49 @@
     }
 
     /// Answers a request about a cancelled job as soon as the cancellation may be confirmed.
-    pub(super) fn tell_user(&mut self, id: RequestId, job: JobId) {
-        self.tell(Asker::User(id), job);
+    pub(super) fn confirm_to_client(&mut self, id: RequestId, job: JobId) {
+        self.request_confirmation(Requester::User(id), job);
     }
 
     /// Completes the extension's transaction when the job ends in it may be confirmed.
-    pub(super) fn tell_guest(&mut self, t: Ticket, jobs: &[JobId], result: CallResult) {
+    pub(super) fn confirm_to_extension(&mut self, t: Ticket, jobs: &[JobId], result: CallResult) {
         // All controllers are notified of all jobs together; the extension waits for the last one.
         for job in jobs {
-            self.note_cancelled(*job);
+            self.track_cancellation(*job);
         }
         match jobs.last() {
-            Some(job) => self.tell(Asker::Guest(t, result), *job),
+            Some(job) => self.request_confirmation(Requester::Guest(t, result), *job),
             None => self.ask_guest(GuestInput::Called(t, result)),
         }
     }
 
-    fn tell(&mut self, asker: Asker, job: JobId) {
-        self.note_cancelled(job);
-        let until = self.now + PATIENCE;
-        let reachable = self.leader_node().is_some_and(|n| n == self.nodes.me || self.reaches(n));
+    fn request_confirmation(&mut self, requester: Requester, job: JobId) {
+        self.track_cancellation(job);
+        let until = self.now + CONFIRMATION_TIMEOUT;
+        let reachable = self.leader_node().is_some_and(|n| n == self.nodes.me || self.has_path(n));
         let Some(k) = self.cancellations.jobs.get_mut(&job) else { return };
         if !k.record.told && !reachable {
-            return self.not_told(asker);
+            return self.fail_confirmation(requester);
         }
-        k.askers.push((asker, until));
-        self.cancellations.dirty = true;
-        self.spread_cancellations();
+        k.requesters.push((requester, until));
+        self.cancellations.scan_now = true;
+        self.propagate_cancellations();
     }
 
     /// Whether a network path to a controller is known: direct, or through another controller.
-    fn reaches(&self, n: NodeId) -> bool {
+    fn has_path(&self, n: NodeId) -> bool {
         self.hears(n, HEARD) || self.peers.relay(n, self.now).is_some()
     }
 
-    fn not_told(&mut self, asker: Asker) {
-        match asker {
-            Asker::User(id) => self.refuse(id, RefusalReason::CancellationUnconfirmed),
-            Asker::Guest(t, _) => self.ask_guest(GuestInput::Called(t, CallResult::Unknown)),
+    fn fail_confirmation(&mut self, requester: Requester) {
+        match requester {
+            Requester::User(id) => self.refuse(id, RefusalReason::CancellationUnconfirmed),
+            Requester::Guest(t, _) => self.ask_guest(GuestInput::Called(t, CallResult::Unknown)),
         }
     }
 
     /// Records a cancellation from the state replica.
-    fn note_cancelled(&mut self, job: JobId) {
+    fn track_cancellation(&mut self, job: JobId) {
         let Some(j) = self.mirror.ledger.jobs.get(&job).filter(|j| j.phase == Phase::Aborted) else { return };
         let record = Cancellation {
             job,
@@ -157,36 +165,37 @@
             told: false,
             known_by: Vec::new(),
         };
-        self.cancellations.take(&record, self.nodes.names.len(), self.now);
+        self.cancellations.merge(&record, self.nodes.names.len(), self.now);
     }
 
     /// Whether a cancellation may be confirmed to a client.
-    pub(super) fn may_tell(&self, job: JobId) -> bool {
+    pub(super) fn is_confirmed(&self, job: JobId) -> bool {
         // Nothing of the job is on any machine, so no controller needs to know.
         if self.mirror.ledger.jobs.get(&job).is_some_and(|j| j.settled) {
             return true;
         }
         let Some(k) = self.cancellations.jobs.get(&job) else { return false };
-        k.record.told || self.all_know(k)
+        k.record.told || self.is_acknowledged(k)
     }
 
     /// Whether every controller that must know of a cancellation has acknowledged it.
-    fn all_know(&self, k: &Known) -> bool {
+    fn is_acknowledged(&self, k: &TrackedCancellation) -> bool {
         // A leader that acquired its key before the record was written has to be notified. Only a
         // state replica that holds the record shows whether there is such a leader.
         let applied = self.mirror.ledger.applied >= k.record.stamp;
-        let heard_know = self.peers.all().filter(|n| *n != self.nodes.me && self.hears(*n, HEARD)).all(|n| {
-            let process = self.peers.states[n.0 as usize].incarnation;
-            k.record.known_by[n.0 as usize] >= process
-        });
-        applied && heard_know && {
-            let vouched = k.led.max(self.vouched_term(k).unwrap_or(0));
-            vouched > 0 && vouched >= self.leader_term()
+        let contacts_acknowledged =
+            self.peers.all().filter(|n| *n != self.nodes.me && self.hears(*n, HEARD)).all(|n| {
+                let process = self.peers.states[n.0 as usize].incarnation;
+                k.record.known_by[n.0 as usize] >= process
+            });
+        applied && contacts_acknowledged && {
+            let guaranteed = k.guaranteed_term.max(self.guaranteed_term(k).unwrap_or(0));
+            guaranteed > 0 && guaranteed >= self.leader_term()
         }
     }
 
     /// The term of this leader, if no start of the job can follow.
-    fn vouched_term(&self, k: &Known) -> Option<u64> {
+    fn guaranteed_term(&self, k: &TrackedCancellation) -> Option<u64> {
         let leader = self.leadership.leader.as_ref()?;
         let ended: Vec<NodeId> = self.peers.all().filter(|n| self.peers.refuses(*n, self.now)).collect();
         let open = leader.start_may_follow(k.record.job, &k.record.known_by, &ended, self.now);
@@ -195,75 +204,76 @@
 
     /// Notifies controllers that have to know, and answers requests whose cancellation is fully
     /// acknowledged.
-    pub(super) fn spread_cancellations(&mut self) {
+    pub(super) fn propagate_cancellations(&mut self) {
         let (now, me) = (self.now, self.nodes.me);
-        let waits = now.since(self.cancellations.looked) < LOOKED_AT;
-        if waits && !std::mem::take(&mut self.cancellations.dirty) {
+        let scan_interval_open = now.since(self.cancellations.scanned_at) < SCAN_INTERVAL;
+        if scan_interval_open && !std::mem::take(&mut self.cancellations.scan_now) {
             return;
         }
-        self.cancellations.looked = now;
+        self.cancellations.scanned_at = now;
         // Drops jobs whose settlement is on record. Without a waiting request, a cancellation is
         // kept only for four times the cancellation time: by then its tasks have left their
         // machines, or the state service provides it.
         let (keep, ledger) = (self.ctx.cancel.scale(4, 1), &self.mirror.ledger);
         self.cancellations.jobs.retain(|job, k| {
-            !k.askers.is_empty()
+            !k.requesters.is_empty()
                 || now.since(k.since) < keep && ledger.jobs.get(job).is_none_or(|j| !j.settled)
         });
         if self.cancellations.jobs.is_empty() {
             return;
         }
-        let asked = self.cancellations.jobs.iter().filter(|(_, k)| !k.askers.is_empty());
-        let told: Vec<JobId> = asked.map(|(job, _)| *job).filter(|job| self.may_tell(*job)).collect();
+        let awaited = self.cancellations.jobs.iter().filter(|(_, k)| !k.requesters.is_empty());
+        let told: Vec<JobId> = awaited.map(|(job, _)| *job).filter(|job| self.is_confirmed(*job)).collect();
         let mut done = Vec::new();
         for job in told {
             let Some(k) = self.cancellations.jobs.get_mut(&job) else { continue };
             if !std::mem::replace(&mut k.record.told, true) {
                 // The other controllers may confirm it to clients as well, without querying each
                 // other.
-                k.announce = true;
-                k.sent.fill(None);
+                k.announce_confirmation = true;
+                k.notified_at.fill(None);
             }
-            done.extend(k.askers.drain(..).map(|(a, _)| (a, job)));
+            done.extend(k.requesters.drain(..).map(|(a, _)| (a, job)));
         }
-        for (asker, job) in done {
-            match asker {
-                Asker::User(id) => self.aborted_answer(id, job),
-                Asker::Guest(t, result) => self.ask_guest(GuestInput::Called(t, result)),
+        for (requester, job) in done {
+            match requester {
+                Requester::User(id) => self.answer_cancelled(id, job),
+                Requester::Guest(t, result) => self.ask_guest(GuestInput::Called(t, result)),
             }
         }
-        let mut late = Vec::new();
+        let mut expired = Vec::new();
         for k in self.cancellations.jobs.values_mut() {
-            let (gone, left): (Vec<_>, Vec<_>) =
-                std::mem::take(&mut k.askers).into_iter().partition(|(_, until)| now >= *until);
-            k.askers = left;
-            late.extend(gone.into_iter().map(|(a, _)| a));
+            let (overdue, remaining): (Vec<_>, Vec<_>) =
+                std::mem::take(&mut k.requesters).into_iter().partition(|(_, until)| now >= *until);
+            k.requesters = remaining;
+            expired.extend(overdue.into_iter().map(|(a, _)| a));
         }
-        late.into_iter().for_each(|a| self.not_told(a));
+        expired.into_iter().for_each(|a| self.fail_confirmation(a));
         let leader = self.leader_node();
         let term = self.leader_term();
         for n in self.peers.all().filter(|n| *n != me) {
             let leads = Some(n) == leader;
-            if !self.reaches(n) {
+            if !self.has_path(n) {
                 continue;
             }
             let i = n.0 as usize;
             let process = self.peers.states[i].incarnation;
-            let due = |k: &&mut Known| {
-                let waited = !k.askers.is_empty() || k.word_owed && !k.record.told;
-                let again = if waited { AGAIN } else { AGAIN_LATER };
+            let due = |k: &&mut TrackedCancellation| {
+                let is_awaited = !k.requesters.is_empty() || k.guarantee_owed && !k.record.told;
+                let interval = if is_awaited { RETRY_INTERVAL } else { IDLE_RETRY_INTERVAL };
                 // A controller that is not notified yet usually learns of the end from the state
                 // service; then its acknowledgement is batched with others.
-                let first = if waited || k.record.told { Micros(0) } else { AGAIN_LATER };
-                let knows = k.record.known_by[i] >= process && !(leads && waited && k.led < term);
-                let news = k.announce && k.sent[i].is_none();
-                (!knows || news)
-                    && now.since(k.since) >= first
-                    && k.sent[i].is_none_or(|t| now.since(t) >= again)
+                let initial_delay = if is_awaited || k.record.told { Micros(0) } else { IDLE_RETRY_INTERVAL };
+                let acknowledged =
+                    k.record.known_by[i] >= process && !(leads && is_awaited && k.guaranteed_term < term);
+                let to_announce = k.announce_confirmation && k.notified_at[i].is_none();
+                (!acknowledged || to_announce)
+                    && now.since(k.since) >= initial_delay
+                    && k.notified_at[i].is_none_or(|t| now.since(t) >= interval)
             };
             let mut all = Vec::new();
-            for k in self.cancellations.jobs.values_mut().filter(due).take(AT_ONCE) {
-                k.sent[i] = Some(now);
+            for k in self.cancellations.jobs.values_mut().filter(due).take(MAX_CANCELLATIONS_PER_MESSAGE) {
+                k.notified_at[i] = Some(now);
                 all.push(k.record.clone());
             }
             if !all.is_empty() {
@@ -274,23 +284,24 @@
 
     /// Handles another controller's notification of cancellations. A late or repeated one changes
     /// nothing: a job's end never changes.
-    pub(super) fn cancellations_came(&mut self, from: NodeId, all: &[Cancellation]) {
+    pub(super) fn cancellations_received(&mut self, from: NodeId, all: &[Cancellation]) {
         let nodes = self.nodes.names.len();
         for c in all {
-            self.cancellations.take(c, nodes, self.now);
-            self.mark_known(c.job, self.nodes.me, self.incarnation);
-            self.act_on(c);
+            self.cancellations.merge(c, nodes, self.now);
+            self.record_acknowledgement(c.job, self.nodes.me, self.incarnation);
+            self.apply_cancellation(c);
         }
-        let (mut vouched, mut others) = (Vec::new(), Vec::new());
+        let (mut guaranteed, mut others) = (Vec::new(), Vec::new());
         let leads = self.leadership.leader.as_ref().map(|l| l.term);
         for c in all {
-            let sure = self.cancellations.jobs.get(&c.job).is_some_and(|k| self.vouched_term(k).is_some());
+            let is_guaranteed =
+                self.cancellations.jobs.get(&c.job).is_some_and(|k| self.guaranteed_term(k).is_some());
             if let Some(k) = self.cancellations.jobs.get_mut(&c.job) {
-                k.word_owed = leads.is_some() && !sure;
+                k.guarantee_owed = leads.is_some() && !is_guaranteed;
             }
-            if sure { vouched.push(c.job) } else { others.push(c.job) }
+            if is_guaranteed { guaranteed.push(c.job) } else { others.push(c.job) }
         }
-        for (jobs, leads) in [(vouched, leads), (others, None)] {
+        for (jobs, leads) in [(guaranteed, leads), (others, None)] {
             if !jobs.is_empty() {
                 self.send(from, Message::CancelledKnown { jobs, leads });
             }
@@ -299,7 +310,7 @@
     }
 
     /// Ends a job in the state replica, ahead of the state service.
-    fn act_on(&mut self, c: &Cancellation) {
+    fn apply_cancellation(&mut self, c: &Cancellation) {
         let phase = self.mirror.ledger.jobs.get(&c.job).map(|j| j.phase);
         match phase {
             Some(Phase::Done) => return warn!("{}: notified of its cancellation after it was done", c.job),
@@ -308,7 +319,7 @@
                 debug!("{}: notified of its cancellation", c.job);
                 let end = jobs::cancelled_value(c.at_ms, c.cause.as_deref(), false);
                 let change = self.mirror.ledger.apply(&keys::end(c.job), Some(&end), c.stamp);
-                self.changed(change);
+                self.record_job_change(change);
             }
         }
         if let Some(l) = self.leadership.leader.as_mut() {
@@ -320,10 +331,10 @@
     /// hold.
     pub(super) fn reapply_cancellations(&mut self) {
         let all: Vec<Cancellation> = self.cancellations.jobs.values().map(|k| k.record.clone()).collect();
-        all.iter().for_each(|c| self.act_on(c));
+        all.iter().for_each(|c| self.apply_cancellation(c));
     }
 
-    fn mark_known(&mut self, job: JobId, n: NodeId, process: u64) {
+    fn record_acknowledgement(&mut self, job: JobId, n: NodeId, process: u64) {
         if let Some(k) = self.cancellations.jobs.get_mut(&job) {
             let known = &mut k.record.known_by[n.0 as usize];
             *known = (*known).max(process);
@@ -331,7 +342,7 @@
     }
 
     /// Handles another controller's acknowledgement that it acts on cancellations.
-    pub(super) fn cancellations_known(
+    pub(super) fn cancellations_acknowledged(
         &mut self,
         from: NodeId,
         process: u64,
@@ -341,20 +352,20 @@
         let term = self.leader_term();
         let leader = self.leader_node().filter(|n| *n != from && *n != self.nodes.me);
         for job in jobs {
-            self.mark_known(*job, from, process);
+            self.record_acknowledgement(*job, from, process);
             let Some(k) = self.cancellations.jobs.get_mut(job) else { continue };
-            k.led = k.led.max(leads.unwrap_or(0));
+            k.guaranteed_term = k.guaranteed_term.max(leads.unwrap_or(0));
             // A leader that gave no guarantee may have been waiting for exactly this
             // acknowledgement.
             if let Some(i) = leader.map(|n| n.0 as usize)
-                && k.led < term
+                && k.guaranteed_term < term
                 && k.record.known_by[i] >= self.peers.states[i].incarnation.max(1)
             {
-                k.sent[i] = None;
+                k.notified_at[i] = None;
             }
         }
-        self.cancellations.dirty = true;
-        self.spread_cancellations();
+        self.cancellations.scan_now = true;
+        self.propagate_cancellations();
     }
 
     /// Records that this process can know of new cancellations: it has read the state and reaches
@@ -362,12 +373,12 @@
     /// which has read the state. A minority may be cut off from a state service that still serves
     /// the other controllers, and no controller outside the minority may be left to stop the tasks
     /// that it keeps alive.
-    pub(super) fn note_informed(&mut self) {
-        let heard = |n: &NodeId| *n != self.nodes.me && self.hears(*n, HEARD);
-        let heard: Vec<NodeId> = self.peers.all().filter(heard).collect();
-        let read = self.mirror.loaded || heard.iter().any(|n| self.peers.states[n.0 as usize].loaded);
-        let most = (heard.len() + 1) * 2 > self.nodes.names.len();
-        if self.mirror.loaded && self.mirror.state_ok(self.now) || read && most {
+    pub(super) fn update_informed_at(&mut self) {
+        let in_contact = |n: &NodeId| *n != self.nodes.me && self.hears(*n, HEARD);
+        let in_contact: Vec<NodeId> = self.peers.all().filter(in_contact).collect();
+        let read = self.mirror.loaded || in_contact.iter().any(|n| self.peers.states[n.0 as usize].loaded);
+        let majority = (in_contact.len() + 1) * 2 > self.nodes.names.len();
+        if self.mirror.loaded && self.mirror.state_ok(self.now) || read && majority {
             self.informed = Some(self.now);
         }
     }
@@ -377,7 +388,7 @@
     /// lease, and so within what is left of the cancellation time. A cancellation from before this
     /// process started may have been confirmed at any earlier time; half of the spare time is left
     /// for that.
-    pub(super) fn may_renew(&self) -> bool {
+    pub(super) fn may_renew_leases(&self) -> bool {
         let spare = self.ctx.cancel - self.ctx.lease;
         match self.informed {
             Some(t) => self.now.since(t) + Micros::secs(1) <= spare,
--- a/crates/core/src/node/duties.rs
+++ b/crates/core/src/node/duties.rs
@@ -9,23 +9,23 @@
 impl Node {
     pub(super) fn tick(&mut self) {
         self.status.ticked(self.now);
-        self.expire();
-        self.note_informed();
+        self.expire_waiters();
+        self.update_informed_at();
         self.note_placements();
-        self.spread_cancellations();
-        self.follow();
+        self.propagate_cancellations();
+        self.watch_state();
         if !self.mirror.state_ok(self.now)
             || !self.mirror.loaded
             || !self.users.waiters.is_empty()
             || self.now.since(self.mirror.ok_at.unwrap_or_default()) > Micros::millis(900)
         {
-            self.barrier();
+            self.start_read_barrier();
         }
-        self.write_users();
-        self.elect();
-        self.lead();
+        self.send_pending_writes();
+        self.run_election();
+        self.run_leader();
         self.stand_in();
-        self.flavors();
+        self.request_machine_types();
         self.answer_held();
         self.drive();
         self.sync(false);
@@ -51,13 +51,13 @@
         }
     }
 
-    pub(super) fn expire(&mut self) {
+    pub(super) fn expire_waiters(&mut self) {
         for w in self.users.expired(self.now) {
             self.cant_ask(&w, RefusalReason::ProofFailed);
         }
     }
 
-    pub(super) fn follow(&mut self) {
+    pub(super) fn watch_state(&mut self) {
         if !self.mirror.listed {
             if !self.mirror.listing && self.now >= self.mirror.retry_list_at {
                 let (from, first, ledger) = self.mirror.so_far.take().unwrap_or_else(|| {
@@ -65,20 +65,20 @@
                     ledger.aside = self.has_guest.then(Vec::new);
                     (None, None, ledger)
                 });
-                self.list(from, first, ledger);
+                self.list_state(from, first, ledger);
             }
             return;
         }
         if !self.mirror.following && self.now >= self.mirror.follow_at {
             let path =
                 format!("/follow?prefix={}&from={}&hold_ms=10000", keys::ROOT, self.mirror.ledger.applied);
-            let id = self.state("GET", path, Vec::new(), Micros::secs(13));
+            let id = self.call_state_service("GET", path, Vec::new(), Micros::secs(13));
             self.calls.insert(id, Purpose::Follow);
             self.mirror.following = true;
         }
     }
 
-    pub(super) fn list(&mut self, from: Option<String>, first: Option<u64>, ledger: Box<Ledger>) {
+    pub(super) fn list_state(&mut self, from: Option<String>, first: Option<u64>, ledger: Box<Ledger>) {
         self.mirror.listing = true;
         if from.is_none() {
             self.mirror.reading = StateReading { began: self.now, ..StateReading::default() };
@@ -88,11 +88,11 @@
             path.push_str("&from=");
             path.push_str(f);
         }
-        let id = self.state("GET", path, Vec::new(), Micros::millis(2500));
+        let id = self.call_state_service("GET", path, Vec::new(), Micros::millis(2500));
         self.calls.insert(id, Purpose::List { from, first, ledger });
     }
 
-    pub(super) fn apply(&mut self, news: News) {
+    pub(super) fn apply_events(&mut self, news: News) {
         let base = self.mirror.ledger.applied;
         let mut messages = Vec::new();
         for e in &news.news {
@@ -130,7 +130,7 @@
                     _ => {}
                 }
             }
-            self.changed(change);
+            self.record_job_change(change);
         }
         self.mirror.ledger.applied = base.max(news.ledger);
         // Only after all events: an assignment may be of a job whose end came with them.
@@ -138,13 +138,13 @@
             self.peer(p.from, p.incarnation, p.message);
         }
         if !news.news.is_empty() {
-            self.lead();
+            self.run_leader();
             self.drive();
             self.ask_guest(GuestInput::News);
         }
     }
 
-    pub(super) fn changed(&mut self, c: Change) {
+    pub(super) fn record_job_change(&mut self, c: Change) {
         let Change::Job { id, cancelled } = c else { return };
         for id in std::iter::once(id).chain(cancelled) {
             if let Some(job) = self.mirror.ledger.jobs.get(&id) {
@@ -156,12 +156,12 @@
         }
     }
 
-    pub(super) fn elect(&mut self) {
+    pub(super) fn run_election(&mut self) {
         if !self.mirror.loaded {
             return;
         }
         let turn = if self.mirror.ledger.leader.is_none() {
-            self.my_turn()
+            self.may_campaign()
         } else {
             self.leadership.vacant_since = None;
             false
@@ -175,7 +175,7 @@
                     self.leadership.election.role = Role::Candidate;
                     let life = self.operator.leader_lease.0 / 1000;
                     let body = json!({ "life_ms": life }).to_string().into_bytes();
-                    let id = self.state("POST", "/grants".into(), body, Micros::millis(1000));
+                    let id = self.call_state_service("POST", "/grants".into(), body, Micros::millis(1000));
                     self.calls.insert(id, Purpose::GrantNew { asked: self.now });
                 }
                 Some((rec, _))
@@ -187,7 +187,7 @@
                     info!("revoking the leader lease of this node's previous process");
                     let path = format!("/grants/{}", rec.lease);
                     self.leadership.ended_lease = Some(rec.lease);
-                    let id = self.state("DELETE", path, Vec::new(), Micros::millis(1000));
+                    let id = self.call_state_service("DELETE", path, Vec::new(), Micros::millis(1000));
                     self.calls.insert(id, Purpose::EndLease);
                 }
                 _ => {}
@@ -199,7 +199,7 @@
                 {
                     return self.step_down("leader key deleted or replaced");
                 }
-                if self.alone() {
+                if self.lost_all_peers() {
                     // Cut off from the other controllers: one that reaches more of the cluster
                     // serves it better.
                     self.end_lease(lease);
@@ -212,7 +212,7 @@
                     self.leadership.election.last_sent = self.now;
                     let path = format!("/grants/{lease}/renew");
                     let timeout = self.operator.leader_lease.scale(1, 3);
-                    let id = self.state("POST", path, Vec::new(), timeout);
+                    let id = self.call_state_service("POST", path, Vec::new(), timeout);
                     self.calls.insert(id, Purpose::Renew { sent: self.now });
                 }
             }
@@ -222,7 +222,7 @@
     /// Whether this node should campaign now while there is no leader. Controllers in contact with
     /// more of the others go first: a node waits 400 ms for each controller that is out of contact,
     /// unless that controller's process is known to be down.
-    pub(super) fn my_turn(&mut self) -> bool {
+    pub(super) fn may_campaign(&mut self) -> bool {
         let unheard = (0..self.peers.states.len())
             .map(|i| NodeId(i as u8))
             .filter(|n| *n != self.nodes.me && !self.hears(*n, HEARD) && !self.peers.refuses(*n, self.now))
@@ -233,7 +233,7 @@
 
     /// Whether this leader lost contact with all other controllers, and not because their processes
     /// ended.
-    pub(super) fn alone(&mut self) -> bool {
+    pub(super) fn lost_all_peers(&mut self) -> bool {
         let others: Vec<NodeId> =
             (0..self.peers.states.len()).map(|i| NodeId(i as u8)).filter(|n| *n != self.nodes.me).collect();
         if others.iter().any(|n| self.hears(*n, Micros::millis(3000))) {
@@ -255,7 +255,7 @@
     }
 
     /// Runs the leader's work.
-    pub(super) fn lead(&mut self) {
+    pub(super) fn run_leader(&mut self) {
         // The state replica must hold everything that was written before the leader key was
         // acquired.
         if let Some((term, stamp)) = self.leadership.won
@@ -277,7 +277,7 @@
                 self.sync(true);
             }
         }
-        self.take_over_books();
+        self.fetch_placement_log();
         let may = self.leadership.election.may_lead(self.now);
         let Some(l) = self.leadership.leader.as_mut() else { return };
         if l.exhausted() {
@@ -293,15 +293,15 @@
             self.send(to, m);
         }
         if may {
-            self.record_witnesses();
-            self.leader_writes();
+            self.record_standby_replicas();
+            self.send_leader_writes();
         }
-        self.cloud(may);
+        self.send_cloud_requests(may);
     }
 
     /// Gets a new leader the placement log of its predecessor: from this node if it was a standby
     /// replica, else from another standby.
-    fn take_over_books(&mut self) {
+    fn fetch_placement_log(&mut self) {
         let Some(l) = self.leadership.leader.as_mut() else { return };
         let Some(w) = l.books_wanted() else { return };
         let term = w.term;
@@ -321,7 +321,7 @@
     }
 
     /// Handles the placement log that another controller sent on request.
-    pub(super) fn books_came(&mut self, from: NodeId, incarnation: u64, page: Page) {
+    pub(super) fn placement_log_received(&mut self, from: NodeId, incarnation: u64, page: Page) {
         let Some(l) = self.leadership.leader.as_mut() else { return };
         let Some(w) = l.books_wanted() else { return };
         // Only from the very process on record: a later process of that controller has not kept the
@@ -338,7 +338,7 @@
     }
 
     /// Records which standby replicas hold the placement log, when that changes.
-    fn record_witnesses(&mut self) {
+    fn record_standby_replicas(&mut self) {
         let Role::Leader { stamp: mine, term, .. } = self.leadership.election.role else { return };
         let Some(l) = self.leadership.leader.as_mut() else { return };
         let all = (0..self.peers.states.len()).map(|i| NodeId(i as u8));
@@ -350,11 +350,11 @@
         let when =
             vec![When { path: keys::LEADER.into(), stamp: mine }, When { path: keys::BOOKS.into(), stamp }];
         let put = Write::Put { put: keys::BOOKS.into(), v: json!(record), hold: None };
-        let id = self.multi(&Multi { when, writes: vec![put] });
+        let id = self.send_transaction(&Multi { when, writes: vec![put] });
         self.calls.insert(id, Purpose::BooksRecord(term));
     }
 
-    pub(super) fn leader_writes(&mut self) {
+    pub(super) fn send_leader_writes(&mut self) {
         let Role::Leader { stamp: mine, term, .. } = self.leadership.election.role else { return };
         // Finding what to write scans all jobs and machines, so it is not done at every input.
         let again = Micros::millis(40);
@@ -424,7 +424,7 @@
         }
         self.leadership.inflight.extend(taken.iter().cloned());
         self.leadership.txns += 1;
-        let id = self.multi(&m);
+        let id = self.send_transaction(&m);
         self.calls.insert(id, Purpose::LeaderWrites(term, taken));
     }
 
@@ -441,7 +441,12 @@
         (!changes.is_empty()).then_some(changes)
     }
 
-    pub(super) fn leader_written(&mut self, term: u64, writes: Vec<LeaderWrite>, result: &CallResult) {
+    pub(super) fn leader_writes_completed(
+        &mut self,
+        term: u64,
+        writes: Vec<LeaderWrite>,
+        result: &CallResult,
+    ) {
         if self.leadership.leader.as_ref().is_none_or(|l| l.term != term) {
             return;
         }
@@ -456,7 +461,7 @@
                     l.written(w);
                 }
                 self.leadership.refused.accepted(&writes);
-                self.lead();
+                self.run_leader();
             }
             CallResult::Answer { status: 409, body } => {
                 let failed =
@@ -481,7 +486,7 @@
         }
     }
 
-    pub(super) fn cloud(&mut self, may: bool) {
+    pub(super) fn send_cloud_requests(&mut self, may: bool) {
         let Some(l) = self.leadership.leader.as_mut() else { return };
         let term = l.term;
         let wishes = if may {
@@ -509,7 +514,7 @@
         }
     }
 
-    pub(super) fn cloud_called(&mut self, term: u64, wish: CloudWish, result: &CallResult) {
+    pub(super) fn cloud_call_completed(&mut self, term: u64, wish: CloudWish, result: &CallResult) {
         let Some(l) = self.leadership.leader.as_mut().filter(|l| l.term == term) else { return };
         let body = match result {
             CallResult::Answer { status: 200, body } => Some(body),
@@ -520,16 +525,16 @@
                 Some(_) => l.deleted(&ids, self.now),
                 None => l.delete_failed(&ids, self.now),
             },
-            CloudWish::Hire(req) => self.hired(req, result),
+            CloudWish::Hire(req) => self.rental_completed(req, result),
             CloudWish::List(_) => {
                 let page: Option<Rentals> = body.and_then(|b| serde_json::from_slice(b).ok());
                 l.listed(page.as_ref(), &self.catalogue.sizes, self.now);
             }
         }
-        self.lead();
+        self.run_leader();
     }
 
-    pub(super) fn hired(&mut self, req: HireRequest, result: &CallResult) {
+    pub(super) fn rental_completed(&mut self, req: HireRequest, result: &CallResult) {
         let Some(l) = self.leadership.leader.as_mut() else { return };
         match result {
             CallResult::Answer { status: 200, body } => {
@@ -547,7 +552,7 @@
         }
     }
 
-    pub(super) fn flavors(&mut self) {
+    pub(super) fn request_machine_types(&mut self) {
         if !self.catalogue.due(self.leadership.leader.is_some(), self.now) {
             return;
         }
--- a/crates/core/src/node/host.rs
+++ b/crates/core/src/node/host.rs
@@ -46,7 +46,7 @@
             GuestOutput::Open(id, a) => self.out.items.push(Output::Open(id, a)),
             GuestOutput::Chunk(id, data) => self.out.items.push(Output::Chunk(id, data)),
             GuestOutput::Close(id) => self.out.items.push(Output::Close(id)),
-            GuestOutput::Prove(t) => self.wait(Waiter::Guest(t), Micros::millis(1500)),
+            GuestOutput::Prove(t) => self.await_read_barrier(Waiter::Guest(t), Micros::millis(1500)),
             GuestOutput::Read(t, prefix) => {
                 let none = Listing { pairs: Vec::new(), truncated: false, ledger: 0 };
                 self.read_page(t, format!("{}{prefix}", keys::GUEST), none);
@@ -57,7 +57,7 @@
                 }
                 let until = self.now + Micros::millis(3500);
                 self.users.writes.push_back((UserWrite::Guest(ticket, Box::new(multi), as_leader), until));
-                self.write_users();
+                self.send_pending_writes();
             }
         }
     }
@@ -65,7 +65,7 @@
     fn read_page(&mut self, t: Ticket, prefix: String, so_far: Listing) {
         let from = so_far.pairs.last().map_or(String::new(), |p| format!("&from={}", p.path));
         let path = format!("/store?prefix={prefix}{from}&limit=1000");
-        let id = self.state("GET", path, Vec::new(), Micros::millis(2500));
+        let id = self.call_state_service("GET", path, Vec::new(), Micros::millis(2500));
         self.calls.insert(id, Purpose::GuestRead(t, prefix, so_far));
     }
 
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -233,7 +233,7 @@
         self.wall_ms = wall_ms;
         match input {
             Input::Tick => self.tick(),
-            Input::Request { id, method, path, body } => self.request(id, &method, &path, &body),
+            Input::Request { id, method, path, body } => self.route_request(id, &method, &path, &body),
             Input::GuestRequest { id, method, path, token, body } => {
                 self.ask_guest(GuestInput::Request { id, method, path, token, body });
             }
@@ -264,7 +264,7 @@
     pub fn status_line(&mut self) -> Option<String> {
         let gauges = Gauges {
             revision: self.mirror.ledger.applied,
-            ready: self.ready(),
+            ready: self.is_ready(),
             machines_held: self.ctl.held(),
             leader: self.leader_node().map(|n| n.0),
             term: self.leader_term(),
@@ -284,12 +284,12 @@
 
     /// Whether clients are served here; `GET /ready` returns the same.
     pub fn serves_users(&self) -> bool {
-        self.ready()
+        self.is_ready()
     }
 
     /// Whether this node serves clients and holds a lease of machines that it may start tasks on.
     pub fn in_service(&self) -> bool {
-        self.ready() && self.ctl.lease_valid(self.now)
+        self.is_ready() && self.ctl.lease_valid(self.now)
     }
 
     /// For tests: compares the sums that are updated incrementally with a recount.
@@ -327,7 +327,7 @@
                         Ok(n) => {
                             self.mirror.ok_at = Some(self.now);
                             self.status.caught_up(self.now);
-                            self.apply(n);
+                            self.apply_events(n);
                         }
                         Err(e) => {
                             warn!("invalid watch response: {e}");
@@ -343,10 +343,10 @@
                     }
                     _ => self.mirror.follow_at = self.now + Micros::millis(150 + self.rng.u64(0..150)),
                 }
-                self.follow();
+                self.watch_state();
             }
-            Purpose::Barrier(waiting) => self.barrier_done(waiting, result),
-            Purpose::Write(w) => self.user_written(w, &result),
+            Purpose::Barrier(waiting) => self.read_barrier_completed(waiting, result),
+            Purpose::Write(w) => self.pending_write_completed(w, &result),
             Purpose::GuestRead(t, prefix, so_far) => self.guest_page(t, prefix, so_far, result),
             Purpose::GrantNew { asked } => {
                 let lease = match &result {
@@ -377,7 +377,7 @@
                                 Write::Put { put: keys::LEADER.into(), v: json!(rec), hold: Some(g.hold) },
                             ],
                         };
-                        let id = self.multi(&m);
+                        let id = self.send_transaction(&m);
                         self.calls.insert(id, Purpose::TakeKey { asked, lease: g.hold, term: term + 1 });
                     }
                     lease => {
@@ -395,7 +395,7 @@
                     self.leadership.election.won(term, lease, stamp, asked);
                     self.leadership.had_peers = false;
                     self.leadership.won = Some((term, stamp));
-                    self.barrier();
+                    self.start_read_barrier();
                 }
                 _ => {
                     // Lost or unknown. Revoking the lease also deletes a key that is written late.
@@ -418,13 +418,13 @@
                 let taken = matches!(result, CallResult::Answer { status: 200, .. });
                 self.post_relayed(number, taken);
             }
-            Purpose::LeaderWrites(term, w) => self.leader_written(term, w, &result),
+            Purpose::LeaderWrites(term, w) => self.leader_writes_completed(term, w, &result),
             Purpose::BooksRecord(term) => {
                 if let Some(l) = self.leadership.leader.as_mut().filter(|l| l.term == term) {
                     l.books_record_ended();
                 }
             }
-            Purpose::Cloud(term, w) => self.cloud_called(term, w, &result),
+            Purpose::Cloud(term, w) => self.cloud_call_completed(term, w, &result),
             Purpose::Flavors => {
                 self.catalogue.open = false;
                 if let CallResult::Answer { status: 200, body } = &result
@@ -453,7 +453,8 @@
     }
 
     fn end_lease(&mut self, lease: u64) {
-        let id = self.state("DELETE", format!("/grants/{lease}"), Vec::new(), Micros::millis(1000));
+        let id =
+            self.call_state_service("DELETE", format!("/grants/{lease}"), Vec::new(), Micros::millis(1000));
         self.calls.insert(id, Purpose::EndLease);
     }
 
@@ -492,7 +493,7 @@
         // applied over them.
         let first = first.unwrap_or(page.ledger);
         if let (true, Some(last)) = (page.truncated, page.pairs.last()) {
-            return self.list(Some(last.path.clone()), Some(first), ledger);
+            return self.list_state(Some(last.path.clone()), Some(first), ledger);
         }
         ledger.applied = first;
         let aside = ledger.aside.take().unwrap_or_default();
@@ -525,11 +526,11 @@
             self.mirror.ledger.jobs.len(),
             self.mirror.ledger.machines.len()
         );
-        self.barrier();
-        self.follow();
+        self.start_read_barrier();
+        self.watch_state();
     }
 
-    fn barrier_done(&mut self, waiting: Vec<(Waiter, Micros)>, result: CallResult) {
+    fn read_barrier_completed(&mut self, waiting: Vec<(Waiter, Micros)>, result: CallResult) {
         self.users.barrier_open = false;
         self.status.proof_ended(&result, self.now);
         let news: Option<News> = match &result {
@@ -547,13 +548,13 @@
         match news {
             Some(n) => {
                 self.status.caught_up(self.now);
-                self.apply(n);
+                self.apply_events(n);
                 if !self.mirror.loaded {
                     self.mirror.loaded = true;
                     info!("ready");
                 }
                 for (w, _) in waiting {
-                    self.resolve(w);
+                    self.complete_waiter(w);
                 }
             }
             None => {
@@ -568,7 +569,7 @@
             }
         }
         if !self.users.waiters.is_empty() {
-            self.barrier();
+            self.start_read_barrier();
         }
     }
 }
--- a/crates/core/src/node/peers.rs
+++ b/crates/core/src/node/peers.rs
@@ -95,7 +95,7 @@
     /// Posts the next transaction of a message, if the previous one succeeded.
     pub(super) fn post_relayed(&mut self, number: u64, taken: bool) {
         if let Some(txn) = self.relay.next_txn(number, taken) {
-            let call = self.multi(&txn);
+            let call = self.send_transaction(&txn);
             self.calls.insert(call, Purpose::Mail(number));
         }
     }
@@ -110,9 +110,9 @@
                     p.queued = queued;
                 }
             }
-            Message::Cancelled(all) => self.cancellations_came(from, &all),
+            Message::Cancelled(all) => self.cancellations_received(from, &all),
             Message::CancelledKnown { jobs, leads } => {
-                self.cancellations_known(from, incarnation, &jobs, leads);
+                self.cancellations_acknowledged(from, incarnation, &jobs, leads);
             }
             Message::Forward { to, envelope } => {
                 if to != self.nodes.me {
@@ -194,8 +194,8 @@
                 }
             }
             Message::BooksOf(page) => {
-                self.books_came(from, incarnation, page);
-                self.lead();
+                self.placement_log_received(from, incarnation, page);
+                self.run_leader();
             }
             Message::Probe { id, addr } => {
                 let call = self.out.call(status_call(addr));
--- a/crates/core/src/node/requests.rs
+++ b/crates/core/src/node/requests.rs
@@ -2,12 +2,12 @@
 use super::*;
 
 impl Node {
-    pub(super) fn request(&mut self, id: RequestId, method: &str, path: &str, body: &[u8]) {
+    pub(super) fn route_request(&mut self, id: RequestId, method: &str, path: &str, body: &[u8]) {
         let path = path.split('?').next().unwrap_or("");
         let rest = path.strip_prefix("/submissions/");
         match (method, path, rest) {
             ("GET", "/ready", _) => {
-                if self.ready() {
+                if self.is_ready() {
                     self.out.answer(id, 200, br#"{"ready":true}"#.to_vec());
                 } else {
                     self.refuse(id, RefusalReason::NotReady);
@@ -30,10 +30,10 @@
                 // but are cancelled only through the interface that submitted them.
                 match JobId::parse(job).filter(|j| !(abort && j.own())) {
                     None => self.out.answer(id, 404, users::error("no such job")),
-                    Some(j) if abort => self.wait(Waiter::Abort(id, j), Micros::millis(3500)),
+                    Some(j) if abort => self.await_read_barrier(Waiter::Abort(id, j), Micros::millis(3500)),
                     Some(j) => {
                         self.status.poll_came(id, self.now);
-                        self.wait(Waiter::Poll(id, j), Micros::millis(1500));
+                        self.await_read_barrier(Waiter::Poll(id, j), Micros::millis(1500));
                     }
                 }
             }
@@ -41,7 +41,7 @@
         }
     }
 
-    pub(super) fn ready(&self) -> bool {
+    pub(super) fn is_ready(&self) -> bool {
         if !self.mirror.loaded {
             return false;
         }
@@ -58,7 +58,7 @@
     /// Answers for a job that has ended; ends never change. A cancellation is confirmed only when
     /// every controller that must know of it has acknowledged it. Returns false if the job is
     /// active or unknown.
-    pub(super) fn final_answer(&mut self, id: RequestId, job: JobId) -> bool {
+    pub(super) fn answer_if_ended(&mut self, id: RequestId, job: JobId) -> bool {
         let Some(j) = self.mirror.ledger.jobs.get(&job) else { return false };
         match j.phase {
             Phase::Active => return false,
@@ -66,13 +66,13 @@
                 let answer = users::job_answer(job, "done", j.tasks, 0);
                 self.out.answer(id, 200, answer);
             }
-            Phase::Aborted if self.may_tell(job) => self.aborted_answer(id, job),
-            Phase::Aborted => self.tell_user(id, job),
+            Phase::Aborted if self.is_confirmed(job) => self.answer_cancelled(id, job),
+            Phase::Aborted => self.confirm_to_client(id, job),
         }
         true
     }
 
-    pub(super) fn aborted_answer(&mut self, id: RequestId, job: JobId) {
+    pub(super) fn answer_cancelled(&mut self, id: RequestId, job: JobId) {
         let cause = self.mirror.ledger.jobs.get(&job).and_then(|j| j.cause.as_ref());
         let answer = match cause {
             Some(cause) => users::failed_answer(job, cause),
@@ -81,8 +81,8 @@
         self.out.answer(id, 200, answer);
     }
 
-    pub(super) fn current_answer(&mut self, id: RequestId, job: JobId) {
-        if self.final_answer(id, job) {
+    pub(super) fn answer_current_state(&mut self, id: RequestId, job: JobId) {
+        if self.answer_if_ended(id, job) {
             return;
         }
         let Some(j) = self.mirror.ledger.jobs.get(&job) else {
@@ -93,23 +93,23 @@
         self.out.answer(id, 200, users::job_answer(job, stage, j.done.below(j.tasks), running));
     }
 
-    pub(super) fn wait(&mut self, w: Waiter, limit: Micros) {
+    pub(super) fn await_read_barrier(&mut self, w: Waiter, limit: Micros) {
         if let Waiter::Poll(r, j) | Waiter::Submit(r, j, _) | Waiter::Abort(r, j) = &w
-            && self.final_answer(*r, *j)
+            && self.answer_if_ended(*r, *j)
         {
             return;
         }
-        if let Some(reason) = self.refusal(self.users.waiters.len()) {
+        if let Some(reason) = self.refusal_reason(self.users.waiters.len()) {
             return self.cant_ask(&w, reason);
         }
         let until = self.now + limit;
         self.users.waiters.push((w, until));
-        self.barrier();
+        self.start_read_barrier();
     }
 
     /// Why a request is refused at once, if it is; `waiting` is the number of requests of its kind
     /// that wait already.
-    fn refusal(&self, waiting: usize) -> Option<RefusalReason> {
+    fn refusal_reason(&self, waiting: usize) -> Option<RefusalReason> {
         if !self.mirror.loaded {
             return Some(RefusalReason::StateUnread);
         }
@@ -135,23 +135,25 @@
             let reason = parsed.err().unwrap_or_default();
             return self.out.answer(id, 400, users::error(&reason));
         };
-        let checked = parsed.map_err(|e| (400, e)).and_then(|s| self.check(s));
+        let checked = parsed.map_err(|e| (400, e)).and_then(|s| self.validate_submission(s));
         let known = self.mirror.ledger.jobs.contains_key(&job);
         match checked {
             Ok(spec) if !known && self.unknown_dependency(&spec).is_none() => {
-                if let Some(reason) = self.refusal(self.users.writes.len()) {
+                if let Some(reason) = self.refusal_reason(self.users.writes.len()) {
                     return self.refuse(id, reason);
                 }
                 let until = self.now + Micros::millis(3500);
                 self.users.writes.push_back((UserWrite::Submit(id, Box::new(spec)), until));
-                self.write_users();
+                self.send_pending_writes();
+            }
+            checked => {
+                self.await_read_barrier(Waiter::Submit(id, job, Box::new(checked)), Micros::millis(3500))
             }
-            checked => self.wait(Waiter::Submit(id, job, Box::new(checked)), Micros::millis(3500)),
         }
     }
 
     /// Rejects with 422 a job that can never run, and with 503 one that can't be checked yet.
-    pub(super) fn check(&self, s: JobSpec) -> Result<JobSpec, (u16, String)> {
+    pub(super) fn validate_submission(&self, s: JobSpec) -> Result<JobSpec, (u16, String)> {
         let Some(team) = self.teams.iter().find(|t| t.name == s.team) else {
             return Err((422, format!("unknown team {}", s.team)));
         };
@@ -188,7 +190,7 @@
     }
 
     /// Starts one read barrier for all waiting requests.
-    pub(super) fn barrier(&mut self) {
+    pub(super) fn start_read_barrier(&mut self) {
         if self.users.barrier_open || !self.mirror.listed {
             return;
         }
@@ -197,13 +199,13 @@
         }
         let waiting = std::mem::take(&mut self.users.waiters);
         let path = format!("/follow?prefix={}&from={}&hold_ms=0", keys::ROOT, self.mirror.ledger.applied);
-        let id = self.state("GET", path, Vec::new(), Micros::millis(1200));
+        let id = self.call_state_service("GET", path, Vec::new(), Micros::millis(1200));
         self.calls.insert(id, Purpose::Barrier(waiting));
         self.users.barrier_open = true;
         self.status.proof_asked(self.now);
     }
 
-    pub(super) fn state(
+    pub(super) fn call_state_service(
         &mut self,
         method: &'static str,
         path: String,
@@ -213,24 +215,24 @@
         self.out.call(Call { target: Target::State, method, path, body, timeout })
     }
 
-    pub(super) fn multi(&mut self, m: &Multi) -> CallId {
+    pub(super) fn send_transaction(&mut self, m: &Multi) -> CallId {
         let body = serde_json::to_vec(m).unwrap_or_default();
-        self.state("POST", "/multi".into(), body, Micros::millis(2500))
+        self.call_state_service("POST", "/multi".into(), body, Micros::millis(2500))
     }
 
-    pub(super) fn resolve(&mut self, w: Waiter) {
+    pub(super) fn complete_waiter(&mut self, w: Waiter) {
         match w {
             Waiter::Guest(t) => self.ask_guest(GuestInput::Proved(t, true)),
             Waiter::Poll(id, job) => {
                 self.status.answered_by_proof(id);
-                self.current_answer(id, job);
+                self.answer_current_state(id, job);
             }
             Waiter::Submit(id, job, checked) => {
                 if self.mirror.ledger.jobs.contains_key(&job) {
-                    return self.current_answer(id, job);
+                    return self.answer_current_state(id, job);
                 }
                 // The read barrier's events may have brought the dependency.
-                match checked.and_then(|spec| self.check(spec)) {
+                match checked.and_then(|spec| self.validate_submission(spec)) {
                     Ok(spec) => {
                         if let Some(dependency) = self.unknown_dependency(&spec) {
                             let reason = format!("awaits: {dependency} was never accepted");
@@ -238,14 +240,14 @@
                         }
                         let until = self.now + Micros::millis(3000);
                         self.users.writes.push_back((UserWrite::Submit(id, Box::new(spec)), until));
-                        self.write_users();
+                        self.send_pending_writes();
                     }
                     Err((503, _)) => self.refuse(id, RefusalReason::MachineTypesUnknown),
                     Err((status, reason)) => self.out.answer(id, status, users::error(&reason)),
                 }
             }
             Waiter::Abort(id, job) => {
-                if self.final_answer(id, job) {
+                if self.answer_if_ended(id, job) {
                     return;
                 }
                 if !self.mirror.ledger.jobs.contains_key(&job) {
@@ -254,7 +256,7 @@
                 let until = self.now + Micros::millis(3000);
                 let end = jobs::cancelled_value(self.wall_ms, None, false);
                 self.users.writes.push_back((UserWrite::Abort(id, job, end), until));
-                self.write_users();
+                self.send_pending_writes();
             }
         }
     }
@@ -265,7 +267,7 @@
     }
 
     /// Sends clients' writes within the write budget.
-    pub(super) fn write_users(&mut self) {
+    pub(super) fn send_pending_writes(&mut self) {
         while let Some((w, until)) = self.users.writes.pop_front() {
             if self.now > until {
                 match w {
@@ -303,7 +305,7 @@
                             }
                         }
                     }
-                    let call = self.multi(&m);
+                    let call = self.send_transaction(&m);
                     self.calls.insert(call, Purpose::Write(w));
                     continue;
                 }
@@ -317,12 +319,12 @@
                 }
             };
             let writes = writes.into_iter().map(|(put, v)| Write::Put { put, v, hold: None }).collect();
-            let call = self.multi(&Multi { when, writes });
+            let call = self.send_transaction(&Multi { when, writes });
             self.calls.insert(call, Purpose::Write(w));
         }
     }
 
-    pub(super) fn user_written(&mut self, w: UserWrite, result: &CallResult) {
+    pub(super) fn pending_write_completed(&mut self, w: UserWrite, result: &CallResult) {
         match (w, result) {
             (UserWrite::Submit(id, spec), CallResult::Answer { status: 200, body }) => {
                 let job = spec.id;
@@ -337,20 +339,20 @@
             (UserWrite::Abort(id, job, end), CallResult::Answer { status: 200, body }) => {
                 info!("{job}: cancelled");
                 let stamp = serde_json::from_slice::<MultiAnswer>(body).map_or(0, |a| a.ledger);
-                self.ended_by(&[Write::Put { put: keys::end(job), v: end, hold: None }], stamp);
-                self.tell_user(id, job);
+                self.apply_confirmed_ends(&[Write::Put { put: keys::end(job), v: end, hold: None }], stamp);
+                self.confirm_to_client(id, job);
             }
             (UserWrite::Guest(t, m, _), CallResult::Answer { status: 200, body }) => {
                 let stamp = serde_json::from_slice::<MultiAnswer>(body).map_or(0, |a| a.ledger);
-                let ended = self.ended_by(&m.writes, stamp);
-                self.tell_guest(t, &ended, result.clone());
+                let ended = self.apply_confirmed_ends(&m.writes, stamp);
+                self.confirm_to_extension(t, &ended, result.clone());
             }
             // The key exists already: the response is the job's current state.
             (UserWrite::Submit(id, spec), CallResult::Answer { status: 409, .. }) => {
-                self.wait(Waiter::Poll(id, spec.id), Micros::millis(1500));
+                self.await_read_barrier(Waiter::Poll(id, spec.id), Micros::millis(1500));
             }
             (UserWrite::Abort(id, job, _), CallResult::Answer { status: 409, .. }) => {
-                self.wait(Waiter::Abort(id, job), Micros::millis(1500));
+                self.await_read_barrier(Waiter::Abort(id, job), Micros::millis(1500));
             }
             (UserWrite::Guest(t, m, as_leader), CallResult::Answer { status: 429, .. }) => {
                 self.users.bucket.force(self.now, 1.0);
--- a/crates/core/src/node/stand_in/tests.rs
+++ b/crates/core/src/node/stand_in/tests.rs
@@ -43,7 +43,7 @@
     serde_json::to_vec(&report).unwrap()
 }
 
-fn list(node: &mut Node, names: &[&str]) {
+fn set_listed_machines(node: &mut Node, names: &[&str]) {
     let rental = |name: &&str| Rental {
         name: name.to_string(),
         addr: name.to_string(),
@@ -95,7 +95,7 @@
     node.mirror.ok_at = Some(node.now);
     node.stand_in();
     // An outage in which no controller with the placement log is left; the machine hangs.
-    list(&mut node, &["m0", "m1"]);
+    set_listed_machines(&mut node, &["m0", "m1"]);
     let began = node.now;
     let reason = reason_after_silence(&mut node, began);
     assert_eq!(
@@ -121,7 +121,7 @@
     ];
     for (what, result, unanswering) in cases {
         let mut node = node();
-        list(&mut node, &["m0", "m1"]);
+        set_listed_machines(&mut node, &["m0", "m1"]);
         assert_eq!(reason_after_silence(&mut node, BEGAN), Some(ProbeReason::Silent));
         let sent = node.now;
         node.now = sent + Micros::millis(20);
--- a/crates/core/src/node/workers.rs
+++ b/crates/core/src/node/workers.rs
@@ -92,7 +92,7 @@
 
     /// Answers a check-in, which renews the worker's lease, if this process may renew leases.
     fn renew(&mut self, id: RequestId, baton: u64, orders: Vec<Order>) {
-        if !self.may_renew() {
+        if !self.may_renew_leases() {
             return self.send_elsewhere(id, None);
         }
         let body = serde_json::to_vec(&CheckinAnswer { baton, orders }).unwrap_or_default();
