--- a/crates/core/src/node/cancellations.rs
+++ b/crates/core/src/node/cancellations.rs
@@ -103,7 +103,7 @@
         for w in writes {
             let Write::Put { put, v, .. } = w else { continue };
             if v["end"] == "aborted"
-                && let change @ Change::Job { id, .. } = self.mirror.ledger.apply(put, Some(v), stamp)
+                && let change @ Change::Job { id, .. } = self.reflector.ledger.apply(put, Some(v), stamp)
             {
                 self.record_job_change(change);
                 ended.push(id);
@@ -132,7 +132,7 @@
     fn request_confirmation(&mut self, requester: Requester, job: JobId) {
         self.track_cancellation(job);
         let until = self.now + CONFIRMATION_TIMEOUT;
-        let reachable = self.leader_node().is_some_and(|n| n == self.nodes.me || self.has_path(n));
+        let reachable = self.leader_node().is_some_and(|n| n == self.members.me || self.has_path(n));
         let Some(k) = self.cancellations.jobs.get_mut(&job) else { return };
         if !k.record.told && !reachable {
             return self.fail_confirmation(requester);
@@ -144,7 +144,7 @@
 
     /// Whether a network path to a controller is known: direct, or through another controller.
     fn has_path(&self, n: NodeId) -> bool {
-        self.hears(n, HEARD) || self.peers.relay(n, self.now).is_some()
+        self.in_contact(n, PEER_TIMEOUT) || self.peers.find_relay(n, self.now).is_some()
     }
 
     fn fail_confirmation(&mut self, requester: Requester) {
@@ -156,7 +156,9 @@
 
     /// Records a cancellation from the state replica.
     fn track_cancellation(&mut self, job: JobId) {
-        let Some(j) = self.mirror.ledger.jobs.get(&job).filter(|j| j.phase == Phase::Aborted) else { return };
+        let Some(j) = self.reflector.ledger.jobs.get(&job).filter(|j| j.phase == Phase::Aborted) else {
+            return;
+        };
         let record = Cancellation {
             job,
             at_ms: j.ended_ms,
@@ -165,13 +167,13 @@
             told: false,
             known_by: Vec::new(),
         };
-        self.cancellations.merge(&record, self.nodes.names.len(), self.now);
+        self.cancellations.merge(&record, self.members.names.len(), self.now);
     }
 
     /// Whether a cancellation may be confirmed to a client.
     pub(super) fn is_confirmed(&self, job: JobId) -> bool {
         // Nothing of the job is on any machine, so no controller needs to know.
-        if self.mirror.ledger.jobs.get(&job).is_some_and(|j| j.settled) {
+        if self.reflector.ledger.jobs.get(&job).is_some_and(|j| j.settled) {
             return true;
         }
         let Some(k) = self.cancellations.jobs.get(&job) else { return false };
@@ -182,12 +184,14 @@
     fn is_acknowledged(&self, k: &TrackedCancellation) -> bool {
         // A leader that acquired its key before the record was written has to be notified. Only a
         // state replica that holds the record shows whether there is such a leader.
-        let applied = self.mirror.ledger.applied >= k.record.stamp;
+        let applied = self.reflector.ledger.applied >= k.record.stamp;
         let contacts_acknowledged =
-            self.peers.all().filter(|n| *n != self.nodes.me && self.hears(*n, HEARD)).all(|n| {
-                let process = self.peers.states[n.0 as usize].incarnation;
-                k.record.known_by[n.0 as usize] >= process
-            });
+            self.peers.all().filter(|n| *n != self.members.me && self.in_contact(*n, PEER_TIMEOUT)).all(
+                |n| {
+                    let process = self.peers.states[n.0 as usize].incarnation;
+                    k.record.known_by[n.0 as usize] >= process
+                },
+            );
         applied && contacts_acknowledged && {
             let guaranteed = k.guaranteed_term.max(self.guaranteed_term(k).unwrap_or(0));
             guaranteed > 0 && guaranteed >= self.leader_term()
@@ -197,7 +201,8 @@
     /// The term of this leader, if no start of the job can follow.
     fn guaranteed_term(&self, k: &TrackedCancellation) -> Option<u64> {
         let leader = self.leadership.leader.as_ref()?;
-        let ended: Vec<NodeId> = self.peers.all().filter(|n| self.peers.refuses(*n, self.now)).collect();
+        let ended: Vec<NodeId> =
+            self.peers.all().filter(|n| self.peers.is_process_down(*n, self.now)).collect();
         let open = leader.start_may_follow(k.record.job, &k.record.known_by, &ended, self.now);
         (!open).then_some(leader.term)
     }
@@ -205,7 +210,7 @@
     /// Notifies controllers that have to know, and answers requests whose cancellation is fully
     /// acknowledged.
     pub(super) fn propagate_cancellations(&mut self) {
-        let (now, me) = (self.now, self.nodes.me);
+        let (now, me) = (self.now, self.members.me);
         let scan_interval_open = now.since(self.cancellations.scanned_at) < SCAN_INTERVAL;
         if scan_interval_open && !std::mem::take(&mut self.cancellations.scan_now) {
             return;
@@ -214,7 +219,7 @@
         // Drops jobs whose settlement is on record. Without a waiting request, a cancellation is
         // kept only for four times the cancellation time: by then its tasks have left their
         // machines, or the state service provides it.
-        let (keep, ledger) = (self.ctx.cancel.scale(4, 1), &self.mirror.ledger);
+        let (keep, ledger) = (self.leader_config.cancel.scale(4, 1), &self.reflector.ledger);
         self.cancellations.jobs.retain(|job, k| {
             !k.requesters.is_empty()
                 || now.since(k.since) < keep && ledger.jobs.get(job).is_none_or(|j| !j.settled)
@@ -285,10 +290,10 @@
     /// Handles another controller's notification of cancellations. A late or repeated one changes
     /// nothing: a job's end never changes.
     pub(super) fn cancellations_received(&mut self, from: NodeId, all: &[Cancellation]) {
-        let nodes = self.nodes.names.len();
+        let nodes = self.members.names.len();
         for c in all {
             self.cancellations.merge(c, nodes, self.now);
-            self.record_acknowledgement(c.job, self.nodes.me, self.incarnation);
+            self.record_acknowledgement(c.job, self.members.me, self.incarnation);
             self.apply_cancellation(c);
         }
         let (mut guaranteed, mut others) = (Vec::new(), Vec::new());
@@ -311,19 +316,19 @@
 
     /// Ends a job in the state replica, ahead of the state service.
     fn apply_cancellation(&mut self, c: &Cancellation) {
-        let phase = self.mirror.ledger.jobs.get(&c.job).map(|j| j.phase);
+        let phase = self.reflector.ledger.jobs.get(&c.job).map(|j| j.phase);
         match phase {
             Some(Phase::Done) => return warn!("{}: notified of its cancellation after it was done", c.job),
             Some(Phase::Aborted) => {}
             Some(Phase::Active) | None => {
                 debug!("{}: notified of its cancellation", c.job);
                 let end = jobs::cancelled_value(c.at_ms, c.cause.as_deref(), false);
-                let change = self.mirror.ledger.apply(&keys::end(c.job), Some(&end), c.stamp);
+                let change = self.reflector.ledger.apply(&keys::end(c.job), Some(&end), c.stamp);
                 self.record_job_change(change);
             }
         }
         if let Some(l) = self.leadership.leader.as_mut() {
-            l.told_cancelled(c.job, &self.mirror.ledger, self.now);
+            l.told_cancelled(c.job, &self.reflector.ledger, self.now);
         }
     }
 
@@ -350,7 +355,7 @@
         leads: Option<u64>,
     ) {
         let term = self.leader_term();
-        let leader = self.leader_node().filter(|n| *n != from && *n != self.nodes.me);
+        let leader = self.leader_node().filter(|n| *n != from && *n != self.members.me);
         for job in jobs {
             self.record_acknowledgement(*job, from, process);
             let Some(k) = self.cancellations.jobs.get_mut(job) else { continue };
@@ -374,12 +379,12 @@
     /// the other controllers, and no controller outside the minority may be left to stop the tasks
     /// that it keeps alive.
     pub(super) fn update_informed_at(&mut self) {
-        let in_contact = |n: &NodeId| *n != self.nodes.me && self.hears(*n, HEARD);
+        let in_contact = |n: &NodeId| *n != self.members.me && self.in_contact(*n, PEER_TIMEOUT);
         let in_contact: Vec<NodeId> = self.peers.all().filter(in_contact).collect();
-        let read = self.mirror.loaded || in_contact.iter().any(|n| self.peers.states[n.0 as usize].loaded);
-        let majority = (in_contact.len() + 1) * 2 > self.nodes.names.len();
-        if self.mirror.loaded && self.mirror.state_ok(self.now) || read && majority {
-            self.informed = Some(self.now);
+        let read = self.reflector.loaded || in_contact.iter().any(|n| self.peers.states[n.0 as usize].loaded);
+        let majority = (in_contact.len() + 1) * 2 > self.members.names.len();
+        if self.reflector.loaded && self.reflector.state_reachable(self.now) || read && majority {
+            self.informed_at = Some(self.now);
         }
     }
 
@@ -389,10 +394,10 @@
     /// process started may have been confirmed at any earlier time; half of the spare time is left
     /// for that.
     pub(super) fn may_renew_leases(&self) -> bool {
-        let spare = self.ctx.cancel - self.ctx.lease;
-        match self.informed {
+        let spare = self.leader_config.cancel - self.leader_config.lease;
+        match self.informed_at {
             Some(t) => self.now.since(t) + Micros::secs(1) <= spare,
-            None => self.now.since(self.began) <= spare.scale(1, 2),
+            None => self.now.since(self.started_at) <= spare.scale(1, 2),
         }
     }
 }
--- a/crates/core/src/node/duties.rs
+++ b/crates/core/src/node/duties.rs
@@ -14,10 +14,10 @@
         self.note_placements();
         self.propagate_cancellations();
         self.watch_state();
-        if !self.mirror.state_ok(self.now)
-            || !self.mirror.loaded
+        if !self.reflector.state_reachable(self.now)
+            || !self.reflector.loaded
             || !self.users.waiters.is_empty()
-            || self.now.since(self.mirror.ok_at.unwrap_or_default()) > Micros::millis(900)
+            || self.now.since(self.reflector.last_success.unwrap_or_default()) > Micros::millis(900)
         {
             self.start_read_barrier();
         }
@@ -31,21 +31,22 @@
         self.sync(false);
         self.send_relayed();
         self.ask_guest(GuestInput::Tick);
-        if self.now.since(self.peers.ping_at) >= Micros::millis(500) {
-            self.peers.ping_at = self.now;
-            let state_ok = self.mirror.state_ok(self.now);
-            let hears: Vec<NodeId> = (0..self.peers.states.len())
+        if self.now.since(self.peers.pinged_at) >= Micros::millis(500) {
+            self.peers.pinged_at = self.now;
+            let state_ok = self.reflector.state_reachable(self.now);
+            let contacts: Vec<NodeId> = (0..self.peers.states.len())
                 .map(|i| NodeId(i as u8))
-                .filter(|n| self.hears(*n, HEARD))
+                .filter(|n| self.in_contact(*n, PEER_TIMEOUT))
                 .collect();
             let queued = self.users.writes.len() as u32;
             let others = self.peers.queued(self.now);
-            self.users.share_budget(others, self.nodes.names.len(), self.limits.changes_per_s);
-            for i in 0..self.nodes.names.len() {
-                if i != self.nodes.me.0 as usize {
-                    let hears = hears.clone();
-                    let loaded = self.mirror.loaded;
-                    self.out.send(NodeId(i as u8), Message::Ping { state_ok, hears, queued, loaded });
+            self.users.share_budget(others, self.members.names.len(), self.limits.changes_per_s);
+            for i in 0..self.members.names.len() {
+                if i != self.members.me.0 as usize {
+                    let contacts = contacts.clone();
+                    let loaded = self.reflector.loaded;
+                    self.out
+                        .send(NodeId(i as u8), Message::Ping { state_ok, hears: contacts, queued, loaded });
                 }
             }
         }
@@ -58,9 +59,9 @@
     }
 
     pub(super) fn watch_state(&mut self) {
-        if !self.mirror.listed {
-            if !self.mirror.listing && self.now >= self.mirror.retry_list_at {
-                let (from, first, ledger) = self.mirror.so_far.take().unwrap_or_else(|| {
+        if !self.reflector.listed {
+            if !self.reflector.list_in_flight && self.now >= self.reflector.next_list_at {
+                let (from, first, ledger) = self.reflector.interrupted_list.take().unwrap_or_else(|| {
                     let mut ledger = Box::<Ledger>::default();
                     ledger.aside = self.has_guest.then(Vec::new);
                     (None, None, ledger)
@@ -69,19 +70,19 @@
             }
             return;
         }
-        if !self.mirror.following && self.now >= self.mirror.follow_at {
+        if !self.reflector.watch_in_flight && self.now >= self.reflector.next_watch_at {
             let path =
-                format!("/follow?prefix={}&from={}&hold_ms=10000", keys::ROOT, self.mirror.ledger.applied);
+                format!("/follow?prefix={}&from={}&hold_ms=10000", keys::ROOT, self.reflector.ledger.applied);
             let id = self.call_state_service("GET", path, Vec::new(), Micros::secs(13));
             self.calls.insert(id, Purpose::Follow);
-            self.mirror.following = true;
+            self.reflector.watch_in_flight = true;
         }
     }
 
     pub(super) fn list_state(&mut self, from: Option<String>, first: Option<u64>, ledger: Box<Ledger>) {
-        self.mirror.listing = true;
+        self.reflector.list_in_flight = true;
         if from.is_none() {
-            self.mirror.reading = StateReading { began: self.now, ..StateReading::default() };
+            self.reflector.read_progress = ReadProgress { started_at: self.now, ..ReadProgress::default() };
         }
         let mut path = format!("/store?prefix={}&limit=1000", keys::ROOT);
         if let Some(f) = &from {
@@ -93,16 +94,16 @@
     }
 
     pub(super) fn apply_events(&mut self, news: News) {
-        let base = self.mirror.ledger.applied;
+        let base = self.reflector.ledger.applied;
         let mut messages = Vec::new();
         for e in &news.news {
             if e.stamp <= base {
                 continue;
             }
             let change = match (&e.put, &e.remove) {
-                (Some(k), _) => match self.mirror.ledger.apply(k, Some(&e.v), e.stamp) {
+                (Some(k), _) => match self.reflector.ledger.apply(k, Some(&e.v), e.stamp) {
                     Change::Mail(to) => {
-                        if to == self.nodes.names[self.nodes.me.0 as usize]
+                        if to == self.members.names[self.members.me.0 as usize]
                             && let Some(p) = self.relay.open(&e.v)
                         {
                             messages.push(p);
@@ -111,7 +112,7 @@
                     }
                     c => c,
                 },
-                (None, Some(k)) => self.mirror.ledger.apply(k, None, e.stamp),
+                (None, Some(k)) => self.reflector.ledger.apply(k, None, e.stamp),
                 _ => continue,
             };
             if let Some(g) = self.guest.as_mut() {
@@ -132,7 +133,7 @@
             }
             self.record_job_change(change);
         }
-        self.mirror.ledger.applied = base.max(news.ledger);
+        self.reflector.ledger.applied = base.max(news.ledger);
         // Only after all events: an assignment may be of a job whose end came with them.
         for p in messages {
             self.peer(p.from, p.incarnation, p.message);
@@ -147,29 +148,29 @@
     pub(super) fn record_job_change(&mut self, c: Change) {
         let Change::Job { id, cancelled } = c else { return };
         for id in std::iter::once(id).chain(cancelled) {
-            if let Some(job) = self.mirror.ledger.jobs.get(&id) {
-                self.ctl.job_changed(id, job);
+            if let Some(job) = self.reflector.ledger.jobs.get(&id) {
+                self.controller.job_changed(id, job);
             }
             if let Some(l) = self.leadership.leader.as_mut() {
-                l.job_changed(id, &self.mirror.ledger, self.now);
+                l.job_changed(id, &self.reflector.ledger, self.now);
             }
         }
     }
 
     pub(super) fn run_election(&mut self) {
-        if !self.mirror.loaded {
+        if !self.reflector.loaded {
             return;
         }
-        let turn = if self.mirror.ledger.leader.is_none() {
+        let turn = if self.reflector.ledger.leader.is_none() {
             self.may_campaign()
         } else {
             self.leadership.vacant_since = None;
             false
         };
         match self.leadership.election.role {
-            Role::Follower => match &self.mirror.ledger.leader {
+            Role::Follower => match &self.reflector.ledger.leader {
                 None if self.now >= self.leadership.election.not_before
-                    && !self.mirror.state_refuses(self.now)
+                    && !self.reflector.state_unavailable(self.now)
                     && turn =>
                 {
                     self.leadership.election.role = Role::Candidate;
@@ -179,7 +180,7 @@
                     self.calls.insert(id, Purpose::GrantNew { asked: self.now });
                 }
                 Some((rec, _))
-                    if rec.node == self.nodes.names[self.nodes.me.0 as usize]
+                    if rec.node == self.members.names[self.members.me.0 as usize]
                         && self.leadership.ended_lease != Some(rec.lease) =>
                 {
                     // An earlier process of this node led; revoking its lease avoids waiting until
@@ -194,8 +195,13 @@
             },
             Role::Candidate => {}
             Role::Leader { lease, stamp, term } => {
-                if self.mirror.ledger.applied >= stamp
-                    && self.mirror.ledger.leader.as_ref().is_none_or(|(r, s)| *s != stamp || r.term != term)
+                if self.reflector.ledger.applied >= stamp
+                    && self
+                        .reflector
+                        .ledger
+                        .leader
+                        .as_ref()
+                        .is_none_or(|(r, s)| *s != stamp || r.term != term)
                 {
                     return self.step_down("leader key deleted or replaced");
                 }
@@ -225,7 +231,11 @@
     pub(super) fn may_campaign(&mut self) -> bool {
         let unheard = (0..self.peers.states.len())
             .map(|i| NodeId(i as u8))
-            .filter(|n| *n != self.nodes.me && !self.hears(*n, HEARD) && !self.peers.refuses(*n, self.now))
+            .filter(|n| {
+                *n != self.members.me
+                    && !self.in_contact(*n, PEER_TIMEOUT)
+                    && !self.peers.is_process_down(*n, self.now)
+            })
             .count() as u64;
         let since = *self.leadership.vacant_since.get_or_insert(self.now);
         self.now.since(since) >= Micros::millis(400 * unheard)
@@ -235,12 +245,12 @@
     /// ended.
     pub(super) fn lost_all_peers(&mut self) -> bool {
         let others: Vec<NodeId> =
-            (0..self.peers.states.len()).map(|i| NodeId(i as u8)).filter(|n| *n != self.nodes.me).collect();
-        if others.iter().any(|n| self.hears(*n, Micros::millis(3000))) {
+            (0..self.peers.states.len()).map(|i| NodeId(i as u8)).filter(|n| *n != self.members.me).collect();
+        if others.iter().any(|n| self.in_contact(*n, Micros::millis(3000))) {
             self.leadership.had_peers = true;
             return false;
         }
-        self.leadership.had_peers && !others.iter().any(|n| self.peers.refuses(*n, self.now))
+        self.leadership.had_peers && !others.iter().any(|n| self.peers.is_process_down(*n, self.now))
     }
 
     pub(super) fn step_down(&mut self, why: &str) {
@@ -259,16 +269,16 @@
         // The state replica must hold everything that was written before the leader key was
         // acquired.
         if let Some((term, stamp)) = self.leadership.won
-            && self.mirror.ledger.applied >= stamp
+            && self.reflector.ledger.applied >= stamp
             && !self.catalogue.sizes.is_empty()
         {
             self.leadership.won = None;
-            if self.mirror.ledger.leader.as_ref().is_some_and(|(r, s)| *s == stamp && r.term == term) {
+            if self.reflector.ledger.leader.as_ref().is_some_and(|(r, s)| *s == stamp && r.term == term) {
                 let l = Leader::new(
-                    self.ctx.clone(),
+                    self.leader_config.clone(),
                     term,
                     stamp,
-                    &self.mirror.ledger,
+                    &self.reflector.ledger,
                     &self.catalogue.sizes,
                     self.now,
                     self.wall_ms,
@@ -284,9 +294,9 @@
             return self.step_down("fencing tokens of the term exhausted");
         }
         if may {
-            l.tick(&self.mirror.ledger, self.now);
+            l.tick(&self.reflector.ledger, self.now);
         } else {
-            l.stop_cancelled(&self.mirror.ledger, self.now);
+            l.stop_cancelled(&self.reflector.ledger, self.now);
         }
         let messages = l.messages(self.now, may);
         for (to, m) in messages {
@@ -305,17 +315,18 @@
         let Some(l) = self.leadership.leader.as_mut() else { return };
         let Some(w) = l.books_wanted() else { return };
         let term = w.term;
-        let me = &self.nodes.names[self.nodes.me.0 as usize];
+        let me = &self.members.names[self.members.me.0 as usize];
         let mine = w.nodes.iter().any(|(name, process)| name == me && *process == self.incarnation);
-        if mine && let Some(book) = self.kept.get(term) {
-            return l.inherit(term, book, &self.mirror.ledger);
+        if mine && let Some(book) = self.log_replicas.get(term) {
+            return l.inherit(term, book, &self.reflector.ledger);
         }
-        if self.now.since(self.books_asked) < Micros::millis(200) {
+        if self.now.since(self.log_requested_at) < Micros::millis(200) {
             return;
         }
-        self.books_asked = self.now;
-        let holders = w.nodes.iter().filter_map(|(name, _)| self.nodes.names.iter().position(|n| n == name));
-        for n in holders.filter(|n| *n != self.nodes.me.0 as usize) {
+        self.log_requested_at = self.now;
+        let holders =
+            w.nodes.iter().filter_map(|(name, _)| self.members.names.iter().position(|n| n == name));
+        for n in holders.filter(|n| *n != self.members.me.0 as usize) {
             self.out.send(NodeId(n as u8), Message::BooksWanted { term });
         }
     }
@@ -326,14 +337,14 @@
         let Some(w) = l.books_wanted() else { return };
         // Only from the very process on record: a later process of that controller has not kept the
         // log up to date.
-        let name = self.nodes.names.get(from.0 as usize);
+        let name = self.members.names.get(from.0 as usize);
         let holds = w.nodes.iter().any(|(n, process)| Some(n) == name && *process == incarnation);
         let term = page.term;
         if holds
             && term == w.term
             && let Some(book) = Book::of(page)
         {
-            l.inherit(term, &book, &self.mirror.ledger);
+            l.inherit(term, &book, &self.reflector.ledger);
         }
     }
 
@@ -342,8 +353,8 @@
         let Role::Leader { stamp: mine, term, .. } = self.leadership.election.role else { return };
         let Some(l) = self.leadership.leader.as_mut() else { return };
         let all = (0..self.peers.states.len()).map(|i| NodeId(i as u8));
-        let ended: Vec<NodeId> = all.filter(|n| self.peers.refuses(*n, self.now)).collect();
-        let Some((record, stamp)) = l.books_record(&self.mirror.ledger, &ended, self.now) else { return };
+        let ended: Vec<NodeId> = all.filter(|n| self.peers.is_process_down(*n, self.now)).collect();
+        let Some((record, stamp)) = l.books_record(&self.reflector.ledger, &ended, self.now) else { return };
         let names: Vec<&str> = record.nodes.iter().map(|(n, _)| n.as_str()).collect();
         debug!("standby replicas of term {term}: {}", names.join(", "));
         self.leadership.bucket.force(self.now, 1.0);
@@ -366,11 +377,11 @@
         }
         self.leadership.wrote_at = self.now;
         let Some(l) = self.leadership.leader.as_mut() else { return };
-        l.note_unrecorded(&self.mirror.ledger, self.now);
-        l.note_recorded(&self.mirror.ledger);
+        l.note_unrecorded(&self.reflector.ledger, self.now);
+        l.note_recorded(&self.reflector.ledger);
         let Some(l) = self.leadership.leader.as_ref() else { return };
         let todo: Vec<LeaderWrite> = l
-            .writes(&self.mirror.ledger, self.limits.value_bytes, self.now)
+            .writes(&self.reflector.ledger, self.limits.value_bytes, self.now)
             .into_iter()
             .filter(|w| !self.leadership.inflight.contains(w))
             .filter(|w| !self.leadership.refused.waits(w, self.now))
@@ -432,7 +443,7 @@
     fn changes_of(&self, write: &LeaderWrite) -> Option<Changes> {
         let may_create = |key: &str| self.leadership.may_create(key, self.now);
         let recording = Recording {
-            ledger: &self.mirror.ledger,
+            ledger: &self.reflector.ledger,
             limits: &self.limits,
             wall_ms: self.wall_ms,
             may_create: &may_create,
--- a/crates/core/src/node/host.rs
+++ b/crates/core/src/node/host.rs
@@ -16,18 +16,18 @@
         let Some(mut guest) = self.guest.take() else { return };
         while !self.guest_inputs.is_empty() {
             let input = self.guest_inputs.remove(0);
-            let me = &self.nodes.names[self.nodes.me.0 as usize];
+            let me = &self.members.names[self.members.me.0 as usize];
             let host = Host {
                 now: self.now,
                 wall_ms: self.wall_ms,
-                ledger: &self.mirror.ledger,
-                running: &self.ctl.running,
+                ledger: &self.reflector.ledger,
+                running: &self.controller.running,
                 flavors: &self.catalogue.flavors,
                 teams: &self.teams,
-                loaded: self.mirror.loaded,
-                state_refuses: self.mirror.state_refuses(self.now),
+                loaded: self.reflector.loaded,
+                state_refuses: self.reflector.state_unavailable(self.now),
                 leads: self.leadership.leader.is_some() && self.leadership.election.may_lead(self.now),
-                leader: self.mirror.ledger.leader.as_ref().map(|(r, _)| r.node.as_str()),
+                leader: self.reflector.ledger.leader.as_ref().map(|(r, _)| r.node.as_str()),
                 me,
                 value_limit: self.limits.value_bytes,
                 changes_at_once: self.limits.txn_ops,
--- a/crates/core/src/node/knowledge.rs
+++ b/crates/core/src/node/knowledge.rs
@@ -14,44 +14,49 @@
 impl Node {
     /// Records contact with a controller that knows where tasks may be.
     pub(super) fn note_placements(&mut self) {
-        let leads = self.leadership.leader.is_some() || self.now.since(self.peers.led_at) < HEARD;
+        let leads =
+            self.leadership.leader.is_some() || self.now.since(self.peers.leader_contact_at) < PEER_TIMEOUT;
         if leads || self.peers.all().any(|n| self.holds_placements(n)) {
-            self.placements_at = self.now;
+            self.placements_known_at = self.now;
         }
     }
 
     /// Whether a controller is in contact and on record as a standby replica of the placement log.
     fn holds_placements(&self, n: NodeId) -> bool {
-        let (record, _) = &self.mirror.ledger.books;
-        let process = if n == self.nodes.me {
+        let (record, _) = &self.reflector.ledger.books;
+        let process = if n == self.members.me {
             self.incarnation
-        } else if self.hears(n, HEARD) {
+        } else if self.in_contact(n, PEER_TIMEOUT) {
             self.peers.states[n.0 as usize].incarnation
         } else {
             return false;
         };
-        let name = &self.nodes.names[n.0 as usize];
+        let name = &self.members.names[n.0 as usize];
         record.nodes.iter().any(|(holder, of)| holder == name && *of == process)
     }
 
     /// The deadline for stopping cancelled tasks whose placements no controller in contact knows.
     /// `None` where such a controller is in contact, and where no cancelled task can be left.
     pub(super) fn deadline_without_knowledge(&self) -> Option<Micros> {
-        if self.mirror.loaded { self.deadline_without_placements() } else { self.deadline_without_records() }
+        if self.reflector.loaded {
+            self.deadline_without_placements()
+        } else {
+            self.deadline_without_records()
+        }
     }
 
     /// Whether the state service's last call failed: no leader can be elected through it.
     pub(super) fn state_is_away(&self) -> bool {
-        self.mirror.fail_at > self.mirror.ok_at
+        self.reflector.last_failure > self.reflector.last_success
     }
 
     /// The earliest deadline that is not past, of the cancellations known here.
     fn deadline_without_placements(&self) -> Option<Micros> {
-        if self.now.since(self.placements_at) < HEARD {
+        if self.now.since(self.placements_known_at) < PEER_TIMEOUT {
             return None;
         }
-        let open = self.mirror.ledger.jobs.values().filter(|j| j.phase == Phase::Aborted && !j.settled);
-        open.map(|job| gone_by(job.ended_ms, self.wall_ms, self.ctx.cancel, self.now))
+        let open = self.reflector.ledger.jobs.values().filter(|j| j.phase == Phase::Aborted && !j.settled);
+        open.map(|job| gone_by(job.ended_ms, self.wall_ms, self.leader_config.cancel, self.now))
             .filter(|by| *by > self.now)
             .min()
     }
@@ -59,10 +64,13 @@
     /// Jobs may have been cancelled just before this process started, or just before it lost
     /// contact with the controllers that had read the state.
     fn deadline_without_records(&self) -> Option<Micros> {
-        let peer_knows =
-            self.peers.all().any(|n| self.hears(n, HEARD) && self.peers.states[n.0 as usize].loaded);
-        let since = self.informed.unwrap_or(self.began);
-        let may_be_left = self.now.since(since) < self.ctx.cancel;
-        (!peer_knows && may_be_left).then(|| since + self.ctx.cancel.scale(UNKNOWN_DEADLINE_PERCENT, 100))
+        let peer_knows = self
+            .peers
+            .all()
+            .any(|n| self.in_contact(n, PEER_TIMEOUT) && self.peers.states[n.0 as usize].loaded);
+        let since = self.informed_at.unwrap_or(self.started_at);
+        let may_be_left = self.now.since(since) < self.leader_config.cancel;
+        (!peer_knows && may_be_left)
+            .then(|| since + self.leader_config.cancel.scale(UNKNOWN_DEADLINE_PERCENT, 100))
     }
 }
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -22,8 +22,8 @@
 use catalogue::{Catalogue, delete_call, list_call, rent_call};
 use held_check_ins::HeldCheckIns;
 use leadership::Leadership;
-use membership::{HEARD, Peers};
-use mirror::{Mirror, StateReading};
+use membership::{PEER_TIMEOUT, Peers};
+use mirror::{ReadProgress, Reflector};
 use relay::Relay;
 use status::{Gauges, RefusalReason, ServiceStatus};
 use waiting::{MAX_WAITING, UserWrite, Users, Waiter};
@@ -121,23 +121,23 @@
 
 /// A controller node. Each field owns the state of one duty; what several duties share is here.
 pub struct Node {
-    nodes: Nodes,
+    members: Nodes,
     operator: Operator,
     teams: Vec<Team>,
-    ctx: Context,
+    leader_config: Context,
     limits: StoreLimits,
     now: Micros,
     /// When this process started, and when it could last learn of new cancellations.
-    began: Micros,
-    informed: Option<Micros>,
+    started_at: Micros,
+    informed_at: Option<Micros>,
     /// When this node was last in contact with a controller that knows where tasks may be.
-    placements_at: Micros,
+    placements_known_at: Micros,
     wall_ms: u64,
     rng: fastrand::Rng,
     out: Outbox,
     calls: BTreeMap<CallId, Purpose>,
     incarnation: u64,
-    mirror: Mirror,
+    reflector: Reflector,
     users: Users,
     status: ServiceStatus,
     cancellations: Cancellations,
@@ -146,13 +146,13 @@
     relay: Relay,
     catalogue: Catalogue,
     held_check_ins: HeldCheckIns,
-    ctl: Controller,
+    controller: Controller,
     /// Leaders' placement logs of which this node is a standby replica.
-    kept: Kept,
-    deputy: Deputy,
+    log_replicas: Kept,
+    enforcer: Deputy,
     liveness: LivenessMonitor,
-    liveness_logged: Micros,
-    books_asked: Micros,
+    liveness_logged_at: Micros,
+    log_requested_at: Micros,
     has_guest: bool,
     guest: Option<Box<dyn Guest>>,
     /// Inputs that arrived while the extension was handling another one.
@@ -162,13 +162,13 @@
 impl Node {
     /// Creates a node with an empty state replica.
     pub fn new(p: &Platform, operator: Operator, seed: u64, incarnation: u64, now: Micros) -> Self {
-        let nodes = Nodes::new(p);
+        let members = Nodes::new(p);
         let d = &p.deployment;
-        let n = nodes.names.len() as f64;
-        let ctx = Context {
-            me: nodes.me,
-            names: nodes.names.clone(),
-            zones: nodes.zones.clone(),
+        let n = members.names.len() as f64;
+        let leader_config = Context {
+            me: members.me,
+            names: members.names.clone(),
+            zones: members.zones.clone(),
             operator: operator.clone(),
             teams: d.teams.clone(),
             objectives: d.objectives.clone(),
@@ -181,42 +181,42 @@
         let limits = StoreLimits::new(&d.state);
         Node {
             teams: d.teams.clone(),
-            ctx,
+            leader_config,
             limits,
             now,
-            began: now,
-            informed: None,
-            placements_at: now,
+            started_at: now,
+            informed_at: None,
+            placements_known_at: now,
             wall_ms: 0,
             rng: fastrand::Rng::with_seed(seed),
             out: Outbox::default(),
             calls: BTreeMap::new(),
             incarnation: incarnation.max(2),
-            mirror: Mirror::default(),
+            reflector: Reflector::default(),
             users: Users::new(limits.changes_per_s * 0.9 / n, limits.requests_per_s / n, now),
             status: ServiceStatus::new(now),
             cancellations: Cancellations::default(),
             leadership: Leadership::new(&operator, limits.changes_per_s, now),
-            peers: Peers::new(nodes.names.len()),
+            peers: Peers::new(members.names.len()),
             relay: Relay::default(),
             catalogue: Catalogue::new(d.cloud.rps, now),
             held_check_ins: HeldCheckIns::default(),
-            ctl: Controller::default(),
-            kept: Kept::default(),
-            deputy: Deputy::new(incarnation),
+            controller: Controller::default(),
+            log_replicas: Kept::default(),
+            enforcer: Deputy::new(incarnation),
             liveness: LivenessMonitor::new(
                 &p.domain,
                 Micros::from_secs_f64(d.workers.report_s),
                 Micros::from_secs_f64(d.workers.lease_s),
                 now,
             ),
-            liveness_logged: now,
-            books_asked: Micros(0),
+            liveness_logged_at: now,
+            log_requested_at: Micros(0),
             has_guest: false,
             guest: None,
             guest_inputs: Vec::new(),
             operator,
-            nodes,
+            members,
         }
     }
 
@@ -245,12 +245,12 @@
             Input::Called { id, result } => self.called(id, result),
             Input::Refused(n) => {
                 if let Some(p) = self.peers.states.get_mut(n.0 as usize) {
-                    p.refused = Some(self.now);
+                    p.refused_at = Some(self.now);
                 }
             }
             Input::Peer { from, incarnation, message } => {
                 if let Some(p) = self.peers.states.get_mut(from.0 as usize) {
-                    p.heard = Some(self.now);
+                    p.last_contact = Some(self.now);
                     p.incarnation = p.incarnation.max(incarnation);
                 }
                 self.peer(from, incarnation, message);
@@ -263,9 +263,9 @@
     /// The `status` line, if one is due.
     pub fn status_line(&mut self) -> Option<String> {
         let gauges = Gauges {
-            revision: self.mirror.ledger.applied,
+            revision: self.reflector.ledger.applied,
             ready: self.is_ready(),
-            machines_held: self.ctl.held(),
+            machines_held: self.controller.held(),
             leader: self.leader_node().map(|n| n.0),
             term: self.leader_term(),
         };
@@ -289,7 +289,7 @@
 
     /// Whether this node serves clients and holds a lease of machines that it may start tasks on.
     pub fn in_service(&self) -> bool {
-        self.is_ready() && self.ctl.lease_valid(self.now)
+        self.is_ready() && self.controller.lease_valid(self.now)
     }
 
     /// For tests: compares the sums that are updated incrementally with a recount.
@@ -312,36 +312,36 @@
         if of_state && !matches!(p, Purpose::Follow) {
             match &result {
                 CallResult::Answer { status, .. } if *status < 500 && *status != 429 => {
-                    self.mirror.ok_at = Some(self.now)
+                    self.reflector.last_success = Some(self.now)
                 }
                 CallResult::Answer { status: 429, .. } => {}
-                _ => self.mirror.fail_at = Some(self.now),
+                _ => self.reflector.last_failure = Some(self.now),
             }
         }
         match p {
             Purpose::List { from, first, ledger } => self.listed_page(from, first, ledger, result),
             Purpose::Follow => {
-                self.mirror.following = false;
+                self.reflector.watch_in_flight = false;
                 match result {
                     CallResult::Answer { status: 200, body } => match serde_json::from_slice::<News>(&body) {
                         Ok(n) => {
-                            self.mirror.ok_at = Some(self.now);
+                            self.reflector.last_success = Some(self.now);
                             self.status.caught_up(self.now);
                             self.apply_events(n);
                         }
                         Err(e) => {
                             warn!("invalid watch response: {e}");
-                            self.mirror.follow_at = self.now + Micros::millis(500);
+                            self.reflector.next_watch_at = self.now + Micros::millis(500);
                         }
                     },
                     CallResult::Answer { status: 410, .. } => {
                         info!(
                             "watch expired revision={}: reading the state from the start",
-                            self.mirror.ledger.applied
+                            self.reflector.ledger.applied
                         );
-                        self.mirror.listed = false;
+                        self.reflector.listed = false;
                     }
-                    _ => self.mirror.follow_at = self.now + Micros::millis(150 + self.rng.u64(0..150)),
+                    _ => self.reflector.next_watch_at = self.now + Micros::millis(150 + self.rng.u64(0..150)),
                 }
                 self.watch_state();
             }
@@ -354,10 +354,10 @@
                     _ => None,
                 };
                 match lease {
-                    Some(g) if self.mirror.ledger.leader.is_none() => {
-                        let (term, stamp) = self.mirror.ledger.term;
+                    Some(g) if self.reflector.ledger.leader.is_none() => {
+                        let (term, stamp) = self.reflector.ledger.term;
                         let rec = LeaderRecord {
-                            node: self.nodes.names[self.nodes.me.0 as usize].clone(),
+                            node: self.members.names[self.members.me.0 as usize].clone(),
                             term: term + 1,
                             lease: g.hold,
                         };
@@ -365,12 +365,12 @@
                             when: vec![
                                 When { path: keys::LEADER.into(), stamp: 0 },
                                 When { path: keys::TERM.into(), stamp },
-                                When { path: keys::BOOKS.into(), stamp: self.mirror.ledger.books.1 },
+                                When { path: keys::BOOKS.into(), stamp: self.reflector.ledger.books.1 },
                             ],
                             writes: vec![
                                 Write::Put {
                                     put: keys::BOOKS.into(),
-                                    v: json!(self.mirror.ledger.books.0.taken_over(term + 1)),
+                                    v: json!(self.reflector.ledger.books.0.taken_over(term + 1)),
                                     hold: None,
                                 },
                                 Write::Put { put: keys::TERM.into(), v: json!(term + 1), hold: None },
@@ -437,7 +437,7 @@
             Purpose::Deputy { machine, sent } => self.deputy_answered(&machine, sent, &result),
             Purpose::DeputyDelete(ids) => self.suspects_deleted(&ids, &result),
             Purpose::Worker(m) => {
-                self.ctl.called(&m, id, &result, self.now);
+                self.controller.called(&m, id, &result, self.now);
                 self.drive();
                 self.sync(false);
             }
@@ -465,7 +465,7 @@
         mut ledger: Box<Ledger>,
         result: CallResult,
     ) {
-        self.mirror.listing = false;
+        self.reflector.list_in_flight = false;
         let page: Option<Listing> = match &result {
             CallResult::Answer { status: 200, body } => serde_json::from_slice(body).ok(),
             _ => None,
@@ -474,17 +474,17 @@
             // Many processes that start at once share the state service's budget: the pages read so
             // far are kept, and the read resumes after a pause.
             let pause = Micros::millis(150 + self.rng.u64(0..300));
-            self.mirror.retry_list_at = self.now + pause;
-            self.mirror.reading.interruptions += 1;
+            self.reflector.next_list_at = self.now + pause;
+            self.reflector.read_progress.interruptions += 1;
             if from.is_some() {
                 debug!("state read interrupted");
-                self.mirror.so_far = Some((from, first, ledger));
+                self.reflector.interrupted_list = Some((from, first, ledger));
             }
             return;
         };
-        self.mirror.reading.pages += 1;
+        self.reflector.read_progress.pages += 1;
         if let CallResult::Answer { body, .. } = &result {
-            self.mirror.reading.bytes += body.len();
+            self.reflector.read_progress.bytes += body.len();
         }
         for p in &page.pairs {
             ledger.apply(&p.path, Some(&p.v), p.stamp);
@@ -497,34 +497,34 @@
         }
         ledger.applied = first;
         let aside = ledger.aside.take().unwrap_or_default();
-        self.mirror.ledger = *ledger;
+        self.reflector.ledger = *ledger;
         self.reapply_cancellations();
         if let Some(g) = self.guest.as_mut() {
             g.begin(first);
             for (name, v, stamp) in &aside {
                 g.apply(name, Some(v), *stamp);
             }
-            for (id, job) in self.mirror.ledger.jobs.range(JobId(OWN_IDS)..) {
+            for (id, job) in self.reflector.ledger.jobs.range(JobId(OWN_IDS)..) {
                 g.job_changed(*id, job.stamp.max(job.end_stamp));
             }
         }
-        self.mirror.listed = true;
-        for (id, job) in &self.mirror.ledger.jobs {
-            self.ctl.job_changed(*id, job);
+        self.reflector.listed = true;
+        for (id, job) in &self.reflector.ledger.jobs {
+            self.controller.job_changed(*id, job);
         }
         if let Some(l) = self.leadership.leader.as_mut() {
-            for id in self.mirror.ledger.jobs.keys() {
-                l.job_changed(*id, &self.mirror.ledger, self.now);
+            for id in self.reflector.ledger.jobs.keys() {
+                l.job_changed(*id, &self.reflector.ledger, self.now);
             }
         }
-        let StateReading { began, pages, bytes, interruptions } = self.mirror.reading;
+        let ReadProgress { started_at, pages, bytes, interruptions } = self.reflector.read_progress;
         info!(
             "state read revision={first} last_revision={} pages={pages} bytes={bytes} interruptions={interruptions} \
              duration_ms={} jobs={} machines={}",
             page.ledger,
-            self.now.since(began).0 / 1000,
-            self.mirror.ledger.jobs.len(),
-            self.mirror.ledger.machines.len()
+            self.now.since(started_at).0 / 1000,
+            self.reflector.ledger.jobs.len(),
+            self.reflector.ledger.machines.len()
         );
         self.start_read_barrier();
         self.watch_state();
@@ -538,9 +538,9 @@
             CallResult::Answer { status: 410, .. } => {
                 info!(
                     "proof expired revision={}: reading the state from the start",
-                    self.mirror.ledger.applied
+                    self.reflector.ledger.applied
                 );
-                self.mirror.listed = false;
+                self.reflector.listed = false;
                 None
             }
             _ => None,
@@ -549,8 +549,8 @@
             Some(n) => {
                 self.status.caught_up(self.now);
                 self.apply_events(n);
-                if !self.mirror.loaded {
-                    self.mirror.loaded = true;
+                if !self.reflector.loaded {
+                    self.reflector.loaded = true;
                     info!("ready");
                 }
                 for (w, _) in waiting {
--- a/crates/core/src/node/peers.rs
+++ b/crates/core/src/node/peers.rs
@@ -12,36 +12,36 @@
 impl Node {
     pub(super) fn leader_node(&self) -> Option<NodeId> {
         if self.leadership.leader.is_some() {
-            return Some(self.nodes.me);
+            return Some(self.members.me);
         }
-        let (rec, _) = self.mirror.ledger.leader.as_ref()?;
-        let in_state = self.nodes.names.iter().position(|n| *n == rec.node).map(|i| NodeId(i as u8));
-        match self.peers.leader_known {
+        let (rec, _) = self.reflector.ledger.leader.as_ref()?;
+        let in_state = self.members.names.iter().position(|n| *n == rec.node).map(|i| NodeId(i as u8));
+        match self.peers.known_leader {
             Some((term, n)) if term > rec.term => Some(n),
             _ => in_state,
         }
     }
 
     pub(super) fn leader_term(&self) -> u64 {
-        let known = self.peers.leader_known.map_or(0, |x| x.0);
-        self.mirror.ledger.leader.as_ref().map_or(0, |(r, _)| r.term).max(known)
+        let known = self.peers.known_leader.map_or(0, |x| x.0);
+        self.reflector.ledger.leader.as_ref().map_or(0, |(r, _)| r.term).max(known)
     }
 
     pub(super) fn send(&mut self, to: NodeId, m: Message) {
-        if to == self.nodes.me {
+        if to == self.members.me {
             return self.peer(to, 1, m);
         }
-        if self.hears(to, HEARD) {
+        if self.in_contact(to, PEER_TIMEOUT) {
             return self.out.send(to, m);
         }
         // A network partition: another controller that is in contact with the receiver forwards the
         // message. Without one it goes through the state service, which no partition between
         // controllers affects. The receiver drops duplicates by sequence number.
-        let relay = self.peers.relay(to, self.now);
+        let relay = self.peers.find_relay(to, self.now);
         match relay {
             Some(r) => {
                 let envelope =
-                    Envelope { from: self.nodes.me, incarnation: self.incarnation, message: m.clone() };
+                    Envelope { from: self.members.me, incarnation: self.incarnation, message: m.clone() };
                 self.out.send(r, Message::Forward { to, envelope: envelope.pack() });
             }
             None => self.relay.keep(to, &m),
@@ -49,8 +49,8 @@
         self.out.send(to, m);
     }
 
-    pub(super) fn hears(&self, n: NodeId, limit: Micros) -> bool {
-        self.peers.hears(n, limit, self.now)
+    pub(super) fn in_contact(&self, n: NodeId, limit: Micros) -> bool {
+        self.peers.in_contact(n, limit, self.now)
     }
 
     /// Posts messages for which no other path is left, in as many parts as the limit on values
@@ -60,18 +60,18 @@
         if self.relay.outgoing.is_empty()
             || self.relay.posting()
             || self.now < self.relay.next_at
-            || !self.mirror.state_ok(self.now)
+            || !self.reflector.state_reachable(self.now)
         {
             return;
         }
-        let me = self.nodes.names[self.nodes.me.0 as usize].clone();
+        let me = self.members.names[self.members.me.0 as usize].clone();
         let mut posted = 0;
         while let Some(((to, _), message)) = self.relay.outgoing.pop_first() {
-            if self.hears(to, HEARD) {
+            if self.in_contact(to, PEER_TIMEOUT) {
                 continue;
             }
-            let envelope = Envelope { from: self.nodes.me, incarnation: self.incarnation, message };
-            let receiver = &self.nodes.names[to.0 as usize];
+            let envelope = Envelope { from: self.members.me, incarnation: self.incarnation, message };
+            let receiver = &self.members.names[to.0 as usize];
             let Some(parts) = self.relay.cut(receiver, &me, &envelope, &self.limits) else {
                 debug!("message to controller {} is too long for the state service", to.0);
                 continue;
@@ -87,7 +87,7 @@
             }
         }
         // A seventh of all writes, shared by the controllers that may have to post as well.
-        let share = self.limits.changes_per_s / 7.0 / self.nodes.names.len() as f64;
+        let share = self.limits.changes_per_s / 7.0 / self.members.names.len() as f64;
         let pause = Micros::from_secs_f64(posted as f64 / share.max(0.1));
         self.relay.next_at = self.now + pause.clamp(Micros::millis(400), Micros::millis(1500));
     }
@@ -106,7 +106,7 @@
                 if let Some(p) = self.peers.states.get_mut(from.0 as usize) {
                     p.loaded = loaded;
                     p.state_ok = state_ok;
-                    p.hears = hears;
+                    p.contacts = hears;
                     p.queued = queued;
                 }
             }
@@ -115,7 +115,7 @@
                 self.cancellations_acknowledged(from, incarnation, &jobs, leads);
             }
             Message::Forward { to, envelope } => {
-                if to != self.nodes.me {
+                if to != self.members.me {
                     self.out.send(to, Message::Forward { to, envelope });
                 } else if let Some(p) = Envelope::unpack(&envelope).filter(|p| p.from != to) {
                     // One hop: a forwarded envelope holds no other envelope to forward.
@@ -128,7 +128,7 @@
                 if let Some((term, view)) = View::of(&m)
                     && let Some(l) = self.leadership.leader.as_mut().filter(|l| l.term == term)
                 {
-                    l.sync(from, incarnation, &view, &self.mirror.ledger, self.now);
+                    l.sync(from, incarnation, &view, &self.reflector.ledger, self.now);
                 }
             }
             Message::Seen { id, build, zone, spot, addr, report, asked } => {
@@ -151,32 +151,37 @@
                 stops,
                 running,
             } => {
-                if mine != self.my_incarnation(from) || !self.ctl.accept_update(term, seq, base) {
+                if mine != self.my_incarnation(from) || !self.controller.accept_update(term, seq, base) {
                     return;
                 }
-                self.peers.lead_heard(term, from, self.now);
-                let added = self.ctl.take_block(base == 0, &block, &elsewhere);
+                self.peers.record_leader_contact(term, from, self.now);
+                let added = self.controller.take_block(base == 0, &block, &elsewhere);
                 if added > 0 {
                     debug!("machine lease: {added} machines granted");
                 }
-                self.ctl.view_acknowledged(ack, self.now);
-                self.ctl.take_ack(ack, lease);
-                self.ctl.take_running(base == 0, &running);
-                self.ctl.take_handouts(&handouts, &self.mirror.ledger, &self.catalogue.sizes, self.now);
-                self.ctl.take_stops(&stops);
+                self.controller.view_acknowledged(ack, self.now);
+                self.controller.take_ack(ack, lease);
+                self.controller.take_running(base == 0, &running);
+                self.controller.take_handouts(
+                    &handouts,
+                    &self.reflector.ledger,
+                    &self.catalogue.sizes,
+                    self.now,
+                );
+                self.controller.take_stops(&stops);
                 self.answer_held();
                 self.drive();
                 self.sync(false);
             }
             Message::Books(page) => {
-                let (on_record, _) = &self.mirror.ledger.books;
-                self.kept.drop_before(on_record.term);
+                let (on_record, _) = &self.reflector.ledger.books;
+                self.log_replicas.drop_before(on_record.term);
                 // No placement log is kept for a leader that has a successor.
-                if page.term < self.mirror.ledger.term.0 {
+                if page.term < self.reflector.ledger.term.0 {
                     return;
                 }
                 let term = page.term;
-                let seq = self.kept.take(page);
+                let seq = self.log_replicas.take(page);
                 self.out.send(from, Message::BooksTaken { term, seq });
             }
             Message::BooksTaken { term, seq } => {
@@ -189,7 +194,7 @@
                 }
             }
             Message::BooksWanted { term } => {
-                if let Some(book) = self.kept.get(term) {
+                if let Some(book) = self.log_replicas.get(term) {
                     self.out.send(from, Message::BooksOf(book.page(term)));
                 }
             }
@@ -208,7 +213,7 @@
     /// itself carry incarnation 1, those to other controllers the process's own. Updates that are
     /// meant for another process are dropped.
     pub(super) fn my_incarnation(&self, from: NodeId) -> u64 {
-        if from == self.nodes.me { 1 } else { self.incarnation() }
+        if from == self.members.me { 1 } else { self.incarnation() }
     }
 
     /// The incarnation that this process puts on its messages.
@@ -221,12 +226,12 @@
         let term = self.leader_term();
         let first = std::mem::replace(&mut self.peers.sync_term, term) != term;
         // A leader that has acknowledged nothing gets the whole view, less often.
-        let pause = match (self.ctl.dirty, self.ctl.unknown_to(term)) {
+        let pause = match (self.controller.dirty, self.controller.unknown_to(term)) {
             (true, true) => WHOLE_VIEW_INTERVAL,
             (true, false) => VIEW_INTERVAL,
             (false, _) => IDLE_VIEW_INTERVAL,
         };
-        if !(force || first || self.ctl.may_sync(pause, self.now)) {
+        if !(force || first || self.controller.may_sync(pause, self.now)) {
             return;
         }
         let recent = self.now - Micros::millis(2500);
@@ -237,7 +242,7 @@
             asked: *asked,
         });
         let strangers = strangers.collect();
-        let m = self.ctl.sync(term, strangers, &self.mirror.ledger, self.now);
+        let m = self.controller.sync(term, strangers, &self.reflector.ledger, self.now);
         self.send(to, m);
     }
 }
--- a/crates/core/src/node/requests.rs
+++ b/crates/core/src/node/requests.rs
@@ -42,15 +42,16 @@
     }
 
     pub(super) fn is_ready(&self) -> bool {
-        if !self.mirror.loaded {
+        if !self.reflector.loaded {
             return false;
         }
-        if self.mirror.state_ok(self.now) || self.nodes.names.len() == 1 {
+        if self.reflector.state_reachable(self.now) || self.members.names.len() == 1 {
             return true;
         }
         // If only this controller fails to reach the state service, the other controllers serve the
         // clients. If all fail, withdrawing would help no client.
-        let fresh = |p: &&membership::Peer| p.heard.is_some_and(|t| self.now.since(t) < Micros::millis(2500));
+        let fresh =
+            |p: &&membership::Peer| p.last_contact.is_some_and(|t| self.now.since(t) < Micros::millis(2500));
         let mut heard = self.peers.states.iter().filter(fresh).peekable();
         heard.peek().is_some() && heard.all(|p| !p.state_ok)
     }
@@ -59,7 +60,7 @@
     /// every controller that must know of it has acknowledged it. Returns false if the job is
     /// active or unknown.
     pub(super) fn answer_if_ended(&mut self, id: RequestId, job: JobId) -> bool {
-        let Some(j) = self.mirror.ledger.jobs.get(&job) else { return false };
+        let Some(j) = self.reflector.ledger.jobs.get(&job) else { return false };
         match j.phase {
             Phase::Active => return false,
             Phase::Done => {
@@ -73,7 +74,7 @@
     }
 
     pub(super) fn answer_cancelled(&mut self, id: RequestId, job: JobId) {
-        let cause = self.mirror.ledger.jobs.get(&job).and_then(|j| j.cause.as_ref());
+        let cause = self.reflector.ledger.jobs.get(&job).and_then(|j| j.cause.as_ref());
         let answer = match cause {
             Some(cause) => users::failed_answer(job, cause),
             None => users::job_answer(job, "aborted", 0, 0),
@@ -85,10 +86,10 @@
         if self.answer_if_ended(id, job) {
             return;
         }
-        let Some(j) = self.mirror.ledger.jobs.get(&job) else {
+        let Some(j) = self.reflector.ledger.jobs.get(&job) else {
             return self.out.answer(id, 404, users::error("no such job"));
         };
-        let running = self.ctl.running.get(&job).copied().unwrap_or(0);
+        let running = self.controller.running.get(&job).copied().unwrap_or(0);
         let stage = if running > 0 { "running" } else { "queued" };
         self.out.answer(id, 200, users::job_answer(job, stage, j.done.below(j.tasks), running));
     }
@@ -110,10 +111,10 @@
     /// Why a request is refused at once, if it is; `waiting` is the number of requests of its kind
     /// that wait already.
     fn refusal_reason(&self, waiting: usize) -> Option<RefusalReason> {
-        if !self.mirror.loaded {
+        if !self.reflector.loaded {
             return Some(RefusalReason::StateUnread);
         }
-        if self.mirror.state_refuses(self.now) {
+        if self.reflector.state_unavailable(self.now) {
             return Some(RefusalReason::StateRefused);
         }
         (waiting >= MAX_WAITING).then_some(RefusalReason::TooManyWaiting)
@@ -136,7 +137,7 @@
             return self.out.answer(id, 400, users::error(&reason));
         };
         let checked = parsed.map_err(|e| (400, e)).and_then(|s| self.validate_submission(s));
-        let known = self.mirror.ledger.jobs.contains_key(&job);
+        let known = self.reflector.ledger.jobs.contains_key(&job);
         match checked {
             Ok(spec) if !known && self.unknown_dependency(&spec).is_none() => {
                 if let Some(reason) = self.refusal_reason(self.users.writes.len()) {
@@ -176,7 +177,7 @@
         if s.dependencies.contains(&s.id) {
             return Err((422, "awaits: the job itself".into()));
         }
-        let service = |id: &&JobId| self.mirror.ledger.jobs.get(*id).is_some_and(|j| j.service);
+        let service = |id: &&JobId| self.reflector.ledger.jobs.get(*id).is_some_and(|j| j.service);
         if let Some(id) = s.dependencies.iter().find(service) {
             return Err((422, format!("awaits: {id} is a service, which never completes")));
         }
@@ -186,19 +187,19 @@
     /// A dependency of the submission that is not in the state replica: it was never accepted, or
     /// this replica is behind.
     fn unknown_dependency(&self, s: &JobSpec) -> Option<JobId> {
-        s.dependencies.iter().find(|id| !self.mirror.ledger.jobs.contains_key(id)).copied()
+        s.dependencies.iter().find(|id| !self.reflector.ledger.jobs.contains_key(id)).copied()
     }
 
     /// Starts one read barrier for all waiting requests.
     pub(super) fn start_read_barrier(&mut self) {
-        if self.users.barrier_open || !self.mirror.listed {
+        if self.users.barrier_open || !self.reflector.listed {
             return;
         }
         if !self.users.barrier_bucket.take(self.now, 1.0, 0.0) {
             return;
         }
         let waiting = std::mem::take(&mut self.users.waiters);
-        let path = format!("/follow?prefix={}&from={}&hold_ms=0", keys::ROOT, self.mirror.ledger.applied);
+        let path = format!("/follow?prefix={}&from={}&hold_ms=0", keys::ROOT, self.reflector.ledger.applied);
         let id = self.call_state_service("GET", path, Vec::new(), Micros::millis(1200));
         self.calls.insert(id, Purpose::Barrier(waiting));
         self.users.barrier_open = true;
@@ -228,7 +229,7 @@
                 self.answer_current_state(id, job);
             }
             Waiter::Submit(id, job, checked) => {
-                if self.mirror.ledger.jobs.contains_key(&job) {
+                if self.reflector.ledger.jobs.contains_key(&job) {
                     return self.answer_current_state(id, job);
                 }
                 // The read barrier's events may have brought the dependency.
@@ -250,7 +251,7 @@
                 if self.answer_if_ended(id, job) {
                     return;
                 }
-                if !self.mirror.ledger.jobs.contains_key(&job) {
+                if !self.reflector.ledger.jobs.contains_key(&job) {
                     return self.out.answer(id, 404, users::error("no such job"));
                 }
                 let until = self.now + Micros::millis(3000);
@@ -312,7 +313,7 @@
                 UserWrite::Submit(_, spec) => (vec![When { path: keys::job(spec.id), stamp: 0 }], records),
                 UserWrite::Abort(_, job, end) => {
                     let key = keys::end(*job);
-                    let stamp = self.mirror.ledger.jobs.get(job).map_or(0, |j| j.stamp);
+                    let stamp = self.reflector.ledger.jobs.get(job).map_or(0, |j| j.stamp);
                     let when =
                         vec![When { path: key.clone(), stamp: 0 }, When { path: keys::job(*job), stamp }];
                     (when, vec![(key, end.clone())])
@@ -330,8 +331,9 @@
                 let job = spec.id;
                 let stamp = serde_json::from_slice::<MultiAnswer>(body).map_or(0, |a| a.ledger);
                 debug!("{job}: accepted revision={stamp}");
-                let cancelled =
-                    |id: &JobId| self.mirror.ledger.jobs.get(id).is_some_and(|j| j.phase == Phase::Aborted);
+                let cancelled = |id: &JobId| {
+                    self.reflector.ledger.jobs.get(id).is_some_and(|j| j.phase == Phase::Aborted)
+                };
                 // Accepted, but cancelled together with its dependency.
                 let stage = if spec.dependencies.iter().any(cancelled) { "aborted" } else { "queued" };
                 self.out.answer(id, 201, users::job_answer(job, stage, 0, 0));
--- a/crates/core/src/node/stand_in.rs
+++ b/crates/core/src/node/stand_in.rs
@@ -21,20 +21,20 @@
             }
         }
         if self.liveness.listed_count() > 0 {
-            self.deputy.stand_down();
+            self.enforcer.stand_down();
         }
         // Drops also what was received before the state was read: it is not updated from then on.
         self.liveness.clear();
         let term = self.leader_term();
-        let long = self.deputy.long_led(term, self.now);
-        if self.somebody_leads() && long || self.now.since(self.began) < SILENT {
-            return self.deputy.stand_down();
+        let long = self.enforcer.long_led(term, self.now);
+        if self.somebody_leads() && long || self.now.since(self.started_at) < SILENT {
+            return self.enforcer.stand_down();
         }
-        if !self.deputy.due(self.now) {
+        if !self.enforcer.due(self.now) {
             return;
         }
         let suspects = self.suspects();
-        let machines = self.mirror.ledger.machines.len();
+        let machines = self.reflector.ledger.machines.len();
         self.enforce_cancellations(&suspects, machines);
     }
 
@@ -43,7 +43,7 @@
     /// good.
     fn stand_in_blindly(&mut self, deadline: Micros) {
         self.list_machines();
-        if !self.deputy.due(self.now) {
+        if !self.enforcer.due(self.now) {
             return;
         }
         let mut suspects = self.liveness.suspects(deadline, self.now);
@@ -58,10 +58,10 @@
     /// Logs from time to time what is known of the machines, and why unreachable ones are not
     /// deleted.
     fn log_liveness(&mut self) {
-        if self.now.since(self.liveness_logged) < LIVENESS_LOG_INTERVAL {
+        if self.now.since(self.liveness_logged_at) < LIVENESS_LOG_INTERVAL {
             return;
         }
-        self.liveness_logged = self.now;
+        self.liveness_logged_at = self.now;
         let LivenessSummary { running, unanswering, silent, unproved_zones } =
             self.liveness.summary(self.now);
         info!(
@@ -89,7 +89,7 @@
     }
 
     fn enforce_cancellations(&mut self, suspects: &BTreeMap<MachineId, Suspect>, machines: usize) {
-        for act in self.deputy.tick(suspects, self.ctx.cancel, machines, self.now) {
+        for act in self.enforcer.tick(suspects, self.leader_config.cancel, machines, self.now) {
             match act {
                 Act::Ask(ids) => ids.into_iter().for_each(|id| self.ask_suspect(id)),
                 Act::Delete(ids) => self.delete_suspects(ids),
@@ -98,7 +98,7 @@
     }
 
     fn ask_suspect(&mut self, id: MachineId) {
-        let recorded = self.mirror.ledger.machines.get(&id).map(|m| m.addr.as_str());
+        let recorded = self.reflector.ledger.machines.get(&id).map(|m| m.addr.as_str());
         let Some(address) = recorded.or(self.liveness.address(&id)) else { return };
         let call = self.out.call(status_call(address.to_owned()));
         self.calls.insert(call, Purpose::Deputy { machine: id, sent: self.now });
@@ -119,7 +119,7 @@
             CallResult::NotSent => Some(false),
             CallResult::Unknown => None,
         };
-        self.deputy.deleted(ids, done, self.now);
+        self.enforcer.deleted(ids, done, self.now);
         if done == Some(true) {
             ids.iter().for_each(|id| self.liveness.deleted(id));
         }
@@ -129,15 +129,15 @@
     /// behind a network partition handles what it can reach, and the copy of its placement log here
     /// is stale.
     fn somebody_leads(&self) -> bool {
-        let heard = self.leadership.leader.is_some() || self.now.since(self.peers.led_at) < SILENT;
-        heard || self.mirror.state_ok(self.now) && self.mirror.ledger.leader.is_some()
+        let heard = self.leadership.leader.is_some() || self.now.since(self.peers.leader_contact_at) < SILENT;
+        heard || self.reflector.state_reachable(self.now) && self.reflector.ledger.leader.is_some()
     }
 
     /// A cancelled job that may still be on machines, and the deadline for stopping it.
     fn unsettled(&self, id: JobId) -> Option<(Micros, &Job)> {
-        let job = self.mirror.ledger.jobs.get(&id)?;
+        let job = self.reflector.ledger.jobs.get(&id)?;
         let open = job.phase == Phase::Aborted && !job.settled;
-        open.then(|| (gone_by(job.ended_ms, self.wall_ms, self.ctx.cancel, self.now), job))
+        open.then(|| (gone_by(job.ended_ms, self.wall_ms, self.leader_config.cancel, self.now), job))
     }
 
     /// Machines where cancelled tasks may be, according to every placement log kept here: the log
@@ -151,16 +151,16 @@
             *earliest = (*earliest).min(by);
             starts.extend(start);
         };
-        let machines = &self.mirror.ledger.machines;
-        let holder = |id: &MachineId| match self.ctl.holds(id) {
-            true => Some(self.nodes.me),
-            false => self.ctl.directory.get(id).copied(),
+        let machines = &self.reflector.ledger.machines;
+        let holder = |id: &MachineId| match self.controller.holds(id) {
+            true => Some(self.members.me),
+            false => self.controller.directory.get(id).copied(),
         };
-        let unsettled: Vec<(Micros, &Job)> = match self.kept.all().any(|b| !b.unknown.is_empty()) {
-            true => self.mirror.ledger.jobs.keys().filter_map(|id| self.unsettled(*id)).collect(),
+        let unsettled: Vec<(Micros, &Job)> = match self.log_replicas.all().any(|b| !b.unknown.is_empty()) {
+            true => self.reflector.ledger.jobs.keys().filter_map(|id| self.unsettled(*id)).collect(),
             false => Vec::new(),
         };
-        for book in self.kept.all() {
+        for book in self.log_replicas.all() {
             for (task, e) in &book.tasks {
                 let Some((by, job)) = self.unsettled(task.job) else { continue };
                 let start = (*task, e.attempt);
@@ -214,8 +214,8 @@
                 debug!("{machine}: ignored a probe answer that is older than another report");
             }
         }
-        let unwanted = Controller::stops_for_stranger(&tasks, &self.mirror.ledger);
-        let Some(stops) = self.deputy.answered(&r, unwanted) else { return };
+        let unwanted = Controller::stops_for_stranger(&tasks, &self.reflector.ledger);
+        let Some(stops) = self.enforcer.answered(&r, unwanted) else { return };
         let call = self.out.call(Call {
             target: Target::Worker(r.addr),
             method: "POST",
@@ -244,7 +244,7 @@
     /// Whether liveness may have to serve as evidence: otherwise records and placements are better
     /// evidence.
     fn watches_liveness(&self) -> bool {
-        !self.mirror.loaded || self.liveness.listed_count() > 0
+        !self.reflector.loaded || self.liveness.listed_count() > 0
     }
 }
 
--- a/crates/core/src/node/stand_in/tests.rs
+++ b/crates/core/src/node/stand_in/tests.rs
@@ -87,12 +87,12 @@
     let mut node = node();
     let report = idle_report("m0", 1);
     node.checkin(RequestId(1), &report);
-    node.mirror.loaded = true;
-    node.mirror.ok_at = Some(BEGAN);
+    node.reflector.loaded = true;
+    node.reflector.last_success = Some(BEGAN);
     node.stand_in();
     // Tasks are started on it: heartbeats are not recorded while the state is known.
     node.now = BEGAN + Micros::secs(3_600);
-    node.mirror.ok_at = Some(node.now);
+    node.reflector.last_success = Some(node.now);
     node.stand_in();
     // An outage in which no controller with the placement log is left; the machine hangs.
     set_listed_machines(&mut node, &["m0", "m1"]);
--- a/crates/core/src/node/workers.rs
+++ b/crates/core/src/node/workers.rs
@@ -14,7 +14,7 @@
         // A report that contradicts the machine's record does not come from that machine: two
         // workers share a name, or one is misconfigured. It is ignored and its lease is not
         // renewed.
-        if self.mirror.ledger.machines.get(&machine).is_some_and(|rec| !rec.is_kind_of(&r)) {
+        if self.reflector.ledger.machines.get(&machine).is_some_and(|rec| !rec.is_kind_of(&r)) {
             if self.held_check_ins.apart.insert(machine.clone()) {
                 warn!(
                     "{machine}: ignored a report with type={} zone={}, which contradicts its record",
@@ -23,7 +23,7 @@
             }
             return self.send_elsewhere(id, None);
         }
-        match self.ctl.checkin(&r, tasks, &self.mirror.ledger, self.now) {
+        match self.controller.checkin(&r, tasks, &self.reflector.ledger, self.now) {
             CheckinReply::Orders(baton, orders) => self.renew(id, baton.0, orders),
             CheckinReply::Elsewhere(to) | CheckinReply::Lost(to)
                 if !self.held_check_ins.is_news(&machine, r.number()) =>
@@ -67,7 +67,7 @@
     /// The holder to redirect a worker to, unless the worker was redirected there recently and came
     /// back: it can't reach that holder.
     fn holder_to_name(&mut self, machine: &MachineId, holder: Option<NodeId>) -> Option<NodeId> {
-        let n = holder.filter(|n| *n != self.nodes.me && self.hears(*n, HEARD))?;
+        let n = holder.filter(|n| *n != self.members.me && self.in_contact(*n, PEER_TIMEOUT))?;
         let now = self.now;
         self.held_check_ins.redirected.retain(|_, t| now.since(*t) < Micros::secs(12));
         match self.held_check_ins.redirected.get(machine) {
@@ -85,7 +85,7 @@
     /// nothing is started and a newer grant is not affected. It only stops tasks that are over.
     fn keep_alive(&mut self, id: RequestId, r: &Report) {
         let tasks = read_tasks(r).unwrap_or_default();
-        let orders = Controller::stops_for_stranger(&tasks, &self.mirror.ledger);
+        let orders = Controller::stops_for_stranger(&tasks, &self.reflector.ledger);
         self.held_check_ins.kept_alive(MachineId::from(&*r.host), r.baton);
         self.renew(id, r.baton, orders);
     }
@@ -101,12 +101,12 @@
 
     /// Whether neither the state service nor another controller is in contact.
     pub(super) fn out_of_touch(&self) -> bool {
-        !self.mirror.state_ok(self.now)
-            && self.peers.all().all(|n| n == self.nodes.me || !self.hears(n, HEARD))
+        !self.reflector.state_reachable(self.now)
+            && self.peers.all().all(|n| n == self.members.me || !self.in_contact(n, PEER_TIMEOUT))
     }
 
     pub(super) fn send_elsewhere(&mut self, id: RequestId, to: Option<NodeId>) {
-        let body = match to.and_then(|n| self.nodes.names.get(n.0 as usize)) {
+        let body = match to.and_then(|n| self.members.names.get(n.0 as usize)) {
             Some(name) => json!({ "foreman": name }),
             None => json!({}),
         };
@@ -114,10 +114,10 @@
     }
 
     pub(super) fn tell_seen(&mut self, id: &MachineId, rec: MachineRecord, report: ReportNo, asked: bool) {
-        if self.mirror.ledger.machines.contains_key(id) {
+        if self.reflector.ledger.machines.contains_key(id) {
             // The leader knows the machine: the next `Sync` reports the sighting.
             self.held_check_ins.strangers.insert(id.clone(), (self.now, report, asked));
-            self.ctl.dirty = true;
+            self.controller.dirty = true;
         } else if let Some(to) = self.leader_node() {
             let m = Message::Seen {
                 id: id.clone(),
@@ -137,13 +137,13 @@
             .held_check_ins
             .held
             .iter()
-            .filter(|(m, (.., until))| self.ctl.holds(m) || self.now >= *until)
+            .filter(|(m, (.., until))| self.controller.holds(m) || self.now >= *until)
             .map(|(m, _)| m.clone())
             .collect();
         for m in due {
             let Some((id, r, _)) = self.held_check_ins.held.remove(&m) else { continue };
             let tasks = read_tasks(&r).unwrap_or_default();
-            match self.ctl.checkin(&r, tasks, &self.mirror.ledger, self.now) {
+            match self.controller.checkin(&r, tasks, &self.reflector.ledger, self.now) {
                 CheckinReply::Orders(baton, orders) => self.renew(id, baton.0, orders),
                 CheckinReply::Elsewhere(to) | CheckinReply::Lost(to) => match self.holder_to_name(&m, to) {
                     Some(n) => self.send_elsewhere(id, Some(n)),
@@ -155,7 +155,7 @@
 
     /// Sends the calls that are due to workers of machines held here.
     pub(super) fn drive(&mut self) {
-        for (call, machine) in self.ctl.drive(&self.mirror.ledger, self.now, &mut self.out) {
+        for (call, machine) in self.controller.drive(&self.reflector.ledger, self.now, &mut self.out) {
             self.calls.insert(call, Purpose::Worker(machine));
         }
     }
