--- a/crates/core/src/node/cancellations.rs
+++ b/crates/core/src/node/cancellations.rs
@@ -125,7 +125,7 @@
         }
         match jobs.last() {
             Some(job) => self.request_confirmation(Requester::Guest(t, result), *job),
-            None => self.ask_guest(GuestInput::Called(t, result)),
+            None => self.run_extension(GuestInput::Called(t, result)),
         }
     }
 
@@ -150,7 +150,7 @@
     fn fail_confirmation(&mut self, requester: Requester) {
         match requester {
             Requester::User(id) => self.refuse(id, RefusalReason::CancellationUnconfirmed),
-            Requester::Guest(t, _) => self.ask_guest(GuestInput::Called(t, CallResult::Unknown)),
+            Requester::Guest(t, _) => self.run_extension(GuestInput::Called(t, CallResult::Unknown)),
         }
     }
 
@@ -243,7 +243,7 @@
         for (requester, job) in done {
             match requester {
                 Requester::User(id) => self.answer_cancelled(id, job),
-                Requester::Guest(t, result) => self.ask_guest(GuestInput::Called(t, result)),
+                Requester::Guest(t, result) => self.run_extension(GuestInput::Called(t, result)),
             }
         }
         let mut expired = Vec::new();
@@ -311,7 +311,7 @@
                 self.send(from, Message::CancelledKnown { jobs, leads });
             }
         }
-        self.drive();
+        self.send_worker_calls();
     }
 
     /// Ends a job in the state replica, ahead of the state service.
--- a/crates/core/src/node/duties.rs
+++ b/crates/core/src/node/duties.rs
@@ -11,12 +11,12 @@
         self.status.ticked(self.now);
         self.expire_waiters();
         self.update_informed_at();
-        self.note_placements();
+        self.update_placements_known_at();
         self.propagate_cancellations();
         self.watch_state();
         if !self.reflector.state_reachable(self.now)
             || !self.reflector.loaded
-            || !self.users.waiters.is_empty()
+            || !self.pending.waiters.is_empty()
             || self.now.since(self.reflector.last_success.unwrap_or_default()) > Micros::millis(900)
         {
             self.start_read_barrier();
@@ -24,13 +24,13 @@
         self.send_pending_writes();
         self.run_election();
         self.run_leader();
-        self.stand_in();
+        self.enforce_without_leader();
         self.request_machine_types();
-        self.answer_held();
-        self.drive();
+        self.answer_deferred();
+        self.send_worker_calls();
         self.sync(false);
         self.send_relayed();
-        self.ask_guest(GuestInput::Tick);
+        self.run_extension(GuestInput::Tick);
         if self.now.since(self.peers.pinged_at) >= Micros::millis(500) {
             self.peers.pinged_at = self.now;
             let state_ok = self.reflector.state_reachable(self.now);
@@ -38,9 +38,9 @@
                 .map(|i| NodeId(i as u8))
                 .filter(|n| self.in_contact(*n, PEER_TIMEOUT))
                 .collect();
-            let queued = self.users.writes.len() as u32;
+            let queued = self.pending.writes.len() as u32;
             let others = self.peers.queued(self.now);
-            self.users.share_budget(others, self.members.names.len(), self.limits.changes_per_s);
+            self.pending.share_budget(others, self.members.names.len(), self.limits.changes_per_s);
             for i in 0..self.members.names.len() {
                 if i != self.members.me.0 as usize {
                     let contacts = contacts.clone();
@@ -53,8 +53,8 @@
     }
 
     pub(super) fn expire_waiters(&mut self) {
-        for w in self.users.expired(self.now) {
-            self.cant_ask(&w, RefusalReason::ProofFailed);
+        for w in self.pending.take_expired(self.now) {
+            self.fail_waiter(&w, RefusalReason::ReadBarrierFailed);
         }
     }
 
@@ -63,7 +63,7 @@
             if !self.reflector.list_in_flight && self.now >= self.reflector.next_list_at {
                 let (from, first, ledger) = self.reflector.interrupted_list.take().unwrap_or_else(|| {
                     let mut ledger = Box::<Ledger>::default();
-                    ledger.aside = self.has_guest.then(Vec::new);
+                    ledger.aside = self.has_extension.then(Vec::new);
                     (None, None, ledger)
                 });
                 self.list_state(from, first, ledger);
@@ -115,7 +115,7 @@
                 (None, Some(k)) => self.reflector.ledger.apply(k, None, e.stamp),
                 _ => continue,
             };
-            if let Some(g) = self.guest.as_mut() {
+            if let Some(g) = self.extension.as_mut() {
                 match &change {
                     Change::Aside => {
                         let (key, v) = match (&e.put, &e.remove) {
@@ -140,8 +140,8 @@
         }
         if !news.news.is_empty() {
             self.run_leader();
-            self.drive();
-            self.ask_guest(GuestInput::News);
+            self.send_worker_calls();
+            self.run_extension(GuestInput::News);
         }
     }
 
--- a/crates/core/src/node/held_check_ins.rs
+++ b/crates/core/src/node/held_check_ins.rs
@@ -6,46 +6,46 @@
 
 /// Deferred check-ins, and what is known of workers whose machines other controllers hold.
 #[derive(Debug, Default)]
-pub(super) struct HeldCheckIns {
+pub(super) struct DeferredCheckIns {
     /// Check-ins that wait for a grant of their machine, and until when.
-    pub held: BTreeMap<MachineId, (RequestId, Report, Micros)>,
+    pub deferred: BTreeMap<MachineId, (RequestId, Report, Micros)>,
     /// Machines not held here that reported here: when, by which report, and whether that was the
     /// answer to a probe.
-    pub strangers: BTreeMap<MachineId, (Micros, ReportNo, bool)>,
+    pub unleased_reports: BTreeMap<MachineId, (Micros, ReportNo, bool)>,
     /// Machines whose reports contradict their records; this was logged.
-    pub apart: BTreeSet<MachineId>,
+    pub contradicting: BTreeSet<MachineId>,
     /// The fencing token with which the lease of a worker not held here was renewed.
-    pub kept: BTreeMap<MachineId, u64>,
+    pub renewed_tokens: BTreeMap<MachineId, u64>,
     /// The newest report of each machine not held here.
-    newest: BTreeMap<MachineId, ReportNo>,
+    newest_reports: BTreeMap<MachineId, ReportNo>,
     /// When workers were redirected to the controller that holds their machine.
-    pub redirected: BTreeMap<MachineId, Micros>,
+    pub redirected_at: BTreeMap<MachineId, Micros>,
 }
 
 /// Most machines whose newest report is kept. A copy of a report that was dropped counts as a
 /// sighting again, which the leader compares with what it knows.
-const REMEMBERED: usize = 20_000;
+const MAX_REMEMBERED_REPORTS: usize = 20_000;
 
-impl HeldCheckIns {
+impl DeferredCheckIns {
     /// Records that the lease of a worker not held here was renewed with the token that it
     /// reported.
-    pub fn kept_alive(&mut self, machine: MachineId, baton: u64) {
-        if self.kept.len() >= REMEMBERED {
-            self.kept.clear();
+    pub fn record_renewal(&mut self, machine: MachineId, baton: u64) {
+        if self.renewed_tokens.len() >= MAX_REMEMBERED_REPORTS {
+            self.renewed_tokens.clear();
         }
-        self.kept.insert(machine, baton);
+        self.renewed_tokens.insert(machine, baton);
     }
 
     /// Whether a report is newer than all earlier ones of this machine here: copies of reports
     /// change nothing and their answers are not deferred.
-    pub fn is_news(&mut self, machine: &MachineId, report: ReportNo) -> bool {
-        if self.newest.get(machine).is_some_and(|n| report <= *n) {
+    pub fn is_newest(&mut self, machine: &MachineId, report: ReportNo) -> bool {
+        if self.newest_reports.get(machine).is_some_and(|n| report <= *n) {
             return false;
         }
-        if self.newest.len() >= REMEMBERED {
-            self.newest.clear();
+        if self.newest_reports.len() >= MAX_REMEMBERED_REPORTS {
+            self.newest_reports.clear();
         }
-        self.newest.insert(machine.clone(), report);
+        self.newest_reports.insert(machine.clone(), report);
         true
     }
 }
--- a/crates/core/src/node/host.rs
+++ b/crates/core/src/node/host.rs
@@ -2,20 +2,20 @@
 use super::*;
 
 /// Most keys of one read.
-const MAX_READ: usize = 2000;
+const MAX_READ_KEYS: usize = 2000;
 
 impl Node {
     /// Passes an input to the extension, if there is one, and carries out its outputs.
-    pub(super) fn ask_guest(&mut self, input: GuestInput) {
-        if !self.has_guest {
+    pub(super) fn run_extension(&mut self, input: GuestInput) {
+        if !self.has_extension {
             return;
         }
         // The extension is taken out of the node while it handles an input: an output may cause
         // another input at once, which waits in the queue.
-        self.guest_inputs.push(input);
-        let Some(mut guest) = self.guest.take() else { return };
-        while !self.guest_inputs.is_empty() {
-            let input = self.guest_inputs.remove(0);
+        self.extension_inputs.push(input);
+        let Some(mut extension) = self.extension.take() else { return };
+        while !self.extension_inputs.is_empty() {
+            let input = self.extension_inputs.remove(0);
             let me = &self.members.names[self.members.me.0 as usize];
             let host = Host {
                 now: self.now,
@@ -32,15 +32,15 @@
                 value_limit: self.limits.value_bytes,
                 changes_at_once: self.limits.txn_ops,
             };
-            let outputs = guest.handle(&host, input);
+            let outputs = extension.handle(&host, input);
             for o in outputs {
-                self.for_guest(o);
+                self.apply_extension_output(o);
             }
         }
-        self.guest = Some(guest);
+        self.extension = Some(extension);
     }
 
-    fn for_guest(&mut self, o: GuestOutput) {
+    fn apply_extension_output(&mut self, o: GuestOutput) {
         match o {
             GuestOutput::Answer(id, a) => self.out.items.push(Output::GuestAnswer(id, a)),
             GuestOutput::Open(id, a) => self.out.items.push(Output::Open(id, a)),
@@ -49,20 +49,22 @@
             GuestOutput::Prove(t) => self.await_read_barrier(Waiter::Guest(t), Micros::millis(1500)),
             GuestOutput::Read(t, prefix) => {
                 let none = Listing { pairs: Vec::new(), truncated: false, ledger: 0 };
-                self.read_page(t, format!("{}{prefix}", keys::GUEST), none);
+                self.read_extension_page(t, format!("{}{prefix}", keys::GUEST), none);
             }
             GuestOutput::Write { ticket, multi, as_leader } => {
-                if self.users.writes.len() >= MAX_WAITING {
-                    return self.ask_guest(GuestInput::Called(ticket, CallResult::NotSent));
+                if self.pending.writes.len() >= MAX_PENDING {
+                    return self.run_extension(GuestInput::Called(ticket, CallResult::NotSent));
                 }
                 let until = self.now + Micros::millis(3500);
-                self.users.writes.push_back((UserWrite::Guest(ticket, Box::new(multi), as_leader), until));
+                self.pending
+                    .writes
+                    .push_back((PendingWrite::Guest(ticket, Box::new(multi), as_leader), until));
                 self.send_pending_writes();
             }
         }
     }
 
-    fn read_page(&mut self, t: Ticket, prefix: String, so_far: Listing) {
+    fn read_extension_page(&mut self, t: Ticket, prefix: String, so_far: Listing) {
         let from = so_far.pairs.last().map_or(String::new(), |p| format!("&from={}", p.path));
         let path = format!("/store?prefix={prefix}{from}&limit=1000");
         let id = self.call_state_service("GET", path, Vec::new(), Micros::millis(2500));
@@ -71,26 +73,32 @@
 
     /// Handles a page of the extension's read; the extension gets the result when all pages are
     /// there.
-    pub(super) fn guest_page(&mut self, t: Ticket, prefix: String, mut so_far: Listing, result: CallResult) {
+    pub(super) fn extension_page_received(
+        &mut self,
+        t: Ticket,
+        prefix: String,
+        mut so_far: Listing,
+        result: CallResult,
+    ) {
         let page: Option<Listing> = match &result {
             CallResult::Answer { status: 200, body } => serde_json::from_slice(body).ok(),
             _ => None,
         };
-        let Some(page) = page else { return self.ask_guest(GuestInput::Called(t, CallResult::NotSent)) };
+        let Some(page) = page else { return self.run_extension(GuestInput::Called(t, CallResult::NotSent)) };
         so_far.pairs.extend(page.pairs);
         so_far.ledger = page.ledger;
-        if page.truncated && so_far.pairs.len() < MAX_READ {
-            return self.read_page(t, prefix, so_far);
+        if page.truncated && so_far.pairs.len() < MAX_READ_KEYS {
+            return self.read_extension_page(t, prefix, so_far);
         }
         let body = serde_json::to_vec(&so_far).unwrap_or_default();
-        self.ask_guest(GuestInput::Called(t, CallResult::Answer { status: 200, body }));
+        self.run_extension(GuestInput::Called(t, CallResult::Answer { status: 200, body }));
     }
 
     /// Fails a request whose read barrier can't be completed.
-    pub(super) fn cant_ask(&mut self, w: &Waiter, reason: RefusalReason) {
-        match w.asker() {
+    pub(super) fn fail_waiter(&mut self, w: &Waiter, reason: RefusalReason) {
+        match w.requester() {
             Ok(id) => self.refuse(id, reason),
-            Err(t) => self.ask_guest(GuestInput::Proved(t, false)),
+            Err(t) => self.run_extension(GuestInput::Proved(t, false)),
         }
     }
 }
--- a/crates/core/src/node/knowledge.rs
+++ b/crates/core/src/node/knowledge.rs
@@ -13,16 +13,16 @@
 
 impl Node {
     /// Records contact with a controller that knows where tasks may be.
-    pub(super) fn note_placements(&mut self) {
+    pub(super) fn update_placements_known_at(&mut self) {
         let leads =
             self.leadership.leader.is_some() || self.now.since(self.peers.leader_contact_at) < PEER_TIMEOUT;
-        if leads || self.peers.all().any(|n| self.holds_placements(n)) {
+        if leads || self.peers.all().any(|n| self.has_placement_log(n)) {
             self.placements_known_at = self.now;
         }
     }
 
     /// Whether a controller is in contact and on record as a standby replica of the placement log.
-    fn holds_placements(&self, n: NodeId) -> bool {
+    fn has_placement_log(&self, n: NodeId) -> bool {
         let (record, _) = &self.reflector.ledger.books;
         let process = if n == self.members.me {
             self.incarnation
@@ -37,7 +37,7 @@
 
     /// The deadline for stopping cancelled tasks whose placements no controller in contact knows.
     /// `None` where such a controller is in contact, and where no cancelled task can be left.
-    pub(super) fn deadline_without_knowledge(&self) -> Option<Micros> {
+    pub(super) fn unknown_placements_deadline(&self) -> Option<Micros> {
         if self.reflector.loaded {
             self.deadline_without_placements()
         } else {
@@ -46,7 +46,7 @@
     }
 
     /// Whether the state service's last call failed: no leader can be elected through it.
-    pub(super) fn state_is_away(&self) -> bool {
+    pub(super) fn state_is_unreachable(&self) -> bool {
         self.reflector.last_failure > self.reflector.last_success
     }
 
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -20,13 +20,13 @@
 
 use cancellations::Cancellations;
 use catalogue::{Catalogue, delete_call, list_call, rent_call};
-use held_check_ins::HeldCheckIns;
+use held_check_ins::DeferredCheckIns;
 use leadership::Leadership;
 use membership::{PEER_TIMEOUT, Peers};
 use mirror::{ReadProgress, Reflector};
 use relay::Relay;
 use status::{Gauges, RefusalReason, ServiceStatus};
-use waiting::{MAX_WAITING, UserWrite, Users, Waiter};
+use waiting::{MAX_PENDING, PendingRequests, PendingWrite, Waiter};
 
 use crate::books::{Book, Kept};
 use crate::controller::{CheckinReply, Controller, read_tasks};
@@ -84,7 +84,7 @@
     },
     Follow,
     Barrier(Vec<(Waiter, Micros)>),
-    Write(UserWrite),
+    Write(PendingWrite),
     /// Pages of an extension's read: the prefix, and the pages received so far.
     GuestRead(Ticket, String, Listing),
     GrantNew {
@@ -138,14 +138,14 @@
     calls: BTreeMap<CallId, Purpose>,
     incarnation: u64,
     reflector: Reflector,
-    users: Users,
+    pending: PendingRequests,
     status: ServiceStatus,
     cancellations: Cancellations,
     leadership: Leadership,
     peers: Peers,
     relay: Relay,
     catalogue: Catalogue,
-    held_check_ins: HeldCheckIns,
+    deferred_check_ins: DeferredCheckIns,
     controller: Controller,
     /// Leaders' placement logs of which this node is a standby replica.
     log_replicas: Kept,
@@ -153,10 +153,10 @@
     liveness: LivenessMonitor,
     liveness_logged_at: Micros,
     log_requested_at: Micros,
-    has_guest: bool,
-    guest: Option<Box<dyn Guest>>,
+    has_extension: bool,
+    extension: Option<Box<dyn Guest>>,
     /// Inputs that arrived while the extension was handling another one.
-    guest_inputs: Vec<GuestInput>,
+    extension_inputs: Vec<GuestInput>,
 }
 
 impl Node {
@@ -193,14 +193,14 @@
             calls: BTreeMap::new(),
             incarnation: incarnation.max(2),
             reflector: Reflector::default(),
-            users: Users::new(limits.changes_per_s * 0.9 / n, limits.requests_per_s / n, now),
+            pending: PendingRequests::new(limits.changes_per_s * 0.9 / n, limits.requests_per_s / n, now),
             status: ServiceStatus::new(now),
             cancellations: Cancellations::default(),
             leadership: Leadership::new(&operator, limits.changes_per_s, now),
             peers: Peers::new(members.names.len()),
             relay: Relay::default(),
             catalogue: Catalogue::new(d.cloud.rps, now),
-            held_check_ins: HeldCheckIns::default(),
+            deferred_check_ins: DeferredCheckIns::default(),
             controller: Controller::default(),
             log_replicas: Kept::default(),
             enforcer: Deputy::new(incarnation),
@@ -212,9 +212,9 @@
             ),
             liveness_logged_at: now,
             log_requested_at: Micros(0),
-            has_guest: false,
-            guest: None,
-            guest_inputs: Vec::new(),
+            has_extension: false,
+            extension: None,
+            extension_inputs: Vec::new(),
             operator,
             members,
         }
@@ -222,8 +222,8 @@
 
     /// Adds an extension beside the scheduler.
     pub fn with_guest(mut self, guest: Box<dyn Guest>) -> Self {
-        self.has_guest = true;
-        self.guest = Some(guest);
+        self.has_extension = true;
+        self.extension = Some(guest);
         self
     }
 
@@ -235,12 +235,12 @@
             Input::Tick => self.tick(),
             Input::Request { id, method, path, body } => self.route_request(id, &method, &path, &body),
             Input::GuestRequest { id, method, path, token, body } => {
-                self.ask_guest(GuestInput::Request { id, method, path, token, body });
+                self.run_extension(GuestInput::Request { id, method, path, token, body });
             }
             Input::Gone(id) => {
-                self.status.asker_gone(id);
-                self.held_check_ins.held.retain(|_, (r, ..)| *r != id);
-                self.ask_guest(GuestInput::Gone(id));
+                self.status.client_disconnected(id);
+                self.deferred_check_ins.deferred.retain(|_, (r, ..)| *r != id);
+                self.run_extension(GuestInput::Gone(id));
             }
             Input::Called { id, result } => self.called(id, result),
             Input::Refused(n) => {
@@ -256,7 +256,7 @@
                 self.peer(from, incarnation, message);
             }
         }
-        self.status.answers_leave(&self.out.items);
+        self.status.responses_sent(&self.out.items);
         std::mem::take(&mut self.out.items)
     }
 
@@ -347,7 +347,7 @@
             }
             Purpose::Barrier(waiting) => self.read_barrier_completed(waiting, result),
             Purpose::Write(w) => self.pending_write_completed(w, &result),
-            Purpose::GuestRead(t, prefix, so_far) => self.guest_page(t, prefix, so_far, result),
+            Purpose::GuestRead(t, prefix, so_far) => self.extension_page_received(t, prefix, so_far, result),
             Purpose::GrantNew { asked } => {
                 let lease = match &result {
                     CallResult::Answer { status: 200, body } => serde_json::from_slice::<Grant>(body).ok(),
@@ -433,12 +433,12 @@
                     self.catalogue.take(f);
                 }
             }
-            Purpose::MachineList => self.machines_listed(&result),
-            Purpose::Deputy { machine, sent } => self.deputy_answered(&machine, sent, &result),
-            Purpose::DeputyDelete(ids) => self.suspects_deleted(&ids, &result),
+            Purpose::MachineList => self.machine_list_received(&result),
+            Purpose::Deputy { machine, sent } => self.suspect_call_completed(&machine, sent, &result),
+            Purpose::DeputyDelete(ids) => self.suspect_deletion_completed(&ids, &result),
             Purpose::Worker(m) => {
                 self.controller.called(&m, id, &result, self.now);
-                self.drive();
+                self.send_worker_calls();
                 self.sync(false);
             }
             Purpose::Probe(m) => {
@@ -446,7 +446,7 @@
                     && let Ok(r) = serde_json::from_slice::<Report>(body)
                     && r.host == m.as_str()
                 {
-                    self.tell_seen(&m, MachineRecord::of(&r), r.number(), true);
+                    self.report_sighting(&m, MachineRecord::of(&r), r.number(), true);
                 }
             }
         }
@@ -499,7 +499,7 @@
         let aside = ledger.aside.take().unwrap_or_default();
         self.reflector.ledger = *ledger;
         self.reapply_cancellations();
-        if let Some(g) = self.guest.as_mut() {
+        if let Some(g) = self.extension.as_mut() {
             g.begin(first);
             for (name, v, stamp) in &aside {
                 g.apply(name, Some(v), *stamp);
@@ -531,8 +531,8 @@
     }
 
     fn read_barrier_completed(&mut self, waiting: Vec<(Waiter, Micros)>, result: CallResult) {
-        self.users.barrier_open = false;
-        self.status.proof_ended(&result, self.now);
+        self.pending.barrier_in_flight = false;
+        self.status.read_barrier_completed(&result, self.now);
         let news: Option<News> = match &result {
             CallResult::Answer { status: 200, body } => serde_json::from_slice(body).ok(),
             CallResult::Answer { status: 410, .. } => {
@@ -561,14 +561,14 @@
                 let limited = matches!(result, CallResult::Answer { status: 429 | 410, .. });
                 for (w, until) in waiting {
                     if limited && self.now < until {
-                        self.users.waiters.push((w, until));
+                        self.pending.waiters.push((w, until));
                     } else {
-                        self.cant_ask(&w, RefusalReason::ProofFailed);
+                        self.fail_waiter(&w, RefusalReason::ReadBarrierFailed);
                     }
                 }
             }
         }
-        if !self.users.waiters.is_empty() {
+        if !self.pending.waiters.is_empty() {
             self.start_read_barrier();
         }
     }
--- a/crates/core/src/node/peers.rs
+++ b/crates/core/src/node/peers.rs
@@ -76,7 +76,7 @@
                 debug!("message to controller {} is too long for the state service", to.0);
                 continue;
             };
-            if !self.users.bucket.take(self.now, parts as f64, 1.0) {
+            if !self.pending.write_bucket.take(self.now, parts as f64, 1.0) {
                 self.relay.next_txn(self.relay.number(), false);
                 continue;
             }
@@ -169,8 +169,8 @@
                     self.now,
                 );
                 self.controller.take_stops(&stops);
-                self.answer_held();
-                self.drive();
+                self.answer_deferred();
+                self.send_worker_calls();
                 self.sync(false);
             }
             Message::Books(page) => {
@@ -235,14 +235,14 @@
             return;
         }
         let recent = self.now - Micros::millis(2500);
-        self.held_check_ins.strangers.retain(|_, (t, ..)| *t > recent);
-        let strangers = self.held_check_ins.strangers.iter().map(|(id, (_, report, asked))| Sighting {
-            id: id.clone(),
-            report: *report,
-            asked: *asked,
-        });
-        let strangers = strangers.collect();
-        let m = self.controller.sync(term, strangers, &self.reflector.ledger, self.now);
+        self.deferred_check_ins.unleased_reports.retain(|_, (t, ..)| *t > recent);
+        let unleased_reports = self
+            .deferred_check_ins
+            .unleased_reports
+            .iter()
+            .map(|(id, (_, report, asked))| Sighting { id: id.clone(), report: *report, asked: *asked });
+        let unleased_reports = unleased_reports.collect();
+        let m = self.controller.sync(term, unleased_reports, &self.reflector.ledger, self.now);
         self.send(to, m);
     }
 }
--- a/crates/core/src/node/requests.rs
+++ b/crates/core/src/node/requests.rs
@@ -32,7 +32,7 @@
                     None => self.out.answer(id, 404, users::error("no such job")),
                     Some(j) if abort => self.await_read_barrier(Waiter::Abort(id, j), Micros::millis(3500)),
                     Some(j) => {
-                        self.status.poll_came(id, self.now);
+                        self.status.poll_received(id, self.now);
                         self.await_read_barrier(Waiter::Poll(id, j), Micros::millis(1500));
                     }
                 }
@@ -100,11 +100,11 @@
         {
             return;
         }
-        if let Some(reason) = self.refusal_reason(self.users.waiters.len()) {
-            return self.cant_ask(&w, reason);
+        if let Some(reason) = self.refusal_reason(self.pending.waiters.len()) {
+            return self.fail_waiter(&w, reason);
         }
         let until = self.now + limit;
-        self.users.waiters.push((w, until));
+        self.pending.waiters.push((w, until));
         self.start_read_barrier();
     }
 
@@ -117,13 +117,13 @@
         if self.reflector.state_unavailable(self.now) {
             return Some(RefusalReason::StateRefused);
         }
-        (waiting >= MAX_WAITING).then_some(RefusalReason::TooManyWaiting)
+        (waiting >= MAX_PENDING).then_some(RefusalReason::TooManyWaiting)
     }
 
     /// Answers 503 with `Retry-After`, and counts the reason.
     pub(super) fn refuse(&mut self, id: RequestId, reason: RefusalReason) {
         self.status.refused(reason);
-        self.out.later(id, reason.sentence());
+        self.out.later(id, reason.message());
     }
 
     pub(super) fn submit(&mut self, id: RequestId, body: &[u8]) {
@@ -140,11 +140,11 @@
         let known = self.reflector.ledger.jobs.contains_key(&job);
         match checked {
             Ok(spec) if !known && self.unknown_dependency(&spec).is_none() => {
-                if let Some(reason) = self.refusal_reason(self.users.writes.len()) {
+                if let Some(reason) = self.refusal_reason(self.pending.writes.len()) {
                     return self.refuse(id, reason);
                 }
                 let until = self.now + Micros::millis(3500);
-                self.users.writes.push_back((UserWrite::Submit(id, Box::new(spec)), until));
+                self.pending.writes.push_back((PendingWrite::Submit(id, Box::new(spec)), until));
                 self.send_pending_writes();
             }
             checked => {
@@ -162,7 +162,7 @@
             return Err((422, format!("exceeds the limits of team {}", s.team)));
         }
         if self.catalogue.flavors.is_empty() {
-            return Err((503, RefusalReason::MachineTypesUnknown.sentence().into()));
+            return Err((503, RefusalReason::MachineTypesUnknown.message().into()));
         }
         let fits = self.catalogue.flavors.iter().any(|f| {
             let size = Resources::have(f.cpus, f.gpus, f.memory_gb);
@@ -192,18 +192,18 @@
 
     /// Starts one read barrier for all waiting requests.
     pub(super) fn start_read_barrier(&mut self) {
-        if self.users.barrier_open || !self.reflector.listed {
+        if self.pending.barrier_in_flight || !self.reflector.listed {
             return;
         }
-        if !self.users.barrier_bucket.take(self.now, 1.0, 0.0) {
+        if !self.pending.barrier_bucket.take(self.now, 1.0, 0.0) {
             return;
         }
-        let waiting = std::mem::take(&mut self.users.waiters);
+        let waiting = std::mem::take(&mut self.pending.waiters);
         let path = format!("/follow?prefix={}&from={}&hold_ms=0", keys::ROOT, self.reflector.ledger.applied);
         let id = self.call_state_service("GET", path, Vec::new(), Micros::millis(1200));
         self.calls.insert(id, Purpose::Barrier(waiting));
-        self.users.barrier_open = true;
-        self.status.proof_asked(self.now);
+        self.pending.barrier_in_flight = true;
+        self.status.read_barrier_sent(self.now);
     }
 
     pub(super) fn call_state_service(
@@ -223,9 +223,9 @@
 
     pub(super) fn complete_waiter(&mut self, w: Waiter) {
         match w {
-            Waiter::Guest(t) => self.ask_guest(GuestInput::Proved(t, true)),
+            Waiter::Guest(t) => self.run_extension(GuestInput::Proved(t, true)),
             Waiter::Poll(id, job) => {
-                self.status.answered_by_proof(id);
+                self.status.check_read_barrier(id);
                 self.answer_current_state(id, job);
             }
             Waiter::Submit(id, job, checked) => {
@@ -240,7 +240,7 @@
                             return self.out.answer(id, 422, users::error(&reason));
                         }
                         let until = self.now + Micros::millis(3000);
-                        self.users.writes.push_back((UserWrite::Submit(id, Box::new(spec)), until));
+                        self.pending.writes.push_back((PendingWrite::Submit(id, Box::new(spec)), until));
                         self.send_pending_writes();
                     }
                     Err((503, _)) => self.refuse(id, RefusalReason::MachineTypesUnknown),
@@ -256,7 +256,7 @@
                 }
                 let until = self.now + Micros::millis(3000);
                 let end = jobs::cancelled_value(self.wall_ms, None, false);
-                self.users.writes.push_back((UserWrite::Abort(id, job, end), until));
+                self.pending.writes.push_back((PendingWrite::Abort(id, job, end), until));
                 self.send_pending_writes();
             }
         }
@@ -269,30 +269,32 @@
 
     /// Sends clients' writes within the write budget.
     pub(super) fn send_pending_writes(&mut self) {
-        while let Some((w, until)) = self.users.writes.pop_front() {
+        while let Some((w, until)) = self.pending.writes.pop_front() {
             if self.now > until {
                 match w {
-                    UserWrite::Submit(id, _) | UserWrite::Abort(id, ..) => {
+                    PendingWrite::Submit(id, _) | PendingWrite::Abort(id, ..) => {
                         self.refuse(id, RefusalReason::WriteBudget);
                     }
-                    UserWrite::Guest(t, ..) => self.ask_guest(GuestInput::Called(t, CallResult::NotSent)),
+                    PendingWrite::Guest(t, ..) => {
+                        self.run_extension(GuestInput::Called(t, CallResult::NotSent))
+                    }
                 }
                 continue;
             }
             let records = match &w {
-                UserWrite::Submit(_, spec) => self.records_of(spec),
+                PendingWrite::Submit(_, spec) => self.records_of(spec),
                 _ => Vec::new(),
             };
             let cost = match &w {
-                UserWrite::Guest(_, m, _) => m.writes.len().max(1) as f64,
+                PendingWrite::Guest(_, m, _) => m.writes.len().max(1) as f64,
                 _ => records.len().max(1) as f64,
             };
-            if !self.users.bucket.take(self.now, cost, 0.0) {
-                self.users.writes.push_front((w, until));
+            if !self.pending.write_bucket.take(self.now, cost, 0.0) {
+                self.pending.writes.push_front((w, until));
                 return;
             }
             let (when, writes) = match &w {
-                UserWrite::Guest(t, m, as_leader) => {
+                PendingWrite::Guest(t, m, as_leader) => {
                     let mut m = Multi::clone(m);
                     if *as_leader {
                         match self.leadership.election.role {
@@ -301,7 +303,7 @@
                             }
                             _ => {
                                 let t = *t;
-                                self.ask_guest(GuestInput::Called(t, CallResult::NotSent));
+                                self.run_extension(GuestInput::Called(t, CallResult::NotSent));
                                 continue;
                             }
                         }
@@ -310,8 +312,8 @@
                     self.calls.insert(call, Purpose::Write(w));
                     continue;
                 }
-                UserWrite::Submit(_, spec) => (vec![When { path: keys::job(spec.id), stamp: 0 }], records),
-                UserWrite::Abort(_, job, end) => {
+                PendingWrite::Submit(_, spec) => (vec![When { path: keys::job(spec.id), stamp: 0 }], records),
+                PendingWrite::Abort(_, job, end) => {
                     let key = keys::end(*job);
                     let stamp = self.reflector.ledger.jobs.get(job).map_or(0, |j| j.stamp);
                     let when =
@@ -325,9 +327,9 @@
         }
     }
 
-    pub(super) fn pending_write_completed(&mut self, w: UserWrite, result: &CallResult) {
+    pub(super) fn pending_write_completed(&mut self, w: PendingWrite, result: &CallResult) {
         match (w, result) {
-            (UserWrite::Submit(id, spec), CallResult::Answer { status: 200, body }) => {
+            (PendingWrite::Submit(id, spec), CallResult::Answer { status: 200, body }) => {
                 let job = spec.id;
                 let stamp = serde_json::from_slice::<MultiAnswer>(body).map_or(0, |a| a.ledger);
                 debug!("{job}: accepted revision={stamp}");
@@ -338,37 +340,37 @@
                 let stage = if spec.dependencies.iter().any(cancelled) { "aborted" } else { "queued" };
                 self.out.answer(id, 201, users::job_answer(job, stage, 0, 0));
             }
-            (UserWrite::Abort(id, job, end), CallResult::Answer { status: 200, body }) => {
+            (PendingWrite::Abort(id, job, end), CallResult::Answer { status: 200, body }) => {
                 info!("{job}: cancelled");
                 let stamp = serde_json::from_slice::<MultiAnswer>(body).map_or(0, |a| a.ledger);
                 self.apply_confirmed_ends(&[Write::Put { put: keys::end(job), v: end, hold: None }], stamp);
                 self.confirm_to_client(id, job);
             }
-            (UserWrite::Guest(t, m, _), CallResult::Answer { status: 200, body }) => {
+            (PendingWrite::Guest(t, m, _), CallResult::Answer { status: 200, body }) => {
                 let stamp = serde_json::from_slice::<MultiAnswer>(body).map_or(0, |a| a.ledger);
                 let ended = self.apply_confirmed_ends(&m.writes, stamp);
                 self.confirm_to_extension(t, &ended, result.clone());
             }
             // The key exists already: the response is the job's current state.
-            (UserWrite::Submit(id, spec), CallResult::Answer { status: 409, .. }) => {
+            (PendingWrite::Submit(id, spec), CallResult::Answer { status: 409, .. }) => {
                 self.await_read_barrier(Waiter::Poll(id, spec.id), Micros::millis(1500));
             }
-            (UserWrite::Abort(id, job, _), CallResult::Answer { status: 409, .. }) => {
+            (PendingWrite::Abort(id, job, _), CallResult::Answer { status: 409, .. }) => {
                 self.await_read_barrier(Waiter::Abort(id, job), Micros::millis(1500));
             }
-            (UserWrite::Guest(t, m, as_leader), CallResult::Answer { status: 429, .. }) => {
-                self.users.bucket.force(self.now, 1.0);
-                self.users
+            (PendingWrite::Guest(t, m, as_leader), CallResult::Answer { status: 429, .. }) => {
+                self.pending.write_bucket.force(self.now, 1.0);
+                self.pending
                     .writes
-                    .push_back((UserWrite::Guest(t, m, as_leader), self.now + Micros::millis(2000)));
+                    .push_back((PendingWrite::Guest(t, m, as_leader), self.now + Micros::millis(2000)));
             }
-            (UserWrite::Guest(t, ..), r) => self.ask_guest(GuestInput::Called(t, r.clone())),
+            (PendingWrite::Guest(t, ..), r) => self.run_extension(GuestInput::Called(t, r.clone())),
             (w, CallResult::Answer { status: 429, .. }) => {
                 let pause = Micros::millis(100 + self.rng.u64(0..100));
-                self.users.bucket.force(self.now, 1.0);
-                self.users.writes.push_back((w, self.now + Micros::millis(2000) - pause));
+                self.pending.write_bucket.force(self.now, 1.0);
+                self.pending.writes.push_back((w, self.now + Micros::millis(2000) - pause));
             }
-            (UserWrite::Submit(id, _) | UserWrite::Abort(id, ..), _) => {
+            (PendingWrite::Submit(id, _) | PendingWrite::Abort(id, ..), _) => {
                 self.refuse(id, RefusalReason::WriteUnconfirmed);
             }
         }
--- a/crates/core/src/node/stand_in.rs
+++ b/crates/core/src/node/stand_in.rs
@@ -11,13 +11,13 @@
 const STATUS_TIMEOUT: Micros = Micros::millis(1200);
 
 impl Node {
-    pub(super) fn stand_in(&mut self) {
+    pub(super) fn enforce_without_leader(&mut self) {
         self.liveness.works(self.now);
-        if let Some(deadline) = self.deadline_without_knowledge() {
+        if let Some(deadline) = self.unknown_placements_deadline() {
             // An occasional good answer of the state service elects no leader, so what is known of
             // the machines is kept.
-            if self.state_is_away() || self.liveness.listed_count() > 0 {
-                return self.stand_in_blindly(deadline);
+            if self.state_is_unreachable() || self.liveness.listed_count() > 0 {
+                return self.enforce_by_liveness(deadline);
             }
         }
         if self.liveness.listed_count() > 0 {
@@ -26,8 +26,8 @@
         // Drops also what was received before the state was read: it is not updated from then on.
         self.liveness.clear();
         let term = self.leader_term();
-        let long = self.enforcer.long_led(term, self.now);
-        if self.somebody_leads() && long || self.now.since(self.started_at) < SILENT {
+        let established = self.enforcer.long_led(term, self.now);
+        if self.has_active_leader() && established || self.now.since(self.started_at) < SILENT {
             return self.enforcer.stand_down();
         }
         if !self.enforcer.due(self.now) {
@@ -41,13 +41,13 @@
     /// In an outage, when no controller in contact knows the placements: unreachable machines may
     /// still run cancelled tasks. No machine is deleted while the state service's last answer was
     /// good.
-    fn stand_in_blindly(&mut self, deadline: Micros) {
+    fn enforce_by_liveness(&mut self, deadline: Micros) {
         self.list_machines();
         if !self.enforcer.due(self.now) {
             return;
         }
         let mut suspects = self.liveness.suspects(deadline, self.now);
-        if !self.state_is_away() {
+        if !self.state_is_unreachable() {
             suspects.values_mut().for_each(Suspect::only_ask);
         }
         let machines = self.liveness.listed_count();
@@ -80,7 +80,7 @@
     }
 
     /// Handles a page of the cloud's list, or the failure to get one.
-    pub(super) fn machines_listed(&mut self, result: &CallResult) {
+    pub(super) fn machine_list_received(&mut self, result: &CallResult) {
         let page: Option<Rentals> = match result {
             CallResult::Answer { status: 200, body } => serde_json::from_slice(body).ok(),
             _ => None,
@@ -91,13 +91,13 @@
     fn enforce_cancellations(&mut self, suspects: &BTreeMap<MachineId, Suspect>, machines: usize) {
         for act in self.enforcer.tick(suspects, self.leader_config.cancel, machines, self.now) {
             match act {
-                Act::Ask(ids) => ids.into_iter().for_each(|id| self.ask_suspect(id)),
+                Act::Ask(ids) => ids.into_iter().for_each(|id| self.probe_suspect(id)),
                 Act::Delete(ids) => self.delete_suspects(ids),
             }
         }
     }
 
-    fn ask_suspect(&mut self, id: MachineId) {
+    fn probe_suspect(&mut self, id: MachineId) {
         let recorded = self.reflector.ledger.machines.get(&id).map(|m| m.addr.as_str());
         let Some(address) = recorded.or(self.liveness.address(&id)) else { return };
         let call = self.out.call(status_call(address.to_owned()));
@@ -113,7 +113,7 @@
     }
 
     /// Handles the result of a deletion.
-    pub(super) fn suspects_deleted(&mut self, ids: &[MachineId], result: &CallResult) {
+    pub(super) fn suspect_deletion_completed(&mut self, ids: &[MachineId], result: &CallResult) {
         let done = match result {
             CallResult::Answer { status, .. } => Some(*status == 200),
             CallResult::NotSent => Some(false),
@@ -128,13 +128,13 @@
     /// A leader is in contact, or holds its key while the state service is reachable here: a leader
     /// behind a network partition handles what it can reach, and the copy of its placement log here
     /// is stale.
-    fn somebody_leads(&self) -> bool {
+    fn has_active_leader(&self) -> bool {
         let heard = self.leadership.leader.is_some() || self.now.since(self.peers.leader_contact_at) < SILENT;
         heard || self.reflector.state_reachable(self.now) && self.reflector.ledger.leader.is_some()
     }
 
     /// A cancelled job that may still be on machines, and the deadline for stopping it.
-    fn unsettled(&self, id: JobId) -> Option<(Micros, &Job)> {
+    fn unsettled_job(&self, id: JobId) -> Option<(Micros, &Job)> {
         let job = self.reflector.ledger.jobs.get(&id)?;
         let open = job.phase == Phase::Aborted && !job.settled;
         open.then(|| (gone_by(job.ended_ms, self.wall_ms, self.leader_config.cancel, self.now), job))
@@ -157,12 +157,12 @@
             false => self.controller.directory.get(id).copied(),
         };
         let unsettled: Vec<(Micros, &Job)> = match self.log_replicas.all().any(|b| !b.unknown.is_empty()) {
-            true => self.reflector.ledger.jobs.keys().filter_map(|id| self.unsettled(*id)).collect(),
+            true => self.reflector.ledger.jobs.keys().filter_map(|id| self.unsettled_job(*id)).collect(),
             false => Vec::new(),
         };
         for book in self.log_replicas.all() {
             for (task, e) in &book.tasks {
-                let Some((by, job)) = self.unsettled(task.job) else { continue };
+                let Some((by, job)) = self.unsettled_job(task.job) else { continue };
                 let start = (*task, e.attempt);
                 e.on.iter().for_each(|id| add(id, by, e.starting.then_some(start)));
                 let Some((hint, zone)) = &e.handed else { continue };
@@ -196,21 +196,21 @@
     }
 
     /// Handles the result of a probe or a stop; a machine answers both with its report.
-    pub(super) fn deputy_answered(&mut self, machine: &MachineId, sent: Micros, result: &CallResult) {
+    pub(super) fn suspect_call_completed(&mut self, machine: &MachineId, sent: Micros, result: &CallResult) {
         if *result == CallResult::Unknown {
             return self.liveness.unanswered(machine, sent, self.now);
         }
         let CallResult::Answer { status: 200 | 409, body } = result else { return };
-        let Some((r, tasks)) = readable_report(body) else {
-            return self.note_odd_answer(machine, "is not a valid report");
+        let Some((r, tasks)) = parse_report(body) else {
+            return self.log_ignored_answer(machine, "is not a valid report");
         };
         if r.host != machine.as_str() {
-            return self.note_odd_answer(machine, "is from another machine");
+            return self.log_ignored_answer(machine, "is from another machine");
         }
-        if self.watches_liveness() {
+        if self.uses_liveness() {
             let has_tasks = has_tasks(&tasks);
-            let news = self.liveness.answered(machine.clone(), r.number(), has_tasks, sent, self.now);
-            if !news {
+            let is_newest = self.liveness.answered(machine.clone(), r.number(), has_tasks, sent, self.now);
+            if !is_newest {
                 debug!("{machine}: ignored a probe answer that is older than another report");
             }
         }
@@ -227,15 +227,15 @@
     }
 
     /// Logs an answer that changes nothing, once per machine.
-    fn note_odd_answer(&mut self, machine: &MachineId, what: &str) {
+    fn log_ignored_answer(&mut self, machine: &MachineId, what: &str) {
         if self.liveness.note_odd_answer(machine) {
             warn!("{machine}: ignored a probe answer that {what}");
         }
     }
 
     /// Records a worker's heartbeat.
-    pub(super) fn note_heartbeat(&mut self, report: &Report, tasks: &[Held]) {
-        if self.watches_liveness() {
+    pub(super) fn record_heartbeat(&mut self, report: &Report, tasks: &[Held]) {
+        if self.uses_liveness() {
             let machine = MachineId::from(&*report.host);
             self.liveness.heartbeat(machine, report.number(), has_tasks(tasks), self.now);
         }
@@ -243,12 +243,12 @@
 
     /// Whether liveness may have to serve as evidence: otherwise records and placements are better
     /// evidence.
-    fn watches_liveness(&self) -> bool {
+    fn uses_liveness(&self) -> bool {
         !self.reflector.loaded || self.liveness.listed_count() > 0
     }
 }
 
-fn readable_report(body: &[u8]) -> Option<(Report, Vec<Held>)> {
+fn parse_report(body: &[u8]) -> Option<(Report, Vec<Held>)> {
     let report: Report = serde_json::from_slice(body).ok()?;
     let tasks = read_tasks(&report)?;
     Some((report, tasks))
--- a/crates/core/src/node/stand_in/tests.rs
+++ b/crates/core/src/node/stand_in/tests.rs
@@ -69,8 +69,8 @@
             node.liveness.works(node.now);
         }
         let answer = CallResult::Answer { status: 200, body: idle_report("m1", 1_000 + second) };
-        node.deputy_answered(&m1, sent, &answer);
-        node.deputy_answered(&m0, sent, &CallResult::Unknown);
+        node.suspect_call_completed(&m1, sent, &answer);
+        node.suspect_call_completed(&m0, sent, &CallResult::Unknown);
         node.liveness.suspects(by, node.now);
     }
     match node.liveness.suspects(by, node.now).remove(&m0)?.evidence {
@@ -89,11 +89,11 @@
     node.checkin(RequestId(1), &report);
     node.reflector.loaded = true;
     node.reflector.last_success = Some(BEGAN);
-    node.stand_in();
+    node.enforce_without_leader();
     // Tasks are started on it: heartbeats are not recorded while the state is known.
     node.now = BEGAN + Micros::secs(3_600);
     node.reflector.last_success = Some(node.now);
-    node.stand_in();
+    node.enforce_without_leader();
     // An outage in which no controller with the placement log is left; the machine hangs.
     set_listed_machines(&mut node, &["m0", "m1"]);
     let began = node.now;
@@ -125,7 +125,7 @@
         assert_eq!(reason_after_silence(&mut node, BEGAN), Some(ProbeReason::Silent));
         let sent = node.now;
         node.now = sent + Micros::millis(20);
-        node.deputy_answered(&MachineId::from("m0"), sent, &result);
+        node.suspect_call_completed(&MachineId::from("m0"), sent, &result);
         assert_eq!(node.liveness.summary(node.now).unanswering, unanswering, "{what}");
         let stranger = MachineId::from("m7");
         assert!(node.liveness.address(&stranger).is_none(), "{what}");
--- a/crates/core/src/node/status.rs
+++ b/crates/core/src/node/status.rs
@@ -23,7 +23,7 @@
     /// The maximum number of requests already waits.
     TooManyWaiting,
     /// The read barrier did not complete in time.
-    ProofFailed,
+    ReadBarrierFailed,
     /// A write waited too long for its part of the write budget.
     WriteBudget,
     /// The state service did not confirm a write.
@@ -38,12 +38,12 @@
 
 impl RefusalReason {
     /// The error text that the client gets.
-    pub(super) fn sentence(self) -> &'static str {
+    pub(super) fn message(self) -> &'static str {
         match self {
             RefusalReason::StateUnread
             | RefusalReason::StateRefused
             | RefusalReason::TooManyWaiting
-            | RefusalReason::ProofFailed => "the state service is unavailable",
+            | RefusalReason::ReadBarrierFailed => "the state service is unavailable",
             RefusalReason::WriteBudget => "timed out waiting for the write budget",
             RefusalReason::WriteUnconfirmed => "the state service did not confirm the write",
             RefusalReason::CancellationUnconfirmed => {
@@ -60,7 +60,7 @@
             RefusalReason::StateUnread => "state_unread",
             RefusalReason::StateRefused => "state_refused",
             RefusalReason::TooManyWaiting => "too_many_waiting",
-            RefusalReason::ProofFailed => "proof_failed",
+            RefusalReason::ReadBarrierFailed => "proof_failed",
             RefusalReason::WriteBudget => "write_budget",
             RefusalReason::WriteUnconfirmed => "write_unconfirmed",
             RefusalReason::CancellationUnconfirmed => "cancellation_unconfirmed",
@@ -72,7 +72,7 @@
 
 /// Read barriers by result.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
-struct ProofOutcomes {
+struct BarrierOutcomes {
     proved: u32,
     /// 429: the request budget was exceeded.
     limited: u32,
@@ -87,8 +87,8 @@
 /// Counters and gauges of one controller.
 #[derive(Debug)]
 pub(super) struct ServiceStatus {
-    since: Micros,
-    ticked: Micros,
+    interval_start: Micros,
+    last_tick: Micros,
     /// The longest delay of a tick.
     tick_late: Micros,
     /// Job queries that are not answered yet.
@@ -98,10 +98,10 @@
     /// The client disconnected first.
     polls_abandoned: u32,
     refused: BTreeMap<RefusalReason, u32>,
-    proof_sent: Micros,
-    proof_slowest: Micros,
-    proofs: ProofOutcomes,
-    caught_up: Micros,
+    barrier_sent_at: Micros,
+    slowest_barrier: Micros,
+    barriers: BarrierOutcomes,
+    caught_up_at: Micros,
     violations: u64,
 }
 
@@ -118,53 +118,56 @@
 impl ServiceStatus {
     pub(super) fn new(now: Micros) -> Self {
         ServiceStatus {
-            since: now,
-            ticked: now,
+            interval_start: now,
+            last_tick: now,
             tick_late: Micros(0),
             open_polls: BTreeMap::new(),
             polls_answered: 0,
             polls_refused: 0,
             polls_abandoned: 0,
             refused: BTreeMap::new(),
-            proof_sent: now,
-            proof_slowest: Micros(0),
-            proofs: ProofOutcomes::default(),
-            caught_up: now,
+            barrier_sent_at: now,
+            slowest_barrier: Micros(0),
+            barriers: BarrierOutcomes::default(),
+            caught_up_at: now,
             violations: 0,
         }
     }
 
     /// Records a tick.
     pub(super) fn ticked(&mut self, now: Micros) {
-        let late = now.since(self.ticked + TICK_INTERVAL);
+        let late = now.since(self.last_tick + TICK_INTERVAL);
         self.tick_late = self.tick_late.max(late);
-        self.ticked = now;
+        self.last_tick = now;
     }
 
     /// Records a client's query of a job.
-    pub(super) fn poll_came(&mut self, id: RequestId, now: Micros) {
+    pub(super) fn poll_received(&mut self, id: RequestId, now: Micros) {
         self.open_polls.insert(id, now);
     }
 
     /// Checks the read barrier before a query is answered from the state replica: a barrier that
     /// was sent before the query arrived shows nothing about what was recorded in between.
-    pub(super) fn answered_by_proof(&mut self, id: RequestId) {
+    pub(super) fn check_read_barrier(&mut self, id: RequestId) {
         let Some(came) = self.open_polls.get(&id).copied() else { return };
-        if came > self.proof_sent {
-            let sent = self.proof_sent.0;
-            self.violated("answer_rests_on_proof", format_args!("question_us={} proof_us={sent}", came.0));
+        if came > self.barrier_sent_at {
+            let sent = self.barrier_sent_at.0;
+            self.report_violation(
+                "answer_rests_on_proof",
+                format_args!("question_us={} proof_us={sent}", came.0),
+            );
         }
     }
 
     /// The client closed the connection.
-    pub(super) fn asker_gone(&mut self, id: RequestId) {
+    pub(super) fn client_disconnected(&mut self, id: RequestId) {
         if self.open_polls.remove(&id).is_some() {
             self.polls_abandoned += 1;
         }
     }
 
     /// Counts responses that are about to be sent.
-    pub(super) fn answers_leave(&mut self, outputs: &[Output]) {
+    pub(super) fn responses_sent(&mut self, outputs: &[Output]) {
         for output in outputs {
             let Output::Answer { id, status, .. } = output else { continue };
             if self.open_polls.remove(id).is_none() {
@@ -183,30 +186,30 @@
     }
 
     /// Records that a read barrier was sent.
-    pub(super) fn proof_asked(&mut self, now: Micros) {
-        self.proof_sent = now;
+    pub(super) fn read_barrier_sent(&mut self, now: Micros) {
+        self.barrier_sent_at = now;
     }
 
     /// Records the result of a read barrier.
-    pub(super) fn proof_ended(&mut self, result: &CallResult, now: Micros) {
-        self.proof_slowest = self.proof_slowest.max(now.since(self.proof_sent));
-        let outcome = match result {
-            CallResult::Answer { status: 200, .. } => &mut self.proofs.proved,
-            CallResult::Answer { status: 429, .. } => &mut self.proofs.limited,
-            CallResult::Answer { status: 410, .. } => &mut self.proofs.too_old,
-            CallResult::Answer { .. } => &mut self.proofs.refused,
-            CallResult::NotSent | CallResult::Unknown => &mut self.proofs.unanswered,
+    pub(super) fn read_barrier_completed(&mut self, result: &CallResult, now: Micros) {
+        self.slowest_barrier = self.slowest_barrier.max(now.since(self.barrier_sent_at));
+        let count = match result {
+            CallResult::Answer { status: 200, .. } => &mut self.barriers.proved,
+            CallResult::Answer { status: 429, .. } => &mut self.barriers.limited,
+            CallResult::Answer { status: 410, .. } => &mut self.barriers.too_old,
+            CallResult::Answer { .. } => &mut self.barriers.refused,
+            CallResult::NotSent | CallResult::Unknown => &mut self.barriers.unanswered,
         };
-        *outcome += 1;
+        *count += 1;
     }
 
     /// Records that the state replica is up to date.
     pub(super) fn caught_up(&mut self, now: Micros) {
-        self.caught_up = now;
+        self.caught_up_at = now;
     }
 
     /// Logs a violated invariant and counts it for the `status` line.
-    pub(super) fn violated(&mut self, invariant: &str, detail: fmt::Arguments<'_>) {
+    pub(super) fn report_violation(&mut self, invariant: &str, detail: fmt::Arguments<'_>) {
         self.violations += 1;
         log::error!("invariant violated name={invariant} {detail}");
     }
@@ -218,16 +221,16 @@
 
     /// The line, if it is due; its counters restart.
     pub(super) fn line(&mut self, gauges: Gauges, now: Micros) -> Option<String> {
-        let length = now.since(self.since);
+        let length = now.since(self.interval_start);
         if length < STATUS_INTERVAL {
             return None;
         }
         let line = self.text(gauges, now);
         let open_polls = std::mem::take(&mut self.open_polls);
-        let (ticked, proof_sent) = (self.ticked, self.proof_sent);
-        let (caught_up, violations) = (self.caught_up, self.violations);
+        let (last_tick, barrier_sent_at) = (self.last_tick, self.barrier_sent_at);
+        let (caught_up_at, violations) = (self.caught_up_at, self.violations);
         let fresh = ServiceStatus::new(now);
-        *self = ServiceStatus { open_polls, ticked, proof_sent, caught_up, violations, ..fresh };
+        *self = ServiceStatus { open_polls, last_tick, barrier_sent_at, caught_up_at, violations, ..fresh };
         Some(line)
     }
 
@@ -237,23 +240,24 @@
             self.refused.iter().map(|(reason, n)| format!("{}:{n}", reason.key())).collect();
         let refused = if refused.is_empty() { "none".into() } else { refused.join(",") };
         let leader = gauges.leader.map_or("none".into(), |n| n.to_string());
-        let ProofOutcomes { proved, limited, too_old, refused: proof_refused, unanswered } = self.proofs;
+        let BarrierOutcomes { proved, limited, too_old, refused: barriers_refused, unanswered } =
+            self.barriers;
         format!(
             "status interval_ms={} ready={} leader={leader} term={} machines={} revision={} replica_age_ms={} \
              polls_answered={} polls_refused={} polls_abandoned={} oldest_poll_ms={} refused={refused} \
-             proofs={proved} proofs_limited={limited} proofs_too_old={too_old} proofs_refused={proof_refused} \
+             proofs={proved} proofs_limited={limited} proofs_too_old={too_old} proofs_refused={barriers_refused} \
              proofs_unanswered={unanswered} proof_slowest_ms={} tick_late_ms={} violations={}",
-            millis(now.since(self.since)),
+            millis(now.since(self.interval_start)),
             gauges.ready,
             gauges.term,
             gauges.machines_held,
             gauges.revision,
-            millis(now.since(self.caught_up)),
+            millis(now.since(self.caught_up_at)),
             self.polls_answered,
             self.polls_refused,
             self.polls_abandoned,
             millis(oldest),
-            millis(self.proof_slowest),
+            millis(self.slowest_barrier),
             millis(self.tick_late),
             self.violations,
         )
--- a/crates/core/src/node/status/tests.rs
+++ b/crates/core/src/node/status/tests.rs
@@ -11,17 +11,17 @@
     let ms = Micros::millis;
     let mut status = ServiceStatus::new(ms(1000));
     for id in 1..=5 {
-        status.poll_came(RequestId(id), ms(2000));
+        status.poll_received(RequestId(id), ms(2000));
     }
-    status.refused(RefusalReason::ProofFailed);
-    status.answers_leave(&[answer(1, 200), answer(2, 503), answer(3, 404), answer(9, 200)]);
-    status.asker_gone(RequestId(4));
+    status.refused(RefusalReason::ReadBarrierFailed);
+    status.responses_sent(&[answer(1, 200), answer(2, 503), answer(3, 404), answer(9, 200)]);
+    status.client_disconnected(RequestId(4));
     status.ticked(ms(1020));
     status.ticked(ms(1340));
-    status.proof_asked(ms(2000));
-    status.proof_ended(&CallResult::Unknown, ms(3200));
-    status.proof_asked(ms(3300));
-    status.proof_ended(&CallResult::Answer { status: 200, body: Vec::new() }, ms(3310));
+    status.read_barrier_sent(ms(2000));
+    status.read_barrier_completed(&CallResult::Unknown, ms(3200));
+    status.read_barrier_sent(ms(3300));
+    status.read_barrier_completed(&CallResult::Answer { status: 200, body: Vec::new() }, ms(3310));
     status.caught_up(ms(3310));
     assert_eq!(status.line(GAUGES, ms(10_999)), None);
     let line = status.line(GAUGES, ms(11_000)).unwrap();
@@ -57,9 +57,9 @@
     // (query arrived, read barrier sent, violations), in milliseconds
     for (came, sent, violations) in [(2000, 2000, 0), (2000, 2500, 0), (2500, 2000, 1)] {
         let mut status = ServiceStatus::new(Micros::millis(1000));
-        status.poll_came(RequestId(1), Micros::millis(came));
-        status.proof_asked(Micros::millis(sent));
-        status.answered_by_proof(RequestId(1));
+        status.poll_received(RequestId(1), Micros::millis(came));
+        status.read_barrier_sent(Micros::millis(sent));
+        status.check_read_barrier(RequestId(1));
         assert_eq!(status.violations(), violations, "{came} {sent}");
     }
 }
--- a/crates/core/src/node/waiting.rs
+++ b/crates/core/src/node/waiting.rs
@@ -10,7 +10,7 @@
 use std::collections::VecDeque;
 
 /// Most waiting requests of each kind.
-pub(super) const MAX_WAITING: usize = 2000;
+pub(super) const MAX_PENDING: usize = 2000;
 
 /// A request that waits for a read barrier.
 #[derive(Debug)]
@@ -25,7 +25,7 @@
 
 impl Waiter {
     /// The client's request, or the extension's operation.
-    pub(super) fn asker(&self) -> Result<RequestId, Ticket> {
+    pub(super) fn requester(&self) -> Result<RequestId, Ticket> {
         match self {
             Waiter::Poll(r, _) | Waiter::Submit(r, ..) | Waiter::Abort(r, _) => Ok(*r),
             Waiter::Guest(t) => Err(*t),
@@ -35,7 +35,7 @@
 
 /// A write that waits for its turn in the write budget.
 #[derive(Debug)]
-pub(super) enum UserWrite {
+pub(super) enum PendingWrite {
     Submit(RequestId, Box<JobSpec>),
     /// With the record of the job's end.
     Abort(RequestId, JobId, serde_json::Value),
@@ -45,31 +45,31 @@
 
 /// Waiting requests and writes.
 #[derive(Debug)]
-pub(super) struct Users {
+pub(super) struct PendingRequests {
     /// Requests that wait for a read barrier, and until when.
     pub waiters: Vec<(Waiter, Micros)>,
     /// Writes that wait for their turn in the write budget, and until when.
-    pub writes: VecDeque<(UserWrite, Micros)>,
-    pub bucket: Bucket,
+    pub writes: VecDeque<(PendingWrite, Micros)>,
+    pub write_bucket: Bucket,
     /// A read barrier is in flight.
-    pub barrier_open: bool,
+    pub barrier_in_flight: bool,
     pub barrier_bucket: Bucket,
 }
 
-impl Users {
+impl PendingRequests {
     /// Creates the queues with this node's part of the writes and requests per second.
     pub fn new(changes: f64, requests: f64, now: Micros) -> Self {
-        Users {
+        PendingRequests {
             waiters: Vec::new(),
             writes: VecDeque::new(),
-            bucket: Bucket::new(changes, changes, now),
-            barrier_open: false,
+            write_bucket: Bucket::new(changes, changes, now),
+            barrier_in_flight: false,
             barrier_bucket: Bucket::new(requests * 0.45, requests * 0.2, now),
         }
     }
 
     /// Takes out the requests whose time is up.
-    pub fn expired(&mut self, now: Micros) -> Vec<Waiter> {
+    pub fn take_expired(&mut self, now: Micros) -> Vec<Waiter> {
         let (late, waiting): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.waiters).into_iter().partition(|(_, until)| now >= *until);
         self.waiters = waiting;
@@ -83,6 +83,6 @@
         let equal = 1.0 / nodes as f64;
         let part = (queued as f64 / (queued + others).max(1) as f64).max(equal);
         let rate = changes * 0.9 * part;
-        self.bucket.set_rate(rate, rate);
+        self.write_bucket.set_rate(rate, rate);
     }
 }
--- a/crates/core/src/node/workers.rs
+++ b/crates/core/src/node/workers.rs
@@ -9,72 +9,74 @@
         let Some(tasks) = read_tasks(&r) else {
             return self.out.answer(id, 400, users::error("invalid task id in the report"));
         };
-        self.note_heartbeat(&r, &tasks);
+        self.record_heartbeat(&r, &tasks);
         let machine = MachineId::from(&*r.host);
         // A report that contradicts the machine's record does not come from that machine: two
         // workers share a name, or one is misconfigured. It is ignored and its lease is not
         // renewed.
         if self.reflector.ledger.machines.get(&machine).is_some_and(|rec| !rec.is_kind_of(&r)) {
-            if self.held_check_ins.apart.insert(machine.clone()) {
+            if self.deferred_check_ins.contradicting.insert(machine.clone()) {
                 warn!(
                     "{machine}: ignored a report with type={} zone={}, which contradicts its record",
                     r.build, r.yard
                 );
             }
-            return self.send_elsewhere(id, None);
+            return self.redirect(id, None);
         }
         match self.controller.checkin(&r, tasks, &self.reflector.ledger, self.now) {
-            CheckinReply::Orders(baton, orders) => self.renew(id, baton.0, orders),
+            CheckinReply::Orders(baton, orders) => self.renew_lease(id, baton.0, orders),
             CheckinReply::Elsewhere(to) | CheckinReply::Lost(to)
-                if !self.held_check_ins.is_news(&machine, r.number()) =>
+                if !self.deferred_check_ins.is_newest(&machine, r.number()) =>
             {
                 // A copy, or a delayed report: no worker waits for this answer.
-                self.send_elsewhere(id, to);
+                self.redirect(id, to);
             }
             reply @ (CheckinReply::Elsewhere(to) | CheckinReply::Lost(to)) => {
-                self.tell_seen(&machine, MachineRecord::of(&r), r.number(), false);
+                self.report_sighting(&machine, MachineRecord::of(&r), r.number(), false);
                 // Other controllers reach the worker if it has a token from them, now or since its
                 // lease was renewed here. A worker without tasks loses nothing on the way to them.
-                let kept = self.held_check_ins.kept.get(&machine).copied();
-                let lost = matches!(reply, CheckinReply::Lost(_))
-                    || kept.is_some_and(|b| r.baton > b)
+                let renewed_token = self.deferred_check_ins.renewed_tokens.get(&machine).copied();
+                let may_be_superseded = matches!(reply, CheckinReply::Lost(_))
+                    || renewed_token.is_some_and(|b| r.baton > b)
                     || r.pieces.is_empty();
-                match self.holder_to_name(&machine, to) {
-                    Some(n) => self.send_elsewhere(id, Some(n)),
+                match self.redirect_target(&machine, to) {
+                    Some(n) => self.redirect(id, Some(n)),
                     // This node has no contact with the state service or any controller and can't
                     // serve the worker. A worker with tasks that no other controller seems to reach
                     // is kept alive: they may all be as isolated.
-                    None if lost && self.out_of_touch() => {
+                    None if may_be_superseded && self.is_isolated() => {
                         debug!("{machine}: redirected, this controller can't serve it");
                         // If it returns with the same token, no other controller could serve it
                         // either.
-                        self.held_check_ins.kept_alive(machine, r.baton);
-                        self.send_elsewhere(id, None);
+                        self.deferred_check_ins.record_renewal(machine, r.baton);
+                        self.redirect(id, None);
                     }
                     // A grant may arrive shortly, so the answer is deferred.
                     None => {
                         let until = self.now + Micros::millis(600);
-                        if let Some((old, r, _)) = self.held_check_ins.held.insert(machine, (id, r, until)) {
-                            self.keep_alive(old, &r);
+                        if let Some((old, r, _)) =
+                            self.deferred_check_ins.deferred.insert(machine, (id, r, until))
+                        {
+                            self.renew_unheld(old, &r);
                         }
                     }
                 }
             }
         }
-        self.drive();
+        self.send_worker_calls();
     }
 
     /// The holder to redirect a worker to, unless the worker was redirected there recently and came
     /// back: it can't reach that holder.
-    fn holder_to_name(&mut self, machine: &MachineId, holder: Option<NodeId>) -> Option<NodeId> {
+    fn redirect_target(&mut self, machine: &MachineId, holder: Option<NodeId>) -> Option<NodeId> {
         let n = holder.filter(|n| *n != self.members.me && self.in_contact(*n, PEER_TIMEOUT))?;
         let now = self.now;
-        self.held_check_ins.redirected.retain(|_, t| now.since(*t) < Micros::secs(12));
-        match self.held_check_ins.redirected.get(machine) {
+        self.deferred_check_ins.redirected_at.retain(|_, t| now.since(*t) < Micros::secs(12));
+        match self.deferred_check_ins.redirected_at.get(machine) {
             Some(t) if now.since(*t) > Micros::millis(1500) => None,
             Some(_) => Some(n),
             None => {
-                self.held_check_ins.redirected.insert(machine.clone(), now);
+                self.deferred_check_ins.redirected_at.insert(machine.clone(), now);
                 Some(n)
             }
         }
@@ -83,29 +85,29 @@
     /// Renews the lease of a worker whose machine this node does not hold, and whose holder is
     /// unknown or unreachable for the worker. It uses the token that the worker reported, so that
     /// nothing is started and a newer grant is not affected. It only stops tasks that are over.
-    fn keep_alive(&mut self, id: RequestId, r: &Report) {
+    fn renew_unheld(&mut self, id: RequestId, r: &Report) {
         let tasks = read_tasks(r).unwrap_or_default();
         let orders = Controller::stops_for_stranger(&tasks, &self.reflector.ledger);
-        self.held_check_ins.kept_alive(MachineId::from(&*r.host), r.baton);
-        self.renew(id, r.baton, orders);
+        self.deferred_check_ins.record_renewal(MachineId::from(&*r.host), r.baton);
+        self.renew_lease(id, r.baton, orders);
     }
 
     /// Answers a check-in, which renews the worker's lease, if this process may renew leases.
-    fn renew(&mut self, id: RequestId, baton: u64, orders: Vec<Order>) {
+    fn renew_lease(&mut self, id: RequestId, baton: u64, orders: Vec<Order>) {
         if !self.may_renew_leases() {
-            return self.send_elsewhere(id, None);
+            return self.redirect(id, None);
         }
         let body = serde_json::to_vec(&CheckinAnswer { baton, orders }).unwrap_or_default();
         self.out.answer(id, 200, body);
     }
 
     /// Whether neither the state service nor another controller is in contact.
-    pub(super) fn out_of_touch(&self) -> bool {
+    pub(super) fn is_isolated(&self) -> bool {
         !self.reflector.state_reachable(self.now)
             && self.peers.all().all(|n| n == self.members.me || !self.in_contact(n, PEER_TIMEOUT))
     }
 
-    pub(super) fn send_elsewhere(&mut self, id: RequestId, to: Option<NodeId>) {
+    pub(super) fn redirect(&mut self, id: RequestId, to: Option<NodeId>) {
         let body = match to.and_then(|n| self.members.names.get(n.0 as usize)) {
             Some(name) => json!({ "foreman": name }),
             None => json!({}),
@@ -113,10 +115,16 @@
         self.out.answer(id, 421, body.to_string().into_bytes());
     }
 
-    pub(super) fn tell_seen(&mut self, id: &MachineId, rec: MachineRecord, report: ReportNo, asked: bool) {
+    pub(super) fn report_sighting(
+        &mut self,
+        id: &MachineId,
+        rec: MachineRecord,
+        report: ReportNo,
+        asked: bool,
+    ) {
         if self.reflector.ledger.machines.contains_key(id) {
             // The leader knows the machine: the next `Sync` reports the sighting.
-            self.held_check_ins.strangers.insert(id.clone(), (self.now, report, asked));
+            self.deferred_check_ins.unleased_reports.insert(id.clone(), (self.now, report, asked));
             self.controller.dirty = true;
         } else if let Some(to) = self.leader_node() {
             let m = Message::Seen {
@@ -132,29 +140,29 @@
         }
     }
 
-    pub(super) fn answer_held(&mut self) {
+    pub(super) fn answer_deferred(&mut self) {
         let due: Vec<MachineId> = self
-            .held_check_ins
-            .held
+            .deferred_check_ins
+            .deferred
             .iter()
             .filter(|(m, (.., until))| self.controller.holds(m) || self.now >= *until)
             .map(|(m, _)| m.clone())
             .collect();
         for m in due {
-            let Some((id, r, _)) = self.held_check_ins.held.remove(&m) else { continue };
+            let Some((id, r, _)) = self.deferred_check_ins.deferred.remove(&m) else { continue };
             let tasks = read_tasks(&r).unwrap_or_default();
             match self.controller.checkin(&r, tasks, &self.reflector.ledger, self.now) {
-                CheckinReply::Orders(baton, orders) => self.renew(id, baton.0, orders),
-                CheckinReply::Elsewhere(to) | CheckinReply::Lost(to) => match self.holder_to_name(&m, to) {
-                    Some(n) => self.send_elsewhere(id, Some(n)),
-                    None => self.keep_alive(id, &r),
+                CheckinReply::Orders(baton, orders) => self.renew_lease(id, baton.0, orders),
+                CheckinReply::Elsewhere(to) | CheckinReply::Lost(to) => match self.redirect_target(&m, to) {
+                    Some(n) => self.redirect(id, Some(n)),
+                    None => self.renew_unheld(id, &r),
                 },
             }
         }
     }
 
     /// Sends the calls that are due to workers of machines held here.
-    pub(super) fn drive(&mut self) {
+    pub(super) fn send_worker_calls(&mut self) {
         for (call, machine) in self.controller.drive(&self.reflector.ledger, self.now, &mut self.out) {
             self.calls.insert(call, Purpose::Worker(machine));
         }
