--- a/crates/core/src/election.rs
+++ b/crates/core/src/election.rs
@@ -26,46 +26,46 @@
     /// Current role.
     pub role: Role,
     /// Duration of the lease.
-    pub life: Micros,
+    pub lease_duration: Micros,
     /// When the last confirmed renewal was sent.
-    confirmed: Micros,
+    confirmed_sent_at: Micros,
     /// When the last renewal was sent.
-    pub last_sent: Micros,
+    pub last_renewal_sent_at: Micros,
     /// A renewal is in flight.
-    pub renewing: bool,
+    pub renewal_in_flight: bool,
     /// No election attempt before this.
-    pub not_before: Micros,
+    pub next_attempt_at: Micros,
 }
 
 impl Election {
     /// Creates a follower.
-    pub fn new(life: Micros) -> Self {
+    pub fn new(lease_duration: Micros) -> Self {
         Election {
             role: Role::Follower,
-            life,
-            confirmed: Micros(0),
-            last_sent: Micros(0),
-            renewing: false,
-            not_before: Micros(0),
+            lease_duration,
+            confirmed_sent_at: Micros(0),
+            last_renewal_sent_at: Micros(0),
+            renewal_in_flight: false,
+            next_attempt_at: Micros(0),
         }
     }
-    /// The leader key was created; its lease was requested at `asked`.
-    pub fn won(&mut self, term: u64, lease: u64, stamp: u64, asked: Micros) {
+    /// The leader key was created; its lease was requested at `requested_at`.
+    pub fn elected(&mut self, term: u64, lease: u64, stamp: u64, requested_at: Micros) {
         self.role = Role::Leader { term, lease, stamp };
-        self.confirmed = asked;
-        self.last_sent = asked;
-        self.renewing = false;
+        self.confirmed_sent_at = requested_at;
+        self.last_renewal_sent_at = requested_at;
+        self.renewal_in_flight = false;
     }
     /// A renewal sent at `sent` succeeded.
-    pub fn renewed(&mut self, sent: Micros) {
-        self.confirmed = self.confirmed.max(sent);
-        self.renewing = false;
+    pub fn renewal_confirmed(&mut self, sent: Micros) {
+        self.confirmed_sent_at = self.confirmed_sent_at.max(sent);
+        self.renewal_in_flight = false;
     }
     /// Becomes a follower, with no new attempt for `pause`.
-    pub fn lost(&mut self, now: Micros, pause: Micros) {
+    pub fn step_down(&mut self, now: Micros, pause: Micros) {
         self.role = Role::Follower;
-        self.renewing = false;
-        self.not_before = now + pause;
+        self.renewal_in_flight = false;
+        self.next_attempt_at = now + pause;
     }
     /// The term in which this node holds the leader key, whether or not the lease is confirmed.
     pub fn term(&self) -> Option<u64> {
@@ -77,12 +77,12 @@
     /// Whether this node may act as leader now: its last confirmed renewal, counted from when it
     /// was sent, is within the lease, less 1% for clock drift and 50 ms for calls in flight.
     pub fn may_lead(&self, now: Micros) -> bool {
-        let usable = self.life.scale(99, 100) - Micros::millis(50);
-        matches!(self.role, Role::Leader { .. }) && now < self.confirmed + usable
+        let usable = self.lease_duration.scale(99, 100) - Micros::millis(50);
+        matches!(self.role, Role::Leader { .. }) && now < self.confirmed_sent_at + usable
     }
     /// Whether a renewal is due.
     pub fn renewal_due(&self, now: Micros) -> bool {
-        !self.renewing && now.since(self.last_sent) >= self.life.scale(1, 4)
+        !self.renewal_in_flight && now.since(self.last_renewal_sent_at) >= self.lease_duration.scale(1, 4)
     }
 }
 
@@ -91,25 +91,25 @@
     use super::*;
 
     #[test]
-    fn a_lease_counts_from_the_sending_of_its_renewal() {
+    fn a_renewal_extends_the_lease_from_when_it_was_sent() {
         let ms = Micros::millis;
         let mut e = Election::new(ms(3000));
         assert!(!e.may_lead(ms(0)));
-        e.won(4, 7, 9, ms(100));
+        e.elected(4, 7, 9, ms(100));
         // (time, may lead)
         for (t, want) in [(100, true), (3019, true), (3020, false), (9000, false)] {
             assert_eq!(e.may_lead(ms(t)), want, "{t}");
         }
         // A renewal sent at 2000 ms and answered late extends the lease from 2000 ms, not from its
         // answer.
-        e.renewed(ms(2000));
+        e.renewal_confirmed(ms(2000));
         for (t, want) in [(4919, true), (4920, false)] {
             assert_eq!(e.may_lead(ms(t)), want, "{t}");
         }
         // A late confirmation of an older renewal does not shorten the lease.
-        e.renewed(ms(500));
+        e.renewal_confirmed(ms(500));
         assert!(e.may_lead(ms(4900)));
-        e.lost(ms(4900), ms(10));
+        e.step_down(ms(4900), ms(10));
         assert_eq!((e.term(), e.may_lead(ms(4901))), (None, false));
     }
 }
--- a/crates/core/src/node/cancellations.rs
+++ b/crates/core/src/node/cancellations.rs
@@ -276,29 +276,29 @@
                     && now.since(k.since) >= initial_delay
                     && k.notified_at[i].is_none_or(|t| now.since(t) >= interval)
             };
-            let mut all = Vec::new();
+            let mut batch = Vec::new();
             for k in self.cancellations.jobs.values_mut().filter(due).take(MAX_CANCELLATIONS_PER_MESSAGE) {
                 k.notified_at[i] = Some(now);
-                all.push(k.record.clone());
+                batch.push(k.record.clone());
             }
-            if !all.is_empty() {
-                self.send(n, Message::Cancelled(all));
+            if !batch.is_empty() {
+                self.send(n, Message::Cancelled(batch));
             }
         }
     }
 
     /// Handles another controller's notification of cancellations. A late or repeated one changes
     /// nothing: a job's end never changes.
-    pub(super) fn cancellations_received(&mut self, from: NodeId, all: &[Cancellation]) {
+    pub(super) fn cancellations_received(&mut self, from: NodeId, batch: &[Cancellation]) {
         let nodes = self.members.names.len();
-        for c in all {
+        for c in batch {
             self.cancellations.merge(c, nodes, self.now);
             self.record_acknowledgement(c.job, self.members.me, self.incarnation);
             self.apply_cancellation(c);
         }
         let (mut guaranteed, mut others) = (Vec::new(), Vec::new());
         let leads = self.leadership.leader.as_ref().map(|l| l.term);
-        for c in all {
+        for c in batch {
             let is_guaranteed =
                 self.cancellations.jobs.get(&c.job).is_some_and(|k| self.guaranteed_term(k).is_some());
             if let Some(k) = self.cancellations.jobs.get_mut(&c.job) {
@@ -335,8 +335,8 @@
     /// Applies the known cancellations again after the state was read from the start: they still
     /// hold.
     pub(super) fn reapply_cancellations(&mut self) {
-        let all: Vec<Cancellation> = self.cancellations.jobs.values().map(|k| k.record.clone()).collect();
-        all.iter().for_each(|c| self.apply_cancellation(c));
+        let batch: Vec<Cancellation> = self.cancellations.jobs.values().map(|k| k.record.clone()).collect();
+        batch.iter().for_each(|c| self.apply_cancellation(c));
     }
 
     fn record_acknowledgement(&mut self, job: JobId, n: NodeId, process: u64) {
--- a/crates/core/src/node/catalogue.rs
+++ b/crates/core/src/node/catalogue.rs
@@ -12,9 +12,9 @@
 pub(super) struct Catalogue {
     pub flavors: Vec<Flavor>,
     pub sizes: Sizes,
-    pub asked_at: Micros,
+    pub requested_at: Micros,
     /// A request for the machine types is in flight.
-    pub open: bool,
+    pub request_in_flight: bool,
     pub bucket: Bucket,
 }
 
@@ -24,8 +24,8 @@
         Catalogue {
             flavors: Vec::new(),
             sizes: Sizes::new(),
-            asked_at: Micros(0),
-            open: false,
+            requested_at: Micros(0),
+            request_in_flight: false,
             bucket: Bucket::new(calls * 0.85, calls, now),
         }
     }
@@ -38,11 +38,11 @@
             (false, true) => Micros::secs(30),
             (false, false) => Micros::secs(600),
         };
-        !self.open && (self.asked_at == Micros(0) || now.since(self.asked_at) >= period)
+        !self.request_in_flight && (self.requested_at == Micros(0) || now.since(self.requested_at) >= period)
     }
 
     /// Stores the cloud's answer.
-    pub fn take(&mut self, f: Flavors) {
+    pub fn update(&mut self, f: Flavors) {
         let size = |b: &Flavor| Resources::have(b.cpus, b.gpus, b.memory_gb);
         self.sizes = f.builds.iter().map(|b| (b.sku.clone(), size(b))).collect();
         self.flavors = f.builds;
--- a/crates/core/src/node/duties.rs
+++ b/crates/core/src/node/duties.rs
@@ -28,8 +28,8 @@
         self.request_machine_types();
         self.answer_deferred();
         self.send_worker_calls();
-        self.sync(false);
-        self.send_relayed();
+        self.send_sync(false);
+        self.post_queued_messages();
         self.run_extension(GuestInput::Tick);
         if self.now.since(self.peers.pinged_at) >= Micros::millis(500) {
             self.peers.pinged_at = self.now;
@@ -74,7 +74,7 @@
             let path =
                 format!("/follow?prefix={}&from={}&hold_ms=10000", keys::ROOT, self.reflector.ledger.applied);
             let id = self.call_state_service("GET", path, Vec::new(), Micros::secs(13));
-            self.calls.insert(id, Purpose::Follow);
+            self.calls.insert(id, CallPurpose::Watch);
             self.reflector.watch_in_flight = true;
         }
     }
@@ -90,7 +90,7 @@
             path.push_str(f);
         }
         let id = self.call_state_service("GET", path, Vec::new(), Micros::millis(2500));
-        self.calls.insert(id, Purpose::List { from, first, ledger });
+        self.calls.insert(id, CallPurpose::List { from, first, ledger });
     }
 
     pub(super) fn apply_events(&mut self, news: News) {
@@ -104,7 +104,7 @@
                 (Some(k), _) => match self.reflector.ledger.apply(k, Some(&e.v), e.stamp) {
                     Change::Mail(to) => {
                         if to == self.members.names[self.members.me.0 as usize]
-                            && let Some(p) = self.relay.open(&e.v)
+                            && let Some(p) = self.relay.receive_part(&e.v)
                         {
                             messages.push(p);
                         }
@@ -136,7 +136,7 @@
         self.reflector.ledger.applied = base.max(news.ledger);
         // Only after all events: an assignment may be of a job whose end came with them.
         for p in messages {
-            self.peer(p.from, p.incarnation, p.message);
+            self.receive_message(p.from, p.incarnation, p.message);
         }
         if !news.news.is_empty() {
             self.run_leader();
@@ -164,32 +164,32 @@
         let turn = if self.reflector.ledger.leader.is_none() {
             self.may_campaign()
         } else {
-            self.leadership.vacant_since = None;
+            self.leadership.leaderless_since = None;
             false
         };
         match self.leadership.election.role {
             Role::Follower => match &self.reflector.ledger.leader {
-                None if self.now >= self.leadership.election.not_before
+                None if self.now >= self.leadership.election.next_attempt_at
                     && !self.reflector.state_unavailable(self.now)
                     && turn =>
                 {
                     self.leadership.election.role = Role::Candidate;
-                    let life = self.operator.leader_lease.0 / 1000;
-                    let body = json!({ "life_ms": life }).to_string().into_bytes();
+                    let lease_ms = self.operator.leader_lease.0 / 1000;
+                    let body = json!({ "life_ms": lease_ms }).to_string().into_bytes();
                     let id = self.call_state_service("POST", "/grants".into(), body, Micros::millis(1000));
-                    self.calls.insert(id, Purpose::GrantNew { asked: self.now });
+                    self.calls.insert(id, CallPurpose::CreateLease { requested_at: self.now });
                 }
                 Some((rec, _))
                     if rec.node == self.members.names[self.members.me.0 as usize]
-                        && self.leadership.ended_lease != Some(rec.lease) =>
+                        && self.leadership.revoked_lease != Some(rec.lease) =>
                 {
                     // An earlier process of this node led; revoking its lease avoids waiting until
                     // it expires.
                     info!("revoking the leader lease of this node's previous process");
                     let path = format!("/grants/{}", rec.lease);
-                    self.leadership.ended_lease = Some(rec.lease);
+                    self.leadership.revoked_lease = Some(rec.lease);
                     let id = self.call_state_service("DELETE", path, Vec::new(), Micros::millis(1000));
-                    self.calls.insert(id, Purpose::EndLease);
+                    self.calls.insert(id, CallPurpose::RevokeLease);
                 }
                 _ => {}
             },
@@ -208,18 +208,18 @@
                 if self.lost_all_peers() {
                     // Cut off from the other controllers: one that reaches more of the cluster
                     // serves it better.
-                    self.end_lease(lease);
+                    self.revoke_lease(lease);
                     self.step_down("no contact with any other controller");
-                    self.leadership.election.not_before = self.now + Micros::secs(4);
+                    self.leadership.election.next_attempt_at = self.now + Micros::secs(4);
                     return;
                 }
                 if self.leadership.election.renewal_due(self.now) {
-                    self.leadership.election.renewing = true;
-                    self.leadership.election.last_sent = self.now;
+                    self.leadership.election.renewal_in_flight = true;
+                    self.leadership.election.last_renewal_sent_at = self.now;
                     let path = format!("/grants/{lease}/renew");
                     let timeout = self.operator.leader_lease.scale(1, 3);
                     let id = self.call_state_service("POST", path, Vec::new(), timeout);
-                    self.calls.insert(id, Purpose::Renew { sent: self.now });
+                    self.calls.insert(id, CallPurpose::RenewLease { sent: self.now });
                 }
             }
         }
@@ -237,7 +237,7 @@
                     && !self.peers.is_process_down(*n, self.now)
             })
             .count() as u64;
-        let since = *self.leadership.vacant_since.get_or_insert(self.now);
+        let since = *self.leadership.leaderless_since.get_or_insert(self.now);
         self.now.since(since) >= Micros::millis(400 * unheard)
     }
 
@@ -255,24 +255,24 @@
 
     pub(super) fn step_down(&mut self, why: &str) {
         if let Role::Leader { term, lease, .. } = self.leadership.election.role {
-            self.leadership.ended_lease = Some(lease);
+            self.leadership.revoked_lease = Some(lease);
             warn!("stepped down term={term} reason=\"{why}\"");
         }
         let pause = Micros::millis(200 + self.rng.u64(0..400));
-        self.leadership.election.lost(self.now, pause);
+        self.leadership.election.step_down(self.now, pause);
         self.leadership.leader = None;
-        self.leadership.won = None;
+        self.leadership.acquired = None;
     }
 
     /// Runs the leader's work.
     pub(super) fn run_leader(&mut self) {
         // The state replica must hold everything that was written before the leader key was
         // acquired.
-        if let Some((term, stamp)) = self.leadership.won
+        if let Some((term, stamp)) = self.leadership.acquired
             && self.reflector.ledger.applied >= stamp
             && !self.catalogue.sizes.is_empty()
         {
-            self.leadership.won = None;
+            self.leadership.acquired = None;
             if self.reflector.ledger.leader.as_ref().is_some_and(|(r, s)| *s == stamp && r.term == term) {
                 let l = Leader::new(
                     self.leader_config.clone(),
@@ -283,8 +283,8 @@
                     self.now,
                     self.wall_ms,
                 );
-                self.leadership.take_up(l);
-                self.sync(true);
+                self.leadership.start_term(l);
+                self.send_sync(true);
             }
         }
         self.fetch_placement_log();
@@ -362,20 +362,20 @@
             vec![When { path: keys::LEADER.into(), stamp: mine }, When { path: keys::BOOKS.into(), stamp }];
         let put = Write::Put { put: keys::BOOKS.into(), v: json!(record), hold: None };
         let id = self.send_transaction(&Multi { when, writes: vec![put] });
-        self.calls.insert(id, Purpose::BooksRecord(term));
+        self.calls.insert(id, CallPurpose::StandbyRecord(term));
     }
 
     pub(super) fn send_leader_writes(&mut self) {
         let Role::Leader { stamp: mine, term, .. } = self.leadership.election.role else { return };
         // Finding what to write scans all jobs and machines, so it is not done at every input.
         let again = Micros::millis(40);
-        if self.leadership.txns >= 3
-            || self.now < self.leadership.retry_at
-            || self.now.since(self.leadership.wrote_at) < again
+        if self.leadership.open_txns >= 3
+            || self.now < self.leadership.next_txn_at
+            || self.now.since(self.leadership.last_scan_at) < again
         {
             return;
         }
-        self.leadership.wrote_at = self.now;
+        self.leadership.last_scan_at = self.now;
         let Some(l) = self.leadership.leader.as_mut() else { return };
         l.note_unrecorded(&self.reflector.ledger, self.now);
         l.note_recorded(&self.reflector.ledger);
@@ -384,14 +384,14 @@
             .writes(&self.reflector.ledger, self.limits.value_bytes, self.now)
             .into_iter()
             .filter(|w| !self.leadership.inflight.contains(w))
-            .filter(|w| !self.leadership.refused.waits(w, self.now))
+            .filter(|w| !self.leadership.rejected.is_paused(w, self.now))
             .filter_map(|w| self.leadership.uncontested(w, self.now))
             .collect();
         let mut m = Multi { when: vec![When { path: keys::LEADER.into(), stamp: mine }], writes: Vec::new() };
         let mut taken = Vec::new();
         let mut size = 0;
         for w in todo {
-            let alone = self.leadership.refused.goes_alone(&w);
+            let alone = self.leadership.rejected.must_be_alone(&w);
             if alone && !taken.is_empty() {
                 continue;
             }
@@ -434,9 +434,9 @@
             taken.iter().for_each(|w| l.writing(w, true));
         }
         self.leadership.inflight.extend(taken.iter().cloned());
-        self.leadership.txns += 1;
+        self.leadership.open_txns += 1;
         let id = self.send_transaction(&m);
-        self.calls.insert(id, Purpose::LeaderWrites(term, taken));
+        self.calls.insert(id, CallPurpose::LeaderWrites(term, taken));
     }
 
     /// The conditions and writes of a leader's record, if there are any.
@@ -461,7 +461,7 @@
         if self.leadership.leader.as_ref().is_none_or(|l| l.term != term) {
             return;
         }
-        self.leadership.returned(&writes);
+        self.leadership.txn_completed(&writes);
         let Some(l) = self.leadership.leader.as_mut() else { return };
         for w in &writes {
             l.writing(w, false);
@@ -471,7 +471,7 @@
                 for w in &writes {
                     l.written(w);
                 }
-                self.leadership.refused.accepted(&writes);
+                self.leadership.rejected.record_success(&writes);
                 self.run_leader();
             }
             CallResult::Answer { status: 409, body } => {
@@ -482,17 +482,17 @@
                 }
                 // The state replica is behind: the watch will show the conflicting change.
                 debug!("records changed meanwhile: {failed:?}");
-                self.leadership.retry_at = self.now + Micros::millis(60);
-                self.leadership.contest(&failed, self.now);
+                self.leadership.next_txn_at = self.now + Micros::millis(60);
+                self.leadership.record_conflicts(&failed, self.now);
             }
             CallResult::Answer { status: 400, body } => {
                 let reason = String::from_utf8_lossy(body);
-                self.leadership.refused.refused(&writes, &reason, self.now);
+                self.leadership.rejected.record_rejection(&writes, &reason, self.now);
             }
             r => {
                 debug!("leader's transaction not confirmed: {r:?}");
                 let pause = Micros::millis(150 + self.rng.u64(0..200));
-                self.leadership.retry_at = self.now + pause;
+                self.leadership.next_txn_at = self.now + pause;
             }
         }
     }
@@ -521,7 +521,7 @@
                 CloudWish::List(from) => list_call(from.as_deref()),
             };
             let id = self.out.call(call);
-            self.calls.insert(id, Purpose::Cloud(term, w));
+            self.calls.insert(id, CallPurpose::Cloud(term, w));
         }
     }
 
@@ -567,8 +567,8 @@
         if !self.catalogue.due(self.leadership.leader.is_some(), self.now) {
             return;
         }
-        self.catalogue.open = true;
-        self.catalogue.asked_at = self.now;
+        self.catalogue.request_in_flight = true;
+        self.catalogue.requested_at = self.now;
         self.catalogue.bucket.force(self.now, 1.0);
         let id = self.out.call(Call {
             target: Target::Cloud,
@@ -577,6 +577,6 @@
             body: Vec::new(),
             timeout: Micros::secs(3),
         });
-        self.calls.insert(id, Purpose::Flavors);
+        self.calls.insert(id, CallPurpose::Flavors);
     }
 }
--- a/crates/core/src/node/host.rs
+++ b/crates/core/src/node/host.rs
@@ -68,7 +68,7 @@
         let from = so_far.pairs.last().map_or(String::new(), |p| format!("&from={}", p.path));
         let path = format!("/store?prefix={prefix}{from}&limit=1000");
         let id = self.call_state_service("GET", path, Vec::new(), Micros::millis(2500));
-        self.calls.insert(id, Purpose::GuestRead(t, prefix, so_far));
+        self.calls.insert(id, CallPurpose::ExtensionRead(t, prefix, so_far));
     }
 
     /// Handles a page of the extension's read; the extension gets the result when all pages are
--- a/crates/core/src/node/leadership.rs
+++ b/crates/core/src/node/leadership.rs
@@ -1,5 +1,5 @@
 //! State of this node's leadership: the election, and the leader's records in flight.
-use super::refusals::Refusals;
+use super::refusals::RejectedWrites;
 use crate::election::Election;
 use crate::jobs::keys;
 use crate::leader::{Leader, LeaderWrite};
@@ -12,24 +12,24 @@
 pub(super) struct Leadership {
     pub election: Election,
     /// Term and version of a leader key that was created and is not in the state replica yet.
-    pub won: Option<(u64, u64)>,
+    pub acquired: Option<(u64, u64)>,
     pub leader: Option<Leader>,
     /// Records in flight.
     pub inflight: BTreeSet<LeaderWrite>,
-    pub txns: usize,
-    pub retry_at: Micros,
-    pub wrote_at: Micros,
+    pub open_txns: usize,
+    pub next_txn_at: Micros,
+    pub last_scan_at: Micros,
     /// Keys whose condition failed: how often in a row, and until when records that need them are
     /// skipped.
     pub contested: BTreeMap<String, (u32, Micros)>,
     /// Records that the state service rejected as invalid.
-    pub refused: Refusals,
+    pub rejected: RejectedWrites,
     pub bucket: Bucket,
     /// This node was in contact with another controller in this term of leadership.
     pub had_peers: bool,
-    pub vacant_since: Option<Micros>,
+    pub leaderless_since: Option<Micros>,
     /// A lease of this node that was revoked, or is left to expire.
-    pub ended_lease: Option<u64>,
+    pub revoked_lease: Option<u64>,
 }
 
 impl Leadership {
@@ -37,34 +37,34 @@
     pub fn new(operator: &Operator, changes: f64, now: Micros) -> Self {
         Leadership {
             election: Election::new(operator.leader_lease),
-            won: None,
+            acquired: None,
             leader: None,
             inflight: BTreeSet::new(),
-            txns: 0,
-            retry_at: Micros(0),
-            wrote_at: Micros(0),
+            open_txns: 0,
+            next_txn_at: Micros(0),
+            last_scan_at: Micros(0),
             contested: BTreeMap::new(),
-            refused: Refusals::default(),
+            rejected: RejectedWrites::default(),
             bucket: Bucket::new(changes * 0.45, changes * 0.4, now),
             had_peers: false,
-            vacant_since: None,
-            ended_lease: None,
+            leaderless_since: None,
+            revoked_lease: None,
         }
     }
 
     /// Starts a term of leadership: no record of an earlier term is in flight any more.
-    pub fn take_up(&mut self, leader: Leader) {
+    pub fn start_term(&mut self, leader: Leader) {
         self.inflight.clear();
         self.contested.clear();
-        self.refused = Refusals::default();
-        self.txns = 0;
+        self.rejected = RejectedWrites::default();
+        self.open_txns = 0;
         self.leader = Some(leader);
     }
 
     /// A transaction failed on the conditions of these keys. If the state replica is only behind, a
     /// short pause resolves it. If not, records that need these keys must not block the others, so
     /// they are skipped for longer each time.
-    pub fn contest(&mut self, failed: &[String], now: Micros) {
+    pub fn record_conflicts(&mut self, failed: &[String], now: Micros) {
         // Drops keys that have not failed again within 10 s after their pause.
         self.contested.retain(|_, (_, until)| now < *until + Micros::secs(10));
         for key in failed {
@@ -108,8 +108,8 @@
     }
 
     /// A transaction with these records ended, with whatever result.
-    pub fn returned(&mut self, writes: &[LeaderWrite]) {
-        self.txns = self.txns.saturating_sub(1);
+    pub fn txn_completed(&mut self, writes: &[LeaderWrite]) {
+        self.open_txns = self.open_txns.saturating_sub(1);
         for w in writes {
             self.inflight.remove(w);
         }
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -76,47 +76,47 @@
 
 /// What a call was made for.
 #[derive(Debug)]
-enum Purpose {
+enum CallPurpose {
     List {
         from: Option<String>,
         first: Option<u64>,
         ledger: Box<Ledger>,
     },
-    Follow,
-    Barrier(Vec<(Waiter, Micros)>),
+    Watch,
+    ReadBarrier(Vec<(Waiter, Micros)>),
     Write(PendingWrite),
     /// Pages of an extension's read: the prefix, and the pages received so far.
-    GuestRead(Ticket, String, Listing),
-    GrantNew {
-        asked: Micros,
+    ExtensionRead(Ticket, String, Listing),
+    CreateLease {
+        requested_at: Micros,
     },
-    TakeKey {
-        asked: Micros,
+    AcquireLeaderKey {
+        requested_at: Micros,
         lease: u64,
         term: u64,
     },
-    Renew {
+    RenewLease {
         sent: Micros,
     },
-    EndLease,
+    RevokeLease,
     /// A transaction of a relayed message, with the message's number.
-    Mail(u64),
+    RelayedMessage(u64),
     LeaderWrites(u64, Vec<LeaderWrite>),
     /// The record of a term's standby replicas.
-    BooksRecord(u64),
+    StandbyRecord(u64),
     Cloud(u64, CloudWish),
     Flavors,
-    Worker(MachineId),
+    WorkerCall(MachineId),
     Probe(MachineId),
     /// A page of the cloud's list, fetched as standby.
     MachineList,
     /// A machine that may hold a cancelled task, probed or sent a stop as standby.
-    Deputy {
+    SuspectCall {
         machine: MachineId,
         sent: Micros,
     },
     /// Machines deleted as standby.
-    DeputyDelete(Vec<MachineId>),
+    SuspectDeletion(Vec<MachineId>),
 }
 
 /// A controller node. Each field owns the state of one duty; what several duties share is here.
@@ -135,7 +135,7 @@
     wall_ms: u64,
     rng: fastrand::Rng,
     out: Outbox,
-    calls: BTreeMap<CallId, Purpose>,
+    calls: BTreeMap<CallId, CallPurpose>,
     incarnation: u64,
     reflector: Reflector,
     pending: PendingRequests,
@@ -242,7 +242,7 @@
                 self.deferred_check_ins.deferred.retain(|_, (r, ..)| *r != id);
                 self.run_extension(GuestInput::Gone(id));
             }
-            Input::Called { id, result } => self.called(id, result),
+            Input::Called { id, result } => self.call_completed(id, result),
             Input::Refused(n) => {
                 if let Some(p) = self.peers.states.get_mut(n.0 as usize) {
                     p.refused_at = Some(self.now);
@@ -253,7 +253,7 @@
                     p.last_contact = Some(self.now);
                     p.incarnation = p.incarnation.max(incarnation);
                 }
-                self.peer(from, incarnation, message);
+                self.receive_message(from, incarnation, message);
             }
         }
         self.status.responses_sent(&self.out.items);
@@ -297,19 +297,19 @@
         self.leadership.leader.as_ref().map_or(Ok(()), Leader::check_sums)
     }
 
-    fn called(&mut self, id: CallId, result: CallResult) {
+    fn call_completed(&mut self, id: CallId, result: CallResult) {
         let Some(p) = self.calls.remove(&id) else { return };
-        let of_state = !matches!(
+        let to_state_service = !matches!(
             p,
-            Purpose::Cloud(..)
-                | Purpose::Flavors
-                | Purpose::Worker(_)
-                | Purpose::Probe(_)
-                | Purpose::MachineList
-                | Purpose::Deputy { .. }
-                | Purpose::DeputyDelete(_)
+            CallPurpose::Cloud(..)
+                | CallPurpose::Flavors
+                | CallPurpose::WorkerCall(_)
+                | CallPurpose::Probe(_)
+                | CallPurpose::MachineList
+                | CallPurpose::SuspectCall { .. }
+                | CallPurpose::SuspectDeletion(_)
         );
-        if of_state && !matches!(p, Purpose::Follow) {
+        if to_state_service && !matches!(p, CallPurpose::Watch) {
             match &result {
                 CallResult::Answer { status, .. } if *status < 500 && *status != 429 => {
                     self.reflector.last_success = Some(self.now)
@@ -319,8 +319,8 @@
             }
         }
         match p {
-            Purpose::List { from, first, ledger } => self.listed_page(from, first, ledger, result),
-            Purpose::Follow => {
+            CallPurpose::List { from, first, ledger } => self.list_page_received(from, first, ledger, result),
+            CallPurpose::Watch => {
                 self.reflector.watch_in_flight = false;
                 match result {
                     CallResult::Answer { status: 200, body } => match serde_json::from_slice::<News>(&body) {
@@ -345,10 +345,12 @@
                 }
                 self.watch_state();
             }
-            Purpose::Barrier(waiting) => self.read_barrier_completed(waiting, result),
-            Purpose::Write(w) => self.pending_write_completed(w, &result),
-            Purpose::GuestRead(t, prefix, so_far) => self.extension_page_received(t, prefix, so_far, result),
-            Purpose::GrantNew { asked } => {
+            CallPurpose::ReadBarrier(waiting) => self.read_barrier_completed(waiting, result),
+            CallPurpose::Write(w) => self.pending_write_completed(w, &result),
+            CallPurpose::ExtensionRead(t, prefix, so_far) => {
+                self.extension_page_received(t, prefix, so_far, result)
+            }
+            CallPurpose::CreateLease { requested_at } => {
                 let lease = match &result {
                     CallResult::Answer { status: 200, body } => serde_json::from_slice::<Grant>(body).ok(),
                     _ => None,
@@ -378,70 +380,75 @@
                             ],
                         };
                         let id = self.send_transaction(&m);
-                        self.calls.insert(id, Purpose::TakeKey { asked, lease: g.hold, term: term + 1 });
+                        self.calls.insert(
+                            id,
+                            CallPurpose::AcquireLeaderKey { requested_at, lease: g.hold, term: term + 1 },
+                        );
                     }
                     lease => {
                         if let Some(g) = lease {
-                            self.end_lease(g.hold);
+                            self.revoke_lease(g.hold);
                         }
                         let pause = Micros::millis(150 + self.rng.u64(0..300));
-                        self.leadership.election.lost(self.now, pause);
+                        self.leadership.election.step_down(self.now, pause);
                     }
                 }
             }
-            Purpose::TakeKey { asked, lease, term } => match &result {
+            CallPurpose::AcquireLeaderKey { requested_at, lease, term } => match &result {
                 CallResult::Answer { status: 200, body } => {
                     let stamp = serde_json::from_slice::<MultiAnswer>(body).map_or(0, |a| a.ledger);
-                    self.leadership.election.won(term, lease, stamp, asked);
+                    self.leadership.election.elected(term, lease, stamp, requested_at);
                     self.leadership.had_peers = false;
-                    self.leadership.won = Some((term, stamp));
+                    self.leadership.acquired = Some((term, stamp));
                     self.start_read_barrier();
                 }
                 _ => {
                     // Lost or unknown. Revoking the lease also deletes a key that is written late.
-                    self.end_lease(lease);
+                    self.revoke_lease(lease);
                     let pause = Micros::millis(200 + self.rng.u64(0..400));
-                    self.leadership.election.lost(self.now, pause);
+                    self.leadership.election.step_down(self.now, pause);
                 }
             },
-            Purpose::Renew { sent } => match result {
-                CallResult::Answer { status: 200, .. } => self.leadership.election.renewed(sent),
+            CallPurpose::RenewLease { sent } => match result {
+                CallResult::Answer { status: 200, .. } => self.leadership.election.renewal_confirmed(sent),
                 CallResult::Answer { status: 404, .. } => {
                     if self.leadership.election.term().is_some() {
                         self.step_down("lease expired");
                     }
                 }
-                _ => self.leadership.election.renewing = false,
+                _ => self.leadership.election.renewal_in_flight = false,
             },
-            Purpose::EndLease => {}
-            Purpose::Mail(number) => {
-                let taken = matches!(result, CallResult::Answer { status: 200, .. });
-                self.post_relayed(number, taken);
+            CallPurpose::RevokeLease => {}
+            CallPurpose::RelayedMessage(number) => {
+                let posted = matches!(result, CallResult::Answer { status: 200, .. });
+                self.post_next_transaction(number, posted);
             }
-            Purpose::LeaderWrites(term, w) => self.leader_writes_completed(term, w, &result),
-            Purpose::BooksRecord(term) => {
+            CallPurpose::LeaderWrites(term, w) => self.leader_writes_completed(term, w, &result),
+            CallPurpose::StandbyRecord(term) => {
                 if let Some(l) = self.leadership.leader.as_mut().filter(|l| l.term == term) {
                     l.books_record_ended();
                 }
             }
-            Purpose::Cloud(term, w) => self.cloud_call_completed(term, w, &result),
-            Purpose::Flavors => {
-                self.catalogue.open = false;
+            CallPurpose::Cloud(term, w) => self.cloud_call_completed(term, w, &result),
+            CallPurpose::Flavors => {
+                self.catalogue.request_in_flight = false;
                 if let CallResult::Answer { status: 200, body } = &result
                     && let Ok(f) = serde_json::from_slice::<Flavors>(body)
                 {
-                    self.catalogue.take(f);
+                    self.catalogue.update(f);
                 }
             }
-            Purpose::MachineList => self.machine_list_received(&result),
-            Purpose::Deputy { machine, sent } => self.suspect_call_completed(&machine, sent, &result),
-            Purpose::DeputyDelete(ids) => self.suspect_deletion_completed(&ids, &result),
-            Purpose::Worker(m) => {
+            CallPurpose::MachineList => self.machine_list_received(&result),
+            CallPurpose::SuspectCall { machine, sent } => {
+                self.suspect_call_completed(&machine, sent, &result)
+            }
+            CallPurpose::SuspectDeletion(ids) => self.suspect_deletion_completed(&ids, &result),
+            CallPurpose::WorkerCall(m) => {
                 self.controller.called(&m, id, &result, self.now);
                 self.send_worker_calls();
-                self.sync(false);
+                self.send_sync(false);
             }
-            Purpose::Probe(m) => {
+            CallPurpose::Probe(m) => {
                 if let CallResult::Answer { status: 200, body } = &result
                     && let Ok(r) = serde_json::from_slice::<Report>(body)
                     && r.host == m.as_str()
@@ -452,13 +459,13 @@
         }
     }
 
-    fn end_lease(&mut self, lease: u64) {
+    fn revoke_lease(&mut self, lease: u64) {
         let id =
             self.call_state_service("DELETE", format!("/grants/{lease}"), Vec::new(), Micros::millis(1000));
-        self.calls.insert(id, Purpose::EndLease);
+        self.calls.insert(id, CallPurpose::RevokeLease);
     }
 
-    fn listed_page(
+    fn list_page_received(
         &mut self,
         from: Option<String>,
         first: Option<u64>,
@@ -533,7 +540,7 @@
     fn read_barrier_completed(&mut self, waiting: Vec<(Waiter, Micros)>, result: CallResult) {
         self.pending.barrier_in_flight = false;
         self.status.read_barrier_completed(&result, self.now);
-        let news: Option<News> = match &result {
+        let response: Option<News> = match &result {
             CallResult::Answer { status: 200, body } => serde_json::from_slice(body).ok(),
             CallResult::Answer { status: 410, .. } => {
                 info!(
@@ -545,7 +552,7 @@
             }
             _ => None,
         };
-        match news {
+        match response {
             Some(n) => {
                 self.status.caught_up(self.now);
                 self.apply_events(n);
--- a/crates/core/src/node/peers.rs
+++ b/crates/core/src/node/peers.rs
@@ -5,7 +5,7 @@
 /// How often changes of the view are sent to a leader that keeps up.
 const VIEW_INTERVAL: Micros = Micros::millis(40);
 /// How often the whole view is sent, while the leader has none of this controller.
-const WHOLE_VIEW_INTERVAL: Micros = Micros::millis(200);
+const FULL_VIEW_INTERVAL: Micros = Micros::millis(200);
 /// How often a view without changes is sent.
 const IDLE_VIEW_INTERVAL: Micros = Micros::millis(500);
 
@@ -29,7 +29,7 @@
 
     pub(super) fn send(&mut self, to: NodeId, m: Message) {
         if to == self.members.me {
-            return self.peer(to, 1, m);
+            return self.receive_message(to, 1, m);
         }
         if self.in_contact(to, PEER_TIMEOUT) {
             return self.out.send(to, m);
@@ -44,7 +44,7 @@
                     Envelope { from: self.members.me, incarnation: self.incarnation, message: m.clone() };
                 self.out.send(r, Message::Forward { to, envelope: envelope.pack() });
             }
-            None => self.relay.keep(to, &m),
+            None => self.relay.enqueue(to, &m),
         }
         self.out.send(to, m);
     }
@@ -56,9 +56,9 @@
     /// Posts messages for which no other path is left, in as many parts as the limit on values
     /// requires, and as often as a small part of the budget allows. A message with more parts than
     /// a transaction holds is posted in several transactions, one after another.
-    pub(super) fn send_relayed(&mut self) {
+    pub(super) fn post_queued_messages(&mut self) {
         if self.relay.outgoing.is_empty()
-            || self.relay.posting()
+            || self.relay.is_posting()
             || self.now < self.relay.next_at
             || !self.reflector.state_reachable(self.now)
         {
@@ -72,7 +72,7 @@
             }
             let envelope = Envelope { from: self.members.me, incarnation: self.incarnation, message };
             let receiver = &self.members.names[to.0 as usize];
-            let Some(parts) = self.relay.cut(receiver, &me, &envelope, &self.limits) else {
+            let Some(parts) = self.relay.split(receiver, &me, &envelope, &self.limits) else {
                 debug!("message to controller {} is too long for the state service", to.0);
                 continue;
             };
@@ -81,8 +81,8 @@
                 continue;
             }
             posted += parts;
-            self.post_relayed(self.relay.number(), true);
-            if self.relay.posting() {
+            self.post_next_transaction(self.relay.number(), true);
+            if self.relay.is_posting() {
                 break;
             }
         }
@@ -93,14 +93,14 @@
     }
 
     /// Posts the next transaction of a message, if the previous one succeeded.
-    pub(super) fn post_relayed(&mut self, number: u64, taken: bool) {
+    pub(super) fn post_next_transaction(&mut self, number: u64, taken: bool) {
         if let Some(txn) = self.relay.next_txn(number, taken) {
             let call = self.send_transaction(&txn);
-            self.calls.insert(call, Purpose::Mail(number));
+            self.calls.insert(call, CallPurpose::RelayedMessage(number));
         }
     }
 
-    pub(super) fn peer(&mut self, from: NodeId, incarnation: u64, m: Message) {
+    pub(super) fn receive_message(&mut self, from: NodeId, incarnation: u64, m: Message) {
         match m {
             Message::Ping { state_ok, hears, queued, loaded } => {
                 if let Some(p) = self.peers.states.get_mut(from.0 as usize) {
@@ -120,7 +120,7 @@
                 } else if let Some(p) = Envelope::unpack(&envelope).filter(|p| p.from != to) {
                     // One hop: a forwarded envelope holds no other envelope to forward.
                     if !matches!(p.message, Message::Forward { .. }) {
-                        self.peer(p.from, p.incarnation, p.message);
+                        self.receive_message(p.from, p.incarnation, p.message);
                     }
                 }
             }
@@ -151,7 +151,8 @@
                 stops,
                 running,
             } => {
-                if mine != self.my_incarnation(from) || !self.controller.accept_update(term, seq, base) {
+                if mine != self.expected_incarnation(from) || !self.controller.accept_update(term, seq, base)
+                {
                     return;
                 }
                 self.peers.record_leader_contact(term, from, self.now);
@@ -171,7 +172,7 @@
                 self.controller.take_stops(&stops);
                 self.answer_deferred();
                 self.send_worker_calls();
-                self.sync(false);
+                self.send_sync(false);
             }
             Message::Books(page) => {
                 let (on_record, _) = &self.reflector.ledger.books;
@@ -204,7 +205,7 @@
             }
             Message::Probe { id, addr } => {
                 let call = self.out.call(status_call(addr));
-                self.calls.insert(call, Purpose::Probe(id));
+                self.calls.insert(call, CallPurpose::Probe(id));
             }
         }
     }
@@ -212,7 +213,7 @@
     /// The incarnation that updates from a controller must be meant for. A node's messages to
     /// itself carry incarnation 1, those to other controllers the process's own. Updates that are
     /// meant for another process are dropped.
-    pub(super) fn my_incarnation(&self, from: NodeId) -> u64 {
+    pub(super) fn expected_incarnation(&self, from: NodeId) -> u64 {
         if from == self.members.me { 1 } else { self.incarnation() }
     }
 
@@ -221,13 +222,13 @@
         self.incarnation
     }
 
-    pub(super) fn sync(&mut self, force: bool) {
+    pub(super) fn send_sync(&mut self, force: bool) {
         let Some(to) = self.leader_node() else { return };
         let term = self.leader_term();
         let first = std::mem::replace(&mut self.peers.sync_term, term) != term;
         // A leader that has acknowledged nothing gets the whole view, less often.
         let pause = match (self.controller.dirty, self.controller.unknown_to(term)) {
-            (true, true) => WHOLE_VIEW_INTERVAL,
+            (true, true) => FULL_VIEW_INTERVAL,
             (true, false) => VIEW_INTERVAL,
             (false, _) => IDLE_VIEW_INTERVAL,
         };
--- a/crates/core/src/node/refusals.rs
+++ b/crates/core/src/node/refusals.rs
@@ -15,61 +15,61 @@
 
 /// A record that was part of a rejected transaction.
 #[derive(Debug, Clone, Copy, Default)]
-struct Refusal {
+struct Rejection {
     /// How often it was rejected alone.
-    times: u32,
+    rejected_alone: u32,
     /// It is skipped until then.
     until: Micros,
 }
 
 /// Records to write alone, by key.
 #[derive(Debug, Default)]
-pub(super) struct Refusals {
-    by_key: BTreeMap<String, Refusal>,
+pub(super) struct RejectedWrites {
+    rejections: BTreeMap<String, Rejection>,
 }
 
-impl Refusals {
+impl RejectedWrites {
     /// Whether the record must not share a transaction.
-    pub fn goes_alone(&self, write: &LeaderWrite) -> bool {
-        !self.by_key.is_empty() && self.by_key.contains_key(&key_of(write))
+    pub fn must_be_alone(&self, write: &LeaderWrite) -> bool {
+        !self.rejections.is_empty() && self.rejections.contains_key(&write_key(write))
     }
 
     /// Whether the record is skipped for now.
-    pub fn waits(&self, write: &LeaderWrite, now: Micros) -> bool {
-        !self.by_key.is_empty() && self.by_key.get(&key_of(write)).is_some_and(|r| now < r.until)
+    pub fn is_paused(&self, write: &LeaderWrite, now: Micros) -> bool {
+        !self.rejections.is_empty() && self.rejections.get(&write_key(write)).is_some_and(|r| now < r.until)
     }
 
     /// A transaction with these records was rejected.
-    pub fn refused(&mut self, writes: &[LeaderWrite], reason: &str, now: Micros) {
+    pub fn record_rejection(&mut self, writes: &[LeaderWrite], reason: &str, now: Micros) {
         let alone = writes.len() == 1;
         for write in writes {
-            let key = key_of(write);
-            let refusal = self.by_key.entry(key.clone()).or_default();
+            let key = write_key(write);
+            let rejection = self.rejections.entry(key.clone()).or_default();
             if !alone {
                 continue;
             }
-            if refusal.times == 0 {
+            if rejection.rejected_alone == 0 {
                 error!("record refused key={key} reason={reason}");
             }
-            let pause = FIRST_PAUSE.0 << refusal.times.min(MAX_DOUBLINGS);
-            refusal.times += 1;
-            refusal.until = now + Micros(pause);
+            let pause = FIRST_PAUSE.0 << rejection.rejected_alone.min(MAX_DOUBLINGS);
+            rejection.rejected_alone += 1;
+            rejection.until = now + Micros(pause);
         }
     }
 
     /// A transaction with these records was accepted.
-    pub fn accepted(&mut self, writes: &[LeaderWrite]) {
-        if self.by_key.is_empty() {
+    pub fn record_success(&mut self, writes: &[LeaderWrite]) {
+        if self.rejections.is_empty() {
             return;
         }
         for write in writes {
-            self.by_key.remove(&key_of(write));
+            self.rejections.remove(&write_key(write));
         }
     }
 }
 
 /// The key that identifies a record, also when its content has changed.
-fn key_of(write: &LeaderWrite) -> String {
+fn write_key(write: &LeaderWrite) -> String {
     match write {
         LeaderWrite::End(id)
         | LeaderWrite::Settle(id)
@@ -89,26 +89,26 @@
     use gorseshore_protocol::ids::JobId;
 
     #[test]
-    fn a_refused_write_holds_up_no_other() {
+    fn a_rejected_write_does_not_block_others() {
         let (bad, good) = (LeaderWrite::End(JobId(1)), LeaderWrite::End(JobId(2)));
-        let mut refusals = Refusals::default();
-        assert!(!refusals.goes_alone(&bad));
+        let mut writes = RejectedWrites::default();
+        assert!(!writes.must_be_alone(&bad));
         // Rejected together: it is unknown which of them is invalid.
-        refusals.refused(&[bad.clone(), good.clone()], "too long", Micros(0));
+        writes.record_rejection(&[bad.clone(), good.clone()], "too long", Micros(0));
         for w in [&bad, &good] {
-            assert!(refusals.goes_alone(w) && !refusals.waits(w, Micros(0)), "{w:?}");
+            assert!(writes.must_be_alone(w) && !writes.is_paused(w, Micros(0)), "{w:?}");
         }
-        refusals.accepted(std::slice::from_ref(&good));
-        assert!(!refusals.goes_alone(&good));
+        writes.record_success(std::slice::from_ref(&good));
+        assert!(!writes.must_be_alone(&good));
         // (rejected alone at, skipped until), in seconds
         let pauses = [(0, 1), (1, 3), (3, 7), (100, 108)];
         for (at, until) in pauses {
-            refusals.refused(std::slice::from_ref(&bad), "too long", Micros::secs(at));
-            assert!(refusals.waits(&bad, Micros::millis(until * 1000 - 1)), "{at}");
-            assert!(!refusals.waits(&bad, Micros::secs(until)), "{at}");
-            assert!(refusals.goes_alone(&bad));
+            writes.record_rejection(std::slice::from_ref(&bad), "too long", Micros::secs(at));
+            assert!(writes.is_paused(&bad, Micros::millis(until * 1000 - 1)), "{at}");
+            assert!(!writes.is_paused(&bad, Micros::secs(until)), "{at}");
+            assert!(writes.must_be_alone(&bad));
         }
-        refusals.accepted(std::slice::from_ref(&bad));
-        assert!(!refusals.goes_alone(&bad) && !refusals.waits(&bad, Micros(0)));
+        writes.record_success(std::slice::from_ref(&bad));
+        assert!(!writes.must_be_alone(&bad) && !writes.is_paused(&bad, Micros(0)));
     }
 }
--- a/crates/core/src/node/relay.rs
+++ b/crates/core/src/node/relay.rs
@@ -11,15 +11,15 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// Bytes of a part's value besides its text.
-const PART_OVERHEAD: usize = 100;
+const PART_OVERHEAD_BYTES: usize = 100;
 /// Bytes for the text of a transaction's parts, out of the 64 KiB that a transaction may have.
 const TXN_TEXT_BYTES: usize = 56_000;
 /// Most transactions of one message; they are posted one after another.
-const MAX_TXNS: usize = 4;
+const MAX_TXNS_PER_MESSAGE: usize = 4;
 
 /// A part of a message as it is stored: the sender's incarnation, message number, index of the
 /// part, number of parts, text.
-type Part = (u64, u64, usize, usize, String);
+type MessagePart = (u64, u64, usize, usize, String);
 
 /// Messages that wait to be posted, and received parts.
 #[derive(Debug, Default)]
@@ -27,77 +27,84 @@
     /// The last message of each kind for each controller.
     pub outgoing: BTreeMap<(NodeId, u8), Message>,
     pub next_at: Micros,
-    count: u64,
+    last_number: u64,
     /// Transactions of the current message that follow the one in flight.
-    rest: VecDeque<Multi>,
+    remaining_txns: VecDeque<Multi>,
     /// Messages received in part, by the sender's incarnation: message number, text so far, parts
     /// so far.
-    open: BTreeMap<u64, (u64, String, usize)>,
+    incomplete: BTreeMap<u64, (u64, String, usize)>,
 }
 
 impl Relay {
     /// Queues a message until it can be posted. Only messages that carry a sender's state are worth
     /// it; a newer one replaces an older one.
-    pub fn keep(&mut self, to: NodeId, m: &Message) {
-        let sort = match m {
+    pub fn enqueue(&mut self, to: NodeId, m: &Message) {
+        let kind = match m {
             Message::Sync { .. } => 0,
             Message::Update { .. } => 1,
             _ => return,
         };
-        self.outgoing.insert((to, sort), m.clone());
+        self.outgoing.insert((to, kind), m.clone());
     }
 
     /// Whether a message is still being posted: the parts of two messages would mix at the
     /// receiver.
-    pub fn posting(&self) -> bool {
-        !self.rest.is_empty()
+    pub fn is_posting(&self) -> bool {
+        !self.remaining_txns.is_empty()
     }
 
     /// Splits a message into transactions, each with as many parts as the limits allow, and queues
     /// them. Returns the number of parts, or `None` if the message is too long.
-    pub fn cut(&mut self, to: &str, from: &str, envelope: &Envelope, limits: &StoreLimits) -> Option<usize> {
+    pub fn split(
+        &mut self,
+        to: &str,
+        from: &str,
+        envelope: &Envelope,
+        limits: &StoreLimits,
+    ) -> Option<usize> {
         let text = BASE64.encode(&envelope.pack());
         let in_txn = TXN_TEXT_BYTES / limits.txn_ops.max(1);
-        let room = limits.value_bytes.saturating_sub(PART_OVERHEAD).min(in_txn).max(PART_OVERHEAD);
+        let part_bytes =
+            limits.value_bytes.saturating_sub(PART_OVERHEAD_BYTES).min(in_txn).max(PART_OVERHEAD_BYTES);
         let parts: Vec<&str> =
-            text.as_bytes().chunks(room).filter_map(|part| std::str::from_utf8(part).ok()).collect();
-        if parts.len() > limits.txn_ops * MAX_TXNS {
+            text.as_bytes().chunks(part_bytes).filter_map(|part| std::str::from_utf8(part).ok()).collect();
+        if parts.len() > limits.txn_ops * MAX_TXNS_PER_MESSAGE {
             return None;
         }
-        self.count += 1;
+        self.last_number += 1;
         let put = |(i, part): (usize, &&str)| Write::Put {
             put: keys::mail(to, &format!("{from}/{i}")),
-            v: json!([envelope.incarnation, self.count, i, parts.len(), part]),
+            v: json!([envelope.incarnation, self.last_number, i, parts.len(), part]),
             hold: None,
         };
         let writes: Vec<Write> = parts.iter().enumerate().map(put).collect();
         let txn = |writes: &[Write]| Multi { when: Vec::new(), writes: writes.to_vec() };
-        self.rest = writes.chunks(limits.txn_ops.max(1)).map(txn).collect();
+        self.remaining_txns = writes.chunks(limits.txn_ops.max(1)).map(txn).collect();
         Some(parts.len())
     }
 
     /// Number of the last message that was split.
     pub fn number(&self) -> u64 {
-        self.count
+        self.last_number
     }
 
     /// The next transaction of message `number`, if the previous one succeeded.
     pub fn next_txn(&mut self, number: u64, taken: bool) -> Option<Multi> {
-        if number != self.count {
+        if number != self.last_number {
             return None;
         }
         if !taken {
             // The receiver skips later parts without the parts before them.
-            self.rest.clear();
+            self.remaining_txns.clear();
         }
-        self.rest.pop_front()
+        self.remaining_txns.pop_front()
     }
 
     /// Handles a received part; the parts of one message arrive in order. Returns the envelope once
     /// it is complete.
-    pub fn open(&mut self, v: &serde_json::Value) -> Option<Envelope> {
-        let (sender, number, i, n, text) = Part::deserialize(v).ok()?;
-        let partial = self.open.entry(sender).or_default();
+    pub fn receive_part(&mut self, v: &serde_json::Value) -> Option<Envelope> {
+        let (sender, number, i, n, text) = MessagePart::deserialize(v).ok()?;
+        let partial = self.incomplete.entry(sender).or_default();
         if i == 0 {
             *partial = (number, String::new(), 0);
         }
@@ -109,7 +116,7 @@
         if partial.2 < n {
             return None;
         }
-        let (_, text, _) = self.open.remove(&sender)?;
+        let (_, text, _) = self.incomplete.remove(&sender)?;
         Envelope::unpack(&BASE64.decode(text.as_bytes()).ok()?)
     }
 }
@@ -136,13 +143,13 @@
     fn receive(relay: &mut Relay, transactions: &[Multi]) -> Option<Envelope> {
         let parts = transactions.iter().flat_map(|txn| &txn.writes);
         parts.fold(None, |whole, write| match write {
-            Write::Put { v, .. } => whole.or(relay.open(v)),
+            Write::Put { v, .. } => whole.or(relay.receive_part(v)),
             Write::Remove { .. } => whole,
         })
     }
 
     #[test]
-    fn messages_go_in_parts_within_the_limits() {
+    fn messages_are_split_within_the_limits() {
         // (longest value, writes per transaction, message bytes, transactions; `None`: too long)
         let cases = [
             (4000, 8, 100, Some(1)),
@@ -158,7 +165,7 @@
             let what = format!("{value_bytes} {txn_ops} {bytes}");
             let (limits, sent) = (limits(value_bytes, txn_ops), envelope(bytes));
             let (mut from, mut to) = (Relay::default(), Relay::default());
-            let parts = from.cut("n1", "n0", &sent, &limits);
+            let parts = from.split("n1", "n0", &sent, &limits);
             assert_eq!(parts.is_some(), want.is_some(), "{what}");
             let transactions = transactions(&mut from);
             assert_eq!(transactions.len(), want.unwrap_or(0), "{what}");
@@ -176,20 +183,20 @@
     }
 
     #[test]
-    fn a_message_that_is_broken_off_disturbs_no_other() {
+    fn an_aborted_message_does_not_affect_others() {
         let small = limits(2000, 4);
         let (mut from, mut to) = (Relay::default(), Relay::default());
-        from.cut("n1", "n0", &envelope(20_000), &small);
+        from.split("n1", "n0", &envelope(20_000), &small);
         let number = from.number();
         let first = from.next_txn(number, true).unwrap();
-        assert!(from.posting());
+        assert!(from.is_posting());
         assert_eq!(from.next_txn(number, false), None);
-        assert!(!from.posting());
+        assert!(!from.is_posting());
         let second = envelope(9000);
-        from.cut("n1", "n0", &second, &small);
+        from.split("n1", "n0", &second, &small);
         // A late result of the previous message does not affect this one.
         assert_eq!(from.next_txn(number, false), None);
-        assert!(from.posting());
+        assert!(from.is_posting());
         let second_transactions = transactions(&mut from);
         assert!(receive(&mut to, &[first]).is_none());
         assert_eq!(receive(&mut to, &second_transactions).map(|e| e.pack()), Some(second.pack()));
--- a/crates/core/src/node/requests.rs
+++ b/crates/core/src/node/requests.rs
@@ -201,7 +201,7 @@
         let waiting = std::mem::take(&mut self.pending.waiters);
         let path = format!("/follow?prefix={}&from={}&hold_ms=0", keys::ROOT, self.reflector.ledger.applied);
         let id = self.call_state_service("GET", path, Vec::new(), Micros::millis(1200));
-        self.calls.insert(id, Purpose::Barrier(waiting));
+        self.calls.insert(id, CallPurpose::ReadBarrier(waiting));
         self.pending.barrier_in_flight = true;
         self.status.read_barrier_sent(self.now);
     }
@@ -309,7 +309,7 @@
                         }
                     }
                     let call = self.send_transaction(&m);
-                    self.calls.insert(call, Purpose::Write(w));
+                    self.calls.insert(call, CallPurpose::Write(w));
                     continue;
                 }
                 PendingWrite::Submit(_, spec) => (vec![When { path: keys::job(spec.id), stamp: 0 }], records),
@@ -323,7 +323,7 @@
             };
             let writes = writes.into_iter().map(|(put, v)| Write::Put { put, v, hold: None }).collect();
             let call = self.send_transaction(&Multi { when, writes });
-            self.calls.insert(call, Purpose::Write(w));
+            self.calls.insert(call, CallPurpose::Write(w));
         }
     }
 
--- a/crates/core/src/node/stand_in.rs
+++ b/crates/core/src/node/stand_in.rs
@@ -75,7 +75,7 @@
         if self.catalogue.bucket.take(self.now, 1.0, 0.0) {
             self.liveness.list_sent();
             let id = self.out.call(call);
-            self.calls.insert(id, Purpose::MachineList);
+            self.calls.insert(id, CallPurpose::MachineList);
         }
     }
 
@@ -101,7 +101,7 @@
         let recorded = self.reflector.ledger.machines.get(&id).map(|m| m.addr.as_str());
         let Some(address) = recorded.or(self.liveness.address(&id)) else { return };
         let call = self.out.call(status_call(address.to_owned()));
-        self.calls.insert(call, Purpose::Deputy { machine: id, sent: self.now });
+        self.calls.insert(call, CallPurpose::SuspectCall { machine: id, sent: self.now });
     }
 
     fn delete_suspects(&mut self, ids: Vec<MachineId>) {
@@ -109,7 +109,7 @@
         warn!("no leader: deleted for cancelled tasks that may be there: {}", names.join(" "));
         self.catalogue.bucket.force(self.now, 1.0);
         let call = self.out.call(delete_call(names));
-        self.calls.insert(call, Purpose::DeputyDelete(ids));
+        self.calls.insert(call, CallPurpose::SuspectDeletion(ids));
     }
 
     /// Handles the result of a deletion.
@@ -223,7 +223,7 @@
             body: serde_json::to_vec(&stops).unwrap_or_default(),
             timeout: STATUS_TIMEOUT,
         });
-        self.calls.insert(call, Purpose::Deputy { machine: machine.clone(), sent: self.now });
+        self.calls.insert(call, CallPurpose::SuspectCall { machine: machine.clone(), sent: self.now });
     }
 
     /// Logs an answer that changes nothing, once per machine.
--- a/crates/core/src/node/stand_in/tests.rs
+++ b/crates/core/src/node/stand_in/tests.rs
@@ -30,10 +30,10 @@
 txn_ops = 12
 "#;
 
-const BEGAN: Micros = Micros::secs(100);
+const START: Micros = Micros::secs(100);
 
 fn node() -> Node {
-    Node::new(&Platform::parse(PLATFORM).unwrap(), Operator::default(), 1, 7, BEGAN)
+    Node::new(&Platform::parse(PLATFORM).unwrap(), Operator::default(), 1, 7, START)
 }
 
 /// A report of a machine without tasks.
@@ -83,21 +83,21 @@
 /// replaced by later ones, so a machine that was idle then counted as idle in an outage an hour
 /// later, whatever it held.
 #[test]
-fn what_was_heard_before_the_state_was_read_does_not_speak_for_a_machine_later() {
+fn heartbeats_from_before_the_state_was_read_are_no_evidence_later() {
     let mut node = node();
     let report = idle_report("m0", 1);
     node.checkin(RequestId(1), &report);
     node.reflector.loaded = true;
-    node.reflector.last_success = Some(BEGAN);
+    node.reflector.last_success = Some(START);
     node.enforce_without_leader();
     // Tasks are started on it: heartbeats are not recorded while the state is known.
-    node.now = BEGAN + Micros::secs(3_600);
+    node.now = START + Micros::secs(3_600);
     node.reflector.last_success = Some(node.now);
     node.enforce_without_leader();
     // An outage in which no controller with the placement log is left; the machine hangs.
     set_listed_machines(&mut node, &["m0", "m1"]);
-    let began = node.now;
-    let reason = reason_after_silence(&mut node, began);
+    let outage_start = node.now;
+    let reason = reason_after_silence(&mut node, outage_start);
     assert_eq!(
         reason,
         Some(ProbeReason::Silent),
@@ -107,22 +107,22 @@
 }
 
 #[test]
-fn answers_that_are_not_the_machines_own_report_are_no_sign_of_life() {
+fn answers_other_than_the_machines_own_report_do_not_count_as_responses() {
     let answer = |status, body: Vec<u8>| CallResult::Answer { status, body };
-    let whole = idle_report("m0", 9);
+    let report = idle_report("m0", 9);
     // What arrives for m0 after its probes failed, and how many machines do not answer then.
     let cases = [
-        ("its report", answer(200, whole.clone()), 0),
-        ("its report, refused orders", answer(409, whole.clone()), 0),
+        ("its report", answer(200, report.clone()), 0),
+        ("its report, refused orders", answer(409, report.clone()), 0),
         ("another machine's at its address", answer(200, idle_report("m7", 9)), 1),
-        ("a torn body", answer(200, whole[..whole.len() - 3].to_vec()), 1),
-        ("an error", answer(503, whole.clone()), 1),
+        ("a torn body", answer(200, report[..report.len() - 3].to_vec()), 1),
+        ("an error", answer(503, report.clone()), 1),
         ("nothing was sent", CallResult::NotSent, 1),
     ];
     for (what, result, unanswering) in cases {
         let mut node = node();
         set_listed_machines(&mut node, &["m0", "m1"]);
-        assert_eq!(reason_after_silence(&mut node, BEGAN), Some(ProbeReason::Silent));
+        assert_eq!(reason_after_silence(&mut node, START), Some(ProbeReason::Silent));
         let sent = node.now;
         node.now = sent + Micros::millis(20);
         node.suspect_call_completed(&MachineId::from("m0"), sent, &result);
--- a/crates/core/src/node/status/tests.rs
+++ b/crates/core/src/node/status/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn the_status_line_tells_answers_refusals_and_lateness_apart() {
+fn the_status_line_separates_answers_refusals_and_delays() {
     let ms = Micros::millis;
     let mut status = ServiceStatus::new(ms(1000));
     for id in 1..=5 {
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn an_answer_on_proof_that_is_older_than_its_question_is_noticed() {
+fn an_answer_from_a_read_barrier_older_than_its_query_is_a_violation() {
     // (query arrived, read barrier sent, violations), in milliseconds
     for (came, sent, violations) in [(2000, 2000, 0), (2000, 2500, 0), (2500, 2000, 1)] {
         let mut status = ServiceStatus::new(Micros::millis(1000));
--- a/crates/core/src/node/workers.rs
+++ b/crates/core/src/node/workers.rs
@@ -36,7 +36,7 @@
                 // Other controllers reach the worker if it has a token from them, now or since its
                 // lease was renewed here. A worker without tasks loses nothing on the way to them.
                 let renewed_token = self.deferred_check_ins.renewed_tokens.get(&machine).copied();
-                let may_be_superseded = matches!(reply, CheckinReply::Lost(_))
+                let may_redirect = matches!(reply, CheckinReply::Lost(_))
                     || renewed_token.is_some_and(|b| r.baton > b)
                     || r.pieces.is_empty();
                 match self.redirect_target(&machine, to) {
@@ -44,7 +44,7 @@
                     // This node has no contact with the state service or any controller and can't
                     // serve the worker. A worker with tasks that no other controller seems to reach
                     // is kept alive: they may all be as isolated.
-                    None if may_be_superseded && self.is_isolated() => {
+                    None if may_redirect && self.is_isolated() => {
                         debug!("{machine}: redirected, this controller can't serve it");
                         // If it returns with the same token, no other controller could serve it
                         // either.
@@ -164,7 +164,7 @@
     /// Sends the calls that are due to workers of machines held here.
     pub(super) fn send_worker_calls(&mut self) {
         for (call, machine) in self.controller.drive(&self.reflector.ledger, self.now, &mut self.out) {
-            self.calls.insert(call, Purpose::Worker(machine));
+            self.calls.insert(call, CallPurpose::WorkerCall(machine));
         }
     }
 }
