--- a/crates/core/src/node/cancellations.rs
+++ b/crates/core/src/node/cancellations.rs
@@ -69,9 +69,9 @@
 impl Cancellations {
     /// Merges a cancellation; returns whether it was new here.
     fn merge(&mut self, c: &Cancellation, nodes: usize, now: Micros) -> bool {
-        if let Some(k) = self.jobs.get_mut(&c.job) {
-            k.record.told |= c.told;
-            for (mine, theirs) in k.record.known_by.iter_mut().zip(&c.known_by) {
+        if let Some(tracked) = self.jobs.get_mut(&c.job) {
+            tracked.record.told |= c.told;
+            for (mine, theirs) in tracked.record.known_by.iter_mut().zip(&c.known_by) {
                 *mine = (*mine).max(*theirs);
             }
             return false;
@@ -133,11 +133,11 @@
         self.track_cancellation(job);
         let until = self.now + CONFIRMATION_TIMEOUT;
         let reachable = self.leader_node().is_some_and(|n| n == self.members.me || self.has_path(n));
-        let Some(k) = self.cancellations.jobs.get_mut(&job) else { return };
-        if !k.record.told && !reachable {
+        let Some(tracked) = self.cancellations.jobs.get_mut(&job) else { return };
+        if !tracked.record.told && !reachable {
             return self.fail_confirmation(requester);
         }
-        k.requesters.push((requester, until));
+        tracked.requesters.push((requester, until));
         self.cancellations.scan_now = true;
         self.propagate_cancellations();
     }
@@ -176,43 +176,44 @@
         if self.reflector.ledger.jobs.get(&job).is_some_and(|j| j.settled) {
             return true;
         }
-        let Some(k) = self.cancellations.jobs.get(&job) else { return false };
-        k.record.told || self.is_acknowledged(k)
+        let Some(tracked) = self.cancellations.jobs.get(&job) else { return false };
+        tracked.record.told || self.is_acknowledged(tracked)
     }
 
     /// Whether every controller that must know of a cancellation has acknowledged it.
-    fn is_acknowledged(&self, k: &TrackedCancellation) -> bool {
+    fn is_acknowledged(&self, tracked: &TrackedCancellation) -> bool {
         // A leader that acquired its key before the record was written has to be notified. Only a
         // state replica that holds the record shows whether there is such a leader.
-        let applied = self.reflector.ledger.applied >= k.record.stamp;
+        let applied = self.reflector.ledger.applied >= tracked.record.stamp;
         let contacts_acknowledged =
             self.peers.all().filter(|n| *n != self.members.me && self.in_contact(*n, PEER_TIMEOUT)).all(
                 |n| {
                     let process = self.peers.states[n.0 as usize].incarnation;
-                    k.record.known_by[n.0 as usize] >= process
+                    tracked.record.known_by[n.0 as usize] >= process
                 },
             );
         applied && contacts_acknowledged && {
-            let guaranteed = k.guaranteed_term.max(self.guaranteed_term(k).unwrap_or(0));
+            let guaranteed = tracked.guaranteed_term.max(self.guaranteed_term(tracked).unwrap_or(0));
             guaranteed > 0 && guaranteed >= self.leader_term()
         }
     }
 
     /// The term of this leader, if no start of the job can follow.
-    fn guaranteed_term(&self, k: &TrackedCancellation) -> Option<u64> {
+    fn guaranteed_term(&self, tracked: &TrackedCancellation) -> Option<u64> {
         let leader = self.leadership.leader.as_ref()?;
-        let ended: Vec<NodeId> =
+        let down: Vec<NodeId> =
             self.peers.all().filter(|n| self.peers.is_process_down(*n, self.now)).collect();
-        let open = leader.start_may_follow(k.record.job, &k.record.known_by, &ended, self.now);
-        (!open).then_some(leader.term)
+        let start_possible =
+            leader.start_may_follow(tracked.record.job, &tracked.record.known_by, &down, self.now);
+        (!start_possible).then_some(leader.term)
     }
 
     /// Notifies controllers that have to know, and answers requests whose cancellation is fully
     /// acknowledged.
     pub(super) fn propagate_cancellations(&mut self) {
         let (now, me) = (self.now, self.members.me);
-        let scan_interval_open = now.since(self.cancellations.scanned_at) < SCAN_INTERVAL;
-        if scan_interval_open && !std::mem::take(&mut self.cancellations.scan_now) {
+        let recently_scanned = now.since(self.cancellations.scanned_at) < SCAN_INTERVAL;
+        if recently_scanned && !std::mem::take(&mut self.cancellations.scan_now) {
             return;
         }
         self.cancellations.scanned_at = now;
@@ -220,25 +221,26 @@
         // kept only for four times the cancellation time: by then its tasks have left their
         // machines, or the state service provides it.
         let (keep, ledger) = (self.leader_config.cancel.scale(4, 1), &self.reflector.ledger);
-        self.cancellations.jobs.retain(|job, k| {
-            !k.requesters.is_empty()
-                || now.since(k.since) < keep && ledger.jobs.get(job).is_none_or(|j| !j.settled)
+        self.cancellations.jobs.retain(|job, tracked| {
+            !tracked.requesters.is_empty()
+                || now.since(tracked.since) < keep && ledger.jobs.get(job).is_none_or(|j| !j.settled)
         });
         if self.cancellations.jobs.is_empty() {
             return;
         }
-        let awaited = self.cancellations.jobs.iter().filter(|(_, k)| !k.requesters.is_empty());
-        let told: Vec<JobId> = awaited.map(|(job, _)| *job).filter(|job| self.is_confirmed(*job)).collect();
+        let awaited = self.cancellations.jobs.iter().filter(|(_, tracked)| !tracked.requesters.is_empty());
+        let confirmed: Vec<JobId> =
+            awaited.map(|(job, _)| *job).filter(|job| self.is_confirmed(*job)).collect();
         let mut done = Vec::new();
-        for job in told {
-            let Some(k) = self.cancellations.jobs.get_mut(&job) else { continue };
-            if !std::mem::replace(&mut k.record.told, true) {
+        for job in confirmed {
+            let Some(tracked) = self.cancellations.jobs.get_mut(&job) else { continue };
+            if !std::mem::replace(&mut tracked.record.told, true) {
                 // The other controllers may confirm it to clients as well, without querying each
                 // other.
-                k.announce_confirmation = true;
-                k.notified_at.fill(None);
+                tracked.announce_confirmation = true;
+                tracked.notified_at.fill(None);
             }
-            done.extend(k.requesters.drain(..).map(|(a, _)| (a, job)));
+            done.extend(tracked.requesters.drain(..).map(|(a, _)| (a, job)));
         }
         for (requester, job) in done {
             match requester {
@@ -247,10 +249,10 @@
             }
         }
         let mut expired = Vec::new();
-        for k in self.cancellations.jobs.values_mut() {
+        for tracked in self.cancellations.jobs.values_mut() {
             let (overdue, remaining): (Vec<_>, Vec<_>) =
-                std::mem::take(&mut k.requesters).into_iter().partition(|(_, until)| now >= *until);
-            k.requesters = remaining;
+                std::mem::take(&mut tracked.requesters).into_iter().partition(|(_, until)| now >= *until);
+            tracked.requesters = remaining;
             expired.extend(overdue.into_iter().map(|(a, _)| a));
         }
         expired.into_iter().for_each(|a| self.fail_confirmation(a));
@@ -263,23 +265,27 @@
             }
             let i = n.0 as usize;
             let process = self.peers.states[i].incarnation;
-            let due = |k: &&mut TrackedCancellation| {
-                let is_awaited = !k.requesters.is_empty() || k.guarantee_owed && !k.record.told;
+            let due = |tracked: &&mut TrackedCancellation| {
+                let is_awaited =
+                    !tracked.requesters.is_empty() || tracked.guarantee_owed && !tracked.record.told;
                 let interval = if is_awaited { RETRY_INTERVAL } else { IDLE_RETRY_INTERVAL };
                 // A controller that is not notified yet usually learns of the end from the state
                 // service; then its acknowledgement is batched with others.
-                let initial_delay = if is_awaited || k.record.told { Micros(0) } else { IDLE_RETRY_INTERVAL };
-                let acknowledged =
-                    k.record.known_by[i] >= process && !(leads && is_awaited && k.guaranteed_term < term);
-                let to_announce = k.announce_confirmation && k.notified_at[i].is_none();
+                let initial_delay =
+                    if is_awaited || tracked.record.told { Micros(0) } else { IDLE_RETRY_INTERVAL };
+                let acknowledged = tracked.record.known_by[i] >= process
+                    && !(leads && is_awaited && tracked.guaranteed_term < term);
+                let to_announce = tracked.announce_confirmation && tracked.notified_at[i].is_none();
                 (!acknowledged || to_announce)
-                    && now.since(k.since) >= initial_delay
-                    && k.notified_at[i].is_none_or(|t| now.since(t) >= interval)
+                    && now.since(tracked.since) >= initial_delay
+                    && tracked.notified_at[i].is_none_or(|t| now.since(t) >= interval)
             };
             let mut batch = Vec::new();
-            for k in self.cancellations.jobs.values_mut().filter(due).take(MAX_CANCELLATIONS_PER_MESSAGE) {
-                k.notified_at[i] = Some(now);
-                batch.push(k.record.clone());
+            for tracked in
+                self.cancellations.jobs.values_mut().filter(due).take(MAX_CANCELLATIONS_PER_MESSAGE)
+            {
+                tracked.notified_at[i] = Some(now);
+                batch.push(tracked.record.clone());
             }
             if !batch.is_empty() {
                 self.send(n, Message::Cancelled(batch));
@@ -299,10 +305,13 @@
         let (mut guaranteed, mut others) = (Vec::new(), Vec::new());
         let leads = self.leadership.leader.as_ref().map(|l| l.term);
         for c in batch {
-            let is_guaranteed =
-                self.cancellations.jobs.get(&c.job).is_some_and(|k| self.guaranteed_term(k).is_some());
-            if let Some(k) = self.cancellations.jobs.get_mut(&c.job) {
-                k.guarantee_owed = leads.is_some() && !is_guaranteed;
+            let is_guaranteed = self
+                .cancellations
+                .jobs
+                .get(&c.job)
+                .is_some_and(|tracked| self.guaranteed_term(tracked).is_some());
+            if let Some(tracked) = self.cancellations.jobs.get_mut(&c.job) {
+                tracked.guarantee_owed = leads.is_some() && !is_guaranteed;
             }
             if is_guaranteed { guaranteed.push(c.job) } else { others.push(c.job) }
         }
@@ -335,13 +344,14 @@
     /// Applies the known cancellations again after the state was read from the start: they still
     /// hold.
     pub(super) fn reapply_cancellations(&mut self) {
-        let batch: Vec<Cancellation> = self.cancellations.jobs.values().map(|k| k.record.clone()).collect();
+        let batch: Vec<Cancellation> =
+            self.cancellations.jobs.values().map(|tracked| tracked.record.clone()).collect();
         batch.iter().for_each(|c| self.apply_cancellation(c));
     }
 
     fn record_acknowledgement(&mut self, job: JobId, n: NodeId, process: u64) {
-        if let Some(k) = self.cancellations.jobs.get_mut(&job) {
-            let known = &mut k.record.known_by[n.0 as usize];
+        if let Some(tracked) = self.cancellations.jobs.get_mut(&job) {
+            let known = &mut tracked.record.known_by[n.0 as usize];
             *known = (*known).max(process);
         }
     }
@@ -358,15 +368,15 @@
         let leader = self.leader_node().filter(|n| *n != from && *n != self.members.me);
         for job in jobs {
             self.record_acknowledgement(*job, from, process);
-            let Some(k) = self.cancellations.jobs.get_mut(job) else { continue };
-            k.guaranteed_term = k.guaranteed_term.max(leads.unwrap_or(0));
+            let Some(tracked) = self.cancellations.jobs.get_mut(job) else { continue };
+            tracked.guaranteed_term = tracked.guaranteed_term.max(leads.unwrap_or(0));
             // A leader that gave no guarantee may have been waiting for exactly this
             // acknowledgement.
             if let Some(i) = leader.map(|n| n.0 as usize)
-                && k.guaranteed_term < term
-                && k.record.known_by[i] >= self.peers.states[i].incarnation.max(1)
+                && tracked.guaranteed_term < term
+                && tracked.record.known_by[i] >= self.peers.states[i].incarnation.max(1)
             {
-                k.notified_at[i] = None;
+                tracked.notified_at[i] = None;
             }
         }
         self.cancellations.scan_now = true;
--- a/crates/core/src/node/duties.rs
+++ b/crates/core/src/node/duties.rs
@@ -61,12 +61,13 @@
     pub(super) fn watch_state(&mut self) {
         if !self.reflector.listed {
             if !self.reflector.list_in_flight && self.now >= self.reflector.next_list_at {
-                let (from, first, ledger) = self.reflector.interrupted_list.take().unwrap_or_else(|| {
-                    let mut ledger = Box::<Ledger>::default();
-                    ledger.aside = self.has_extension.then(Vec::new);
-                    (None, None, ledger)
-                });
-                self.list_state(from, first, ledger);
+                let (from, first_revision, ledger) =
+                    self.reflector.interrupted_list.take().unwrap_or_else(|| {
+                        let mut ledger = Box::<Ledger>::default();
+                        ledger.aside = self.has_extension.then(Vec::new);
+                        (None, None, ledger)
+                    });
+                self.list_state(from, first_revision, ledger);
             }
             return;
         }
@@ -79,7 +80,12 @@
         }
     }
 
-    pub(super) fn list_state(&mut self, from: Option<String>, first: Option<u64>, ledger: Box<Ledger>) {
+    pub(super) fn list_state(
+        &mut self,
+        from: Option<String>,
+        first_revision: Option<u64>,
+        ledger: Box<Ledger>,
+    ) {
         self.reflector.list_in_flight = true;
         if from.is_none() {
             self.reflector.read_progress = ReadProgress { started_at: self.now, ..ReadProgress::default() };
@@ -90,7 +96,7 @@
             path.push_str(f);
         }
         let id = self.call_state_service("GET", path, Vec::new(), Micros::millis(2500));
-        self.calls.insert(id, CallPurpose::List { from, first, ledger });
+        self.calls.insert(id, CallPurpose::List { from, first_revision, ledger });
     }
 
     pub(super) fn apply_events(&mut self, news: News) {
@@ -161,7 +167,7 @@
         if !self.reflector.loaded {
             return;
         }
-        let turn = if self.reflector.ledger.leader.is_none() {
+        let campaign_due = if self.reflector.ledger.leader.is_none() {
             self.may_campaign()
         } else {
             self.leadership.leaderless_since = None;
@@ -171,7 +177,7 @@
             Role::Follower => match &self.reflector.ledger.leader {
                 None if self.now >= self.leadership.election.next_attempt_at
                     && !self.reflector.state_unavailable(self.now)
-                    && turn =>
+                    && campaign_due =>
                 {
                     self.leadership.election.role = Role::Candidate;
                     let lease_ms = self.operator.leader_lease.0 / 1000;
@@ -229,7 +235,7 @@
     /// more of the others go first: a node waits 400 ms for each controller that is out of contact,
     /// unless that controller's process is known to be down.
     pub(super) fn may_campaign(&mut self) -> bool {
-        let unheard = (0..self.peers.states.len())
+        let out_of_contact = (0..self.peers.states.len())
             .map(|i| NodeId(i as u8))
             .filter(|n| {
                 *n != self.members.me
@@ -238,7 +244,7 @@
             })
             .count() as u64;
         let since = *self.leadership.leaderless_since.get_or_insert(self.now);
-        self.now.since(since) >= Micros::millis(400 * unheard)
+        self.now.since(since) >= Micros::millis(400 * out_of_contact)
     }
 
     /// Whether this leader lost contact with all other controllers, and not because their processes
@@ -288,25 +294,25 @@
             }
         }
         self.fetch_placement_log();
-        let may = self.leadership.election.may_lead(self.now);
+        let lease_confirmed = self.leadership.election.may_lead(self.now);
         let Some(l) = self.leadership.leader.as_mut() else { return };
         if l.exhausted() {
             return self.step_down("fencing tokens of the term exhausted");
         }
-        if may {
+        if lease_confirmed {
             l.tick(&self.reflector.ledger, self.now);
         } else {
             l.stop_cancelled(&self.reflector.ledger, self.now);
         }
-        let messages = l.messages(self.now, may);
+        let messages = l.messages(self.now, lease_confirmed);
         for (to, m) in messages {
             self.send(to, m);
         }
-        if may {
+        if lease_confirmed {
             self.record_standby_replicas();
             self.send_leader_writes();
         }
-        self.send_cloud_requests(may);
+        self.send_cloud_requests(lease_confirmed);
     }
 
     /// Gets a new leader the placement log of its predecessor: from this node if it was a standby
@@ -316,8 +322,8 @@
         let Some(w) = l.books_wanted() else { return };
         let term = w.term;
         let me = &self.members.names[self.members.me.0 as usize];
-        let mine = w.nodes.iter().any(|(name, process)| name == me && *process == self.incarnation);
-        if mine && let Some(book) = self.log_replicas.get(term) {
+        let is_standby = w.nodes.iter().any(|(name, process)| name == me && *process == self.incarnation);
+        if is_standby && let Some(book) = self.log_replicas.get(term) {
             return l.inherit(term, book, &self.reflector.ledger);
         }
         if self.now.since(self.log_requested_at) < Micros::millis(200) {
@@ -350,28 +356,30 @@
 
     /// Records which standby replicas hold the placement log, when that changes.
     fn record_standby_replicas(&mut self) {
-        let Role::Leader { stamp: mine, term, .. } = self.leadership.election.role else { return };
+        let Role::Leader { stamp: leader_stamp, term, .. } = self.leadership.election.role else { return };
         let Some(l) = self.leadership.leader.as_mut() else { return };
         let all = (0..self.peers.states.len()).map(|i| NodeId(i as u8));
-        let ended: Vec<NodeId> = all.filter(|n| self.peers.is_process_down(*n, self.now)).collect();
-        let Some((record, stamp)) = l.books_record(&self.reflector.ledger, &ended, self.now) else { return };
+        let down: Vec<NodeId> = all.filter(|n| self.peers.is_process_down(*n, self.now)).collect();
+        let Some((record, stamp)) = l.books_record(&self.reflector.ledger, &down, self.now) else { return };
         let names: Vec<&str> = record.nodes.iter().map(|(n, _)| n.as_str()).collect();
         debug!("standby replicas of term {term}: {}", names.join(", "));
         self.leadership.bucket.force(self.now, 1.0);
-        let when =
-            vec![When { path: keys::LEADER.into(), stamp: mine }, When { path: keys::BOOKS.into(), stamp }];
+        let when = vec![
+            When { path: keys::LEADER.into(), stamp: leader_stamp },
+            When { path: keys::BOOKS.into(), stamp },
+        ];
         let put = Write::Put { put: keys::BOOKS.into(), v: json!(record), hold: None };
         let id = self.send_transaction(&Multi { when, writes: vec![put] });
         self.calls.insert(id, CallPurpose::StandbyRecord(term));
     }
 
     pub(super) fn send_leader_writes(&mut self) {
-        let Role::Leader { stamp: mine, term, .. } = self.leadership.election.role else { return };
+        let Role::Leader { stamp: leader_stamp, term, .. } = self.leadership.election.role else { return };
         // Finding what to write scans all jobs and machines, so it is not done at every input.
-        let again = Micros::millis(40);
+        let scan_interval = Micros::millis(40);
         if self.leadership.open_txns >= 3
             || self.now < self.leadership.next_txn_at
-            || self.now.since(self.leadership.last_scan_at) < again
+            || self.now.since(self.leadership.last_scan_at) < scan_interval
         {
             return;
         }
@@ -380,36 +388,37 @@
         l.note_unrecorded(&self.reflector.ledger, self.now);
         l.note_recorded(&self.reflector.ledger);
         let Some(l) = self.leadership.leader.as_ref() else { return };
-        let todo: Vec<LeaderWrite> = l
+        let pending: Vec<LeaderWrite> = l
             .writes(&self.reflector.ledger, self.limits.value_bytes, self.now)
             .into_iter()
             .filter(|w| !self.leadership.inflight.contains(w))
             .filter(|w| !self.leadership.rejected.is_paused(w, self.now))
             .filter_map(|w| self.leadership.uncontested(w, self.now))
             .collect();
-        let mut m = Multi { when: vec![When { path: keys::LEADER.into(), stamp: mine }], writes: Vec::new() };
-        let mut taken = Vec::new();
+        let mut m =
+            Multi { when: vec![When { path: keys::LEADER.into(), stamp: leader_stamp }], writes: Vec::new() };
+        let mut included = Vec::new();
         let mut size = 0;
-        for w in todo {
+        for w in pending {
             let alone = self.leadership.rejected.must_be_alone(&w);
-            if alone && !taken.is_empty() {
+            if alone && !included.is_empty() {
                 continue;
             }
             let Some(changes) = self.changes_of(&w) else { continue };
             let ops = m.writes.len() + changes.writes.len();
             let conditions = m.when.len() + changes.conditions.len();
-            let too_long = !taken.is_empty() && size + changes.len() > MAX_TXN_BYTES;
+            let too_long = !included.is_empty() && size + changes.len() > MAX_TXN_BYTES;
             if ops > self.limits.txn_ops || conditions > self.limits.txn_conditions() || too_long {
                 break;
             }
             // Progress and cleanup leave budget for writes that clients wait for.
-            let keep = match w {
+            let reserve = match w {
                 LeaderWrite::End(_) | LeaderWrite::Machines(_) | LeaderWrite::Hire(_) => 0.0,
                 LeaderWrite::Failures(..) | LeaderWrite::Fail(..) => 0.0,
                 LeaderWrite::Progress(..) | LeaderWrite::Settle(_) => 1.0,
                 LeaderWrite::CancelledWith(_) | LeaderWrite::Forget(_) => 2.0,
             };
-            if !self.leadership.bucket.take(self.now, changes.writes.len() as f64, keep) {
+            if !self.leadership.bucket.take(self.now, changes.writes.len() as f64, reserve) {
                 break;
             }
             if let (LeaderWrite::Fail(id, index), Some(l)) = (&w, &self.leadership.leader) {
@@ -419,24 +428,24 @@
             m.when.extend(changes.conditions);
             m.writes.extend(changes.writes);
             // One rental name per transaction: rentals share a key.
-            let full = alone
+            let is_complete = alone
                 || matches!(w, LeaderWrite::Hire(_))
-                    && taken.iter().any(|x| matches!(x, LeaderWrite::Hire(_)));
-            taken.push(w);
-            if full {
+                    && included.iter().any(|x| matches!(x, LeaderWrite::Hire(_)));
+            included.push(w);
+            if is_complete {
                 break;
             }
         }
-        if taken.is_empty() {
+        if included.is_empty() {
             return;
         }
         if let Some(l) = self.leadership.leader.as_mut() {
-            taken.iter().for_each(|w| l.writing(w, true));
+            included.iter().for_each(|w| l.writing(w, true));
         }
-        self.leadership.inflight.extend(taken.iter().cloned());
+        self.leadership.inflight.extend(included.iter().cloned());
         self.leadership.open_txns += 1;
         let id = self.send_transaction(&m);
-        self.calls.insert(id, CallPurpose::LeaderWrites(term, taken));
+        self.calls.insert(id, CallPurpose::LeaderWrites(term, included));
     }
 
     /// The conditions and writes of a leader's record, if there are any.
@@ -497,21 +506,21 @@
         }
     }
 
-    pub(super) fn send_cloud_requests(&mut self, may: bool) {
+    pub(super) fn send_cloud_requests(&mut self, lease_confirmed: bool) {
         let Some(l) = self.leadership.leader.as_mut() else { return };
         let term = l.term;
-        let wishes = if may {
+        let requests = if lease_confirmed {
             l.fleet(&self.catalogue.flavors, self.now)
         } else {
             l.deletions(self.now).into_iter().collect()
         };
-        for w in wishes {
-            let keep = match w {
+        for w in requests {
+            let reserve = match w {
                 CloudWish::Delete(_) => 0.0,
                 CloudWish::Hire(_) => 0.5,
                 CloudWish::List(_) => 1.0,
             };
-            if !self.catalogue.bucket.take(self.now, 1.0, keep) {
+            if !self.catalogue.bucket.take(self.now, 1.0, reserve) {
                 continue;
             }
             l.wish_sent(&w, self.now);
@@ -525,13 +534,13 @@
         }
     }
 
-    pub(super) fn cloud_call_completed(&mut self, term: u64, wish: CloudWish, result: &CallResult) {
+    pub(super) fn cloud_call_completed(&mut self, term: u64, request: CloudWish, result: &CallResult) {
         let Some(l) = self.leadership.leader.as_mut().filter(|l| l.term == term) else { return };
         let body = match result {
             CallResult::Answer { status: 200, body } => Some(body),
             _ => None,
         };
-        match wish {
+        match request {
             CloudWish::Delete(ids) => match body {
                 Some(_) => l.deleted(&ids, self.now),
                 None => l.delete_failed(&ids, self.now),
--- a/crates/core/src/node/knowledge.rs
+++ b/crates/core/src/node/knowledge.rs
@@ -14,9 +14,9 @@
 impl Node {
     /// Records contact with a controller that knows where tasks may be.
     pub(super) fn update_placements_known_at(&mut self) {
-        let leads =
+        let leader_in_contact =
             self.leadership.leader.is_some() || self.now.since(self.peers.leader_contact_at) < PEER_TIMEOUT;
-        if leads || self.peers.all().any(|n| self.has_placement_log(n)) {
+        if leader_in_contact || self.peers.all().any(|n| self.has_placement_log(n)) {
             self.placements_known_at = self.now;
         }
     }
@@ -55,8 +55,10 @@
         if self.now.since(self.placements_known_at) < PEER_TIMEOUT {
             return None;
         }
-        let open = self.reflector.ledger.jobs.values().filter(|j| j.phase == Phase::Aborted && !j.settled);
-        open.map(|job| gone_by(job.ended_ms, self.wall_ms, self.leader_config.cancel, self.now))
+        let unsettled =
+            self.reflector.ledger.jobs.values().filter(|j| j.phase == Phase::Aborted && !j.settled);
+        unsettled
+            .map(|job| gone_by(job.ended_ms, self.wall_ms, self.leader_config.cancel, self.now))
             .filter(|by| *by > self.now)
             .min()
     }
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -79,7 +79,7 @@
 enum CallPurpose {
     List {
         from: Option<String>,
-        first: Option<u64>,
+        first_revision: Option<u64>,
         ledger: Box<Ledger>,
     },
     Watch,
@@ -319,7 +319,9 @@
             }
         }
         match p {
-            CallPurpose::List { from, first, ledger } => self.list_page_received(from, first, ledger, result),
+            CallPurpose::List { from, first_revision, ledger } => {
+                self.list_page_received(from, first_revision, ledger, result)
+            }
             CallPurpose::Watch => {
                 self.reflector.watch_in_flight = false;
                 match result {
@@ -468,7 +470,7 @@
     fn list_page_received(
         &mut self,
         from: Option<String>,
-        first: Option<u64>,
+        first_revision: Option<u64>,
         mut ledger: Box<Ledger>,
         result: CallResult,
     ) {
@@ -485,7 +487,7 @@
             self.reflector.read_progress.interruptions += 1;
             if from.is_some() {
                 debug!("state read interrupted");
-                self.reflector.interrupted_list = Some((from, first, ledger));
+                self.reflector.interrupted_list = Some((from, first_revision, ledger));
             }
             return;
         };
@@ -498,17 +500,17 @@
         }
         // Later pages are newer: the watch starts at the first page's revision and its events are
         // applied over them.
-        let first = first.unwrap_or(page.ledger);
+        let first_revision = first_revision.unwrap_or(page.ledger);
         if let (true, Some(last)) = (page.truncated, page.pairs.last()) {
-            return self.list_state(Some(last.path.clone()), Some(first), ledger);
+            return self.list_state(Some(last.path.clone()), Some(first_revision), ledger);
         }
-        ledger.applied = first;
-        let aside = ledger.aside.take().unwrap_or_default();
+        ledger.applied = first_revision;
+        let extension_entries = ledger.aside.take().unwrap_or_default();
         self.reflector.ledger = *ledger;
         self.reapply_cancellations();
         if let Some(g) = self.extension.as_mut() {
-            g.begin(first);
-            for (name, v, stamp) in &aside {
+            g.begin(first_revision);
+            for (name, v, stamp) in &extension_entries {
                 g.apply(name, Some(v), *stamp);
             }
             for (id, job) in self.reflector.ledger.jobs.range(JobId(OWN_IDS)..) {
@@ -526,7 +528,7 @@
         }
         let ReadProgress { started_at, pages, bytes, interruptions } = self.reflector.read_progress;
         info!(
-            "state read revision={first} last_revision={} pages={pages} bytes={bytes} interruptions={interruptions} \
+            "state read revision={first_revision} last_revision={} pages={pages} bytes={bytes} interruptions={interruptions} \
              duration_ms={} jobs={} machines={}",
             page.ledger,
             self.now.since(started_at).0 / 1000,
--- a/crates/core/src/node/peers.rs
+++ b/crates/core/src/node/peers.rs
@@ -142,7 +142,7 @@
                 term,
                 seq,
                 base,
-                incarnation: mine,
+                incarnation: addressee,
                 ack,
                 lease,
                 block,
@@ -151,7 +151,8 @@
                 stops,
                 running,
             } => {
-                if mine != self.expected_incarnation(from) || !self.controller.accept_update(term, seq, base)
+                if addressee != self.expected_incarnation(from)
+                    || !self.controller.accept_update(term, seq, base)
                 {
                     return;
                 }
@@ -186,11 +187,11 @@
                 self.out.send(from, Message::BooksTaken { term, seq });
             }
             Message::BooksTaken { term, seq } => {
-                let may = self.leadership.election.may_lead(self.now);
+                let lease_confirmed = self.leadership.election.may_lead(self.now);
                 if let Some(l) = self.leadership.leader.as_mut().filter(|l| l.term == term)
                     && l.books_taken(from, incarnation, seq, self.now)
                 {
-                    let messages = l.messages(self.now, may);
+                    let messages = l.messages(self.now, lease_confirmed);
                     messages.into_iter().for_each(|(to, m)| self.send(to, m));
                 }
             }
--- a/crates/core/src/node/requests.rs
+++ b/crates/core/src/node/requests.rs
@@ -50,10 +50,10 @@
         }
         // If only this controller fails to reach the state service, the other controllers serve the
         // clients. If all fail, withdrawing would help no client.
-        let fresh =
+        let recent =
             |p: &&membership::Peer| p.last_contact.is_some_and(|t| self.now.since(t) < Micros::millis(2500));
-        let mut heard = self.peers.states.iter().filter(fresh).peekable();
-        heard.peek().is_some() && heard.all(|p| !p.state_ok)
+        let mut in_contact = self.peers.states.iter().filter(recent).peekable();
+        in_contact.peek().is_some() && in_contact.all(|p| !p.state_ok)
     }
 
     /// Answers for a job that has ended; ends never change. A cancellation is confirmed only when
--- a/crates/core/src/node/stand_in.rs
+++ b/crates/core/src/node/stand_in.rs
@@ -129,15 +129,16 @@
     /// behind a network partition handles what it can reach, and the copy of its placement log here
     /// is stale.
     fn has_active_leader(&self) -> bool {
-        let heard = self.leadership.leader.is_some() || self.now.since(self.peers.leader_contact_at) < SILENT;
-        heard || self.reflector.state_reachable(self.now) && self.reflector.ledger.leader.is_some()
+        let recent_contact =
+            self.leadership.leader.is_some() || self.now.since(self.peers.leader_contact_at) < SILENT;
+        recent_contact || self.reflector.state_reachable(self.now) && self.reflector.ledger.leader.is_some()
     }
 
     /// A cancelled job that may still be on machines, and the deadline for stopping it.
     fn unsettled_job(&self, id: JobId) -> Option<(Micros, &Job)> {
         let job = self.reflector.ledger.jobs.get(&id)?;
-        let open = job.phase == Phase::Aborted && !job.settled;
-        open.then(|| (gone_by(job.ended_ms, self.wall_ms, self.leader_config.cancel, self.now), job))
+        let is_unsettled = job.phase == Phase::Aborted && !job.settled;
+        is_unsettled.then(|| (gone_by(job.ended_ms, self.wall_ms, self.leader_config.cancel, self.now), job))
     }
 
     /// Machines where cancelled tasks may be, according to every placement log kept here: the log
