--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -8,7 +8,7 @@
 pub mod election;
 pub mod fair_queue;
 pub mod fleet;
-pub mod guest;
+pub mod extension;
 pub mod jobs;
 mod lateness;
 pub mod leader;
@@ -139,9 +139,9 @@
         retry_after: Option<u32>,
     },
     /// Answers a request on the guest's address.
-    GuestAnswer(RequestId, guest::Answer),
+    GuestAnswer(RequestId, extension::Answer),
     /// Begins an answer without end.
-    Open(RequestId, guest::Answer),
+    Open(RequestId, extension::Answer),
     /// Goes on with it.
     Chunk(RequestId, Vec<u8>),
     /// Ends it.
--- a/crates/core/src/node/waiting.rs
+++ b/crates/core/src/node/waiting.rs
@@ -2,7 +2,7 @@
 //! Invariant: an answer that is not final waits here for a read barrier, and a write for its turn
 //! in the budget.
 use crate::RequestId;
-use crate::guest::Ticket;
+use crate::extension::Ticket;
 use crate::rate::Bucket;
 use gorseshore_protocol::ids::{JobId, Micros};
 use gorseshore_protocol::job::JobSpec;
--- a/crates/nomad/src/service/api.rs
+++ b/crates/nomad/src/service/api.rs
@@ -5,7 +5,7 @@
 use crate::tree::{Faults, Severity};
 use crate::{Inputs, hcl, model, translate};
 use gorseshore_core::RequestId;
-use gorseshore_core::guest::{GuestOutput, Host};
+use gorseshore_core::extension::{GuestOutput, Host};
 use gorseshore_protocol::ids::Micros;
 use percent_encoding::percent_decode_str;
 use serde_json::{Value, json};
--- a/crates/nomad/src/service/launches.rs
+++ b/crates/nomad/src/service/launches.rs
@@ -9,7 +9,7 @@
 use super::register::{Wish, child_content};
 use crate::cron;
 use gorseshore_core::RequestId;
-use gorseshore_core::guest::Host;
+use gorseshore_core::extension::Host;
 use gorseshore_protocol::ids::Micros;
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/crates/nomad/src/service/mod.rs
+++ b/crates/nomad/src/service/mod.rs
@@ -18,7 +18,7 @@
 mod watch;
 
 use crate::translate::{MachineKind, Site};
-use gorseshore_core::guest::{Answer, Guest, GuestInput, GuestOutput, Host, Ticket};
+use gorseshore_core::extension::{Answer, Guest, GuestInput, GuestOutput, Host, Ticket};
 use gorseshore_core::{CallResult, RequestId};
 use gorseshore_protocol::ids::{JobId, Micros};
 use gorseshore_protocol::state::{Multi, MultiAnswer};
--- a/crates/nomad/src/service/reconcile.rs
+++ b/crates/nomad/src/service/reconcile.rs
@@ -6,7 +6,7 @@
 use super::records::{Head, JobKey, names};
 use super::register::{put, remove, when};
 use super::{Known, Pending, Service, write};
-use gorseshore_core::guest::{GuestOutput, Host};
+use gorseshore_core::extension::{GuestOutput, Host};
 use gorseshore_core::jobs::{Phase, cancelled_value, description, job_value, keys};
 use gorseshore_core::limits::value_len;
 use gorseshore_protocol::ids::{JobId, Micros};
--- a/crates/nomad/src/service/register.rs
+++ b/crates/nomad/src/service/register.rs
@@ -15,7 +15,7 @@
 use crate::translate::{self, Planned};
 use crate::tree::{Faults, Severity};
 use gorseshore_core::CallResult;
-use gorseshore_core::guest::{GuestOutput, Host};
+use gorseshore_core::extension::{GuestOutput, Host};
 use gorseshore_core::jobs::{Phase, job_value, keys};
 use gorseshore_core::limits::value_len;
 use gorseshore_protocol::ids::{JobId, Micros, OWN_IDS};
--- a/crates/nomad/src/service/views.rs
+++ b/crates/nomad/src/service/views.rs
@@ -4,7 +4,7 @@
 use super::records::{Content, Head, JobKey};
 use crate::translate::Planned;
 use crate::tree::Faults;
-use gorseshore_core::guest::Host;
+use gorseshore_core::extension::Host;
 use gorseshore_core::jobs::{Job, MachineRecord, Phase};
 use gorseshore_protocol::ids::{JobId, MachineId, Resources};
 use serde_json::{Map, Value, json};
--- a/crates/nomad/src/service/watch.rs
+++ b/crates/nomad/src/service/watch.rs
@@ -8,7 +8,7 @@
 use super::records::Head;
 use super::{Service, views};
 use gorseshore_core::RequestId;
-use gorseshore_core::guest::{Answer, GuestOutput, Host};
+use gorseshore_core::extension::{Answer, GuestOutput, Host};
 use gorseshore_protocol::ids::Micros;
 use serde_json::{Value, json};
 
--- a/crates/shell/src/lib.rs
+++ b/crates/shell/src/lib.rs
@@ -9,7 +9,7 @@
 pub mod server;
 
 use admission::Bounds;
-use gorseshore_core::guest::{Answer, Guest};
+use gorseshore_core::extension::{Answer, Guest};
 use gorseshore_core::node::{Node, Nodes};
 use gorseshore_core::peer::{Envelope, Message, before_number, process_number};
 use gorseshore_core::{CallResult, Input, Output, RequestId};
--- a/crates/standins/src/site.rs
+++ b/crates/standins/src/site.rs
@@ -7,7 +7,7 @@
 use crate::soak::history::{MachineView, Recorder};
 use crate::state::{Outcome, State};
 use crate::worker::{Facts, Machine, Stage};
-use gorseshore_core::guest::Guest;
+use gorseshore_core::extension::Guest;
 use gorseshore_core::jobs::description;
 use gorseshore_nomad::service::Service;
 use gorseshore_protocol::cloud::{Flavor, Flavors, Hire, Hosts, Rental, Rentals};
--- a/tests/world/main.rs
+++ b/tests/world/main.rs
@@ -281,7 +281,7 @@
     Request(usize, u64, RequestId, &'static str, String, Vec<u8>),
     Answered(RequestId, u16, Vec<u8>),
     GuestRequest(usize, u64, RequestId, &'static str, String, Vec<u8>),
-    GuestAnswered(RequestId, gorseshore_core::guest::Answer),
+    GuestAnswered(RequestId, gorseshore_core::extension::Answer),
     Workers,
     Users,
     Trouble,
--- a/tests/world/nomad.rs
+++ b/tests/world/nomad.rs
@@ -1,7 +1,7 @@
 //! Nomad jobs in the world, beside native ones: planners who register, scale,
 //! stop and poll at whatever controller, and the rules for what runs of them.
 use super::*;
-use gorseshore_core::guest::Answer;
+use gorseshore_core::extension::Answer;
 use gorseshore_core::jobs::description;
 use gorseshore_nomad::service::Service;
 use gorseshore_nomad::service::records::{Head, JobKey};
