--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -2,7 +2,7 @@
 //! machines, and the leader's work while it leads.
 mod cancellations;
 mod catalogue;
-mod duties;
+mod control_loop;
 mod held_check_ins;
 mod host;
 mod knowledge;
