--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -13,7 +13,7 @@
 mod refusals;
 mod relay;
 mod requests;
-mod stand_in;
+mod cancellation_enforcement;
 mod status;
 mod waiting;
 mod workers;
--- a/crates/core/src/node/peers.rs
+++ b/crates/core/src/node/peers.rs
@@ -1,5 +1,5 @@
 //! Messages between controllers, and their paths around a network partition.
-use super::stand_in::status_call;
+use super::cancellation_enforcement::status_call;
 use super::*;
 
 /// How often changes of the view are sent to a leader that keeps up.
