--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -3,7 +3,7 @@
 mod cancellations;
 mod catalogue;
 mod control_loop;
-mod held_check_ins;
+mod deferred_heartbeats;
 mod host;
 mod knowledge;
 mod leadership;
@@ -20,7 +20,7 @@
 
 use cancellations::Cancellations;
 use catalogue::{Catalogue, delete_call, list_call, rent_call};
-use held_check_ins::DeferredCheckIns;
+use deferred_heartbeats::DeferredCheckIns;
 use leadership::Leadership;
 use membership::{PEER_TIMEOUT, Peers};
 use mirror::{ReadProgress, Reflector};
