--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -4,7 +4,7 @@
 mod catalogue;
 mod control_loop;
 mod deferred_heartbeats;
-mod host;
+mod extension_host;
 mod knowledge;
 mod leadership;
 mod membership;
