--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -5,7 +5,7 @@
 mod control_loop;
 mod deferred_heartbeats;
 mod extension_host;
-mod knowledge;
+mod placement_knowledge;
 mod leadership;
 mod membership;
 mod mirror;
