--- a/crates/core/src/node/leadership.rs
+++ b/crates/core/src/node/leadership.rs
@@ -1,5 +1,5 @@
 //! State of this node's leadership: the election, and the leader's records in flight.
-use super::refusals::RejectedWrites;
+use super::rejected_writes::RejectedWrites;
 use crate::election::Election;
 use crate::jobs::keys;
 use crate::leader::{Leader, LeaderWrite};
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -10,7 +10,7 @@
 mod membership;
 mod replica_sync;
 mod peers;
-mod refusals;
+mod rejected_writes;
 mod relay;
 mod requests;
 mod cancellation_enforcement;
