--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -15,7 +15,7 @@
 mod requests;
 mod cancellation_enforcement;
 mod status;
-mod waiting;
+mod pending_requests;
 mod workers;
 
 use cancellations::Cancellations;
@@ -26,7 +26,7 @@
 use replica_sync::{ReadProgress, Reflector};
 use relay::Relay;
 use status::{Gauges, RefusalReason, ServiceStatus};
-use waiting::{MAX_PENDING, PendingRequests, PendingWrite, Waiter};
+use pending_requests::{MAX_PENDING, PendingRequests, PendingWrite, Waiter};
 
 use crate::books::{Book, Kept};
 use crate::controller::{CheckinReply, Controller, read_tasks};
