--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -9,14 +9,14 @@
 mod leadership;
 mod membership;
 mod replica_sync;
-mod peers;
+mod messaging;
 mod rejected_writes;
 mod relay;
 mod requests;
 mod cancellation_enforcement;
 mod status;
 mod pending_requests;
-mod workers;
+mod heartbeats;
 
 use cancellations::Cancellations;
 use catalogue::{Catalogue, delete_call, list_call, rent_call};
