--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -1,32 +1,32 @@
 //! A controller node: its replica of the state service, its part in the election, its lease of
 //! machines, and the leader's work while it leads.
+mod cancellation_enforcement;
 mod cancellations;
 mod catalogue;
 mod control_loop;
 mod deferred_heartbeats;
 mod extension_host;
-mod placement_knowledge;
+mod heartbeats;
 mod leadership;
 mod membership;
-mod replica_sync;
 mod messaging;
+mod pending_requests;
+mod placement_knowledge;
 mod rejected_writes;
 mod relay;
+mod replica_sync;
 mod requests;
-mod cancellation_enforcement;
 mod status;
-mod pending_requests;
-mod heartbeats;
 
 use cancellations::Cancellations;
 use catalogue::{Catalogue, delete_call, list_call, rent_call};
 use deferred_heartbeats::DeferredCheckIns;
 use leadership::Leadership;
 use membership::{PEER_TIMEOUT, Peers};
-use replica_sync::{ReadProgress, Reflector};
+use pending_requests::{MAX_PENDING, PendingRequests, PendingWrite, Waiter};
 use relay::Relay;
+use replica_sync::{ReadProgress, Reflector};
 use status::{Gauges, RefusalReason, ServiceStatus};
-use pending_requests::{MAX_PENDING, PendingRequests, PendingWrite, Waiter};
 
 use crate::books::{Book, Kept};
 use crate::controller::{CheckinReply, Controller, read_tasks};
