--- a/crates/core/src/extension.rs
+++ b/crates/core/src/extension.rs
@@ -114,7 +114,7 @@
 }
 
 /// An extension.
-pub trait Guest {
+pub trait Extension {
     /// The state replica was read from the start and is complete as of revision `floor`; what was
     /// removed before is unknown.
     fn begin(&mut self, floor: u64);
--- a/crates/core/src/node/cancellations.rs
+++ b/crates/core/src/node/cancellations.rs
@@ -37,7 +37,7 @@
 enum Requester {
     User(RequestId),
     /// The extension, whose transaction ended jobs, and the result of that transaction.
-    Guest(Ticket, CallResult),
+    Extension(Ticket, CallResult),
 }
 
 /// A cancellation and its acknowledgements.
@@ -124,7 +124,7 @@
             self.track_cancellation(*job);
         }
         match jobs.last() {
-            Some(job) => self.request_confirmation(Requester::Guest(t, result), *job),
+            Some(job) => self.request_confirmation(Requester::Extension(t, result), *job),
             None => self.run_extension(GuestInput::Called(t, result)),
         }
     }
@@ -150,7 +150,7 @@
     fn fail_confirmation(&mut self, requester: Requester) {
         match requester {
             Requester::User(id) => self.refuse(id, RefusalReason::CancellationUnconfirmed),
-            Requester::Guest(t, _) => self.run_extension(GuestInput::Called(t, CallResult::Unknown)),
+            Requester::Extension(t, _) => self.run_extension(GuestInput::Called(t, CallResult::Unknown)),
         }
     }
 
@@ -245,7 +245,7 @@
         for (requester, job) in done {
             match requester {
                 Requester::User(id) => self.answer_cancelled(id, job),
-                Requester::Guest(t, result) => self.run_extension(GuestInput::Called(t, result)),
+                Requester::Extension(t, result) => self.run_extension(GuestInput::Called(t, result)),
             }
         }
         let mut expired = Vec::new();
--- a/crates/core/src/node/extension_host.rs
+++ b/crates/core/src/node/extension_host.rs
@@ -46,7 +46,7 @@
             GuestOutput::Open(id, a) => self.out.items.push(Output::Open(id, a)),
             GuestOutput::Chunk(id, data) => self.out.items.push(Output::Chunk(id, data)),
             GuestOutput::Close(id) => self.out.items.push(Output::Close(id)),
-            GuestOutput::Prove(t) => self.await_read_barrier(Waiter::Guest(t), Micros::millis(1500)),
+            GuestOutput::Prove(t) => self.await_read_barrier(Waiter::Extension(t), Micros::millis(1500)),
             GuestOutput::Read(t, prefix) => {
                 let none = Listing { pairs: Vec::new(), truncated: false, ledger: 0 };
                 self.read_extension_page(t, format!("{}{prefix}", keys::GUEST), none);
@@ -58,7 +58,7 @@
                 let until = self.now + Micros::millis(3500);
                 self.pending
                     .writes
-                    .push_back((PendingWrite::Guest(ticket, Box::new(multi), as_leader), until));
+                    .push_back((PendingWrite::Extension(ticket, Box::new(multi), as_leader), until));
                 self.send_pending_writes();
             }
         }
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -32,7 +32,7 @@
 use crate::controller::{CheckinReply, Controller, read_tasks};
 use crate::deputy::Deputy;
 use crate::election::Role;
-use crate::extension::{Guest, GuestInput, GuestOutput, Host, Ticket};
+use crate::extension::{Extension, GuestInput, GuestOutput, Host, Ticket};
 use crate::jobs::{self, Change, LeaderRecord, Ledger, MachineRecord, Phase, keys};
 use crate::leader::{CloudWish, Context, HireRequest, Leader, LeaderWrite, View};
 use crate::limits::StoreLimits;
@@ -154,7 +154,7 @@
     liveness_logged_at: Micros,
     log_requested_at: Micros,
     has_extension: bool,
-    extension: Option<Box<dyn Guest>>,
+    extension: Option<Box<dyn Extension>>,
     /// Inputs that arrived while the extension was handling another one.
     extension_inputs: Vec<GuestInput>,
 }
@@ -221,7 +221,7 @@
     }
 
     /// Adds an extension beside the scheduler.
-    pub fn with_guest(mut self, guest: Box<dyn Guest>) -> Self {
+    pub fn with_guest(mut self, guest: Box<dyn Extension>) -> Self {
         self.has_extension = true;
         self.extension = Some(guest);
         self
--- a/crates/core/src/node/pending_requests.rs
+++ b/crates/core/src/node/pending_requests.rs
@@ -20,7 +20,7 @@
     Submit(RequestId, JobId, Box<Result<JobSpec, (u16, String)>>),
     Abort(RequestId, JobId),
     /// A read barrier of the extension.
-    Guest(Ticket),
+    Extension(Ticket),
 }
 
 impl Waiter {
@@ -28,7 +28,7 @@
     pub(super) fn requester(&self) -> Result<RequestId, Ticket> {
         match self {
             Waiter::Poll(r, _) | Waiter::Submit(r, ..) | Waiter::Abort(r, _) => Ok(*r),
-            Waiter::Guest(t) => Err(*t),
+            Waiter::Extension(t) => Err(*t),
         }
     }
 }
@@ -40,7 +40,7 @@
     /// With the record of the job's end.
     Abort(RequestId, JobId, serde_json::Value),
     /// Of the extension; `true`: only under the leader key.
-    Guest(Ticket, Box<Multi>, bool),
+    Extension(Ticket, Box<Multi>, bool),
 }
 
 /// Waiting requests and writes.
--- a/crates/core/src/node/requests.rs
+++ b/crates/core/src/node/requests.rs
@@ -223,7 +223,7 @@
 
     pub(super) fn complete_waiter(&mut self, w: Waiter) {
         match w {
-            Waiter::Guest(t) => self.run_extension(GuestInput::Proved(t, true)),
+            Waiter::Extension(t) => self.run_extension(GuestInput::Proved(t, true)),
             Waiter::Poll(id, job) => {
                 self.status.check_read_barrier(id);
                 self.answer_current_state(id, job);
@@ -275,7 +275,7 @@
                     PendingWrite::Submit(id, _) | PendingWrite::Abort(id, ..) => {
                         self.refuse(id, RefusalReason::WriteBudget);
                     }
-                    PendingWrite::Guest(t, ..) => {
+                    PendingWrite::Extension(t, ..) => {
                         self.run_extension(GuestInput::Called(t, CallResult::NotSent))
                     }
                 }
@@ -286,7 +286,7 @@
                 _ => Vec::new(),
             };
             let cost = match &w {
-                PendingWrite::Guest(_, m, _) => m.writes.len().max(1) as f64,
+                PendingWrite::Extension(_, m, _) => m.writes.len().max(1) as f64,
                 _ => records.len().max(1) as f64,
             };
             if !self.pending.write_bucket.take(self.now, cost, 0.0) {
@@ -294,7 +294,7 @@
                 return;
             }
             let (when, writes) = match &w {
-                PendingWrite::Guest(t, m, as_leader) => {
+                PendingWrite::Extension(t, m, as_leader) => {
                     let mut m = Multi::clone(m);
                     if *as_leader {
                         match self.leadership.election.role {
@@ -346,7 +346,7 @@
                 self.apply_confirmed_ends(&[Write::Put { put: keys::end(job), v: end, hold: None }], stamp);
                 self.confirm_to_client(id, job);
             }
-            (PendingWrite::Guest(t, m, _), CallResult::Answer { status: 200, body }) => {
+            (PendingWrite::Extension(t, m, _), CallResult::Answer { status: 200, body }) => {
                 let stamp = serde_json::from_slice::<MultiAnswer>(body).map_or(0, |a| a.ledger);
                 let ended = self.apply_confirmed_ends(&m.writes, stamp);
                 self.confirm_to_extension(t, &ended, result.clone());
@@ -358,13 +358,13 @@
             (PendingWrite::Abort(id, job, _), CallResult::Answer { status: 409, .. }) => {
                 self.await_read_barrier(Waiter::Abort(id, job), Micros::millis(1500));
             }
-            (PendingWrite::Guest(t, m, as_leader), CallResult::Answer { status: 429, .. }) => {
+            (PendingWrite::Extension(t, m, as_leader), CallResult::Answer { status: 429, .. }) => {
                 self.pending.write_bucket.force(self.now, 1.0);
                 self.pending
                     .writes
-                    .push_back((PendingWrite::Guest(t, m, as_leader), self.now + Micros::millis(2000)));
+                    .push_back((PendingWrite::Extension(t, m, as_leader), self.now + Micros::millis(2000)));
             }
-            (PendingWrite::Guest(t, ..), r) => self.run_extension(GuestInput::Called(t, r.clone())),
+            (PendingWrite::Extension(t, ..), r) => self.run_extension(GuestInput::Called(t, r.clone())),
             (w, CallResult::Answer { status: 429, .. }) => {
                 let pause = Micros::millis(100 + self.rng.u64(0..100));
                 self.pending.write_bucket.force(self.now, 1.0);
--- a/crates/nomad/src/service/mod.rs
+++ b/crates/nomad/src/service/mod.rs
@@ -18,7 +18,7 @@
 mod watch;
 
 use crate::translate::{MachineKind, Site};
-use gorseshore_core::extension::{Answer, Guest, GuestInput, GuestOutput, Host, Ticket};
+use gorseshore_core::extension::{Answer, Extension, GuestInput, GuestOutput, Host, Ticket};
 use gorseshore_core::{CallResult, RequestId};
 use gorseshore_protocol::ids::{JobId, Micros};
 use gorseshore_protocol::state::{Multi, MultiAnswer};
@@ -286,7 +286,7 @@
     GuestOutput::Write { ticket, multi, as_leader }
 }
 
-impl Guest for Service {
+impl Extension for Service {
     fn begin(&mut self, floor: u64) {
         self.loading = true;
         // Readers of events come back with their index; what they may have
--- a/crates/shell/src/lib.rs
+++ b/crates/shell/src/lib.rs
@@ -9,7 +9,7 @@
 pub mod server;
 
 use admission::Bounds;
-use gorseshore_core::extension::{Answer, Guest};
+use gorseshore_core::extension::{Answer, Extension};
 use gorseshore_core::node::{Node, Nodes};
 use gorseshore_core::peer::{Envelope, Message, before_number, process_number};
 use gorseshore_core::{CallResult, Input, Output, RequestId};
@@ -154,7 +154,7 @@
         let http::RequestHead { method, path, token, .. } = head;
         let (room, input) = match door {
             server::Door::Users => (1, Input::Request { id, method, path, body }),
-            server::Door::Guest => (CHUNKS_WAITING, Input::GuestRequest { id, method, path, token, body }),
+            server::Door::Extension => (CHUNKS_WAITING, Input::GuestRequest { id, method, path, token, body }),
         };
         let (tx, rx) = bounded(room);
         self.waiting.borrow_mut().insert(id, tx);
@@ -173,7 +173,7 @@
 /// A subsystem beside the scheduler, and the address that it is asked on.
 pub struct GuestDoor {
     /// The subsystem.
-    pub guest: Box<dyn Guest>,
+    pub guest: Box<dyn Extension>,
     /// Its address.
     pub listen: SocketAddr,
 }
@@ -221,7 +221,7 @@
     bound: Sockets,
     platform: Platform,
     operator: Operator,
-    guest: Option<Box<dyn Guest>>,
+    guest: Option<Box<dyn Extension>>,
 ) -> std::io::Result<()> {
     let executor = Rc::new(LocalExecutor::new());
     let ex = executor.clone();
@@ -285,7 +285,7 @@
             let door = door(listener)?;
             let guests = Rc::new(RefCell::new(server::Entry::new(bounds.of_guest())));
             executor
-                .spawn(server::listen(shell.clone(), door, executor.clone(), server::Door::Guest, guests))
+                .spawn(server::listen(shell.clone(), door, executor.clone(), server::Door::Extension, guests))
                 .detach();
         }
         loop {
--- a/crates/shell/src/server.rs
+++ b/crates/shell/src/server.rs
@@ -42,7 +42,7 @@
     /// Users and workers.
     Users,
     /// Those who speak the guest's interface.
-    Guest,
+    Extension,
 }
 
 impl Door {
@@ -50,7 +50,7 @@
     fn longest(self) -> usize {
         match self {
             Door::Users => http::MAX_BODY,
-            Door::Guest => http::MAX_GUEST_BODY,
+            Door::Extension => http::MAX_GUEST_BODY,
         }
     }
 }
--- a/crates/standins/src/site.rs
+++ b/crates/standins/src/site.rs
@@ -7,7 +7,7 @@
 use crate::soak::history::{MachineView, Recorder};
 use crate::state::{Outcome, State};
 use crate::worker::{Facts, Machine, Stage};
-use gorseshore_core::extension::Guest;
+use gorseshore_core::extension::Extension;
 use gorseshore_core::jobs::description;
 use gorseshore_nomad::service::Service;
 use gorseshore_protocol::cloud::{Flavor, Flavors, Hire, Hosts, Rental, Rentals};
@@ -325,7 +325,7 @@
             std::thread::spawn(move || {
                 let sockets = Sockets { public, cluster, guest: guest_settings.is_some().then_some(guest) };
                 let guest =
-                    guest_settings.map(|s| Box::new(Service::new(s, fastrand::u64(..))) as Box<dyn Guest>);
+                    guest_settings.map(|s| Box::new(Service::new(s, fastrand::u64(..))) as Box<dyn Extension>);
                 if let Err(e) = gorseshore_shell::run_on(sockets, platform, operator, guest) {
                     log::error!("controller {i}: {e}");
                 }
--- a/tests/world/desk.rs
+++ b/tests/world/desk.rs
@@ -1,7 +1,7 @@
 //! One interface over the stand-in of the state service, without a network:
 //! for attacks that need a certain order, and for requests of any kind.
 use super::*;
-use gorseshore_core::extension::{Answer, Guest, GuestInput, GuestOutput, Host};
+use gorseshore_core::extension::{Answer, Extension, GuestInput, GuestOutput, Host};
 use gorseshore_core::jobs::{Ledger, keys};
 use gorseshore_nomad::service::Service;
 use gorseshore_protocol::state::{Listing, Multi, News, When};
