--- a/crates/core/src/extension.rs
+++ b/crates/core/src/extension.rs
@@ -49,7 +49,7 @@
 
 /// Inputs to the extension.
 #[derive(Debug, Clone)]
-pub enum GuestInput {
+pub enum ExtensionInput {
     /// Time passed.
     Tick,
     /// The state replica applied events.
@@ -123,5 +123,5 @@
     /// A record changed of a job whose id was assigned by the service.
     fn job_changed(&mut self, id: JobId, stamp: u64);
     /// Handles an input; returns the actions to take.
-    fn handle(&mut self, host: &Host<'_>, input: GuestInput) -> Vec<GuestOutput>;
+    fn handle(&mut self, host: &Host<'_>, input: ExtensionInput) -> Vec<GuestOutput>;
 }
--- a/crates/core/src/node/control_loop.rs
+++ b/crates/core/src/node/control_loop.rs
@@ -30,7 +30,7 @@
         self.send_worker_calls();
         self.send_sync(false);
         self.post_queued_messages();
-        self.run_extension(GuestInput::Tick);
+        self.run_extension(ExtensionInput::Tick);
         if self.now.since(self.peers.pinged_at) >= Micros::millis(500) {
             self.peers.pinged_at = self.now;
             let state_ok = self.reflector.state_reachable(self.now);
@@ -147,7 +147,7 @@
         if !news.news.is_empty() {
             self.run_leader();
             self.send_worker_calls();
-            self.run_extension(GuestInput::News);
+            self.run_extension(ExtensionInput::News);
         }
     }
 
--- a/crates/core/src/node/extension_host.rs
+++ b/crates/core/src/node/extension_host.rs
@@ -6,7 +6,7 @@
 
 impl Node {
     /// Passes an input to the extension, if there is one, and carries out its outputs.
-    pub(super) fn run_extension(&mut self, input: GuestInput) {
+    pub(super) fn run_extension(&mut self, input: ExtensionInput) {
         if !self.has_extension {
             return;
         }
@@ -53,7 +53,7 @@
             }
             GuestOutput::Write { ticket, multi, as_leader } => {
                 if self.pending.writes.len() >= MAX_PENDING {
-                    return self.run_extension(GuestInput::Called(ticket, CallResult::NotSent));
+                    return self.run_extension(ExtensionInput::Called(ticket, CallResult::NotSent));
                 }
                 let until = self.now + Micros::millis(3500);
                 self.pending
@@ -84,21 +84,21 @@
             CallResult::Answer { status: 200, body } => serde_json::from_slice(body).ok(),
             _ => None,
         };
-        let Some(page) = page else { return self.run_extension(GuestInput::Called(t, CallResult::NotSent)) };
+        let Some(page) = page else { return self.run_extension(ExtensionInput::Called(t, CallResult::NotSent)) };
         so_far.pairs.extend(page.pairs);
         so_far.ledger = page.ledger;
         if page.truncated && so_far.pairs.len() < MAX_READ_KEYS {
             return self.read_extension_page(t, prefix, so_far);
         }
         let body = serde_json::to_vec(&so_far).unwrap_or_default();
-        self.run_extension(GuestInput::Called(t, CallResult::Answer { status: 200, body }));
+        self.run_extension(ExtensionInput::Called(t, CallResult::Answer { status: 200, body }));
     }
 
     /// Fails a request whose read barrier can't be completed.
     pub(super) fn fail_waiter(&mut self, w: &Waiter, reason: RefusalReason) {
         match w.requester() {
             Ok(id) => self.refuse(id, reason),
-            Err(t) => self.run_extension(GuestInput::Proved(t, false)),
+            Err(t) => self.run_extension(ExtensionInput::Proved(t, false)),
         }
     }
 }
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -32,7 +32,7 @@
 use crate::controller::{CheckinReply, Controller, read_tasks};
 use crate::deputy::Deputy;
 use crate::election::Role;
-use crate::extension::{Extension, GuestInput, GuestOutput, Host, Ticket};
+use crate::extension::{Extension, ExtensionInput, GuestOutput, Host, Ticket};
 use crate::jobs::{self, Change, LeaderRecord, Ledger, MachineRecord, Phase, keys};
 use crate::leader::{CloudWish, Context, HireRequest, Leader, LeaderWrite, View};
 use crate::limits::StoreLimits;
@@ -156,7 +156,7 @@
     has_extension: bool,
     extension: Option<Box<dyn Extension>>,
     /// Inputs that arrived while the extension was handling another one.
-    extension_inputs: Vec<GuestInput>,
+    extension_inputs: Vec<ExtensionInput>,
 }
 
 impl Node {
@@ -235,12 +235,12 @@
             Input::Tick => self.tick(),
             Input::Request { id, method, path, body } => self.route_request(id, &method, &path, &body),
             Input::GuestRequest { id, method, path, token, body } => {
-                self.run_extension(GuestInput::Request { id, method, path, token, body });
+                self.run_extension(ExtensionInput::Request { id, method, path, token, body });
             }
             Input::Gone(id) => {
                 self.status.client_disconnected(id);
                 self.deferred_check_ins.deferred.retain(|_, (r, ..)| *r != id);
-                self.run_extension(GuestInput::Gone(id));
+                self.run_extension(ExtensionInput::Gone(id));
             }
             Input::Called { id, result } => self.call_completed(id, result),
             Input::Refused(n) => {
--- a/crates/nomad/src/service/mod.rs
+++ b/crates/nomad/src/service/mod.rs
@@ -18,7 +18,7 @@
 mod watch;
 
 use crate::translate::{MachineKind, Site};
-use gorseshore_core::extension::{Answer, Extension, GuestInput, GuestOutput, Host, Ticket};
+use gorseshore_core::extension::{Answer, Extension, ExtensionInput, GuestOutput, Host, Ticket};
 use gorseshore_core::{CallResult, RequestId};
 use gorseshore_protocol::ids::{JobId, Micros};
 use gorseshore_protocol::state::{Multi, MultiAnswer};
@@ -338,10 +338,10 @@
         }
     }
 
-    fn handle(&mut self, host: &Host<'_>, input: GuestInput) -> Vec<GuestOutput> {
+    fn handle(&mut self, host: &Host<'_>, input: ExtensionInput) -> Vec<GuestOutput> {
         self.loading = false;
         match input {
-            GuestInput::Tick => {
+            ExtensionInput::Tick => {
                 if host.now.since(self.looked) >= Micros::secs(1) {
                     self.looked = host.now;
                     self.look(host);
@@ -349,18 +349,18 @@
                 self.expire(host);
                 self.lead(host);
             }
-            GuestInput::News => {
+            ExtensionInput::News => {
                 self.wake(host);
                 self.lead(host);
             }
-            GuestInput::Request { id, method, path, token, body } => {
+            ExtensionInput::Request { id, method, path, token, body } => {
                 self.request(host, id, &method, &path, token.as_deref(), body);
             }
-            GuestInput::Gone(id) => {
+            ExtensionInput::Gone(id) => {
                 self.waiting.retain(|b| b.request.id != id);
                 self.streams.remove(&id);
             }
-            GuestInput::Proved(ticket, good) => match self.pending.remove(&ticket) {
+            ExtensionInput::Proved(ticket, good) => match self.pending.remove(&ticket) {
                 Some(Pending::Request(r)) if good => self.serve(host, r),
                 Some(Pending::Request(r)) => self.refuse(r.id, 503, "the state service can't be asked now"),
                 Some(Pending::Register(r)) if good => self.register_proved(host, *r),
@@ -369,7 +369,7 @@
                 }
                 _ => {}
             },
-            GuestInput::Called(ticket, result) => self.called(host, ticket, result),
+            ExtensionInput::Called(ticket, result) => self.called(host, ticket, result),
         }
         std::mem::take(&mut self.out)
     }
--- a/tests/world/desk.rs
+++ b/tests/world/desk.rs
@@ -1,7 +1,7 @@
 //! One interface over the stand-in of the state service, without a network:
 //! for attacks that need a certain order, and for requests of any kind.
 use super::*;
-use gorseshore_core::extension::{Answer, Extension, GuestInput, GuestOutput, Host};
+use gorseshore_core::extension::{Answer, Extension, ExtensionInput, GuestOutput, Host};
 use gorseshore_core::jobs::{Ledger, keys};
 use gorseshore_nomad::service::Service;
 use gorseshore_protocol::state::{Listing, Multi, News, When};
@@ -91,7 +91,7 @@
         CallResult::Answer { status, body }
     }
 
-    fn input(&mut self, input: GuestInput) {
+    fn input(&mut self, input: ExtensionInput) {
         let mut inputs = std::collections::VecDeque::from([input]);
         while let Some(i) = inputs.pop_front() {
             let host = Host {
@@ -115,8 +115,8 @@
                     GuestOutput::Open(..) | GuestOutput::Chunk(..) | GuestOutput::Close(_) => {}
                     GuestOutput::Prove(t) => {
                         self.catch_up();
-                        inputs.push_back(GuestInput::News);
-                        inputs.push_back(GuestInput::Proved(t, true));
+                        inputs.push_back(ExtensionInput::News);
+                        inputs.push_back(ExtensionInput::Proved(t, true));
                     }
                     GuestOutput::Read(t, prefix) => {
                         let mut all = Listing { pairs: Vec::new(), truncated: true, ledger: 0 };
@@ -132,7 +132,7 @@
                             all.pairs.extend(page.pairs);
                         }
                         let body = serde_json::to_vec(&all).unwrap();
-                        inputs.push_back(GuestInput::Called(t, CallResult::Answer { status: 200, body }));
+                        inputs.push_back(ExtensionInput::Called(t, CallResult::Answer { status: 200, body }));
                     }
                     GuestOutput::Write { ticket, mut multi, as_leader } => {
                         if as_leader {
@@ -144,8 +144,8 @@
                         }
                         let r = self.execute(&multi);
                         self.catch_up();
-                        inputs.push_back(GuestInput::News);
-                        inputs.push_back(GuestInput::Called(ticket, r));
+                        inputs.push_back(ExtensionInput::News);
+                        inputs.push_back(ExtensionInput::Called(ticket, r));
                     }
                 }
             }
@@ -157,7 +157,7 @@
         for _ in 0..seconds * 2 {
             self.now = self.now + Micros::millis(500);
             self.wall_ms += 500;
-            self.input(GuestInput::Tick);
+            self.input(ExtensionInput::Tick);
         }
     }
 
@@ -166,7 +166,7 @@
         let id = RequestId(self.next);
         self.next += 1;
         let (method, path, body) = (method.to_owned(), path.to_owned(), body.as_bytes().to_vec());
-        self.input(GuestInput::Request { id, method, path, token: None, body });
+        self.input(ExtensionInput::Request { id, method, path, token: None, body });
         let at = self.answers.iter().position(|(i, _)| *i == id)?;
         let (_, a) = self.answers.remove(at);
         Some((a.status, String::from_utf8_lossy(&a.body).into_owned()))
