--- a/crates/core/src/extension.rs
+++ b/crates/core/src/extension.rs
@@ -78,7 +78,7 @@
 
 /// Actions that the extension requests.
 #[derive(Debug, Clone, PartialEq)]
-pub enum GuestOutput {
+pub enum ExtensionOutput {
     /// Sends a complete response.
     Answer(RequestId, Answer),
     /// Starts a streamed response.
@@ -123,5 +123,5 @@
     /// A record changed of a job whose id was assigned by the service.
     fn job_changed(&mut self, id: JobId, stamp: u64);
     /// Handles an input; returns the actions to take.
-    fn handle(&mut self, host: &Host<'_>, input: ExtensionInput) -> Vec<GuestOutput>;
+    fn handle(&mut self, host: &Host<'_>, input: ExtensionInput) -> Vec<ExtensionOutput>;
 }
--- a/crates/core/src/node/extension_host.rs
+++ b/crates/core/src/node/extension_host.rs
@@ -40,18 +40,18 @@
         self.extension = Some(extension);
     }
 
-    fn apply_extension_output(&mut self, o: GuestOutput) {
+    fn apply_extension_output(&mut self, o: ExtensionOutput) {
         match o {
-            GuestOutput::Answer(id, a) => self.out.items.push(Output::GuestAnswer(id, a)),
-            GuestOutput::Open(id, a) => self.out.items.push(Output::Open(id, a)),
-            GuestOutput::Chunk(id, data) => self.out.items.push(Output::Chunk(id, data)),
-            GuestOutput::Close(id) => self.out.items.push(Output::Close(id)),
-            GuestOutput::Prove(t) => self.await_read_barrier(Waiter::Extension(t), Micros::millis(1500)),
-            GuestOutput::Read(t, prefix) => {
+            ExtensionOutput::Answer(id, a) => self.out.items.push(Output::GuestAnswer(id, a)),
+            ExtensionOutput::Open(id, a) => self.out.items.push(Output::Open(id, a)),
+            ExtensionOutput::Chunk(id, data) => self.out.items.push(Output::Chunk(id, data)),
+            ExtensionOutput::Close(id) => self.out.items.push(Output::Close(id)),
+            ExtensionOutput::Prove(t) => self.await_read_barrier(Waiter::Extension(t), Micros::millis(1500)),
+            ExtensionOutput::Read(t, prefix) => {
                 let none = Listing { pairs: Vec::new(), truncated: false, ledger: 0 };
                 self.read_extension_page(t, format!("{}{prefix}", keys::GUEST), none);
             }
-            GuestOutput::Write { ticket, multi, as_leader } => {
+            ExtensionOutput::Write { ticket, multi, as_leader } => {
                 if self.pending.writes.len() >= MAX_PENDING {
                     return self.run_extension(ExtensionInput::Called(ticket, CallResult::NotSent));
                 }
--- a/crates/nomad/src/service/api.rs
+++ b/crates/nomad/src/service/api.rs
@@ -5,7 +5,7 @@
 use crate::tree::{Faults, Severity};
 use crate::{Inputs, hcl, model, translate};
 use gorseshore_core::RequestId;
-use gorseshore_core::extension::{GuestOutput, Host};
+use gorseshore_core::extension::{ExtensionOutput, Host};
 use gorseshore_protocol::ids::Micros;
 use percent_encoding::percent_decode_str;
 use serde_json::{Value, json};
@@ -290,7 +290,7 @@
         }
         // What isn't final needs the proof that nothing newer is missing.
         let ticket = self.ticket(Pending::Request(r));
-        self.out.push(GuestOutput::Prove(ticket));
+        self.out.push(ExtensionOutput::Prove(ticket));
     }
 
     /// Answers a request; the mirror is up to date.
@@ -505,7 +505,7 @@
     pub(crate) fn read_content(&mut self, key: &JobKey, nonce: String, request: Request) {
         let prefix = super::records::names::parts(key, &nonce);
         let ticket = self.ticket(Pending::Content { request, nonce });
-        self.out.push(GuestOutput::Read(ticket, prefix));
+        self.out.push(ExtensionOutput::Read(ticket, prefix));
     }
 
     /// `POST /v1/jobs/parse`: a file as the interface has it.
--- a/crates/nomad/src/service/mod.rs
+++ b/crates/nomad/src/service/mod.rs
@@ -18,7 +18,7 @@
 mod watch;
 
 use crate::translate::{MachineKind, Site};
-use gorseshore_core::extension::{Answer, Extension, ExtensionInput, GuestOutput, Host, Ticket};
+use gorseshore_core::extension::{Answer, Extension, ExtensionInput, ExtensionOutput, Host, Ticket};
 use gorseshore_core::{CallResult, RequestId};
 use gorseshore_protocol::ids::{JobId, Micros};
 use gorseshore_protocol::state::{Multi, MultiAnswer};
@@ -80,7 +80,7 @@
     pub(crate) changed: u64,
     pub(crate) pending: BTreeMap<Ticket, Pending>,
     pub(crate) next_ticket: u64,
-    pub(crate) out: Vec<GuestOutput>,
+    pub(crate) out: Vec<ExtensionOutput>,
     pub(crate) waiting: Vec<watch::Blocked>,
     pub(crate) streams: BTreeMap<RequestId, watch::Stream>,
     pub(crate) events: std::collections::VecDeque<watch::Event>,
@@ -163,7 +163,7 @@
             headers.push(("X-Nomad-Index", index.to_string()));
         }
         let body = body.to_string().into_bytes();
-        self.out.push(GuestOutput::Answer(id, Answer { status, headers, body }));
+        self.out.push(ExtensionOutput::Answer(id, Answer { status, headers, body }));
     }
 
     /// An error in the interface's own form: text.
@@ -172,7 +172,7 @@
         if matches!(status, 429 | 503) {
             headers.push(("Retry-After", "1".into()));
         }
-        self.out.push(GuestOutput::Answer(id, Answer { status, headers, body: text.as_bytes().to_vec() }));
+        self.out.push(ExtensionOutput::Answer(id, Answer { status, headers, body: text.as_bytes().to_vec() }));
     }
 
     pub(crate) fn keep_content(&mut self, nonce: &str, content: Rc<Content>) {
@@ -282,8 +282,8 @@
 }
 
 /// A write, under the leader's key or not.
-pub(crate) fn write(ticket: Ticket, multi: Multi, as_leader: bool) -> GuestOutput {
-    GuestOutput::Write { ticket, multi, as_leader }
+pub(crate) fn write(ticket: Ticket, multi: Multi, as_leader: bool) -> ExtensionOutput {
+    ExtensionOutput::Write { ticket, multi, as_leader }
 }
 
 impl Extension for Service {
@@ -292,7 +292,7 @@
         // Readers of events come back with their index; what they may have
         // missed meanwhile is not known here.
         for id in std::mem::take(&mut self.streams).into_keys() {
-            self.out.push(GuestOutput::Close(id));
+            self.out.push(ExtensionOutput::Close(id));
         }
         self.events.clear();
         self.heads.clear();
@@ -338,7 +338,7 @@
         }
     }
 
-    fn handle(&mut self, host: &Host<'_>, input: ExtensionInput) -> Vec<GuestOutput> {
+    fn handle(&mut self, host: &Host<'_>, input: ExtensionInput) -> Vec<ExtensionOutput> {
         self.loading = false;
         match input {
             ExtensionInput::Tick => {
--- a/crates/nomad/src/service/reconcile.rs
+++ b/crates/nomad/src/service/reconcile.rs
@@ -6,7 +6,7 @@
 use super::records::{Head, JobKey, names};
 use super::register::{put, remove, when};
 use super::{Known, Pending, Service, write};
-use gorseshore_core::extension::{GuestOutput, Host};
+use gorseshore_core::extension::{ExtensionOutput, Host};
 use gorseshore_core::jobs::{Phase, cancelled_value, description, job_value, keys};
 use gorseshore_core::limits::value_len;
 use gorseshore_protocol::ids::{JobId, Micros};
@@ -154,7 +154,7 @@
     pub(crate) fn load(&mut self, key: &JobKey, nonce: &str) {
         self.busy.insert(key.clone());
         let ticket = self.ticket(Pending::Load(key.clone(), nonce.to_owned()));
-        self.out.push(GuestOutput::Read(ticket, names::parts(key, nonce)));
+        self.out.push(ExtensionOutput::Read(ticket, names::parts(key, nonce)));
     }
 
     /// Removes parts that no head names: of registrations that were not
--- a/crates/nomad/src/service/register.rs
+++ b/crates/nomad/src/service/register.rs
@@ -15,7 +15,7 @@
 use crate::translate::{self, Planned};
 use crate::tree::{Faults, Severity};
 use gorseshore_core::CallResult;
-use gorseshore_core::extension::{GuestOutput, Host};
+use gorseshore_core::extension::{ExtensionOutput, Host};
 use gorseshore_core::jobs::{Phase, job_value, keys};
 use gorseshore_core::limits::value_len;
 use gorseshore_protocol::ids::{JobId, Micros, OWN_IDS};
@@ -603,7 +603,7 @@
     fn look_again(&mut self, mut r: Registration, step: Step) {
         r.step = step;
         let ticket = self.ticket(Pending::Register(Box::new(r)));
-        self.out.push(GuestOutput::Prove(ticket));
+        self.out.push(ExtensionOutput::Prove(ticket));
     }
 
     /// The mirror is up to date again.
--- a/crates/nomad/src/service/watch.rs
+++ b/crates/nomad/src/service/watch.rs
@@ -8,7 +8,7 @@
 use super::records::Head;
 use super::{Service, views};
 use gorseshore_core::RequestId;
-use gorseshore_core::extension::{Answer, GuestOutput, Host};
+use gorseshore_core::extension::{Answer, ExtensionOutput, Host};
 use gorseshore_protocol::ids::Micros;
 use serde_json::{Value, json};
 
@@ -96,7 +96,7 @@
         for (id, s) in &mut self.streams {
             if host.now.since(s.beat) >= BEAT {
                 s.beat = host.now;
-                self.out.push(GuestOutput::Chunk(*id, b"{}\n".to_vec()));
+                self.out.push(ExtensionOutput::Chunk(*id, b"{}\n".to_vec()));
             }
         }
     }
@@ -117,7 +117,7 @@
         let line = line(&e);
         for (id, s) in &self.streams {
             if s.wants(&e) {
-                self.out.push(GuestOutput::Chunk(*id, line.clone()));
+                self.out.push(ExtensionOutput::Chunk(*id, line.clone()));
             }
         }
         self.events.push_back(e);
@@ -131,12 +131,12 @@
         if self.streams.len() >= self.settings.max_streams {
             return self.refuse(id, 429, "too many event streams are open here");
         }
-        self.out.push(GuestOutput::Open(id, Answer { status: 200, ..Answer::default() }));
+        self.out.push(ExtensionOutput::Open(id, Answer { status: 200, ..Answer::default() }));
         // The first line says that the stream stands.
-        self.out.push(GuestOutput::Chunk(id, b"{}\n".to_vec()));
+        self.out.push(ExtensionOutput::Chunk(id, b"{}\n".to_vec()));
         if index > 0 {
             for e in self.events.iter().filter(|e| e.index > index && stream.wants(e)) {
-                self.out.push(GuestOutput::Chunk(id, line(e)));
+                self.out.push(ExtensionOutput::Chunk(id, line(e)));
             }
         }
         self.streams.insert(id, stream);
--- a/tests/world/desk.rs
+++ b/tests/world/desk.rs
@@ -1,7 +1,7 @@
 //! One interface over the stand-in of the state service, without a network:
 //! for attacks that need a certain order, and for requests of any kind.
 use super::*;
-use gorseshore_core::extension::{Answer, Extension, ExtensionInput, GuestOutput, Host};
+use gorseshore_core::extension::{Answer, Extension, ExtensionInput, ExtensionOutput, Host};
 use gorseshore_core::jobs::{Ledger, keys};
 use gorseshore_nomad::service::Service;
 use gorseshore_protocol::state::{Listing, Multi, News, When};
@@ -111,14 +111,14 @@
             };
             for o in self.service.handle(&host, i) {
                 match o {
-                    GuestOutput::Answer(id, a) => self.answers.push((id, a)),
-                    GuestOutput::Open(..) | GuestOutput::Chunk(..) | GuestOutput::Close(_) => {}
-                    GuestOutput::Prove(t) => {
+                    ExtensionOutput::Answer(id, a) => self.answers.push((id, a)),
+                    ExtensionOutput::Open(..) | ExtensionOutput::Chunk(..) | ExtensionOutput::Close(_) => {}
+                    ExtensionOutput::Prove(t) => {
                         self.catch_up();
                         inputs.push_back(ExtensionInput::News);
                         inputs.push_back(ExtensionInput::Proved(t, true));
                     }
-                    GuestOutput::Read(t, prefix) => {
+                    ExtensionOutput::Read(t, prefix) => {
                         let mut all = Listing { pairs: Vec::new(), truncated: true, ledger: 0 };
                         while all.truncated {
                             let from =
@@ -134,7 +134,7 @@
                         let body = serde_json::to_vec(&all).unwrap();
                         inputs.push_back(ExtensionInput::Called(t, CallResult::Answer { status: 200, body }));
                     }
-                    GuestOutput::Write { ticket, mut multi, as_leader } => {
+                    ExtensionOutput::Write { ticket, mut multi, as_leader } => {
                         if as_leader {
                             multi.when.push(When { path: LEADER.into(), stamp: self.state.stamp(LEADER) });
                         }
