--- a/crates/core/src/extension.rs
+++ b/crates/core/src/extension.rs
@@ -15,7 +15,7 @@
 
 /// Identifies a pending operation of the extension.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Ticket(pub u64);
+pub struct OperationId(pub u64);
 
 /// What the extension sees of the node.
 pub struct Host<'a> {
@@ -71,9 +71,9 @@
     Gone(RequestId),
     /// A read barrier ended; `true` if the state replica was up to date at some time after the
     /// request for it.
-    Proved(Ticket, bool),
+    Proved(OperationId, bool),
     /// A write or a read ended.
-    Called(Ticket, CallResult),
+    Called(OperationId, CallResult),
 }
 
 /// Actions that the extension requests.
@@ -88,13 +88,13 @@
     /// Ends the stream.
     Close(RequestId),
     /// Starts a read barrier.
-    Prove(Ticket),
+    Prove(OperationId),
     /// Reads the keys with this prefix from the state service.
-    Read(Ticket, String),
+    Read(OperationId, String),
     /// Writes; with `as_leader` only while this node holds the leader key.
     Write {
         /// Identifies the write.
-        ticket: Ticket,
+        ticket: OperationId,
         /// The transaction.
         multi: Multi,
         /// The leader key is added to the conditions.
--- a/crates/core/src/node/cancellations.rs
+++ b/crates/core/src/node/cancellations.rs
@@ -37,7 +37,7 @@
 enum Requester {
     User(RequestId),
     /// The extension, whose transaction ended jobs, and the result of that transaction.
-    Extension(Ticket, CallResult),
+    Extension(OperationId, CallResult),
 }
 
 /// A cancellation and its acknowledgements.
@@ -118,7 +118,7 @@
     }
 
     /// Completes the extension's transaction when the job ends in it may be confirmed.
-    pub(super) fn confirm_to_extension(&mut self, t: Ticket, jobs: &[JobId], result: CallResult) {
+    pub(super) fn confirm_to_extension(&mut self, t: OperationId, jobs: &[JobId], result: CallResult) {
         // All controllers are notified of all jobs together; the extension waits for the last one.
         for job in jobs {
             self.track_cancellation(*job);
--- a/crates/core/src/node/extension_host.rs
+++ b/crates/core/src/node/extension_host.rs
@@ -64,7 +64,7 @@
         }
     }
 
-    fn read_extension_page(&mut self, t: Ticket, prefix: String, so_far: Listing) {
+    fn read_extension_page(&mut self, t: OperationId, prefix: String, so_far: Listing) {
         let from = so_far.pairs.last().map_or(String::new(), |p| format!("&from={}", p.path));
         let path = format!("/store?prefix={prefix}{from}&limit=1000");
         let id = self.call_state_service("GET", path, Vec::new(), Micros::millis(2500));
@@ -75,7 +75,7 @@
     /// there.
     pub(super) fn extension_page_received(
         &mut self,
-        t: Ticket,
+        t: OperationId,
         prefix: String,
         mut so_far: Listing,
         result: CallResult,
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -32,7 +32,7 @@
 use crate::controller::{CheckinReply, Controller, read_tasks};
 use crate::deputy::Deputy;
 use crate::election::Role;
-use crate::extension::{Extension, ExtensionInput, ExtensionOutput, Host, Ticket};
+use crate::extension::{Extension, ExtensionInput, ExtensionOutput, Host, OperationId};
 use crate::jobs::{self, Change, LeaderRecord, Ledger, MachineRecord, Phase, keys};
 use crate::leader::{CloudWish, Context, HireRequest, Leader, LeaderWrite, View};
 use crate::limits::StoreLimits;
@@ -86,7 +86,7 @@
     ReadBarrier(Vec<(Waiter, Micros)>),
     Write(PendingWrite),
     /// Pages of an extension's read: the prefix, and the pages received so far.
-    ExtensionRead(Ticket, String, Listing),
+    ExtensionRead(OperationId, String, Listing),
     CreateLease {
         requested_at: Micros,
     },
--- a/crates/core/src/node/pending_requests.rs
+++ b/crates/core/src/node/pending_requests.rs
@@ -2,7 +2,7 @@
 //! Invariant: an answer that is not final waits here for a read barrier, and a write for its turn
 //! in the budget.
 use crate::RequestId;
-use crate::extension::Ticket;
+use crate::extension::OperationId;
 use crate::rate::Bucket;
 use gorseshore_protocol::ids::{JobId, Micros};
 use gorseshore_protocol::job::JobSpec;
@@ -20,12 +20,12 @@
     Submit(RequestId, JobId, Box<Result<JobSpec, (u16, String)>>),
     Abort(RequestId, JobId),
     /// A read barrier of the extension.
-    Extension(Ticket),
+    Extension(OperationId),
 }
 
 impl Waiter {
     /// The client's request, or the extension's operation.
-    pub(super) fn requester(&self) -> Result<RequestId, Ticket> {
+    pub(super) fn requester(&self) -> Result<RequestId, OperationId> {
         match self {
             Waiter::Poll(r, _) | Waiter::Submit(r, ..) | Waiter::Abort(r, _) => Ok(*r),
             Waiter::Extension(t) => Err(*t),
@@ -40,7 +40,7 @@
     /// With the record of the job's end.
     Abort(RequestId, JobId, serde_json::Value),
     /// Of the extension; `true`: only under the leader key.
-    Extension(Ticket, Box<Multi>, bool),
+    Extension(OperationId, Box<Multi>, bool),
 }
 
 /// Waiting requests and writes.
--- a/crates/nomad/src/service/mod.rs
+++ b/crates/nomad/src/service/mod.rs
@@ -18,7 +18,7 @@
 mod watch;
 
 use crate::translate::{MachineKind, Site};
-use gorseshore_core::extension::{Answer, Extension, ExtensionInput, ExtensionOutput, Host, Ticket};
+use gorseshore_core::extension::{Answer, Extension, ExtensionInput, ExtensionOutput, Host, OperationId};
 use gorseshore_core::{CallResult, RequestId};
 use gorseshore_protocol::ids::{JobId, Micros};
 use gorseshore_protocol::state::{Multi, MultiAnswer};
@@ -78,7 +78,7 @@
     pub(crate) floor: u64,
     /// The last revision at which anything changed.
     pub(crate) changed: u64,
-    pub(crate) pending: BTreeMap<Ticket, Pending>,
+    pub(crate) pending: BTreeMap<OperationId, Pending>,
     pub(crate) next_ticket: u64,
     pub(crate) out: Vec<ExtensionOutput>,
     pub(crate) waiting: Vec<watch::Blocked>,
@@ -138,8 +138,8 @@
         }
     }
 
-    pub(crate) fn ticket(&mut self, p: Pending) -> Ticket {
-        let t = Ticket(self.next_ticket);
+    pub(crate) fn ticket(&mut self, p: Pending) -> OperationId {
+        let t = OperationId(self.next_ticket);
         self.next_ticket += 1;
         self.pending.insert(t, p);
         t
@@ -239,7 +239,7 @@
         self.site = Site { machines, teams: host.teams.iter().map(|t| t.name.clone()).collect() };
     }
 
-    fn called(&mut self, host: &Host<'_>, ticket: Ticket, result: CallResult) {
+    fn called(&mut self, host: &Host<'_>, ticket: OperationId, result: CallResult) {
         match self.pending.remove(&ticket) {
             Some(Pending::Register(r)) => self.register_written(host, *r, &result),
             Some(Pending::Content { request, nonce }) => match self.content_of(&nonce, &result) {
@@ -282,7 +282,7 @@
 }
 
 /// A write, under the leader's key or not.
-pub(crate) fn write(ticket: Ticket, multi: Multi, as_leader: bool) -> ExtensionOutput {
+pub(crate) fn write(ticket: OperationId, multi: Multi, as_leader: bool) -> ExtensionOutput {
     ExtensionOutput::Write { ticket, multi, as_leader }
 }
 
