--- a/crates/core/src/extension.rs
+++ b/crates/core/src/extension.rs
@@ -18,7 +18,7 @@
 pub struct OperationId(pub u64);
 
 /// What the extension sees of the node.
-pub struct Host<'a> {
+pub struct ExtensionContext<'a> {
     /// Monotonic clock.
     pub now: Micros,
     /// Time of day in milliseconds.
@@ -123,5 +123,5 @@
     /// A record changed of a job whose id was assigned by the service.
     fn job_changed(&mut self, id: JobId, stamp: u64);
     /// Handles an input; returns the actions to take.
-    fn handle(&mut self, host: &Host<'_>, input: ExtensionInput) -> Vec<ExtensionOutput>;
+    fn handle(&mut self, host: &ExtensionContext<'_>, input: ExtensionInput) -> Vec<ExtensionOutput>;
 }
--- a/crates/core/src/node/extension_host.rs
+++ b/crates/core/src/node/extension_host.rs
@@ -17,7 +17,7 @@
         while !self.extension_inputs.is_empty() {
             let input = self.extension_inputs.remove(0);
             let me = &self.members.names[self.members.me.0 as usize];
-            let host = Host {
+            let host = ExtensionContext {
                 now: self.now,
                 wall_ms: self.wall_ms,
                 ledger: &self.reflector.ledger,
@@ -84,7 +84,9 @@
             CallResult::Answer { status: 200, body } => serde_json::from_slice(body).ok(),
             _ => None,
         };
-        let Some(page) = page else { return self.run_extension(ExtensionInput::Called(t, CallResult::NotSent)) };
+        let Some(page) = page else {
+            return self.run_extension(ExtensionInput::Called(t, CallResult::NotSent));
+        };
         so_far.pairs.extend(page.pairs);
         so_far.ledger = page.ledger;
         if page.truncated && so_far.pairs.len() < MAX_READ_KEYS {
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -32,7 +32,7 @@
 use crate::controller::{CheckinReply, Controller, read_tasks};
 use crate::deputy::Deputy;
 use crate::election::Role;
-use crate::extension::{Extension, ExtensionInput, ExtensionOutput, Host, OperationId};
+use crate::extension::{Extension, ExtensionContext, ExtensionInput, ExtensionOutput, OperationId};
 use crate::jobs::{self, Change, LeaderRecord, Ledger, MachineRecord, Phase, keys};
 use crate::leader::{CloudWish, Context, HireRequest, Leader, LeaderWrite, View};
 use crate::limits::StoreLimits;
--- a/crates/nomad/src/service/api.rs
+++ b/crates/nomad/src/service/api.rs
@@ -5,7 +5,7 @@
 use crate::tree::{Faults, Severity};
 use crate::{Inputs, hcl, model, translate};
 use gorseshore_core::RequestId;
-use gorseshore_core::extension::{ExtensionOutput, Host};
+use gorseshore_core::extension::{ExtensionContext, ExtensionOutput};
 use gorseshore_protocol::ids::Micros;
 use percent_encoding::percent_decode_str;
 use serde_json::{Value, json};
@@ -240,7 +240,7 @@
 impl Service {
     pub(crate) fn request(
         &mut self,
-        host: &Host<'_>,
+        host: &ExtensionContext<'_>,
         id: RequestId,
         method: &str,
         path: &str,
@@ -294,7 +294,7 @@
     }
 
     /// Answers a request; the mirror is up to date.
-    pub(crate) fn serve(&mut self, host: &Host<'_>, r: Request) {
+    pub(crate) fn serve(&mut self, host: &ExtensionContext<'_>, r: Request) {
         let scope = match &r.route {
             Route::Job(j) | Route::JobPart(j, _) => Scope::Job(JobKey::of(r.namespace(), j)),
             _ => Scope::All,
@@ -542,7 +542,7 @@
     }
 
     /// `POST /v1/job/ID/plan`: what registering would do; nothing is written.
-    fn plan(&mut self, host: &Host<'_>, r: &Request) {
+    fn plan(&mut self, host: &ExtensionContext<'_>, r: &Request) {
         let Ok(text) = std::str::from_utf8(&r.body) else { return self.refuse(r.id, 400, "not UTF-8") };
         let j = crate::judge(text, &r.inputs(), &self.settings, &self.site);
         let Some(job) = j.job.as_ref().filter(|_| j.accepted()) else {
--- a/crates/nomad/src/service/launches.rs
+++ b/crates/nomad/src/service/launches.rs
@@ -9,7 +9,7 @@
 use super::register::{Wish, child_content};
 use crate::cron;
 use gorseshore_core::RequestId;
-use gorseshore_core::extension::Host;
+use gorseshore_core::extension::ExtensionContext;
 use gorseshore_protocol::ids::Micros;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -35,7 +35,7 @@
 impl Service {
     /// Launches what is due. Asked often; a job is looked at when its next
     /// time has come.
-    pub(crate) fn launch(&mut self, host: &Host<'_>) {
+    pub(crate) fn launch(&mut self, host: &ExtensionContext<'_>) {
         let second = host.wall_ms / 1000;
         if second == self.launch_second {
             return;
--- a/crates/nomad/src/service/mod.rs
+++ b/crates/nomad/src/service/mod.rs
@@ -18,7 +18,9 @@
 mod watch;
 
 use crate::translate::{MachineKind, Site};
-use gorseshore_core::extension::{Answer, Extension, ExtensionInput, ExtensionOutput, Host, OperationId};
+use gorseshore_core::extension::{
+    Answer, Extension, ExtensionContext, ExtensionInput, ExtensionOutput, OperationId,
+};
 use gorseshore_core::{CallResult, RequestId};
 use gorseshore_protocol::ids::{JobId, Micros};
 use gorseshore_protocol::state::{Multi, MultiAnswer};
@@ -172,7 +174,8 @@
         if matches!(status, 429 | 503) {
             headers.push(("Retry-After", "1".into()));
         }
-        self.out.push(ExtensionOutput::Answer(id, Answer { status, headers, body: text.as_bytes().to_vec() }));
+        self.out
+            .push(ExtensionOutput::Answer(id, Answer { status, headers, body: text.as_bytes().to_vec() }));
     }
 
     pub(crate) fn keep_content(&mut self, nonce: &str, content: Rc<Content>) {
@@ -224,7 +227,7 @@
     }
 
     /// The site as the cloud tells it.
-    fn look(&mut self, host: &Host<'_>) {
+    fn look(&mut self, host: &ExtensionContext<'_>) {
         let mut machines = Vec::new();
         for f in host.flavors {
             for z in &f.yards {
@@ -239,7 +242,7 @@
         self.site = Site { machines, teams: host.teams.iter().map(|t| t.name.clone()).collect() };
     }
 
-    fn called(&mut self, host: &Host<'_>, ticket: OperationId, result: CallResult) {
+    fn called(&mut self, host: &ExtensionContext<'_>, ticket: OperationId, result: CallResult) {
         match self.pending.remove(&ticket) {
             Some(Pending::Register(r)) => self.register_written(host, *r, &result),
             Some(Pending::Content { request, nonce }) => match self.content_of(&nonce, &result) {
@@ -338,7 +341,7 @@
         }
     }
 
-    fn handle(&mut self, host: &Host<'_>, input: ExtensionInput) -> Vec<ExtensionOutput> {
+    fn handle(&mut self, host: &ExtensionContext<'_>, input: ExtensionInput) -> Vec<ExtensionOutput> {
         self.loading = false;
         match input {
             ExtensionInput::Tick => {
--- a/crates/nomad/src/service/reconcile.rs
+++ b/crates/nomad/src/service/reconcile.rs
@@ -6,7 +6,7 @@
 use super::records::{Head, JobKey, names};
 use super::register::{put, remove, when};
 use super::{Known, Pending, Service, write};
-use gorseshore_core::extension::{ExtensionOutput, Host};
+use gorseshore_core::extension::{ExtensionContext, ExtensionOutput};
 use gorseshore_core::jobs::{Phase, cancelled_value, description, job_value, keys};
 use gorseshore_core::limits::value_len;
 use gorseshore_protocol::ids::{JobId, Micros};
@@ -29,7 +29,7 @@
     submitted_ms: u64,
     head: &Head,
     group: &str,
-    host: &Host<'_>,
+    host: &ExtensionContext<'_>,
 ) -> Option<Value> {
     let record = job_value(spec, submitted_ms);
     if value_len(&record) > host.value_limit {
@@ -41,7 +41,7 @@
 
 impl Service {
     /// Looks at the jobs that changed, if this node leads.
-    pub(crate) fn lead(&mut self, host: &Host<'_>) {
+    pub(crate) fn lead(&mut self, host: &ExtensionContext<'_>) {
         if !host.leads || !host.loaded {
             self.led = false;
             self.busy.clear();
@@ -70,7 +70,7 @@
         }
     }
 
-    fn reconcile(&mut self, host: &Host<'_>, key: &JobKey, known: &Known) {
+    fn reconcile(&mut self, host: &ExtensionContext<'_>, key: &JobKey, known: &Known) {
         let head = &known.head;
         let mut m = Multi { when: vec![when(names::head(key), known.stamp)], writes: Vec::new() };
         // The leader's key is a condition more.
@@ -159,7 +159,7 @@
 
     /// Removes parts that no head names: of registrations that were not
     /// finished, of versions that are no longer kept, of jobs that are gone.
-    fn sweep(&mut self, host: &Host<'_>) {
+    fn sweep(&mut self, host: &ExtensionContext<'_>) {
         let named = |heads: &BTreeMap<JobKey, Known>, name: &str| {
             let mut s = name.split('/');
             let (Some(key), Some(nonce)) = (s.next(), s.next()) else { return false };
--- a/crates/nomad/src/service/register.rs
+++ b/crates/nomad/src/service/register.rs
@@ -15,7 +15,7 @@
 use crate::translate::{self, Planned};
 use crate::tree::{Faults, Severity};
 use gorseshore_core::CallResult;
-use gorseshore_core::extension::{ExtensionOutput, Host};
+use gorseshore_core::extension::{ExtensionContext, ExtensionOutput};
 use gorseshore_core::jobs::{Phase, job_value, keys};
 use gorseshore_core::limits::value_len;
 use gorseshore_protocol::ids::{JobId, Micros, OWN_IDS};
@@ -93,7 +93,7 @@
     }
 
     /// `POST /v1/jobs`.
-    pub(crate) fn register(&mut self, host: &Host<'_>, r: Request) {
+    pub(crate) fn register(&mut self, host: &ExtensionContext<'_>, r: Request) {
         let Ok(text) = std::str::from_utf8(&r.body) else { return self.refuse(r.id, 400, "not UTF-8") };
         if self.site.machines.is_empty() {
             return self.refuse(r.id, 503, "the machine types are not known yet");
@@ -120,7 +120,7 @@
     }
 
     /// What natively is a 422: a task that alone is over its team's limit.
-    fn limits(&self, host: &Host<'_>, groups: &[Planned]) -> Result<(), String> {
+    fn limits(&self, host: &ExtensionContext<'_>, groups: &[Planned]) -> Result<(), String> {
         for p in groups {
             if value_len(&job_value(&p.spec, host.wall_ms)) + DESCRIPTION_MARGIN > host.value_limit {
                 return Err(format!("group {}: the description is too long", p.group));
@@ -136,7 +136,7 @@
     }
 
     /// Scaling, stopping, dispatching, a launch by hand.
-    pub(crate) fn change(&mut self, host: &Host<'_>, r: Request) {
+    pub(crate) fn change(&mut self, host: &ExtensionContext<'_>, r: Request) {
         let (Route::Scale(id) | Route::Stop(id) | Route::Dispatch(id) | Route::Force(id)) = &r.route else {
             return;
         };
@@ -190,7 +190,7 @@
     /// Checks a dispatch against the job's rules for payload and meta.
     fn dispatch(
         &mut self,
-        host: &Host<'_>,
+        host: &ExtensionContext<'_>,
         r: &Request,
         known: &Known,
         content: &Content,
@@ -249,7 +249,7 @@
     /// Starts a change; the mirror is up to date.
     pub(crate) fn begin_change(
         &mut self,
-        host: &Host<'_>,
+        host: &ExtensionContext<'_>,
         request: Request,
         key: JobKey,
         wish: Wish,
@@ -285,7 +285,7 @@
     }
 
     /// What is to be written, by the job as it is now.
-    fn decide(&mut self, host: &Host<'_>, mut r: Registration) {
+    fn decide(&mut self, host: &ExtensionContext<'_>, mut r: Registration) {
         r.tries += 1;
         if r.tries > TRIES || host.now > r.until {
             return self.give_up(&r, 503, "others change the job all the time, or the state service is slow");
@@ -416,7 +416,7 @@
     /// ones otherwise.
     fn next_head(
         &mut self,
-        host: &Host<'_>,
+        host: &ExtensionContext<'_>,
         known: Option<&Known>,
         job: &Job,
         (class, team): (&str, &str),
@@ -490,7 +490,7 @@
     /// Names the parts and begins to write.
     fn prepare(
         &mut self,
-        host: &Host<'_>,
+        host: &ExtensionContext<'_>,
         mut r: Registration,
         mut head: Head,
         content: Option<Rc<Content>>,
@@ -528,7 +528,7 @@
     }
 
     /// Writes the next parts, or the head.
-    fn go_on(&mut self, host: &Host<'_>, mut r: Registration) {
+    fn go_on(&mut self, host: &ExtensionContext<'_>, mut r: Registration) {
         if host.now > r.until {
             return self.give_up(&r, 503, "the state service is slow");
         }
@@ -571,7 +571,12 @@
     }
 
     /// A write of a change ended.
-    pub(crate) fn register_written(&mut self, host: &Host<'_>, mut r: Registration, result: &CallResult) {
+    pub(crate) fn register_written(
+        &mut self,
+        host: &ExtensionContext<'_>,
+        mut r: Registration,
+        result: &CallResult,
+    ) {
         match (r.step, revision(result), result) {
             (Step::Parts, Some(stamp), _) => {
                 let done = r.written.len();
@@ -592,7 +597,7 @@
         }
     }
 
-    fn retry_parts(&mut self, host: &Host<'_>, mut r: Registration) {
+    fn retry_parts(&mut self, host: &ExtensionContext<'_>, mut r: Registration) {
         r.tries += 1;
         if r.tries > TRIES {
             return self.give_up(&r, 503, "the state service did not confirm it");
@@ -607,7 +612,7 @@
     }
 
     /// The mirror is up to date again.
-    pub(crate) fn register_proved(&mut self, host: &Host<'_>, r: Registration) {
+    pub(crate) fn register_proved(&mut self, host: &ExtensionContext<'_>, r: Registration) {
         if r.step == Step::Again {
             return self.decide(host, r);
         }
@@ -623,7 +628,7 @@
     }
 
     /// It is recorded.
-    fn finish(&mut self, host: &Host<'_>, r: &Registration, stamp: u64) {
+    fn finish(&mut self, host: &ExtensionContext<'_>, r: &Registration, stamp: u64) {
         let Some(head) = &r.head else { return };
         log::info!("{} {}: version {} recorded at {stamp}", head.namespace, head.id, head.version);
         if r.by_leader {
@@ -638,7 +643,7 @@
     }
 
     /// Whether a job that this one launched still runs.
-    pub(crate) fn child_runs(&self, host: &Host<'_>, parent: &Head) -> bool {
+    pub(crate) fn child_runs(&self, host: &ExtensionContext<'_>, parent: &Head) -> bool {
         self.heads.values().any(|k| {
             k.head.parent.as_ref() == Some(&parent.id)
                 && k.head.namespace == parent.namespace
--- a/crates/nomad/src/service/views.rs
+++ b/crates/nomad/src/service/views.rs
@@ -4,7 +4,7 @@
 use super::records::{Content, Head, JobKey};
 use crate::translate::Planned;
 use crate::tree::Faults;
-use gorseshore_core::extension::Host;
+use gorseshore_core::extension::ExtensionContext;
 use gorseshore_core::jobs::{Job, MachineRecord, Phase};
 use gorseshore_protocol::ids::{JobId, MachineId, Resources};
 use serde_json::{Map, Value, json};
@@ -40,12 +40,12 @@
     Uuid::new_v8(b)
 }
 
-fn native<'a>(host: &'a Host<'_>, id: u64) -> Option<&'a Job> {
+fn native<'a>(host: &'a ExtensionContext<'_>, id: u64) -> Option<&'a Job> {
     host.ledger.jobs.get(&JobId(id))
 }
 
 /// `pending`, `running` or `dead`.
-pub(crate) fn status(host: &Host<'_>, head: &Head) -> &'static str {
+pub(crate) fn status(host: &ExtensionContext<'_>, head: &Head) -> &'static str {
     if head.stop {
         return "dead";
     }
@@ -69,7 +69,7 @@
 }
 
 /// Why a job ended, if it failed.
-fn failure(host: &Host<'_>, head: &Head) -> Option<String> {
+fn failure(host: &ExtensionContext<'_>, head: &Head) -> Option<String> {
     head.groups.iter().find_map(|g| native(host, g.job)?.cause.clone())
 }
 
@@ -82,7 +82,7 @@
     lost: u32,
 }
 
-fn counts(host: &Host<'_>, head: &Head, job: u64, count: u32) -> Counts {
+fn counts(host: &ExtensionContext<'_>, head: &Head, job: u64, count: u32) -> Counts {
     let mut c = Counts { queued: 0, running: 0, complete: 0, failed: 0, lost: 0 };
     match native(host, job) {
         None => c.queued = if head.stop || head.template() { 0 } else { count },
@@ -101,7 +101,7 @@
 }
 
 /// A job's summary.
-pub(crate) fn summary(host: &Host<'_>, k: &Known) -> Value {
+pub(crate) fn summary(host: &ExtensionContext<'_>, k: &Known) -> Value {
     let mut groups = Map::new();
     for g in &k.head.groups {
         let c = counts(host, &k.head, g.job, g.count);
@@ -116,7 +116,7 @@
 }
 
 /// A job in a list.
-pub(crate) fn job_stub(host: &Host<'_>, k: &Known) -> Value {
+pub(crate) fn job_stub(host: &ExtensionContext<'_>, k: &Known) -> Value {
     let h = &k.head;
     json!({"ID": h.id, "ParentID": h.parent.as_deref().unwrap_or(""), "Name": h.name, "Namespace": h.namespace,
         "Datacenters": h.datacenters, "Type": h.kind, "Priority": h.priority, "Periodic": h.periodic.is_some(),
@@ -132,7 +132,7 @@
 }
 
 /// A job as it was registered, with where it stands.
-pub(crate) fn job(host: &Host<'_>, k: &Known, c: &Content) -> Value {
+pub(crate) fn job(host: &ExtensionContext<'_>, k: &Known, c: &Content) -> Value {
     let mut v = c.job.clone();
     let h = &k.head;
     let set = json!({"Stop": h.stop, "Status": status(host, h), "Version": h.version, "Stable": false,
@@ -146,7 +146,7 @@
 }
 
 /// Versions: the current one whole, earlier ones by number and time.
-pub(crate) fn versions(host: &Host<'_>, k: &Known, c: &Content) -> Value {
+pub(crate) fn versions(host: &ExtensionContext<'_>, k: &Known, c: &Content) -> Value {
     let earlier = k.head.earlier.iter().map(|e| {
         json!({"ID": k.head.id, "Namespace": k.head.namespace, "Version": e.version, "SubmitTime": e.at * 1_000_000})
     });
@@ -155,7 +155,7 @@
 }
 
 /// The evaluation of a job's current version: what the scheduler makes of it.
-pub(crate) fn evaluation(host: &Host<'_>, key: &JobKey, k: &Known) -> Value {
+pub(crate) fn evaluation(host: &ExtensionContext<'_>, key: &JobKey, k: &Known) -> Value {
     let h = &k.head;
     let mut queued = Map::new();
     for g in &h.groups {
@@ -177,7 +177,7 @@
 }
 
 /// The tasks of a job, those of versions that it replaced too.
-pub(crate) fn allocations(host: &Host<'_>, k: &Known) -> Vec<Value> {
+pub(crate) fn allocations(host: &ExtensionContext<'_>, k: &Known) -> Vec<Value> {
     let h = &k.head;
     let mut out = Vec::new();
     for g in &h.groups {
@@ -193,7 +193,7 @@
     out
 }
 
-fn tasks(host: &Host<'_>, k: &Known, group: &str, id: u64, j: &Job, out: &mut Vec<Value>) {
+fn tasks(host: &ExtensionContext<'_>, k: &Known, group: &str, id: u64, j: &Job, out: &mut Vec<Value>) {
     let h = &k.head;
     let running = host.running.get(&JobId(id)).copied().unwrap_or(0);
     let open = j.tasks - j.done.below(j.tasks);
@@ -220,7 +220,7 @@
 }
 
 /// A job's counts, wanted and there.
-pub(crate) fn scale_status(host: &Host<'_>, k: &Known) -> Value {
+pub(crate) fn scale_status(host: &ExtensionContext<'_>, k: &Known) -> Value {
     let mut groups = Map::new();
     for g in &k.head.groups {
         let c = counts(host, &k.head, g.job, g.count);
@@ -247,7 +247,12 @@
 }
 
 /// What registering would do, and why some of it would have to wait.
-pub(crate) fn plan(host: &Host<'_>, known: Option<&Known>, groups: &[Planned], faults: &Faults) -> Value {
+pub(crate) fn plan(
+    host: &ExtensionContext<'_>,
+    known: Option<&Known>,
+    groups: &[Planned],
+    faults: &Faults,
+) -> Value {
     let (mut desired, mut failed) = (Map::new(), Map::new());
     for p in groups {
         let old = known.and_then(|k| k.head.groups.iter().find(|g| g.name == p.group && !k.head.stop));
--- a/crates/nomad/src/service/watch.rs
+++ b/crates/nomad/src/service/watch.rs
@@ -8,7 +8,7 @@
 use super::records::Head;
 use super::{Service, views};
 use gorseshore_core::RequestId;
-use gorseshore_core::extension::{Answer, ExtensionOutput, Host};
+use gorseshore_core::extension::{Answer, ExtensionContext, ExtensionOutput};
 use gorseshore_protocol::ids::Micros;
 use serde_json::{Value, json};
 
@@ -57,7 +57,7 @@
     }
 
     /// Lets a query wait if nothing changed since its index; true if it waits.
-    pub(crate) fn block(&mut self, host: &Host<'_>, request: &Request, scope: &Scope) -> bool {
+    pub(crate) fn block(&mut self, host: &ExtensionContext<'_>, request: &Request, scope: &Scope) -> bool {
         let Some(index) = request.index.filter(|i| *i > 0) else { return false };
         if request.waited || index < self.floor || self.changed_in(scope) > index {
             return false;
@@ -74,7 +74,7 @@
     }
 
     /// Answers queries whose scope changed.
-    pub(crate) fn wake(&mut self, host: &Host<'_>) {
+    pub(crate) fn wake(&mut self, host: &ExtensionContext<'_>) {
         if self.waiting.is_empty() {
             return;
         }
@@ -89,7 +89,7 @@
     }
 
     /// Ends waits whose time is over, and keeps streams alive.
-    pub(crate) fn expire(&mut self, host: &Host<'_>) {
+    pub(crate) fn expire(&mut self, host: &ExtensionContext<'_>) {
         if self.waiting.iter().any(|b| host.now >= b.until) {
             self.wake(host);
         }
--- a/tests/world/desk.rs
+++ b/tests/world/desk.rs
@@ -1,7 +1,7 @@
 //! One interface over the stand-in of the state service, without a network:
 //! for attacks that need a certain order, and for requests of any kind.
 use super::*;
-use gorseshore_core::extension::{Answer, Extension, ExtensionInput, ExtensionOutput, Host};
+use gorseshore_core::extension::{Answer, Extension, ExtensionContext, ExtensionInput, ExtensionOutput};
 use gorseshore_core::jobs::{Ledger, keys};
 use gorseshore_nomad::service::Service;
 use gorseshore_protocol::state::{Listing, Multi, News, When};
@@ -94,7 +94,7 @@
     fn input(&mut self, input: ExtensionInput) {
         let mut inputs = std::collections::VecDeque::from([input]);
         while let Some(i) = inputs.pop_front() {
-            let host = Host {
+            let host = ExtensionContext {
                 now: self.now,
                 wall_ms: self.wall_ms,
                 ledger: &self.ledger,
