--- a/crates/core/src/extension.rs
+++ b/crates/core/src/extension.rs
@@ -24,7 +24,7 @@
     /// Time of day in milliseconds.
     pub wall_ms: u64,
     /// The state replica.
-    pub ledger: &'a Ledger,
+    pub replica: &'a Ledger,
     /// Number of running tasks by job, for display.
     pub running: &'a BTreeMap<JobId, u32>,
     /// Machine types; empty until they are known.
@@ -32,19 +32,19 @@
     /// Teams.
     pub teams: &'a [Team],
     /// The state replica has been up to date at least once.
-    pub loaded: bool,
+    pub state_loaded: bool,
     /// The last call to the state service failed, a moment ago.
-    pub state_refuses: bool,
+    pub state_unavailable: bool,
     /// This node leads.
     pub leads: bool,
     /// The leader's name, if there is a leader.
     pub leader: Option<&'a str>,
     /// This node's name.
-    pub me: &'a str,
+    pub node_name: &'a str,
     /// Longest value in bytes.
-    pub value_limit: usize,
+    pub max_value_bytes: usize,
     /// Most writes in a transaction.
-    pub changes_at_once: usize,
+    pub max_txn_writes: usize,
 }
 
 /// Inputs to the extension.
@@ -53,7 +53,7 @@
     /// Time passed.
     Tick,
     /// The state replica applied events.
-    News,
+    ReplicaUpdated,
     /// A request on the extension's address.
     Request {
         /// Identifies the request.
@@ -68,12 +68,12 @@
         body: Vec<u8>,
     },
     /// The client of this request disconnected.
-    Gone(RequestId),
+    ClientDisconnected(RequestId),
     /// A read barrier ended; `true` if the state replica was up to date at some time after the
     /// request for it.
-    Proved(OperationId, bool),
+    ReadBarrierDone(OperationId, bool),
     /// A write or a read ended.
-    Called(OperationId, CallResult),
+    OperationCompleted(OperationId, CallResult),
 }
 
 /// Actions that the extension requests.
@@ -88,7 +88,7 @@
     /// Ends the stream.
     Close(RequestId),
     /// Starts a read barrier.
-    Prove(OperationId),
+    ReadBarrier(OperationId),
     /// Reads the keys with this prefix from the state service.
     Read(OperationId, String),
     /// Writes; with `as_leader` only while this node holds the leader key.
@@ -117,7 +117,7 @@
 pub trait Extension {
     /// The state replica was read from the start and is complete as of revision `floor`; what was
     /// removed before is unknown.
-    fn begin(&mut self, floor: u64);
+    fn reset(&mut self, floor: u64);
     /// A key of the extension's key space changed; `None` if it was removed.
     fn apply(&mut self, name: &str, value: Option<&Value>, stamp: u64);
     /// A record changed of a job whose id was assigned by the service.
--- a/crates/core/src/node/cancellations.rs
+++ b/crates/core/src/node/cancellations.rs
@@ -125,7 +125,7 @@
         }
         match jobs.last() {
             Some(job) => self.request_confirmation(Requester::Extension(t, result), *job),
-            None => self.run_extension(ExtensionInput::Called(t, result)),
+            None => self.run_extension(ExtensionInput::OperationCompleted(t, result)),
         }
     }
 
@@ -150,7 +150,9 @@
     fn fail_confirmation(&mut self, requester: Requester) {
         match requester {
             Requester::User(id) => self.refuse(id, RefusalReason::CancellationUnconfirmed),
-            Requester::Extension(t, _) => self.run_extension(ExtensionInput::Called(t, CallResult::Unknown)),
+            Requester::Extension(t, _) => {
+                self.run_extension(ExtensionInput::OperationCompleted(t, CallResult::Unknown))
+            }
         }
     }
 
@@ -245,7 +247,9 @@
         for (requester, job) in done {
             match requester {
                 Requester::User(id) => self.answer_cancelled(id, job),
-                Requester::Extension(t, result) => self.run_extension(ExtensionInput::Called(t, result)),
+                Requester::Extension(t, result) => {
+                    self.run_extension(ExtensionInput::OperationCompleted(t, result))
+                }
             }
         }
         let mut expired = Vec::new();
--- a/crates/core/src/node/control_loop.rs
+++ b/crates/core/src/node/control_loop.rs
@@ -147,7 +147,7 @@
         if !news.news.is_empty() {
             self.run_leader();
             self.send_worker_calls();
-            self.run_extension(ExtensionInput::News);
+            self.run_extension(ExtensionInput::ReplicaUpdated);
         }
     }
 
--- a/crates/core/src/node/extension_host.rs
+++ b/crates/core/src/node/extension_host.rs
@@ -20,17 +20,17 @@
             let host = ExtensionContext {
                 now: self.now,
                 wall_ms: self.wall_ms,
-                ledger: &self.reflector.ledger,
+                replica: &self.reflector.ledger,
                 running: &self.controller.running,
                 flavors: &self.catalogue.flavors,
                 teams: &self.teams,
-                loaded: self.reflector.loaded,
-                state_refuses: self.reflector.state_unavailable(self.now),
+                state_loaded: self.reflector.loaded,
+                state_unavailable: self.reflector.state_unavailable(self.now),
                 leads: self.leadership.leader.is_some() && self.leadership.election.may_lead(self.now),
                 leader: self.reflector.ledger.leader.as_ref().map(|(r, _)| r.node.as_str()),
-                me,
-                value_limit: self.limits.value_bytes,
-                changes_at_once: self.limits.txn_ops,
+                node_name: me,
+                max_value_bytes: self.limits.value_bytes,
+                max_txn_writes: self.limits.txn_ops,
             };
             let outputs = extension.handle(&host, input);
             for o in outputs {
@@ -46,14 +46,17 @@
             ExtensionOutput::Open(id, a) => self.out.items.push(Output::Open(id, a)),
             ExtensionOutput::Chunk(id, data) => self.out.items.push(Output::Chunk(id, data)),
             ExtensionOutput::Close(id) => self.out.items.push(Output::Close(id)),
-            ExtensionOutput::Prove(t) => self.await_read_barrier(Waiter::Extension(t), Micros::millis(1500)),
+            ExtensionOutput::ReadBarrier(t) => {
+                self.await_read_barrier(Waiter::Extension(t), Micros::millis(1500))
+            }
             ExtensionOutput::Read(t, prefix) => {
                 let none = Listing { pairs: Vec::new(), truncated: false, ledger: 0 };
                 self.read_extension_page(t, format!("{}{prefix}", keys::GUEST), none);
             }
             ExtensionOutput::Write { ticket, multi, as_leader } => {
                 if self.pending.writes.len() >= MAX_PENDING {
-                    return self.run_extension(ExtensionInput::Called(ticket, CallResult::NotSent));
+                    return self
+                        .run_extension(ExtensionInput::OperationCompleted(ticket, CallResult::NotSent));
                 }
                 let until = self.now + Micros::millis(3500);
                 self.pending
@@ -85,7 +88,7 @@
             _ => None,
         };
         let Some(page) = page else {
-            return self.run_extension(ExtensionInput::Called(t, CallResult::NotSent));
+            return self.run_extension(ExtensionInput::OperationCompleted(t, CallResult::NotSent));
         };
         so_far.pairs.extend(page.pairs);
         so_far.ledger = page.ledger;
@@ -93,14 +96,14 @@
             return self.read_extension_page(t, prefix, so_far);
         }
         let body = serde_json::to_vec(&so_far).unwrap_or_default();
-        self.run_extension(ExtensionInput::Called(t, CallResult::Answer { status: 200, body }));
+        self.run_extension(ExtensionInput::OperationCompleted(t, CallResult::Answer { status: 200, body }));
     }
 
     /// Fails a request whose read barrier can't be completed.
     pub(super) fn fail_waiter(&mut self, w: &Waiter, reason: RefusalReason) {
         match w.requester() {
             Ok(id) => self.refuse(id, reason),
-            Err(t) => self.run_extension(ExtensionInput::Proved(t, false)),
+            Err(t) => self.run_extension(ExtensionInput::ReadBarrierDone(t, false)),
         }
     }
 }
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -52,7 +52,7 @@
 
 /// All controllers of the cluster.
 #[derive(Debug, Clone)]
-pub struct Nodes {
+pub struct ClusterMembers {
     /// Host names, sorted; a `NodeId` is an index.
     pub names: Vec<String>,
     /// Zones, in the order of the names.
@@ -61,7 +61,7 @@
     pub me: NodeId,
 }
 
-impl Nodes {
+impl ClusterMembers {
     /// Reads the platform's settings.
     pub fn new(p: &Platform) -> Self {
         let mut all: Vec<(String, String)> =
@@ -70,7 +70,7 @@
         all.sort();
         let me = all.iter().position(|(n, _)| *n == p.host_name).unwrap_or(0);
         let (names, zones) = all.into_iter().unzip();
-        Nodes { names, zones, me: NodeId(me as u8) }
+        ClusterMembers { names, zones, me: NodeId(me as u8) }
     }
 }
 
@@ -121,7 +121,7 @@
 
 /// A controller node. Each field owns the state of one duty; what several duties share is here.
 pub struct Node {
-    members: Nodes,
+    members: ClusterMembers,
     operator: Operator,
     teams: Vec<Team>,
     leader_config: Context,
@@ -162,7 +162,7 @@
 impl Node {
     /// Creates a node with an empty state replica.
     pub fn new(p: &Platform, operator: Operator, seed: u64, incarnation: u64, now: Micros) -> Self {
-        let members = Nodes::new(p);
+        let members = ClusterMembers::new(p);
         let d = &p.deployment;
         let n = members.names.len() as f64;
         let leader_config = Context {
@@ -221,7 +221,7 @@
     }
 
     /// Adds an extension beside the scheduler.
-    pub fn with_guest(mut self, guest: Box<dyn Extension>) -> Self {
+    pub fn with_extension(mut self, guest: Box<dyn Extension>) -> Self {
         self.has_extension = true;
         self.extension = Some(guest);
         self
@@ -240,7 +240,7 @@
             Input::Gone(id) => {
                 self.status.client_disconnected(id);
                 self.deferred_check_ins.deferred.retain(|_, (r, ..)| *r != id);
-                self.run_extension(ExtensionInput::Gone(id));
+                self.run_extension(ExtensionInput::ClientDisconnected(id));
             }
             Input::Called { id, result } => self.call_completed(id, result),
             Input::Refused(n) => {
@@ -293,7 +293,7 @@
     }
 
     /// For tests: compares the sums that are updated incrementally with a recount.
-    pub fn check_kept(&self) -> Result<(), String> {
+    pub fn check_aggregates(&self) -> Result<(), String> {
         self.leadership.leader.as_ref().map_or(Ok(()), Leader::check_sums)
     }
 
@@ -509,7 +509,7 @@
         self.reflector.ledger = *ledger;
         self.reapply_cancellations();
         if let Some(g) = self.extension.as_mut() {
-            g.begin(first_revision);
+            g.reset(first_revision);
             for (name, v, stamp) in &extension_entries {
                 g.apply(name, Some(v), *stamp);
             }
--- a/crates/core/src/node/requests.rs
+++ b/crates/core/src/node/requests.rs
@@ -223,7 +223,7 @@
 
     pub(super) fn complete_waiter(&mut self, w: Waiter) {
         match w {
-            Waiter::Extension(t) => self.run_extension(ExtensionInput::Proved(t, true)),
+            Waiter::Extension(t) => self.run_extension(ExtensionInput::ReadBarrierDone(t, true)),
             Waiter::Poll(id, job) => {
                 self.status.check_read_barrier(id);
                 self.answer_current_state(id, job);
@@ -276,7 +276,7 @@
                         self.refuse(id, RefusalReason::WriteBudget);
                     }
                     PendingWrite::Extension(t, ..) => {
-                        self.run_extension(ExtensionInput::Called(t, CallResult::NotSent))
+                        self.run_extension(ExtensionInput::OperationCompleted(t, CallResult::NotSent))
                     }
                 }
                 continue;
@@ -303,7 +303,10 @@
                             }
                             _ => {
                                 let t = *t;
-                                self.run_extension(ExtensionInput::Called(t, CallResult::NotSent));
+                                self.run_extension(ExtensionInput::OperationCompleted(
+                                    t,
+                                    CallResult::NotSent,
+                                ));
                                 continue;
                             }
                         }
@@ -364,7 +367,9 @@
                     .writes
                     .push_back((PendingWrite::Extension(t, m, as_leader), self.now + Micros::millis(2000)));
             }
-            (PendingWrite::Extension(t, ..), r) => self.run_extension(ExtensionInput::Called(t, r.clone())),
+            (PendingWrite::Extension(t, ..), r) => {
+                self.run_extension(ExtensionInput::OperationCompleted(t, r.clone()))
+            }
             (w, CallResult::Answer { status: 429, .. }) => {
                 let pause = Micros::millis(100 + self.rng.u64(0..100));
                 self.pending.write_bucket.force(self.now, 1.0);
--- a/crates/nomad/src/service/api.rs
+++ b/crates/nomad/src/service/api.rs
@@ -276,7 +276,7 @@
         let r = Request { id, team, route, query, body, index, wait, waited: false };
         match r.route {
             Route::Health => {
-                let ok = host.loaded && !host.state_refuses;
+                let ok = host.state_loaded && !host.state_unavailable;
                 let text = if ok { "ok" } else { "the state service can't be asked" };
                 let body = json!({"server": {"ok": ok, "message": text}});
                 return self.answer(id, if ok { 200 } else { 500 }, 0, &body);
@@ -290,7 +290,7 @@
         }
         // What isn't final needs the proof that nothing newer is missing.
         let ticket = self.ticket(Pending::Request(r));
-        self.out.push(ExtensionOutput::Prove(ticket));
+        self.out.push(ExtensionOutput::ReadBarrier(ticket));
     }
 
     /// Answers a request; the mirror is up to date.
@@ -313,7 +313,7 @@
         if reads && self.block(host, &r, &scope) {
             return;
         }
-        let index = host.ledger.applied;
+        let index = host.replica.applied;
         let known = |s: &Service, j: &str| {
             let key = JobKey::of(r.namespace(), j);
             s.heads.get(&key).filter(|k| r.may(&k.head.team)).cloned().map(|k| (key, k))
@@ -412,12 +412,12 @@
             }
             Route::Nodes => {
                 let prefix = r.q("prefix").unwrap_or("").to_owned();
-                let rows = host.ledger.machines.iter().map(|(id, m)| (id.to_string(), views::node(id, m)));
+                let rows = host.replica.machines.iter().map(|(id, m)| (id.to_string(), views::node(id, m)));
                 let rows: Vec<_> = rows.filter(|(id, _)| id.starts_with(&prefix)).collect();
                 self.page(&r, index, rows);
             }
             Route::Node(id) => {
-                let found = host.ledger.machines.iter().find(|(m, _)| m.as_str() == id);
+                let found = host.replica.machines.iter().find(|(m, _)| m.as_str() == id);
                 match found.map(|(id, m)| views::node(id, m)) {
                     Some(v) => self.answer(r.id, 200, index, &v),
                     None => self.refuse(r.id, 404, "node not found"),
@@ -446,11 +446,11 @@
                 let leader = host.leader.unwrap_or("").to_owned();
                 self.answer(r.id, 200, index, &json!(leader));
             }
-            Route::Peers => self.answer(r.id, 200, index, &json!([host.me])),
+            Route::Peers => self.answer(r.id, 200, index, &json!([host.node_name])),
             Route::Agent => {
                 let region = self.settings.region.clone();
                 let body = json!({"config": {"Region": region, "Version": {"Version": env!("CARGO_PKG_VERSION")}},
-                    "member": {"Name": host.me, "Status": "alive",
+                    "member": {"Name": host.node_name, "Status": "alive",
                         "Tags": {"region": region, "role": "gorseshore"}},
                     "stats": {"gorseshore": {"jobs": self.heads.len().to_string(),
                         "leader": host.leads.to_string()}}});
@@ -554,7 +554,7 @@
         }
         let key = JobKey::of(&job.namespace, &job.id);
         let body = views::plan(host, self.heads.get(&key), &j.groups, &j.faults);
-        self.answer(r.id, 200, host.ledger.applied, &body);
+        self.answer(r.id, 200, host.replica.applied, &body);
     }
 }
 
--- a/crates/nomad/src/service/mod.rs
+++ b/crates/nomad/src/service/mod.rs
@@ -290,7 +290,7 @@
 }
 
 impl Extension for Service {
-    fn begin(&mut self, floor: u64) {
+    fn reset(&mut self, floor: u64) {
         self.loading = true;
         // Readers of events come back with their index; what they may have
         // missed meanwhile is not known here.
@@ -352,18 +352,18 @@
                 self.expire(host);
                 self.lead(host);
             }
-            ExtensionInput::News => {
+            ExtensionInput::ReplicaUpdated => {
                 self.wake(host);
                 self.lead(host);
             }
             ExtensionInput::Request { id, method, path, token, body } => {
                 self.request(host, id, &method, &path, token.as_deref(), body);
             }
-            ExtensionInput::Gone(id) => {
+            ExtensionInput::ClientDisconnected(id) => {
                 self.waiting.retain(|b| b.request.id != id);
                 self.streams.remove(&id);
             }
-            ExtensionInput::Proved(ticket, good) => match self.pending.remove(&ticket) {
+            ExtensionInput::ReadBarrierDone(ticket, good) => match self.pending.remove(&ticket) {
                 Some(Pending::Request(r)) if good => self.serve(host, r),
                 Some(Pending::Request(r)) => self.refuse(r.id, 503, "the state service can't be asked now"),
                 Some(Pending::Register(r)) if good => self.register_proved(host, *r),
@@ -372,7 +372,7 @@
                 }
                 _ => {}
             },
-            ExtensionInput::Called(ticket, result) => self.called(host, ticket, result),
+            ExtensionInput::OperationCompleted(ticket, result) => self.called(host, ticket, result),
         }
         std::mem::take(&mut self.out)
     }
--- a/crates/nomad/src/service/reconcile.rs
+++ b/crates/nomad/src/service/reconcile.rs
@@ -32,7 +32,7 @@
     host: &ExtensionContext<'_>,
 ) -> Option<Value> {
     let record = job_value(spec, submitted_ms);
-    if value_len(&record) > host.value_limit {
+    if value_len(&record) > host.max_value_bytes {
         log::error!("record too long job={} group={group}", head.id);
         return None;
     }
@@ -42,7 +42,7 @@
 impl Service {
     /// Looks at the jobs that changed, if this node leads.
     pub(crate) fn lead(&mut self, host: &ExtensionContext<'_>) {
-        if !host.leads || !host.loaded {
+        if !host.leads || !host.state_loaded {
             self.led = false;
             self.busy.clear();
             return;
@@ -75,14 +75,14 @@
         let mut m = Multi { when: vec![when(names::head(key), known.stamp)], writes: Vec::new() };
         // The leader's key is a condition more.
         let room =
-            |m: &Multi| m.writes.len() < host.changes_at_once && m.when.len() + 3 < host.changes_at_once * 4;
+            |m: &Multi| m.writes.len() < host.max_txn_writes && m.when.len() + 3 < host.max_txn_writes * 4;
         let over: Vec<JobId> = match head.stop || head.template() {
             true => head.natives().collect(),
             false => head.old.iter().copied().map(JobId).collect(),
         };
         let mut left = false;
         for id in over {
-            let Some(job) = host.ledger.jobs.get(&id) else { continue };
+            let Some(job) = host.replica.jobs.get(&id) else { continue };
             left |= job.phase == Phase::Active;
             if job.phase == Phase::Active && room(&m) {
                 m.when.push(When { path: keys::end(id), stamp: 0 });
@@ -94,7 +94,7 @@
         if !head.stop && !head.template() {
             for g in &head.groups {
                 let id = JobId(g.job);
-                match host.ledger.jobs.get(&id) {
+                match host.replica.jobs.get(&id) {
                     None if g.count == 0 => {}
                     None => {
                         let Some(content) = self.contents.get(&head.nonce).cloned() else {
@@ -175,7 +175,7 @@
                 gone.push(name.clone());
             }
         }
-        gone.truncate(host.changes_at_once);
+        gone.truncate(host.max_txn_writes);
         if gone.is_empty() {
             return;
         }
--- a/crates/nomad/src/service/register.rs
+++ b/crates/nomad/src/service/register.rs
@@ -122,7 +122,7 @@
     /// What natively is a 422: a task that alone is over its team's limit.
     fn limits(&self, host: &ExtensionContext<'_>, groups: &[Planned]) -> Result<(), String> {
         for p in groups {
-            if value_len(&job_value(&p.spec, host.wall_ms)) + DESCRIPTION_MARGIN > host.value_limit {
+            if value_len(&job_value(&p.spec, host.wall_ms)) + DESCRIPTION_MARGIN > host.max_value_bytes {
                 return Err(format!("group {}: the description is too long", p.group));
             }
             let Some(team) = host.teams.iter().find(|t| t.name == p.spec.team) else {
@@ -181,7 +181,7 @@
             }
             _ => match self.dispatch(host, &r, &known, &content, &body) {
                 Ok((wish, None)) => self.begin_change(host, r, key, wish, false),
-                Ok((_, Some(done))) => self.answer(r.id, 200, host.ledger.applied, &done),
+                Ok((_, Some(done))) => self.answer(r.id, 200, host.replica.applied, &done),
                 Err(text) => self.refuse(r.id, 400, &text),
             },
         }
@@ -313,7 +313,7 @@
                     && k.head.hash == hash
                 {
                     let answer = registered(&r.key, &k.head, k.stamp, &r.wish);
-                    return self.answer(r.request.id, 200, host.ledger.applied, &answer);
+                    return self.answer(r.request.id, 200, host.replica.applied, &answer);
                 }
                 match self.next_head(host, known.as_ref(), job, (class, team), (hash, shape)) {
                     Ok(h) => (h, Some(content.clone())),
@@ -337,7 +337,7 @@
                 };
                 if h.groups[at].count == *count {
                     let answer = registered(&r.key, &k.head, k.stamp, &r.wish);
-                    return self.answer(r.request.id, 200, host.ledger.applied, &answer);
+                    return self.answer(r.request.id, 200, host.replica.applied, &answer);
                 }
                 let total: u64 = h.groups.iter().map(|g| g.count as u64).sum::<u64>()
                     - h.groups[at].count as u64
@@ -349,7 +349,7 @@
                     return self.give_up(&r, 400, &text);
                 }
                 // One that is over can't be scaled: the group begins anew.
-                let job = host.ledger.jobs.get(&JobId(h.groups[at].job));
+                let job = host.replica.jobs.get(&JobId(h.groups[at].job));
                 if job.is_some_and(|j| j.phase != Phase::Active) {
                     h.groups[at].job = self.native();
                 }
@@ -372,7 +372,7 @@
                 let Some(k) = known else { return self.give_up(&r, 404, "job not found") };
                 if k.head.stop && (k.head.purge || !purge) {
                     let answer = registered(&r.key, &k.head, k.stamp, &r.wish);
-                    return self.answer(r.request.id, 200, host.ledger.applied, &answer);
+                    return self.answer(r.request.id, 200, host.replica.applied, &answer);
                 }
                 let mut h = Head::clone(&k.head);
                 (h.stop, h.purge) = (true, h.purge || *purge);
@@ -461,7 +461,7 @@
             earlier: Vec::new(),
         };
         let Some(k) = known else { return Ok(head) };
-        let active = |id: u64| host.ledger.jobs.get(&JobId(id)).is_none_or(|j| j.phase == Phase::Active);
+        let active = |id: u64| host.replica.jobs.get(&JobId(id)).is_none_or(|j| j.phase == Phase::Active);
         if !k.head.stop && k.head.shape == head.shape && k.head.groups.iter().all(|g| active(g.job)) {
             for g in &mut head.groups {
                 if let Some(old) = k.head.groups.iter().find(|x| x.name == g.name) {
@@ -472,7 +472,7 @@
         } else {
             // Of what is gone for good nothing has to be waited for.
             let gone = |id: &JobId| {
-                host.ledger.jobs.get(id).is_some_and(|j| match j.phase {
+                host.replica.jobs.get(id).is_some_and(|j| match j.phase {
                     Phase::Active => false,
                     Phase::Done => true,
                     Phase::Aborted => j.settled,
@@ -500,9 +500,9 @@
         r.written.clear();
         if let Some(c) = content {
             let text = serde_json::to_string(&*c).unwrap_or_default();
-            let parts = cut(&text, host.value_limit.saturating_sub(64));
+            let parts = cut(&text, host.max_value_bytes.saturating_sub(64));
             // The head's conditions name every part.
-            let most = (host.changes_at_once * 4).saturating_sub(6);
+            let most = (host.max_txn_writes * 4).saturating_sub(6);
             if text.len() > MAX_CONTENT || parts.len() > most {
                 let text = format!(
                     "the job takes {} bytes in {} parts, at most {MAX_CONTENT} in {most}",
@@ -518,7 +518,7 @@
             self.keep_content(&head.nonce, c);
         }
         // A head of longer values than may be written now gives up its oldest versions.
-        let too_long = |head: &Head| value_len(&json!(head)) + HEAD_MARGIN > host.value_limit;
+        let too_long = |head: &Head| value_len(&json!(head)) + HEAD_MARGIN > host.max_value_bytes;
         while too_long(&head) && head.earlier.pop().is_some() {}
         if too_long(&head) {
             return self.give_up(&r, 400, "the job has too many groups for a record of the state service");
@@ -536,7 +536,7 @@
         if done < r.parts.len() {
             r.step = Step::Parts;
             let (mut size, mut writes) = (200, Vec::new());
-            for (name, text) in r.parts[done..].iter().take(host.changes_at_once) {
+            for (name, text) in r.parts[done..].iter().take(host.max_txn_writes) {
                 size += text.len() * 2 + 300;
                 if size > 50_000 && !writes.is_empty() {
                     break;
@@ -608,7 +608,7 @@
     fn look_again(&mut self, mut r: Registration, step: Step) {
         r.step = step;
         let ticket = self.ticket(Pending::Register(Box::new(r)));
-        self.out.push(ExtensionOutput::Prove(ticket));
+        self.out.push(ExtensionOutput::ReadBarrier(ticket));
     }
 
     /// The mirror is up to date again.
@@ -639,7 +639,7 @@
             Wish::Child { id, .. } => dispatched(id, &head.key(), stamp),
             w => registered(&r.key, head, stamp, w),
         };
-        self.answer(r.request.id, 200, host.ledger.applied.max(stamp), &answer);
+        self.answer(r.request.id, 200, host.replica.applied.max(stamp), &answer);
     }
 
     /// Whether a job that this one launched still runs.
--- a/crates/nomad/src/service/views.rs
+++ b/crates/nomad/src/service/views.rs
@@ -41,7 +41,7 @@
 }
 
 fn native<'a>(host: &'a ExtensionContext<'_>, id: u64) -> Option<&'a Job> {
-    host.ledger.jobs.get(&JobId(id))
+    host.replica.jobs.get(&JobId(id))
 }
 
 /// `pending`, `running` or `dead`.
--- a/crates/shell/src/lib.rs
+++ b/crates/shell/src/lib.rs
@@ -10,7 +10,7 @@
 
 use admission::Bounds;
 use gorseshore_core::extension::{Answer, Extension};
-use gorseshore_core::node::{Node, Nodes};
+use gorseshore_core::node::{ClusterMembers, Node};
 use gorseshore_core::peer::{Envelope, Message, before_number, process_number};
 use gorseshore_core::{CallResult, Input, Output, RequestId};
 use gorseshore_protocol::ids::{Micros, NodeId};
@@ -228,7 +228,7 @@
     let executor = Rc::new(LocalExecutor::new());
     let ex = executor.clone();
     smol::block_on(ex.run(async move {
-        let nodes = Nodes::new(&platform);
+        let nodes = ClusterMembers::new(&platform);
         let started = Instant::now();
         let seed = fastrand::u64(..) >> 1;
         let clock_off = Micros::from_secs_f64(platform.deployment.clock_off_ms / 1000.0);
@@ -237,7 +237,7 @@
         let incarnation = process_number(wall, seed);
         let mut node = Node::new(&platform, operator, seed, incarnation, Micros(1_000_000));
         if let Some(guest) = guest {
-            node = node.with_guest(guest);
+            node = node.with_extension(guest);
         }
         let sockets = platform.deployment.machine_limits.sockets;
         let bounds = Bounds::new(sockets, nodes.names.len() - 1, bound.guest.is_some());
--- a/tests/world/desk.rs
+++ b/tests/world/desk.rs
@@ -48,7 +48,7 @@
             answers: Vec::new(),
             next: 1,
         };
-        d.service.begin(0);
+        d.service.reset(0);
         d.catch_up();
         d.pass(3);
         d
@@ -58,7 +58,7 @@
     fn restart(&mut self, seed: u64) {
         self.service = Service::new(nomad::operator().nomad.unwrap(), seed);
         self.ledger = Ledger::default();
-        self.service.begin(0);
+        self.service.reset(0);
         self.held.clear();
         self.catch_up();
         self.pass(3);
@@ -97,26 +97,26 @@
             let host = ExtensionContext {
                 now: self.now,
                 wall_ms: self.wall_ms,
-                ledger: &self.ledger,
+                replica: &self.ledger,
                 running: &BTreeMap::new(),
                 flavors: &self.flavors,
                 teams: &self.teams,
-                loaded: true,
-                state_refuses: false,
+                state_loaded: true,
+                state_unavailable: false,
                 leads: self.leads,
                 leader: Some("n0"),
-                me: "n0",
-                value_limit: 4000,
-                changes_at_once: 24,
+                node_name: "n0",
+                max_value_bytes: 4000,
+                max_txn_writes: 24,
             };
             for o in self.service.handle(&host, i) {
                 match o {
                     ExtensionOutput::Answer(id, a) => self.answers.push((id, a)),
                     ExtensionOutput::Open(..) | ExtensionOutput::Chunk(..) | ExtensionOutput::Close(_) => {}
-                    ExtensionOutput::Prove(t) => {
+                    ExtensionOutput::ReadBarrier(t) => {
                         self.catch_up();
-                        inputs.push_back(ExtensionInput::News);
-                        inputs.push_back(ExtensionInput::Proved(t, true));
+                        inputs.push_back(ExtensionInput::ReplicaUpdated);
+                        inputs.push_back(ExtensionInput::ReadBarrierDone(t, true));
                     }
                     ExtensionOutput::Read(t, prefix) => {
                         let mut all = Listing { pairs: Vec::new(), truncated: true, ledger: 0 };
@@ -132,7 +132,10 @@
                             all.pairs.extend(page.pairs);
                         }
                         let body = serde_json::to_vec(&all).unwrap();
-                        inputs.push_back(ExtensionInput::Called(t, CallResult::Answer { status: 200, body }));
+                        inputs.push_back(ExtensionInput::OperationCompleted(
+                            t,
+                            CallResult::Answer { status: 200, body },
+                        ));
                     }
                     ExtensionOutput::Write { ticket, mut multi, as_leader } => {
                         if as_leader {
@@ -144,8 +147,8 @@
                         }
                         let r = self.execute(&multi);
                         self.catch_up();
-                        inputs.push_back(ExtensionInput::News);
-                        inputs.push_back(ExtensionInput::Called(ticket, r));
+                        inputs.push_back(ExtensionInput::ReplicaUpdated);
+                        inputs.push_back(ExtensionInput::OperationCompleted(ticket, r));
                     }
                 }
             }
--- a/tests/world/main.rs
+++ b/tests/world/main.rs
@@ -1091,7 +1091,8 @@
             }
         }
         self.check_known();
-        let sums: Vec<String> = self.nodes.iter().flatten().filter_map(|n| n.check_kept().err()).collect();
+        let sums: Vec<String> =
+            self.nodes.iter().flatten().filter_map(|n| n.check_aggregates().err()).collect();
         for s in sums {
             self.break_rule("sums", s);
         }
--- a/tests/world/nomad.rs
+++ b/tests/world/nomad.rs
@@ -25,7 +25,7 @@
 /// A controller with the interface beside the scheduler.
 pub fn guest(node: Node, seed: u64) -> Node {
     let settings = operator().nomad.unwrap();
-    node.with_guest(Box::new(Service::new(settings, seed)))
+    node.with_extension(Box::new(Service::new(settings, seed)))
 }
 
 /// What a planner asked for.
