--- a/crates/core/src/node/cancellation_enforcement.rs
+++ b/crates/core/src/node/cancellation_enforcement.rs
@@ -154,7 +154,7 @@
         };
         let machines = &self.reflector.ledger.machines;
         let holder = |id: &MachineId| match self.controller.holds(id) {
-            true => Some(self.members.me),
+            true => Some(self.members.own_id),
             false => self.controller.directory.get(id).copied(),
         };
         let unsettled: Vec<(Micros, &Job)> = match self.log_replicas.all().any(|b| !b.unknown.is_empty()) {
--- a/crates/core/src/node/cancellations.rs
+++ b/crates/core/src/node/cancellations.rs
@@ -132,7 +132,7 @@
     fn request_confirmation(&mut self, requester: Requester, job: JobId) {
         self.track_cancellation(job);
         let until = self.now + CONFIRMATION_TIMEOUT;
-        let reachable = self.leader_node().is_some_and(|n| n == self.members.me || self.has_path(n));
+        let reachable = self.leader_node().is_some_and(|n| n == self.members.own_id || self.has_path(n));
         let Some(tracked) = self.cancellations.jobs.get_mut(&job) else { return };
         if !tracked.record.told && !reachable {
             return self.fail_confirmation(requester);
@@ -188,7 +188,7 @@
         // state replica that holds the record shows whether there is such a leader.
         let applied = self.reflector.ledger.applied >= tracked.record.stamp;
         let contacts_acknowledged =
-            self.peers.all().filter(|n| *n != self.members.me && self.in_contact(*n, PEER_TIMEOUT)).all(
+            self.peers.all().filter(|n| *n != self.members.own_id && self.in_contact(*n, PEER_TIMEOUT)).all(
                 |n| {
                     let process = self.peers.states[n.0 as usize].incarnation;
                     tracked.record.known_by[n.0 as usize] >= process
@@ -213,7 +213,7 @@
     /// Notifies controllers that have to know, and answers requests whose cancellation is fully
     /// acknowledged.
     pub(super) fn propagate_cancellations(&mut self) {
-        let (now, me) = (self.now, self.members.me);
+        let (now, me) = (self.now, self.members.own_id);
         let recently_scanned = now.since(self.cancellations.scanned_at) < SCAN_INTERVAL;
         if recently_scanned && !std::mem::take(&mut self.cancellations.scan_now) {
             return;
@@ -303,7 +303,7 @@
         let nodes = self.members.names.len();
         for c in batch {
             self.cancellations.merge(c, nodes, self.now);
-            self.record_acknowledgement(c.job, self.members.me, self.incarnation);
+            self.record_acknowledgement(c.job, self.members.own_id, self.incarnation);
             self.apply_cancellation(c);
         }
         let (mut guaranteed, mut others) = (Vec::new(), Vec::new());
@@ -369,7 +369,7 @@
         leads: Option<u64>,
     ) {
         let term = self.leader_term();
-        let leader = self.leader_node().filter(|n| *n != from && *n != self.members.me);
+        let leader = self.leader_node().filter(|n| *n != from && *n != self.members.own_id);
         for job in jobs {
             self.record_acknowledgement(*job, from, process);
             let Some(tracked) = self.cancellations.jobs.get_mut(job) else { continue };
@@ -393,7 +393,7 @@
     /// the other controllers, and no controller outside the minority may be left to stop the tasks
     /// that it keeps alive.
     pub(super) fn update_informed_at(&mut self) {
-        let in_contact = |n: &NodeId| *n != self.members.me && self.in_contact(*n, PEER_TIMEOUT);
+        let in_contact = |n: &NodeId| *n != self.members.own_id && self.in_contact(*n, PEER_TIMEOUT);
         let in_contact: Vec<NodeId> = self.peers.all().filter(in_contact).collect();
         let read = self.reflector.loaded || in_contact.iter().any(|n| self.peers.states[n.0 as usize].loaded);
         let majority = (in_contact.len() + 1) * 2 > self.members.names.len();
--- a/crates/core/src/node/control_loop.rs
+++ b/crates/core/src/node/control_loop.rs
@@ -42,7 +42,7 @@
             let others = self.peers.queued(self.now);
             self.pending.share_budget(others, self.members.names.len(), self.limits.changes_per_s);
             for i in 0..self.members.names.len() {
-                if i != self.members.me.0 as usize {
+                if i != self.members.own_id.0 as usize {
                     let contacts = contacts.clone();
                     let loaded = self.reflector.loaded;
                     self.out
@@ -109,7 +109,7 @@
             let change = match (&e.put, &e.remove) {
                 (Some(k), _) => match self.reflector.ledger.apply(k, Some(&e.v), e.stamp) {
                     Change::Mail(to) => {
-                        if to == self.members.names[self.members.me.0 as usize]
+                        if to == self.members.names[self.members.own_id.0 as usize]
                             && let Some(p) = self.relay.receive_part(&e.v)
                         {
                             messages.push(p);
@@ -186,7 +186,7 @@
                     self.calls.insert(id, CallPurpose::CreateLease { requested_at: self.now });
                 }
                 Some((rec, _))
-                    if rec.node == self.members.names[self.members.me.0 as usize]
+                    if rec.node == self.members.names[self.members.own_id.0 as usize]
                         && self.leadership.revoked_lease != Some(rec.lease) =>
                 {
                     // An earlier process of this node led; revoking its lease avoids waiting until
@@ -238,7 +238,7 @@
         let out_of_contact = (0..self.peers.states.len())
             .map(|i| NodeId(i as u8))
             .filter(|n| {
-                *n != self.members.me
+                *n != self.members.own_id
                     && !self.in_contact(*n, PEER_TIMEOUT)
                     && !self.peers.is_process_down(*n, self.now)
             })
@@ -250,8 +250,10 @@
     /// Whether this leader lost contact with all other controllers, and not because their processes
     /// ended.
     pub(super) fn lost_all_peers(&mut self) -> bool {
-        let others: Vec<NodeId> =
-            (0..self.peers.states.len()).map(|i| NodeId(i as u8)).filter(|n| *n != self.members.me).collect();
+        let others: Vec<NodeId> = (0..self.peers.states.len())
+            .map(|i| NodeId(i as u8))
+            .filter(|n| *n != self.members.own_id)
+            .collect();
         if others.iter().any(|n| self.in_contact(*n, Micros::millis(3000))) {
             self.leadership.had_peers = true;
             return false;
@@ -321,7 +323,7 @@
         let Some(l) = self.leadership.leader.as_mut() else { return };
         let Some(w) = l.books_wanted() else { return };
         let term = w.term;
-        let me = &self.members.names[self.members.me.0 as usize];
+        let me = &self.members.names[self.members.own_id.0 as usize];
         let is_standby = w.nodes.iter().any(|(name, process)| name == me && *process == self.incarnation);
         if is_standby && let Some(book) = self.log_replicas.get(term) {
             return l.inherit(term, book, &self.reflector.ledger);
@@ -332,7 +334,7 @@
         self.log_requested_at = self.now;
         let holders =
             w.nodes.iter().filter_map(|(name, _)| self.members.names.iter().position(|n| n == name));
-        for n in holders.filter(|n| *n != self.members.me.0 as usize) {
+        for n in holders.filter(|n| *n != self.members.own_id.0 as usize) {
             self.out.send(NodeId(n as u8), Message::BooksWanted { term });
         }
     }
--- a/crates/core/src/node/extension_host.rs
+++ b/crates/core/src/node/extension_host.rs
@@ -16,7 +16,7 @@
         let Some(mut extension) = self.extension.take() else { return };
         while !self.extension_inputs.is_empty() {
             let input = self.extension_inputs.remove(0);
-            let me = &self.members.names[self.members.me.0 as usize];
+            let me = &self.members.names[self.members.own_id.0 as usize];
             let host = ExtensionContext {
                 now: self.now,
                 wall_ms: self.wall_ms,
--- a/crates/core/src/node/heartbeats.rs
+++ b/crates/core/src/node/heartbeats.rs
@@ -69,7 +69,7 @@
     /// The holder to redirect a worker to, unless the worker was redirected there recently and came
     /// back: it can't reach that holder.
     fn redirect_target(&mut self, machine: &MachineId, holder: Option<NodeId>) -> Option<NodeId> {
-        let n = holder.filter(|n| *n != self.members.me && self.in_contact(*n, PEER_TIMEOUT))?;
+        let n = holder.filter(|n| *n != self.members.own_id && self.in_contact(*n, PEER_TIMEOUT))?;
         let now = self.now;
         self.deferred_check_ins.redirected_at.retain(|_, t| now.since(*t) < Micros::secs(12));
         match self.deferred_check_ins.redirected_at.get(machine) {
@@ -104,7 +104,7 @@
     /// Whether neither the state service nor another controller is in contact.
     pub(super) fn is_isolated(&self) -> bool {
         !self.reflector.state_reachable(self.now)
-            && self.peers.all().all(|n| n == self.members.me || !self.in_contact(n, PEER_TIMEOUT))
+            && self.peers.all().all(|n| n == self.members.own_id || !self.in_contact(n, PEER_TIMEOUT))
     }
 
     pub(super) fn redirect(&mut self, id: RequestId, to: Option<NodeId>) {
--- a/crates/core/src/node/messaging.rs
+++ b/crates/core/src/node/messaging.rs
@@ -12,7 +12,7 @@
 impl Node {
     pub(super) fn leader_node(&self) -> Option<NodeId> {
         if self.leadership.leader.is_some() {
-            return Some(self.members.me);
+            return Some(self.members.own_id);
         }
         let (rec, _) = self.reflector.ledger.leader.as_ref()?;
         let in_state = self.members.names.iter().position(|n| *n == rec.node).map(|i| NodeId(i as u8));
@@ -28,7 +28,7 @@
     }
 
     pub(super) fn send(&mut self, to: NodeId, m: Message) {
-        if to == self.members.me {
+        if to == self.members.own_id {
             return self.receive_message(to, 1, m);
         }
         if self.in_contact(to, PEER_TIMEOUT) {
@@ -41,7 +41,7 @@
         match relay {
             Some(r) => {
                 let envelope =
-                    Envelope { from: self.members.me, incarnation: self.incarnation, message: m.clone() };
+                    Envelope { from: self.members.own_id, incarnation: self.incarnation, message: m.clone() };
                 self.out.send(r, Message::Forward { to, envelope: envelope.pack() });
             }
             None => self.relay.enqueue(to, &m),
@@ -64,13 +64,13 @@
         {
             return;
         }
-        let me = self.members.names[self.members.me.0 as usize].clone();
+        let me = self.members.names[self.members.own_id.0 as usize].clone();
         let mut posted = 0;
         while let Some(((to, _), message)) = self.relay.outgoing.pop_first() {
             if self.in_contact(to, PEER_TIMEOUT) {
                 continue;
             }
-            let envelope = Envelope { from: self.members.me, incarnation: self.incarnation, message };
+            let envelope = Envelope { from: self.members.own_id, incarnation: self.incarnation, message };
             let receiver = &self.members.names[to.0 as usize];
             let Some(parts) = self.relay.split(receiver, &me, &envelope, &self.limits) else {
                 debug!("message to controller {} is too long for the state service", to.0);
@@ -115,7 +115,7 @@
                 self.cancellations_acknowledged(from, incarnation, &jobs, leads);
             }
             Message::Forward { to, envelope } => {
-                if to != self.members.me {
+                if to != self.members.own_id {
                     self.out.send(to, Message::Forward { to, envelope });
                 } else if let Some(p) = Envelope::unpack(&envelope).filter(|p| p.from != to) {
                     // One hop: a forwarded envelope holds no other envelope to forward.
@@ -215,7 +215,7 @@
     /// itself carry incarnation 1, those to other controllers the process's own. Updates that are
     /// meant for another process are dropped.
     pub(super) fn expected_incarnation(&self, from: NodeId) -> u64 {
-        if from == self.members.me { 1 } else { self.incarnation() }
+        if from == self.members.own_id { 1 } else { self.incarnation() }
     }
 
     /// The incarnation that this process puts on its messages.
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -58,7 +58,7 @@
     /// Zones, in the order of the names.
     pub zones: Vec<String>,
     /// This controller.
-    pub me: NodeId,
+    pub own_id: NodeId,
 }
 
 impl ClusterMembers {
@@ -70,7 +70,7 @@
         all.sort();
         let me = all.iter().position(|(n, _)| *n == p.host_name).unwrap_or(0);
         let (names, zones) = all.into_iter().unzip();
-        ClusterMembers { names, zones, me: NodeId(me as u8) }
+        ClusterMembers { names, zones, own_id: NodeId(me as u8) }
     }
 }
 
@@ -166,7 +166,7 @@
         let d = &p.deployment;
         let n = members.names.len() as f64;
         let leader_config = Context {
-            me: members.me,
+            me: members.own_id,
             names: members.names.clone(),
             zones: members.zones.clone(),
             operator: operator.clone(),
@@ -361,7 +361,7 @@
                     Some(g) if self.reflector.ledger.leader.is_none() => {
                         let (term, stamp) = self.reflector.ledger.term;
                         let rec = LeaderRecord {
-                            node: self.members.names[self.members.me.0 as usize].clone(),
+                            node: self.members.names[self.members.own_id.0 as usize].clone(),
                             term: term + 1,
                             lease: g.hold,
                         };
--- a/crates/core/src/node/placement_knowledge.rs
+++ b/crates/core/src/node/placement_knowledge.rs
@@ -24,7 +24,7 @@
     /// Whether a controller is in contact and on record as a standby replica of the placement log.
     fn has_placement_log(&self, n: NodeId) -> bool {
         let (record, _) = &self.reflector.ledger.books;
-        let process = if n == self.members.me {
+        let process = if n == self.members.own_id {
             self.incarnation
         } else if self.in_contact(n, PEER_TIMEOUT) {
             self.peers.states[n.0 as usize].incarnation
--- a/crates/shell/src/lib.rs
+++ b/crates/shell/src/lib.rs
@@ -262,7 +262,7 @@
             client: client::Client::new(&platform.endpoints.state, &platform.endpoints.cloud, &bounds),
             peers,
             incarnation,
-            me: nodes.me,
+            me: nodes.own_id,
         });
         for (addr, name, rx) in receivers {
             let node = NodeId(nodes.names.iter().position(|n| *n == name).unwrap_or(0) as u8);
