--- a/crates/core/src/extension.rs
+++ b/crates/core/src/extension.rs
@@ -123,5 +123,5 @@
     /// A record changed of a job whose id was assigned by the service.
     fn job_changed(&mut self, id: JobId, stamp: u64);
     /// Handles an input; returns the actions to take.
-    fn handle(&mut self, host: &ExtensionContext<'_>, input: ExtensionInput) -> Vec<ExtensionOutput>;
+    fn handle(&mut self, context: &ExtensionContext<'_>, input: ExtensionInput) -> Vec<ExtensionOutput>;
 }
--- a/crates/core/src/node/cancellation_enforcement.rs
+++ b/crates/core/src/node/cancellation_enforcement.rs
@@ -34,7 +34,7 @@
             return;
         }
         let suspects = self.suspects();
-        let machines = self.reflector.ledger.machines.len();
+        let machines = self.replica_sync.replica.machines.len();
         self.enforce_cancellations(&suspects, machines);
     }
 
@@ -98,7 +98,7 @@
     }
 
     fn probe_suspect(&mut self, id: MachineId) {
-        let recorded = self.reflector.ledger.machines.get(&id).map(|m| m.addr.as_str());
+        let recorded = self.replica_sync.replica.machines.get(&id).map(|m| m.addr.as_str());
         let Some(address) = recorded.or(self.liveness.address(&id)) else { return };
         let call = self.out.call(status_call(address.to_owned()));
         self.calls.insert(call, CallPurpose::SuspectCall { machine: id, sent: self.now });
@@ -131,12 +131,13 @@
     fn has_active_leader(&self) -> bool {
         let recent_contact =
             self.leadership.leader.is_some() || self.now.since(self.peers.leader_contact_at) < SILENT;
-        recent_contact || self.reflector.state_reachable(self.now) && self.reflector.ledger.leader.is_some()
+        recent_contact
+            || self.replica_sync.state_reachable(self.now) && self.replica_sync.replica.leader.is_some()
     }
 
     /// A cancelled job that may still be on machines, and the deadline for stopping it.
     fn unsettled_job(&self, id: JobId) -> Option<(Micros, &Job)> {
-        let job = self.reflector.ledger.jobs.get(&id)?;
+        let job = self.replica_sync.replica.jobs.get(&id)?;
         let is_unsettled = job.phase == Phase::Aborted && !job.settled;
         is_unsettled.then(|| (gone_by(job.ended_ms, self.wall_ms, self.leader_config.cancel, self.now), job))
     }
@@ -147,46 +148,48 @@
     /// and a machine from which the leader itself had received nothing may hold anything.
     fn suspects(&self) -> BTreeMap<MachineId, Suspect> {
         let mut suspects: BTreeMap<MachineId, (Micros, BTreeSet<(TaskId, Attempt)>)> = BTreeMap::new();
-        let mut add = |id: &MachineId, by: Micros, start: Option<(TaskId, Attempt)>| {
-            let (earliest, starts) = suspects.entry(id.clone()).or_insert((by, BTreeSet::new()));
-            *earliest = (*earliest).min(by);
+        let mut add = |id: &MachineId, deadline: Micros, start: Option<(TaskId, Attempt)>| {
+            let (earliest, starts) = suspects.entry(id.clone()).or_insert((deadline, BTreeSet::new()));
+            *earliest = (*earliest).min(deadline);
             starts.extend(start);
         };
-        let machines = &self.reflector.ledger.machines;
+        let machines = &self.replica_sync.replica.machines;
         let holder = |id: &MachineId| match self.controller.holds(id) {
             true => Some(self.members.own_id),
             false => self.controller.directory.get(id).copied(),
         };
         let unsettled: Vec<(Micros, &Job)> = match self.log_replicas.all().any(|b| !b.unknown.is_empty()) {
-            true => self.reflector.ledger.jobs.keys().filter_map(|id| self.unsettled_job(*id)).collect(),
+            true => self.replica_sync.replica.jobs.keys().filter_map(|id| self.unsettled_job(*id)).collect(),
             false => Vec::new(),
         };
-        for book in self.log_replicas.all() {
-            for (task, e) in &book.tasks {
-                let Some((by, job)) = self.unsettled_job(task.job) else { continue };
+        for log in self.log_replicas.all() {
+            for (task, e) in &log.tasks {
+                let Some((deadline, job)) = self.unsettled_job(task.job) else { continue };
                 let start = (*task, e.attempt);
-                e.on.iter().for_each(|id| add(id, by, e.starting.then_some(start)));
-                let Some((hint, zone)) = &e.handed else { continue };
-                add(hint, by, Some(start));
-                let to = holder(hint);
+                e.on.iter().for_each(|id| add(id, deadline, e.starting.then_some(start)));
+                let Some((preferred, zone)) = &e.handed else { continue };
+                add(preferred, deadline, Some(start));
+                let to = holder(preferred);
                 let in_block = machines.iter().filter(|(id, _)| to.is_some() && holder(id) == to);
                 for (id, m) in in_block {
                     let in_zone = zone.as_ref().is_none_or(|z| *z == m.zone);
                     if in_zone && self.may_hold(job, m) {
-                        add(id, by, None);
+                        add(id, deadline, None);
                     }
                 }
             }
-            for id in &book.unknown {
+            for id in &log.unknown {
                 let Some(m) = machines.get(id) else { continue };
-                for (by, _) in unsettled.iter().filter(|(_, job)| self.may_hold(job, m)) {
-                    add(id, *by, None);
+                for (deadline, _) in unsettled.iter().filter(|(_, job)| self.may_hold(job, m)) {
+                    add(id, *deadline, None);
                 }
             }
         }
         suspects
             .into_iter()
-            .map(|(id, (by, starts))| (id, Suspect { by, evidence: Evidence::Placement { starts } }))
+            .map(|(id, (deadline, starts))| {
+                (id, Suspect { by: deadline, evidence: Evidence::Placement { starts } })
+            })
             .collect()
     }
 
@@ -215,7 +218,7 @@
                 debug!("{machine}: ignored a probe answer that is older than another report");
             }
         }
-        let unwanted = Controller::stops_for_stranger(&tasks, &self.reflector.ledger);
+        let unwanted = Controller::stops_for_stranger(&tasks, &self.replica_sync.replica);
         let Some(stops) = self.enforcer.answered(&r, unwanted) else { return };
         let call = self.out.call(Call {
             target: Target::Worker(r.addr),
@@ -245,7 +248,7 @@
     /// Whether liveness may have to serve as evidence: otherwise records and placements are better
     /// evidence.
     fn uses_liveness(&self) -> bool {
-        !self.reflector.loaded || self.liveness.listed_count() > 0
+        !self.replica_sync.loaded || self.liveness.listed_count() > 0
     }
 }
 
--- a/crates/core/src/node/cancellation_enforcement/tests.rs
+++ b/crates/core/src/node/cancellation_enforcement/tests.rs
@@ -86,13 +86,13 @@
 fn heartbeats_from_before_the_state_was_read_are_no_evidence_later() {
     let mut node = node();
     let report = idle_report("m0", 1);
-    node.checkin(RequestId(1), &report);
-    node.reflector.loaded = true;
-    node.reflector.last_success = Some(START);
+    node.receive_heartbeat(RequestId(1), &report);
+    node.replica_sync.loaded = true;
+    node.replica_sync.last_success = Some(START);
     node.enforce_without_leader();
     // Tasks are started on it: heartbeats are not recorded while the state is known.
     node.now = START + Micros::secs(3_600);
-    node.reflector.last_success = Some(node.now);
+    node.replica_sync.last_success = Some(node.now);
     node.enforce_without_leader();
     // An outage in which no controller with the placement log is left; the machine hangs.
     set_listed_machines(&mut node, &["m0", "m1"]);
--- a/crates/core/src/node/cancellations.rs
+++ b/crates/core/src/node/cancellations.rs
@@ -103,7 +103,7 @@
         for w in writes {
             let Write::Put { put, v, .. } = w else { continue };
             if v["end"] == "aborted"
-                && let change @ Change::Job { id, .. } = self.reflector.ledger.apply(put, Some(v), stamp)
+                && let change @ Change::Job { id, .. } = self.replica_sync.replica.apply(put, Some(v), stamp)
             {
                 self.record_job_change(change);
                 ended.push(id);
@@ -158,7 +158,7 @@
 
     /// Records a cancellation from the state replica.
     fn track_cancellation(&mut self, job: JobId) {
-        let Some(j) = self.reflector.ledger.jobs.get(&job).filter(|j| j.phase == Phase::Aborted) else {
+        let Some(j) = self.replica_sync.replica.jobs.get(&job).filter(|j| j.phase == Phase::Aborted) else {
             return;
         };
         let record = Cancellation {
@@ -175,7 +175,7 @@
     /// Whether a cancellation may be confirmed to a client.
     pub(super) fn is_confirmed(&self, job: JobId) -> bool {
         // Nothing of the job is on any machine, so no controller needs to know.
-        if self.reflector.ledger.jobs.get(&job).is_some_and(|j| j.settled) {
+        if self.replica_sync.replica.jobs.get(&job).is_some_and(|j| j.settled) {
             return true;
         }
         let Some(tracked) = self.cancellations.jobs.get(&job) else { return false };
@@ -186,7 +186,7 @@
     fn is_acknowledged(&self, tracked: &TrackedCancellation) -> bool {
         // A leader that acquired its key before the record was written has to be notified. Only a
         // state replica that holds the record shows whether there is such a leader.
-        let applied = self.reflector.ledger.applied >= tracked.record.stamp;
+        let applied = self.replica_sync.replica.applied >= tracked.record.stamp;
         let contacts_acknowledged =
             self.peers.all().filter(|n| *n != self.members.own_id && self.in_contact(*n, PEER_TIMEOUT)).all(
                 |n| {
@@ -222,10 +222,10 @@
         // Drops jobs whose settlement is on record. Without a waiting request, a cancellation is
         // kept only for four times the cancellation time: by then its tasks have left their
         // machines, or the state service provides it.
-        let (keep, ledger) = (self.leader_config.cancel.scale(4, 1), &self.reflector.ledger);
+        let (keep, replica) = (self.leader_config.cancel.scale(4, 1), &self.replica_sync.replica);
         self.cancellations.jobs.retain(|job, tracked| {
             !tracked.requesters.is_empty()
-                || now.since(tracked.since) < keep && ledger.jobs.get(job).is_none_or(|j| !j.settled)
+                || now.since(tracked.since) < keep && replica.jobs.get(job).is_none_or(|j| !j.settled)
         });
         if self.cancellations.jobs.is_empty() {
             return;
@@ -329,19 +329,19 @@
 
     /// Ends a job in the state replica, ahead of the state service.
     fn apply_cancellation(&mut self, c: &Cancellation) {
-        let phase = self.reflector.ledger.jobs.get(&c.job).map(|j| j.phase);
+        let phase = self.replica_sync.replica.jobs.get(&c.job).map(|j| j.phase);
         match phase {
             Some(Phase::Done) => return warn!("{}: notified of its cancellation after it was done", c.job),
             Some(Phase::Aborted) => {}
             Some(Phase::Active) | None => {
                 debug!("{}: notified of its cancellation", c.job);
                 let end = jobs::cancelled_value(c.at_ms, c.cause.as_deref(), false);
-                let change = self.reflector.ledger.apply(&keys::end(c.job), Some(&end), c.stamp);
+                let change = self.replica_sync.replica.apply(&keys::end(c.job), Some(&end), c.stamp);
                 self.record_job_change(change);
             }
         }
         if let Some(l) = self.leadership.leader.as_mut() {
-            l.told_cancelled(c.job, &self.reflector.ledger, self.now);
+            l.told_cancelled(c.job, &self.replica_sync.replica, self.now);
         }
     }
 
@@ -395,9 +395,10 @@
     pub(super) fn update_informed_at(&mut self) {
         let in_contact = |n: &NodeId| *n != self.members.own_id && self.in_contact(*n, PEER_TIMEOUT);
         let in_contact: Vec<NodeId> = self.peers.all().filter(in_contact).collect();
-        let read = self.reflector.loaded || in_contact.iter().any(|n| self.peers.states[n.0 as usize].loaded);
+        let read =
+            self.replica_sync.loaded || in_contact.iter().any(|n| self.peers.states[n.0 as usize].loaded);
         let majority = (in_contact.len() + 1) * 2 > self.members.names.len();
-        if self.reflector.loaded && self.reflector.state_reachable(self.now) || read && majority {
+        if self.replica_sync.loaded && self.replica_sync.state_reachable(self.now) || read && majority {
             self.informed_at = Some(self.now);
         }
     }
--- a/crates/core/src/node/control_loop.rs
+++ b/crates/core/src/node/control_loop.rs
@@ -14,10 +14,10 @@
         self.update_placements_known_at();
         self.propagate_cancellations();
         self.watch_state();
-        if !self.reflector.state_reachable(self.now)
-            || !self.reflector.loaded
+        if !self.replica_sync.state_reachable(self.now)
+            || !self.replica_sync.loaded
             || !self.pending.waiters.is_empty()
-            || self.now.since(self.reflector.last_success.unwrap_or_default()) > Micros::millis(900)
+            || self.now.since(self.replica_sync.last_success.unwrap_or_default()) > Micros::millis(900)
         {
             self.start_read_barrier();
         }
@@ -33,7 +33,7 @@
         self.run_extension(ExtensionInput::Tick);
         if self.now.since(self.peers.pinged_at) >= Micros::millis(500) {
             self.peers.pinged_at = self.now;
-            let state_ok = self.reflector.state_reachable(self.now);
+            let state_ok = self.replica_sync.state_reachable(self.now);
             let contacts: Vec<NodeId> = (0..self.peers.states.len())
                 .map(|i| NodeId(i as u8))
                 .filter(|n| self.in_contact(*n, PEER_TIMEOUT))
@@ -44,7 +44,7 @@
             for i in 0..self.members.names.len() {
                 if i != self.members.own_id.0 as usize {
                     let contacts = contacts.clone();
-                    let loaded = self.reflector.loaded;
+                    let loaded = self.replica_sync.loaded;
                     self.out
                         .send(NodeId(i as u8), Message::Ping { state_ok, hears: contacts, queued, loaded });
                 }
@@ -59,24 +59,27 @@
     }
 
     pub(super) fn watch_state(&mut self) {
-        if !self.reflector.listed {
-            if !self.reflector.list_in_flight && self.now >= self.reflector.next_list_at {
-                let (from, first_revision, ledger) =
-                    self.reflector.interrupted_list.take().unwrap_or_else(|| {
-                        let mut ledger = Box::<Ledger>::default();
-                        ledger.aside = self.has_extension.then(Vec::new);
-                        (None, None, ledger)
+        if !self.replica_sync.listed {
+            if !self.replica_sync.list_in_flight && self.now >= self.replica_sync.next_list_at {
+                let (from, first_revision, replica) =
+                    self.replica_sync.interrupted_list.take().unwrap_or_else(|| {
+                        let mut replica = Box::<Ledger>::default();
+                        replica.aside = self.has_extension.then(Vec::new);
+                        (None, None, replica)
                     });
-                self.list_state(from, first_revision, ledger);
+                self.list_state(from, first_revision, replica);
             }
             return;
         }
-        if !self.reflector.watch_in_flight && self.now >= self.reflector.next_watch_at {
-            let path =
-                format!("/follow?prefix={}&from={}&hold_ms=10000", keys::ROOT, self.reflector.ledger.applied);
+        if !self.replica_sync.watch_in_flight && self.now >= self.replica_sync.next_watch_at {
+            let path = format!(
+                "/follow?prefix={}&from={}&hold_ms=10000",
+                keys::ROOT,
+                self.replica_sync.replica.applied
+            );
             let id = self.call_state_service("GET", path, Vec::new(), Micros::secs(13));
             self.calls.insert(id, CallPurpose::Watch);
-            self.reflector.watch_in_flight = true;
+            self.replica_sync.watch_in_flight = true;
         }
     }
 
@@ -84,11 +87,12 @@
         &mut self,
         from: Option<String>,
         first_revision: Option<u64>,
-        ledger: Box<Ledger>,
+        replica: Box<Ledger>,
     ) {
-        self.reflector.list_in_flight = true;
+        self.replica_sync.list_in_flight = true;
         if from.is_none() {
-            self.reflector.read_progress = ReadProgress { started_at: self.now, ..ReadProgress::default() };
+            self.replica_sync.read_progress =
+                ReadProgress { started_at: self.now, ..ReadProgress::default() };
         }
         let mut path = format!("/store?prefix={}&limit=1000", keys::ROOT);
         if let Some(f) = &from {
@@ -96,18 +100,18 @@
             path.push_str(f);
         }
         let id = self.call_state_service("GET", path, Vec::new(), Micros::millis(2500));
-        self.calls.insert(id, CallPurpose::List { from, first_revision, ledger });
+        self.calls.insert(id, CallPurpose::List { from, first_revision, replica });
     }
 
-    pub(super) fn apply_events(&mut self, news: News) {
-        let base = self.reflector.ledger.applied;
+    pub(super) fn apply_events(&mut self, response: News) {
+        let base = self.replica_sync.replica.applied;
         let mut messages = Vec::new();
-        for e in &news.news {
+        for e in &response.news {
             if e.stamp <= base {
                 continue;
             }
             let change = match (&e.put, &e.remove) {
-                (Some(k), _) => match self.reflector.ledger.apply(k, Some(&e.v), e.stamp) {
+                (Some(k), _) => match self.replica_sync.replica.apply(k, Some(&e.v), e.stamp) {
                     Change::Mail(to) => {
                         if to == self.members.names[self.members.own_id.0 as usize]
                             && let Some(p) = self.relay.receive_part(&e.v)
@@ -118,7 +122,7 @@
                     }
                     c => c,
                 },
-                (None, Some(k)) => self.reflector.ledger.apply(k, None, e.stamp),
+                (None, Some(k)) => self.replica_sync.replica.apply(k, None, e.stamp),
                 _ => continue,
             };
             if let Some(g) = self.extension.as_mut() {
@@ -139,12 +143,12 @@
             }
             self.record_job_change(change);
         }
-        self.reflector.ledger.applied = base.max(news.ledger);
+        self.replica_sync.replica.applied = base.max(response.ledger);
         // Only after all events: an assignment may be of a job whose end came with them.
         for p in messages {
             self.receive_message(p.from, p.incarnation, p.message);
         }
-        if !news.news.is_empty() {
+        if !response.news.is_empty() {
             self.run_leader();
             self.send_worker_calls();
             self.run_extension(ExtensionInput::ReplicaUpdated);
@@ -154,29 +158,29 @@
     pub(super) fn record_job_change(&mut self, c: Change) {
         let Change::Job { id, cancelled } = c else { return };
         for id in std::iter::once(id).chain(cancelled) {
-            if let Some(job) = self.reflector.ledger.jobs.get(&id) {
+            if let Some(job) = self.replica_sync.replica.jobs.get(&id) {
                 self.controller.job_changed(id, job);
             }
             if let Some(l) = self.leadership.leader.as_mut() {
-                l.job_changed(id, &self.reflector.ledger, self.now);
+                l.job_changed(id, &self.replica_sync.replica, self.now);
             }
         }
     }
 
     pub(super) fn run_election(&mut self) {
-        if !self.reflector.loaded {
+        if !self.replica_sync.loaded {
             return;
         }
-        let campaign_due = if self.reflector.ledger.leader.is_none() {
+        let campaign_due = if self.replica_sync.replica.leader.is_none() {
             self.may_campaign()
         } else {
             self.leadership.leaderless_since = None;
             false
         };
         match self.leadership.election.role {
-            Role::Follower => match &self.reflector.ledger.leader {
+            Role::Follower => match &self.replica_sync.replica.leader {
                 None if self.now >= self.leadership.election.next_attempt_at
-                    && !self.reflector.state_unavailable(self.now)
+                    && !self.replica_sync.state_unavailable(self.now)
                     && campaign_due =>
                 {
                     self.leadership.election.role = Role::Candidate;
@@ -201,10 +205,10 @@
             },
             Role::Candidate => {}
             Role::Leader { lease, stamp, term } => {
-                if self.reflector.ledger.applied >= stamp
+                if self.replica_sync.replica.applied >= stamp
                     && self
-                        .reflector
-                        .ledger
+                        .replica_sync
+                        .replica
                         .leader
                         .as_ref()
                         .is_none_or(|(r, s)| *s != stamp || r.term != term)
@@ -277,16 +281,16 @@
         // The state replica must hold everything that was written before the leader key was
         // acquired.
         if let Some((term, stamp)) = self.leadership.acquired
-            && self.reflector.ledger.applied >= stamp
+            && self.replica_sync.replica.applied >= stamp
             && !self.catalogue.sizes.is_empty()
         {
             self.leadership.acquired = None;
-            if self.reflector.ledger.leader.as_ref().is_some_and(|(r, s)| *s == stamp && r.term == term) {
+            if self.replica_sync.replica.leader.as_ref().is_some_and(|(r, s)| *s == stamp && r.term == term) {
                 let l = Leader::new(
                     self.leader_config.clone(),
                     term,
                     stamp,
-                    &self.reflector.ledger,
+                    &self.replica_sync.replica,
                     &self.catalogue.sizes,
                     self.now,
                     self.wall_ms,
@@ -302,9 +306,9 @@
             return self.step_down("fencing tokens of the term exhausted");
         }
         if lease_confirmed {
-            l.tick(&self.reflector.ledger, self.now);
+            l.tick(&self.replica_sync.replica, self.now);
         } else {
-            l.stop_cancelled(&self.reflector.ledger, self.now);
+            l.stop_cancelled(&self.replica_sync.replica, self.now);
         }
         let messages = l.messages(self.now, lease_confirmed);
         for (to, m) in messages {
@@ -325,8 +329,8 @@
         let term = w.term;
         let me = &self.members.names[self.members.own_id.0 as usize];
         let is_standby = w.nodes.iter().any(|(name, process)| name == me && *process == self.incarnation);
-        if is_standby && let Some(book) = self.log_replicas.get(term) {
-            return l.inherit(term, book, &self.reflector.ledger);
+        if is_standby && let Some(log_replica) = self.log_replicas.get(term) {
+            return l.inherit(term, log_replica, &self.replica_sync.replica);
         }
         if self.now.since(self.log_requested_at) < Micros::millis(200) {
             return;
@@ -350,9 +354,9 @@
         let term = page.term;
         if holds
             && term == w.term
-            && let Some(book) = Book::of(page)
+            && let Some(log_replica) = Book::of(page)
         {
-            l.inherit(term, &book, &self.reflector.ledger);
+            l.inherit(term, &log_replica, &self.replica_sync.replica);
         }
     }
 
@@ -362,7 +366,9 @@
         let Some(l) = self.leadership.leader.as_mut() else { return };
         let all = (0..self.peers.states.len()).map(|i| NodeId(i as u8));
         let down: Vec<NodeId> = all.filter(|n| self.peers.is_process_down(*n, self.now)).collect();
-        let Some((record, stamp)) = l.books_record(&self.reflector.ledger, &down, self.now) else { return };
+        let Some((record, stamp)) = l.books_record(&self.replica_sync.replica, &down, self.now) else {
+            return;
+        };
         let names: Vec<&str> = record.nodes.iter().map(|(n, _)| n.as_str()).collect();
         debug!("standby replicas of term {term}: {}", names.join(", "));
         self.leadership.bucket.force(self.now, 1.0);
@@ -387,11 +393,11 @@
         }
         self.leadership.last_scan_at = self.now;
         let Some(l) = self.leadership.leader.as_mut() else { return };
-        l.note_unrecorded(&self.reflector.ledger, self.now);
-        l.note_recorded(&self.reflector.ledger);
+        l.note_unrecorded(&self.replica_sync.replica, self.now);
+        l.note_recorded(&self.replica_sync.replica);
         let Some(l) = self.leadership.leader.as_ref() else { return };
         let pending: Vec<LeaderWrite> = l
-            .writes(&self.reflector.ledger, self.limits.value_bytes, self.now)
+            .writes(&self.replica_sync.replica, self.limits.value_bytes, self.now)
             .into_iter()
             .filter(|w| !self.leadership.inflight.contains(w))
             .filter(|w| !self.leadership.rejected.is_paused(w, self.now))
@@ -430,11 +436,11 @@
             m.when.extend(changes.conditions);
             m.writes.extend(changes.writes);
             // One rental name per transaction: rentals share a key.
-            let is_complete = alone
+            let ends_txn = alone
                 || matches!(w, LeaderWrite::Hire(_))
                     && included.iter().any(|x| matches!(x, LeaderWrite::Hire(_)));
             included.push(w);
-            if is_complete {
+            if ends_txn {
                 break;
             }
         }
@@ -454,7 +460,7 @@
     fn changes_of(&self, write: &LeaderWrite) -> Option<Changes> {
         let may_create = |key: &str| self.leadership.may_create(key, self.now);
         let recording = Recording {
-            ledger: &self.reflector.ledger,
+            ledger: &self.replica_sync.replica,
             limits: &self.limits,
             wall_ms: self.wall_ms,
             may_create: &may_create,
--- a/crates/core/src/node/deferred_heartbeats.rs
+++ b/crates/core/src/node/deferred_heartbeats.rs
@@ -6,7 +6,7 @@
 
 /// Deferred check-ins, and what is known of workers whose machines other controllers hold.
 #[derive(Debug, Default)]
-pub(super) struct DeferredCheckIns {
+pub(super) struct DeferredHeartbeats {
     /// Check-ins that wait for a grant of their machine, and until when.
     pub deferred: BTreeMap<MachineId, (RequestId, Report, Micros)>,
     /// Machines not held here that reported here: when, by which report, and whether that was the
@@ -26,7 +26,7 @@
 /// sighting again, which the leader compares with what it knows.
 const MAX_REMEMBERED_REPORTS: usize = 20_000;
 
-impl DeferredCheckIns {
+impl DeferredHeartbeats {
     /// Records that the lease of a worker not held here was renewed with the token that it
     /// reported.
     pub fn record_renewal(&mut self, machine: MachineId, baton: u64) {
--- a/crates/core/src/node/extension_host.rs
+++ b/crates/core/src/node/extension_host.rs
@@ -17,22 +17,22 @@
         while !self.extension_inputs.is_empty() {
             let input = self.extension_inputs.remove(0);
             let me = &self.members.names[self.members.own_id.0 as usize];
-            let host = ExtensionContext {
+            let context = ExtensionContext {
                 now: self.now,
                 wall_ms: self.wall_ms,
-                replica: &self.reflector.ledger,
+                replica: &self.replica_sync.replica,
                 running: &self.controller.running,
                 flavors: &self.catalogue.flavors,
                 teams: &self.teams,
-                state_loaded: self.reflector.loaded,
-                state_unavailable: self.reflector.state_unavailable(self.now),
+                state_loaded: self.replica_sync.loaded,
+                state_unavailable: self.replica_sync.state_unavailable(self.now),
                 leads: self.leadership.leader.is_some() && self.leadership.election.may_lead(self.now),
-                leader: self.reflector.ledger.leader.as_ref().map(|(r, _)| r.node.as_str()),
+                leader: self.replica_sync.replica.leader.as_ref().map(|(r, _)| r.node.as_str()),
                 node_name: me,
                 max_value_bytes: self.limits.value_bytes,
                 max_txn_writes: self.limits.txn_ops,
             };
-            let outputs = extension.handle(&host, input);
+            let outputs = extension.handle(&context, input);
             for o in outputs {
                 self.apply_extension_output(o);
             }
--- a/crates/core/src/node/heartbeats.rs
+++ b/crates/core/src/node/heartbeats.rs
@@ -2,7 +2,7 @@
 use super::*;
 
 impl Node {
-    pub(super) fn checkin(&mut self, id: RequestId, body: &[u8]) {
+    pub(super) fn receive_heartbeat(&mut self, id: RequestId, body: &[u8]) {
         let Ok(r) = serde_json::from_slice::<Report>(body) else {
             return self.out.answer(id, 400, users::error("invalid report"));
         };
@@ -14,8 +14,8 @@
         // A report that contradicts the machine's record does not come from that machine: two
         // workers share a name, or one is misconfigured. It is ignored and its lease is not
         // renewed.
-        if self.reflector.ledger.machines.get(&machine).is_some_and(|rec| !rec.is_kind_of(&r)) {
-            if self.deferred_check_ins.contradicting.insert(machine.clone()) {
+        if self.replica_sync.replica.machines.get(&machine).is_some_and(|rec| !rec.is_kind_of(&r)) {
+            if self.deferred_heartbeats.contradicting.insert(machine.clone()) {
                 warn!(
                     "{machine}: ignored a report with type={} zone={}, which contradicts its record",
                     r.build, r.yard
@@ -23,10 +23,10 @@
             }
             return self.redirect(id, None);
         }
-        match self.controller.checkin(&r, tasks, &self.reflector.ledger, self.now) {
+        match self.controller.checkin(&r, tasks, &self.replica_sync.replica, self.now) {
             CheckinReply::Orders(baton, orders) => self.renew_lease(id, baton.0, orders),
             CheckinReply::Elsewhere(to) | CheckinReply::Lost(to)
-                if !self.deferred_check_ins.is_newest(&machine, r.number()) =>
+                if !self.deferred_heartbeats.is_newest(&machine, r.number()) =>
             {
                 // A copy, or a delayed report: no worker waits for this answer.
                 self.redirect(id, to);
@@ -35,7 +35,7 @@
                 self.report_sighting(&machine, MachineRecord::of(&r), r.number(), false);
                 // Other controllers reach the worker if it has a token from them, now or since its
                 // lease was renewed here. A worker without tasks loses nothing on the way to them.
-                let renewed_token = self.deferred_check_ins.renewed_tokens.get(&machine).copied();
+                let renewed_token = self.deferred_heartbeats.renewed_tokens.get(&machine).copied();
                 let may_redirect = matches!(reply, CheckinReply::Lost(_))
                     || renewed_token.is_some_and(|b| r.baton > b)
                     || r.pieces.is_empty();
@@ -48,14 +48,14 @@
                         debug!("{machine}: redirected, this controller can't serve it");
                         // If it returns with the same token, no other controller could serve it
                         // either.
-                        self.deferred_check_ins.record_renewal(machine, r.baton);
+                        self.deferred_heartbeats.record_renewal(machine, r.baton);
                         self.redirect(id, None);
                     }
                     // A grant may arrive shortly, so the answer is deferred.
                     None => {
                         let until = self.now + Micros::millis(600);
                         if let Some((old, r, _)) =
-                            self.deferred_check_ins.deferred.insert(machine, (id, r, until))
+                            self.deferred_heartbeats.deferred.insert(machine, (id, r, until))
                         {
                             self.renew_unheld(old, &r);
                         }
@@ -71,12 +71,12 @@
     fn redirect_target(&mut self, machine: &MachineId, holder: Option<NodeId>) -> Option<NodeId> {
         let n = holder.filter(|n| *n != self.members.own_id && self.in_contact(*n, PEER_TIMEOUT))?;
         let now = self.now;
-        self.deferred_check_ins.redirected_at.retain(|_, t| now.since(*t) < Micros::secs(12));
-        match self.deferred_check_ins.redirected_at.get(machine) {
+        self.deferred_heartbeats.redirected_at.retain(|_, t| now.since(*t) < Micros::secs(12));
+        match self.deferred_heartbeats.redirected_at.get(machine) {
             Some(t) if now.since(*t) > Micros::millis(1500) => None,
             Some(_) => Some(n),
             None => {
-                self.deferred_check_ins.redirected_at.insert(machine.clone(), now);
+                self.deferred_heartbeats.redirected_at.insert(machine.clone(), now);
                 Some(n)
             }
         }
@@ -87,8 +87,8 @@
     /// nothing is started and a newer grant is not affected. It only stops tasks that are over.
     fn renew_unheld(&mut self, id: RequestId, r: &Report) {
         let tasks = read_tasks(r).unwrap_or_default();
-        let orders = Controller::stops_for_stranger(&tasks, &self.reflector.ledger);
-        self.deferred_check_ins.record_renewal(MachineId::from(&*r.host), r.baton);
+        let orders = Controller::stops_for_stranger(&tasks, &self.replica_sync.replica);
+        self.deferred_heartbeats.record_renewal(MachineId::from(&*r.host), r.baton);
         self.renew_lease(id, r.baton, orders);
     }
 
@@ -103,7 +103,7 @@
 
     /// Whether neither the state service nor another controller is in contact.
     pub(super) fn is_isolated(&self) -> bool {
-        !self.reflector.state_reachable(self.now)
+        !self.replica_sync.state_reachable(self.now)
             && self.peers.all().all(|n| n == self.members.own_id || !self.in_contact(n, PEER_TIMEOUT))
     }
 
@@ -122,9 +122,9 @@
         report: ReportNo,
         asked: bool,
     ) {
-        if self.reflector.ledger.machines.contains_key(id) {
+        if self.replica_sync.replica.machines.contains_key(id) {
             // The leader knows the machine: the next `Sync` reports the sighting.
-            self.deferred_check_ins.unleased_reports.insert(id.clone(), (self.now, report, asked));
+            self.deferred_heartbeats.unleased_reports.insert(id.clone(), (self.now, report, asked));
             self.controller.dirty = true;
         } else if let Some(to) = self.leader_node() {
             let m = Message::Seen {
@@ -142,16 +142,16 @@
 
     pub(super) fn answer_deferred(&mut self) {
         let due: Vec<MachineId> = self
-            .deferred_check_ins
+            .deferred_heartbeats
             .deferred
             .iter()
             .filter(|(m, (.., until))| self.controller.holds(m) || self.now >= *until)
             .map(|(m, _)| m.clone())
             .collect();
         for m in due {
-            let Some((id, r, _)) = self.deferred_check_ins.deferred.remove(&m) else { continue };
+            let Some((id, r, _)) = self.deferred_heartbeats.deferred.remove(&m) else { continue };
             let tasks = read_tasks(&r).unwrap_or_default();
-            match self.controller.checkin(&r, tasks, &self.reflector.ledger, self.now) {
+            match self.controller.checkin(&r, tasks, &self.replica_sync.replica, self.now) {
                 CheckinReply::Orders(baton, orders) => self.renew_lease(id, baton.0, orders),
                 CheckinReply::Elsewhere(to) | CheckinReply::Lost(to) => match self.redirect_target(&m, to) {
                     Some(n) => self.redirect(id, Some(n)),
@@ -163,7 +163,7 @@
 
     /// Sends the calls that are due to workers of machines held here.
     pub(super) fn send_worker_calls(&mut self) {
-        for (call, machine) in self.controller.drive(&self.reflector.ledger, self.now, &mut self.out) {
+        for (call, machine) in self.controller.drive(&self.replica_sync.replica, self.now, &mut self.out) {
             self.calls.insert(call, CallPurpose::WorkerCall(machine));
         }
     }
--- a/crates/core/src/node/messaging.rs
+++ b/crates/core/src/node/messaging.rs
@@ -14,7 +14,7 @@
         if self.leadership.leader.is_some() {
             return Some(self.members.own_id);
         }
-        let (rec, _) = self.reflector.ledger.leader.as_ref()?;
+        let (rec, _) = self.replica_sync.replica.leader.as_ref()?;
         let in_state = self.members.names.iter().position(|n| *n == rec.node).map(|i| NodeId(i as u8));
         match self.peers.known_leader {
             Some((term, n)) if term > rec.term => Some(n),
@@ -24,7 +24,7 @@
 
     pub(super) fn leader_term(&self) -> u64 {
         let known = self.peers.known_leader.map_or(0, |x| x.0);
-        self.reflector.ledger.leader.as_ref().map_or(0, |(r, _)| r.term).max(known)
+        self.replica_sync.replica.leader.as_ref().map_or(0, |(r, _)| r.term).max(known)
     }
 
     pub(super) fn send(&mut self, to: NodeId, m: Message) {
@@ -60,7 +60,7 @@
         if self.relay.outgoing.is_empty()
             || self.relay.is_posting()
             || self.now < self.relay.next_at
-            || !self.reflector.state_reachable(self.now)
+            || !self.replica_sync.state_reachable(self.now)
         {
             return;
         }
@@ -128,7 +128,7 @@
                 if let Some((term, view)) = View::of(&m)
                     && let Some(l) = self.leadership.leader.as_mut().filter(|l| l.term == term)
                 {
-                    l.sync(from, incarnation, &view, &self.reflector.ledger, self.now);
+                    l.sync(from, incarnation, &view, &self.replica_sync.replica, self.now);
                 }
             }
             Message::Seen { id, build, zone, spot, addr, report, asked } => {
@@ -166,7 +166,7 @@
                 self.controller.take_running(base == 0, &running);
                 self.controller.take_handouts(
                     &handouts,
-                    &self.reflector.ledger,
+                    &self.replica_sync.replica,
                     &self.catalogue.sizes,
                     self.now,
                 );
@@ -176,10 +176,10 @@
                 self.send_sync(false);
             }
             Message::Books(page) => {
-                let (on_record, _) = &self.reflector.ledger.books;
+                let (on_record, _) = &self.replica_sync.replica.books;
                 self.log_replicas.drop_before(on_record.term);
                 // No placement log is kept for a leader that has a successor.
-                if page.term < self.reflector.ledger.term.0 {
+                if page.term < self.replica_sync.replica.term.0 {
                     return;
                 }
                 let term = page.term;
@@ -196,8 +196,8 @@
                 }
             }
             Message::BooksWanted { term } => {
-                if let Some(book) = self.log_replicas.get(term) {
-                    self.out.send(from, Message::BooksOf(book.page(term)));
+                if let Some(log_replica) = self.log_replicas.get(term) {
+                    self.out.send(from, Message::BooksOf(log_replica.page(term)));
                 }
             }
             Message::BooksOf(page) => {
@@ -237,14 +237,14 @@
             return;
         }
         let recent = self.now - Micros::millis(2500);
-        self.deferred_check_ins.unleased_reports.retain(|_, (t, ..)| *t > recent);
+        self.deferred_heartbeats.unleased_reports.retain(|_, (t, ..)| *t > recent);
         let unleased_reports = self
-            .deferred_check_ins
+            .deferred_heartbeats
             .unleased_reports
             .iter()
             .map(|(id, (_, report, asked))| Sighting { id: id.clone(), report: *report, asked: *asked });
         let unleased_reports = unleased_reports.collect();
-        let m = self.controller.sync(term, unleased_reports, &self.reflector.ledger, self.now);
+        let m = self.controller.sync(term, unleased_reports, &self.replica_sync.replica, self.now);
         self.send(to, m);
     }
 }
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -20,12 +20,12 @@
 
 use cancellations::Cancellations;
 use catalogue::{Catalogue, delete_call, list_call, rent_call};
-use deferred_heartbeats::DeferredCheckIns;
+use deferred_heartbeats::DeferredHeartbeats;
 use leadership::Leadership;
 use membership::{PEER_TIMEOUT, Peers};
 use pending_requests::{MAX_PENDING, PendingRequests, PendingWrite, Waiter};
 use relay::Relay;
-use replica_sync::{ReadProgress, Reflector};
+use replica_sync::{ReadProgress, ReplicaSync};
 use status::{Gauges, RefusalReason, ServiceStatus};
 
 use crate::books::{Book, Kept};
@@ -80,7 +80,7 @@
     List {
         from: Option<String>,
         first_revision: Option<u64>,
-        ledger: Box<Ledger>,
+        replica: Box<Ledger>,
     },
     Watch,
     ReadBarrier(Vec<(Waiter, Micros)>),
@@ -137,7 +137,7 @@
     out: Outbox,
     calls: BTreeMap<CallId, CallPurpose>,
     incarnation: u64,
-    reflector: Reflector,
+    replica_sync: ReplicaSync,
     pending: PendingRequests,
     status: ServiceStatus,
     cancellations: Cancellations,
@@ -145,7 +145,7 @@
     peers: Peers,
     relay: Relay,
     catalogue: Catalogue,
-    deferred_check_ins: DeferredCheckIns,
+    deferred_heartbeats: DeferredHeartbeats,
     controller: Controller,
     /// Leaders' placement logs of which this node is a standby replica.
     log_replicas: Kept,
@@ -192,7 +192,7 @@
             out: Outbox::default(),
             calls: BTreeMap::new(),
             incarnation: incarnation.max(2),
-            reflector: Reflector::default(),
+            replica_sync: ReplicaSync::default(),
             pending: PendingRequests::new(limits.changes_per_s * 0.9 / n, limits.requests_per_s / n, now),
             status: ServiceStatus::new(now),
             cancellations: Cancellations::default(),
@@ -200,7 +200,7 @@
             peers: Peers::new(members.names.len()),
             relay: Relay::default(),
             catalogue: Catalogue::new(d.cloud.rps, now),
-            deferred_check_ins: DeferredCheckIns::default(),
+            deferred_heartbeats: DeferredHeartbeats::default(),
             controller: Controller::default(),
             log_replicas: Kept::default(),
             enforcer: Deputy::new(incarnation),
@@ -239,7 +239,7 @@
             }
             Input::Gone(id) => {
                 self.status.client_disconnected(id);
-                self.deferred_check_ins.deferred.retain(|_, (r, ..)| *r != id);
+                self.deferred_heartbeats.deferred.retain(|_, (r, ..)| *r != id);
                 self.run_extension(ExtensionInput::ClientDisconnected(id));
             }
             Input::Called { id, result } => self.call_completed(id, result),
@@ -263,7 +263,7 @@
     /// The `status` line, if one is due.
     pub fn status_line(&mut self) -> Option<String> {
         let gauges = Gauges {
-            revision: self.reflector.ledger.applied,
+            revision: self.replica_sync.replica.applied,
             ready: self.is_ready(),
             machines_held: self.controller.held(),
             leader: self.leader_node().map(|n| n.0),
@@ -312,38 +312,41 @@
         if to_state_service && !matches!(p, CallPurpose::Watch) {
             match &result {
                 CallResult::Answer { status, .. } if *status < 500 && *status != 429 => {
-                    self.reflector.last_success = Some(self.now)
+                    self.replica_sync.last_success = Some(self.now)
                 }
                 CallResult::Answer { status: 429, .. } => {}
-                _ => self.reflector.last_failure = Some(self.now),
+                _ => self.replica_sync.last_failure = Some(self.now),
             }
         }
         match p {
-            CallPurpose::List { from, first_revision, ledger } => {
-                self.list_page_received(from, first_revision, ledger, result)
+            CallPurpose::List { from, first_revision, replica } => {
+                self.list_page_received(from, first_revision, replica, result)
             }
             CallPurpose::Watch => {
-                self.reflector.watch_in_flight = false;
+                self.replica_sync.watch_in_flight = false;
                 match result {
                     CallResult::Answer { status: 200, body } => match serde_json::from_slice::<News>(&body) {
                         Ok(n) => {
-                            self.reflector.last_success = Some(self.now);
+                            self.replica_sync.last_success = Some(self.now);
                             self.status.caught_up(self.now);
                             self.apply_events(n);
                         }
                         Err(e) => {
                             warn!("invalid watch response: {e}");
-                            self.reflector.next_watch_at = self.now + Micros::millis(500);
+                            self.replica_sync.next_watch_at = self.now + Micros::millis(500);
                         }
                     },
                     CallResult::Answer { status: 410, .. } => {
                         info!(
                             "watch expired revision={}: reading the state from the start",
-                            self.reflector.ledger.applied
+                            self.replica_sync.replica.applied
                         );
-                        self.reflector.listed = false;
+                        self.replica_sync.listed = false;
+                    }
+                    _ => {
+                        self.replica_sync.next_watch_at =
+                            self.now + Micros::millis(150 + self.rng.u64(0..150))
                     }
-                    _ => self.reflector.next_watch_at = self.now + Micros::millis(150 + self.rng.u64(0..150)),
                 }
                 self.watch_state();
             }
@@ -358,8 +361,8 @@
                     _ => None,
                 };
                 match lease {
-                    Some(g) if self.reflector.ledger.leader.is_none() => {
-                        let (term, stamp) = self.reflector.ledger.term;
+                    Some(g) if self.replica_sync.replica.leader.is_none() => {
+                        let (term, stamp) = self.replica_sync.replica.term;
                         let rec = LeaderRecord {
                             node: self.members.names[self.members.own_id.0 as usize].clone(),
                             term: term + 1,
@@ -369,12 +372,12 @@
                             when: vec![
                                 When { path: keys::LEADER.into(), stamp: 0 },
                                 When { path: keys::TERM.into(), stamp },
-                                When { path: keys::BOOKS.into(), stamp: self.reflector.ledger.books.1 },
+                                When { path: keys::BOOKS.into(), stamp: self.replica_sync.replica.books.1 },
                             ],
                             writes: vec![
                                 Write::Put {
                                     put: keys::BOOKS.into(),
-                                    v: json!(self.reflector.ledger.books.0.taken_over(term + 1)),
+                                    v: json!(self.replica_sync.replica.books.0.taken_over(term + 1)),
                                     hold: None,
                                 },
                                 Write::Put { put: keys::TERM.into(), v: json!(term + 1), hold: None },
@@ -471,10 +474,10 @@
         &mut self,
         from: Option<String>,
         first_revision: Option<u64>,
-        mut ledger: Box<Ledger>,
+        mut replica: Box<Ledger>,
         result: CallResult,
     ) {
-        self.reflector.list_in_flight = false;
+        self.replica_sync.list_in_flight = false;
         let page: Option<Listing> = match &result {
             CallResult::Answer { status: 200, body } => serde_json::from_slice(body).ok(),
             _ => None,
@@ -483,57 +486,57 @@
             // Many processes that start at once share the state service's budget: the pages read so
             // far are kept, and the read resumes after a pause.
             let pause = Micros::millis(150 + self.rng.u64(0..300));
-            self.reflector.next_list_at = self.now + pause;
-            self.reflector.read_progress.interruptions += 1;
+            self.replica_sync.next_list_at = self.now + pause;
+            self.replica_sync.read_progress.interruptions += 1;
             if from.is_some() {
                 debug!("state read interrupted");
-                self.reflector.interrupted_list = Some((from, first_revision, ledger));
+                self.replica_sync.interrupted_list = Some((from, first_revision, replica));
             }
             return;
         };
-        self.reflector.read_progress.pages += 1;
+        self.replica_sync.read_progress.pages += 1;
         if let CallResult::Answer { body, .. } = &result {
-            self.reflector.read_progress.bytes += body.len();
+            self.replica_sync.read_progress.bytes += body.len();
         }
         for p in &page.pairs {
-            ledger.apply(&p.path, Some(&p.v), p.stamp);
+            replica.apply(&p.path, Some(&p.v), p.stamp);
         }
         // Later pages are newer: the watch starts at the first page's revision and its events are
         // applied over them.
         let first_revision = first_revision.unwrap_or(page.ledger);
         if let (true, Some(last)) = (page.truncated, page.pairs.last()) {
-            return self.list_state(Some(last.path.clone()), Some(first_revision), ledger);
+            return self.list_state(Some(last.path.clone()), Some(first_revision), replica);
         }
-        ledger.applied = first_revision;
-        let extension_entries = ledger.aside.take().unwrap_or_default();
-        self.reflector.ledger = *ledger;
+        replica.applied = first_revision;
+        let extension_entries = replica.aside.take().unwrap_or_default();
+        self.replica_sync.replica = *replica;
         self.reapply_cancellations();
         if let Some(g) = self.extension.as_mut() {
             g.reset(first_revision);
             for (name, v, stamp) in &extension_entries {
                 g.apply(name, Some(v), *stamp);
             }
-            for (id, job) in self.reflector.ledger.jobs.range(JobId(OWN_IDS)..) {
+            for (id, job) in self.replica_sync.replica.jobs.range(JobId(OWN_IDS)..) {
                 g.job_changed(*id, job.stamp.max(job.end_stamp));
             }
         }
-        self.reflector.listed = true;
-        for (id, job) in &self.reflector.ledger.jobs {
+        self.replica_sync.listed = true;
+        for (id, job) in &self.replica_sync.replica.jobs {
             self.controller.job_changed(*id, job);
         }
         if let Some(l) = self.leadership.leader.as_mut() {
-            for id in self.reflector.ledger.jobs.keys() {
-                l.job_changed(*id, &self.reflector.ledger, self.now);
+            for id in self.replica_sync.replica.jobs.keys() {
+                l.job_changed(*id, &self.replica_sync.replica, self.now);
             }
         }
-        let ReadProgress { started_at, pages, bytes, interruptions } = self.reflector.read_progress;
+        let ReadProgress { started_at, pages, bytes, interruptions } = self.replica_sync.read_progress;
         info!(
             "state read revision={first_revision} last_revision={} pages={pages} bytes={bytes} interruptions={interruptions} \
              duration_ms={} jobs={} machines={}",
             page.ledger,
             self.now.since(started_at).0 / 1000,
-            self.reflector.ledger.jobs.len(),
-            self.reflector.ledger.machines.len()
+            self.replica_sync.replica.jobs.len(),
+            self.replica_sync.replica.machines.len()
         );
         self.start_read_barrier();
         self.watch_state();
@@ -547,9 +550,9 @@
             CallResult::Answer { status: 410, .. } => {
                 info!(
                     "proof expired revision={}: reading the state from the start",
-                    self.reflector.ledger.applied
+                    self.replica_sync.replica.applied
                 );
-                self.reflector.listed = false;
+                self.replica_sync.listed = false;
                 None
             }
             _ => None,
@@ -558,8 +561,8 @@
             Some(n) => {
                 self.status.caught_up(self.now);
                 self.apply_events(n);
-                if !self.reflector.loaded {
-                    self.reflector.loaded = true;
+                if !self.replica_sync.loaded {
+                    self.replica_sync.loaded = true;
                     info!("ready");
                 }
                 for (w, _) in waiting {
--- a/crates/core/src/node/pending_requests.rs
+++ b/crates/core/src/node/pending_requests.rs
@@ -58,13 +58,13 @@
 
 impl PendingRequests {
     /// Creates the queues with this node's part of the writes and requests per second.
-    pub fn new(changes: f64, requests: f64, now: Micros) -> Self {
+    pub fn new(writes_per_s: f64, requests_per_s: f64, now: Micros) -> Self {
         PendingRequests {
             waiters: Vec::new(),
             writes: VecDeque::new(),
-            write_bucket: Bucket::new(changes, changes, now),
+            write_bucket: Bucket::new(writes_per_s, writes_per_s, now),
             barrier_in_flight: false,
-            barrier_bucket: Bucket::new(requests * 0.45, requests * 0.2, now),
+            barrier_bucket: Bucket::new(requests_per_s * 0.45, requests_per_s * 0.2, now),
         }
     }
 
@@ -78,11 +78,11 @@
 
     /// Sets this node's part of the budget for clients' writes: an equal one, or, when more writes
     /// wait here than at the other controllers, what those leave.
-    pub fn share_budget(&mut self, others: u32, nodes: usize, changes: f64) {
+    pub fn share_budget(&mut self, others: u32, nodes: usize, writes_per_s: f64) {
         let queued = self.writes.len() as u32;
         let equal = 1.0 / nodes as f64;
         let part = (queued as f64 / (queued + others).max(1) as f64).max(equal);
-        let rate = changes * 0.9 * part;
+        let rate = writes_per_s * 0.9 * part;
         self.write_bucket.set_rate(rate, rate);
     }
 }
--- a/crates/core/src/node/placement_knowledge.rs
+++ b/crates/core/src/node/placement_knowledge.rs
@@ -23,7 +23,7 @@
 
     /// Whether a controller is in contact and on record as a standby replica of the placement log.
     fn has_placement_log(&self, n: NodeId) -> bool {
-        let (record, _) = &self.reflector.ledger.books;
+        let (record, _) = &self.replica_sync.replica.books;
         let process = if n == self.members.own_id {
             self.incarnation
         } else if self.in_contact(n, PEER_TIMEOUT) {
@@ -38,7 +38,7 @@
     /// The deadline for stopping cancelled tasks whose placements no controller in contact knows.
     /// `None` where such a controller is in contact, and where no cancelled task can be left.
     pub(super) fn unknown_placements_deadline(&self) -> Option<Micros> {
-        if self.reflector.loaded {
+        if self.replica_sync.loaded {
             self.deadline_without_placements()
         } else {
             self.deadline_without_records()
@@ -47,7 +47,7 @@
 
     /// Whether the state service's last call failed: no leader can be elected through it.
     pub(super) fn state_is_unreachable(&self) -> bool {
-        self.reflector.last_failure > self.reflector.last_success
+        self.replica_sync.last_failure > self.replica_sync.last_success
     }
 
     /// The earliest deadline that is not past, of the cancellations known here.
@@ -56,7 +56,7 @@
             return None;
         }
         let unsettled =
-            self.reflector.ledger.jobs.values().filter(|j| j.phase == Phase::Aborted && !j.settled);
+            self.replica_sync.replica.jobs.values().filter(|j| j.phase == Phase::Aborted && !j.settled);
         unsettled
             .map(|job| gone_by(job.ended_ms, self.wall_ms, self.leader_config.cancel, self.now))
             .filter(|by| *by > self.now)
--- a/crates/core/src/node/replica_sync.rs
+++ b/crates/core/src/node/replica_sync.rs
@@ -13,8 +13,8 @@
 
 /// The state replica and the calls that keep it up to date.
 #[derive(Debug, Default)]
-pub(super) struct Reflector {
-    pub ledger: Ledger,
+pub(super) struct ReplicaSync {
+    pub replica: Ledger,
     /// All keys were read.
     pub listed: bool,
     /// It has been up to date at least once.
@@ -35,7 +35,7 @@
     pub last_failure: Option<Micros>,
 }
 
-impl Reflector {
+impl ReplicaSync {
     /// Whether the state service answered within the last 2500 ms.
     pub fn state_reachable(&self, now: Micros) -> bool {
         self.last_success.is_some_and(|t| now.since(t) < Micros::millis(2500))
--- a/crates/core/src/node/requests.rs
+++ b/crates/core/src/node/requests.rs
@@ -13,7 +13,7 @@
                     self.refuse(id, RefusalReason::NotReady);
                 }
             }
-            ("POST", "/checkin", _) => self.checkin(id, body),
+            ("POST", "/checkin", _) => self.receive_heartbeat(id, body),
             ("POST", "/submissions", _) => self.submit(id, body),
             (_, "/ready" | "/checkin" | "/submissions", _) => {
                 self.out.answer(id, 405, users::error("wrong method"))
@@ -42,10 +42,10 @@
     }
 
     pub(super) fn is_ready(&self) -> bool {
-        if !self.reflector.loaded {
+        if !self.replica_sync.loaded {
             return false;
         }
-        if self.reflector.state_reachable(self.now) || self.members.names.len() == 1 {
+        if self.replica_sync.state_reachable(self.now) || self.members.names.len() == 1 {
             return true;
         }
         // If only this controller fails to reach the state service, the other controllers serve the
@@ -60,7 +60,7 @@
     /// every controller that must know of it has acknowledged it. Returns false if the job is
     /// active or unknown.
     pub(super) fn answer_if_ended(&mut self, id: RequestId, job: JobId) -> bool {
-        let Some(j) = self.reflector.ledger.jobs.get(&job) else { return false };
+        let Some(j) = self.replica_sync.replica.jobs.get(&job) else { return false };
         match j.phase {
             Phase::Active => return false,
             Phase::Done => {
@@ -74,7 +74,7 @@
     }
 
     pub(super) fn answer_cancelled(&mut self, id: RequestId, job: JobId) {
-        let cause = self.reflector.ledger.jobs.get(&job).and_then(|j| j.cause.as_ref());
+        let cause = self.replica_sync.replica.jobs.get(&job).and_then(|j| j.cause.as_ref());
         let answer = match cause {
             Some(cause) => users::failed_answer(job, cause),
             None => users::job_answer(job, "aborted", 0, 0),
@@ -86,7 +86,7 @@
         if self.answer_if_ended(id, job) {
             return;
         }
-        let Some(j) = self.reflector.ledger.jobs.get(&job) else {
+        let Some(j) = self.replica_sync.replica.jobs.get(&job) else {
             return self.out.answer(id, 404, users::error("no such job"));
         };
         let running = self.controller.running.get(&job).copied().unwrap_or(0);
@@ -111,10 +111,10 @@
     /// Why a request is refused at once, if it is; `waiting` is the number of requests of its kind
     /// that wait already.
     fn refusal_reason(&self, waiting: usize) -> Option<RefusalReason> {
-        if !self.reflector.loaded {
+        if !self.replica_sync.loaded {
             return Some(RefusalReason::StateUnread);
         }
-        if self.reflector.state_unavailable(self.now) {
+        if self.replica_sync.state_unavailable(self.now) {
             return Some(RefusalReason::StateRefused);
         }
         (waiting >= MAX_PENDING).then_some(RefusalReason::TooManyWaiting)
@@ -137,7 +137,7 @@
             return self.out.answer(id, 400, users::error(&reason));
         };
         let checked = parsed.map_err(|e| (400, e)).and_then(|s| self.validate_submission(s));
-        let known = self.reflector.ledger.jobs.contains_key(&job);
+        let known = self.replica_sync.replica.jobs.contains_key(&job);
         match checked {
             Ok(spec) if !known && self.unknown_dependency(&spec).is_none() => {
                 if let Some(reason) = self.refusal_reason(self.pending.writes.len()) {
@@ -177,7 +177,7 @@
         if s.dependencies.contains(&s.id) {
             return Err((422, "awaits: the job itself".into()));
         }
-        let service = |id: &&JobId| self.reflector.ledger.jobs.get(*id).is_some_and(|j| j.service);
+        let service = |id: &&JobId| self.replica_sync.replica.jobs.get(*id).is_some_and(|j| j.service);
         if let Some(id) = s.dependencies.iter().find(service) {
             return Err((422, format!("awaits: {id} is a service, which never completes")));
         }
@@ -187,19 +187,20 @@
     /// A dependency of the submission that is not in the state replica: it was never accepted, or
     /// this replica is behind.
     fn unknown_dependency(&self, s: &JobSpec) -> Option<JobId> {
-        s.dependencies.iter().find(|id| !self.reflector.ledger.jobs.contains_key(id)).copied()
+        s.dependencies.iter().find(|id| !self.replica_sync.replica.jobs.contains_key(id)).copied()
     }
 
     /// Starts one read barrier for all waiting requests.
     pub(super) fn start_read_barrier(&mut self) {
-        if self.pending.barrier_in_flight || !self.reflector.listed {
+        if self.pending.barrier_in_flight || !self.replica_sync.listed {
             return;
         }
         if !self.pending.barrier_bucket.take(self.now, 1.0, 0.0) {
             return;
         }
         let waiting = std::mem::take(&mut self.pending.waiters);
-        let path = format!("/follow?prefix={}&from={}&hold_ms=0", keys::ROOT, self.reflector.ledger.applied);
+        let path =
+            format!("/follow?prefix={}&from={}&hold_ms=0", keys::ROOT, self.replica_sync.replica.applied);
         let id = self.call_state_service("GET", path, Vec::new(), Micros::millis(1200));
         self.calls.insert(id, CallPurpose::ReadBarrier(waiting));
         self.pending.barrier_in_flight = true;
@@ -229,7 +230,7 @@
                 self.answer_current_state(id, job);
             }
             Waiter::Submit(id, job, checked) => {
-                if self.reflector.ledger.jobs.contains_key(&job) {
+                if self.replica_sync.replica.jobs.contains_key(&job) {
                     return self.answer_current_state(id, job);
                 }
                 // The read barrier's events may have brought the dependency.
@@ -251,7 +252,7 @@
                 if self.answer_if_ended(id, job) {
                     return;
                 }
-                if !self.reflector.ledger.jobs.contains_key(&job) {
+                if !self.replica_sync.replica.jobs.contains_key(&job) {
                     return self.out.answer(id, 404, users::error("no such job"));
                 }
                 let until = self.now + Micros::millis(3000);
@@ -318,7 +319,7 @@
                 PendingWrite::Submit(_, spec) => (vec![When { path: keys::job(spec.id), stamp: 0 }], records),
                 PendingWrite::Abort(_, job, end) => {
                     let key = keys::end(*job);
-                    let stamp = self.reflector.ledger.jobs.get(job).map_or(0, |j| j.stamp);
+                    let stamp = self.replica_sync.replica.jobs.get(job).map_or(0, |j| j.stamp);
                     let when =
                         vec![When { path: key.clone(), stamp: 0 }, When { path: keys::job(*job), stamp }];
                     (when, vec![(key, end.clone())])
@@ -337,7 +338,7 @@
                 let stamp = serde_json::from_slice::<MultiAnswer>(body).map_or(0, |a| a.ledger);
                 debug!("{job}: accepted revision={stamp}");
                 let cancelled = |id: &JobId| {
-                    self.reflector.ledger.jobs.get(id).is_some_and(|j| j.phase == Phase::Aborted)
+                    self.replica_sync.replica.jobs.get(id).is_some_and(|j| j.phase == Phase::Aborted)
                 };
                 // Accepted, but cancelled together with its dependency.
                 let stage = if spec.dependencies.iter().any(cancelled) { "aborted" } else { "queued" };
