--- a/crates/core/src/node/cancellation_enforcement.rs
+++ b/crates/core/src/node/cancellation_enforcement.rs
@@ -1,11 +1,13 @@
-//! Work of a standby replica in place of an unreachable leader (`crate::deputy`).
+//! Enforces cancellations in place of an unreachable leader (`crate::cancellation_enforcer`), by
+//! the placement logs kept here or, when no controller in contact knows the placements, by the
+//! machines' liveness.
 use super::*;
 use crate::deputy::{Act, Evidence, SILENT, Suspect, gone_by};
 use crate::jobs::Job;
 use crate::liveness::LivenessSummary;
 use crate::peer::Held;
 
-/// How often a `liveness` line is logged while probes are the only evidence.
+/// How often a `liveness` line is logged while liveness is the only evidence.
 const LIVENESS_LOG_INTERVAL: Micros = Micros::secs(5);
 /// Timeout of a status request to a worker.
 const STATUS_TIMEOUT: Micros = Micros::millis(1200);
@@ -38,9 +40,9 @@
         self.enforce_cancellations(&suspects, machines);
     }
 
-    /// In an outage, when no controller in contact knows the placements: unreachable machines may
-    /// still run cancelled tasks. No machine is deleted while the state service's last answer was
-    /// good.
+    /// In an outage, when no controller in contact knows the placements: machines that answer no
+    /// probe may still run cancelled tasks. No machine is deleted while the state service's last
+    /// answer was good.
     fn enforce_by_liveness(&mut self, deadline: Micros) {
         self.list_machines();
         if !self.enforcer.due(self.now) {
@@ -55,8 +57,7 @@
         self.enforce_cancellations(&suspects, machines);
     }
 
-    /// Logs from time to time what is known of the machines, and why unreachable ones are not
-    /// deleted.
+    /// Logs from time to time what is known of the machines, and why silent ones are not deleted.
     fn log_liveness(&mut self) {
         if self.now.since(self.liveness_logged_at) < LIVENESS_LOG_INTERVAL {
             return;
@@ -145,7 +146,7 @@
     /// Machines where cancelled tasks may be, according to every placement log kept here: the log
     /// of a leader that ended before its standby replicas were on record holds less than its
     /// predecessor's. An assignment may have been started on any machine that its controller holds,
-    /// and a machine from which the leader itself had received nothing may hold anything.
+    /// and a machine that the leader itself had no contact with may hold anything.
     fn suspects(&self) -> BTreeMap<MachineId, Suspect> {
         let mut suspects: BTreeMap<MachineId, (Micros, BTreeSet<(TaskId, Attempt)>)> = BTreeMap::new();
         let mut add = |id: &MachineId, deadline: Micros, start: Option<(TaskId, Attempt)>| {
@@ -215,7 +216,7 @@
             let has_tasks = has_tasks(&tasks);
             let is_newest = self.liveness.answered(machine.clone(), r.number(), has_tasks, sent, self.now);
             if !is_newest {
-                debug!("{machine}: ignored a probe answer that is older than another report");
+                debug!("{machine}: ignored a probe response that is older than another report");
             }
         }
         let unwanted = Controller::stops_for_stranger(&tasks, &self.replica_sync.replica);
@@ -230,10 +231,10 @@
         self.calls.insert(call, CallPurpose::SuspectCall { machine: machine.clone(), sent: self.now });
     }
 
-    /// Logs an answer that changes nothing, once per machine.
+    /// Logs a response that changes nothing, once per machine.
     fn log_ignored_answer(&mut self, machine: &MachineId, what: &str) {
         if self.liveness.note_odd_answer(machine) {
-            warn!("{machine}: ignored a probe answer that {what}");
+            warn!("{machine}: ignored a probe response that {what}");
         }
     }
 
--- a/crates/core/src/node/cancellations.rs
+++ b/crates/core/src/node/cancellations.rs
@@ -219,9 +219,9 @@
             return;
         }
         self.cancellations.scanned_at = now;
-        // Drops jobs whose settlement is on record. Without a waiting request, a cancellation is
-        // kept only for four times the cancellation time: by then its tasks have left their
-        // machines, or the state service provides it.
+        // Drops cancellations whose completion is on record. Without a waiting request, one is kept
+        // for four times the cancellation time only: by then its tasks have left their machines, or
+        // the state service provides the record.
         let (keep, replica) = (self.leader_config.cancel.scale(4, 1), &self.replica_sync.replica);
         self.cancellations.jobs.retain(|job, tracked| {
             !tracked.requesters.is_empty()
@@ -273,8 +273,9 @@
                 let is_awaited =
                     !tracked.requesters.is_empty() || tracked.guarantee_owed && !tracked.record.told;
                 let interval = if is_awaited { RETRY_INTERVAL } else { IDLE_RETRY_INTERVAL };
-                // A controller that is not notified yet usually learns of the end from the state
-                // service; then its acknowledgement is batched with others.
+                // Unless a client waits, the first notification is delayed: the controller usually
+                // learns of the end from the state service, and its acknowledgement is batched with
+                // others.
                 let initial_delay =
                     if is_awaited || tracked.record.told { Micros(0) } else { IDLE_RETRY_INTERVAL };
                 let acknowledged = tracked.record.known_by[i] >= process
--- a/crates/core/src/node/deferred_heartbeats.rs
+++ b/crates/core/src/node/deferred_heartbeats.rs
@@ -1,13 +1,13 @@
-//! Check-ins of workers whose machines this controller does not hold.
+//! Heartbeats of workers whose machines this controller does not hold.
 use crate::RequestId;
 use gorseshore_protocol::ids::{MachineId, Micros};
 use gorseshore_protocol::workers::{Report, ReportNo};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Deferred check-ins, and what is known of workers whose machines other controllers hold.
+/// Deferred heartbeats, and what is known of workers whose machines other controllers hold.
 #[derive(Debug, Default)]
 pub(super) struct DeferredHeartbeats {
-    /// Check-ins that wait for a grant of their machine, and until when.
+    /// Heartbeats whose answers wait for a grant of the machine, and until when.
     pub deferred: BTreeMap<MachineId, (RequestId, Report, Micros)>,
     /// Machines not held here that reported here: when, by which report, and whether that was the
     /// answer to a probe.
@@ -22,8 +22,8 @@
     pub redirected_at: BTreeMap<MachineId, Micros>,
 }
 
-/// Most machines whose newest report is kept. A copy of a report that was dropped counts as a
-/// sighting again, which the leader compares with what it knows.
+/// Most machines whose newest report is kept. A copy of a report that was dropped counts as new
+/// again; the leader compares it with what it knows.
 const MAX_REMEMBERED_REPORTS: usize = 20_000;
 
 impl DeferredHeartbeats {
--- a/crates/core/src/node/heartbeats.rs
+++ b/crates/core/src/node/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Workers' check-ins.
+//! Workers' heartbeats (`POST /checkin`).
 use super::*;
 
 impl Node {
@@ -32,7 +32,7 @@
                 self.redirect(id, to);
             }
             reply @ (CheckinReply::Elsewhere(to) | CheckinReply::Lost(to)) => {
-                self.report_sighting(&machine, MachineRecord::of(&r), r.number(), false);
+                self.report_unleased(&machine, MachineRecord::of(&r), r.number(), false);
                 // Other controllers reach the worker if it has a token from them, now or since its
                 // lease was renewed here. A worker without tasks loses nothing on the way to them.
                 let renewed_token = self.deferred_heartbeats.renewed_tokens.get(&machine).copied();
@@ -92,7 +92,7 @@
         self.renew_lease(id, r.baton, orders);
     }
 
-    /// Answers a check-in, which renews the worker's lease, if this process may renew leases.
+    /// Answers a heartbeat, which renews the worker's lease, if this process may renew leases.
     fn renew_lease(&mut self, id: RequestId, baton: u64, orders: Vec<Order>) {
         if !self.may_renew_leases() {
             return self.redirect(id, None);
@@ -115,7 +115,7 @@
         self.out.answer(id, 421, body.to_string().into_bytes());
     }
 
-    pub(super) fn report_sighting(
+    pub(super) fn report_unleased(
         &mut self,
         id: &MachineId,
         rec: MachineRecord,
@@ -123,7 +123,7 @@
         asked: bool,
     ) {
         if self.replica_sync.replica.machines.contains_key(id) {
-            // The leader knows the machine: the next `Sync` reports the sighting.
+            // The leader knows the machine: the next `Sync` names it.
             self.deferred_heartbeats.unleased_reports.insert(id.clone(), (self.now, report, asked));
             self.controller.dirty = true;
         } else if let Some(to) = self.leader_node() {
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -221,9 +221,9 @@
     }
 
     /// Adds an extension beside the scheduler.
-    pub fn with_extension(mut self, guest: Box<dyn Extension>) -> Self {
+    pub fn with_extension(mut self, extension: Box<dyn Extension>) -> Self {
         self.has_extension = true;
-        self.extension = Some(guest);
+        self.extension = Some(extension);
         self
     }
 
@@ -458,7 +458,7 @@
                     && let Ok(r) = serde_json::from_slice::<Report>(body)
                     && r.host == m.as_str()
                 {
-                    self.report_sighting(&m, MachineRecord::of(&r), r.number(), true);
+                    self.report_unleased(&m, MachineRecord::of(&r), r.number(), true);
                 }
             }
         }
--- a/crates/core/src/node/placement_knowledge.rs
+++ b/crates/core/src/node/placement_knowledge.rs
@@ -1,14 +1,14 @@
 //! Whether a controller in contact knows where cancelled tasks may be.
 //!
-//! The leader knows, and so do the standby replicas of its placement log (`crate::books`). A
-//! process that has read the state knows at least what was cancelled. In an outage of the state
-//! service, all processes that know may have ended; then unanswered probes are the only evidence
-//! left (`crate::liveness`).
+//! The leader knows, and so do the standby replicas of its placement log (`crate::placement_log`).
+//! A process that has read the state knows at least what was cancelled. In an outage of the state
+//! service, all processes that know may have ended; then the only evidence left is that a machine
+//! is silent (`crate::liveness`).
 use super::*;
 use crate::deputy::gone_by;
 
-/// Where it is unknown since when there are cancellations, unreachable machines are deleted one by
-/// one until this part of the cancellation time has passed, in percent.
+/// Where it is unknown since when there are cancellations, silent machines are deleted one by one
+/// until this part of the cancellation time has passed, in percent.
 const UNKNOWN_DEADLINE_PERCENT: u64 = 20;
 
 impl Node {
