--- a/crates/core/src/election.rs
+++ b/crates/core/src/election.rs
@@ -16,7 +16,7 @@
         /// The lease that the key is attached to.
         lease: u64,
         /// Version of the leader key.
-        stamp: u64,
+        key_revision: u64,
     },
 }
 
@@ -50,8 +50,8 @@
         }
     }
     /// The leader key was created; its lease was requested at `requested_at`.
-    pub fn elected(&mut self, term: u64, lease: u64, stamp: u64, requested_at: Micros) {
-        self.role = Role::Leader { term, lease, stamp };
+    pub fn elected(&mut self, term: u64, lease: u64, key_revision: u64, requested_at: Micros) {
+        self.role = Role::Leader { term, lease, key_revision };
         self.confirmed_sent_at = requested_at;
         self.last_renewal_sent_at = requested_at;
         self.renewal_in_flight = false;
@@ -96,7 +96,7 @@
         let mut e = Election::new(ms(3000));
         assert!(!e.may_lead(ms(0)));
         e.elected(4, 7, 9, ms(100));
-        // (time, may lead)
+        // (time in ms, may lead)
         for (t, want) in [(100, true), (3019, true), (3020, false), (9000, false)] {
             assert_eq!(e.may_lead(ms(t)), want, "{t}");
         }
--- a/crates/core/src/extension.rs
+++ b/crates/core/src/extension.rs
@@ -119,9 +119,9 @@
     /// removed before is unknown.
     fn reset(&mut self, floor: u64);
     /// A key of the extension's key space changed; `None` if it was removed.
-    fn apply(&mut self, name: &str, value: Option<&Value>, stamp: u64);
+    fn apply(&mut self, name: &str, value: Option<&Value>, revision: u64);
     /// A record changed of a job whose id was assigned by the service.
-    fn job_changed(&mut self, id: JobId, stamp: u64);
+    fn job_changed(&mut self, id: JobId, revision: u64);
     /// Handles an input; returns the actions to take.
     fn handle(&mut self, context: &ExtensionContext<'_>, input: ExtensionInput) -> Vec<ExtensionOutput>;
 }
--- a/crates/core/src/node/cancellation_enforcement/tests.rs
+++ b/crates/core/src/node/cancellation_enforcement/tests.rs
@@ -61,7 +61,7 @@
 /// end.
 fn reason_after_silence(node: &mut Node, from: Micros) -> Option<ProbeReason> {
     let (m0, m1) = (MachineId::from("m0"), MachineId::from("m1"));
-    let by = from + Micros::secs(30);
+    let deadline = from + Micros::secs(30);
     for second in 0..5 {
         let sent = from + Micros::secs(second);
         for ms in (0..1_200).step_by(20) {
@@ -71,9 +71,9 @@
         let answer = CallResult::Answer { status: 200, body: idle_report("m1", 1_000 + second) };
         node.suspect_call_completed(&m1, sent, &answer);
         node.suspect_call_completed(&m0, sent, &CallResult::Unknown);
-        node.liveness.suspects(by, node.now);
+        node.liveness.suspects(deadline, node.now);
     }
-    match node.liveness.suspects(by, node.now).remove(&m0)?.evidence {
+    match node.liveness.suspects(deadline, node.now).remove(&m0)?.evidence {
         Evidence::Silence(reason) => Some(reason),
         Evidence::Placement { .. } => None,
     }
@@ -101,8 +101,8 @@
     assert_eq!(
         reason,
         Some(ProbeReason::Silent),
-        "m0 is spared by an idle heartbeat of an hour ago; `stand_in` has to clear what was heard \
-         also where nothing was listed"
+        "an idle heartbeat of an hour ago excludes m0; `enforce_without_leader` has to clear earlier \
+         heartbeats also when no machine is listed"
     );
 }
 
@@ -113,9 +113,9 @@
     // What arrives for m0 after its probes failed, and how many machines do not answer then.
     let cases = [
         ("its report", answer(200, report.clone()), 0),
-        ("its report, refused orders", answer(409, report.clone()), 0),
-        ("another machine's at its address", answer(200, idle_report("m7", 9)), 1),
-        ("a torn body", answer(200, report[..report.len() - 3].to_vec()), 1),
+        ("its report, commands rejected", answer(409, report.clone()), 0),
+        ("another machine's report from its address", answer(200, idle_report("m7", 9)), 1),
+        ("a truncated body", answer(200, report[..report.len() - 3].to_vec()), 1),
         ("an error", answer(503, report.clone()), 1),
         ("nothing was sent", CallResult::NotSent, 1),
     ];
@@ -127,7 +127,7 @@
         node.now = sent + Micros::millis(20);
         node.suspect_call_completed(&MachineId::from("m0"), sent, &result);
         assert_eq!(node.liveness.summary(node.now).unanswering, unanswering, "{what}");
-        let stranger = MachineId::from("m7");
-        assert!(node.liveness.address(&stranger).is_none(), "{what}");
+        let other = MachineId::from("m7");
+        assert!(node.liveness.address(&other).is_none(), "{what}");
     }
 }
--- a/crates/core/src/node/cancellations.rs
+++ b/crates/core/src/node/cancellations.rs
@@ -98,12 +98,13 @@
 impl Node {
     /// Applies job ends of a transaction that the state service has confirmed, ahead of the watch's
     /// events. Returns the jobs that ended.
-    pub(super) fn apply_confirmed_ends(&mut self, writes: &[Write], stamp: u64) -> Vec<JobId> {
+    pub(super) fn apply_confirmed_ends(&mut self, writes: &[Write], revision: u64) -> Vec<JobId> {
         let mut ended = Vec::new();
         for w in writes {
             let Write::Put { put, v, .. } = w else { continue };
             if v["end"] == "aborted"
-                && let change @ Change::Job { id, .. } = self.replica_sync.replica.apply(put, Some(v), stamp)
+                && let change @ Change::Job { id, .. } =
+                    self.replica_sync.replica.apply(put, Some(v), revision)
             {
                 self.record_job_change(change);
                 ended.push(id);
--- a/crates/core/src/node/control_loop.rs
+++ b/crates/core/src/node/control_loop.rs
@@ -204,14 +204,14 @@
                 _ => {}
             },
             Role::Candidate => {}
-            Role::Leader { lease, stamp, term } => {
-                if self.replica_sync.replica.applied >= stamp
+            Role::Leader { lease, key_revision, term } => {
+                if self.replica_sync.replica.applied >= key_revision
                     && self
                         .replica_sync
                         .replica
                         .leader
                         .as_ref()
-                        .is_none_or(|(r, s)| *s != stamp || r.term != term)
+                        .is_none_or(|(r, s)| *s != key_revision || r.term != term)
                 {
                     return self.step_down("leader key deleted or replaced");
                 }
@@ -280,16 +280,22 @@
     pub(super) fn run_leader(&mut self) {
         // The state replica must hold everything that was written before the leader key was
         // acquired.
-        if let Some((term, stamp)) = self.leadership.acquired
-            && self.replica_sync.replica.applied >= stamp
+        if let Some((term, key_revision)) = self.leadership.acquired
+            && self.replica_sync.replica.applied >= key_revision
             && !self.catalogue.sizes.is_empty()
         {
             self.leadership.acquired = None;
-            if self.replica_sync.replica.leader.as_ref().is_some_and(|(r, s)| *s == stamp && r.term == term) {
+            if self
+                .replica_sync
+                .replica
+                .leader
+                .as_ref()
+                .is_some_and(|(r, s)| *s == key_revision && r.term == term)
+            {
                 let l = Leader::new(
                     self.leader_config.clone(),
                     term,
-                    stamp,
+                    key_revision,
                     &self.replica_sync.replica,
                     &self.catalogue.sizes,
                     self.now,
@@ -362,19 +368,20 @@
 
     /// Records which standby replicas hold the placement log, when that changes.
     fn record_standby_replicas(&mut self) {
-        let Role::Leader { stamp: leader_stamp, term, .. } = self.leadership.election.role else { return };
+        let Role::Leader { key_revision, term, .. } = self.leadership.election.role else { return };
         let Some(l) = self.leadership.leader.as_mut() else { return };
         let all = (0..self.peers.states.len()).map(|i| NodeId(i as u8));
         let down: Vec<NodeId> = all.filter(|n| self.peers.is_process_down(*n, self.now)).collect();
-        let Some((record, stamp)) = l.books_record(&self.replica_sync.replica, &down, self.now) else {
+        let Some((record, record_revision)) = l.books_record(&self.replica_sync.replica, &down, self.now)
+        else {
             return;
         };
         let names: Vec<&str> = record.nodes.iter().map(|(n, _)| n.as_str()).collect();
         debug!("standby replicas of term {term}: {}", names.join(", "));
         self.leadership.bucket.force(self.now, 1.0);
         let when = vec![
-            When { path: keys::LEADER.into(), stamp: leader_stamp },
-            When { path: keys::BOOKS.into(), stamp },
+            When { path: keys::LEADER.into(), stamp: key_revision },
+            When { path: keys::BOOKS.into(), stamp: record_revision },
         ];
         let put = Write::Put { put: keys::BOOKS.into(), v: json!(record), hold: None };
         let id = self.send_transaction(&Multi { when, writes: vec![put] });
@@ -382,7 +389,7 @@
     }
 
     pub(super) fn send_leader_writes(&mut self) {
-        let Role::Leader { stamp: leader_stamp, term, .. } = self.leadership.election.role else { return };
+        let Role::Leader { key_revision, term, .. } = self.leadership.election.role else { return };
         // Finding what to write scans all jobs and machines, so it is not done at every input.
         let scan_interval = Micros::millis(40);
         if self.leadership.open_txns >= 3
@@ -404,7 +411,7 @@
             .filter_map(|w| self.leadership.uncontested(w, self.now))
             .collect();
         let mut m =
-            Multi { when: vec![When { path: keys::LEADER.into(), stamp: leader_stamp }], writes: Vec::new() };
+            Multi { when: vec![When { path: keys::LEADER.into(), stamp: key_revision }], writes: Vec::new() };
         let mut included = Vec::new();
         let mut size = 0;
         for w in pending {
--- a/crates/core/src/node/deferred_heartbeats.rs
+++ b/crates/core/src/node/deferred_heartbeats.rs
@@ -29,11 +29,11 @@
 impl DeferredHeartbeats {
     /// Records that the lease of a worker not held here was renewed with the token that it
     /// reported.
-    pub fn record_renewal(&mut self, machine: MachineId, baton: u64) {
+    pub fn record_renewal(&mut self, machine: MachineId, fencing_token: u64) {
         if self.renewed_tokens.len() >= MAX_REMEMBERED_REPORTS {
             self.renewed_tokens.clear();
         }
-        self.renewed_tokens.insert(machine, baton);
+        self.renewed_tokens.insert(machine, fencing_token);
     }
 
     /// Whether a report is newer than all earlier ones of this machine here: copies of reports
--- a/crates/core/src/node/heartbeats.rs
+++ b/crates/core/src/node/heartbeats.rs
@@ -24,7 +24,7 @@
             return self.redirect(id, None);
         }
         match self.controller.checkin(&r, tasks, &self.replica_sync.replica, self.now) {
-            CheckinReply::Orders(baton, orders) => self.renew_lease(id, baton.0, orders),
+            CheckinReply::Orders(fencing_token, commands) => self.renew_lease(id, fencing_token.0, commands),
             CheckinReply::Elsewhere(to) | CheckinReply::Lost(to)
                 if !self.deferred_heartbeats.is_newest(&machine, r.number()) =>
             {
@@ -87,17 +87,18 @@
     /// nothing is started and a newer grant is not affected. It only stops tasks that are over.
     fn renew_unheld(&mut self, id: RequestId, r: &Report) {
         let tasks = read_tasks(r).unwrap_or_default();
-        let orders = Controller::stops_for_stranger(&tasks, &self.replica_sync.replica);
+        let commands = Controller::stops_for_stranger(&tasks, &self.replica_sync.replica);
         self.deferred_heartbeats.record_renewal(MachineId::from(&*r.host), r.baton);
-        self.renew_lease(id, r.baton, orders);
+        self.renew_lease(id, r.baton, commands);
     }
 
     /// Answers a heartbeat, which renews the worker's lease, if this process may renew leases.
-    fn renew_lease(&mut self, id: RequestId, baton: u64, orders: Vec<Order>) {
+    fn renew_lease(&mut self, id: RequestId, fencing_token: u64, commands: Vec<Order>) {
         if !self.may_renew_leases() {
             return self.redirect(id, None);
         }
-        let body = serde_json::to_vec(&CheckinAnswer { baton, orders }).unwrap_or_default();
+        let body =
+            serde_json::to_vec(&CheckinAnswer { baton: fencing_token, orders: commands }).unwrap_or_default();
         self.out.answer(id, 200, body);
     }
 
@@ -120,11 +121,11 @@
         id: &MachineId,
         rec: MachineRecord,
         report: ReportNo,
-        asked: bool,
+        probed: bool,
     ) {
         if self.replica_sync.replica.machines.contains_key(id) {
             // The leader knows the machine: the next `Sync` names it.
-            self.deferred_heartbeats.unleased_reports.insert(id.clone(), (self.now, report, asked));
+            self.deferred_heartbeats.unleased_reports.insert(id.clone(), (self.now, report, probed));
             self.controller.dirty = true;
         } else if let Some(to) = self.leader_node() {
             let m = Message::Seen {
@@ -134,7 +135,7 @@
                 spot: rec.spot,
                 addr: rec.addr,
                 report,
-                asked,
+                asked: probed,
             };
             self.send(to, m);
         }
@@ -152,7 +153,9 @@
             let Some((id, r, _)) = self.deferred_heartbeats.deferred.remove(&m) else { continue };
             let tasks = read_tasks(&r).unwrap_or_default();
             match self.controller.checkin(&r, tasks, &self.replica_sync.replica, self.now) {
-                CheckinReply::Orders(baton, orders) => self.renew_lease(id, baton.0, orders),
+                CheckinReply::Orders(fencing_token, commands) => {
+                    self.renew_lease(id, fencing_token.0, commands)
+                }
                 CheckinReply::Elsewhere(to) | CheckinReply::Lost(to) => match self.redirect_target(&m, to) {
                     Some(n) => self.redirect(id, Some(n)),
                     None => self.renew_unheld(id, &r),
--- a/crates/core/src/node/leadership.rs
+++ b/crates/core/src/node/leadership.rs
@@ -88,23 +88,24 @@
         if self.contested.is_empty() {
             return Some(w);
         }
-        let free = |key: String| !self.is_contested(&key, now);
-        let good = match &w {
+        let may_use = |key: String| !self.is_contested(&key, now);
+        let is_uncontested = match &w {
             // The record's key is named after one of the machines, and any of them will do.
             LeaderWrite::Machines(ids) => {
-                let left: Vec<_> = ids.iter().filter(|id| free(keys::machines(id))).cloned().collect();
-                return (!left.is_empty()).then_some(LeaderWrite::Machines(left));
+                let remaining: Vec<_> =
+                    ids.iter().filter(|id| may_use(keys::machines(id))).cloned().collect();
+                return (!remaining.is_empty()).then_some(LeaderWrite::Machines(remaining));
             }
             LeaderWrite::End(id) | LeaderWrite::Settle(id) | LeaderWrite::CancelledWith(id) => {
-                free(keys::end(*id))
+                may_use(keys::end(*id))
             }
-            LeaderWrite::Fail(id, _) => free(keys::end(*id)) && free(keys::job(*id)),
-            LeaderWrite::Progress(id, c) => free(keys::progress(*id, *c)) && free(keys::end(*id)),
-            LeaderWrite::Failures(id, c) => free(keys::failed(*id, *c)) && free(keys::end(*id)),
-            LeaderWrite::Forget(key) => free(key.clone()),
+            LeaderWrite::Fail(id, _) => may_use(keys::end(*id)) && may_use(keys::job(*id)),
+            LeaderWrite::Progress(id, c) => may_use(keys::progress(*id, *c)) && may_use(keys::end(*id)),
+            LeaderWrite::Failures(id, c) => may_use(keys::failed(*id, *c)) && may_use(keys::end(*id)),
+            LeaderWrite::Forget(key) => may_use(key.clone()),
             LeaderWrite::Hire(_) => true,
         };
-        good.then_some(w)
+        is_uncontested.then_some(w)
     }
 
     /// A transaction with these records ended, with whatever result.
--- a/crates/core/src/node/messaging.rs
+++ b/crates/core/src/node/messaging.rs
@@ -93,8 +93,8 @@
     }
 
     /// Posts the next transaction of a message, if the previous one succeeded.
-    pub(super) fn post_next_transaction(&mut self, number: u64, taken: bool) {
-        if let Some(txn) = self.relay.next_txn(number, taken) {
+    pub(super) fn post_next_transaction(&mut self, number: u64, previous_posted: bool) {
+        if let Some(txn) = self.relay.next_txn(number, previous_posted) {
             let call = self.send_transaction(&txn);
             self.calls.insert(call, CallPurpose::RelayedMessage(number));
         }
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -362,7 +362,7 @@
                 };
                 match lease {
                     Some(g) if self.replica_sync.replica.leader.is_none() => {
-                        let (term, stamp) = self.replica_sync.replica.term;
+                        let (term, term_revision) = self.replica_sync.replica.term;
                         let rec = LeaderRecord {
                             node: self.members.names[self.members.own_id.0 as usize].clone(),
                             term: term + 1,
@@ -371,7 +371,7 @@
                         let m = Multi {
                             when: vec![
                                 When { path: keys::LEADER.into(), stamp: 0 },
-                                When { path: keys::TERM.into(), stamp },
+                                When { path: keys::TERM.into(), stamp: term_revision },
                                 When { path: keys::BOOKS.into(), stamp: self.replica_sync.replica.books.1 },
                             ],
                             writes: vec![
@@ -401,10 +401,10 @@
             }
             CallPurpose::AcquireLeaderKey { requested_at, lease, term } => match &result {
                 CallResult::Answer { status: 200, body } => {
-                    let stamp = serde_json::from_slice::<MultiAnswer>(body).map_or(0, |a| a.ledger);
-                    self.leadership.election.elected(term, lease, stamp, requested_at);
+                    let key_revision = serde_json::from_slice::<MultiAnswer>(body).map_or(0, |a| a.ledger);
+                    self.leadership.election.elected(term, lease, key_revision, requested_at);
                     self.leadership.had_peers = false;
-                    self.leadership.acquired = Some((term, stamp));
+                    self.leadership.acquired = Some((term, key_revision));
                     self.start_read_barrier();
                 }
                 _ => {
@@ -513,8 +513,8 @@
         self.reapply_cancellations();
         if let Some(g) = self.extension.as_mut() {
             g.reset(first_revision);
-            for (name, v, stamp) in &extension_entries {
-                g.apply(name, Some(v), *stamp);
+            for (name, v, revision) in &extension_entries {
+                g.apply(name, Some(v), *revision);
             }
             for (id, job) in self.replica_sync.replica.jobs.range(JobId(OWN_IDS)..) {
                 g.job_changed(*id, job.stamp.max(job.end_stamp));
@@ -531,8 +531,8 @@
         }
         let ReadProgress { started_at, pages, bytes, interruptions } = self.replica_sync.read_progress;
         info!(
-            "state read revision={first_revision} last_revision={} pages={pages} bytes={bytes} interruptions={interruptions} \
-             duration_ms={} jobs={} machines={}",
+            "state read revision={first_revision} last_revision={} pages={pages} bytes={bytes} \
+             interruptions={interruptions} duration_ms={} jobs={} machines={}",
             page.ledger,
             self.now.since(started_at).0 / 1000,
             self.replica_sync.replica.jobs.len(),
--- a/crates/core/src/node/pending_requests.rs
+++ b/crates/core/src/node/pending_requests.rs
@@ -70,10 +70,10 @@
 
     /// Takes out the requests whose time is up.
     pub fn take_expired(&mut self, now: Micros) -> Vec<Waiter> {
-        let (late, waiting): (Vec<_>, Vec<_>) =
+        let (expired, waiting): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.waiters).into_iter().partition(|(_, until)| now >= *until);
         self.waiters = waiting;
-        late.into_iter().map(|(w, _)| w).collect()
+        expired.into_iter().map(|(w, _)| w).collect()
     }
 
     /// Sets this node's part of the budget for clients' writes: an equal one, or, when more writes
--- a/crates/core/src/node/relay.rs
+++ b/crates/core/src/node/relay.rs
@@ -89,11 +89,11 @@
     }
 
     /// The next transaction of message `number`, if the previous one succeeded.
-    pub fn next_txn(&mut self, number: u64, taken: bool) -> Option<Multi> {
+    pub fn next_txn(&mut self, number: u64, previous_posted: bool) -> Option<Multi> {
         if number != self.last_number {
             return None;
         }
-        if !taken {
+        if !previous_posted {
             // The receiver skips later parts without the parts before them.
             self.remaining_txns.clear();
         }
--- a/crates/core/src/node/requests.rs
+++ b/crates/core/src/node/requests.rs
@@ -299,8 +299,8 @@
                     let mut m = Multi::clone(m);
                     if *as_leader {
                         match self.leadership.election.role {
-                            Role::Leader { stamp, .. } if self.leadership.leader.is_some() => {
-                                m.when.push(When { path: keys::LEADER.into(), stamp });
+                            Role::Leader { key_revision, .. } if self.leadership.leader.is_some() => {
+                                m.when.push(When { path: keys::LEADER.into(), stamp: key_revision });
                             }
                             _ => {
                                 let t = *t;
@@ -319,9 +319,11 @@
                 PendingWrite::Submit(_, spec) => (vec![When { path: keys::job(spec.id), stamp: 0 }], records),
                 PendingWrite::Abort(_, job, end) => {
                     let key = keys::end(*job);
-                    let stamp = self.replica_sync.replica.jobs.get(job).map_or(0, |j| j.stamp);
-                    let when =
-                        vec![When { path: key.clone(), stamp: 0 }, When { path: keys::job(*job), stamp }];
+                    let revision = self.replica_sync.replica.jobs.get(job).map_or(0, |j| j.stamp);
+                    let when = vec![
+                        When { path: key.clone(), stamp: 0 },
+                        When { path: keys::job(*job), stamp: revision },
+                    ];
                     (when, vec![(key, end.clone())])
                 }
             };
@@ -335,8 +337,8 @@
         match (w, result) {
             (PendingWrite::Submit(id, spec), CallResult::Answer { status: 200, body }) => {
                 let job = spec.id;
-                let stamp = serde_json::from_slice::<MultiAnswer>(body).map_or(0, |a| a.ledger);
-                debug!("{job}: accepted revision={stamp}");
+                let revision = serde_json::from_slice::<MultiAnswer>(body).map_or(0, |a| a.ledger);
+                debug!("{job}: accepted revision={revision}");
                 let cancelled = |id: &JobId| {
                     self.replica_sync.replica.jobs.get(id).is_some_and(|j| j.phase == Phase::Aborted)
                 };
@@ -346,13 +348,16 @@
             }
             (PendingWrite::Abort(id, job, end), CallResult::Answer { status: 200, body }) => {
                 info!("{job}: cancelled");
-                let stamp = serde_json::from_slice::<MultiAnswer>(body).map_or(0, |a| a.ledger);
-                self.apply_confirmed_ends(&[Write::Put { put: keys::end(job), v: end, hold: None }], stamp);
+                let revision = serde_json::from_slice::<MultiAnswer>(body).map_or(0, |a| a.ledger);
+                self.apply_confirmed_ends(
+                    &[Write::Put { put: keys::end(job), v: end, hold: None }],
+                    revision,
+                );
                 self.confirm_to_client(id, job);
             }
             (PendingWrite::Extension(t, m, _), CallResult::Answer { status: 200, body }) => {
-                let stamp = serde_json::from_slice::<MultiAnswer>(body).map_or(0, |a| a.ledger);
-                let ended = self.apply_confirmed_ends(&m.writes, stamp);
+                let revision = serde_json::from_slice::<MultiAnswer>(body).map_or(0, |a| a.ledger);
+                let ended = self.apply_confirmed_ends(&m.writes, revision);
                 self.confirm_to_extension(t, &ended, result.clone());
             }
             // The key exists already: the response is the job's current state.
