--- a/crates/core/src/node/deferred_heartbeats.rs
+++ b/crates/core/src/node/deferred_heartbeats.rs
@@ -12,7 +12,7 @@
     /// Machines not held here that reported here: when, by which report, and whether that was the
     /// answer to a probe.
     pub unleased_reports: BTreeMap<MachineId, (Micros, ReportNo, bool)>,
-    /// Machines whose reports contradict their records; this was logged.
+    /// Machines whose reports contradict their records, each logged once.
     pub contradicting: BTreeSet<MachineId>,
     /// The fencing token with which the lease of a worker not held here was renewed.
     pub renewed_tokens: BTreeMap<MachineId, u64>,
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -108,14 +108,14 @@
     Flavors,
     WorkerCall(MachineId),
     Probe(MachineId),
-    /// A page of the cloud's list, fetched as standby.
+    /// A page of the cloud's list, for enforcing cancellations without a leader.
     MachineList,
-    /// A machine that may hold a cancelled task, probed or sent a stop as standby.
+    /// A probe of a machine that may hold a cancelled task, or a stop sent to it, without a leader.
     SuspectCall {
         machine: MachineId,
         sent: Micros,
     },
-    /// Machines deleted as standby.
+    /// Machines deleted without a leader, because they may hold cancelled tasks.
     SuspectDeletion(Vec<MachineId>),
 }
 
