--- a/crates/core/src/node/requests.rs
+++ b/crates/core/src/node/requests.rs
@@ -1,19 +1,19 @@
-//! Users' requests, and the proof that the mirror is up to date.
+//! Clients' requests, and the read barrier that shows that the state replica is up to date.
 use super::*;
 
 impl Node {
-    pub(super) fn request(&mut self, id: RequestId, method: &str, path: &str, body: &[u8]) {
+    pub(super) fn route_request(&mut self, id: RequestId, method: &str, path: &str, body: &[u8]) {
         let path = path.split('?').next().unwrap_or("");
         let rest = path.strip_prefix("/submissions/");
         match (method, path, rest) {
             ("GET", "/ready", _) => {
-                if self.ready() {
+                if self.is_ready() {
                     self.out.answer(id, 200, br#"{"ready":true}"#.to_vec());
                 } else {
                     self.refuse(id, RefusalReason::NotReady);
                 }
             }
-            ("POST", "/checkin", _) => self.checkin(id, body),
+            ("POST", "/checkin", _) => self.receive_heartbeat(id, body),
             ("POST", "/submissions", _) => self.submit(id, body),
             (_, "/ready" | "/checkin" | "/submissions", _) => {
                 self.out.answer(id, 405, users::error("wrong method"))
@@ -26,14 +26,14 @@
                 if m != if abort { "POST" } else { "GET" } {
                     return self.out.answer(id, 405, users::error("wrong method"));
                 }
-                // Jobs with an id of the service's own can be looked at; they end
-                // by the interface that they came by.
+                // Jobs with an id assigned by the service (from the extension) can be queried here,
+                // but are cancelled only through the interface that submitted them.
                 match JobId::parse(job).filter(|j| !(abort && j.own())) {
                     None => self.out.answer(id, 404, users::error("no such job")),
-                    Some(j) if abort => self.wait(Waiter::Abort(id, j), Micros::millis(3500)),
+                    Some(j) if abort => self.await_read_barrier(Waiter::Abort(id, j), Micros::millis(3500)),
                     Some(j) => {
-                        self.status.poll_came(id, self.now);
-                        self.wait(Waiter::Poll(id, j), Micros::millis(1500));
+                        self.status.poll_received(id, self.now);
+                        self.await_read_barrier(Waiter::Poll(id, j), Micros::millis(1500));
                     }
                 }
             }
@@ -41,38 +41,40 @@
         }
     }
 
-    pub(super) fn ready(&self) -> bool {
-        if !self.mirror.loaded {
+    pub(super) fn is_ready(&self) -> bool {
+        if !self.replica_sync.loaded {
             return false;
         }
-        if self.mirror.state_ok(self.now) || self.nodes.names.len() == 1 {
+        if self.replica_sync.state_reachable(self.now) || self.members.names.len() == 1 {
             return true;
         }
-        // Alone refused: the others serve the users. When all lost the state
-        // service, leaving would help nobody.
-        let fresh = |p: &&membership::Peer| p.heard.is_some_and(|t| self.now.since(t) < Micros::millis(2500));
-        let mut heard = self.peers.states.iter().filter(fresh).peekable();
-        heard.peek().is_some() && heard.all(|p| !p.state_ok)
+        // If only this controller fails to reach the state service, the other controllers serve the
+        // clients. If all fail, withdrawing would help no client.
+        let recent =
+            |p: &&membership::Peer| p.last_contact.is_some_and(|t| self.now.since(t) < Micros::millis(2500));
+        let mut in_contact = self.peers.states.iter().filter(recent).peekable();
+        in_contact.peek().is_some() && in_contact.all(|p| !p.state_ok)
     }
 
-    /// The answer for a job whose end is known; ends never change. A cancellation
-    /// is answered for when everybody who must know of it does.
-    pub(super) fn final_answer(&mut self, id: RequestId, job: JobId) -> bool {
-        let Some(j) = self.mirror.ledger.jobs.get(&job) else { return false };
+    /// Answers for a job that has ended; ends never change. A cancellation is confirmed only when
+    /// every controller that must know of it has acknowledged it. Returns false if the job is
+    /// active or unknown.
+    pub(super) fn answer_if_ended(&mut self, id: RequestId, job: JobId) -> bool {
+        let Some(j) = self.replica_sync.replica.jobs.get(&job) else { return false };
         match j.phase {
             Phase::Active => return false,
             Phase::Done => {
                 let answer = users::job_answer(job, "done", j.tasks, 0);
                 self.out.answer(id, 200, answer);
             }
-            Phase::Aborted if self.may_tell(job) => self.aborted_answer(id, job),
-            Phase::Aborted => self.tell_user(id, job),
+            Phase::Aborted if self.is_confirmed(job) => self.answer_cancelled(id, job),
+            Phase::Aborted => self.confirm_to_client(id, job),
         }
         true
     }
 
-    pub(super) fn aborted_answer(&mut self, id: RequestId, job: JobId) {
-        let cause = self.mirror.ledger.jobs.get(&job).and_then(|j| j.cause.as_ref());
+    pub(super) fn answer_cancelled(&mut self, id: RequestId, job: JobId) {
+        let cause = self.replica_sync.replica.jobs.get(&job).and_then(|j| j.cause.as_ref());
         let answer = match cause {
             Some(cause) => users::failed_answer(job, cause),
             None => users::job_answer(job, "aborted", 0, 0),
@@ -80,48 +82,48 @@
         self.out.answer(id, 200, answer);
     }
 
-    pub(super) fn current_answer(&mut self, id: RequestId, job: JobId) {
-        if self.final_answer(id, job) {
+    pub(super) fn answer_current_state(&mut self, id: RequestId, job: JobId) {
+        if self.answer_if_ended(id, job) {
             return;
         }
-        let Some(j) = self.mirror.ledger.jobs.get(&job) else {
+        let Some(j) = self.replica_sync.replica.jobs.get(&job) else {
             return self.out.answer(id, 404, users::error("no such job"));
         };
-        let running = self.ctl.running.get(&job).copied().unwrap_or(0);
+        let running = self.controller.running.get(&job).copied().unwrap_or(0);
         let stage = if running > 0 { "running" } else { "queued" };
         self.out.answer(id, 200, users::job_answer(job, stage, j.done.below(j.tasks), running));
     }
 
-    pub(super) fn wait(&mut self, w: Waiter, limit: Micros) {
+    pub(super) fn await_read_barrier(&mut self, w: Waiter, limit: Micros) {
         if let Waiter::Poll(r, j) | Waiter::Submit(r, j, _) | Waiter::Abort(r, j) = &w
-            && self.final_answer(*r, *j)
+            && self.answer_if_ended(*r, *j)
         {
             return;
         }
-        if let Some(reason) = self.refusal(self.users.waiters.len()) {
-            return self.cant_ask(&w, reason);
+        if let Some(reason) = self.refusal_reason(self.pending.waiters.len()) {
+            return self.fail_waiter(&w, reason);
         }
         let until = self.now + limit;
-        self.users.waiters.push((w, until));
-        self.barrier();
+        self.pending.waiters.push((w, until));
+        self.start_read_barrier();
     }
 
-    /// Why a user's request is refused at once, if it is; `waiting` are those of its
-    /// kind that wait already.
-    fn refusal(&self, waiting: usize) -> Option<RefusalReason> {
-        if !self.mirror.loaded {
+    /// Why a request is refused at once, if it is; `waiting` is the number of requests of its kind
+    /// that wait already.
+    fn refusal_reason(&self, waiting: usize) -> Option<RefusalReason> {
+        if !self.replica_sync.loaded {
             return Some(RefusalReason::StateUnread);
         }
-        if self.mirror.state_refuses(self.now) {
+        if self.replica_sync.state_unavailable(self.now) {
             return Some(RefusalReason::StateRefused);
         }
-        (waiting >= MAX_WAITING).then_some(RefusalReason::TooManyWaiting)
+        (waiting >= MAX_PENDING).then_some(RefusalReason::TooManyWaiting)
     }
 
-    /// Tells a user to ask again, and counts why.
+    /// Answers 503 with `Retry-After`, and counts the reason.
     pub(super) fn refuse(&mut self, id: RequestId, reason: RefusalReason) {
         self.status.refused(reason);
-        self.out.later(id, reason.sentence());
+        self.out.later(id, reason.message());
     }
 
     pub(super) fn submit(&mut self, id: RequestId, body: &[u8]) {
@@ -134,31 +136,33 @@
             let reason = parsed.err().unwrap_or_default();
             return self.out.answer(id, 400, users::error(&reason));
         };
-        let checked = parsed.map_err(|e| (400, e)).and_then(|s| self.check(s));
-        let known = self.mirror.ledger.jobs.contains_key(&job);
+        let checked = parsed.map_err(|e| (400, e)).and_then(|s| self.validate_submission(s));
+        let known = self.replica_sync.replica.jobs.contains_key(&job);
         match checked {
             Ok(spec) if !known && self.unknown_dependency(&spec).is_none() => {
-                if let Some(reason) = self.refusal(self.users.writes.len()) {
+                if let Some(reason) = self.refusal_reason(self.pending.writes.len()) {
                     return self.refuse(id, reason);
                 }
                 let until = self.now + Micros::millis(3500);
-                self.users.writes.push_back((UserWrite::Submit(id, Box::new(spec)), until));
-                self.write_users();
+                self.pending.writes.push_back((PendingWrite::Submit(id, Box::new(spec)), until));
+                self.send_pending_writes();
+            }
+            checked => {
+                self.await_read_barrier(Waiter::Submit(id, job, Box::new(checked)), Micros::millis(3500))
             }
-            checked => self.wait(Waiter::Submit(id, job, Box::new(checked)), Micros::millis(3500)),
         }
     }
 
-    /// What can never run: 422; what can't be told yet: 503.
-    pub(super) fn check(&self, s: JobSpec) -> Result<JobSpec, (u16, String)> {
+    /// Rejects with 422 a job that can never run, and with 503 one that can't be checked yet.
+    pub(super) fn validate_submission(&self, s: JobSpec) -> Result<JobSpec, (u16, String)> {
         let Some(team) = self.teams.iter().find(|t| t.name == s.team) else {
             return Err((422, format!("unknown team {}", s.team)));
         };
         if !team.could_run(&s) {
-            return Err((422, format!("more than the limit of team {}", s.team)));
+            return Err((422, format!("exceeds the limits of team {}", s.team)));
         }
         if self.catalogue.flavors.is_empty() {
-            return Err((503, RefusalReason::MachineTypesUnknown.sentence().into()));
+            return Err((503, RefusalReason::MachineTypesUnknown.message().into()));
         }
         let fits = self.catalogue.flavors.iter().any(|f| {
             let size = Resources::have(f.cpus, f.gpus, f.memory_gb);
@@ -173,36 +177,37 @@
         if s.dependencies.contains(&s.id) {
             return Err((422, "awaits: the job itself".into()));
         }
-        let service = |id: &&JobId| self.mirror.ledger.jobs.get(*id).is_some_and(|j| j.service);
+        let service = |id: &&JobId| self.replica_sync.replica.jobs.get(*id).is_some_and(|j| j.service);
         if let Some(id) = s.dependencies.iter().find(service) {
-            return Err((422, format!("awaits: {id} is a service, which is never done")));
+            return Err((422, format!("awaits: {id} is a service, which never completes")));
         }
         Ok(s)
     }
 
-    /// A job that the submission depends on and that is not in the replica: it was never
-    /// accepted, or this replica is behind.
+    /// A dependency of the submission that is not in the state replica: it was never accepted, or
+    /// this replica is behind.
     fn unknown_dependency(&self, s: &JobSpec) -> Option<JobId> {
-        s.dependencies.iter().find(|id| !self.mirror.ledger.jobs.contains_key(id)).copied()
+        s.dependencies.iter().find(|id| !self.replica_sync.replica.jobs.contains_key(id)).copied()
     }
 
-    /// Asks once for all that wait whether the mirror is up to date.
-    pub(super) fn barrier(&mut self) {
-        if self.users.barrier_open || !self.mirror.listed {
+    /// Starts one read barrier for all waiting requests.
+    pub(super) fn start_read_barrier(&mut self) {
+        if self.pending.barrier_in_flight || !self.replica_sync.listed {
             return;
         }
-        if !self.users.barrier_bucket.take(self.now, 1.0, 0.0) {
+        if !self.pending.barrier_bucket.take(self.now, 1.0, 0.0) {
             return;
         }
-        let waiting = std::mem::take(&mut self.users.waiters);
-        let path = format!("/follow?prefix={}&from={}&hold_ms=0", keys::ROOT, self.mirror.ledger.applied);
-        let id = self.state("GET", path, Vec::new(), Micros::millis(1200));
-        self.calls.insert(id, Purpose::Barrier(waiting));
-        self.users.barrier_open = true;
-        self.status.proof_asked(self.now);
+        let waiting = std::mem::take(&mut self.pending.waiters);
+        let path =
+            format!("/follow?prefix={}&from={}&hold_ms=0", keys::ROOT, self.replica_sync.replica.applied);
+        let id = self.call_state_service("GET", path, Vec::new(), Micros::millis(1200));
+        self.calls.insert(id, CallPurpose::ReadBarrier(waiting));
+        self.pending.barrier_in_flight = true;
+        self.status.read_barrier_sent(self.now);
     }
 
-    pub(super) fn state(
+    pub(super) fn call_state_service(
         &mut self,
         method: &'static str,
         path: String,
@@ -212,158 +217,171 @@
         self.out.call(Call { target: Target::State, method, path, body, timeout })
     }
 
-    pub(super) fn multi(&mut self, m: &Multi) -> CallId {
+    pub(super) fn send_transaction(&mut self, m: &Multi) -> CallId {
         let body = serde_json::to_vec(m).unwrap_or_default();
-        self.state("POST", "/multi".into(), body, Micros::millis(2500))
+        self.call_state_service("POST", "/multi".into(), body, Micros::millis(2500))
     }
 
-    pub(super) fn resolve(&mut self, w: Waiter) {
+    pub(super) fn complete_waiter(&mut self, w: Waiter) {
         match w {
-            Waiter::Guest(t) => self.ask_guest(GuestInput::Proved(t, true)),
+            Waiter::Extension(t) => self.run_extension(ExtensionInput::ReadBarrierDone(t, true)),
             Waiter::Poll(id, job) => {
-                self.status.answered_by_proof(id);
-                self.current_answer(id, job);
+                self.status.check_read_barrier(id);
+                self.answer_current_state(id, job);
             }
             Waiter::Submit(id, job, checked) => {
-                if self.mirror.ledger.jobs.contains_key(&job) {
-                    return self.current_answer(id, job);
+                if self.replica_sync.replica.jobs.contains_key(&job) {
+                    return self.answer_current_state(id, job);
                 }
-                // What it depends on may have come with the proof.
-                match checked.and_then(|spec| self.check(spec)) {
+                // The read barrier's events may have brought the dependency.
+                match checked.and_then(|spec| self.validate_submission(spec)) {
                     Ok(spec) => {
                         if let Some(dependency) = self.unknown_dependency(&spec) {
                             let reason = format!("awaits: {dependency} was never accepted");
                             return self.out.answer(id, 422, users::error(&reason));
                         }
                         let until = self.now + Micros::millis(3000);
-                        self.users.writes.push_back((UserWrite::Submit(id, Box::new(spec)), until));
-                        self.write_users();
+                        self.pending.writes.push_back((PendingWrite::Submit(id, Box::new(spec)), until));
+                        self.send_pending_writes();
                     }
                     Err((503, _)) => self.refuse(id, RefusalReason::MachineTypesUnknown),
                     Err((status, reason)) => self.out.answer(id, status, users::error(&reason)),
                 }
             }
             Waiter::Abort(id, job) => {
-                if self.final_answer(id, job) {
+                if self.answer_if_ended(id, job) {
                     return;
                 }
-                if !self.mirror.ledger.jobs.contains_key(&job) {
+                if !self.replica_sync.replica.jobs.contains_key(&job) {
                     return self.out.answer(id, 404, users::error("no such job"));
                 }
                 let until = self.now + Micros::millis(3000);
                 let end = jobs::cancelled_value(self.wall_ms, None, false);
-                self.users.writes.push_back((UserWrite::Abort(id, job, end), until));
-                self.write_users();
+                self.pending.writes.push_back((PendingWrite::Abort(id, job, end), until));
+                self.send_pending_writes();
             }
         }
     }
 
-    /// The records of a job that was checked (`check`).
+    /// The records of a job that passed `check`.
     fn records_of(&self, spec: &JobSpec) -> Vec<(String, serde_json::Value)> {
         jobs::job_records(spec, self.wall_ms, &self.limits).unwrap_or_default()
     }
 
-    /// Sends users' changes as far as the budget goes.
-    pub(super) fn write_users(&mut self) {
-        while let Some((w, until)) = self.users.writes.pop_front() {
+    /// Sends clients' writes within the write budget.
+    pub(super) fn send_pending_writes(&mut self) {
+        while let Some((w, until)) = self.pending.writes.pop_front() {
             if self.now > until {
                 match w {
-                    UserWrite::Submit(id, _) | UserWrite::Abort(id, ..) => {
+                    PendingWrite::Submit(id, _) | PendingWrite::Abort(id, ..) => {
                         self.refuse(id, RefusalReason::WriteBudget);
                     }
-                    UserWrite::Guest(t, ..) => self.ask_guest(GuestInput::Called(t, CallResult::NotSent)),
+                    PendingWrite::Extension(t, ..) => {
+                        self.run_extension(ExtensionInput::OperationCompleted(t, CallResult::NotSent))
+                    }
                 }
                 continue;
             }
             let records = match &w {
-                UserWrite::Submit(_, spec) => self.records_of(spec),
+                PendingWrite::Submit(_, spec) => self.records_of(spec),
                 _ => Vec::new(),
             };
             let cost = match &w {
-                UserWrite::Guest(_, m, _) => m.writes.len().max(1) as f64,
+                PendingWrite::Extension(_, m, _) => m.writes.len().max(1) as f64,
                 _ => records.len().max(1) as f64,
             };
-            if !self.users.bucket.take(self.now, cost, 0.0) {
-                self.users.writes.push_front((w, until));
+            if !self.pending.write_bucket.take(self.now, cost, 0.0) {
+                self.pending.writes.push_front((w, until));
                 return;
             }
             let (when, writes) = match &w {
-                UserWrite::Guest(t, m, as_leader) => {
+                PendingWrite::Extension(t, m, as_leader) => {
                     let mut m = Multi::clone(m);
                     if *as_leader {
                         match self.leadership.election.role {
-                            Role::Leader { stamp, .. } if self.leadership.leader.is_some() => {
-                                m.when.push(When { path: keys::LEADER.into(), stamp });
+                            Role::Leader { key_revision, .. } if self.leadership.leader.is_some() => {
+                                m.when.push(When { path: keys::LEADER.into(), stamp: key_revision });
                             }
                             _ => {
                                 let t = *t;
-                                self.ask_guest(GuestInput::Called(t, CallResult::NotSent));
+                                self.run_extension(ExtensionInput::OperationCompleted(
+                                    t,
+                                    CallResult::NotSent,
+                                ));
                                 continue;
                             }
                         }
                     }
-                    let call = self.multi(&m);
-                    self.calls.insert(call, Purpose::Write(w));
+                    let call = self.send_transaction(&m);
+                    self.calls.insert(call, CallPurpose::Write(w));
                     continue;
                 }
-                UserWrite::Submit(_, spec) => (vec![When { path: keys::job(spec.id), stamp: 0 }], records),
-                UserWrite::Abort(_, job, end) => {
+                PendingWrite::Submit(_, spec) => (vec![When { path: keys::job(spec.id), stamp: 0 }], records),
+                PendingWrite::Abort(_, job, end) => {
                     let key = keys::end(*job);
-                    let stamp = self.mirror.ledger.jobs.get(job).map_or(0, |j| j.stamp);
-                    let when =
-                        vec![When { path: key.clone(), stamp: 0 }, When { path: keys::job(*job), stamp }];
+                    let revision = self.replica_sync.replica.jobs.get(job).map_or(0, |j| j.stamp);
+                    let when = vec![
+                        When { path: key.clone(), stamp: 0 },
+                        When { path: keys::job(*job), stamp: revision },
+                    ];
                     (when, vec![(key, end.clone())])
                 }
             };
             let writes = writes.into_iter().map(|(put, v)| Write::Put { put, v, hold: None }).collect();
-            let call = self.multi(&Multi { when, writes });
-            self.calls.insert(call, Purpose::Write(w));
+            let call = self.send_transaction(&Multi { when, writes });
+            self.calls.insert(call, CallPurpose::Write(w));
         }
     }
 
-    pub(super) fn user_written(&mut self, w: UserWrite, result: &CallResult) {
+    pub(super) fn pending_write_completed(&mut self, w: PendingWrite, result: &CallResult) {
         match (w, result) {
-            (UserWrite::Submit(id, spec), CallResult::Answer { status: 200, body }) => {
+            (PendingWrite::Submit(id, spec), CallResult::Answer { status: 200, body }) => {
                 let job = spec.id;
-                let stamp = serde_json::from_slice::<MultiAnswer>(body).map_or(0, |a| a.ledger);
-                debug!("{job}: accepted at {stamp}");
-                let cancelled =
-                    |id: &JobId| self.mirror.ledger.jobs.get(id).is_some_and(|j| j.phase == Phase::Aborted);
-                // Accepted all the same, and cancelled with what it depends on.
+                let revision = serde_json::from_slice::<MultiAnswer>(body).map_or(0, |a| a.ledger);
+                debug!("{job}: accepted revision={revision}");
+                let cancelled = |id: &JobId| {
+                    self.replica_sync.replica.jobs.get(id).is_some_and(|j| j.phase == Phase::Aborted)
+                };
+                // Accepted, but cancelled together with its dependency.
                 let stage = if spec.dependencies.iter().any(cancelled) { "aborted" } else { "queued" };
                 self.out.answer(id, 201, users::job_answer(job, stage, 0, 0));
             }
-            (UserWrite::Abort(id, job, end), CallResult::Answer { status: 200, body }) => {
+            (PendingWrite::Abort(id, job, end), CallResult::Answer { status: 200, body }) => {
                 info!("{job}: cancelled");
-                let stamp = serde_json::from_slice::<MultiAnswer>(body).map_or(0, |a| a.ledger);
-                self.ended_by(&[Write::Put { put: keys::end(job), v: end, hold: None }], stamp);
-                self.tell_user(id, job);
+                let revision = serde_json::from_slice::<MultiAnswer>(body).map_or(0, |a| a.ledger);
+                self.apply_confirmed_ends(
+                    &[Write::Put { put: keys::end(job), v: end, hold: None }],
+                    revision,
+                );
+                self.confirm_to_client(id, job);
             }
-            (UserWrite::Guest(t, m, _), CallResult::Answer { status: 200, body }) => {
-                let stamp = serde_json::from_slice::<MultiAnswer>(body).map_or(0, |a| a.ledger);
-                let ended = self.ended_by(&m.writes, stamp);
-                self.tell_guest(t, &ended, result.clone());
+            (PendingWrite::Extension(t, m, _), CallResult::Answer { status: 200, body }) => {
+                let revision = serde_json::from_slice::<MultiAnswer>(body).map_or(0, |a| a.ledger);
+                let ended = self.apply_confirmed_ends(&m.writes, revision);
+                self.confirm_to_extension(t, &ended, result.clone());
             }
-            // The key is there already: the current state is the answer.
-            (UserWrite::Submit(id, spec), CallResult::Answer { status: 409, .. }) => {
-                self.wait(Waiter::Poll(id, spec.id), Micros::millis(1500));
+            // The key exists already: the response is the job's current state.
+            (PendingWrite::Submit(id, spec), CallResult::Answer { status: 409, .. }) => {
+                self.await_read_barrier(Waiter::Poll(id, spec.id), Micros::millis(1500));
             }
-            (UserWrite::Abort(id, job, _), CallResult::Answer { status: 409, .. }) => {
-                self.wait(Waiter::Abort(id, job), Micros::millis(1500));
+            (PendingWrite::Abort(id, job, _), CallResult::Answer { status: 409, .. }) => {
+                self.await_read_barrier(Waiter::Abort(id, job), Micros::millis(1500));
             }
-            (UserWrite::Guest(t, m, as_leader), CallResult::Answer { status: 429, .. }) => {
-                self.users.bucket.force(self.now, 1.0);
-                self.users
+            (PendingWrite::Extension(t, m, as_leader), CallResult::Answer { status: 429, .. }) => {
+                self.pending.write_bucket.force(self.now, 1.0);
+                self.pending
                     .writes
-                    .push_back((UserWrite::Guest(t, m, as_leader), self.now + Micros::millis(2000)));
+                    .push_back((PendingWrite::Extension(t, m, as_leader), self.now + Micros::millis(2000)));
+            }
+            (PendingWrite::Extension(t, ..), r) => {
+                self.run_extension(ExtensionInput::OperationCompleted(t, r.clone()))
             }
-            (UserWrite::Guest(t, ..), r) => self.ask_guest(GuestInput::Called(t, r.clone())),
             (w, CallResult::Answer { status: 429, .. }) => {
                 let pause = Micros::millis(100 + self.rng.u64(0..100));
-                self.users.bucket.force(self.now, 1.0);
-                self.users.writes.push_back((w, self.now + Micros::millis(2000) - pause));
+                self.pending.write_bucket.force(self.now, 1.0);
+                self.pending.writes.push_back((w, self.now + Micros::millis(2000) - pause));
             }
-            (UserWrite::Submit(id, _) | UserWrite::Abort(id, ..), _) => {
+            (PendingWrite::Submit(id, _) | PendingWrite::Abort(id, ..), _) => {
                 self.refuse(id, RefusalReason::WriteUnconfirmed);
             }
         }
--- a/crates/nomad/src/service/reconcile.rs
+++ b/crates/nomad/src/service/reconcile.rs
@@ -6,7 +6,7 @@
 use super::records::{Head, JobKey, names};
 use super::register::{put, remove, when};
 use super::{Known, Pending, Service, write};
-use gorseshore_core::guest::{GuestOutput, Host};
+use gorseshore_core::extension::{ExtensionContext, ExtensionOutput};
 use gorseshore_core::jobs::{Phase, cancelled_value, description, job_value, keys};
 use gorseshore_core::limits::value_len;
 use gorseshore_protocol::ids::{JobId, Micros};
@@ -29,10 +29,10 @@
     submitted_ms: u64,
     head: &Head,
     group: &str,
-    host: &Host<'_>,
+    host: &ExtensionContext<'_>,
 ) -> Option<Value> {
     let record = job_value(spec, submitted_ms);
-    if value_len(&record) > host.value_limit {
+    if value_len(&record) > host.max_value_bytes {
         log::error!("record too long job={} group={group}", head.id);
         return None;
     }
@@ -41,8 +41,8 @@
 
 impl Service {
     /// Looks at the jobs that changed, if this node leads.
-    pub(crate) fn lead(&mut self, host: &Host<'_>) {
-        if !host.leads || !host.loaded {
+    pub(crate) fn lead(&mut self, host: &ExtensionContext<'_>) {
+        if !host.leads || !host.state_loaded {
             self.led = false;
             self.busy.clear();
             return;
@@ -70,19 +70,19 @@
         }
     }
 
-    fn reconcile(&mut self, host: &Host<'_>, key: &JobKey, known: &Known) {
+    fn reconcile(&mut self, host: &ExtensionContext<'_>, key: &JobKey, known: &Known) {
         let head = &known.head;
         let mut m = Multi { when: vec![when(names::head(key), known.stamp)], writes: Vec::new() };
         // The leader's key is a condition more.
         let room =
-            |m: &Multi| m.writes.len() < host.changes_at_once && m.when.len() + 3 < host.changes_at_once * 4;
+            |m: &Multi| m.writes.len() < host.max_txn_writes && m.when.len() + 3 < host.max_txn_writes * 4;
         let over: Vec<JobId> = match head.stop || head.template() {
             true => head.natives().collect(),
             false => head.old.iter().copied().map(JobId).collect(),
         };
         let mut left = false;
         for id in over {
-            let Some(job) = host.ledger.jobs.get(&id) else { continue };
+            let Some(job) = host.replica.jobs.get(&id) else { continue };
             left |= job.phase == Phase::Active;
             if job.phase == Phase::Active && room(&m) {
                 m.when.push(When { path: keys::end(id), stamp: 0 });
@@ -94,7 +94,7 @@
         if !head.stop && !head.template() {
             for g in &head.groups {
                 let id = JobId(g.job);
-                match host.ledger.jobs.get(&id) {
+                match host.replica.jobs.get(&id) {
                     None if g.count == 0 => {}
                     None => {
                         let Some(content) = self.contents.get(&head.nonce).cloned() else {
@@ -154,12 +154,12 @@
     pub(crate) fn load(&mut self, key: &JobKey, nonce: &str) {
         self.busy.insert(key.clone());
         let ticket = self.ticket(Pending::Load(key.clone(), nonce.to_owned()));
-        self.out.push(GuestOutput::Read(ticket, names::parts(key, nonce)));
+        self.out.push(ExtensionOutput::Read(ticket, names::parts(key, nonce)));
     }
 
     /// Removes parts that no head names: of registrations that were not
     /// finished, of versions that are no longer kept, of jobs that are gone.
-    fn sweep(&mut self, host: &Host<'_>) {
+    fn sweep(&mut self, host: &ExtensionContext<'_>) {
         let named = |heads: &BTreeMap<JobKey, Known>, name: &str| {
             let mut s = name.split('/');
             let (Some(key), Some(nonce)) = (s.next(), s.next()) else { return false };
@@ -175,7 +175,7 @@
                 gone.push(name.clone());
             }
         }
-        gone.truncate(host.changes_at_once);
+        gone.truncate(host.max_txn_writes);
         if gone.is_empty() {
             return;
         }
--- a/tests/world/main.rs
+++ b/tests/world/main.rs
@@ -281,7 +281,7 @@
     Request(usize, u64, RequestId, &'static str, String, Vec<u8>),
     Answered(RequestId, u16, Vec<u8>),
     GuestRequest(usize, u64, RequestId, &'static str, String, Vec<u8>),
-    GuestAnswered(RequestId, gorseshore_core::guest::Answer),
+    GuestAnswered(RequestId, gorseshore_core::extension::Answer),
     Workers,
     Users,
     Trouble,
@@ -1091,7 +1091,8 @@
             }
         }
         self.check_known();
-        let sums: Vec<String> = self.nodes.iter().flatten().filter_map(|n| n.check_kept().err()).collect();
+        let sums: Vec<String> =
+            self.nodes.iter().flatten().filter_map(|n| n.check_aggregates().err()).collect();
         for s in sums {
             self.break_rule("sums", s);
         }
