--- a/crates/core/src/deputy.rs
+++ b/crates/core/src/deputy.rs
@@ -1,125 +1,132 @@
-//! A witness in place of a leader that is silent, or that has not led for long enough to
-//! act: cancelled tasks go from their machines even if nobody can lead. Where nobody knows
-//! of any placement, machines that are silent go (`crate::liveness`).
+//! Enforces cancellations while the leader is silent, or has not led for long enough to do so
+//! itself: a standby replica stops the tasks of cancelled jobs, or deletes their machines, even
+//! if no controller can become leader. While no process knows the placements, it deletes
+//! machines that are proven silent instead (`crate::liveness`).
 //!
-//! Invariant: nothing is started, granted or freed here. A stop does no harm, and a
-//! deletion needs no leadership: a later leader finds the machine gone, or deletes it
-//! once more. Where the tasks may be, the books say (`Node::suspects`); they are late only
-//! with places that are left since, so a machine is asked before it is deleted. An answer
-//! without the task proves it gone, except where its start may still be on the way: then
-//! the worker has to have shown that very attempt.
+//! Invariant: this module starts no task, grants no machine and frees none. A stop does no harm,
+//! and a deletion needs no leadership: a later leader finds the machine deleted, or deletes it
+//! again. The placement log says where the tasks may be (`Node::suspects`). It can be outdated
+//! only in naming machines that a task has left since, so a machine is probed before it is
+//! deleted. A report without the task proves that the task is not on the machine, unless its
+//! start may still be in transit: then the worker must have reported that very attempt.
 use gorseshore_protocol::ids::{Attempt, MachineId, Micros, TaskId};
 use gorseshore_protocol::workers::{Direct, Order, Report};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// A leader that says nothing for so long is stood in for: as long as it may be cut off
-/// before it gives up, and a little. One that has not led for so long, too.
+/// A leader that is silent for this long is not relied on: the time for which a leader may be cut
+/// off before it steps down, plus a margin. Nor is a leader that has led for less than this.
 pub const SILENT: Micros = Micros::secs(4);
-/// Looked at so often.
-const LOOKED_AT: Micros = Micros::millis(200);
-/// A machine that has not answered, or still has a task, is asked again after this.
-const ASK_AGAIN: Micros = Micros::millis(1500);
-/// The same where its silence is all that is known.
+/// Suspects are scanned this often.
+const SCAN_INTERVAL: Micros = Micros::millis(200);
+/// A machine that has not answered, or still has a cancelled task, is probed again after this.
+const PROBE_RETRY_INTERVAL: Micros = Micros::millis(1500);
+/// The same for a machine of which no placement is known.
 const SILENCE_PROBE_INTERVAL: Micros = Micros::secs(1);
-/// The same where it is proven silent, and waits for its deletion.
-const SILENT_PROBE_INTERVAL: Micros = Micros::secs(3);
-/// Machines asked at a time, beside the other work: 250 a second, of which 300 wait for
-/// their answers at a time if nobody answers.
-const ASKED_AT_ONCE: usize = 50;
-/// Of these, kept at the most for machines that were asked before, where silence is the evidence.
-const ASKED_AGAIN_AT_ONCE: usize = 25;
-/// Of those that are asked again, kept for machines whose answer decides nothing yet.
-const ROUTINE_PROBES_AT_ONCE: usize = 5;
-/// A deletion without an answer is sent again after this; one that was refused, sooner.
-const DELETE_AGAIN: Micros = Micros::secs(3);
-const REFUSED_AGAIN: Micros = Micros::millis(600);
+/// The same for a machine that is proven silent and awaits its deletion.
+const PROVEN_SILENT_PROBE_INTERVAL: Micros = Micros::secs(3);
+/// Machines probed per scan, beside the other work: 250 a second, of which 300 are outstanding
+/// at a time if no machine answers.
+const MAX_PROBES_PER_SCAN: usize = 50;
+/// At most this many of these probes are reserved for machines that were probed before, if
+/// silence is evidence.
+const MAX_RESERVED_RETRIES: usize = 25;
+/// Probes among the retries that are reserved for machines whose answer decides nothing yet.
+const RESERVED_ROUTINE_PROBES: usize = 5;
+/// A deletion without an answer is sent again after this.
+const DELETE_RETRY_INTERVAL: Micros = Micros::secs(3);
+/// A deletion that was refused is sent again after this.
+const REFUSED_DELETE_RETRY_INTERVAL: Micros = Micros::millis(600);
 /// Deletions are sent no more often than this.
-const DELETE_EVERY: Micros = Micros::millis(400);
-/// Most names of a deletion.
-const NAMES: usize = 100;
-/// The share of the machines that is deleted in `BUDGET_TIME` while there is time; two at
-/// least. What can't be done so in time goes faster: the rule comes before the money.
-const BUDGET: usize = 20;
-const BUDGET_TIME: Micros = Micros::secs(10);
+const MIN_DELETE_INTERVAL: Micros = Micros::millis(400);
+/// Machines named in one deletion call.
+const MAX_NAMES_PER_DELETE: usize = 100;
+/// While there is time, at most one in this many machines is deleted per `DELETE_BUDGET_WINDOW`,
+/// or two machines if that is more. Deletions that would miss their deadline at this rate go
+/// faster: the cancellation rule takes precedence over the cost of machines.
+const DELETE_BUDGET_DIVISOR: usize = 20;
+const DELETE_BUDGET_WINDOW: Micros = Micros::secs(10);
 
-/// By when a cancelled job's tasks have to be gone whose user may have been told at a time
-/// of day, with a second for the difference between the clocks. A process's steady clock
-/// may be younger than that: it counts from what is left, not from what is past.
+/// The deadline for the tasks of a job whose cancellation may have been confirmed to the client
+/// at the time of day `at_ms`, less one second for the difference between the clocks. The
+/// process's monotonic clock may have started after that time, so the deadline is derived from
+/// the time left, not from the time elapsed.
 pub fn gone_by(at_ms: u64, wall_ms: u64, cancel: Micros, now: Micros) -> Micros {
     (now + cancel) - Micros::millis((wall_ms + 1000).saturating_sub(at_ms))
 }
 
-/// How long before their time machines may be deleted: as long as a leader's deletions
-/// take, or as long as so many names take at `DELETE_EVERY` until a twentieth is left.
+/// How long before the deadline deletions may begin: 35% of the cancellation time, as in a leader,
+/// or longer if so many suspects need it at `MIN_DELETE_INTERVAL` for the last call to leave while
+/// a twentieth of the cancellation time remains.
 fn delete_before(suspects: usize, cancel: Micros) -> Micros {
-    let calls = suspects.div_ceil(NAMES) as u64;
-    let all = Micros(DELETE_EVERY.0 * calls) + ASK_AGAIN + cancel.scale(5, 100);
+    let calls = suspects.div_ceil(MAX_NAMES_PER_DELETE) as u64;
+    let all = Micros(MIN_DELETE_INTERVAL.0 * calls) + PROBE_RETRY_INTERVAL + cancel.scale(5, 100);
     all.max(cancel.scale(35, 100))
 }
 
-/// What is to be done.
+/// An action that the node carries out.
 #[derive(Debug, PartialEq)]
 pub enum Act {
-    /// Ask these for their reports.
+    /// Query these machines for their reports.
     Ask(Vec<MachineId>),
-    /// Delete these.
+    /// Delete these machines.
     Delete(Vec<MachineId>),
 }
 
 /// Why cancelled tasks may be on a machine.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Evidence {
-    /// Placements that are kept here name it.
+    /// A replica of the placement log names it.
     Placement {
-        /// Starts that may still be on their way there.
+        /// Starts that may still be in transit to it.
         starts: BTreeSet<(TaskId, Attempt)>,
     },
-    /// Nobody knows what it holds; the machine is probed for this reason.
+    /// No controller knows what it runs; the machine is probed for this reason.
     Silence(ProbeReason),
 }
 
-/// Why a machine is probed of which nobody knows what it holds.
+/// Why a machine is probed when no controller knows what it runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProbeReason {
-    /// It was not heard for a while.
+    /// It has not responded or sent a heartbeat recently.
     NotHeardOfLate,
-    /// It answers, and shows that its zone can be asked while others do not answer.
+    /// It answers, and so proves its zone reachable while other machines do not answer.
     Reference,
     /// It did not answer its last probe.
     Unanswering,
-    /// It does not answer, though others of its zone do.
+    /// It is proven silent: it does not answer, though other machines do that show its zone to be
+    /// reachable.
     Silent,
 }
 
-/// A machine where cancelled tasks may be.
+/// A machine that may run cancelled tasks.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Suspect {
-    /// By when they have to be gone; the earliest.
+    /// The earliest deadline of these tasks.
     pub by: Micros,
-    /// What speaks for it.
+    /// Why they may be there.
     pub evidence: Evidence,
 }
 
 impl Suspect {
-    /// Whether what the machine answered proves that nothing cancelled is left there.
-    fn cleared_by(&self, place: &Place) -> bool {
+    /// Whether the machine's reports prove that no cancelled task is left there.
+    fn cleared_by(&self, state: &ProbeState) -> bool {
         match &self.evidence {
-            Evidence::Placement { starts } => place.clean && starts.is_subset(&place.shown),
+            Evidence::Placement { starts } => state.clean && starts.is_subset(&state.reported),
             Evidence::Silence(_) => false,
         }
     }
 
-    /// How long after a question the next one goes out.
-    fn ask_interval(&self) -> Micros {
+    /// Time from one probe to the next.
+    fn probe_interval(&self) -> Micros {
         match self.evidence {
-            Evidence::Placement { .. } => ASK_AGAIN,
-            Evidence::Silence(ProbeReason::Silent) => SILENT_PROBE_INTERVAL,
+            Evidence::Placement { .. } => PROBE_RETRY_INTERVAL,
+            Evidence::Silence(ProbeReason::Silent) => PROVEN_SILENT_PROBE_INTERVAL,
             Evidence::Silence(_) => SILENCE_PROBE_INTERVAL,
         }
     }
 
-    /// Whether the machine may be deleted once its time has come.
+    /// Whether the machine may be deleted as its deadline approaches.
     fn may_be_deleted(&self) -> bool {
         match self.evidence {
             Evidence::Placement { .. } => true,
@@ -127,73 +134,71 @@
         }
     }
 
-    /// A machine that is silent is asked on, and not deleted.
+    /// Excludes a machine that is proven silent from deletion; it is still probed.
     pub fn only_ask(&mut self) {
         if self.evidence == Evidence::Silence(ProbeReason::Silent) {
             self.evidence = Evidence::Silence(ProbeReason::Unanswering);
         }
     }
 
-    /// Whether its answer, or that there is none, decides about a deletion.
+    /// Whether its answer or the lack of one decides about a deletion.
     fn is_urgent(&self) -> bool {
         self.evidence != Evidence::Silence(ProbeReason::NotHeardOfLate)
     }
 }
 
-/// A machine that is due to be asked.
+/// A machine whose next probe is due.
 #[derive(Debug)]
-struct DueQuestion {
+struct DueProbe {
     machine: MachineId,
-    /// By when its tasks have to be gone.
-    by: Micros,
-    /// When it was asked last.
-    asked: Option<Micros>,
+    deadline: Micros,
+    last_probed: Option<Micros>,
     urgent: bool,
 }
 
-/// The first of so many places go to the preferred, but for some that are kept for the others.
-fn share_places<T>(mut preferred: Vec<T>, mut others: Vec<T>, places: usize, kept: usize) -> Vec<T> {
-    preferred.truncate(places.saturating_sub(kept.min(others.len())));
-    others.truncate(places - preferred.len());
+/// Fills `slots` with the preferred items first; up to `reserved` of them are kept for the others.
+fn share_slots<T>(mut preferred: Vec<T>, mut others: Vec<T>, slots: usize, reserved: usize) -> Vec<T> {
+    preferred.truncate(slots.saturating_sub(reserved.min(others.len())));
+    others.truncate(slots - preferred.len());
     preferred.append(&mut others);
     preferred
 }
 
-/// What is known of a suspect.
+/// Probes and deletions of one suspect.
 #[derive(Debug, Default)]
-struct Place {
-    first_asked: Option<Micros>,
-    asked: Option<Micros>,
-    /// Its last report showed no cancelled task.
+struct ProbeState {
+    first_probed: Option<Micros>,
+    last_probed: Option<Micros>,
+    /// Its report since the last probe showed no cancelled task.
     clean: bool,
-    /// Attempts that it showed: their starts have arrived.
-    shown: BTreeSet<(TaskId, Attempt)>,
-    /// A deletion was sent, and goes again at that time.
-    again_at: Option<Micros>,
-    gone: bool,
+    /// Attempts that it has reported: their starts have arrived.
+    reported: BTreeSet<(TaskId, Attempt)>,
+    /// A deletion was sent, and is sent again at this time.
+    delete_retry_at: Option<Micros>,
+    deleted: bool,
 }
 
-/// The deputy's state.
+/// Probes and deletions that enforce cancellations without a leader.
 #[derive(Debug, Default)]
 pub struct Deputy {
-    /// The number of this process.
-    process: u64,
-    /// The highest term that is known, and since when.
+    incarnation: u64,
+    /// The last known term, and since when it is known.
     term: (u64, Micros),
-    places: BTreeMap<MachineId, Place>,
-    deleted: VecDeque<Micros>,
-    looked: Micros,
-    delete_at: Micros,
+    suspects: BTreeMap<MachineId, ProbeState>,
+    /// When machines were first named in a deletion, within the budget window.
+    recent_deletions: VecDeque<Micros>,
+    scanned_at: Micros,
+    next_delete_at: Micros,
 }
 
 impl Deputy {
-    /// Of a process.
-    pub fn new(process: u64) -> Self {
-        Deputy { process, ..Deputy::default() }
+    /// Without suspects. The incarnation of the process decides the order of its first probes.
+    pub fn new(incarnation: u64) -> Self {
+        Deputy { incarnation, ..Deputy::default() }
     }
 
-    /// Whether a leader that leads now in `term` has led for long enough to have taken
-    /// over what is due. A string of leaders that each end before leaves it to deputies.
+    /// Whether the leader of `term` has led for long enough to have taken over the enforcement of
+    /// cancellations. Leaders that each exit before that leave it to the standby replicas.
     pub fn long_led(&mut self, term: u64, now: Micros) -> bool {
         if self.term.0 != term {
             self.term = (term, now);
@@ -201,21 +206,22 @@
         now.since(self.term.1) >= SILENT
     }
 
-    /// Somebody leads: it does all this, and better.
+    /// Forgets all suspects: a leader enforces the cancellations, with better knowledge.
     pub fn stand_down(&mut self) {
-        self.places.clear();
+        self.suspects.clear();
     }
 
-    /// Whether it is time to look.
+    /// Whether the next scan is due; if so, it counts as begun.
     pub fn due(&mut self, now: Micros) -> bool {
-        let due = now.since(self.looked) >= LOOKED_AT;
+        let due = now.since(self.scanned_at) >= SCAN_INTERVAL;
         if due {
-            self.looked = now;
+            self.scanned_at = now;
         }
         due
     }
 
-    /// What is due at these machines, of so many in all.
+    /// The probes and deletions that are due. `cancel` is the time that users are promised for a
+    /// cancellation, `machines` the number of machines in the fleet.
     pub fn tick(
         &mut self,
         suspects: &BTreeMap<MachineId, Suspect>,
@@ -223,138 +229,149 @@
         machines: usize,
         now: Micros,
     ) -> Vec<Act> {
-        // The same part of the time as a leader's (`leader/blocks.rs`), and all is sent when
-        // a twentieth is left; the machines are asked well before.
-        let ask_before = cancel.scale(70, 100);
+        // Deletions begin at the same share of the cancellation time as a leader's
+        // (`leader/blocks.rs`), and the last one leaves while a twentieth remains. The machines
+        // are probed well before.
+        let probe_before = cancel.scale(70, 100);
         let deletable = suspects.values().filter(|s| s.may_be_deleted()).count();
         let delete_before = delete_before(deletable, cancel);
         let mut order: Vec<(Micros, &MachineId, &Suspect)> =
             suspects.iter().map(|(id, s)| (s.by, id, s)).collect();
         order.sort_by_key(|(by, id, _)| (*by, *id));
-        let mut ask = Vec::new();
-        let mut doomed = Vec::new();
+        let mut due_probes = Vec::new();
+        let mut due_deletions = Vec::new();
         let mut unanswered = 0;
         for (by, id, suspect) in order {
-            if now < by - ask_before {
+            if now < by - probe_before {
                 break;
             }
-            let p = self.places.entry(id.clone()).or_default();
-            if p.gone || suspect.cleared_by(p) {
+            let p = self.suspects.entry(id.clone()).or_default();
+            if p.deleted || suspect.cleared_by(p) {
                 continue;
             }
-            if p.asked.is_none_or(|t| now.since(t) >= suspect.ask_interval()) {
+            if p.last_probed.is_none_or(|t| now.since(t) >= suspect.probe_interval()) {
                 let urgent = suspect.is_urgent();
-                ask.push(DueQuestion { machine: id.clone(), by, asked: p.asked, urgent });
+                due_probes.push(DueProbe {
+                    machine: id.clone(),
+                    deadline: by,
+                    last_probed: p.last_probed,
+                    urgent,
+                });
             }
-            let answered = p.first_asked.is_some_and(|t| now.since(t) >= ASK_AGAIN);
-            let may_go = suspect.may_be_deleted() && now >= by - delete_before;
-            unanswered += (may_go && !answered) as usize;
-            if may_go && answered && p.again_at.is_none_or(|t| now >= t) {
-                doomed.push((by, id.clone(), p.again_at.is_some()));
+            let had_time_to_answer = p.first_probed.is_some_and(|t| now.since(t) >= PROBE_RETRY_INTERVAL);
+            let may_delete = suspect.may_be_deleted() && now >= by - delete_before;
+            unanswered += (may_delete && !had_time_to_answer) as usize;
+            if may_delete && had_time_to_answer && p.delete_retry_at.is_none_or(|t| now >= t) {
+                due_deletions.push((by, id.clone(), p.delete_retry_at.is_some()));
             }
         }
         let by_silence = suspects.values().any(|s| matches!(s.evidence, Evidence::Silence(_)));
-        let ask = self.choose_whom_to_ask(ask, by_silence);
-        for id in &ask {
-            if let Some(p) = self.places.get_mut(id) {
-                p.first_asked.get_or_insert(now);
-                p.asked = Some(now);
+        let probe = self.choose_probes(due_probes, by_silence);
+        for id in &probe {
+            if let Some(p) = self.suspects.get_mut(id) {
+                p.first_probed.get_or_insert(now);
+                p.last_probed = Some(now);
                 p.clean = false;
             }
         }
-        let mut acts = Vec::new();
-        if !ask.is_empty() {
-            acts.push(Act::Ask(ask));
+        let mut actions = Vec::new();
+        if !probe.is_empty() {
+            actions.push(Act::Ask(probe));
         }
-        if now < self.delete_at {
-            return acts;
+        if now < self.next_delete_at {
+            return actions;
         }
-        let delete = self.choose(doomed, unanswered, cancel, machines, now);
+        let delete = self.choose_deletions(due_deletions, unanswered, cancel, machines, now);
         if !delete.is_empty() {
-            self.delete_at = now + DELETE_EVERY;
-            acts.push(Act::Delete(delete));
+            self.next_delete_at = now + MIN_DELETE_INTERVAL;
+            actions.push(Act::Delete(delete));
         }
-        acts
+        actions
     }
 
-    /// Who was never asked comes first: those that don't answer are asked for ever. Where
-    /// silence itself is the evidence, up to half of the places are for those that were asked
-    /// before and whose answer decides. Each process has an order of
-    /// its own, so that together they ask all of a large fleet early.
-    fn choose_whom_to_ask(&self, due: Vec<DueQuestion>, by_silence: bool) -> Vec<MachineId> {
+    /// Machines that were never probed come first, since machines that do not answer are probed
+    /// forever. If silence is evidence, up to half of the slots go to machines that were probed
+    /// before and whose answer decides. Each process orders the first probes differently, so that
+    /// the processes together reach all of a large fleet early.
+    fn choose_probes(&self, due: Vec<DueProbe>, by_silence: bool) -> Vec<MachineId> {
         let shuffled = |id: &MachineId| {
             let mut hasher = DefaultHasher::new();
-            (self.process, id.as_str()).hash(&mut hasher);
+            (self.incarnation, id.as_str()).hash(&mut hasher);
             hasher.finish()
         };
-        let (mut first, mut again): (Vec<_>, Vec<_>) = due.into_iter().partition(|q| q.asked.is_none());
-        first.sort_by_key(|q| (q.by, shuffled(&q.machine)));
-        again.sort_by(|a, b| (a.asked, a.by, &a.machine).cmp(&(b.asked, b.by, &b.machine)));
-        let (urgent, routine): (Vec<_>, Vec<_>) = again.into_iter().partition(|q| q.urgent);
+        let (mut first, mut retries): (Vec<_>, Vec<_>) =
+            due.into_iter().partition(|q| q.last_probed.is_none());
+        first.sort_by_key(|q| (q.deadline, shuffled(&q.machine)));
+        retries.sort_by(|a, b| {
+            (a.last_probed, a.deadline, &a.machine).cmp(&(b.last_probed, b.deadline, &b.machine))
+        });
+        let (urgent, routine): (Vec<_>, Vec<_>) = retries.into_iter().partition(|q| q.urgent);
         if by_silence {
-            first.truncate(ASKED_AT_ONCE - urgent.len().min(ASKED_AGAIN_AT_ONCE));
+            first.truncate(MAX_PROBES_PER_SCAN - urgent.len().min(MAX_RESERVED_RETRIES));
         }
-        first.truncate(ASKED_AT_ONCE);
-        let places = ASKED_AT_ONCE - first.len();
-        let routine_places = if first.is_empty() { ROUTINE_PROBES_AT_ONCE } else { 0 };
-        let again = share_places(urgent, routine, places, routine_places);
-        first.into_iter().chain(again).map(|question| question.machine).collect()
+        first.truncate(MAX_PROBES_PER_SCAN);
+        let slots = MAX_PROBES_PER_SCAN - first.len();
+        let routine_slots = if first.is_empty() { RESERVED_ROUTINE_PROBES } else { 0 };
+        let retries = share_slots(urgent, routine, slots, routine_slots);
+        first.into_iter().chain(retries).map(|probe| probe.machine).collect()
     }
 
-    /// Which of the machines that are due go now, the earliest first: the budget's, and
-    /// more where it would not be done in time, with those that had no time to answer yet.
-    fn choose(
+    /// The machines to delete now, those with the earliest deadline first. The budget limits
+    /// their number unless some would then miss their deadline, where machines that have had no
+    /// time to answer a probe count as well.
+    fn choose_deletions(
         &mut self,
-        doomed: Vec<(Micros, MachineId, bool)>,
+        due: Vec<(Micros, MachineId, bool)>,
         unanswered: usize,
         cancel: Micros,
         machines: usize,
         now: Micros,
     ) -> Vec<MachineId> {
-        while self.deleted.front().is_some_and(|t| now.since(*t) >= BUDGET_TIME) {
-            self.deleted.pop_front();
+        while self.recent_deletions.front().is_some_and(|t| now.since(*t) >= DELETE_BUDGET_WINDOW) {
+            self.recent_deletions.pop_front();
         }
-        let new = doomed.iter().filter(|(.., again)| !again).count() + unanswered;
-        let last = doomed.first().map_or(now, |(by, ..)| *by - cancel.scale(5, 100));
-        let share = (machines / BUDGET).max(2);
-        let budget = share.saturating_sub(self.deleted.len());
-        let in_time = budget + share * (last.since(now).0 / BUDGET_TIME.0) as usize;
-        let rounds = (last.since(now).0 / DELETE_EVERY.0).max(1) as usize;
-        let mut may = if new <= in_time { budget } else { budget.max(new.div_ceil(rounds)) };
+        let new = due.iter().filter(|(.., retry)| !retry).count() + unanswered;
+        let last_call_at = due.first().map_or(now, |(by, ..)| *by - cancel.scale(5, 100));
+        let share = (machines / DELETE_BUDGET_DIVISOR).max(2);
+        let budget = share.saturating_sub(self.recent_deletions.len());
+        let within_budget = budget + share * (last_call_at.since(now).0 / DELETE_BUDGET_WINDOW.0) as usize;
+        let calls_left = (last_call_at.since(now).0 / MIN_DELETE_INTERVAL.0).max(1) as usize;
+        let mut allowed = if new <= within_budget { budget } else { budget.max(new.div_ceil(calls_left)) };
         let mut delete = Vec::new();
-        for (_, id, again) in doomed {
-            if delete.len() >= NAMES || !again && may == 0 {
+        for (_, id, retry) in due {
+            if delete.len() >= MAX_NAMES_PER_DELETE || !retry && allowed == 0 {
                 continue;
             }
-            if !again {
-                may -= 1;
-                self.deleted.push_back(now);
+            if !retry {
+                allowed -= 1;
+                self.recent_deletions.push_back(now);
             }
-            if let Some(p) = self.places.get_mut(&id) {
-                p.again_at = Some(now + DELETE_AGAIN);
+            if let Some(p) = self.suspects.get_mut(&id) {
+                p.delete_retry_at = Some(now + DELETE_RETRY_INTERVAL);
             }
             delete.push(id);
         }
         delete
     }
 
-    /// A machine answered: the stops for what is over there, under the token and the
-    /// session that it showed, so that a newer grant is not touched.
+    /// Records a machine's report and returns the stop orders for its cancelled tasks. They carry
+    /// the fencing token and the agent epoch of the report, so that a newer grant is not affected.
     pub fn answered(&mut self, r: &Report, unwanted: Vec<Order>) -> Option<Direct> {
-        let p = self.places.get_mut(&MachineId::from(&*r.host))?;
-        let shown = r.pieces.iter().filter_map(|t| Some((TaskId::parse(&t.piece)?, Attempt(t.attempt))));
-        p.shown.extend(shown);
+        let p = self.suspects.get_mut(&MachineId::from(&*r.host))?;
+        let reported = r.pieces.iter().filter_map(|t| Some((TaskId::parse(&t.piece)?, Attempt(t.attempt))));
+        p.reported.extend(reported);
         p.clean = unwanted.is_empty();
         (!p.clean).then_some(Direct { baton: r.baton, shift: r.shift, orders: unwanted })
     }
 
-    /// A deletion ended: it was carried out, or refused, or nobody knows.
+    /// Records the result of a deletion: `Some(true)` if it was carried out, `Some(false)` if it was
+    /// refused or not sent, `None` if that is unknown.
     pub fn deleted(&mut self, ids: &[MachineId], done: Option<bool>, now: Micros) {
         for id in ids {
-            if let Some(p) = self.places.get_mut(id) {
-                p.gone |= done == Some(true);
+            if let Some(p) = self.suspects.get_mut(id) {
+                p.deleted |= done == Some(true);
                 if done == Some(false) {
-                    p.again_at = Some(now + REFUSED_AGAIN);
+                    p.delete_retry_at = Some(now + REFUSED_DELETE_RETRY_INTERVAL);
                 }
             }
         }
