--- a/crates/core/src/lateness.rs
+++ b/crates/core/src/lateness.rs
@@ -1,57 +1,56 @@
-//! Whether this process itself is late. What has not been handled yet says nothing of others:
-//! a leader that is behind must not take its own lateness for the silence of machines.
+//! Detects that this process itself runs late. Messages that it has not processed yet say nothing
+//! about their senders: a late leader must not take its own delay for the silence of machines.
 use gorseshore_protocol::ids::Micros;
 
-/// A process's work is due every 20 ms; a leader that comes to it later than this is behind.
-const BEHIND_AFTER: Micros = Micros::millis(250);
+/// A tick is due every 20 ms; a leader whose ticks are further apart than this is late.
+const MAX_TICK_GAP: Micros = Micros::millis(250);
 
-/// A machine that was heard this long ago is silent, however late the leader is.
-const SILENT_FOR_CERTAIN: Micros = Micros::secs(60);
+/// A machine whose last contact is this long ago is silent, however late the leader is.
+const CERTAIN_SILENCE_TIMEOUT: Micros = Micros::secs(60);
 
-/// When this process last came to its work, and when it was last behind.
+/// Times of the last tick and of the last late one.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Lateness {
-    began: Micros,
-    /// One that comes to its work later than this is behind.
-    behind_after: Micros,
-    worked_at: Micros,
-    /// When it last came late to its work.
-    late_at: Option<Micros>,
+    started_at: Micros,
+    /// The process is late if its ticks are further apart than this.
+    max_tick_gap: Micros,
+    last_tick: Micros,
+    last_late_tick: Option<Micros>,
 }
 
 impl Lateness {
-    /// Of a leader that begins now.
+    /// For a leader that starts now.
     pub(crate) fn new(now: Micros) -> Self {
-        Lateness::with_limit(BEHIND_AFTER, now)
+        Lateness::with_limit(MAX_TICK_GAP, now)
     }
 
-    /// Of a process that is behind if it comes to its work later than `behind_after`.
-    pub(crate) fn with_limit(behind_after: Micros, now: Micros) -> Self {
-        Lateness { began: now, behind_after, worked_at: now, late_at: None }
+    /// For a process that is late if its ticks are further apart than `max_tick_gap`.
+    pub(crate) fn with_limit(max_tick_gap: Micros, now: Micros) -> Self {
+        Lateness { started_at: now, max_tick_gap, last_tick: now, last_late_tick: None }
     }
 
-    /// The process comes to its work.
+    /// Records a tick.
     pub(crate) fn works(&mut self, now: Micros) {
-        if now.since(self.worked_at) > self.behind_after {
-            self.late_at = Some(now);
+        if now.since(self.last_tick) > self.max_tick_gap {
+            self.last_late_tick = Some(now);
         }
-        self.worked_at = now;
+        self.last_tick = now;
     }
 
-    /// Whether this process came late to its work at `from` or later, or is late now.
+    /// Whether a tick at `from` or later was late, or the next one is late now.
     pub(crate) fn was_behind_since(&self, from: Micros, now: Micros) -> bool {
-        self.late_at.is_some_and(|at| from <= at) || now.since(self.worked_at) > self.behind_after
+        self.last_late_tick.is_some_and(|at| from <= at) || now.since(self.last_tick) > self.max_tick_gap
     }
 
-    /// From when the silence of a machine counts that was heard at `last`: from then, or from
-    /// when the leader was last behind.
+    /// The time from which the silence of a machine counts whose last contact was at `last`: that
+    /// contact or, if later, the leader's last late tick, or its start if no tick was late.
     pub(crate) fn silent_from(&self, last: Micros) -> Micros {
-        self.silent_from_within(last, SILENT_FOR_CERTAIN)
+        self.silent_from_within(last, CERTAIN_SILENCE_TIMEOUT)
     }
 
-    /// The same for what is silent after `certain`, however late the leader is.
+    /// The same for a sender that is silent after `certain`, however late the leader is.
     pub(crate) fn silent_from_within(&self, last: Micros, certain: Micros) -> Micros {
-        last.max(self.late_at.unwrap_or(self.began).min(last + certain))
+        last.max(self.last_late_tick.unwrap_or(self.started_at).min(last + certain))
     }
 }
 
@@ -60,9 +59,9 @@
     use super::*;
 
     #[test]
-    fn silence_counts_from_when_the_leader_was_last_behind() {
+    fn silence_counts_from_the_last_late_tick_of_the_leader() {
         let ms = Micros::millis;
-        // (when the leader works, when a machine was heard, from when its silence counts)
+        // (ticks of the leader, last contact of a machine, time from which its silence counts)
         let cases: [(&[u64], u64, u64); 5] = [
             (&[1_000, 1_250, 1_500], 900, 1_000),
             (&[1_000, 1_250, 1_501], 900, 1_501),
@@ -70,10 +69,10 @@
             (&[1_000, 3_000, 3_200, 3_400], 3_100, 3_100),
             (&[1_000, 100_000], 10_000, 70_000),
         ];
-        for (works, heard, want) in cases {
+        for (ticks, last_contact, want) in cases {
             let mut lateness = Lateness::new(ms(1_000));
-            works.iter().for_each(|at| lateness.works(ms(*at)));
-            assert_eq!(lateness.silent_from(ms(heard)), ms(want), "{works:?} {heard}");
+            ticks.iter().for_each(|at| lateness.works(ms(*at)));
+            assert_eq!(lateness.silent_from(ms(last_contact)), ms(want), "{ticks:?} {last_contact}");
         }
     }
 }
--- a/crates/core/src/liveness.rs
+++ b/crates/core/src/liveness.rs
@@ -1,11 +1,13 @@
-//! Which machines answer, as far as this process can see: the cloud's list names them, their
-//! heartbeats and answers to probes show who is alive.
+//! Tracks which machines are alive, as far as this process can observe: the cloud's list names the
+//! machines, and their heartbeats and answers to probes show that they are alive.
 //!
-//! It is for a process that knows neither the records nor any placements: every machine that
-//! is silent may hold a cancelled task. Invariant: a machine is called silent only by probes that
-//! it left unanswered, while this process was on time, and each of which its zone was proved
-//! reachable after (`silence`, `reachability`). A cut, a controller that lags and an old answer
-//! condemn nobody. How often machines are asked decides how soon one is called silent, not which.
+//! It serves a process that knows neither the records nor any placements, so that every silent
+//! machine may run a cancelled task. Invariant: a machine is proven silent only by unanswered
+//! probes, during which this process was on time, and after each of which the machine's zone was
+//! proved reachable (`silence`, `reachability`). A network partition, a controller that runs late
+//! or a stale answer is no evidence of failure. The probe rate decides how soon a machine is proven
+//! silent, not which one. For a zone of at most `MAX_WRONG_DELETIONS` machines, answers from other
+//! zones suffice once no work can be lost with it (`LivenessMonitor::classify`).
 mod instance_list;
 mod reachability;
 mod silence;
@@ -16,78 +18,79 @@
 use gorseshore_protocol::ids::{MachineId, Micros};
 use gorseshore_protocol::workers::ReportNo;
 use instance_list::InstanceList;
-use reachability::{FEW_MACHINES, ProbeOutcomes, Reachability, answers_needed};
+use reachability::{MAX_WRONG_DELETIONS, ProbeOutcomes, Reachability, answers_needed};
 use silence::Silence;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A probe says nothing if this process came so late to its work while it was open: half of the time
-/// that a probe may take, so that an answer in time was read in time.
-const LATE_FOR_PROBES: Micros = Micros::millis(600);
-/// Machines that are asked beside silent ones, for each answer that is needed: some of them may
-/// fall silent themselves.
+/// A probe is no evidence if this process was later than this while the probe was pending: half of
+/// the probe timeout, so that an answer that arrives in time is read in time.
+const MAX_TICK_GAP: Micros = Micros::millis(600);
+/// Reference machines probed for each answer that a proof needs: some of them may fall silent
+/// themselves.
 const REFERENCES_PER_ANSWER: usize = 2;
 
-/// What was seen of a machine since this process began.
+/// What this process has observed of a machine.
 #[derive(Debug, Default)]
 struct Observation {
     /// The last heartbeat or answer.
-    heard: Option<Heard>,
+    last_contact: Option<Contact>,
     /// When the last answered probe was sent.
     answered_probe: Option<Micros>,
-    /// When the last probe was sent that was not answered.
+    /// When the last unanswered probe was sent.
     failed_probe: Option<Micros>,
-    /// Its probes are not answered, and it was not heard since.
+    /// Evidence from the probes that were not answered since the last contact, if there are any.
     unanswered: Option<Unanswered>,
 }
 
-/// What speaks against a machine whose probes are not answered.
+/// Evidence of failure of a machine whose probes are not answered.
 #[derive(Debug, Default)]
 struct Unanswered {
-    /// Probes after which the machine's zone was proved reachable.
-    beside_its_zone: Silence,
-    /// Probes after which some machine of any zone answered.
-    beside_any_zone: Silence,
+    /// Probes confirmed by proofs that the machine's own zone is reachable.
+    by_own_zone: Silence,
+    /// Probes confirmed by an answer of any machine of any zone.
+    by_any_zone: Silence,
 }
 
 impl Unanswered {
     fn probe_unanswered(&mut self, sent: Micros) {
-        self.beside_its_zone.probe_unanswered(sent);
-        self.beside_any_zone.probe_unanswered(sent);
+        self.by_own_zone.probe_unanswered(sent);
+        self.by_any_zone.probe_unanswered(sent);
     }
 }
 
-/// A message of a machine.
+/// A heartbeat or an answer of a machine.
 #[derive(Debug, Clone, Copy)]
-struct Heard {
+struct Contact {
     at: Micros,
     number: ReportNo,
     has_tasks: bool,
 }
 
 impl Observation {
-    /// Takes a message unless it is a copy or older than another one.
-    fn hear(&mut self, heard: Heard) -> bool {
-        let news = self.heard.is_none_or(|last| heard.number > last.number);
-        if news {
-            self.heard = Some(heard);
+    /// Records a message unless it is a duplicate or older than the last one. Returns whether it
+    /// was recorded.
+    fn record_contact(&mut self, contact: Contact) -> bool {
+        let newer = self.last_contact.is_none_or(|last| contact.number > last.number);
+        if newer {
+            self.last_contact = Some(contact);
             self.unanswered = None;
         }
-        news
+        newer
     }
 
-    /// What it was last heard to hold may go on. One that was never heard may hold anything.
+    /// Whether it had tasks at its last contact. A machine without any contact may run any task.
     fn may_hold_tasks(&self) -> bool {
-        self.heard.is_none_or(|heard| heard.has_tasks)
+        self.last_contact.is_none_or(|contact| contact.has_tasks)
     }
 
-    /// Its last probe failed, though it may send heartbeats.
-    fn is_deaf(&self) -> bool {
+    /// Whether its last probe failed. It may send heartbeats all the same.
+    fn last_probe_failed(&self) -> bool {
         self.failed_probe > self.answered_probe
     }
 
-    fn heard_since(&self, at: Micros) -> bool {
-        self.heard.is_some_and(|heard| heard.at >= at)
+    fn contacted_since(&self, at: Micros) -> bool {
+        self.last_contact.is_some_and(|contact| contact.at >= at)
     }
 }
 
@@ -96,98 +99,99 @@
 pub struct LivenessSummary {
     /// Machines that the cloud lists as running.
     pub running: usize,
-    /// Those whose last probe was not answered.
+    /// Running machines without contact since an unanswered probe.
     pub unanswering: usize,
-    /// Those of them that are proven silent.
+    /// Unanswering machines that are proven silent.
     pub silent: usize,
-    /// Zones with machines that do not answer, and no proof that the zone is reachable.
+    /// Zones with an unanswered probe that no proof of the zone's reachability confirms yet.
     pub unproved_zones: usize,
 }
 
-/// The monitor's state.
+/// Derives from lists, heartbeats and probes which machines are silent.
 #[derive(Debug)]
 pub struct LivenessMonitor {
     instances: InstanceList,
     observations: BTreeMap<MachineId, Observation>,
-    /// Machines with an answer that changed nothing.
+    /// Machines that sent an invalid probe answer.
     odd_answers: BTreeSet<MachineId>,
     zones: BTreeMap<String, Reachability>,
-    /// When any zone was reachable.
-    anywhere: Reachability,
+    /// When any machine of any zone answered.
+    any_zone: Reachability,
     lateness: Lateness,
     own_zone: String,
-    /// A machine that was not heard for so long is probed.
+    /// A machine without contact for this long is probed.
     probe_after: Micros,
-    /// A worker that hears no controller for so long ends its tasks.
+    /// A worker that receives nothing from a controller for this long terminates its tasks.
     lease: Micros,
 }
 
 impl LivenessMonitor {
-    /// Of a controller in a zone; workers send a heartbeat every `report`, and end their tasks
-    /// if they hear no controller for `lease`.
+    /// For a controller in `own_zone`. Workers send a heartbeat every `report`, and terminate their
+    /// tasks if they receive nothing from a controller for `lease`.
     pub fn new(own_zone: &str, report: Micros, lease: Micros, now: Micros) -> Self {
         LivenessMonitor {
             instances: InstanceList::new(now),
             observations: BTreeMap::new(),
             odd_answers: BTreeSet::new(),
             zones: BTreeMap::new(),
-            anywhere: Reachability::default(),
-            lateness: Lateness::with_limit(LATE_FOR_PROBES, now),
+            any_zone: Reachability::default(),
+            lateness: Lateness::with_limit(MAX_TICK_GAP, now),
             own_zone: own_zone.to_owned(),
             probe_after: report + Micros::secs(1),
             lease,
         }
     }
 
-    /// The process comes to its work.
+    /// Records a tick of the process.
     pub fn works(&mut self, now: Micros) {
         self.lateness.works(now);
     }
 
-    /// Forgets all machines: somebody knows what runs where.
+    /// Forgets all machines. Called once placements are known again.
     pub fn clear(&mut self) {
         self.instances.clear();
         self.observations.clear();
         self.odd_answers.clear();
         self.zones.clear();
-        self.anywhere = Reachability::default();
+        self.any_zone = Reachability::default();
     }
 
-    /// Machines that the cloud listed.
+    /// Number of machines that the cloud listed.
     pub fn listed_count(&self) -> usize {
         self.instances.len()
     }
 
-    /// Where a machine's worker is reached.
+    /// The address of a machine's worker.
     pub fn address(&self, id: &MachineId) -> Option<&str> {
         self.instances.get(id).map(|instance| instance.address.as_str())
     }
 
-    /// Whether the next page of the cloud's list is due, and after which name it begins.
+    /// The next page of the cloud's list if it is due: the name after which it begins, `None` for
+    /// the first page.
     pub fn list_due(&self, now: Micros) -> Option<Option<&str>> {
         self.instances.page_due(now)
     }
 
-    /// A page was asked for.
+    /// Records that a page was requested.
     pub fn list_sent(&mut self) {
         self.instances.page_requested();
     }
 
-    /// A page came, or none did.
+    /// Records a page and whether more pages follow, or that the page could not be read.
     pub fn listed(&mut self, page: Option<(&[Rental], bool)>, now: Micros) {
         match page {
-            Some((rentals, truncated)) => self.instances.page_came(rentals, truncated, now),
+            Some((rentals, truncated)) => self.instances.page_received(rentals, truncated, now),
             None => self.instances.page_failed(now),
         }
     }
 
-    /// A machine sent a heartbeat. Copies and late ones change nothing.
+    /// Records a heartbeat. Duplicates and outdated ones are ignored.
     pub fn heartbeat(&mut self, id: MachineId, number: ReportNo, has_tasks: bool, now: Micros) {
-        self.observations.entry(id).or_default().hear(Heard { at: now, number, has_tasks });
+        self.observations.entry(id).or_default().record_contact(Contact { at: now, number, has_tasks });
     }
 
-    /// A machine answered a probe that was sent at some time. Whether the answer is news: copies
-    /// and late ones change nothing.
+    /// Records the answer to a probe sent at `sent`. Returns false for a duplicate or an outdated
+    /// answer, which is ignored.
     pub fn answered(
         &mut self,
         id: MachineId,
@@ -197,20 +201,20 @@
         now: Micros,
     ) -> bool {
         let seen = self.observations.entry(id).or_default();
-        let news = seen.hear(Heard { at: now, number, has_tasks });
-        if news {
+        let newer = seen.record_contact(Contact { at: now, number, has_tasks });
+        if newer {
             seen.answered_probe = seen.answered_probe.max(Some(sent));
         }
-        news
+        newer
     }
 
-    /// A probe that was sent at some time was not answered. It does not speak against the machine
-    /// if this process was late while the probe was open.
+    /// Records that a probe sent at `sent` was not answered. It is no evidence of failure if this
+    /// process was late while the probe was pending.
     pub fn unanswered(&mut self, id: &MachineId, sent: Micros, now: Micros) {
         let on_time = !self.lateness.was_behind_since(sent, now);
         let seen = self.observations.entry(id.clone()).or_default();
         seen.failed_probe = seen.failed_probe.max(Some(sent));
-        if seen.heard_since(sent) {
+        if seen.contacted_since(sent) {
             return;
         }
         let unanswered = seen.unanswered.get_or_insert_default();
@@ -219,18 +223,18 @@
         }
     }
 
-    /// Whether an answer that changes nothing is the first of its machine.
+    /// Records an invalid answer of a machine. Returns whether it is the machine's first one.
     pub fn note_odd_answer(&mut self, id: &MachineId) -> bool {
         self.odd_answers.insert(id.clone())
     }
 
-    /// A machine was deleted.
+    /// Removes a machine that this process deleted.
     pub fn deleted(&mut self, id: &MachineId) {
         self.instances.remove(id);
     }
 
-    /// Machines to be probed, and among them those that are silent, whose tasks have to be gone
-    /// by then.
+    /// Machines to probe, including those proven silent. Their tasks must be terminated before
+    /// the deadline `by`.
     pub fn suspects(&mut self, by: Micros, now: Micros) -> BTreeMap<MachineId, Suspect> {
         self.confirm_silences();
         let outcomes = self.probe_outcomes();
@@ -240,8 +244,8 @@
             let seen = self.observations.get(id);
             let reason = match seen.and_then(|seen| Some((seen, seen.unanswered.as_ref()?))) {
                 Some((seen, unanswered)) => {
-                    let is_few = self.is_few(&outcomes[&*instance.zone]);
-                    Some(self.judge(seen, unanswered, &instance.zone, is_few, now))
+                    let zone_is_small = self.is_small(&outcomes[&*instance.zone]);
+                    Some(self.classify(seen, unanswered, &instance.zone, zone_is_small, now))
                 }
                 None if references.contains(id) => Some(ProbeReason::Reference),
                 None => (!self.is_recent(seen, now)).then_some(ProbeReason::NotHeardOfLate),
@@ -253,7 +257,7 @@
         suspects
     }
 
-    /// What there is to tell of the machines that the cloud lists as running.
+    /// Counts of the machines that the cloud lists as running.
     pub fn summary(&self, now: Micros) -> LivenessSummary {
         let mut summary = LivenessSummary::default();
         let mut unproved_zones = BTreeSet::new();
@@ -262,8 +266,8 @@
             let seen = self.observations.get(id);
             let Some(unanswered) = seen.and_then(|seen| seen.unanswered.as_ref()) else { continue };
             summary.unanswering += 1;
-            summary.silent += usize::from(unanswered.beside_its_zone.is_proven(now));
-            if unanswered.beside_its_zone.waits_for_proof() {
+            summary.silent += usize::from(unanswered.by_own_zone.is_proven(now));
+            if unanswered.by_own_zone.waits_for_proof() {
                 unproved_zones.insert(&instance.zone);
             }
         }
@@ -271,32 +275,32 @@
         summary
     }
 
-    /// What the unanswered probes of a machine come to.
-    fn judge(
+    /// Whether the unanswered probes of a machine prove it silent.
+    fn classify(
         &self,
         seen: &Observation,
         unanswered: &Unanswered,
         zone: &str,
-        zone_is_few: bool,
+        zone_is_small: bool,
         now: Micros,
     ) -> ProbeReason {
-        // No cut lies between this controller and its own zone. Behind a cut that lasts for longer
-        // than a lease, tasks have ended.
-        let no_work_lost = zone == self.own_zone || unanswered.beside_any_zone.lasts(self.lease, now);
-        let silent = unanswered.beside_its_zone.is_proven(now)
-            || zone_is_few && no_work_lost && unanswered.beside_any_zone.is_proven(now);
+        // No network partition separates this controller from its own zone. In a zone that is
+        // partitioned for longer than a lease, workers have terminated their tasks.
+        let no_work_lost = zone == self.own_zone || unanswered.by_any_zone.lasts(self.lease, now);
+        let silent = unanswered.by_own_zone.is_proven(now)
+            || zone_is_small && no_work_lost && unanswered.by_any_zone.is_proven(now);
         if silent && seen.may_hold_tasks() { ProbeReason::Silent } else { ProbeReason::Unanswering }
     }
 
     fn is_recent(&self, seen: Option<&Observation>, now: Micros) -> bool {
-        let heard = seen.and_then(|seen| seen.heard);
-        heard.is_some_and(|heard| now.since(heard.at) < self.probe_after)
+        let contact = seen.and_then(|seen| seen.last_contact);
+        contact.is_some_and(|contact| now.since(contact.at) < self.probe_after)
     }
 
-    /// Whether a zone is so small that it is not spared for want of answers. While pages of the
-    /// cloud's list are missing, its size is not known.
-    fn is_few(&self, outcomes: &ProbeOutcomes) -> bool {
-        outcomes.machines <= FEW_MACHINES && self.instances.is_complete()
+    /// Whether a zone is so small that its machines may be proven silent without any answer from
+    /// the zone. The size of a zone is unknown until all pages of the cloud's list are received.
+    fn is_small(&self, outcomes: &ProbeOutcomes) -> bool {
+        outcomes.machines <= MAX_WRONG_DELETIONS && self.instances.is_complete()
     }
 
     /// The outcomes of the latest probes, by zone.
@@ -318,7 +322,7 @@
         zones
     }
 
-    /// Confirms what the latest answers prove.
+    /// Adds the proofs from the latest answers and confirms the probes that wait for them.
     fn confirm_silences(&mut self) {
         let outcomes = self.probe_outcomes();
         for (zone, of) in &outcomes {
@@ -327,42 +331,43 @@
             }
         }
         if let Some(at) = outcomes.values().filter_map(ProbeOutcomes::last_answered).max() {
-            self.anywhere.add_proof(at);
+            self.any_zone.add_proof(at);
         }
         for (id, instance) in self.instances.running() {
             let seen = self.observations.get_mut(id);
             let Some(unanswered) = seen.and_then(|seen| seen.unanswered.as_mut()) else { continue };
-            unanswered.beside_any_zone.confirm(&self.anywhere);
+            unanswered.by_any_zone.confirm(&self.any_zone);
             if let Some(zone) = self.zones.get(&instance.zone) {
-                unanswered.beside_its_zone.confirm(zone);
+                unanswered.by_own_zone.confirm(zone);
             }
         }
     }
 
-    /// Machines that are asked beside the silent ones of their zone, so that its proofs go on: those
-    /// that answered last, and where none did those that are due to be asked next. Beside the
-    /// silent ones of a zone of few, some of each zone.
+    /// Machines that are probed along with the silent ones of their zone, so that its reachability
+    /// is proved again and again: first those whose latest answered probe is the most recent, then
+    /// those with the oldest contact, which are due for a probe next. For a silent machine of a small
+    /// zone, references are taken from every zone.
     fn references(&self, outcomes: &BTreeMap<String, ProbeOutcomes>) -> BTreeSet<MachineId> {
-        let few_silent = outcomes.values().any(|of| of.silent > 0 && self.is_few(of));
+        let small_zone_silent = outcomes.values().any(|of| of.silent > 0 && self.is_small(of));
         let mut answering: BTreeMap<&str, Vec<_>> = BTreeMap::new();
         for (id, instance) in self.instances.running() {
             let Some(seen) = self.observations.get(id).filter(|seen| seen.unanswered.is_none()) else {
                 continue;
             };
-            if let Some(heard) = seen.heard {
-                let best_first = (seen.is_deaf(), Reverse(seen.answered_probe), heard.at);
+            if let Some(contact) = seen.last_contact {
+                let best_first = (seen.last_probe_failed(), Reverse(seen.answered_probe), contact.at);
                 answering.entry(&instance.zone).or_default().push((best_first, id));
             }
         }
         let mut references = BTreeSet::new();
         for (zone, mut machines) in answering {
             let silent = outcomes.get(zone).map_or(0, |of| of.silent);
-            if silent == 0 && !few_silent {
+            if silent == 0 && !small_zone_silent {
                 continue;
             }
             machines.sort_unstable();
-            let wanted = answers_needed(silent) * REFERENCES_PER_ANSWER;
-            references.extend(machines.into_iter().take(wanted).map(|(_, id)| id.clone()));
+            let count = answers_needed(silent) * REFERENCES_PER_ANSWER;
+            references.extend(machines.into_iter().take(count).map(|(_, id)| id.clone()));
         }
         references
     }
--- a/crates/core/src/liveness/instance_list.rs
+++ b/crates/core/src/liveness/instance_list.rs
@@ -1,14 +1,14 @@
-//! The machines that the cloud lists, read page by page and again.
+//! The machines that the cloud lists, read page by page and periodically refreshed.
 //!
-//! Invariant: between two whole lists nothing disappears from it but what was deleted here, so
-//! that a page that fails to come hides no machine.
+//! Invariant: between two complete lists, only machines that this process deleted disappear, so
+//! that a page that cannot be read hides no machine.
 use gorseshore_protocol::cloud::Rental;
 use gorseshore_protocol::ids::{MachineId, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The machines are listed again this long after the last page.
 pub(super) const LIST_INTERVAL: Micros = Micros::secs(3);
-/// A page that did not come is asked for again after this.
+/// A page that could not be read is requested again after this.
 pub(super) const LIST_RETRY_INTERVAL: Micros = Micros::millis(600);
 
 /// A machine of the cloud's list.
@@ -16,25 +16,25 @@
 pub(super) struct Instance {
     pub(super) address: String,
     pub(super) zone: String,
-    /// It is listed as running: one that boots has nothing to answer with.
+    /// It is listed as running. A machine that boots has no worker to answer yet.
     pub(super) running: bool,
 }
 
-/// The list, and where its reading stands.
+/// The list and the progress of reading it.
 #[derive(Debug)]
 pub(super) struct InstanceList {
     instances: BTreeMap<MachineId, Instance>,
-    /// Machines of the pages that came since the first one.
+    /// Machines of the list that is being read.
     incoming: BTreeMap<MachineId, Instance>,
-    /// Deleted here; the list shows them for a while yet.
+    /// Machines deleted by this process; the cloud lists them for a while longer.
     deleted: BTreeSet<MachineId>,
-    /// All pages have come at least once.
+    /// All pages have been received at least once.
     complete: bool,
-    /// A page was asked for and has not come.
+    /// The request for a page is pending.
     requested: bool,
-    /// The page that was asked for belongs to a list that was forgotten.
+    /// The pending page belongs to a list that was cleared.
     outdated: bool,
-    /// The last name of the page before, if there are more.
+    /// The last name of the previous page, if more pages follow.
     next_after: Option<String>,
     next_at: Micros,
 }
@@ -54,51 +54,49 @@
         }
     }
 
-    /// Forgets all machines, and the page that is under way when it comes.
+    /// Forgets all machines; a pending page is dropped when it arrives.
     pub(super) fn clear(&mut self) {
         let requested = self.requested;
         *self = InstanceList { requested, outdated: requested, ..InstanceList::new(self.next_at) };
     }
 
-    /// Machines listed.
     pub(super) fn len(&self) -> usize {
         self.instances.len()
     }
 
-    /// Whether all pages have come at least once.
+    /// Whether all pages have been received at least once.
     pub(super) fn is_complete(&self) -> bool {
         self.complete
     }
 
-    /// A machine, if it is listed.
     pub(super) fn get(&self, id: &MachineId) -> Option<&Instance> {
         self.instances.get(id)
     }
 
-    /// The machines that can answer.
+    /// The machines that may answer probes.
     pub(super) fn running(&self) -> impl Iterator<Item = (&MachineId, &Instance)> {
         self.instances.iter().filter(|(_, instance)| instance.running)
     }
 
-    /// Whether the next page is due, and after which name it begins.
+    /// The next page if it is due: the name after which it begins, `None` for the first page.
     pub(super) fn page_due(&self, now: Micros) -> Option<Option<&str>> {
         (!self.requested && now >= self.next_at).then_some(self.next_after.as_deref())
     }
 
-    /// A page was asked for.
+    /// Records that a page was requested.
     pub(super) fn page_requested(&mut self) {
         self.requested = true;
     }
 
-    /// A page did not come.
+    /// Records that a page could not be read.
     pub(super) fn page_failed(&mut self, now: Micros) {
         self.requested = false;
         self.outdated = false;
         self.next_at = now + LIST_RETRY_INTERVAL;
     }
 
-    /// A page came; `truncated` says that more follow.
-    pub(super) fn page_came(&mut self, rentals: &[Rental], truncated: bool, now: Micros) {
+    /// Adds the machines of a page; `truncated` says that more pages follow.
+    pub(super) fn page_received(&mut self, rentals: &[Rental], truncated: bool, now: Micros) {
         self.requested = false;
         if std::mem::take(&mut self.outdated) {
             self.next_at = now;
@@ -115,7 +113,7 @@
         self.next_at = if self.next_after.is_some() { now } else { now + LIST_INTERVAL };
     }
 
-    /// A machine was deleted here.
+    /// Removes a machine that this process deleted.
     pub(super) fn remove(&mut self, id: &MachineId) {
         self.instances.remove(id);
         self.incoming.remove(id);
--- a/crates/core/src/liveness/reachability.rs
+++ b/crates/core/src/liveness/reachability.rs
@@ -1,39 +1,39 @@
-//! When a zone was proved reachable.
+//! Records when a zone was proved reachable.
 //!
 //! A zone is proved reachable at a time if enough of its machines answered probes that were sent
-//! then or later. Only outcomes count: how long an answer has been known, or how often machines are
-//! asked, says nothing about the zone.
+//! then or later. Only the outcomes of probes count: how long ago an answer arrived, or how often
+//! machines are probed, says nothing about the zone.
 use gorseshore_protocol::ids::Micros;
 use std::collections::VecDeque;
 
-/// One machine that answers stands for so many that do not.
+/// Silent machines that one answering machine is enough evidence for.
 const MAX_SILENT_PER_ANSWERING: usize = 4;
-/// So many machines may be lost to a wrong judgement: it costs machines, and no rule. That many do
-/// not count against those that answer, and a zone of no more is not spared for want of answers
-/// once no work can be lost with it.
-pub(super) const FEW_MACHINES: usize = 3;
-/// Proofs of a zone that are kept. A probe that ends after its proof was forgotten is confirmed
-/// by a later one.
+/// Machines that may be deleted by a wrong judgement: this costs machines, but breaks no
+/// guarantee. So this many silent machines of a zone require no answers of others, and a zone of
+/// no more machines may be deleted without any answer from it once no work can be lost with it.
+pub(super) const MAX_WRONG_DELETIONS: usize = 3;
+/// Proofs kept for a zone. A probe that times out after its proof was dropped is confirmed by a
+/// later proof.
 const MAX_PROOFS: usize = 64;
 
-/// Machines of a zone that have to answer for the silence of so many others to be their own.
+/// Machines of a zone that must answer before `silent` others of it count as failed themselves.
 pub(super) fn answers_needed(silent: usize) -> usize {
-    silent.saturating_sub(FEW_MACHINES).div_ceil(MAX_SILENT_PER_ANSWERING).max(1)
+    silent.saturating_sub(MAX_WRONG_DELETIONS).div_ceil(MAX_SILENT_PER_ANSWERING).max(1)
 }
 
 /// The outcomes of a zone's latest probes.
 #[derive(Debug, Default)]
 pub(super) struct ProbeOutcomes {
-    /// Machines in all, those that were never asked among them.
+    /// All running machines, including those never probed.
     pub(super) machines: usize,
     /// Machines whose last probe was not answered.
     pub(super) silent: usize,
-    /// When the last answered probe of each of the others was sent.
+    /// When the last answered probe of each other machine was sent.
     answered: Vec<Micros>,
 }
 
 impl ProbeOutcomes {
-    /// A machine whose last probe was answered, and when that probe was sent.
+    /// Adds a machine that answered, and when its last answered probe was sent.
     pub(super) fn add_answered(&mut self, sent: Micros) {
         self.answered.push(sent);
     }
@@ -43,8 +43,8 @@
         self.answered.iter().copied().max()
     }
 
-    /// The latest time at which these outcomes prove the zone reachable: as many machines as it
-    /// takes answered probes that were sent then or later.
+    /// The latest time at which these outcomes prove the zone reachable: enough machines answered
+    /// probes that were sent then or later.
     pub(super) fn proof(&self) -> Option<Micros> {
         let mut latest_first = self.answered.clone();
         latest_first.sort_unstable_by(|a, b| b.cmp(a));
@@ -52,14 +52,14 @@
     }
 }
 
-/// The times at which a zone was proved reachable, in their order.
+/// The times at which a zone was proved reachable, in ascending order.
 #[derive(Debug, Default)]
 pub(super) struct Reachability {
     proofs: VecDeque<Micros>,
 }
 
 impl Reachability {
-    /// Notes a proof; one that is not later than those known says nothing new.
+    /// Adds a proof unless a later one is known.
     pub(super) fn add_proof(&mut self, at: Micros) {
         if self.proofs.back().is_some_and(|last| *last >= at) {
             return;
--- a/crates/core/src/liveness/tests/evidence.rs
+++ b/crates/core/src/liveness/tests/evidence.rs
@@ -1,26 +1,27 @@
-//! What unanswered probes prove, and what lists and messages that are wrong don't.
+//! Which unanswered probes are evidence of failure, and that stale lists and messages are none.
 use super::reachability::{Reachability, answers_needed};
 use super::silence::Silence;
 use super::*;
 
 fn at(ms: u64) -> Micros {
-    BEGAN + Micros::millis(ms)
+    START + Micros::millis(ms)
 }
 
 #[test]
-fn a_probe_counts_once_its_zone_was_reachable_after_it() {
-    // Unanswered probes, proofs that the zone is reachable, and whether the machine is silent in
-    // the end. Proofs that are as late as a probe are known when it ends.
+fn a_probe_counts_once_its_zone_was_proved_reachable_after_it() {
+    // (case, when unanswered probes were sent, proofs that the zone is reachable, whether the
+    // machine is proven silent at the end). A proof as late as a probe is known when the probe
+    // times out.
     let cases: [(&str, &[u64], &[u64], bool); 7] = [
         ("a proof after each", &[0, 1_000, 2_000], &[0, 1_000, 2_000], true),
         ("two probes only", &[0, 3_000], &[0, 3_000], false),
         ("no proof", &[0, 1_000, 2_000, 3_000], &[], false),
-        ("proofs of before", &[1_000, 2_000, 3_000], &[0, 500], false),
-        ("a cut, and the proof after its end", &[0, 1_000, 2_000, 3_000], &[4_500], false),
-        ("a proof for two of them", &[0, 1_000, 2_000, 3_000], &[1_500, 3_000], false),
-        ("rounds that take seconds", &[0, 7_000, 15_000], &[5_000, 12_000, 20_000], true),
+        ("earlier proofs only", &[1_000, 2_000, 3_000], &[0, 500], false),
+        ("a partition, and one proof after its end", &[0, 1_000, 2_000, 3_000], &[4_500], false),
+        ("one proof for two probes", &[0, 1_000, 2_000, 3_000], &[1_500, 3_000], false),
+        ("rounds several seconds apart", &[0, 7_000, 15_000], &[5_000, 12_000, 20_000], true),
     ];
-    for (what, probes, proofs, silent) in cases {
+    for (case, probes, proofs, silent) in cases {
         let mut zone = Reachability::default();
         let mut silence = Silence::default();
         let mut proofs = proofs.iter().copied().peekable();
@@ -29,30 +30,30 @@
                 zone.add_proof(at(proof));
                 true
             }) {}
-            // A probe is given up 1.2 s after it was sent.
+            // A probe times out after 1.2 s.
             if probes.iter().any(|sent| sent + 1_200 == ms) {
                 silence.probe_unanswered(at(ms - 1_200));
             }
             silence.confirm(&zone);
         }
-        assert_eq!(silence.is_proven(at(25_000)), silent, "{what}");
+        assert_eq!(silence.is_proven(at(25_000)), silent, "{case}");
     }
 }
 
 #[test]
-fn a_few_silent_machines_take_one_answer_and_more_a_fifth() {
-    let table = [(0, 1), (1, 1), (4, 1), (7, 1), (8, 2), (11, 2), (12, 3), (403, 100)];
-    for (silent, needed) in table {
+fn up_to_seven_silent_machines_need_one_answer_and_more_need_one_in_four() {
+    let cases = [(0, 1), (1, 1), (4, 1), (7, 1), (8, 2), (11, 2), (12, 3), (403, 100)];
+    for (silent, needed) in cases {
         assert_eq!(answers_needed(silent), needed, "{silent} silent");
     }
 }
 
-/// A monitor that knows the list, in which machine 4 did not answer a probe.
-fn monitor_with_one_unanswered() -> LivenessMonitor {
-    let mut monitor = LivenessMonitor::new("west", REPORT, LEASE, BEGAN);
+/// A monitor with a complete list, in which machine 4 did not answer a probe.
+fn monitor_with_unanswered_probe() -> LivenessMonitor {
+    let mut monitor = LivenessMonitor::new("west", REPORT_INTERVAL, LEASE, START);
     let rentals: Vec<Rental> = (0..20).map(rental).collect();
-    monitor.listed(Some((&rentals, false)), BEGAN);
-    monitor.heartbeat(id(4), ReportNo { shift: 3, tally: 7 }, true, BEGAN);
+    monitor.listed(Some((&rentals, false)), START);
+    monitor.heartbeat(id(4), ReportNo { shift: 3, tally: 7 }, true, START);
     monitor.works(at(1_900));
     monitor.works(at(2_000));
     monitor.unanswered(&id(4), at(900), at(2_000));
@@ -66,40 +67,40 @@
 }
 
 #[test]
-fn copies_and_late_messages_are_no_sign_of_life() {
-    // The message, and how many machines don't answer after it.
+fn duplicate_and_outdated_messages_do_not_show_that_a_machine_is_alive() {
+    // (agent epoch, heartbeat sequence, machines that count as unanswering after the message)
     for (shift, tally, unanswering) in [(3, 7, 1), (3, 6, 1), (2, 90, 1), (3, 8, 0), (4, 1, 0)] {
-        let mut monitor = monitor_with_one_unanswered();
+        let mut monitor = monitor_with_unanswered_probe();
         monitor.heartbeat(id(4), ReportNo { shift, tally }, true, at(3_300));
         let summary = monitor.summary(at(3_300));
         assert_eq!(summary.unanswering, unanswering, "heartbeat {shift} {tally}");
-        let mut monitor = monitor_with_one_unanswered();
-        let news = monitor.answered(id(4), ReportNo { shift, tally }, true, at(3_300), at(3_350));
-        assert_eq!(news, unanswering == 0, "answer {shift} {tally}");
+        let mut monitor = monitor_with_unanswered_probe();
+        let newer = monitor.answered(id(4), ReportNo { shift, tally }, true, at(3_300), at(3_350));
+        assert_eq!(newer, unanswering == 0, "answer {shift} {tally}");
         assert_eq!(monitor.summary(at(3_350)).unanswering, unanswering, "answer {shift} {tally}");
     }
 }
 
-/// Of the probes that wait for a proof the latest counts: the proof after a cut confirms none that
-/// was sent since.
+/// Of the probes that wait for a proof only the latest counts, so a proof that is older than the
+/// latest probe confirms none of them.
 #[test]
-fn of_probes_that_wait_for_a_proof_the_latest_counts() {
+fn only_the_latest_probe_that_waits_for_a_proof_is_confirmed() {
     let mut zone = Reachability::default();
     let mut silence = Silence::default();
     [0, 1_000, 2_000].into_iter().for_each(|ms| silence.probe_unanswered(at(ms)));
     zone.add_proof(at(1_500));
     silence.confirm(&zone);
-    assert!(silence.waits_for_proof(), "a probe that was given up for a later one is confirmed");
+    assert!(silence.waits_for_proof(), "a probe is confirmed that a later one replaced");
     zone.add_proof(at(2_000));
     silence.confirm(&zone);
     assert!(!silence.waits_for_proof());
-    // Silence counts from the probe that was confirmed.
+    // The silence counts from the confirmed probe.
     assert!(!silence.lasts(Micros::millis(2_001), at(4_000)));
     assert!(silence.lasts(Micros::millis(2_000), at(4_000)));
 }
 
 #[test]
-fn three_probes_prove_no_silence_before_three_seconds_are_over() {
+fn three_confirmed_probes_prove_no_silence_before_three_seconds_have_passed() {
     let mut zone = Reachability::default();
     let mut silence = Silence::default();
     for ms in [0, 500, 1_000] {
@@ -112,50 +113,57 @@
     }
 }
 
-/// When the process comes to its work, and whether a probe of 2 000 counts that ends at 3 200.
+/// A probe sent at 2 000 ms times out at 3 200 ms.
 #[test]
-fn a_probe_does_not_count_if_the_process_was_late_while_it_was_open_or_is() {
+fn a_probe_does_not_count_if_the_process_was_late_while_it_was_pending_or_is_late_now() {
     let steady = |until: u64| (0..=until).step_by(100).collect::<Vec<u64>>();
     let with = |until: u64, more: &[u64]| [&steady(until)[..], more].concat();
+    // (case, ticks of the process, whether the probe counts)
     let cases = [
         ("on time", steady(3_200), true),
-        ("late before it was sent", with(1_000, &[1_900, 2_100, 2_300, 2_500, 2_700, 2_900, 3_100]), true),
-        ("a little late while it was open", with(2_500, &[3_000, 3_200]), true),
-        ("late while it was open", with(2_300, &[3_000, 3_200]), false),
-        ("late now, and not yet at its work", steady(2_500), false),
+        (
+            "late before the probe was sent",
+            with(1_000, &[1_900, 2_100, 2_300, 2_500, 2_700, 2_900, 3_100]),
+            true,
+        ),
+        ("late within the limit while it was pending", with(2_500, &[3_000, 3_200]), true),
+        ("late while it was pending", with(2_300, &[3_000, 3_200]), false),
+        ("late now, before the next tick", steady(2_500), false),
     ];
-    for (what, works, counts) in cases {
-        let mut monitor = LivenessMonitor::new("west", REPORT, LEASE, BEGAN);
+    for (case, ticks, counts) in cases {
+        let mut monitor = LivenessMonitor::new("west", REPORT_INTERVAL, LEASE, START);
         let rentals: Vec<Rental> = (0..20).map(rental).collect();
-        monitor.listed(Some((&rentals, false)), BEGAN);
-        works.iter().for_each(|ms| monitor.works(at(*ms)));
+        monitor.listed(Some((&rentals, false)), START);
+        ticks.iter().for_each(|ms| monitor.works(at(*ms)));
         monitor.unanswered(&id(4), at(2_000), at(3_200));
-        assert_eq!(monitor.summary(at(3_200)).unproved_zones, usize::from(counts), "{what}");
+        assert_eq!(monitor.summary(at(3_200)).unproved_zones, usize::from(counts), "{case}");
     }
 }
 
-/// A heartbeat and the end of a probe in vain, and whether the machine counts as unanswering.
+/// A probe sent at 2 000 ms times out at 3 200 ms.
 #[test]
-fn a_probe_in_vain_does_not_undo_a_heartbeat_that_came_while_it_was_open() {
-    for (heard, unanswering) in [(1_999, 1), (2_000, 0), (2_500, 0)] {
-        let mut monitor = LivenessMonitor::new("west", REPORT, LEASE, BEGAN);
+fn an_unanswered_probe_does_not_outweigh_a_heartbeat_received_while_it_was_pending() {
+    // (when the heartbeat arrives, machines that count as unanswering)
+    for (heartbeat, unanswering) in [(1_999, 1), (2_000, 0), (2_500, 0)] {
+        let mut monitor = LivenessMonitor::new("west", REPORT_INTERVAL, LEASE, START);
         let rentals: Vec<Rental> = (0..20).map(rental).collect();
-        monitor.listed(Some((&rentals, false)), BEGAN);
+        monitor.listed(Some((&rentals, false)), START);
         (0..=3_200).step_by(100).for_each(|ms| monitor.works(at(ms)));
-        monitor.heartbeat(id(4), ReportNo { shift: 1, tally: 1 }, true, at(heard));
+        monitor.heartbeat(id(4), ReportNo { shift: 1, tally: 1 }, true, at(heartbeat));
         monitor.unanswered(&id(4), at(2_000), at(3_200));
-        assert_eq!(monitor.summary(at(3_200)).unanswering, unanswering, "heard at {heard}");
+        assert_eq!(monitor.summary(at(3_200)).unanswering, unanswering, "heartbeat at {heartbeat}");
     }
 }
 
-/// The first machine of zone `south` hangs, and others of that zone are on a page that has not come.
+/// The only listed machine of zone `south` hangs, but a page of the list that was not received may
+/// name others.
 #[test]
-fn a_zone_is_not_small_before_all_pages_of_the_list_have_come() {
+fn a_zone_is_not_small_before_all_pages_of_the_list_are_received() {
     for (truncated, silent) in [(true, false), (false, true)] {
-        // The process's own zone: what is heard of others would do for a small one.
-        let mut monitor = LivenessMonitor::new("south", REPORT, LEASE, BEGAN);
+        // In the process's own zone: answers from other zones would suffice if it were small.
+        let mut monitor = LivenessMonitor::new("south", REPORT_INTERVAL, LEASE, START);
         let rentals: Vec<Rental> = (0..10).map(rental).collect();
-        monitor.listed(Some((&rentals, truncated)), BEGAN);
+        monitor.listed(Some((&rentals, truncated)), START);
         let mut evidence = None;
         for ms in (0..6_000).step_by(100) {
             monitor.works(at(ms));
@@ -170,20 +178,20 @@
     }
 }
 
-/// A page that was under way as all was forgotten once counted as the whole list if it was the last
-/// one, and zones seemed small until the next list.
+/// A last page that was pending while the list was cleared once counted as the complete list, and
+/// zones seemed small until the next list.
 #[test]
-fn a_last_page_that_was_asked_for_before_all_was_forgotten_is_not_the_whole_list() {
-    let mut list = InstanceList::new(BEGAN);
+fn a_last_page_requested_before_the_list_was_cleared_is_not_a_complete_list() {
+    let mut list = InstanceList::new(START);
     let rentals: Vec<Rental> = (0..10).map(rental).collect();
     list.page_requested();
-    list.page_came(&rentals[..6], true, BEGAN);
+    list.page_received(&rentals[..6], true, START);
     list.page_requested();
     list.clear();
-    list.page_came(&rentals[6..], false, at(500));
+    list.page_received(&rentals[6..], false, at(500));
     assert!(
         !list.is_complete(),
-        "the last page alone counts as the whole list: {} of 10 machines",
+        "the last page alone counts as the complete list: {} of 10 machines",
         list.len()
     );
 }
