--- a/crates/core/src/deputy.rs
+++ b/crates/core/src/deputy.rs
@@ -16,7 +16,7 @@
 
 /// A leader that is silent for this long is not relied on: the time for which a leader may be cut
 /// off before it steps down, plus a margin. Nor is a leader that has led for less than this.
-pub const SILENT: Micros = Micros::secs(4);
+pub const LEADER_SILENCE_TIMEOUT: Micros = Micros::secs(4);
 /// Suspects are scanned this often.
 const SCAN_INTERVAL: Micros = Micros::millis(200);
 /// A machine that has not answered, or still has a cancelled task, is probed again after this.
@@ -203,7 +203,7 @@
         if self.term.0 != term {
             self.term = (term, now);
         }
-        now.since(self.term.1) >= SILENT
+        now.since(self.term.1) >= LEADER_SILENCE_TIMEOUT
     }
 
     /// Forgets all suspects: a leader enforces the cancellations, with better knowledge.
--- a/crates/core/src/node/stand_in.rs
+++ b/crates/core/src/node/stand_in.rs
@@ -1,6 +1,6 @@
 //! A witness's work in place of a leader that is silent (`crate::deputy`).
 use super::*;
-use crate::deputy::{Act, Evidence, SILENT, Suspect, gone_by};
+use crate::deputy::{Act, Evidence, LEADER_SILENCE_TIMEOUT, Suspect, gone_by};
 use crate::jobs::Job;
 use crate::liveness::LivenessSummary;
 use crate::peer::Held;
@@ -26,7 +26,7 @@
         self.liveness.clear();
         let term = self.leader_term();
         let long = self.deputy.long_led(term, self.now);
-        if self.somebody_leads() && long || self.now.since(self.began) < SILENT {
+        if self.somebody_leads() && long || self.now.since(self.began) < LEADER_SILENCE_TIMEOUT {
             return self.deputy.stand_down();
         }
         if !self.deputy.due(self.now) {
@@ -125,7 +125,7 @@
     /// A leader is heard, or holds its key where the state service can be asked: one behind
     /// a cut deals with what it can reach, and its books here are late.
     fn somebody_leads(&self) -> bool {
-        let heard = self.leadership.leader.is_some() || self.now.since(self.peers.led_at) < SILENT;
+        let heard = self.leadership.leader.is_some() || self.now.since(self.peers.led_at) < LEADER_SILENCE_TIMEOUT;
         heard || self.mirror.state_ok(self.now) && self.mirror.ledger.leader.is_some()
     }
 
