--- a/crates/core/src/deputy.rs
+++ b/crates/core/src/deputy.rs
@@ -51,7 +51,7 @@
 /// at the time of day `at_ms`, less one second for the difference between the clocks. The
 /// process's monotonic clock may have started after that time, so the deadline is derived from
 /// the time left, not from the time elapsed.
-pub fn gone_by(at_ms: u64, wall_ms: u64, cancel: Micros, now: Micros) -> Micros {
+pub fn cancellation_deadline(at_ms: u64, wall_ms: u64, cancel: Micros, now: Micros) -> Micros {
     (now + cancel) - Micros::millis((wall_ms + 1000).saturating_sub(at_ms))
 }
 
--- a/crates/core/src/deputy/tests.rs
+++ b/crates/core/src/deputy/tests.rs
@@ -163,10 +163,10 @@
     // the difference between the clocks)
     for (ago, clock, left) in [(0, 1, 99), (30, 1, 69), (30, 5000, 69), (98, 1, 1), (99, 1, 0)] {
         let now = Micros::secs(clock);
-        let by = gone_by(1_000_000, 1_000_000 + ago * 1000, CANCEL, now);
+        let by = cancellation_deadline(1_000_000, 1_000_000 + ago * 1000, CANCEL, now);
         assert_eq!(by.since(now), Micros::secs(left), "{ago} s ago, at {clock} s");
     }
-    let long_over = gone_by(0, 10_000_000, CANCEL, Micros::secs(1));
+    let long_over = cancellation_deadline(0, 10_000_000, CANCEL, Micros::secs(1));
     assert_eq!(long_over, Micros(0));
 }
 
--- a/crates/core/src/liveness/tests/scenarios.rs
+++ b/crates/core/src/liveness/tests/scenarios.rs
@@ -12,7 +12,7 @@
 mod degraded;
 
 const CANCEL: u64 = 30_000;
-/// One second is reserved for the difference between the clocks (`deputy::gone_by`).
+/// One second is reserved for the difference between the clocks (`deputy::cancellation_deadline`).
 const DEADLINE: u64 = CANCEL - 1_000;
 const LEASE: Micros = Micros::secs(12);
 const TICK: u64 = 20;
--- a/crates/core/src/node/knowledge.rs
+++ b/crates/core/src/node/knowledge.rs
@@ -5,7 +5,7 @@
 //! service, all who know may have ended; then only the silence of a machine is left to go by
 //! (`crate::liveness`).
 use super::*;
-use crate::deputy::gone_by;
+use crate::deputy::cancellation_deadline;
 
 /// Silent machines go one by one until this part of a cancellation's time has passed, in
 /// hundredths, where nobody knows since when there are cancellations.
@@ -51,7 +51,7 @@
             return None;
         }
         let open = self.mirror.ledger.jobs.values().filter(|j| j.phase == Phase::Aborted && !j.settled);
-        open.map(|job| gone_by(job.ended_ms, self.wall_ms, self.ctx.cancel, self.now))
+        open.map(|job| cancellation_deadline(job.ended_ms, self.wall_ms, self.ctx.cancel, self.now))
             .filter(|by| *by > self.now)
             .min()
     }
--- a/crates/core/src/node/stand_in.rs
+++ b/crates/core/src/node/stand_in.rs
@@ -1,6 +1,6 @@
 //! A witness's work in place of a leader that is silent (`crate::deputy`).
 use super::*;
-use crate::deputy::{Act, Evidence, LEADER_SILENCE_TIMEOUT, Suspect, gone_by};
+use crate::deputy::{Act, Evidence, LEADER_SILENCE_TIMEOUT, Suspect, cancellation_deadline};
 use crate::jobs::Job;
 use crate::liveness::LivenessSummary;
 use crate::peer::Held;
@@ -133,7 +133,7 @@
     fn unsettled(&self, id: JobId) -> Option<(Micros, &Job)> {
         let job = self.mirror.ledger.jobs.get(&id)?;
         let open = job.phase == Phase::Aborted && !job.settled;
-        open.then(|| (gone_by(job.ended_ms, self.wall_ms, self.ctx.cancel, self.now), job))
+        open.then(|| (cancellation_deadline(job.ended_ms, self.wall_ms, self.ctx.cancel, self.now), job))
     }
 
     /// Machines where cancelled tasks may be, by all books that are kept here: those of a
--- a/crates/standins/src/soak/checker.rs
+++ b/crates/standins/src/soak/checker.rs
@@ -184,10 +184,10 @@
 /// Cancelled tasks are gone in time, and so are those of jobs that wait for a cancelled one.
 fn check_cancelled(history: &History, promises: &Promises, found: &mut Violations) {
     let told = told_cancelled(history);
-    let gone_by = |job: u64| told.get(&job).map(|at| at + promises.cancel_us);
+    let cancellation_deadline = |job: u64| told.get(&job).map(|at| at + promises.cancel_us);
     let mut began: BTreeMap<(&str, (u64, u32)), u64> = BTreeMap::new();
     let mut stays = |task: (u64, u32), from: u64, to: u64| {
-        if let Some(by) = gone_by(task.0)
+        if let Some(by) = cancellation_deadline(task.0)
             && to > by
         {
             let (from, to) = (seconds(from), seconds(to));
