--- a/crates/core/src/deputy.rs
+++ b/crates/core/src/deputy.rs
@@ -135,7 +135,7 @@
     }
 
     /// Excludes a machine that is proven silent from deletion; it is still probed.
-    pub fn only_ask(&mut self) {
+    pub fn exclude_from_deletion(&mut self) {
         if self.evidence == Evidence::Silence(ProbeReason::Silent) {
             self.evidence = Evidence::Silence(ProbeReason::Unanswering);
         }
--- a/crates/core/src/node/stand_in.rs
+++ b/crates/core/src/node/stand_in.rs
@@ -46,7 +46,7 @@
         }
         let mut suspects = self.liveness.suspects(deadline, self.now);
         if !self.state_is_away() {
-            suspects.values_mut().for_each(Suspect::only_ask);
+            suspects.values_mut().for_each(Suspect::exclude_from_deletion);
         }
         let machines = self.liveness.listed_count();
         self.log_liveness();
