--- a/crates/core/src/deputy.rs
+++ b/crates/core/src/deputy.rs
@@ -199,7 +199,7 @@
 
     /// Whether the leader of `term` has led for long enough to have taken over the enforcement of
     /// cancellations. Leaders that each exit before that leave it to the standby replicas.
-    pub fn long_led(&mut self, term: u64, now: Micros) -> bool {
+    pub fn leadership_established(&mut self, term: u64, now: Micros) -> bool {
         if self.term.0 != term {
             self.term = (term, now);
         }
--- a/crates/core/src/deputy/tests.rs
+++ b/crates/core/src/deputy/tests.rs
@@ -151,7 +151,7 @@
     // (seconds, term; whether leadership is established)
     let steps = [(0, 1, false), (3, 1, false), (4, 1, true), (5, 2, false), (8, 3, false), (13, 3, true)];
     for (s, term, want) in steps {
-        assert_eq!(d.long_led(term, CONFIRMED + Micros::secs(s)), want, "term {term} at {s} s");
+        assert_eq!(d.leadership_established(term, CONFIRMED + Micros::secs(s)), want, "term {term} at {s} s");
     }
 }
 
--- a/crates/core/src/node/stand_in.rs
+++ b/crates/core/src/node/stand_in.rs
@@ -25,7 +25,7 @@
         // Also what was heard before the state was read: it is not kept up from then on.
         self.liveness.clear();
         let term = self.leader_term();
-        let long = self.deputy.long_led(term, self.now);
+        let long = self.deputy.leadership_established(term, self.now);
         if self.somebody_leads() && long || self.now.since(self.began) < LEADER_SILENCE_TIMEOUT {
             return self.deputy.stand_down();
         }
