--- a/crates/core/src/deputy.rs
+++ b/crates/core/src/deputy.rs
@@ -89,7 +89,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProbeReason {
     /// It has not responded or sent a heartbeat recently.
-    NotHeardOfLate,
+    NoRecentContact,
     /// It answers, and so proves its zone reachable while other machines do not answer.
     Reference,
     /// It did not answer its last probe.
@@ -143,7 +143,7 @@
 
     /// Whether its answer or the lack of one decides about a deletion.
     fn is_urgent(&self) -> bool {
-        self.evidence != Evidence::Silence(ProbeReason::NotHeardOfLate)
+        self.evidence != Evidence::Silence(ProbeReason::NoRecentContact)
     }
 }
 
--- a/crates/core/src/liveness.rs
+++ b/crates/core/src/liveness.rs
@@ -248,7 +248,7 @@
                     Some(self.classify(seen, unanswered, &instance.zone, zone_is_small, now))
                 }
                 None if references.contains(id) => Some(ProbeReason::Reference),
-                None => (!self.is_recent(seen, now)).then_some(ProbeReason::NotHeardOfLate),
+                None => (!self.is_recent(seen, now)).then_some(ProbeReason::NoRecentContact),
             };
             if let Some(reason) = reason {
                 suspects.insert(id.clone(), Suspect { by, evidence: Evidence::Silence(reason) });
