--- a/crates/core/src/deputy.rs
+++ b/crates/core/src/deputy.rs
@@ -93,7 +93,7 @@
     /// It answers, and so proves its zone reachable while other machines do not answer.
     Reference,
     /// It did not answer its last probe.
-    Unanswering,
+    Unanswered,
     /// It is proven silent: it does not answer, though other machines do that show its zone to be
     /// reachable.
     Silent,
@@ -137,7 +137,7 @@
     /// Excludes a machine that is proven silent from deletion; it is still probed.
     pub fn exclude_from_deletion(&mut self) {
         if self.evidence == Evidence::Silence(ProbeReason::Silent) {
-            self.evidence = Evidence::Silence(ProbeReason::Unanswering);
+            self.evidence = Evidence::Silence(ProbeReason::Unanswered);
         }
     }
 
--- a/crates/core/src/liveness.rs
+++ b/crates/core/src/liveness.rs
@@ -101,7 +101,7 @@
     pub running: usize,
     /// Running machines without contact since an unanswered probe.
     pub unanswering: usize,
-    /// Unanswering machines that are proven silent.
+    /// Unanswered machines that are proven silent.
     pub silent: usize,
     /// Zones with an unanswered probe that no proof of the zone's reachability confirms yet.
     pub unproved_zones: usize,
@@ -289,7 +289,7 @@
         let no_work_lost = zone == self.own_zone || unanswered.by_any_zone.lasts(self.lease, now);
         let silent = unanswered.by_own_zone.is_proven(now)
             || zone_is_small && no_work_lost && unanswered.by_any_zone.is_proven(now);
-        if silent && seen.may_hold_tasks() { ProbeReason::Silent } else { ProbeReason::Unanswering }
+        if silent && seen.may_hold_tasks() { ProbeReason::Silent } else { ProbeReason::Unanswered }
     }
 
     fn is_recent(&self, seen: Option<&Observation>, now: Micros) -> bool {
