--- a/crates/core/src/liveness.rs
+++ b/crates/core/src/liveness.rs
@@ -168,7 +168,7 @@
 
     /// The next page of the cloud's list if it is due: the name after which it begins, `None` for
     /// the first page.
-    pub fn list_due(&self, now: Micros) -> Option<Option<&str>> {
+    pub fn list_page_due(&self, now: Micros) -> Option<Option<&str>> {
         self.instances.page_due(now)
     }
 
--- a/crates/core/src/liveness/tests.rs
+++ b/crates/core/src/liveness/tests.rs
@@ -45,7 +45,7 @@
     for ms in (0..20_000).step_by(100).filter(|ms| !stalled.contains(ms)) {
         let now = START + Micros::millis(ms);
         monitor.works(now);
-        if monitor.list_due(now).is_some() {
+        if monitor.list_page_due(now).is_some() {
             monitor.list_sent();
             monitor.listed(Some((&rentals, false)), now);
         }
@@ -120,21 +120,21 @@
 fn the_list_is_read_page_by_page_and_refreshed() {
     let mut monitor = LivenessMonitor::new("west", REPORT_INTERVAL, LEASE, START);
     let rentals: Vec<Rental> = (0..10).map(rental).collect();
-    assert_eq!(monitor.list_due(START), Some(None));
+    assert_eq!(monitor.list_page_due(START), Some(None));
     monitor.list_sent();
-    assert_eq!(monitor.list_due(START), None);
+    assert_eq!(monitor.list_page_due(START), None);
     monitor.listed(Some((&rentals[..6], true)), START);
-    assert_eq!(monitor.list_due(START), Some(Some("host-000005")));
+    assert_eq!(monitor.list_page_due(START), Some(Some("host-000005")));
     monitor.list_sent();
     monitor.listed(None, START);
-    assert_eq!(monitor.list_due(START), None);
+    assert_eq!(monitor.list_page_due(START), None);
     let retry = START + LIST_RETRY_INTERVAL;
-    assert_eq!(monitor.list_due(retry), Some(Some("host-000005")));
+    assert_eq!(monitor.list_page_due(retry), Some(Some("host-000005")));
     monitor.list_sent();
     monitor.deleted(&id(7));
     monitor.listed(Some((&rentals[6..], false)), retry);
     assert_eq!(monitor.listed_count(), 9);
-    assert_eq!(monitor.list_due(retry + LIST_INTERVAL), Some(None));
+    assert_eq!(monitor.list_page_due(retry + LIST_INTERVAL), Some(None));
     // Machines missing from a complete list are forgotten.
     monitor.listed(Some((&rentals[..3], false)), retry + LIST_INTERVAL);
     assert_eq!(monitor.listed_count(), 3);
--- a/crates/core/src/liveness/tests/scenarios.rs
+++ b/crates/core/src/liveness/tests/scenarios.rs
@@ -191,7 +191,7 @@
             continue;
         }
         monitor.works(now);
-        if monitor.list_due(now).is_some() {
+        if monitor.list_page_due(now).is_some() {
             monitor.list_sent();
             events.entry(ms + scenario.cloud).or_default().push(Event::List);
         }
--- a/crates/core/src/node/stand_in.rs
+++ b/crates/core/src/node/stand_in.rs
@@ -67,7 +67,7 @@
     }
 
     fn list_machines(&mut self) {
-        let Some(from) = self.liveness.list_due(self.now) else { return };
+        let Some(from) = self.liveness.list_page_due(self.now) else { return };
         let call = list_call(from);
         if self.catalogue.bucket.take(self.now, 1.0, 0.0) {
             self.liveness.list_sent();
