--- a/crates/core/src/liveness.rs
+++ b/crates/core/src/liveness.rs
@@ -173,7 +173,7 @@
     }
 
     /// Records that a page was requested.
-    pub fn list_sent(&mut self) {
+    pub fn record_list_request(&mut self) {
         self.instances.page_requested();
     }
 
--- a/crates/core/src/liveness/tests.rs
+++ b/crates/core/src/liveness/tests.rs
@@ -46,7 +46,7 @@
         let now = START + Micros::millis(ms);
         monitor.works(now);
         if monitor.list_page_due(now).is_some() {
-            monitor.list_sent();
+            monitor.record_list_request();
             monitor.listed(Some((&rentals, false)), now);
         }
         let (timed_out, left) = pending.into_iter().partition(|(at, ..)| *at <= ms);
@@ -121,16 +121,16 @@
     let mut monitor = LivenessMonitor::new("west", REPORT_INTERVAL, LEASE, START);
     let rentals: Vec<Rental> = (0..10).map(rental).collect();
     assert_eq!(monitor.list_page_due(START), Some(None));
-    monitor.list_sent();
+    monitor.record_list_request();
     assert_eq!(monitor.list_page_due(START), None);
     monitor.listed(Some((&rentals[..6], true)), START);
     assert_eq!(monitor.list_page_due(START), Some(Some("host-000005")));
-    monitor.list_sent();
+    monitor.record_list_request();
     monitor.listed(None, START);
     assert_eq!(monitor.list_page_due(START), None);
     let retry = START + LIST_RETRY_INTERVAL;
     assert_eq!(monitor.list_page_due(retry), Some(Some("host-000005")));
-    monitor.list_sent();
+    monitor.record_list_request();
     monitor.deleted(&id(7));
     monitor.listed(Some((&rentals[6..], false)), retry);
     assert_eq!(monitor.listed_count(), 9);
--- a/crates/core/src/liveness/tests/scenarios.rs
+++ b/crates/core/src/liveness/tests/scenarios.rs
@@ -192,7 +192,7 @@
         }
         monitor.works(now);
         if monitor.list_page_due(now).is_some() {
-            monitor.list_sent();
+            monitor.record_list_request();
             events.entry(ms + scenario.cloud).or_default().push(Event::List);
         }
         if !enforcer.due(now) {
--- a/crates/core/src/node/stand_in.rs
+++ b/crates/core/src/node/stand_in.rs
@@ -70,7 +70,7 @@
         let Some(from) = self.liveness.list_page_due(self.now) else { return };
         let call = list_call(from);
         if self.catalogue.bucket.take(self.now, 1.0, 0.0) {
-            self.liveness.list_sent();
+            self.liveness.record_list_request();
             let id = self.out.call(call);
             self.calls.insert(id, Purpose::MachineList);
         }
