--- a/crates/core/src/lateness.rs
+++ b/crates/core/src/lateness.rs
@@ -44,7 +44,7 @@
 
     /// The time from which the silence of a machine counts whose last contact was at `last`: that
     /// contact or, if later, the leader's last late tick, or its start if no tick was late.
-    pub(crate) fn silent_from(&self, last: Micros) -> Micros {
+    pub(crate) fn silence_start(&self, last: Micros) -> Micros {
         self.silent_from_within(last, CERTAIN_SILENCE_TIMEOUT)
     }
 
@@ -72,7 +72,7 @@
         for (ticks, last_contact, want) in cases {
             let mut lateness = Lateness::new(ms(1_000));
             ticks.iter().for_each(|at| lateness.works(ms(*at)));
-            assert_eq!(lateness.silent_from(ms(last_contact)), ms(want), "{ticks:?} {last_contact}");
+            assert_eq!(lateness.silence_start(ms(last_contact)), ms(want), "{ticks:?} {last_contact}");
         }
     }
 }
--- a/crates/core/src/leader/blocks.rs
+++ b/crates/core/src/leader/blocks.rs
@@ -144,8 +144,8 @@
             match m.holder {
                 None => unheld.push((id.clone(), m.zone.clone())),
                 Some(h) => {
-                    let silent_from = m.heard.map(|t| self.lateness.silent_from(t));
-                    let silent = silent_from.is_none_or(|t| now.since(t) > Micros::millis(3500))
+                    let silence_start = m.heard.map(|t| self.lateness.silence_start(t));
+                    let silent = silence_start.is_none_or(|t| now.since(t) > Micros::millis(3500))
                         && now.since(m.granted_at) > Micros::millis(1500);
                     if let Some(s) = seen
                         && s != h
@@ -244,7 +244,7 @@
             let way = |by| self.ways.open_since(by, &m.zone);
             let opened = m.holder.map_or(Micros(0), |h| way(Some(h))).max(way(None));
             let last = m.heard.unwrap_or(m.since);
-            let base = self.lateness.silent_from(last).max(self.began).max(spoke).max(m.moved_at).max(opened);
+            let base = self.lateness.silence_start(last).max(self.began).max(spoke).max(m.moved_at).max(opened);
             let silent = now.since(base);
             let seen = self.last_seen.get(id).is_some_and(|(_, t)| now.since(*t) < Micros::secs(5));
             let lost =
--- a/crates/core/src/leader/deaf.rs
+++ b/crates/core/src/leader/deaf.rs
@@ -140,7 +140,7 @@
                 continue;
             }
             let limit = if m.bound.is_empty() { lease.scale(2, 1) } else { lease.scale(7, 10) };
-            let span = now.since(self.lateness.silent_from(h.obeyed));
+            let span = now.since(self.lateness.silence_start(h.obeyed));
             // Where most machines of a controller hear nothing, it is its way out that
             // is cut: others take them.
             let of_holder = m.holder.and_then(|h| held.get(&h)).copied().unwrap_or_default();
--- a/crates/core/src/leader/machines.rs
+++ b/crates/core/src/leader/machines.rs
@@ -213,7 +213,7 @@
         }
         // All of a zone's workers report in a quarter more than this.
         let patience = self.ctx.report.max(Micros::secs(4)) + Micros::secs(2);
-        let listens_from = self.lateness.silent_from(self.began + Micros::secs(2));
+        let listens_from = self.lateness.silence_start(self.began + Micros::secs(2));
         for turn in self.health.look(&sights, listens_from, patience, now) {
             self.dirty = true;
             match turn {
