--- a/crates/core/src/lateness.rs
+++ b/crates/core/src/lateness.rs
@@ -45,11 +45,11 @@
     /// The time from which the silence of a machine counts whose last contact was at `last`: that
     /// contact or, if later, the leader's last late tick, or its start if no tick was late.
     pub(crate) fn silence_start(&self, last: Micros) -> Micros {
-        self.silent_from_within(last, CERTAIN_SILENCE_TIMEOUT)
+        self.silence_start_capped(last, CERTAIN_SILENCE_TIMEOUT)
     }
 
     /// The same for a sender that is silent after `certain`, however late the leader is.
-    pub(crate) fn silent_from_within(&self, last: Micros, certain: Micros) -> Micros {
+    pub(crate) fn silence_start_capped(&self, last: Micros, certain: Micros) -> Micros {
         last.max(self.last_late_tick.unwrap_or(self.started_at).min(last + certain))
     }
 }
--- a/crates/core/src/leader/blocks.rs
+++ b/crates/core/src/leader/blocks.rs
@@ -23,7 +23,7 @@
     pub(super) fn in_contact(&self, n: NodeId, now: Micros) -> bool {
         let heard = self.nodes.get(n.0 as usize).and_then(|x| x.heard);
         heard.is_some_and(|t| {
-            now.since(self.lateness.silent_from_within(t, CONTACT_LOST_FOR_CERTAIN)) < CONTACT_TIMEOUT
+            now.since(self.lateness.silence_start_capped(t, CONTACT_LOST_FOR_CERTAIN)) < CONTACT_TIMEOUT
         })
     }
 
