--- a/crates/core/src/lateness.rs
+++ b/crates/core/src/lateness.rs
@@ -38,7 +38,7 @@
     }
 
     /// Whether a tick at `from` or later was late, or the next one is late now.
-    pub(crate) fn was_behind_since(&self, from: Micros, now: Micros) -> bool {
+    pub(crate) fn was_late_since(&self, from: Micros, now: Micros) -> bool {
         self.last_late_tick.is_some_and(|at| from <= at) || now.since(self.last_tick) > self.max_tick_gap
     }
 
--- a/crates/core/src/liveness.rs
+++ b/crates/core/src/liveness.rs
@@ -211,7 +211,7 @@
     /// Records that a probe sent at `sent` was not answered. It is no evidence of failure if this
     /// process was late while the probe was pending.
     pub fn unanswered(&mut self, id: &MachineId, sent: Micros, now: Micros) {
-        let on_time = !self.lateness.was_behind_since(sent, now);
+        let on_time = !self.lateness.was_late_since(sent, now);
         let seen = self.observations.entry(id.clone()).or_default();
         seen.failed_probe = seen.failed_probe.max(Some(sent));
         if seen.contacted_since(sent) {
