--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -89,7 +89,7 @@
         body: Vec<u8>,
     },
     /// A request on the guest's address.
-    GuestRequest {
+    ExtensionRequest {
         /// Its name.
         id: RequestId,
         /// Method.
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -234,7 +234,7 @@
         match input {
             Input::Tick => self.tick(),
             Input::Request { id, method, path, body } => self.request(id, &method, &path, &body),
-            Input::GuestRequest { id, method, path, token, body } => {
+            Input::ExtensionRequest { id, method, path, token, body } => {
                 self.ask_guest(GuestInput::Request { id, method, path, token, body });
             }
             Input::Gone(id) => {
--- a/crates/shell/src/handling.rs
+++ b/crates/shell/src/handling.rs
@@ -33,7 +33,7 @@
         match input {
             Input::Tick => InputKind::Tick,
             Input::Request { path, .. } if path == "/checkin" => InputKind::Heartbeat,
-            Input::Request { .. } | Input::GuestRequest { .. } | Input::Gone(_) => InputKind::Request,
+            Input::Request { .. } | Input::ExtensionRequest { .. } | Input::Gone(_) => InputKind::Request,
             Input::Called { .. } => InputKind::CallResult,
             Input::Refused(_) | Input::Peer { .. } => InputKind::Message,
         }
--- a/crates/shell/src/lib.rs
+++ b/crates/shell/src/lib.rs
@@ -154,7 +154,7 @@
         let http::RequestHead { method, path, token, .. } = head;
         let (room, input) = match door {
             server::Door::Users => (1, Input::Request { id, method, path, body }),
-            server::Door::Guest => (CHUNKS_WAITING, Input::GuestRequest { id, method, path, token, body }),
+            server::Door::Guest => (CHUNKS_WAITING, Input::ExtensionRequest { id, method, path, token, body }),
         };
         let (tx, rx) = bounded(room);
         self.waiting.borrow_mut().insert(id, tx);
--- a/tests/world/main.rs
+++ b/tests/world/main.rs
@@ -280,7 +280,7 @@
     Peer(usize, usize, u64, gorseshore_core::peer::Message),
     Request(usize, u64, RequestId, &'static str, String, Vec<u8>),
     Answered(RequestId, u16, Vec<u8>),
-    GuestRequest(usize, u64, RequestId, &'static str, String, Vec<u8>),
+    ExtensionRequest(usize, u64, RequestId, &'static str, String, Vec<u8>),
     GuestAnswered(RequestId, gorseshore_core::guest::Answer),
     Workers,
     Users,
@@ -1325,10 +1325,10 @@
                 }
             }
             Event::Answered(id, status, body) => self.answered(id, status, body),
-            Event::GuestRequest(n, me, id, method, path, body) => {
+            Event::ExtensionRequest(n, me, id, method, path, body) => {
                 if self.incarnations[n] == me && self.nodes[n].is_some() {
                     let method = method.into();
-                    self.feed(n, Input::GuestRequest { id, method, path, token: None, body });
+                    self.feed(n, Input::ExtensionRequest { id, method, path, token: None, body });
                 }
             }
             Event::GuestAnswered(id, answer) => self.planned(id, answer),
--- a/tests/world/nomad.rs
+++ b/tests/world/nomad.rs
@@ -160,7 +160,7 @@
         self.asked.insert(id, Asker::Planner(asked));
         let me = self.incarnations[n];
         let d = self.delay();
-        self.at(d, Event::GuestRequest(n, me, id, method, path, body.into_bytes()));
+        self.at(d, Event::ExtensionRequest(n, me, id, method, path, body.into_bytes()));
     }
 
     /// An answer reached its planner.
