--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -139,7 +139,7 @@
         retry_after: Option<u32>,
     },
     /// Answers a request on the guest's address.
-    GuestAnswer(RequestId, guest::Answer),
+    ExtensionResponse(RequestId, guest::Answer),
     /// Begins an answer without end.
     Open(RequestId, guest::Answer),
     /// Goes on with it.
--- a/crates/core/src/node/host.rs
+++ b/crates/core/src/node/host.rs
@@ -42,7 +42,7 @@
 
     fn for_guest(&mut self, o: GuestOutput) {
         match o {
-            GuestOutput::Answer(id, a) => self.out.items.push(Output::GuestAnswer(id, a)),
+            GuestOutput::Answer(id, a) => self.out.items.push(Output::ExtensionResponse(id, a)),
             GuestOutput::Open(id, a) => self.out.items.push(Output::Open(id, a)),
             GuestOutput::Chunk(id, data) => self.out.items.push(Output::Chunk(id, data)),
             GuestOutput::Close(id) => self.out.items.push(Output::Close(id)),
--- a/crates/shell/src/lib.rs
+++ b/crates/shell/src/lib.rs
@@ -72,7 +72,7 @@
                     let headers = retry_after.map(|s| ("Retry-After", s.to_string())).into_iter().collect();
                     self.reply(id, Answer { status, headers, body });
                 }
-                Output::GuestAnswer(id, answer) => self.reply(id, answer),
+                Output::ExtensionResponse(id, answer) => self.reply(id, answer),
                 Output::Open(id, answer) => self.part(id, Reply::Head(answer)),
                 Output::Chunk(id, data) => self.part(id, Reply::Chunk(data)),
                 Output::Close(id) => drop(self.waiting.borrow_mut().remove(&id)),
--- a/tests/world/main.rs
+++ b/tests/world/main.rs
@@ -559,7 +559,7 @@
                         _ => self.at(d, Event::Arrive(n, me, id, call)),
                     }
                 }
-                Output::GuestAnswer(id, answer) => {
+                Output::ExtensionResponse(id, answer) => {
                     let d = self.delay();
                     self.at(d, Event::GuestAnswered(id, answer));
                 }
