--- a/crates/core/src/leader/bindings.rs
+++ b/crates/core/src/leader/bindings.rs
@@ -368,7 +368,7 @@
     }
 
     /// A machine reported to a controller that doesn't hold it, or answered it.
-    pub fn seen(&mut self, from: NodeId, s: &Sighting, rec: &MachineRecord, sizes: &Sizes, now: Micros) {
+    pub fn seen(&mut self, from: NodeId, s: &UnleasedReport, rec: &MachineRecord, sizes: &Sizes, now: Micros) {
         let id = &s.id;
         if self.gone.contains_key(id) {
             return;
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -41,7 +41,7 @@
 use crate::leader::ways::Ways;
 use crate::peer::pacing::Pacer;
 use crate::peer::{
-    GrantedMachine, HandOut, MachineState, Message, Outcome, Sighting, StopRequest, TaskState,
+    GrantedMachine, HandOut, MachineState, Message, Outcome, UnleasedReport, StopRequest, TaskState,
 };
 use crate::placement::{self, Candidate};
 use gorseshore_protocol::cloud::{Flavor, Rentals};
@@ -123,7 +123,7 @@
     /// Machines that were heard, and how long ago.
     pub heard: &'a [(MachineId, Micros, ReportNo)],
     /// Machines of others whose workers report to it.
-    pub strangers: &'a [Sighting],
+    pub strangers: &'a [UnleasedReport],
     /// Hand-outs that were decided on.
     pub outcomes: &'a [Outcome],
 }
--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -884,7 +884,7 @@
     for (i, (id, build, report, asked, counts, there)) in cases.into_iter().enumerate() {
         let mut b = Bench::new(1);
         b.confirm("m0", &[]);
-        let s = Sighting { id: m(id), report, asked };
+        let s = UnleasedReport { id: m(id), report, asked };
         b.leader.seen(B, &s, &rec(build), &sizes, b.now);
         let seen = b.leader.last_seen.get(&m(id)).is_some_and(|(n, _)| *n == B);
         assert_eq!((seen, b.leader.machines.contains_key(&m(id))), (counts, there), "case {i}");
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -37,7 +37,7 @@
 use crate::leader::{CloudWish, Context, HireRequest, Leader, LeaderWrite, View};
 use crate::limits::StoreLimits;
 use crate::liveness::LivenessMonitor;
-use crate::peer::{Envelope, Message, Sighting};
+use crate::peer::{Envelope, Message, UnleasedReport};
 use crate::{Call, CallId, CallResult, Input, Outbox, Output, RequestId, Target};
 use gorseshore_protocol::cloud::{Flavors, Hosts, Rentals};
 use gorseshore_protocol::ids::{Attempt, JobId, MachineId, Micros, NodeId, OWN_IDS, Resources, TaskId};
--- a/crates/core/src/node/peers.rs
+++ b/crates/core/src/node/peers.rs
@@ -134,7 +134,7 @@
             Message::Seen { id, build, zone, spot, addr, report, asked } => {
                 if let Some(l) = self.leadership.leader.as_mut() {
                     let rec = MachineRecord { build, zone, spot, addr };
-                    let s = Sighting { id, report, asked };
+                    let s = UnleasedReport { id, report, asked };
                     l.seen(from, &s, &rec, &self.catalogue.sizes, self.now);
                 }
             }
@@ -230,7 +230,7 @@
         }
         let recent = self.now - Micros::millis(2500);
         self.held_check_ins.strangers.retain(|_, (t, ..)| *t > recent);
-        let strangers = self.held_check_ins.strangers.iter().map(|(id, (_, report, asked))| Sighting {
+        let strangers = self.held_check_ins.strangers.iter().map(|(id, (_, report, asked))| UnleasedReport {
             id: id.clone(),
             report: *report,
             asked: *asked,
--- a/crates/core/src/peer.rs
+++ b/crates/core/src/peer.rs
@@ -79,7 +79,7 @@
 
 /// A report of a recorded machine that the sender does not hold.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
-pub struct Sighting {
+pub struct UnleasedReport {
     /// Machine.
     pub id: MachineId,
     /// The report.
@@ -203,7 +203,7 @@
         heard: Vec<(MachineId, Micros, ReportNo)>,
         /// Recorded machines whose workers lately reported to the sender, which
         /// does not hold them.
-        strangers: Vec<Sighting>,
+        strangers: Vec<UnleasedReport>,
         /// Hand-outs that the leader has not acknowledged.
         outcomes: Vec<Outcome>,
     },
--- a/crates/core/tests/wire_compatibility.rs
+++ b/crates/core/tests/wire_compatibility.rs
@@ -10,7 +10,7 @@
 use gorseshore_core::books::{Entry, Page};
 use gorseshore_core::peer::{
     Cancellation, Envelope, FrameError, GrantedMachine, HEAD, HandOut, Held, MAX_FRAME, MachineState,
-    Message, Outcome, Sighting, StopRequest, TaskState, VERSION, decode_body, decode_head, encode,
+    Message, Outcome, UnleasedReport, StopRequest, TaskState, VERSION, decode_body, decode_head, encode,
 };
 use gorseshore_protocol::ids::{Attempt, Baton, JobId, MachineId, Micros, NodeId, TaskId};
 use gorseshore_protocol::workers::ReportNo;
@@ -196,7 +196,7 @@
         seen: 18,
         machines: machine_states(),
         heard: vec![(MachineId::from("host-000004"), Micros::millis(1500), report(1, 5))],
-        strangers: vec![Sighting { id: MachineId::from("host-000005"), report: report(1, 6), asked: true }],
+        strangers: vec![UnleasedReport { id: MachineId::from("host-000005"), report: report(1, 6), asked: true }],
         outcomes: vec![
             Outcome { attempt: Attempt(0x7000_0001), machine: Some(MachineId::from("host-000001")) },
             Outcome { attempt: Attempt(0x7000_0002), machine: None },
