--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -15,7 +15,7 @@
 use crate::jobs::{Job, Ledger, Phase};
 use crate::peer::pacing::Pacer;
 use crate::peer::{
-    GrantedMachine, HandOut, Held, MachineState, Message, Outcome, UnleasedReport, StopRequest, TaskState,
+    GrantedMachine, Assignment, Held, MachineState, Message, Outcome, UnleasedReport, StopRequest, TaskState,
 };
 use crate::placement::{self, Candidate};
 use crate::{Call, CallId, CallResult, Outbox, Target};
--- a/crates/core/src/controller/placing.rs
+++ b/crates/core/src/controller/placing.rs
@@ -4,7 +4,7 @@
 
 impl Controller {
     /// Takes hand-outs, starting what fits.
-    pub fn take_handouts(&mut self, handouts: &[HandOut], ledger: &Ledger, sizes: &Sizes, now: Micros) {
+    pub fn take_handouts(&mut self, handouts: &[Assignment], ledger: &Ledger, sizes: &Sizes, now: Micros) {
         for h in handouts {
             if self.outcomes.contains_key(&h.attempt) {
                 continue;
@@ -21,7 +21,7 @@
 
     pub(super) fn place(
         &mut self,
-        h: &HandOut,
+        h: &Assignment,
         ledger: &Ledger,
         sizes: &Sizes,
         now: Micros,
@@ -58,7 +58,7 @@
     #[allow(clippy::too_many_arguments)]
     pub(super) fn rate(
         &self,
-        h: &HandOut,
+        h: &Assignment,
         spec: &JobSpec,
         id: &MachineId,
         w: &Worker,
--- a/crates/core/src/leader/messages.rs
+++ b/crates/core/src/leader/messages.rs
@@ -81,7 +81,7 @@
         let due = |h: &&mut OnItsWay| {
             h.to == to && h.covered_by <= covered && h.sent.is_none_or(|t| now.since(t) >= HAND_OUT_AGAIN)
         };
-        let mut open: Vec<(HandOut, u64)> = Vec::new();
+        let mut open: Vec<(Assignment, u64)> = Vec::new();
         for h in self.handouts.values_mut().filter(|_| lease_ok).filter(due) {
             h.sent = Some(now);
             open.push((h.out.clone(), h.covered_by));
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -41,7 +41,7 @@
 use crate::leader::ways::Ways;
 use crate::peer::pacing::Pacer;
 use crate::peer::{
-    GrantedMachine, HandOut, MachineState, Message, Outcome, UnleasedReport, StopRequest, TaskState,
+    GrantedMachine, Assignment, MachineState, Message, Outcome, UnleasedReport, StopRequest, TaskState,
 };
 use crate::placement::{self, Candidate};
 use gorseshore_protocol::cloud::{Flavor, Rentals};
@@ -102,7 +102,7 @@
 #[derive(Debug)]
 struct OnItsWay {
     to: NodeId,
-    out: HandOut,
+    out: Assignment,
     /// The change of the books that has to be at the witnesses before it goes.
     covered_by: u64,
     /// When it last went.
--- a/crates/core/src/peer.rs
+++ b/crates/core/src/peer.rs
@@ -113,7 +113,7 @@
 
 /// A task handed out.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
-pub struct HandOut {
+pub struct Assignment {
     /// Task.
     pub task: TaskId,
     /// Attempt, above the token of every machine that it may go to.
@@ -228,7 +228,7 @@
         /// Machines that others hold, or nobody: not of the block (any more).
         elsewhere: Vec<(MachineId, Option<NodeId>)>,
         /// Hand-outs whose outcome the leader does not know.
-        handouts: Vec<HandOut>,
+        handouts: Vec<Assignment>,
         /// Stops wanted.
         stops: Vec<StopRequest>,
         /// Running tasks of jobs whose number changed, for display.
--- a/crates/core/tests/wire_compatibility.rs
+++ b/crates/core/tests/wire_compatibility.rs
@@ -9,7 +9,7 @@
 use data_encoding::HEXLOWER;
 use gorseshore_core::books::{Entry, Page};
 use gorseshore_core::peer::{
-    Cancellation, Envelope, FrameError, GrantedMachine, HEAD, HandOut, Held, MAX_FRAME, MachineState,
+    Cancellation, Envelope, FrameError, GrantedMachine, HEAD, Assignment, Held, MAX_FRAME, MachineState,
     Message, Outcome, UnleasedReport, StopRequest, TaskState, VERSION, decode_body, decode_head, encode,
 };
 use gorseshore_protocol::ids::{Attempt, Baton, JobId, MachineId, Micros, NodeId, TaskId};
@@ -205,7 +205,7 @@
 }
 
 fn update() -> Message {
-    let hand_out = |zone: Option<&str>| HandOut {
+    let hand_out = |zone: Option<&str>| Assignment {
         task: task(412, 9),
         attempt: Attempt(0x7000_0003),
         zone: zone.map(str::to_owned),
