--- a/crates/core/src/controller/view.rs
+++ b/crates/core/src/controller/view.rs
@@ -46,7 +46,7 @@
                     seen_baton: w.seen_baton,
                     last: w.number(),
                     obeys: w.obeys,
-                    heard_ago: w.heard.map(|t| now.since(t)),
+                    last_contact_age: w.heard.map(|t| now.since(t)),
                     warning: w.warning.map(|(at, left)| left - now.since(at)),
                     want_baton,
                     tasks,
--- a/crates/core/src/leader/bindings.rs
+++ b/crates/core/src/leader/bindings.rs
@@ -106,7 +106,7 @@
         }
         // That it was heard is true under any token: a holder back from a cut
         // has not seen its newest grant, and its machines are not dead.
-        if let Some(ago) = s.heard_ago {
+        if let Some(ago) = s.last_contact_age {
             m.heard_at(now - ago, from, s.last);
         }
         if m.holder != Some(from) || m.baton != s.baton {
@@ -115,7 +115,7 @@
         m.warning = s.warning.map(|w| now + w);
         m.want_baton = s.want_baton;
         let confirmed = s.seen_baton >= m.baton;
-        if let Some(ago) = s.heard_ago {
+        if let Some(ago) = s.last_contact_age {
             m.hearing.told(s.obeys, now - ago, now);
         }
         let fresh = confirmed && !m.confirmed;
--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -167,7 +167,7 @@
             seen_baton: seen,
             last: ReportNo { shift: 1, tally: self.now.0 },
             obeys: true,
-            heard_ago: Some(Micros(0)),
+            last_contact_age: Some(Micros(0)),
             warning: None,
             want_baton: false,
             tasks: tasks.iter().map(|(t, a, s)| Held { task: *t, attempt: *a, state: *s }).collect(),
--- a/crates/core/src/peer.rs
+++ b/crates/core/src/peer.rs
@@ -67,7 +67,7 @@
     /// with its controller, or has the grant's token for the first time.
     pub obeys: bool,
     /// How long ago it was heard; `None` if never by this controller.
-    pub heard_ago: Option<Micros>,
+    pub last_contact_age: Option<Micros>,
     /// Spot notice.
     pub warning: Option<Micros>,
     /// The controller wants a higher token: a start of a task that must not
--- a/crates/core/tests/wire_compatibility.rs
+++ b/crates/core/tests/wire_compatibility.rs
@@ -132,7 +132,7 @@
         seen_baton: Baton::new(6, 99),
         last: report(2, 41),
         obeys: false,
-        heard_ago: None,
+        last_contact_age: None,
         warning: None,
         want_baton: true,
         tasks: Vec::new(),
@@ -150,7 +150,7 @@
     let busy = MachineState {
         id: MachineId::from("host-000002"),
         obeys: true,
-        heard_ago: Some(Micros::millis(250)),
+        last_contact_age: Some(Micros::millis(250)),
         warning: Some(Micros::secs(30)),
         want_baton: false,
         tasks: all_states.into_iter().enumerate().map(|(i, s)| held(i as u32, s)).collect(),
