--- a/crates/core/src/node/cancellations.rs
+++ b/crates/core/src/node/cancellations.rs
@@ -284,7 +284,7 @@
         }
         for (jobs, leads) in [(vouched, leads), (others, None)] {
             if !jobs.is_empty() {
-                self.send(from, Message::CancelledKnown { jobs, leads });
+                self.send(from, Message::CancellationsAck { jobs, leads });
             }
         }
         self.drive();
--- a/crates/core/src/node/peers.rs
+++ b/crates/core/src/node/peers.rs
@@ -111,7 +111,7 @@
                 }
             }
             Message::Cancelled(all) => self.cancellations_came(from, &all),
-            Message::CancelledKnown { jobs, leads } => {
+            Message::CancellationsAck { jobs, leads } => {
                 self.cancellations_known(from, incarnation, &jobs, leads);
             }
             Message::Forward { to, envelope } => {
--- a/crates/core/src/peer.rs
+++ b/crates/core/src/peer.rs
@@ -171,7 +171,7 @@
     /// Cancellations that the receiver has not acknowledged, or that all know of now.
     Cancelled(Vec<Cancellation>),
     /// The sender acts on these cancellations.
-    CancelledKnown {
+    CancellationsAck {
         /// Jobs.
         jobs: Vec<JobId>,
         /// The term that it leads, if it leads one.
--- a/crates/core/src/peer/inbox/tests.rs
+++ b/crates/core/src/peer/inbox/tests.rs
@@ -24,7 +24,7 @@
 }
 
 fn known(job: u64) -> Message {
-    Message::CancelledKnown { jobs: vec![JobId(job)], leads: None }
+    Message::CancellationsAck { jobs: vec![JobId(job)], leads: None }
 }
 
 #[test]
--- a/crates/core/tests/wire_compatibility.rs
+++ b/crates/core/tests/wire_compatibility.rs
@@ -268,9 +268,9 @@
         ),
         (
             "cancelled known, by the leader",
-            Message::CancelledKnown { jobs: vec![JobId(412), JobId(413)], leads: Some(7) },
+            Message::CancellationsAck { jobs: vec![JobId(412), JobId(413)], leads: Some(7) },
         ),
-        ("cancelled known", Message::CancelledKnown { jobs: vec![JobId(412)], leads: None }),
+        ("cancelled known", Message::CancellationsAck { jobs: vec![JobId(412)], leads: None }),
         ("forward", Message::Forward { to: NodeId(1), envelope: vec![5, 1, 2, 0xff] }),
         ("sync, whole", sync(0)),
         ("sync", sync(19)),
@@ -319,7 +319,7 @@
     match m {
         Message::Ping { .. } => 0,
         Message::Cancelled(_) => 1,
-        Message::CancelledKnown { .. } => 2,
+        Message::CancellationsAck { .. } => 2,
         Message::Forward { .. } => 3,
         Message::Sync { .. } => 4,
         Message::Update { .. } => 5,
