--- a/crates/core/src/node/peers.rs
+++ b/crates/core/src/node/peers.rs
@@ -177,9 +177,9 @@
                 }
                 let term = page.term;
                 let seq = self.kept.take(page);
-                self.out.send(from, Message::BooksTaken { term, seq });
+                self.out.send(from, Message::PlacementLogAck { term, seq });
             }
-            Message::BooksTaken { term, seq } => {
+            Message::PlacementLogAck { term, seq } => {
                 let may = self.leadership.election.may_lead(self.now);
                 if let Some(l) = self.leadership.leader.as_mut().filter(|l| l.term == term)
                     && l.books_taken(from, incarnation, seq, self.now)
--- a/crates/core/src/peer.rs
+++ b/crates/core/src/peer.rs
@@ -262,7 +262,7 @@
     /// From the leader to a witness: its books.
     Books(Page),
     /// From a witness: the books of that term are taken up to this change.
-    BooksTaken {
+    PlacementLogAck {
         /// Term.
         term: u64,
         /// Number of the last change taken.
--- a/crates/core/tests/record_compatibility.rs
+++ b/crates/core/tests/record_compatibility.rs
@@ -445,7 +445,7 @@
 
 #[test]
 fn the_reader_of_production_reads_relayed_messages() {
-    let message = Message::BooksTaken { term: 7, seq: 1000 };
+    let message = Message::PlacementLogAck { term: 7, seq: 1000 };
     let want = Envelope { from: NodeId(3), incarnation: 0x0102_0304_0506_0708, message };
     assert_eq!(opened(MAIL.iter().map(|(key, text)| ((*key).to_owned(), parse(text)))), vec![want]);
 }
--- a/crates/core/tests/wire_compatibility.rs
+++ b/crates/core/tests/wire_compatibility.rs
@@ -290,7 +290,7 @@
         ("probe", Message::Probe { id: MachineId::from("host-000008"), addr: "10.0.0.8:8040".into() }),
         ("books, whole", Message::Books(page(0))),
         ("books", Message::Books(page(990))),
-        ("books taken", Message::BooksTaken { term: 7, seq: 1000 }),
+        ("books taken", Message::PlacementLogAck { term: 7, seq: 1000 }),
         ("books wanted", Message::BooksWanted { term: 6 }),
         ("books of", Message::BooksOf(page(0))),
     ]
@@ -326,7 +326,7 @@
         Message::Seen { .. } => 6,
         Message::Probe { .. } => 7,
         Message::Books(_) => 8,
-        Message::BooksTaken { .. } => 9,
+        Message::PlacementLogAck { .. } => 9,
         Message::BooksWanted { .. } => 10,
         Message::BooksOf(_) => 11,
     }
@@ -380,7 +380,7 @@
         assert_eq!(envelope(message).pack(), packed, "{name}");
     }
     let books_taken = bytes("05030807060504030201090700000000000000e803000000000000");
-    assert_eq!(Envelope::unpack(&books_taken), Some(envelope(Message::BooksTaken { term: 7, seq: 1000 })));
+    assert_eq!(Envelope::unpack(&books_taken), Some(envelope(Message::PlacementLogAck { term: 7, seq: 1000 })));
 }
 
 #[test]
