--- a/crates/core/src/node/duties.rs
+++ b/crates/core/src/node/duties.rs
@@ -313,7 +313,7 @@
         self.books_asked = self.now;
         let holders = w.nodes.iter().filter_map(|(name, _)| self.nodes.names.iter().position(|n| n == name));
         for n in holders.filter(|n| *n != self.nodes.me.0 as usize) {
-            self.out.send(NodeId(n as u8), Message::BooksWanted { term });
+            self.out.send(NodeId(n as u8), Message::PlacementLogRequest { term });
         }
     }
 
--- a/crates/core/src/node/peers.rs
+++ b/crates/core/src/node/peers.rs
@@ -188,7 +188,7 @@
                     messages.into_iter().for_each(|(to, m)| self.send(to, m));
                 }
             }
-            Message::BooksWanted { term } => {
+            Message::PlacementLogRequest { term } => {
                 if let Some(book) = self.kept.get(term) {
                     self.out.send(from, Message::BooksOf(book.page(term)));
                 }
--- a/crates/core/src/peer.rs
+++ b/crates/core/src/peer.rs
@@ -269,7 +269,7 @@
         seq: u64,
     },
     /// From a new leader: the books of an earlier term are wanted.
-    BooksWanted {
+    PlacementLogRequest {
         /// Term.
         term: u64,
     },
--- a/crates/core/tests/wire_compatibility.rs
+++ b/crates/core/tests/wire_compatibility.rs
@@ -291,7 +291,7 @@
         ("books, whole", Message::Books(page(0))),
         ("books", Message::Books(page(990))),
         ("books taken", Message::PlacementLogAck { term: 7, seq: 1000 }),
-        ("books wanted", Message::BooksWanted { term: 6 }),
+        ("books wanted", Message::PlacementLogRequest { term: 6 }),
         ("books of", Message::BooksOf(page(0))),
     ]
 }
@@ -327,7 +327,7 @@
         Message::Probe { .. } => 7,
         Message::Books(_) => 8,
         Message::PlacementLogAck { .. } => 9,
-        Message::BooksWanted { .. } => 10,
+        Message::PlacementLogRequest { .. } => 10,
         Message::BooksOf(_) => 11,
     }
 }
