--- a/crates/core/src/node/peers.rs
+++ b/crates/core/src/node/peers.rs
@@ -190,10 +190,10 @@
             }
             Message::PlacementLogRequest { term } => {
                 if let Some(book) = self.kept.get(term) {
-                    self.out.send(from, Message::BooksOf(book.page(term)));
+                    self.out.send(from, Message::PlacementLogSnapshot(book.page(term)));
                 }
             }
-            Message::BooksOf(page) => {
+            Message::PlacementLogSnapshot(page) => {
                 self.books_came(from, incarnation, page);
                 self.lead();
             }
--- a/crates/core/src/peer.rs
+++ b/crates/core/src/peer.rs
@@ -274,7 +274,7 @@
         term: u64,
     },
     /// To the new leader: the whole books of that term.
-    BooksOf(Page),
+    PlacementLogSnapshot(Page),
 }
 
 /// A frame's content.
--- a/crates/core/tests/wire_compatibility.rs
+++ b/crates/core/tests/wire_compatibility.rs
@@ -292,7 +292,7 @@
         ("books", Message::Books(page(990))),
         ("books taken", Message::PlacementLogAck { term: 7, seq: 1000 }),
         ("books wanted", Message::PlacementLogRequest { term: 6 }),
-        ("books of", Message::BooksOf(page(0))),
+        ("books of", Message::PlacementLogSnapshot(page(0))),
     ]
 }
 
@@ -328,7 +328,7 @@
         Message::Books(_) => 8,
         Message::PlacementLogAck { .. } => 9,
         Message::PlacementLogRequest { .. } => 10,
-        Message::BooksOf(_) => 11,
+        Message::PlacementLogSnapshot(_) => 11,
     }
 }
 const SORTS: usize = 12;
--- a/tests/world/load.rs
+++ b/tests/world/load.rs
@@ -40,7 +40,7 @@
         Message::Update { block, elsewhere, handouts, stops, .. } => {
             block.len() + elsewhere.len() + handouts.len() + stops.len()
         }
-        Message::Books(page) | Message::BooksOf(page) => page.tasks.len(),
+        Message::Books(page) | Message::PlacementLogSnapshot(page) => page.tasks.len(),
         _ => 0,
     };
     count as u64
