--- a/crates/core/src/peer.rs
+++ b/crates/core/src/peer.rs
@@ -12,7 +12,7 @@
 /// Version of the messages; a frame of another version is refused.
 pub const VERSION: u8 = 5;
 /// Longest frame taken.
-pub const MAX_FRAME: usize = 16 << 20;
+pub const MAX_FRAME_BYTES: usize = 16 << 20;
 
 /// State of a task on a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
@@ -322,7 +322,7 @@
 /// Builds a frame.
 pub fn encode(e: &Envelope) -> Result<Vec<u8>, FrameError> {
     let body = borsh::to_vec(e)?;
-    if body.len() > MAX_FRAME {
+    if body.len() > MAX_FRAME_BYTES {
         return Err(FrameError::TooLong(body.len()));
     }
     let mut out = Vec::with_capacity(body.len() + HEAD);
@@ -339,7 +339,7 @@
         return Err(FrameError::Version(version));
     }
     let len = u32::from_le_bytes([a, b, c, d]) as usize;
-    if len > MAX_FRAME { Err(FrameError::TooLong(len)) } else { Ok(len) }
+    if len > MAX_FRAME_BYTES { Err(FrameError::TooLong(len)) } else { Ok(len) }
 }
 
 /// Reads a frame's body.
