--- a/crates/core/src/peer.rs
+++ b/crates/core/src/peer.rs
@@ -10,7 +10,7 @@
 pub mod pacing;
 
 /// Version of the messages; a frame of another version is refused.
-pub const VERSION: u8 = 5;
+pub const PROTOCOL_VERSION: u8 = 5;
 /// Longest frame taken.
 pub const MAX_FRAME_BYTES: usize = 16 << 20;
 
@@ -291,14 +291,14 @@
 impl Envelope {
     /// As bytes, behind the version.
     pub fn pack(&self) -> Vec<u8> {
-        let mut out = vec![VERSION];
+        let mut out = vec![PROTOCOL_VERSION];
         out.extend(borsh::to_vec(self).unwrap_or_default());
         out
     }
     /// From bytes of the same version.
     pub fn unpack(bytes: &[u8]) -> Option<Self> {
         let (version, rest) = bytes.split_first()?;
-        (*version == VERSION).then(|| borsh::from_slice(rest).ok())?
+        (*version == PROTOCOL_VERSION).then(|| borsh::from_slice(rest).ok())?
     }
 }
 
@@ -309,7 +309,7 @@
     #[error("frame of {0} bytes is too long")]
     TooLong(usize),
     /// Another version.
-    #[error("version {0} is not {VERSION}")]
+    #[error("version {0} is not {PROTOCOL_VERSION}")]
     Version(u8),
     /// Not a message.
     #[error("not a message: {0}")]
@@ -327,7 +327,7 @@
     }
     let mut out = Vec::with_capacity(body.len() + HEAD);
     out.extend_from_slice(&(body.len() as u32).to_le_bytes());
-    out.push(VERSION);
+    out.push(PROTOCOL_VERSION);
     out.extend_from_slice(&body);
     Ok(out)
 }
@@ -335,7 +335,7 @@
 /// Reads a frame's head; the length of its body.
 pub fn decode_head(head: [u8; HEAD]) -> Result<usize, FrameError> {
     let [a, b, c, d, version] = head;
-    if version != VERSION {
+    if version != PROTOCOL_VERSION {
         return Err(FrameError::Version(version));
     }
     let len = u32::from_le_bytes([a, b, c, d]) as usize;
--- a/crates/core/src/peer/tests.rs
+++ b/crates/core/src/peer/tests.rs
@@ -11,8 +11,8 @@
     let head: [u8; HEAD] = f[..HEAD].try_into().unwrap();
     assert_eq!(decode_head(head).unwrap(), f.len() - HEAD);
     assert_eq!(decode_body(&f[HEAD..]).unwrap(), e);
-    assert!(decode_head([0, 0, 0, 0, VERSION + 1]).is_err());
-    assert!(decode_head([0xff, 0xff, 0xff, 0xff, VERSION]).is_err());
+    assert!(decode_head([0, 0, 0, 0, PROTOCOL_VERSION + 1]).is_err());
+    assert!(decode_head([0xff, 0xff, 0xff, 0xff, PROTOCOL_VERSION]).is_err());
     for cut in 0..f.len() - HEAD {
         assert!(decode_body(&f[HEAD..HEAD + cut]).is_err());
     }
--- a/crates/core/tests/wire_compatibility.rs
+++ b/crates/core/tests/wire_compatibility.rs
@@ -10,7 +10,7 @@
 use gorseshore_core::books::{Entry, Page};
 use gorseshore_core::peer::{
     Cancellation, Envelope, FrameError, GrantedMachine, HEAD, Assignment, Held, MAX_FRAME_BYTES, MachineState,
-    Message, Outcome, UnleasedReport, StopRequest, TaskState, VERSION, decode_body, decode_head, encode,
+    Message, Outcome, UnleasedReport, StopRequest, TaskState, PROTOCOL_VERSION, decode_body, decode_head, encode,
 };
 use gorseshore_protocol::ids::{Attempt, Baton, JobId, MachineId, Micros, NodeId, TaskId};
 use gorseshore_protocol::workers::ReportNo;
@@ -385,7 +385,7 @@
 
 #[test]
 fn heads_are_those_of_production() {
-    assert_eq!((VERSION, HEAD, MAX_FRAME_BYTES), (5, 5, 16_777_216));
+    assert_eq!((PROTOCOL_VERSION, HEAD, MAX_FRAME_BYTES), (5, 5, 16_777_216));
     // (head, length of the body)
     let taken: [(&str, usize); 3] = [("0000000005", 0), ("0102000005", 513), ("0000000105", 16_777_216)];
     for (head, length) in taken {
