--- a/crates/core/src/peer.rs
+++ b/crates/core/src/peer.rs
@@ -317,7 +317,7 @@
 }
 
 /// Length of a frame's head: four bytes of length, one of version.
-pub const HEAD: usize = 5;
+pub const FRAME_HEADER_LEN: usize = 5;
 
 /// Builds a frame.
 pub fn encode(e: &Envelope) -> Result<Vec<u8>, FrameError> {
@@ -325,7 +325,7 @@
     if body.len() > MAX_FRAME_BYTES {
         return Err(FrameError::TooLong(body.len()));
     }
-    let mut out = Vec::with_capacity(body.len() + HEAD);
+    let mut out = Vec::with_capacity(body.len() + FRAME_HEADER_LEN);
     out.extend_from_slice(&(body.len() as u32).to_le_bytes());
     out.push(PROTOCOL_VERSION);
     out.extend_from_slice(&body);
@@ -333,7 +333,7 @@
 }
 
 /// Reads a frame's head; the length of its body.
-pub fn decode_head(head: [u8; HEAD]) -> Result<usize, FrameError> {
+pub fn decode_head(head: [u8; FRAME_HEADER_LEN]) -> Result<usize, FrameError> {
     let [a, b, c, d, version] = head;
     if version != PROTOCOL_VERSION {
         return Err(FrameError::Version(version));
--- a/crates/core/src/peer/tests.rs
+++ b/crates/core/src/peer/tests.rs
@@ -8,12 +8,12 @@
         message: Message::Ping { state_ok: true, hears: vec![NodeId(2)], queued: 3, loaded: true },
     };
     let f = encode(&e).unwrap();
-    let head: [u8; HEAD] = f[..HEAD].try_into().unwrap();
-    assert_eq!(decode_head(head).unwrap(), f.len() - HEAD);
-    assert_eq!(decode_body(&f[HEAD..]).unwrap(), e);
+    let head: [u8; FRAME_HEADER_LEN] = f[..FRAME_HEADER_LEN].try_into().unwrap();
+    assert_eq!(decode_head(head).unwrap(), f.len() - FRAME_HEADER_LEN);
+    assert_eq!(decode_body(&f[FRAME_HEADER_LEN..]).unwrap(), e);
     assert!(decode_head([0, 0, 0, 0, PROTOCOL_VERSION + 1]).is_err());
     assert!(decode_head([0xff, 0xff, 0xff, 0xff, PROTOCOL_VERSION]).is_err());
-    for cut in 0..f.len() - HEAD {
-        assert!(decode_body(&f[HEAD..HEAD + cut]).is_err());
+    for cut in 0..f.len() - FRAME_HEADER_LEN {
+        assert!(decode_body(&f[FRAME_HEADER_LEN..FRAME_HEADER_LEN + cut]).is_err());
     }
 }
--- a/crates/core/tests/wire_compatibility.rs
+++ b/crates/core/tests/wire_compatibility.rs
@@ -9,7 +9,7 @@
 use data_encoding::HEXLOWER;
 use gorseshore_core::books::{Entry, Page};
 use gorseshore_core::peer::{
-    Cancellation, Envelope, FrameError, GrantedMachine, HEAD, Assignment, Held, MAX_FRAME_BYTES, MachineState,
+    Cancellation, Envelope, FrameError, GrantedMachine, FRAME_HEADER_LEN, Assignment, Held, MAX_FRAME_BYTES, MachineState,
     Message, Outcome, UnleasedReport, StopRequest, TaskState, PROTOCOL_VERSION, decode_body, decode_head, encode,
 };
 use gorseshore_protocol::ids::{Attempt, Baton, JobId, MachineId, Micros, NodeId, TaskId};
@@ -309,7 +309,7 @@
     bytes(hex)
 }
 
-fn split(frame: &[u8]) -> ([u8; HEAD], &[u8]) {
+fn split(frame: &[u8]) -> ([u8; FRAME_HEADER_LEN], &[u8]) {
     let (head, body) = frame.split_first_chunk().unwrap();
     (*head, body)
 }
@@ -385,7 +385,7 @@
 
 #[test]
 fn heads_are_those_of_production() {
-    assert_eq!((PROTOCOL_VERSION, HEAD, MAX_FRAME_BYTES), (5, 5, 16_777_216));
+    assert_eq!((PROTOCOL_VERSION, FRAME_HEADER_LEN, MAX_FRAME_BYTES), (5, 5, 16_777_216));
     // (head, length of the body)
     let taken: [(&str, usize); 3] = [("0000000005", 0), ("0102000005", 513), ("0000000105", 16_777_216)];
     for (head, length) in taken {
--- a/crates/shell/src/peers.rs
+++ b/crates/shell/src/peers.rs
@@ -148,7 +148,7 @@
 
 /// The next frame; `None` where the connection is over.
 async fn read_envelope(stream: &mut TcpStream) -> Result<Option<Envelope>, peer::FrameError> {
-    let mut head = [0u8; peer::HEAD];
+    let mut head = [0u8; peer::FRAME_HEADER_LEN];
     let read = within(IDLE_TIMEOUT, stream.read_exact(&mut head)).await;
     if !matches!(read, Some(Ok(_))) {
         return Ok(None);
