--- a/crates/core/src/peer.rs
+++ b/crates/core/src/peer.rs
@@ -333,7 +333,7 @@
 }
 
 /// Reads a frame's head; the length of its body.
-pub fn decode_head(head: [u8; FRAME_HEADER_LEN]) -> Result<usize, FrameError> {
+pub fn decode_header(head: [u8; FRAME_HEADER_LEN]) -> Result<usize, FrameError> {
     let [a, b, c, d, version] = head;
     if version != PROTOCOL_VERSION {
         return Err(FrameError::Version(version));
--- a/crates/core/src/peer/tests.rs
+++ b/crates/core/src/peer/tests.rs
@@ -9,10 +9,10 @@
     };
     let f = encode(&e).unwrap();
     let head: [u8; FRAME_HEADER_LEN] = f[..FRAME_HEADER_LEN].try_into().unwrap();
-    assert_eq!(decode_head(head).unwrap(), f.len() - FRAME_HEADER_LEN);
+    assert_eq!(decode_header(head).unwrap(), f.len() - FRAME_HEADER_LEN);
     assert_eq!(decode_body(&f[FRAME_HEADER_LEN..]).unwrap(), e);
-    assert!(decode_head([0, 0, 0, 0, PROTOCOL_VERSION + 1]).is_err());
-    assert!(decode_head([0xff, 0xff, 0xff, 0xff, PROTOCOL_VERSION]).is_err());
+    assert!(decode_header([0, 0, 0, 0, PROTOCOL_VERSION + 1]).is_err());
+    assert!(decode_header([0xff, 0xff, 0xff, 0xff, PROTOCOL_VERSION]).is_err());
     for cut in 0..f.len() - FRAME_HEADER_LEN {
         assert!(decode_body(&f[FRAME_HEADER_LEN..FRAME_HEADER_LEN + cut]).is_err());
     }
--- a/crates/core/tests/wire_compatibility.rs
+++ b/crates/core/tests/wire_compatibility.rs
@@ -10,7 +10,7 @@
 use gorseshore_core::books::{Entry, Page};
 use gorseshore_core::peer::{
     Cancellation, Envelope, FrameError, GrantedMachine, FRAME_HEADER_LEN, Assignment, Held, MAX_FRAME_BYTES, MachineState,
-    Message, Outcome, UnleasedReport, StopRequest, TaskState, PROTOCOL_VERSION, decode_body, decode_head, encode,
+    Message, Outcome, UnleasedReport, StopRequest, TaskState, PROTOCOL_VERSION, decode_body, decode_header, encode,
 };
 use gorseshore_protocol::ids::{Attempt, Baton, JobId, MachineId, Micros, NodeId, TaskId};
 use gorseshore_protocol::workers::ReportNo;
@@ -346,7 +346,7 @@
     for (name, message) in messages() {
         let frame = frame(name);
         let (head, body) = split(&frame);
-        assert_eq!(decode_head(head).unwrap(), body.len(), "{name}");
+        assert_eq!(decode_header(head).unwrap(), body.len(), "{name}");
         assert_eq!(decode_body(body).unwrap(), envelope(message), "{name}");
     }
 }
@@ -389,13 +389,13 @@
     // (head, length of the body)
     let taken: [(&str, usize); 3] = [("0000000005", 0), ("0102000005", 513), ("0000000105", 16_777_216)];
     for (head, length) in taken {
-        assert_eq!(decode_head(split(&bytes(head)).0).unwrap(), length, "{head}");
+        assert_eq!(decode_header(split(&bytes(head)).0).unwrap(), length, "{head}");
     }
     for version in (0..=u8::MAX).filter(|v| *v != 5) {
-        let refused = decode_head([9, 0, 0, 0, version]);
+        let refused = decode_header([9, 0, 0, 0, version]);
         assert!(matches!(refused, Err(FrameError::Version(v)) if v == version), "{version}");
     }
-    let too_long = decode_head(split(&bytes("0100000105")).0);
+    let too_long = decode_header(split(&bytes("0100000105")).0);
     assert!(matches!(too_long, Err(FrameError::TooLong(16_777_217))));
 }
 
--- a/crates/shell/src/peers.rs
+++ b/crates/shell/src/peers.rs
@@ -153,7 +153,7 @@
     if !matches!(read, Some(Ok(_))) {
         return Ok(None);
     }
-    let len = peer::decode_head(head)?;
+    let len = peer::decode_header(head)?;
     // Room is taken as the frame comes, not as its head claims.
     let mut body = Vec::new();
     stream.take(len as u64).read_to_end(&mut body).await?;
