--- a/crates/core/src/peer.rs
+++ b/crates/core/src/peer.rs
@@ -355,7 +355,7 @@
 /// most `clock_off` ahead; this one starts after that end and takes its number on
 /// one that is at most `clock_off` behind. After twice as long, and a little, the
 /// later number is the higher one, however quickly the process came back.
-pub fn before_number(clock_off: Micros) -> Micros {
+pub fn incarnation_delay(clock_off: Micros) -> Micros {
     clock_off.scale(2, 1) + Micros::millis(2)
 }
 
--- a/crates/shell/src/lib.rs
+++ b/crates/shell/src/lib.rs
@@ -11,7 +11,7 @@
 use admission::Bounds;
 use gorseshore_core::guest::{Answer, Guest};
 use gorseshore_core::node::{Node, Nodes};
-use gorseshore_core::peer::{Envelope, Message, before_number, process_number};
+use gorseshore_core::peer::{Envelope, Message, incarnation_delay, process_number};
 use gorseshore_core::{CallResult, Input, Output, RequestId};
 use gorseshore_protocol::ids::{Micros, NodeId};
 use gorseshore_settings::{Operator, Platform};
@@ -230,7 +230,7 @@
         let started = Instant::now();
         let seed = fastrand::u64(..) >> 1;
         let clock_off = Micros::from_secs_f64(platform.deployment.clock_off_ms / 1000.0);
-        Timer::after(Duration::from_micros(before_number(clock_off).0)).await;
+        Timer::after(Duration::from_micros(incarnation_delay(clock_off).0)).await;
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
         let incarnation = process_number(wall, seed);
         let mut node = Node::new(&platform, operator, seed, incarnation, Micros(1_000_000));
--- a/tests/world/blink.rs
+++ b/tests/world/blink.rs
@@ -3,7 +3,7 @@
 //! every stage of their recovery, while messages, transactions and rentals of
 //! their earlier life are still on their way.
 use super::*;
-use gorseshore_core::peer::{before_number, process_number};
+use gorseshore_core::peer::{incarnation_delay, process_number};
 
 pub const BLINK: Size = Size { busy_until: 120 * S, ends: 280 * S, blinks: true, ..SMALL };
 /// Seven that read everything within a tight budget of requests.
@@ -112,7 +112,7 @@
         if led && self.blink.vacant.is_none() {
             self.blink.vacant = Some((self.now, away));
         }
-        away + before_number(Micros::millis(CLOCK_OFF_MS)).0
+        away + incarnation_delay(Micros::millis(CLOCK_OFF_MS)).0
     }
 
     /// The number of a process that begins, on a clock of its own.
@@ -200,7 +200,7 @@
         w.blink.next = vec![(0, 2 * CLOCK_OFF_MS), (0, 0)];
         w.crash(n);
         // Until the first one has its number, and so long after.
-        let number = before_number(Micros::millis(CLOCK_OFF_MS)).0;
+        let number = incarnation_delay(Micros::millis(CLOCK_OFF_MS)).0;
         w.run(w.now + number + lived * MS);
         w.crash(n);
         w.run(w.now + IN_SERVICE);
