--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -61,7 +61,7 @@
 }
 
 /// A worker that was silent for so long is asked by its holder.
-pub const ASKED_AFTER: Micros = Micros::millis(2800);
+pub const PROBE_AFTER: Micros = Micros::millis(2800);
 /// How long its answer is waited for.
 pub const ASK_TIMEOUT: Micros = Micros::millis(1500);
 
--- a/crates/core/src/controller/orders.rs
+++ b/crates/core/src/controller/orders.rs
@@ -134,7 +134,7 @@
             // A worker that waits for a controller that ended doesn't report for
             // seconds, though it is well: it is asked.
             // So is one whose last report doesn't show that it hears.
-            let quiet = w.heard.is_some_and(|t| now.since(t) > ASKED_AFTER) || w.shift > 0 && !w.obeys;
+            let quiet = w.heard.is_some_and(|t| now.since(t) > PROBE_AFTER) || w.shift > 0 && !w.obeys;
             // Its stops go out all the same, and their answer is its report as well: a
             // worker that reaches nobody hears of a cancellation in no other way.
             let orders = match w.shift {
--- a/crates/core/src/controller/stops.rs
+++ b/crates/core/src/controller/stops.rs
@@ -88,10 +88,10 @@
 fn a_quiet_worker_is_told_what_is_over() {
     let start = Micros::secs(50);
     let (mut c, ledger) = controller(start);
-    let calls = driven(&mut c, &ledger, start + ASKED_AFTER + Micros::secs(1));
+    let calls = driven(&mut c, &ledger, start + PROBE_AFTER + Micros::secs(1));
     assert!(calls.len() == 1 && calls[0].1 == "/do" && calls[0].2, "{calls:?}");
     // One with nothing to stop is asked how it is.
     let (mut c, _) = controller(start);
-    let calls = driven(&mut c, &Ledger::default(), start + ASKED_AFTER + Micros::secs(1));
+    let calls = driven(&mut c, &Ledger::default(), start + PROBE_AFTER + Micros::secs(1));
     assert!(calls.len() == 1 && calls[0].1 == "/status", "{calls:?}");
 }
