--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -63,7 +63,7 @@
 /// A worker that was silent for so long is asked by its holder.
 pub const PROBE_AFTER: Micros = Micros::millis(2800);
 /// How long its answer is waited for.
-pub const ASK_TIMEOUT: Micros = Micros::millis(1500);
+pub const PROBE_TIMEOUT: Micros = Micros::millis(1500);
 
 /// How often all workers are looked at.
 const SWEEP: Micros = Micros::millis(200);
--- a/crates/core/src/controller/orders.rs
+++ b/crates/core/src/controller/orders.rs
@@ -149,7 +149,7 @@
                         method: "GET",
                         path: "/status".into(),
                         body: Vec::new(),
-                        timeout: ASK_TIMEOUT,
+                        timeout: PROBE_TIMEOUT,
                     });
                     calls.push((call, id.clone()));
                     w.direct =
--- a/crates/core/src/leader/blocks.rs
+++ b/crates/core/src/leader/blocks.rs
@@ -225,7 +225,7 @@
             *last = (*last).max(t);
         }
         // By then it should have reported, or have answered its holder.
-        let overdue = (self.ctx.report.scale(5, 4) + Micros::secs(1)).min(PROBE_AFTER + ASK_TIMEOUT);
+        let overdue = (self.ctx.report.scale(5, 4) + Micros::secs(1)).min(PROBE_AFTER + PROBE_TIMEOUT);
         let heard_by = latest.iter().map(|((h, zone), (t, _))| (Some(*h), *zone, *t));
         for (by, zone, at) in heard_by.chain(zone_latest.iter().map(|(z, t)| (None, *z, *t))) {
             self.ways.heard(by, zone, at, overdue);
--- a/crates/core/src/leader/deaf.rs
+++ b/crates/core/src/leader/deaf.rs
@@ -82,7 +82,7 @@
 
     /// Whether others should ask it for this doubt: the last question had its time.
     pub(super) fn ask_due(&self, now: Micros) -> bool {
-        self.doubted_for(ASKED_WHEN, now) && now.since(self.asked_at) > ASK_TIMEOUT
+        self.doubted_for(ASKED_WHEN, now) && now.since(self.asked_at) > PROBE_TIMEOUT
     }
 
     /// It is asked by others.
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -32,7 +32,7 @@
 pub use wishes::{CloudWish, HireRequest, LeaderWrite};
 
 use crate::books::Ledgers;
-use crate::controller::{ASK_TIMEOUT, PROBE_AFTER, Sizes};
+use crate::controller::{PROBE_TIMEOUT, PROBE_AFTER, Sizes};
 use crate::dependencies::Urgency;
 use crate::fair_queue::FairQueue;
 use crate::fleet::{self, Demand, Offer, Policy, Room, Want};
