--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -72,7 +72,7 @@
 pub type Sizes = BTreeMap<String, Resources>;
 
 /// Reads the tasks of a report; `None` if the report makes no sense.
-pub fn read_tasks(r: &Report) -> Option<Vec<Held>> {
+pub fn parse_tasks(r: &Report) -> Option<Vec<Held>> {
     r.pieces
         .iter()
         .map(|p| {
--- a/crates/core/src/controller/orders.rs
+++ b/crates/core/src/controller/orders.rs
@@ -216,7 +216,7 @@
         match result {
             CallResult::Answer { status: status @ (200 | 409), body } => {
                 let report: Option<Report> = serde_json::from_slice(body).ok();
-                let Some((r, tasks)) = report.and_then(|r| read_tasks(&r).map(|t| (r, t))) else {
+                let Some((r, tasks)) = report.and_then(|r| parse_tasks(&r).map(|t| (r, t))) else {
                     warn!("{id}: unreadable report");
                     w.not_before = now + Micros::secs(1);
                     self.touch(id);
--- a/crates/core/src/controller/stops.rs
+++ b/crates/core/src/controller/stops.rs
@@ -31,7 +31,7 @@
     c.take_block(true, &[g], &[]);
     let mut ledger = Ledger::default();
     for tally in [1, 2] {
-        c.checkin(&report(tally), read_tasks(&report(tally)).unwrap(), &ledger, heard);
+        c.checkin(&report(tally), parse_tasks(&report(tally)).unwrap(), &ledger, heard);
     }
     // Its token is announced first.
     let mut out = Outbox::default();
--- a/crates/core/src/node/stand_in.rs
+++ b/crates/core/src/node/stand_in.rs
@@ -245,7 +245,7 @@
 
 fn readable_report(body: &[u8]) -> Option<(Report, Vec<Held>)> {
     let report: Report = serde_json::from_slice(body).ok()?;
-    let tasks = read_tasks(&report)?;
+    let tasks = parse_tasks(&report)?;
     Some((report, tasks))
 }
 
--- a/crates/core/src/node/workers.rs
+++ b/crates/core/src/node/workers.rs
@@ -6,7 +6,7 @@
         let Ok(r) = serde_json::from_slice::<Report>(body) else {
             return self.out.answer(id, 400, users::error("not a report"));
         };
-        let Some(tasks) = read_tasks(&r) else {
+        let Some(tasks) = parse_tasks(&r) else {
             return self.out.answer(id, 400, users::error("a task's name is unreadable"));
         };
         self.note_heartbeat(&r, &tasks);
@@ -79,7 +79,7 @@
     /// that the worker showed, so that nothing is started and a newer grant is
     /// not touched. Only what is over is stopped.
     fn keep_alive(&mut self, id: RequestId, r: &Report) {
-        let tasks = read_tasks(r).unwrap_or_default();
+        let tasks = parse_tasks(r).unwrap_or_default();
         let orders = Controller::stops_for_stranger(&tasks, &self.mirror.ledger);
         self.held_check_ins.kept_alive(MachineId::from(&*r.host), r.baton);
         self.renew(id, r.baton, orders);
@@ -137,7 +137,7 @@
             .collect();
         for m in due {
             let Some((id, r, _)) = self.held_check_ins.held.remove(&m) else { continue };
-            let tasks = read_tasks(&r).unwrap_or_default();
+            let tasks = parse_tasks(&r).unwrap_or_default();
             match self.ctl.checkin(&r, tasks, &self.mirror.ledger, self.now) {
                 CheckinReply::Orders(baton, orders) => self.renew(id, baton.0, orders),
                 CheckinReply::Elsewhere(to) | CheckinReply::Lost(to) => match self.holder_to_name(&m, to) {
--- a/crates/standins/src/scale.rs
+++ b/crates/standins/src/scale.rs
@@ -5,7 +5,7 @@
 use crate::cloud::flavor;
 use crate::worker::{Facts, Machine};
 use gorseshore_core::books::Kept;
-use gorseshore_core::controller::{CheckinReply, Controller, Sizes, read_tasks};
+use gorseshore_core::controller::{CheckinReply, Controller, Sizes, parse_tasks};
 use gorseshore_core::jobs::{Ledger, job_value, keys, machines_value};
 use gorseshore_core::leader::{Context, Leader, View};
 use gorseshore_core::peer::Message;
@@ -236,7 +236,7 @@
         for w in &mut self.workers {
             let mut to = w.report_to;
             let r = w.report();
-            let Some(tasks) = read_tasks(&r) else { continue };
+            let Some(tasks) = parse_tasks(&r) else { continue };
             // 421 names the holder; the next one is asked then.
             for _ in 0..2 {
                 match self.controllers[to].checkin(&r, tasks.clone(), &self.ledger, self.now) {
