--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -152,7 +152,7 @@
 
     /// Stops what is over on a machine that this controller does not hold:
     /// nothing else may be ordered there.
-    pub fn stops_for_stranger(tasks: &[Held], ledger: &Ledger) -> Vec<Order> {
+    pub fn stops_for_unleased(tasks: &[Held], ledger: &Ledger) -> Vec<Order> {
         let unwanted = |t: &&Held| !t.state.exited() && over(ledger.jobs.get(&t.task.job), t.task.index);
         let halt = |t: &Held| Order {
             verb: "halt".into(),
@@ -233,7 +233,7 @@
             held(2, TaskState::Running),
             held(2, TaskState::Done),
         ];
-        let orders = Controller::stops_for_stranger(&tasks, &ledger);
+        let orders = Controller::stops_for_unleased(&tasks, &ledger);
         let got: Vec<(&str, &str)> = orders.iter().map(|o| (o.verb.as_str(), o.piece.as_str())).collect();
         assert_eq!(got, [("halt", "j-000001/0")]);
     }
--- a/crates/core/src/node/stand_in.rs
+++ b/crates/core/src/node/stand_in.rs
@@ -210,7 +210,7 @@
                 debug!("{machine}: its answer is older than another message, and changes nothing");
             }
         }
-        let unwanted = Controller::stops_for_stranger(&tasks, &self.mirror.ledger);
+        let unwanted = Controller::stops_for_unleased(&tasks, &self.mirror.ledger);
         let Some(stops) = self.deputy.answered(&r, unwanted) else { return };
         let call = self.out.call(Call {
             target: Target::Worker(r.addr),
--- a/crates/core/src/node/workers.rs
+++ b/crates/core/src/node/workers.rs
@@ -80,7 +80,7 @@
     /// not touched. Only what is over is stopped.
     fn keep_alive(&mut self, id: RequestId, r: &Report) {
         let tasks = parse_tasks(r).unwrap_or_default();
-        let orders = Controller::stops_for_stranger(&tasks, &self.mirror.ledger);
+        let orders = Controller::stops_for_unleased(&tasks, &self.mirror.ledger);
         self.held_check_ins.kept_alive(MachineId::from(&*r.host), r.baton);
         self.renew(id, r.baton, orders);
     }
