--- a/crates/core/src/controller/block.rs
+++ b/crates/core/src/controller/block.rs
@@ -5,7 +5,7 @@
 impl Controller {
     /// Takes what changed of the leader's block; `whole` if that is all of it.
     /// Returns how many machines were granted.
-    pub fn take_block(
+    pub fn apply_block(
         &mut self,
         whole: bool,
         block: &[GrantedMachine],
--- a/crates/core/src/controller/late.rs
+++ b/crates/core/src/controller/late.rs
@@ -58,7 +58,7 @@
     let mut c = Controller::default();
     let g = GrantedMachine { id: "m".into(), baton: Baton(7), addr: "m:1".into(), draining: false };
     assert!(c.accept_update(1, 1, 0));
-    c.take_block(true, &[g], &[]);
+    c.apply_block(true, &[g], &[]);
     c
 }
 
--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -206,13 +206,13 @@
         };
         let mut c = Controller::default();
         assert!(c.accept_update(1, 1, 0));
-        c.take_block(true, &[granted("a", 1), granted("b", 2)], &[]);
+        c.apply_block(true, &[granted("a", 1), granted("b", 2)], &[]);
         assert_eq!(told(&mut c, 1), (1, 0, "a,b".into()));
         // Not acknowledged: all of it again.
         assert_eq!(told(&mut c, 1), (2, 0, "a,b".into()));
         c.take_ack(2, Micros::secs(20));
         assert_eq!(told(&mut c, 1), (3, 2, String::new()));
-        c.take_block(false, &[granted("c", 3)], &[("a".into(), Some(NodeId(1)))]);
+        c.apply_block(false, &[granted("c", 3)], &[("a".into(), Some(NodeId(1)))]);
         assert_eq!(told(&mut c, 1), (4, 2, "c".into()));
         // An older acknowledgement that is the leader's newest word goes back.
         c.take_ack(1, Micros::secs(20));
--- a/crates/core/src/controller/stops.rs
+++ b/crates/core/src/controller/stops.rs
@@ -28,7 +28,7 @@
     let mut c = Controller::default();
     let g = GrantedMachine { id: "m".into(), baton: Baton(7), addr: "m:1".into(), draining: false };
     assert!(c.accept_update(1, 1, 0));
-    c.take_block(true, &[g], &[]);
+    c.apply_block(true, &[g], &[]);
     let mut ledger = Ledger::default();
     for tally in [1, 2] {
         c.checkin(&report(tally), parse_tasks(&report(tally)).unwrap(), &ledger, heard);
--- a/crates/core/src/node/peers.rs
+++ b/crates/core/src/node/peers.rs
@@ -155,7 +155,7 @@
                     return;
                 }
                 self.peers.lead_heard(term, from, self.now);
-                let added = self.ctl.take_block(base == 0, &block, &elsewhere);
+                let added = self.ctl.apply_block(base == 0, &block, &elsewhere);
                 if added > 0 {
                     debug!("block: {added} machines granted");
                 }
--- a/crates/standins/src/scale.rs
+++ b/crates/standins/src/scale.rs
@@ -190,7 +190,7 @@
                     if !c.accept_update(term, seq, base) {
                         continue;
                     }
-                    c.take_block(base == 0, &block, &elsewhere);
+                    c.apply_block(base == 0, &block, &elsewhere);
                     c.take_ack(ack, lease);
                     c.take_running(base == 0, &running);
                     c.take_handouts(&handouts, &self.ledger, &self.sizes, self.now);
