--- a/crates/core/src/controller/block.rs
+++ b/crates/core/src/controller/block.rs
@@ -73,7 +73,7 @@
     }
 
     /// Takes numbers of running tasks; `whole` if these are all.
-    pub fn take_running(&mut self, whole: bool, running: &[(JobId, u32)]) {
+    pub fn apply_running_counts(&mut self, whole: bool, running: &[(JobId, u32)]) {
         if whole {
             self.running.clear();
         }
--- a/crates/core/src/node/peers.rs
+++ b/crates/core/src/node/peers.rs
@@ -161,7 +161,7 @@
                 }
                 self.ctl.view_acknowledged(ack, self.now);
                 self.ctl.take_ack(ack, lease);
-                self.ctl.take_running(base == 0, &running);
+                self.ctl.apply_running_counts(base == 0, &running);
                 self.ctl.take_handouts(&handouts, &self.mirror.ledger, &self.catalogue.sizes, self.now);
                 self.ctl.take_stops(&stops);
                 self.answer_held();
--- a/crates/standins/src/scale.rs
+++ b/crates/standins/src/scale.rs
@@ -192,7 +192,7 @@
                     }
                     c.apply_block(base == 0, &block, &elsewhere);
                     c.take_ack(ack, lease);
-                    c.take_running(base == 0, &running);
+                    c.apply_running_counts(base == 0, &running);
                     c.take_handouts(&handouts, &self.ledger, &self.sizes, self.now);
                     c.take_stops(&stops);
                 }
