--- a/crates/core/src/controller/block.rs
+++ b/crates/core/src/controller/block.rs
@@ -86,7 +86,7 @@
     }
 
     /// The leader's acknowledgement of a view came.
-    pub fn view_acknowledged(&mut self, ack: u64, now: Micros) {
+    pub fn record_sync_ack(&mut self, ack: u64, now: Micros) {
         self.pacer.acknowledged(ack, now);
     }
 
--- a/crates/core/src/node/peers.rs
+++ b/crates/core/src/node/peers.rs
@@ -159,7 +159,7 @@
                 if added > 0 {
                     debug!("block: {added} machines granted");
                 }
-                self.ctl.view_acknowledged(ack, self.now);
+                self.ctl.record_sync_ack(ack, self.now);
                 self.ctl.take_ack(ack, lease);
                 self.ctl.apply_running_counts(base == 0, &running);
                 self.ctl.take_handouts(&handouts, &self.mirror.ledger, &self.catalogue.sizes, self.now);
