--- a/crates/core/src/controller/block.rs
+++ b/crates/core/src/controller/block.rs
@@ -91,7 +91,7 @@
     }
 
     /// The leader took the `Sync` numbered `ack`.
-    pub fn take_ack(&mut self, ack: u64, lease: Micros) {
+    pub fn apply_sync_ack(&mut self, ack: u64, lease: Micros) {
         self.base = ack;
         if let Some(sent) = self.sync_sent.get(&ack).copied() {
             // Less 0.1% for the drift between the clocks.
--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -210,12 +210,12 @@
         assert_eq!(told(&mut c, 1), (1, 0, "a,b".into()));
         // Not acknowledged: all of it again.
         assert_eq!(told(&mut c, 1), (2, 0, "a,b".into()));
-        c.take_ack(2, Micros::secs(20));
+        c.apply_sync_ack(2, Micros::secs(20));
         assert_eq!(told(&mut c, 1), (3, 2, String::new()));
         c.apply_block(false, &[granted("c", 3)], &[("a".into(), Some(NodeId(1)))]);
         assert_eq!(told(&mut c, 1), (4, 2, "c".into()));
         // An older acknowledgement that is the leader's newest word goes back.
-        c.take_ack(1, Micros::secs(20));
+        c.apply_sync_ack(1, Micros::secs(20));
         assert_eq!(told(&mut c, 1), (5, 1, "c".into()));
         // A leader of another term has taken nothing.
         assert_eq!(told(&mut c, 2), (6, 0, "b,c".into()));
--- a/crates/core/src/node/peers.rs
+++ b/crates/core/src/node/peers.rs
@@ -160,7 +160,7 @@
                     debug!("block: {added} machines granted");
                 }
                 self.ctl.record_sync_ack(ack, self.now);
-                self.ctl.take_ack(ack, lease);
+                self.ctl.apply_sync_ack(ack, lease);
                 self.ctl.apply_running_counts(base == 0, &running);
                 self.ctl.take_handouts(&handouts, &self.mirror.ledger, &self.catalogue.sizes, self.now);
                 self.ctl.take_stops(&stops);
--- a/crates/standins/src/scale.rs
+++ b/crates/standins/src/scale.rs
@@ -191,7 +191,7 @@
                         continue;
                     }
                     c.apply_block(base == 0, &block, &elsewhere);
-                    c.take_ack(ack, lease);
+                    c.apply_sync_ack(ack, lease);
                     c.apply_running_counts(base == 0, &running);
                     c.take_handouts(&handouts, &self.ledger, &self.sizes, self.now);
                     c.take_stops(&stops);
