--- a/crates/core/src/controller/placing.rs
+++ b/crates/core/src/controller/placing.rs
@@ -4,7 +4,7 @@
 
 impl Controller {
     /// Takes hand-outs, starting what fits.
-    pub fn take_handouts(&mut self, handouts: &[Assignment], ledger: &Ledger, sizes: &Sizes, now: Micros) {
+    pub fn apply_assignments(&mut self, handouts: &[Assignment], ledger: &Ledger, sizes: &Sizes, now: Micros) {
         for h in handouts {
             if self.outcomes.contains_key(&h.attempt) {
                 continue;
--- a/crates/core/src/node/peers.rs
+++ b/crates/core/src/node/peers.rs
@@ -162,7 +162,7 @@
                 self.ctl.record_sync_ack(ack, self.now);
                 self.ctl.apply_sync_ack(ack, lease);
                 self.ctl.apply_running_counts(base == 0, &running);
-                self.ctl.take_handouts(&handouts, &self.mirror.ledger, &self.catalogue.sizes, self.now);
+                self.ctl.apply_assignments(&handouts, &self.mirror.ledger, &self.catalogue.sizes, self.now);
                 self.ctl.take_stops(&stops);
                 self.answer_held();
                 self.drive();
--- a/crates/standins/src/scale.rs
+++ b/crates/standins/src/scale.rs
@@ -193,7 +193,7 @@
                     c.apply_block(base == 0, &block, &elsewhere);
                     c.apply_sync_ack(ack, lease);
                     c.apply_running_counts(base == 0, &running);
-                    c.take_handouts(&handouts, &self.ledger, &self.sizes, self.now);
+                    c.apply_assignments(&handouts, &self.ledger, &self.sizes, self.now);
                     c.take_stops(&stops);
                 }
                 Message::Books(page) => {
