--- a/crates/core/src/controller/placing.rs
+++ b/crates/core/src/controller/placing.rs
@@ -90,7 +90,7 @@
     }
 
     /// Takes the leader's stops.
-    pub fn take_stops(&mut self, stops: &[StopRequest]) {
+    pub fn apply_stops(&mut self, stops: &[StopRequest]) {
         for s in stops {
             if let Some(w) = self.workers.get_mut(&s.machine) {
                 let k = (s.task, s.attempt);
--- a/crates/core/src/node/peers.rs
+++ b/crates/core/src/node/peers.rs
@@ -163,7 +163,7 @@
                 self.ctl.apply_sync_ack(ack, lease);
                 self.ctl.apply_running_counts(base == 0, &running);
                 self.ctl.apply_assignments(&handouts, &self.mirror.ledger, &self.catalogue.sizes, self.now);
-                self.ctl.take_stops(&stops);
+                self.ctl.apply_stops(&stops);
                 self.answer_held();
                 self.drive();
                 self.sync(false);
--- a/crates/standins/src/scale.rs
+++ b/crates/standins/src/scale.rs
@@ -194,7 +194,7 @@
                     c.apply_sync_ack(ack, lease);
                     c.apply_running_counts(base == 0, &running);
                     c.apply_assignments(&handouts, &self.ledger, &self.sizes, self.now);
-                    c.take_stops(&stops);
+                    c.apply_stops(&stops);
                 }
                 Message::Books(page) => {
                     let seq = self.kept.take(page);
