--- a/crates/core/src/controller/view.rs
+++ b/crates/core/src/controller/view.rs
@@ -70,7 +70,7 @@
     }
 
     /// Whether the leader of `term` knows nothing of this controller yet.
-    pub fn unknown_to(&self, term: u64) -> bool {
+    pub fn needs_full_sync(&self, term: u64) -> bool {
         term != self.term || self.base == 0
     }
 }
--- a/crates/core/src/node/peers.rs
+++ b/crates/core/src/node/peers.rs
@@ -220,7 +220,7 @@
         let term = self.leader_term();
         let first = std::mem::replace(&mut self.peers.sync_term, term) != term;
         // A leader that has acknowledged nothing is sent everything, less often.
-        let pause = match (self.ctl.dirty, self.ctl.unknown_to(term)) {
+        let pause = match (self.ctl.dirty, self.ctl.needs_full_sync(term)) {
             (true, true) => WHOLE_VIEW_INTERVAL,
             (true, false) => VIEW_INTERVAL,
             (false, _) => IDLE_VIEW_INTERVAL,
