--- a/crates/core/src/controller/late.rs
+++ b/crates/core/src/controller/late.rs
@@ -50,7 +50,7 @@
     (w.number(), w.seen_baton, w.tasks.clone(), w.warning.is_some(), w.heard, exits, w.starts.len())
 }
 
-fn give(c: &mut Controller, r: &Report, at: u64) -> CheckinReply {
+fn give(c: &mut Controller, r: &Report, at: u64) -> HeartbeatReply {
     c.checkin(r, parse_tasks(r).unwrap(), &Ledger::default(), Micros::secs(at))
 }
 
@@ -85,7 +85,7 @@
         for i in &order {
             let reply = give(&mut c, &history[i % history.len()], 90);
             // A copy draws no order.
-            prop_assert_eq!(reply, CheckinReply::Orders(Baton(7), Vec::new()));
+            prop_assert_eq!(reply, HeartbeatReply::Orders(Baton(7), Vec::new()));
         }
         prop_assert_eq!(format!("{:?}", seen(&c)), before);
         prop_assert_eq!((c.sync_seq, c.dirty), (sync, dirty), "a copy is no news");
--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -94,7 +94,7 @@
 
 /// What to answer to a check-in.
 #[derive(Debug, PartialEq)]
-pub enum CheckinReply {
+pub enum HeartbeatReply {
     /// 200 with these orders.
     Orders(Baton, Vec<Order>),
     /// 421, naming the holder if it is known.
@@ -120,22 +120,22 @@
     }
 
     /// A check-in.
-    pub fn checkin(&mut self, r: &Report, tasks: Vec<Held>, ledger: &Ledger, now: Micros) -> CheckinReply {
+    pub fn checkin(&mut self, r: &Report, tasks: Vec<Held>, ledger: &Ledger, now: Micros) -> HeartbeatReply {
         let id = MachineId::from(&*r.host);
         let Some(w) = self.workers.get_mut(&id) else {
-            return CheckinReply::Elsewhere(self.directory.get(&id).copied());
+            return HeartbeatReply::Elsewhere(self.directory.get(&id).copied());
         };
         if Baton(r.baton) > w.baton {
             // Somebody holds it under a higher token: this node's word is void.
             info!("{id}: lost to a higher token {}", r.baton);
             self.workers.remove(&id);
             let to = self.directory.remove(&id);
-            return CheckinReply::Lost(to);
+            return HeartbeatReply::Lost(to);
         }
         let before = w.outline();
         if !w.take(r, tasks, true, now) {
             // A late report: its sender is gone, and its tasks are old.
-            return CheckinReply::Orders(w.baton, Vec::new());
+            return HeartbeatReply::Orders(w.baton, Vec::new());
         }
         // A report that says nothing new waits for the next `Sync` that is due.
         w.reported = self.sync_seq + 1;
@@ -147,7 +147,7 @@
         let may_start = now < self.lease_until;
         let orders = self.orders(&id, ledger, true, may_start);
         let w = &self.workers[&id];
-        CheckinReply::Orders(w.baton, orders)
+        HeartbeatReply::Orders(w.baton, orders)
     }
 
     /// Stops what is over on a machine that this controller does not hold:
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -29,7 +29,7 @@
 use waiting::{MAX_WAITING, UserWrite, Users, Waiter};
 
 use crate::books::{Book, Kept};
-use crate::controller::{CheckinReply, Controller, parse_tasks};
+use crate::controller::{HeartbeatReply, Controller, parse_tasks};
 use crate::deputy::Deputy;
 use crate::election::Role;
 use crate::guest::{Guest, GuestInput, GuestOutput, Host, Ticket};
--- a/crates/core/src/node/workers.rs
+++ b/crates/core/src/node/workers.rs
@@ -20,19 +20,19 @@
             return self.send_elsewhere(id, None);
         }
         match self.ctl.checkin(&r, tasks, &self.mirror.ledger, self.now) {
-            CheckinReply::Orders(baton, orders) => self.renew(id, baton.0, orders),
-            CheckinReply::Elsewhere(to) | CheckinReply::Lost(to)
+            HeartbeatReply::Orders(baton, orders) => self.renew(id, baton.0, orders),
+            HeartbeatReply::Elsewhere(to) | HeartbeatReply::Lost(to)
                 if !self.held_check_ins.is_news(&machine, r.number()) =>
             {
                 // A copy, or held up on the way: nobody waits for the answer.
                 self.send_elsewhere(id, to);
             }
-            reply @ (CheckinReply::Elsewhere(to) | CheckinReply::Lost(to)) => {
+            reply @ (HeartbeatReply::Elsewhere(to) | HeartbeatReply::Lost(to)) => {
                 self.tell_seen(&machine, MachineRecord::of(&r), r.number(), false);
                 // Others reach it if it has a token from them, here or since it was
                 // kept alive here; one without tasks loses nothing on its way to them.
                 let kept = self.held_check_ins.kept.get(&machine).copied();
-                let lost = matches!(reply, CheckinReply::Lost(_))
+                let lost = matches!(reply, HeartbeatReply::Lost(_))
                     || kept.is_some_and(|b| r.baton > b)
                     || r.pieces.is_empty();
                 match self.holder_to_name(&machine, to) {
@@ -139,8 +139,8 @@
             let Some((id, r, _)) = self.held_check_ins.held.remove(&m) else { continue };
             let tasks = parse_tasks(&r).unwrap_or_default();
             match self.ctl.checkin(&r, tasks, &self.mirror.ledger, self.now) {
-                CheckinReply::Orders(baton, orders) => self.renew(id, baton.0, orders),
-                CheckinReply::Elsewhere(to) | CheckinReply::Lost(to) => match self.holder_to_name(&m, to) {
+                HeartbeatReply::Orders(baton, orders) => self.renew(id, baton.0, orders),
+                HeartbeatReply::Elsewhere(to) | HeartbeatReply::Lost(to) => match self.holder_to_name(&m, to) {
                     Some(n) => self.send_elsewhere(id, Some(n)),
                     None => self.keep_alive(id, &r),
                 },
--- a/crates/standins/src/scale.rs
+++ b/crates/standins/src/scale.rs
@@ -5,7 +5,7 @@
 use crate::cloud::flavor;
 use crate::worker::{Facts, Machine};
 use gorseshore_core::books::Kept;
-use gorseshore_core::controller::{CheckinReply, Controller, Sizes, parse_tasks};
+use gorseshore_core::controller::{HeartbeatReply, Controller, Sizes, parse_tasks};
 use gorseshore_core::jobs::{Ledger, job_value, keys, machines_value};
 use gorseshore_core::leader::{Context, Leader, View};
 use gorseshore_core::peer::Message;
@@ -240,14 +240,14 @@
             // 421 names the holder; the next one is asked then.
             for _ in 0..2 {
                 match self.controllers[to].checkin(&r, tasks.clone(), &self.ledger, self.now) {
-                    CheckinReply::Orders(baton, orders) if baton.0 >= w.baton => {
+                    HeartbeatReply::Orders(baton, orders) if baton.0 >= w.baton => {
                         w.baton = baton.0;
                         w.execute(&orders, &facts, self.now.0);
                         w.advance(&facts, self.now.0);
                         break;
                     }
-                    CheckinReply::Orders(..) => break,
-                    CheckinReply::Elsewhere(holder) | CheckinReply::Lost(holder) => {
+                    HeartbeatReply::Orders(..) => break,
+                    HeartbeatReply::Elsewhere(holder) | HeartbeatReply::Lost(holder) => {
                         to = holder.map_or((to + 1) % self.controllers.len(), |n| n.0 as usize);
                     }
                 }
