--- a/crates/core/src/leader/cancelled.rs
+++ b/crates/core/src/leader/cancelled.rs
@@ -6,11 +6,11 @@
 use run::Binding;
 
 impl Leader {
-    /// Whether a start of a cancelled job may still be ordered. `known_by` are the processes
+    /// Whether a start of a cancelled job may still be ordered. `acknowledged_by` are the processes
     /// that act on the cancellation, by controller; `ended` are controllers whose hosts say
     /// that their process is gone.
-    pub fn start_may_follow(&self, id: JobId, known_by: &[u64], ended: &[NodeId], now: Micros) -> bool {
-        let unaware = self.unaware(known_by, ended, now);
+    pub fn start_may_follow(&self, id: JobId, acknowledged_by: &[u64], ended: &[NodeId], now: Micros) -> bool {
+        let unaware = self.unaware(acknowledged_by, ended, now);
         if unaware.is_empty() {
             return false;
         }
@@ -24,10 +24,10 @@
 
     /// Controllers that may start tasks and don't act on a cancellation. The lease that
     /// one has of a leader began before the leader last heard it, or before this term.
-    fn unaware(&self, known_by: &[u64], ended: &[NodeId], now: Micros) -> Vec<NodeId> {
+    fn unaware(&self, acknowledged_by: &[u64], ended: &[NodeId], now: Micros) -> Vec<NodeId> {
         let may_start = |(i, node): &(usize, &Node)| {
             let n = NodeId(*i as u8);
-            let known = known_by.get(*i).is_some_and(|process| *process >= node.incarnation.max(1));
+            let known = acknowledged_by.get(*i).is_some_and(|process| *process >= node.incarnation.max(1));
             let lease_until = node.heard.unwrap_or(self.began) + self.ctx.operator.block_lease;
             n != self.ctx.me && !known && !ended.contains(&n) && now < lease_until
         };
--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -1016,7 +1016,7 @@
             false,
         ),
     ];
-    for (what, step, known_by, ended, later, want) in cases {
+    for (what, step, acknowledged_by, ended, later, want) in cases {
         let mut b = Bench::new(1);
         b.leader.grant(&m("m0"), B, "test", b.now);
         b.confirm("m0", &[]);
@@ -1026,7 +1026,7 @@
         b.sync(B, &[], &[]);
         step(&mut b, attempt);
         let ended: Vec<NodeId> = ended.into_iter().collect();
-        let got = b.leader.start_may_follow(JobId(1), known_by, &ended, b.now + later);
+        let got = b.leader.start_may_follow(JobId(1), acknowledged_by, &ended, b.now + later);
         assert_eq!(got, want, "{what}");
     }
 }
--- a/crates/core/src/node/cancellations.rs
+++ b/crates/core/src/node/cancellations.rs
@@ -66,13 +66,13 @@
     fn take(&mut self, c: &Cancellation, nodes: usize, now: Micros) -> bool {
         if let Some(k) = self.jobs.get_mut(&c.job) {
             k.record.told |= c.told;
-            for (mine, theirs) in k.record.known_by.iter_mut().zip(&c.known_by) {
+            for (mine, theirs) in k.record.acknowledged_by.iter_mut().zip(&c.acknowledged_by) {
                 *mine = (*mine).max(*theirs);
             }
             return false;
         }
         let mut record = c.clone();
-        record.known_by.resize(nodes, 0);
+        record.acknowledged_by.resize(nodes, 0);
         let sent = vec![None; nodes];
         self.jobs.insert(
             c.job,
@@ -150,7 +150,7 @@
             stamp: j.end_stamp,
             cause: j.cause.clone(),
             told: false,
-            known_by: Vec::new(),
+            acknowledged_by: Vec::new(),
         };
         self.cancellations.take(&record, self.nodes.names.len(), self.now);
     }
@@ -172,7 +172,7 @@
         let applied = self.mirror.ledger.applied >= k.record.stamp;
         let heard_know = self.peers.all().filter(|n| *n != self.nodes.me && self.hears(*n, HEARD)).all(|n| {
             let process = self.peers.states[n.0 as usize].incarnation;
-            k.record.known_by[n.0 as usize] >= process
+            k.record.acknowledged_by[n.0 as usize] >= process
         });
         applied && heard_know && {
             let vouched = k.led.max(self.vouched_term(k).unwrap_or(0));
@@ -184,7 +184,7 @@
     fn vouched_term(&self, k: &Known) -> Option<u64> {
         let leader = self.leadership.leader.as_ref()?;
         let ended: Vec<NodeId> = self.peers.all().filter(|n| self.peers.refuses(*n, self.now)).collect();
-        let open = leader.start_may_follow(k.record.job, &k.record.known_by, &ended, self.now);
+        let open = leader.start_may_follow(k.record.job, &k.record.acknowledged_by, &ended, self.now);
         (!open).then_some(leader.term)
     }
 
@@ -247,7 +247,7 @@
                 // Who is told the first time after the end learned of it in another
                 // way as a rule; then its acknowledgement comes with those of others.
                 let first = if waited || k.record.told { Micros(0) } else { AGAIN_LATER };
-                let knows = k.record.known_by[i] >= process && !(leads && waited && k.led < term);
+                let knows = k.record.acknowledged_by[i] >= process && !(leads && waited && k.led < term);
                 let news = k.announce && k.sent[i].is_none();
                 (!knows || news)
                     && now.since(k.since) >= first
@@ -316,7 +316,7 @@
 
     fn mark_known(&mut self, job: JobId, n: NodeId, process: u64) {
         if let Some(k) = self.cancellations.jobs.get_mut(&job) {
-            let known = &mut k.record.known_by[n.0 as usize];
+            let known = &mut k.record.acknowledged_by[n.0 as usize];
             *known = (*known).max(process);
         }
     }
@@ -338,7 +338,7 @@
             // A leader that didn't vouch for it may have waited for just this.
             if let Some(i) = leader.map(|n| n.0 as usize)
                 && k.led < term
-                && k.record.known_by[i] >= self.peers.states[i].incarnation.max(1)
+                && k.record.acknowledged_by[i] >= self.peers.states[i].incarnation.max(1)
             {
                 k.sent[i] = None;
             }
--- a/crates/core/src/peer.rs
+++ b/crates/core/src/peer.rs
@@ -151,7 +151,7 @@
     /// Everybody who has to know does: a user may be told of it.
     pub told: bool,
     /// Processes that know of it, by controller; 0 for none.
-    pub known_by: Vec<u64>,
+    pub acknowledged_by: Vec<u64>,
 }
 
 /// A message.
--- a/crates/core/tests/wire_compatibility.rs
+++ b/crates/core/tests/wire_compatibility.rs
@@ -240,14 +240,14 @@
     }
 }
 
-fn cancellation(cause: Option<&str>, told: bool, known_by: Vec<u64>) -> Cancellation {
+fn cancellation(cause: Option<&str>, told: bool, acknowledged_by: Vec<u64>) -> Cancellation {
     Cancellation {
         job: JobId(412),
         at_ms: 1_764_600_000_123,
         stamp: 5150,
         cause: cause.map(str::to_owned),
         told,
-        known_by,
+        acknowledged_by,
     }
 }
 
