--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -344,7 +344,7 @@
             match job.phase {
                 Phase::Aborted if job.settled => l.note_cancelled_by_another(*id, job),
                 Phase::Aborted => {
-                    let by = crate::deputy::cancellation_deadline(job.ended_ms, wall_ms, l.ctx.cancel, now);
+                    let by = crate::cancellation_enforcer::cancellation_deadline(job.ended_ms, wall_ms, l.ctx.cancel, now);
                     l.aborted.insert(*id, by);
                 }
                 _ => l.job_changed(*id, ledger, now),
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -4,7 +4,7 @@
 pub mod books;
 pub mod controller;
 pub mod dependencies;
-pub mod deputy;
+pub mod cancellation_enforcer;
 pub mod election;
 pub mod fair_queue;
 pub mod fleet;
--- a/crates/core/src/liveness.rs
+++ b/crates/core/src/liveness.rs
@@ -12,7 +12,7 @@
 mod reachability;
 mod silence;
 
-use crate::deputy::{Evidence, ProbeReason, Suspect};
+use crate::cancellation_enforcer::{Evidence, ProbeReason, Suspect};
 use crate::lateness::Lateness;
 use gorseshore_protocol::cloud::Rental;
 use gorseshore_protocol::ids::{MachineId, Micros};
--- a/crates/core/src/liveness/tests/scenarios.rs
+++ b/crates/core/src/liveness/tests/scenarios.rs
@@ -6,13 +6,13 @@
 //! the placements until the deadline. A probe is answered after the machine's latency, or times out
 //! after 1.2 s.
 use super::*;
-use crate::deputy::{Act, Deputy};
+use crate::cancellation_enforcer::{Act, Deputy};
 use std::ops::Range;
 
 mod degraded;
 
 const CANCEL: u64 = 30_000;
-/// One second is reserved for the difference between the clocks (`deputy::cancellation_deadline`).
+/// One second is reserved for the difference between the clocks (`cancellation_enforcer::cancellation_deadline`).
 const DEADLINE: u64 = CANCEL - 1_000;
 const LEASE: Micros = Micros::secs(12);
 const TICK: u64 = 20;
--- a/crates/core/src/node/knowledge.rs
+++ b/crates/core/src/node/knowledge.rs
@@ -5,7 +5,7 @@
 //! service, all who know may have ended; then only the silence of a machine is left to go by
 //! (`crate::liveness`).
 use super::*;
-use crate::deputy::cancellation_deadline;
+use crate::cancellation_enforcer::cancellation_deadline;
 
 /// Silent machines go one by one until this part of a cancellation's time has passed, in
 /// hundredths, where nobody knows since when there are cancellations.
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -30,7 +30,7 @@
 
 use crate::books::{Book, Kept};
 use crate::controller::{HeartbeatReply, Controller, parse_tasks};
-use crate::deputy::Deputy;
+use crate::cancellation_enforcer::Deputy;
 use crate::election::Role;
 use crate::guest::{Guest, GuestInput, GuestOutput, Host, Ticket};
 use crate::jobs::{self, Change, LeaderRecord, Ledger, MachineRecord, Phase, keys};
--- a/crates/core/src/node/stand_in.rs
+++ b/crates/core/src/node/stand_in.rs
@@ -1,6 +1,6 @@
 //! A witness's work in place of a leader that is silent (`crate::deputy`).
 use super::*;
-use crate::deputy::{Act, Evidence, LEADER_SILENCE_TIMEOUT, Suspect, cancellation_deadline};
+use crate::cancellation_enforcer::{Act, Evidence, LEADER_SILENCE_TIMEOUT, Suspect, cancellation_deadline};
 use crate::jobs::Job;
 use crate::liveness::LivenessSummary;
 use crate::peer::Held;
--- a/crates/core/src/node/stand_in/tests.rs
+++ b/crates/core/src/node/stand_in/tests.rs
@@ -1,6 +1,6 @@
 //! What a node makes of heartbeats and answers while silence is all there is to go by.
 use super::*;
-use crate::deputy::ProbeReason;
+use crate::cancellation_enforcer::ProbeReason;
 use gorseshore_protocol::cloud::Rental;
 use serde_json::json;
 
