--- a/crates/core/src/cancellation_enforcer.rs
+++ b/crates/core/src/cancellation_enforcer.rs
@@ -66,9 +66,9 @@
 
 /// An action that the node carries out.
 #[derive(Debug, PartialEq)]
-pub enum Act {
+pub enum EnforcementAction {
     /// Query these machines for their reports.
-    Ask(Vec<MachineId>),
+    Probe(Vec<MachineId>),
     /// Delete these machines.
     Delete(Vec<MachineId>),
 }
@@ -103,7 +103,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Suspect {
     /// The earliest deadline of these tasks.
-    pub by: Micros,
+    pub deadline: Micros,
     /// Why they may be there.
     pub evidence: Evidence,
 }
@@ -180,7 +180,7 @@
 
 /// Probes and deletions that enforce cancellations without a leader.
 #[derive(Debug, Default)]
-pub struct Deputy {
+pub struct CancellationEnforcer {
     incarnation: u64,
     /// The last known term, and since when it is known.
     term: (u64, Micros),
@@ -191,10 +191,10 @@
     next_delete_at: Micros,
 }
 
-impl Deputy {
+impl CancellationEnforcer {
     /// Without suspects. The incarnation of the process decides the order of its first probes.
     pub fn new(incarnation: u64) -> Self {
-        Deputy { incarnation, ..Deputy::default() }
+        CancellationEnforcer { incarnation, ..CancellationEnforcer::default() }
     }
 
     /// Whether the leader of `term` has led for long enough to have taken over the enforcement of
@@ -207,12 +207,12 @@
     }
 
     /// Forgets all suspects: a leader enforces the cancellations, with better knowledge.
-    pub fn stand_down(&mut self) {
+    pub fn reset(&mut self) {
         self.suspects.clear();
     }
 
     /// Whether the next scan is due; if so, it counts as begun.
-    pub fn due(&mut self, now: Micros) -> bool {
+    pub fn scan_due(&mut self, now: Micros) -> bool {
         let due = now.since(self.scanned_at) >= SCAN_INTERVAL;
         if due {
             self.scanned_at = now;
@@ -228,7 +228,7 @@
         cancel: Micros,
         machines: usize,
         now: Micros,
-    ) -> Vec<Act> {
+    ) -> Vec<EnforcementAction> {
         // Deletions begin at the same share of the cancellation time as a leader's
         // (`leader/blocks.rs`), and the last one leaves while a twentieth remains. The machines
         // are probed well before.
@@ -236,7 +236,7 @@
         let deletable = suspects.values().filter(|s| s.may_be_deleted()).count();
         let delete_before = delete_before(deletable, cancel);
         let mut order: Vec<(Micros, &MachineId, &Suspect)> =
-            suspects.iter().map(|(id, s)| (s.by, id, s)).collect();
+            suspects.iter().map(|(id, s)| (s.deadline, id, s)).collect();
         order.sort_by_key(|(by, id, _)| (*by, *id));
         let mut due_probes = Vec::new();
         let mut due_deletions = Vec::new();
@@ -276,7 +276,7 @@
         }
         let mut actions = Vec::new();
         if !probe.is_empty() {
-            actions.push(Act::Ask(probe));
+            actions.push(EnforcementAction::Probe(probe));
         }
         if now < self.next_delete_at {
             return actions;
@@ -284,7 +284,7 @@
         let delete = self.choose_deletions(due_deletions, unanswered, cancel, machines, now);
         if !delete.is_empty() {
             self.next_delete_at = now + MIN_DELETE_INTERVAL;
-            actions.push(Act::Delete(delete));
+            actions.push(EnforcementAction::Delete(delete));
         }
         actions
     }
@@ -356,7 +356,7 @@
 
     /// Records a machine's report and returns the stop orders for its cancelled tasks. They carry
     /// the fencing token and the agent epoch of the report, so that a newer grant is not affected.
-    pub fn answered(&mut self, r: &Report, unwanted: Vec<Order>) -> Option<Direct> {
+    pub fn record_probe_response(&mut self, r: &Report, unwanted: Vec<Order>) -> Option<Direct> {
         let p = self.suspects.get_mut(&MachineId::from(&*r.host))?;
         let reported = r.pieces.iter().filter_map(|t| Some((TaskId::parse(&t.piece)?, Attempt(t.attempt))));
         p.reported.extend(reported);
@@ -366,7 +366,7 @@
 
     /// Records the result of a deletion: `Some(true)` if it was carried out, `Some(false)` if it was
     /// refused or not sent, `None` if that is unknown.
-    pub fn deleted(&mut self, ids: &[MachineId], done: Option<bool>, now: Micros) {
+    pub fn record_deletion_result(&mut self, ids: &[MachineId], done: Option<bool>, now: Micros) {
         for id in ids {
             if let Some(p) = self.suspects.get_mut(id) {
                 p.deleted |= done == Some(true);
--- a/crates/core/src/cancellation_enforcer/tests.rs
+++ b/crates/core/src/cancellation_enforcer/tests.rs
@@ -13,7 +13,7 @@
 fn suspects(machines: usize, starting: bool) -> BTreeMap<MachineId, Suspect> {
     let suspect = |i: usize| {
         let starts = starting.then(|| task(i)).into_iter().collect();
-        Suspect { by: CONFIRMED + CANCEL, evidence: Evidence::Placement { starts } }
+        Suspect { deadline: CONFIRMED + CANCEL, evidence: Evidence::Placement { starts } }
     };
     (0..machines).map(|i| (MachineId::from(&*format!("m{i}")), suspect(i))).collect()
 }
@@ -47,27 +47,27 @@
 /// 68 s and by the end. The cloud refuses deletions before `cloud_from` milliseconds.
 fn run(n: usize, all: usize, starting: bool, answer: Answer, cloud_from: u64) -> (usize, usize) {
     let suspects = suspects(n, starting);
-    let mut d = Deputy::default();
+    let mut d = CancellationEnforcer::default();
     let (mut early, mut deleted) = (0, BTreeSet::new());
     for ms in (0..96_000).step_by(100) {
         let now = CONFIRMED + Micros::millis(ms);
-        if !d.due(now) {
+        if !d.scan_due(now) {
             continue;
         }
         for action in d.tick(&suspects, CANCEL, all, now) {
             match action {
-                Act::Ask(ids) => {
+                EnforcementAction::Probe(ids) => {
                     assert!(ms >= 30_000, "probed at {ms} ms");
                     assert!(ids.len() <= MAX_PROBES_PER_SCAN);
                     for id in ids.iter().filter(|_| answer != Nothing) {
-                        assert!(d.answered(&report(id.as_str(), answer), Vec::new()).is_none());
+                        assert!(d.record_probe_response(&report(id.as_str(), answer), Vec::new()).is_none());
                     }
                 }
-                Act::Delete(ids) => {
+                EnforcementAction::Delete(ids) => {
                     assert!(ms >= 65_000, "deleted at {ms} ms");
                     assert!(ids.len() <= MAX_NAMES_PER_DELETE);
                     let done = ms >= cloud_from;
-                    d.deleted(&ids, Some(done), now);
+                    d.record_deletion_result(&ids, Some(done), now);
                     if done {
                         ids.into_iter()
                             .for_each(|id| assert!(deleted.insert(id), "deleted twice at {ms} ms"));
@@ -116,14 +116,14 @@
     for (machines, earliest) in [(1_000, 16_275), (4_000, 19_825), (6_000, 27_825)] {
         let by = CONFIRMED + cancel;
         let mut suspects = suspects(machines, false);
-        suspects.values_mut().for_each(|s| s.by = by);
-        let (mut enforcer, mut deleted) = (Deputy::default(), BTreeSet::new());
+        suspects.values_mut().for_each(|s| s.deadline = by);
+        let (mut enforcer, mut deleted) = (CancellationEnforcer::default(), BTreeSet::new());
         for ms in (0..46_500).step_by(200) {
             let now = CONFIRMED + Micros::millis(ms);
             for action in enforcer.tick(&suspects, cancel, machines, now) {
-                let Act::Delete(ids) = action else { continue };
+                let EnforcementAction::Delete(ids) = action else { continue };
                 assert!(46_500 - ms <= earliest, "{machines} machines: deleted at {ms} ms");
-                enforcer.deleted(&ids, Some(true), now);
+                enforcer.record_deletion_result(&ids, Some(true), now);
                 deleted.extend(ids);
             }
         }
@@ -134,20 +134,23 @@
 /// A machine deleted before it could answer a probe may have been healthy.
 #[test]
 fn no_machine_is_deleted_before_it_had_time_to_answer_a_probe() {
-    let mut d = Deputy::default();
+    let mut d = CancellationEnforcer::default();
     let late = CONFIRMED + CANCEL + Micros::secs(500);
     for ms in (0..1500).step_by(200) {
         for action in d.tick(&suspects(3, true), CANCEL, 40, late + Micros::millis(ms)) {
-            assert!(matches!(action, Act::Ask(_)), "{action:?} after {ms} ms");
+            assert!(matches!(action, EnforcementAction::Probe(_)), "{action:?} after {ms} ms");
         }
     }
     let actions = d.tick(&suspects(3, true), CANCEL, 40, late + PROBE_RETRY_INTERVAL);
-    assert!(actions.iter().any(|a| matches!(a, Act::Delete(ids) if ids.len() == 3)), "{actions:?}");
+    assert!(
+        actions.iter().any(|a| matches!(a, EnforcementAction::Delete(ids) if ids.len() == 3)),
+        "{actions:?}"
+    );
 }
 
 #[test]
 fn a_succession_of_short_terms_does_not_count_as_established_leadership() {
-    let mut d = Deputy::default();
+    let mut d = CancellationEnforcer::default();
     // (seconds, term; whether leadership is established)
     let steps = [(0, 1, false), (3, 1, false), (4, 1, true), (5, 2, false), (8, 3, false), (13, 3, true)];
     for (s, term, want) in steps {
@@ -185,27 +188,27 @@
 /// and the highest number of machines deleted within any ten seconds.
 fn run_three(of: &ThreeProcesses) -> (usize, [usize; 3], usize) {
     let suspects = suspects(of.with_task, false);
-    let mut enforcers: Vec<Deputy> = (1..=3).map(Deputy::new).collect();
+    let mut enforcers: Vec<CancellationEnforcer> = (1..=3).map(CancellationEnforcer::new).collect();
     let mut deleted: BTreeMap<MachineId, u64> = BTreeMap::new();
     let mut names = [0; 3];
     for ms in (0..96_000).step_by(10) {
         let now = CONFIRMED + Micros::millis(ms);
         for (i, enforcer) in enforcers.iter_mut().enumerate() {
-            if !of.life[i].contains(&ms) || !enforcer.due(now) {
+            if !of.life[i].contains(&ms) || !enforcer.scan_due(now) {
                 continue;
             }
             for action in enforcer.tick(&suspects, CANCEL, 200, now) {
                 match action {
-                    Act::Ask(ids) => {
+                    EnforcementAction::Probe(ids) => {
                         let clears =
                             |id: &&MachineId| of.cleared[i].contains(&id.as_str()[1..].parse().unwrap());
                         for id in ids.iter().filter(clears) {
-                            enforcer.answered(&report(id.as_str(), Empty), Vec::new());
+                            enforcer.record_probe_response(&report(id.as_str(), Empty), Vec::new());
                         }
                     }
-                    Act::Delete(ids) => {
+                    EnforcementAction::Delete(ids) => {
                         names[i] += ids.len();
-                        enforcer.deleted(&ids, Some(true), now);
+                        enforcer.record_deletion_result(&ids, Some(true), now);
                         ids.into_iter().for_each(|id| {
                             deleted.entry(id).or_insert(ms);
                         });
--- a/crates/core/src/controller/block.rs
+++ b/crates/core/src/controller/block.rs
@@ -15,17 +15,17 @@
         if whole {
             let keep: BTreeSet<&MachineId> = block.iter().map(|g| &g.id).collect();
             self.workers.retain(|id, _| keep.contains(id));
-            self.directory.clear();
+            self.holders.clear();
         }
         for (id, holder) in elsewhere {
             self.workers.remove(id);
             match holder {
-                Some(n) => self.directory.insert(id.clone(), *n),
-                None => self.directory.remove(id),
+                Some(n) => self.holders.insert(id.clone(), *n),
+                None => self.holders.remove(id),
             };
         }
         for g in block {
-            self.directory.remove(&g.id);
+            self.holders.remove(&g.id);
             let w = self.workers.entry(g.id.clone()).or_insert_with(|| {
                 added += 1;
                 Worker::new(g)
@@ -34,8 +34,8 @@
             if w.addr.is_empty() {
                 w.addr = g.addr.clone();
             }
-            if g.baton > w.baton {
-                w.baton = g.baton;
+            if g.fencing_token > w.baton {
+                w.baton = g.fencing_token;
                 w.announce = true;
                 w.not_before = Micros(0);
                 added += 1;
@@ -62,7 +62,7 @@
             self.sync_sent.clear();
             self.pacer = Pacer::default();
             self.lease_until = Micros(0);
-            self.running.clear();
+            self.running_counts.clear();
             for w in self.workers.values_mut() {
                 w.exits.values_mut().for_each(|e| *e = None);
             }
@@ -75,12 +75,12 @@
     /// Takes numbers of running tasks; `whole` if these are all.
     pub fn apply_running_counts(&mut self, whole: bool, running: &[(JobId, u32)]) {
         if whole {
-            self.running.clear();
+            self.running_counts.clear();
         }
         for (id, n) in running {
             match n {
-                0 => self.running.remove(id),
-                n => self.running.insert(*id, *n),
+                0 => self.running_counts.remove(id),
+                n => self.running_counts.insert(*id, *n),
             };
         }
     }
--- a/crates/core/src/controller/late.rs
+++ b/crates/core/src/controller/late.rs
@@ -56,7 +56,7 @@
 
 fn controller() -> Controller {
     let mut c = Controller::default();
-    let g = GrantedMachine { id: "m".into(), baton: Baton(7), addr: "m:1".into(), draining: false };
+    let g = GrantedMachine { id: "m".into(), fencing_token: Baton(7), addr: "m:1".into(), draining: false };
     assert!(c.accept_update(1, 1, 0));
     c.apply_block(true, &[g], &[]);
     c
@@ -81,13 +81,13 @@
         give(&mut c, newest, 50);
         prop_assert_eq!(format!("{:?}", seen(&c)), format!("{:?}", seen(&alone)));
         let before = format!("{:?}", seen(&c));
-        let (sync, dirty) = (c.sync_seq, c.dirty);
+        let (sync, dirty) = (c.sync_seq, c.sync_pending);
         for i in &order {
             let reply = give(&mut c, &history[i % history.len()], 90);
             // A copy draws no order.
             prop_assert_eq!(reply, HeartbeatReply::Orders(Baton(7), Vec::new()));
         }
         prop_assert_eq!(format!("{:?}", seen(&c)), before);
-        prop_assert_eq!((c.sync_seq, c.dirty), (sync, dirty), "a copy is no news");
+        prop_assert_eq!((c.sync_seq, c.sync_pending), (sync, dirty), "a copy is no news");
     }
 }
--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -15,7 +15,8 @@
 use crate::jobs::{Job, Ledger, Phase};
 use crate::peer::pacing::Pacer;
 use crate::peer::{
-    GrantedMachine, Assignment, Held, MachineState, Message, Outcome, UnleasedReport, StopRequest, TaskState,
+    Assignment, AssignmentOutcome, GrantedMachine, MachineState, Message, StopRequest, TaskState, TaskStatus,
+    UnleasedReport,
 };
 use crate::placement::{self, Candidate};
 use crate::{Call, CallId, CallResult, Outbox, Target};
@@ -50,14 +51,14 @@
     /// what changed since.
     base: u64,
     /// Something changed that the leader should hear.
-    pub dirty: bool,
+    pub sync_pending: bool,
     /// Workers that something may have to be sent to.
     touched: BTreeSet<MachineId>,
     swept: Micros,
     /// Who holds which machine.
-    pub directory: BTreeMap<MachineId, NodeId>,
+    pub holders: BTreeMap<MachineId, NodeId>,
     /// Running tasks, as the leader last said.
-    pub running: BTreeMap<JobId, u32>,
+    pub running_counts: BTreeMap<JobId, u32>,
 }
 
 /// A worker that was silent for so long is asked by its holder.
@@ -69,10 +70,10 @@
 const SWEEP: Micros = Micros::millis(200);
 
 /// Sizes of machine types by name.
-pub type Sizes = BTreeMap<String, Resources>;
+pub type MachineSizes = BTreeMap<String, Resources>;
 
 /// Reads the tasks of a report; `None` if the report makes no sense.
-pub fn parse_tasks(r: &Report) -> Option<Vec<Held>> {
+pub fn parse_tasks(r: &Report) -> Option<Vec<TaskStatus>> {
     r.pieces
         .iter()
         .map(|p| {
@@ -87,7 +88,7 @@
                 // An unknown state is something that is there.
                 _ => TaskState::Running,
             };
-            Some(Held { task: TaskId::parse(&p.piece)?, attempt: Attempt(p.attempt), state })
+            Some(TaskStatus { task: TaskId::parse(&p.piece)?, attempt: Attempt(p.attempt), state })
         })
         .collect()
 }
@@ -98,9 +99,9 @@
     /// 200 with these orders.
     Orders(Baton, Vec<Order>),
     /// 421, naming the holder if it is known.
-    Elsewhere(Option<NodeId>),
+    Misdirected(Option<NodeId>),
     /// The same, and the worker has a token from somebody who reaches it.
-    Lost(Option<NodeId>),
+    Superseded(Option<NodeId>),
 }
 
 impl Controller {
@@ -110,7 +111,7 @@
     }
 
     /// Number of machines held.
-    pub fn held(&self) -> usize {
+    pub fn held_count(&self) -> usize {
         self.workers.len()
     }
 
@@ -120,17 +121,23 @@
     }
 
     /// A check-in.
-    pub fn checkin(&mut self, r: &Report, tasks: Vec<Held>, ledger: &Ledger, now: Micros) -> HeartbeatReply {
+    pub fn checkin(
+        &mut self,
+        r: &Report,
+        tasks: Vec<TaskStatus>,
+        ledger: &Ledger,
+        now: Micros,
+    ) -> HeartbeatReply {
         let id = MachineId::from(&*r.host);
         let Some(w) = self.workers.get_mut(&id) else {
-            return HeartbeatReply::Elsewhere(self.directory.get(&id).copied());
+            return HeartbeatReply::Misdirected(self.holders.get(&id).copied());
         };
         if Baton(r.baton) > w.baton {
             // Somebody holds it under a higher token: this node's word is void.
             info!("{id}: lost to a higher token {}", r.baton);
             self.workers.remove(&id);
-            let to = self.directory.remove(&id);
-            return HeartbeatReply::Lost(to);
+            let to = self.holders.remove(&id);
+            return HeartbeatReply::Superseded(to);
         }
         let before = w.outline();
         if !w.take(r, tasks, true, now) {
@@ -152,9 +159,10 @@
 
     /// Stops what is over on a machine that this controller does not hold:
     /// nothing else may be ordered there.
-    pub fn stops_for_unleased(tasks: &[Held], ledger: &Ledger) -> Vec<Order> {
-        let unwanted = |t: &&Held| !t.state.exited() && over(ledger.jobs.get(&t.task.job), t.task.index);
-        let halt = |t: &Held| Order {
+    pub fn stops_for_unleased(tasks: &[TaskStatus], ledger: &Ledger) -> Vec<Order> {
+        let unwanted =
+            |t: &&TaskStatus| !t.state.exited() && over(ledger.jobs.get(&t.task.job), t.task.index);
+        let halt = |t: &TaskStatus| Order {
             verb: "halt".into(),
             piece: t.task.to_string(),
             attempt: t.attempt.0,
@@ -169,7 +177,12 @@
     use super::*;
 
     fn granted(id: &str, baton: u64) -> GrantedMachine {
-        GrantedMachine { id: id.into(), baton: Baton(baton), addr: format!("{id}:1"), draining: false }
+        GrantedMachine {
+            id: id.into(),
+            fencing_token: Baton(baton),
+            addr: format!("{id}:1"),
+            draining: false,
+        }
     }
 
     #[test]
@@ -223,8 +236,11 @@
 
     #[test]
     fn a_stranger_is_only_told_to_stop_what_is_over() {
-        let held =
-            |job, state| Held { task: TaskId { job: JobId(job), index: 0 }, attempt: Attempt(job), state };
+        let held = |job, state| TaskStatus {
+            task: TaskId { job: JobId(job), index: 0 },
+            attempt: Attempt(job),
+            state,
+        };
         let mut ledger = Ledger::default();
         ledger.apply("g/x/j-000001", Some(&serde_json::json!({"end": "aborted", "at": 1})), 1);
         let tasks = [
--- a/crates/core/src/controller/orders.rs
+++ b/crates/core/src/controller/orders.rs
@@ -78,7 +78,7 @@
             w.changed = self.sync_seq + 1;
             w.reported = w.changed;
             self.touched.insert(id.clone());
-            self.dirty = true;
+            self.sync_pending = true;
         }
     }
 
@@ -114,7 +114,12 @@
     }
 
     /// Sends what is due to the workers, one call at a time to each.
-    pub fn drive(&mut self, ledger: &Ledger, now: Micros, out: &mut Outbox) -> Vec<(CallId, MachineId)> {
+    pub fn send_commands(
+        &mut self,
+        ledger: &Ledger,
+        now: Micros,
+        out: &mut Outbox,
+    ) -> Vec<(CallId, MachineId)> {
         let may_start = now < self.lease_until;
         // All are looked at now and then, for what time alone changes.
         let ids: Vec<MachineId> = if now.since(self.swept) >= SWEEP {
@@ -186,17 +191,17 @@
     }
 
     /// A direct call ended.
-    pub fn called(&mut self, id: &MachineId, call: CallId, result: &CallResult, now: Micros) {
+    pub fn call_completed(&mut self, id: &MachineId, call: CallId, result: &CallResult, now: Micros) {
         let Some(w) = self.workers.get_mut(id) else { return };
         if w.direct.as_ref().is_none_or(|d| d.call != call) {
             return;
         }
         let Some(d) = w.direct.take() else { return };
-        if let CallResult::Answer { status, .. } = result {
+        if let CallResult::Response { status, .. } = result {
             debug!("{id}: direct call answered {status}, {} starts", d.runs.len());
         }
         let fate = match result {
-            CallResult::Answer { status: 200 | 400 | 409, .. } | CallResult::NotSent => Sending::Settled,
+            CallResult::Response { status: 200 | 400 | 409, .. } | CallResult::NotSent => Sending::Settled,
             _ => Sending::Uncertain,
         };
         for k in &d.runs {
@@ -207,14 +212,14 @@
         // A stop that was not carried out goes out again, and so does one that may not have
         // been, where there is nothing to save: it does no harm twice, and a worker that
         // reaches nobody hears it in no other way.
-        let done = matches!(result, CallResult::Answer { status: 200, .. });
+        let done = matches!(result, CallResult::Response { status: 200, .. });
         for k in d.stops.iter().filter(|_| !done) {
             if let Some(s) = w.stops.get_mut(k).filter(|s| fate == Sending::Settled || s.grace.0 == 0) {
                 s.sent_direct = false;
             }
         }
         match result {
-            CallResult::Answer { status: status @ (200 | 409), body } => {
+            CallResult::Response { status: status @ (200 | 409), body } => {
                 let report: Option<Report> = serde_json::from_slice(body).ok();
                 let Some((r, tasks)) = report.and_then(|r| parse_tasks(&r).map(|t| (r, t))) else {
                     warn!("{id}: unreadable report");
@@ -240,7 +245,7 @@
                     w.announce = w.seen_baton < w.baton;
                 }
             }
-            CallResult::Answer { status, .. } => {
+            CallResult::Response { status, .. } => {
                 debug!("{id}: direct call answered {status}");
                 w.not_before = now + Micros::secs(1);
             }
--- a/crates/core/src/controller/placing.rs
+++ b/crates/core/src/controller/placing.rs
@@ -4,7 +4,13 @@
 
 impl Controller {
     /// Takes hand-outs, starting what fits.
-    pub fn apply_assignments(&mut self, handouts: &[Assignment], ledger: &Ledger, sizes: &Sizes, now: Micros) {
+    pub fn apply_assignments(
+        &mut self,
+        handouts: &[Assignment],
+        ledger: &Ledger,
+        sizes: &MachineSizes,
+        now: Micros,
+    ) {
         for h in handouts {
             if self.outcomes.contains_key(&h.attempt) {
                 continue;
@@ -15,7 +21,7 @@
                 None => debug!("{}: no room for hand-out {}", h.task, h.attempt.0),
             }
             self.outcomes.insert(h.attempt, Placed { machine, told: None });
-            self.dirty = true;
+            self.sync_pending = true;
         }
     }
 
@@ -23,7 +29,7 @@
         &mut self,
         h: &Assignment,
         ledger: &Ledger,
-        sizes: &Sizes,
+        sizes: &MachineSizes,
         now: Micros,
     ) -> Option<MachineId> {
         let job = ledger.jobs.get(&h.task.job)?;
@@ -34,8 +40,8 @@
         // The leader chose by the same measure and reserved room there: its
         // machine, if that will do, and the best of the others otherwise.
         let rate = |id: &MachineId, w: &Worker| self.rate(h, spec, id, w, ledger, sizes, now);
-        let id = match self.workers.get(&h.hint).and_then(|w| rate(&h.hint, w)) {
-            Some(_) => h.hint.clone(),
+        let id = match self.workers.get(&h.preferred_machine).and_then(|w| rate(&h.preferred_machine, w)) {
+            Some(_) => h.preferred_machine.clone(),
             None => self.workers.iter().filter_map(|(id, w)| Some((rate(id, w)?, id))).min()?.1.clone(),
         };
         let w = self.workers.get_mut(&id)?;
@@ -63,7 +69,7 @@
         id: &MachineId,
         w: &Worker,
         ledger: &Ledger,
-        sizes: &Sizes,
+        sizes: &MachineSizes,
         now: Micros,
     ) -> Option<placement::Score> {
         // Only machines granted before the hand-out: the leader bound the
--- a/crates/core/src/controller/stops.rs
+++ b/crates/core/src/controller/stops.rs
@@ -26,7 +26,7 @@
 /// A controller with a machine that runs a task of a job cancelled since.
 fn controller(heard: Micros) -> (Controller, Ledger) {
     let mut c = Controller::default();
-    let g = GrantedMachine { id: "m".into(), baton: Baton(7), addr: "m:1".into(), draining: false };
+    let g = GrantedMachine { id: "m".into(), fencing_token: Baton(7), addr: "m:1".into(), draining: false };
     assert!(c.accept_update(1, 1, 0));
     c.apply_block(true, &[g], &[]);
     let mut ledger = Ledger::default();
@@ -35,9 +35,9 @@
     }
     // Its token is announced first.
     let mut out = Outbox::default();
-    for (id, _) in c.drive(&ledger, heard, &mut out) {
+    for (id, _) in c.send_commands(&ledger, heard, &mut out) {
         let body = serde_json::to_vec(&report(3)).unwrap();
-        c.called(&"m".into(), id, &CallResult::Answer { status: 200, body }, heard);
+        c.call_completed(&"m".into(), id, &CallResult::Response { status: 200, body }, heard);
     }
     ledger.apply(&keys::end(JobId(1)), Some(&serde_json::json!({"end": "aborted", "at": 1})), 9);
     (c, ledger)
@@ -46,7 +46,7 @@
 /// The paths of the calls that go out, and whether they stop the task.
 fn driven(c: &mut Controller, ledger: &Ledger, now: Micros) -> Vec<(CallId, String, bool)> {
     let mut out = Outbox::default();
-    c.drive(ledger, now, &mut out);
+    c.send_commands(ledger, now, &mut out);
     let calls = out.items.into_iter().filter_map(|o| match o {
         Output::Call { id, call } => {
             let orders = serde_json::from_slice::<Direct>(&call.body).map(|d| d.orders).unwrap_or_default();
@@ -61,14 +61,14 @@
 fn a_stop_goes_out_until_it_is_carried_out() {
     let answer = |status| {
         let body = serde_json::to_vec(&report(9)).unwrap();
-        CallResult::Answer { status, body }
+        CallResult::Response { status, body }
     };
     // (what became of the call; whether it goes out again)
     let cases = [
         (CallResult::Unknown, true),
         (CallResult::NotSent, true),
         (answer(409), true),
-        (CallResult::Answer { status: 503, body: Vec::new() }, true),
+        (CallResult::Response { status: 503, body: Vec::new() }, true),
         (answer(200), false),
     ];
     for (result, again) in cases {
@@ -77,7 +77,7 @@
         let calls = driven(&mut c, &ledger, start + Micros::millis(300));
         assert_eq!(calls.len(), 1, "{result:?}: {calls:?}");
         assert!(calls[0].1 == "/do" && calls[0].2, "{result:?}: {calls:?}");
-        c.called(&"m".into(), calls[0].0, &result, start + Micros::millis(400));
+        c.call_completed(&"m".into(), calls[0].0, &result, start + Micros::millis(400));
         let calls = driven(&mut c, &ledger, start + Micros::millis(2200));
         let stopped = calls.iter().any(|(_, path, stops)| path == "/do" && *stops);
         assert_eq!(stopped, again, "{result:?}: {calls:?}");
--- a/crates/core/src/controller/view.rs
+++ b/crates/core/src/controller/view.rs
@@ -4,7 +4,13 @@
 
 impl Controller {
     /// What the leader of `term` has not acknowledged of this controller's view.
-    pub fn sync(&mut self, term: u64, strangers: Vec<UnleasedReport>, ledger: &Ledger, now: Micros) -> Message {
+    pub fn sync(
+        &mut self,
+        term: u64,
+        strangers: Vec<UnleasedReport>,
+        ledger: &Ledger,
+        now: Micros,
+    ) -> Message {
         self.sync_seq += 1;
         let seq = self.sync_seq;
         self.sync_sent.insert(seq, now);
@@ -12,7 +18,7 @@
         while self.sync_sent.len() > 64 {
             self.sync_sent.pop_first();
         }
-        self.dirty = false;
+        self.sync_pending = false;
         let (base, seen) = if term == self.term { (self.base, self.update_seq) } else { (0, 0) };
         let heard = self
             .workers
@@ -31,7 +37,7 @@
                 for (k, s) in &w.starts {
                     let in_report = w.tasks.iter().find(|t| (t.task, t.attempt) == *k);
                     if in_report.is_none() {
-                        tasks.push(Held { task: k.0, attempt: k.1, state: TaskState::Starting });
+                        tasks.push(TaskStatus { task: k.0, attempt: k.1, state: TaskState::Starting });
                     }
                     let unwanted = over(ledger.jobs.get(&k.0.job), k.0.index) || w.stops.contains_key(k);
                     let ended = in_report.is_some_and(|t| t.state.exited());
@@ -42,13 +48,13 @@
                 }
                 MachineState {
                     id: id.clone(),
-                    baton: w.baton,
-                    seen_baton: w.seen_baton,
-                    last: w.number(),
-                    obeys: w.obeys,
+                    fencing_token: w.baton,
+                    seen_fencing_token: w.seen_baton,
+                    last_report: w.number(),
+                    acknowledges_commands: w.obeys,
                     last_contact_age: w.heard.map(|t| now.since(t)),
-                    warning: w.warning.map(|(at, left)| left - now.since(at)),
-                    want_baton,
+                    preemption_notice: w.warning.map(|(at, left)| left - now.since(at)),
+                    needs_new_fencing_token: want_baton,
                     tasks,
                 }
             })
@@ -58,10 +64,19 @@
             .iter_mut()
             .map(|(a, p)| {
                 p.told = p.told.or(Some(seq));
-                Outcome { attempt: *a, machine: p.machine.clone() }
+                AssignmentOutcome { attempt: *a, machine: p.machine.clone() }
             })
             .collect();
-        Message::Sync { term, seq, base, seen, machines, heard, strangers, outcomes }
+        Message::Sync {
+            term,
+            seq,
+            base,
+            acked_update: seen,
+            machines,
+            contacts: heard,
+            unleased_reports: strangers,
+            outcomes,
+        }
     }
 
     /// Whether the leader may be sent a view, `interval` after the last one if it keeps up.
--- a/crates/core/src/controller/worker.rs
+++ b/crates/core/src/controller/worker.rs
@@ -56,7 +56,7 @@
     pub(super) obeys: bool,
     pub(super) heard: Option<Micros>,
     pub(super) warning: Option<(Micros, Micros)>,
-    pub(super) tasks: Vec<Held>,
+    pub(super) tasks: Vec<TaskStatus>,
     pub(super) starts: BTreeMap<(TaskId, Attempt), Start>,
     pub(super) stops: BTreeMap<(TaskId, Attempt), Stop>,
     /// Exited tasks and the `Sync` that first told of them.
@@ -74,7 +74,7 @@
 impl Worker {
     pub(super) fn new(g: &GrantedMachine) -> Self {
         Worker {
-            baton: g.baton,
+            baton: g.fencing_token,
             addr: g.addr.clone(),
             draining: g.draining,
             shift: 0,
@@ -106,7 +106,7 @@
 
     /// Takes a report that is newer than what is known. `checkin` is true if
     /// it came as a check-in, which proves earlier answers settled.
-    pub(super) fn take(&mut self, r: &Report, tasks: Vec<Held>, checkin: bool, now: Micros) -> bool {
+    pub(super) fn take(&mut self, r: &Report, tasks: Vec<TaskStatus>, checkin: bool, now: Micros) -> bool {
         if r.number() <= self.number() {
             return false;
         }
@@ -161,7 +161,7 @@
     }
 
     /// What a report can change that the leader has to hear at once.
-    pub(super) fn outline(&self) -> (u64, (Baton, bool), bool, Vec<Held>, usize) {
+    pub(super) fn outline(&self) -> (u64, (Baton, bool), bool, Vec<TaskStatus>, usize) {
         let told = (self.seen_baton, self.obeys);
         (self.shift, told, self.warning.is_some(), self.tasks.clone(), self.starts.len())
     }
--- a/crates/core/src/lateness.rs
+++ b/crates/core/src/lateness.rs
@@ -30,7 +30,7 @@
     }
 
     /// Records a tick.
-    pub(crate) fn works(&mut self, now: Micros) {
+    pub(crate) fn record_tick(&mut self, now: Micros) {
         if now.since(self.last_tick) > self.max_tick_gap {
             self.last_late_tick = Some(now);
         }
@@ -71,7 +71,7 @@
         ];
         for (ticks, last_contact, want) in cases {
             let mut lateness = Lateness::new(ms(1_000));
-            ticks.iter().for_each(|at| lateness.works(ms(*at)));
+            ticks.iter().for_each(|at| lateness.record_tick(ms(*at)));
             assert_eq!(lateness.silence_start(ms(last_contact)), ms(want), "{ticks:?} {last_contact}");
         }
     }
--- a/crates/core/src/leader/bindings.rs
+++ b/crates/core/src/leader/bindings.rs
@@ -60,16 +60,16 @@
         for s in view.strangers {
             if let Some(m) = self.machines.get(&s.id) {
                 let rec = m.record();
-                self.seen(from, s, &rec, &Sizes::new(), now);
+                self.seen(from, s, &rec, &MachineSizes::new(), now);
             }
         }
     }
 
-    pub(super) fn outcome(&mut self, from: NodeId, incarnation: u64, o: &Outcome) {
+    pub(super) fn outcome(&mut self, from: NodeId, incarnation: u64, o: &AssignmentOutcome) {
         let Some(OnItsWay { to, out: h, .. }) = self.handouts.remove(&o.attempt) else { return };
         debug_assert_eq!(to, from);
         self.dirty = true;
-        if let Some(m) = self.machines.get_mut(&h.hint) {
+        if let Some(m) = self.machines.get_mut(&h.preferred_machine) {
             m.reserved.remove(&o.attempt);
         }
         let Some(run) = self.jobs.get_mut(&h.task.job) else { return };
@@ -96,10 +96,10 @@
         let Some(m) = self.machines.get_mut(&s.id) else { return };
         if !self.granted {
             // What the controllers know already is no news when it comes again.
-            m.is_news(s.last, from);
+            m.is_news(s.last_report, from);
             // Gathering: who held it last under the highest token is its best holder.
-            if s.baton > m.baton && s.baton.term() < self.term {
-                m.baton = s.baton;
+            if s.fencing_token > m.baton && s.fencing_token.term() < self.term {
+                m.baton = s.fencing_token;
                 m.holder = Some(from);
             }
             return;
@@ -107,16 +107,16 @@
         // That it was heard is true under any token: a holder back from a cut
         // has not seen its newest grant, and its machines are not dead.
         if let Some(ago) = s.last_contact_age {
-            m.heard_at(now - ago, from, s.last);
+            m.heard_at(now - ago, from, s.last_report);
         }
-        if m.holder != Some(from) || m.baton != s.baton {
+        if m.holder != Some(from) || m.baton != s.fencing_token {
             return;
         }
-        m.warning = s.warning.map(|w| now + w);
-        m.want_baton = s.want_baton;
-        let confirmed = s.seen_baton >= m.baton;
+        m.warning = s.preemption_notice.map(|w| now + w);
+        m.want_baton = s.needs_new_fencing_token;
+        let confirmed = s.seen_fencing_token >= m.baton;
         if let Some(ago) = s.last_contact_age {
-            m.hearing.told(s.obeys, now - ago, now);
+            m.hearing.told(s.acknowledges_commands, now - ago, now);
         }
         let fresh = confirmed && !m.confirmed;
         if fresh {
@@ -368,7 +368,14 @@
     }
 
     /// A machine reported to a controller that doesn't hold it, or answered it.
-    pub fn seen(&mut self, from: NodeId, s: &UnleasedReport, rec: &MachineRecord, sizes: &Sizes, now: Micros) {
+    pub fn seen(
+        &mut self,
+        from: NodeId,
+        s: &UnleasedReport,
+        rec: &MachineRecord,
+        sizes: &MachineSizes,
+        now: Micros,
+    ) {
         let id = &s.id;
         if self.gone.contains_key(id) {
             return;
@@ -377,7 +384,7 @@
             // A copy of a report may outlive its machine, and a new leader has nothing
             // to compare it with: only a worker that answers is taken on. One that was
             // not expected and can't be asked shows in the cloud's list.
-            None if !s.asked => {
+            None if !s.probed => {
                 if self.last_seen.get(id).is_none_or(|(_, t)| now.since(*t) > Micros::millis(1500)) {
                     self.last_seen.insert(id.clone(), (from, now));
                     self.probes.push((from, id.clone(), rec.addr.clone()));
@@ -403,7 +410,7 @@
                     return;
                 }
                 self.last_seen.insert(id.clone(), (from, now));
-                m.hearing.seen(s.asked, m.holder != Some(from), now);
+                m.hearing.seen(s.probed, m.holder != Some(from), now);
                 if m.stage == Stage::Booting {
                     m.stage = Stage::Up;
                     m.since = now;
--- a/crates/core/src/leader/blocks.rs
+++ b/crates/core/src/leader/blocks.rs
@@ -89,7 +89,7 @@
     /// Grants, moves, watches and decides. Called about every 20 ms while
     /// this node may lead.
     pub fn tick(&mut self, ledger: &Ledger, now: Micros) {
-        self.lateness.works(now);
+        self.lateness.record_tick(now);
         if !self.granted {
             let all = self.contacts(now).into_iter().all(|c| c);
             let waited = now.since(self.began);
@@ -244,7 +244,8 @@
             let way = |by| self.ways.open_since(by, &m.zone);
             let opened = m.holder.map_or(Micros(0), |h| way(Some(h))).max(way(None));
             let last = m.heard.unwrap_or(m.since);
-            let base = self.lateness.silence_start(last).max(self.began).max(spoke).max(m.moved_at).max(opened);
+            let base =
+                self.lateness.silence_start(last).max(self.began).max(spoke).max(m.moved_at).max(opened);
             let silent = now.since(base);
             let seen = self.last_seen.get(id).is_some_and(|(_, t)| now.since(*t) < Micros::secs(5));
             let lost =
--- a/crates/core/src/leader/books.rs
+++ b/crates/core/src/leader/books.rs
@@ -26,7 +26,7 @@
         }
         let at_hand = self.at_hand(now);
         let due = self.books.due(&at_hand, now);
-        due.into_iter().map(|(n, base)| (n, Message::Books(self.page(base)))).collect()
+        due.into_iter().map(|(n, base)| (n, Message::PlacementLogUpdate(self.page(base)))).collect()
     }
 
     /// What changed in the books after `base`, as it is now.
--- a/crates/core/src/leader/cancelled.rs
+++ b/crates/core/src/leader/cancelled.rs
@@ -9,7 +9,13 @@
     /// Whether a start of a cancelled job may still be ordered. `acknowledged_by` are the processes
     /// that act on the cancellation, by controller; `ended` are controllers whose hosts say
     /// that their process is gone.
-    pub fn start_may_follow(&self, id: JobId, acknowledged_by: &[u64], ended: &[NodeId], now: Micros) -> bool {
+    pub fn start_may_follow(
+        &self,
+        id: JobId,
+        acknowledged_by: &[u64],
+        ended: &[NodeId],
+        now: Micros,
+    ) -> bool {
         let unaware = self.unaware(acknowledged_by, ended, now);
         if unaware.is_empty() {
             return false;
--- a/crates/core/src/leader/machines.rs
+++ b/crates/core/src/leader/machines.rs
@@ -116,7 +116,7 @@
     }
 
     /// A rental ended: machines, a refusal (`Some(empty)`), or nobody knows.
-    pub fn hired(&mut self, req: &HireRequest, got: Option<&[String]>, sizes: &Sizes, now: Micros) {
+    pub fn hired(&mut self, req: &HireRequest, got: Option<&[String]>, sizes: &MachineSizes, now: Micros) {
         let Some(hosts) = got else {
             // The same name again gives the same machines.
             if let Some(h) = self.hires.get_mut(&req.name) {
@@ -156,7 +156,7 @@
     }
 
     /// A page of the list (or none, if the call failed).
-    pub fn listed(&mut self, page: Option<&Rentals>, sizes: &Sizes, now: Micros) {
+    pub fn listed(&mut self, page: Option<&Rentals>, sizes: &MachineSizes, now: Micros) {
         self.listing = false;
         self.listed = now;
         let Some(page) = page else { return };
--- a/crates/core/src/leader/messages.rs
+++ b/crates/core/src/leader/messages.rs
@@ -65,7 +65,12 @@
         for (id, m) in self.machines.iter().filter(|(_, m)| base == 0 || m.stamp > base) {
             if m.holder == Some(to) {
                 let draining = m.draining.is_some() || m.stage == Stage::Deleting;
-                block.push(GrantedMachine { id: id.clone(), baton: m.baton, addr: m.addr.clone(), draining });
+                block.push(GrantedMachine {
+                    id: id.clone(),
+                    fencing_token: m.baton,
+                    addr: m.addr.clone(),
+                    draining,
+                });
             } else {
                 elsewhere.push((id.clone(), m.holder));
             }
@@ -95,11 +100,11 @@
             seq,
             base,
             incarnation,
-            ack,
+            acked_sync: ack,
             lease: if lease_ok { self.ctx.operator.block_lease } else { Micros(0) },
             block,
-            elsewhere,
-            handouts: open.into_iter().map(|(h, _)| h).collect(),
+            not_in_block: elsewhere,
+            assignments: open.into_iter().map(|(h, _)| h).collect(),
             stops: self.stops.values().filter(|(r, _)| held(&r.machine)).map(|(r, _)| r.clone()).collect(),
             running: running.map(|(id, r)| (*id, r.shown.0)).collect(),
         }
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -32,7 +32,7 @@
 pub use wishes::{CloudWish, HireRequest, LeaderWrite};
 
 use crate::books::Ledgers;
-use crate::controller::{PROBE_TIMEOUT, PROBE_AFTER, Sizes};
+use crate::controller::{MachineSizes, PROBE_AFTER, PROBE_TIMEOUT};
 use crate::dependencies::Urgency;
 use crate::fair_queue::FairQueue;
 use crate::fleet::{self, Demand, Offer, Policy, Room, Want};
@@ -41,7 +41,8 @@
 use crate::leader::ways::Ways;
 use crate::peer::pacing::Pacer;
 use crate::peer::{
-    GrantedMachine, Assignment, MachineState, Message, Outcome, UnleasedReport, StopRequest, TaskState,
+    Assignment, AssignmentOutcome, GrantedMachine, MachineState, Message, StopRequest, TaskState,
+    UnleasedReport,
 };
 use crate::placement::{self, Candidate};
 use gorseshore_protocol::cloud::{Flavor, Rentals};
@@ -125,14 +126,24 @@
     /// Machines of others whose workers report to it.
     pub strangers: &'a [UnleasedReport],
     /// Hand-outs that were decided on.
-    pub outcomes: &'a [Outcome],
+    pub outcomes: &'a [AssignmentOutcome],
 }
 
 impl<'a> View<'a> {
     /// What a `Sync` says, and to the leader of which term; `None` of any other
     /// message.
     pub fn of(m: &'a Message) -> Option<(u64, View<'a>)> {
-        let Message::Sync { term, seq, base, seen, machines, heard, strangers, outcomes } = m else {
+        let Message::Sync {
+            term,
+            seq,
+            base,
+            acked_update: seen,
+            machines,
+            contacts: heard,
+            unleased_reports: strangers,
+            outcomes,
+        } = m
+        else {
             return None;
         };
         let (seq, base, seen) = (*seq, *base, *seen);
@@ -263,7 +274,7 @@
         term: u64,
         stamp: u64,
         ledger: &Ledger,
-        sizes: &Sizes,
+        sizes: &MachineSizes,
         now: Micros,
         wall_ms: u64,
     ) -> Self {
@@ -344,7 +355,12 @@
             match job.phase {
                 Phase::Aborted if job.settled => l.note_cancelled_by_another(*id, job),
                 Phase::Aborted => {
-                    let by = crate::cancellation_enforcer::cancellation_deadline(job.ended_ms, wall_ms, l.ctx.cancel, now);
+                    let by = crate::cancellation_enforcer::cancellation_deadline(
+                        job.ended_ms,
+                        wall_ms,
+                        l.ctx.cancel,
+                        now,
+                    );
                     l.aborted.insert(*id, by);
                 }
                 _ => l.job_changed(*id, ledger, now),
--- a/crates/core/src/leader/schedule.rs
+++ b/crates/core/src/leader/schedule.rs
@@ -354,7 +354,8 @@
         let image = if m.images.contains(&run.spec.image) { "has" } else { "fetches" };
         debug!("{task}: handed out for {hint}, which {image} its image, attempt {}", attempt.0);
         let fixed = run.spec.has_zone_rule();
-        let out = Assignment { task, attempt, zone: fixed.then(|| zone.clone()), hint: hint.clone() };
+        let out =
+            Assignment { task, attempt, zone: fixed.then(|| zone.clone()), preferred_machine: hint.clone() };
         let need = run.spec.need;
         run.again.remove(&task.index);
         self.sums.bound(&run.spec);
--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -5,7 +5,7 @@
 
 use super::*;
 use crate::jobs::{job_value, keys};
-use crate::peer::Held;
+use crate::peer::TaskStatus;
 use serde_json::json;
 
 mod pipelines;
@@ -63,7 +63,7 @@
             let v = json!({"t": "big", "z": "east", "s": false, "a": format!("addr{i}")});
             ledger.apply(&keys::machine(&m(&format!("m{i}"))), Some(&v), 1);
         }
-        let sizes = Sizes::from([("big".into(), Resources::have(8.0, 0.0, 32.0))]);
+        let sizes = MachineSizes::from([("big".into(), Resources::have(8.0, 0.0, 32.0))]);
         let now = Micros::secs(100);
         let leader = Leader::new(context(), TERM, 50, &ledger, &sizes, now, 1_000_000);
         let mut b = Bench { ledger, leader, now, seq: [0; 2], incarnation: [5, 6] };
@@ -106,7 +106,7 @@
     /// The task starts and fails; its attempt.
     fn fail(&mut self, id: u64, index: u32) -> Attempt {
         let a = self.attempt(task(id, index)).expect("handed out");
-        self.sync(A, &[], &[Outcome { attempt: a, machine: Some(m("m0")) }]);
+        self.sync(A, &[], &[AssignmentOutcome { attempt: a, machine: Some(m("m0")) }]);
         // The end comes twice, the first time under an older token, which
         // leaves what was known before.
         let token = self.token("m0");
@@ -152,7 +152,7 @@
         self.leader.tick(&self.ledger, self.now);
     }
 
-    fn sync(&mut self, from: NodeId, machines: &[MachineState], outcomes: &[Outcome]) {
+    fn sync(&mut self, from: NodeId, machines: &[MachineState], outcomes: &[AssignmentOutcome]) {
         let i = from.0 as usize;
         self.seq[i] += 1;
         let view =
@@ -163,14 +163,14 @@
     fn state(&self, id: &str, seen: Baton, tasks: &[(TaskId, Attempt, TaskState)]) -> MachineState {
         MachineState {
             id: m(id),
-            baton: self.leader.machines[&m(id)].baton,
-            seen_baton: seen,
-            last: ReportNo { shift: 1, tally: self.now.0 },
-            obeys: true,
+            fencing_token: self.leader.machines[&m(id)].baton,
+            seen_fencing_token: seen,
+            last_report: ReportNo { shift: 1, tally: self.now.0 },
+            acknowledges_commands: true,
             last_contact_age: Some(Micros(0)),
-            warning: None,
-            want_baton: false,
-            tasks: tasks.iter().map(|(t, a, s)| Held { task: *t, attempt: *a, state: *s }).collect(),
+            preemption_notice: None,
+            needs_new_fencing_token: false,
+            tasks: tasks.iter().map(|(t, a, s)| TaskStatus { task: *t, attempt: *a, state: *s }).collect(),
         }
     }
 
@@ -197,11 +197,11 @@
     // (what happens after the hand-out of the only task, whether it is free then)
     let cases: [(&str, Step, bool); 11] = [
         ("nothing", |_, _| {}, false),
-        ("never started", |b, a| b.sync(A, &[], &[Outcome { attempt: a, machine: None }]), true),
+        ("never started", |b, a| b.sync(A, &[], &[AssignmentOutcome { attempt: a, machine: None }]), true),
         (
             "started; a report under the current token is without it",
             |b, a| {
-                b.sync(A, &[], &[Outcome { attempt: a, machine: Some(m("m0")) }]);
+                b.sync(A, &[], &[AssignmentOutcome { attempt: a, machine: Some(m("m0")) }]);
                 b.confirm("m0", &[]);
             },
             true,
@@ -209,7 +209,7 @@
         (
             "started and not settled",
             |b, a| {
-                b.sync(A, &[], &[Outcome { attempt: a, machine: Some(m("m0")) }]);
+                b.sync(A, &[], &[AssignmentOutcome { attempt: a, machine: Some(m("m0")) }]);
                 b.confirm("m0", &[(task(1, 0), a, TaskState::Starting)]);
             },
             false,
@@ -217,7 +217,7 @@
         (
             "a report under an older token is without it",
             |b, a| {
-                b.sync(A, &[], &[Outcome { attempt: a, machine: Some(m("m0")) }]);
+                b.sync(A, &[], &[AssignmentOutcome { attempt: a, machine: Some(m("m0")) }]);
                 b.leader.grant(&m("m0"), A, "test", b.now);
                 let s = b.state("m0", Baton(0), &[]);
                 b.sync(A, &[s], &[]);
@@ -266,7 +266,7 @@
             |b, a| {
                 b.incarnation[0] += 1;
                 b.sync(A, &[], &[]);
-                let outcomes = [Outcome { attempt: a, machine: None }];
+                let outcomes = [AssignmentOutcome { attempt: a, machine: None }];
                 let view = View {
                     seq: 99,
                     base: 0,
@@ -324,7 +324,7 @@
     let bound = |b: &Bench| b.leader.jobs[&JobId(1)].bound.len();
     assert_eq!(bound(&b), 2, "4 CPUs of 2 each");
     let a0 = b.attempt(task(1, 0)).unwrap();
-    b.sync(A, &[], &[Outcome { attempt: a0, machine: None }]);
+    b.sync(A, &[], &[AssignmentOutcome { attempt: a0, machine: None }]);
     b.tick(30);
     assert_eq!(bound(&b), 2, "one is free again, another goes");
 
@@ -335,8 +335,8 @@
     b.tick(30);
     let on: Vec<_> =
         (0..2).map(|i| (task(1, i), b.attempt(task(1, i)).unwrap(), TaskState::Running)).collect();
-    let outcomes: Vec<Outcome> =
-        on.iter().map(|(_, a, _)| Outcome { attempt: *a, machine: Some(m("m0")) }).collect();
+    let outcomes: Vec<AssignmentOutcome> =
+        on.iter().map(|(_, a, _)| AssignmentOutcome { attempt: *a, machine: Some(m("m0")) }).collect();
     let s = b.state("m0", b.token("m0"), &on);
     b.sync(A, &[s], &outcomes);
     b.job(2, 61, "owner", "array", "idle", 2, 4.0);
@@ -423,7 +423,7 @@
         b.job(1, 40, "t", "standing", "prod", 1, 4.0);
         let end = json!({"end": "aborted", "at": 1_000_000, "gone": settled});
         b.ledger.apply(&keys::end(JobId(1)), Some(&end), 45);
-        let sizes = Sizes::from([("big".into(), Resources::have(8.0, 0.0, 32.0))]);
+        let sizes = MachineSizes::from([("big".into(), Resources::have(8.0, 0.0, 32.0))]);
         // No controller is in the machine's zone, so its silence may be a cut.
         let away = Context { zones: vec!["west".into(), "west".into()], ..context() };
         b.leader = Leader::new(away, TERM + 1, 80, &b.ledger, &sizes, b.now, 1_000_000);
@@ -511,7 +511,7 @@
     };
     assert_eq!(fails(&b), 0);
     // A new leader goes on from the record.
-    let sizes = Sizes::from([("big".into(), Resources::have(8.0, 0.0, 32.0))]);
+    let sizes = MachineSizes::from([("big".into(), Resources::have(8.0, 0.0, 32.0))]);
     b.leader = Leader::new(context(), TERM + 1, 80, &b.ledger, &sizes, b.now, 1_000_000);
     b.sync(A, &[], &[]);
     b.sync(B, &[], &[]);
@@ -563,7 +563,7 @@
         if machines == 2 {
             let v = json!({"t": "big", "z": "east", "s": false, "a": "addr1"});
             b.ledger.apply(&keys::machine(&m("m1")), Some(&v), 71);
-            let sizes = Sizes::from([("big".into(), Resources::have(8.0, 0.0, 32.0))]);
+            let sizes = MachineSizes::from([("big".into(), Resources::have(8.0, 0.0, 32.0))]);
             let mut new = Machine::new(&b.ledger.machines[&m("m1")], sizes["big"], Stage::Up, b.now);
             new.recorded = true;
             b.leader.machines.insert(m("m1"), new);
@@ -599,7 +599,7 @@
     }
     // The one above goes; nothing replaces it until it is asked for again.
     let a3 = b.attempt(task(1, 3)).unwrap();
-    b.sync(A, &[], &[Outcome { attempt: a3, machine: None }]);
+    b.sync(A, &[], &[AssignmentOutcome { attempt: a3, machine: None }]);
     b.tick(30);
     assert_eq!(handed(&b), [0, 1, 2]);
     b.edit(1, 80, |s| s.tasks = 4);
@@ -616,7 +616,7 @@
         b.job(1, 60, "t", "standing", "prod", 1, 1.0);
         b.tick(30);
         let a = b.attempt(task(1, 0)).unwrap();
-        b.sync(A, &[], &[Outcome { attempt: a, machine: Some(m("m0")) }]);
+        b.sync(A, &[], &[AssignmentOutcome { attempt: a, machine: Some(m("m0")) }]);
         let on = b.state("m0", b.token("m0"), &[(task(1, 0), a, TaskState::Running)]);
         b.sync(A, &[on], &[]);
         b.job(2, 61, "t", "standing", "prod", 1, 1.0);
@@ -786,8 +786,9 @@
         let mut ends: BTreeMap<MachineId, Vec<(TaskId, Attempt, TaskState)>> = BTreeMap::new();
         let mut outcomes = Vec::new();
         for OnItsWay { out: h, .. } in b.leader.handouts.values() {
-            outcomes.push(Outcome { attempt: h.attempt, machine: Some(h.hint.clone()) });
-            ends.entry(h.hint.clone()).or_default().push((h.task, h.attempt, TaskState::Failed));
+            outcomes
+                .push(AssignmentOutcome { attempt: h.attempt, machine: Some(h.preferred_machine.clone()) });
+            ends.entry(h.preferred_machine.clone()).or_default().push((h.task, h.attempt, TaskState::Failed));
         }
         most.push(outcomes.len());
         b.sync(A, &[], &outcomes.clone());
@@ -841,7 +842,8 @@
             if h.task.job == JobId(2) {
                 began.get_or_insert(half / 2);
             }
-            outcomes.push(Outcome { attempt: h.attempt, machine: Some(h.hint.clone()) });
+            outcomes
+                .push(AssignmentOutcome { attempt: h.attempt, machine: Some(h.preferred_machine.clone()) });
             on.push((h.task, h.attempt, half + 20 + h.task.index % 7));
         }
         b.sync(A, &[], &outcomes.clone());
@@ -863,7 +865,7 @@
 /// Copies of reports come late, to anybody; a new leader has nothing to compare with.
 #[test]
 fn copies_of_reports_prove_nothing() {
-    let sizes = Sizes::from([("big".into(), Resources::have(8.0, 0.0, 32.0))]);
+    let sizes = MachineSizes::from([("big".into(), Resources::have(8.0, 0.0, 32.0))]);
     let rec = |build: &str| MachineRecord {
         build: build.into(),
         zone: "east".into(),
@@ -884,7 +886,7 @@
     for (i, (id, build, report, asked, counts, there)) in cases.into_iter().enumerate() {
         let mut b = Bench::new(1);
         b.confirm("m0", &[]);
-        let s = UnleasedReport { id: m(id), report, asked };
+        let s = UnleasedReport { id: m(id), report, probed: asked };
         b.leader.seen(B, &s, &rec(build), &sizes, b.now);
         let seen = b.leader.last_seen.get(&m(id)).is_some_and(|(n, _)| *n == B);
         assert_eq!((seen, b.leader.machines.contains_key(&m(id))), (counts, there), "case {i}");
@@ -898,7 +900,7 @@
     b.confirm("m0", &[]);
     let heard = b.leader.machines[&m("m0")].heard;
     let mut s = b.state("m0", b.token("m0"), &[]);
-    s.last = b.leader.machines[&m("m0")].newest;
+    s.last_report = b.leader.machines[&m("m0")].newest;
     b.now = b.now + Micros::secs(2);
     b.sync(B, &[s], &[]);
     assert_eq!(b.leader.machines[&m("m0")].heard, heard, "a copy at another controller");
@@ -919,8 +921,11 @@
                 b.job(100 + i as u64, 60, "t", "array", "standard", 1, 8.0);
             }
             b.tick(30);
-            let placed = |h: &OnItsWay| Outcome { attempt: h.out.attempt, machine: Some(h.out.hint.clone()) };
-            let outcomes: Vec<Outcome> = b.leader.handouts.values().map(placed).collect();
+            let placed = |h: &OnItsWay| AssignmentOutcome {
+                attempt: h.out.attempt,
+                machine: Some(h.out.preferred_machine.clone()),
+            };
+            let outcomes: Vec<AssignmentOutcome> = b.leader.handouts.values().map(placed).collect();
             b.sync(A, &[], &outcomes);
             b.sync(B, &[], &outcomes);
         }
@@ -933,9 +938,13 @@
                 s.tasks = b.leader.machines[&m(id)]
                     .bound
                     .iter()
-                    .map(|t| Held { task: *t, attempt: b.attempt(*t).unwrap(), state: TaskState::Running })
+                    .map(|t| TaskStatus {
+                        task: *t,
+                        attempt: b.attempt(*t).unwrap(),
+                        state: TaskState::Running,
+                    })
                     .collect();
-                s.obeys = i >= deaf;
+                s.acknowledges_commands = i >= deaf;
                 let from = b.leader.machines[&m(id)].holder.unwrap_or(holder);
                 b.sync(from, &[s], &[]);
             }
@@ -957,11 +966,11 @@
     let mut b = Bench::new(1);
     b.confirm("m0", &[]);
     let mut s = b.state("m0", b.token("m0"), &[]);
-    s.obeys = false;
-    s.last.tally += 1;
+    s.acknowledges_commands = false;
+    s.last_report.tally += 1;
     b.sync(A, &[s.clone()], &[]);
     b.now = b.now + Micros::secs(30);
-    s.last.tally += 1;
+    s.last_report.tally += 1;
     b.sync(A, &[s], &[]);
     b.sync(B, &[], &[]);
     b.tick(100);
@@ -974,13 +983,13 @@
 fn a_start_may_follow_from_who_does_not_know_of_the_cancellation() {
     type Step = fn(&mut Bench, Attempt);
     let nothing: Step = |_, _| {};
-    let placed: Step = |b, a| b.sync(B, &[], &[Outcome { attempt: a, machine: Some(m("m0")) }]);
+    let placed: Step = |b, a| b.sync(B, &[], &[AssignmentOutcome { attempt: a, machine: Some(m("m0")) }]);
     let running: Step = |b, a| {
-        b.sync(B, &[], &[Outcome { attempt: a, machine: Some(m("m0")) }]);
+        b.sync(B, &[], &[AssignmentOutcome { attempt: a, machine: Some(m("m0")) }]);
         b.confirm("m0", &[(task(1, 0), a, TaskState::Running)]);
     };
     let moved: Step = |b, a| {
-        b.sync(B, &[], &[Outcome { attempt: a, machine: Some(m("m0")) }]);
+        b.sync(B, &[], &[AssignmentOutcome { attempt: a, machine: Some(m("m0")) }]);
         b.leader.grant(&m("m0"), A, "test", b.now);
     };
     let (nobody, itself, earlier) = (vec![0, 0], vec![0, 6], vec![0, 5]);
@@ -997,7 +1006,7 @@
         ("its lease has run out", nothing, &nobody, None, lease, false),
         (
             "refused",
-            |b, a| b.sync(B, &[], &[Outcome { attempt: a, machine: None }]),
+            |b, a| b.sync(B, &[], &[AssignmentOutcome { attempt: a, machine: None }]),
             &nobody,
             None,
             Micros(0),
@@ -1047,7 +1056,7 @@
         (None, 400, Some("m900")),
         (Some(page("m999", false)), 2_000, None),
     ];
-    let sizes = Sizes::default();
+    let sizes = MachineSizes::default();
     for (i, (last, pause, from)) in steps.into_iter().enumerate() {
         b.leader.listed(last.as_ref(), &sizes, b.now);
         let lists = |b: &mut Bench, ms| {
--- a/crates/core/src/leader/tests/lateness.rs
+++ b/crates/core/src/leader/tests/lateness.rs
@@ -47,12 +47,14 @@
     b.confirm("m0", &[]);
     b.job(100, 60, "t", "array", "standard", 1, 1.0);
     b.tick(30);
-    let placed = |h: &OnItsWay| (h.to, Outcome { attempt: h.out.attempt, machine: Some(h.out.hint.clone()) });
+    let placed = |h: &OnItsWay| {
+        (h.to, AssignmentOutcome { attempt: h.out.attempt, machine: Some(h.out.preferred_machine.clone()) })
+    };
     let (to, outcome) = b.leader.handouts.values().map(placed).next().unwrap();
     b.sync(to, &[], &[outcome]);
     let report = |b: &Bench, obeys| {
         let task = (task(100, 0), b.attempt(task(100, 0)).unwrap(), TaskState::Running);
-        MachineState { obeys, ..b.state("m0", b.token("m0"), &[task]) }
+        MachineState { acknowledges_commands: obeys, ..b.state("m0", b.token("m0"), &[task]) }
     };
     let doubtful = report(&b, false);
     b.sync(to, &[doubtful], &[]);
--- a/crates/core/src/leader/tests/limits.rs
+++ b/crates/core/src/leader/tests/limits.rs
@@ -35,7 +35,7 @@
     let length = record.to_string().len();
     assert!((3500..4096).contains(&length), "{length}");
     b.ledger.apply(RECORD, Some(&record), 1);
-    let sizes = Sizes::from([("sedlo".into(), Resources::have(8.0, 0.0, 32.0))]);
+    let sizes = MachineSizes::from([("sedlo".into(), Resources::have(8.0, 0.0, 32.0))]);
     b.leader = Leader::new(context(), TERM, 50, &b.ledger, &sizes, b.now, 1_000_000);
     b.job(LONG.0, 60, "t", "array", "standard", TASKS, 1.0);
     b.job(FAILING.0, 61, "t", "array", "standard", 100, 1.0);
--- a/crates/core/src/leader/tests/pipelines.rs
+++ b/crates/core/src/leader/tests/pipelines.rs
@@ -38,7 +38,7 @@
 
     /// Another leader over the same records, ready to hand out.
     fn next_leader(&mut self) {
-        let sizes = Sizes::from([("big".into(), Resources::have(8.0, 0.0, 32.0))]);
+        let sizes = MachineSizes::from([("big".into(), Resources::have(8.0, 0.0, 32.0))]);
         self.leader = Leader::new(context(), TERM + 1, 500, &self.ledger, &sizes, self.now, 1_000_000);
     }
 }
@@ -78,7 +78,7 @@
     b.stage(2, "standard", 1, &[1], None);
     b.tick(30);
     let attempt = b.attempt(task(1, 0)).unwrap();
-    b.sync(A, &[], &[Outcome { attempt, machine: Some(m("m0")) }]);
+    b.sync(A, &[], &[AssignmentOutcome { attempt, machine: Some(m("m0")) }]);
     let state = b.state("m0", b.token("m0"), &[(task(1, 0), attempt, TaskState::Done)]);
     b.sync(A, &[state], &[]);
     b.tick(100);
@@ -127,7 +127,7 @@
         let mut tasks = Vec::new();
         for index in 0..4 {
             let attempt = b.attempt(task(1, index)).unwrap();
-            b.sync(A, &[], &[Outcome { attempt, machine: Some(m("m0")) }]);
+            b.sync(A, &[], &[AssignmentOutcome { attempt, machine: Some(m("m0")) }]);
             tasks.push((task(1, index), attempt, TaskState::Running));
         }
         let state = b.state("m0", b.token("m0"), &tasks);
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -2,9 +2,9 @@
 //! time among them, and returns what to send, ask and answer.
 #![warn(missing_docs)]
 pub mod books;
+pub mod cancellation_enforcer;
 pub mod controller;
 pub mod dependencies;
-pub mod cancellation_enforcer;
 pub mod election;
 pub mod fair_queue;
 pub mod fleet;
@@ -60,7 +60,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum CallResult {
     /// An answer.
-    Answer {
+    Response {
         /// HTTP status.
         status: u16,
         /// Body.
@@ -102,9 +102,9 @@
         body: Vec<u8>,
     },
     /// The requester went away.
-    Gone(RequestId),
+    ClientDisconnected(RequestId),
     /// A call ended.
-    Called {
+    CallCompleted {
         /// Which.
         id: CallId,
         /// How.
@@ -112,7 +112,7 @@
     },
     /// Another controller's host refused a connection: it is up, its process
     /// is not.
-    Refused(NodeId),
+    PeerRefused(NodeId),
     /// A message from another controller.
     Peer {
         /// Sender.
@@ -128,7 +128,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Output {
     /// Answers a request.
-    Answer {
+    Response {
         /// Which.
         id: RequestId,
         /// HTTP status.
@@ -141,11 +141,11 @@
     /// Answers a request on the guest's address.
     ExtensionResponse(RequestId, guest::Answer),
     /// Begins an answer without end.
-    Open(RequestId, guest::Answer),
+    StreamOpen(RequestId, guest::Answer),
     /// Goes on with it.
-    Chunk(RequestId, Vec<u8>),
+    StreamChunk(RequestId, Vec<u8>),
     /// Ends it.
-    Close(RequestId),
+    StreamClose(RequestId),
     /// Makes a call.
     Call {
         /// Its name.
@@ -178,13 +178,13 @@
         id
     }
     /// Adds an answer.
-    pub fn answer(&mut self, id: RequestId, status: u16, body: Vec<u8>) {
-        self.items.push(Output::Answer { id, status, body, retry_after: None });
+    pub fn respond(&mut self, id: RequestId, status: u16, body: Vec<u8>) {
+        self.items.push(Output::Response { id, status, body, retry_after: None });
     }
     /// Adds an answer that asks the user to come back.
-    pub fn later(&mut self, id: RequestId, reason: &str) {
+    pub fn respond_unavailable(&mut self, id: RequestId, reason: &str) {
         let body = gorseshore_protocol::users::error(reason);
-        self.items.push(Output::Answer { id, status: 503, body, retry_after: Some(1) });
+        self.items.push(Output::Response { id, status: 503, body, retry_after: Some(1) });
     }
     /// Adds a message.
     pub fn send(&mut self, to: NodeId, message: Message) {
--- a/crates/core/src/liveness.rs
+++ b/crates/core/src/liveness.rs
@@ -100,7 +100,7 @@
     /// Machines that the cloud lists as running.
     pub running: usize,
     /// Running machines without contact since an unanswered probe.
-    pub unanswering: usize,
+    pub unanswered: usize,
     /// Unanswered machines that are proven silent.
     pub silent: usize,
     /// Zones with an unanswered probe that no proof of the zone's reachability confirms yet.
@@ -143,8 +143,8 @@
     }
 
     /// Records a tick of the process.
-    pub fn works(&mut self, now: Micros) {
-        self.lateness.works(now);
+    pub fn record_tick(&mut self, now: Micros) {
+        self.lateness.record_tick(now);
     }
 
     /// Forgets all machines. Called once placements are known again.
@@ -178,7 +178,7 @@
     }
 
     /// Records a page and whether more pages follow, or that the page could not be read.
-    pub fn listed(&mut self, page: Option<(&[Rental], bool)>, now: Micros) {
+    pub fn record_list_page(&mut self, page: Option<(&[Rental], bool)>, now: Micros) {
         match page {
             Some((rentals, truncated)) => self.instances.page_received(rentals, truncated, now),
             None => self.instances.page_failed(now),
@@ -186,13 +186,13 @@
     }
 
     /// Records a heartbeat. Duplicates and outdated ones are ignored.
-    pub fn heartbeat(&mut self, id: MachineId, number: ReportNo, has_tasks: bool, now: Micros) {
+    pub fn record_heartbeat(&mut self, id: MachineId, number: ReportNo, has_tasks: bool, now: Micros) {
         self.observations.entry(id).or_default().record_contact(Contact { at: now, number, has_tasks });
     }
 
     /// Records the answer to a probe sent at `sent`. Returns false for a duplicate or an outdated
     /// answer, which is ignored.
-    pub fn answered(
+    pub fn record_probe_response(
         &mut self,
         id: MachineId,
         number: ReportNo,
@@ -210,7 +210,7 @@
 
     /// Records that a probe sent at `sent` was not answered. It is no evidence of failure if this
     /// process was late while the probe was pending.
-    pub fn unanswered(&mut self, id: &MachineId, sent: Micros, now: Micros) {
+    pub fn record_probe_timeout(&mut self, id: &MachineId, sent: Micros, now: Micros) {
         let on_time = !self.lateness.was_late_since(sent, now);
         let seen = self.observations.entry(id.clone()).or_default();
         seen.failed_probe = seen.failed_probe.max(Some(sent));
@@ -224,12 +224,12 @@
     }
 
     /// Records an invalid answer of a machine. Returns whether it is the machine's first one.
-    pub fn note_odd_answer(&mut self, id: &MachineId) -> bool {
+    pub fn record_invalid_response(&mut self, id: &MachineId) -> bool {
         self.odd_answers.insert(id.clone())
     }
 
     /// Removes a machine that this process deleted.
-    pub fn deleted(&mut self, id: &MachineId) {
+    pub fn record_deletion(&mut self, id: &MachineId) {
         self.instances.remove(id);
     }
 
@@ -251,7 +251,7 @@
                 None => (!self.is_recent(seen, now)).then_some(ProbeReason::NoRecentContact),
             };
             if let Some(reason) = reason {
-                suspects.insert(id.clone(), Suspect { by, evidence: Evidence::Silence(reason) });
+                suspects.insert(id.clone(), Suspect { deadline: by, evidence: Evidence::Silence(reason) });
             }
         }
         suspects
@@ -265,7 +265,7 @@
             summary.running += 1;
             let seen = self.observations.get(id);
             let Some(unanswered) = seen.and_then(|seen| seen.unanswered.as_ref()) else { continue };
-            summary.unanswering += 1;
+            summary.unanswered += 1;
             summary.silent += usize::from(unanswered.by_own_zone.is_proven(now));
             if unanswered.by_own_zone.waits_for_proof() {
                 unproved_zones.insert(&instance.zone);
--- a/crates/core/src/liveness/tests.rs
+++ b/crates/core/src/liveness/tests.rs
@@ -44,15 +44,15 @@
     let rentals: Vec<Rental> = (0..20).map(rental).collect();
     for ms in (0..20_000).step_by(100).filter(|ms| !stalled.contains(ms)) {
         let now = START + Micros::millis(ms);
-        monitor.works(now);
+        monitor.record_tick(now);
         if monitor.list_page_due(now).is_some() {
             monitor.record_list_request();
-            monitor.listed(Some((&rentals, false)), now);
+            monitor.record_list_page(Some((&rentals, false)), now);
         }
         let (timed_out, left) = pending.into_iter().partition(|(at, ..)| *at <= ms);
         pending = left;
         for (_, machine, sent) in timed_out {
-            monitor.unanswered(&machine, START + Micros::millis(sent), now);
+            monitor.record_probe_timeout(&machine, START + Micros::millis(sent), now);
         }
         for (machine, suspect) in monitor.suspects(START + Micros::secs(7), now) {
             assert_ne!(machine, id(19), "a booting machine is a suspect");
@@ -66,7 +66,7 @@
             if outages.iter().any(|(i, when)| id(*i) == machine && when.contains(&ms)) {
                 pending.push((ms + 1_200, machine, ms));
             } else {
-                monitor.answered(machine, ReportNo { shift: 1, tally: ms + 1 }, !idle, now, now);
+                monitor.record_probe_response(machine, ReportNo { shift: 1, tally: ms + 1 }, !idle, now, now);
             }
         }
     }
@@ -123,19 +123,19 @@
     assert_eq!(monitor.list_page_due(START), Some(None));
     monitor.record_list_request();
     assert_eq!(monitor.list_page_due(START), None);
-    monitor.listed(Some((&rentals[..6], true)), START);
+    monitor.record_list_page(Some((&rentals[..6], true)), START);
     assert_eq!(monitor.list_page_due(START), Some(Some("host-000005")));
     monitor.record_list_request();
-    monitor.listed(None, START);
+    monitor.record_list_page(None, START);
     assert_eq!(monitor.list_page_due(START), None);
     let retry = START + LIST_RETRY_INTERVAL;
     assert_eq!(monitor.list_page_due(retry), Some(Some("host-000005")));
     monitor.record_list_request();
-    monitor.deleted(&id(7));
-    monitor.listed(Some((&rentals[6..], false)), retry);
+    monitor.record_deletion(&id(7));
+    monitor.record_list_page(Some((&rentals[6..], false)), retry);
     assert_eq!(monitor.listed_count(), 9);
     assert_eq!(monitor.list_page_due(retry + LIST_INTERVAL), Some(None));
     // Machines missing from a complete list are forgotten.
-    monitor.listed(Some((&rentals[..3], false)), retry + LIST_INTERVAL);
+    monitor.record_list_page(Some((&rentals[..3], false)), retry + LIST_INTERVAL);
     assert_eq!(monitor.listed_count(), 3);
 }
--- a/crates/core/src/liveness/tests/evidence.rs
+++ b/crates/core/src/liveness/tests/evidence.rs
@@ -52,16 +52,16 @@
 fn monitor_with_unanswered_probe() -> LivenessMonitor {
     let mut monitor = LivenessMonitor::new("west", REPORT_INTERVAL, LEASE, START);
     let rentals: Vec<Rental> = (0..20).map(rental).collect();
-    monitor.listed(Some((&rentals, false)), START);
-    monitor.heartbeat(id(4), ReportNo { shift: 3, tally: 7 }, true, START);
-    monitor.works(at(1_900));
-    monitor.works(at(2_000));
-    monitor.unanswered(&id(4), at(900), at(2_000));
+    monitor.record_list_page(Some((&rentals, false)), START);
+    monitor.record_heartbeat(id(4), ReportNo { shift: 3, tally: 7 }, true, START);
+    monitor.record_tick(at(1_900));
+    monitor.record_tick(at(2_000));
+    monitor.record_probe_timeout(&id(4), at(900), at(2_000));
     assert_eq!(monitor.summary(at(2_000)).unproved_zones, 0, "the process itself was late");
     for ms in (2_100..3_300).step_by(100) {
-        monitor.works(at(ms));
+        monitor.record_tick(at(ms));
     }
-    monitor.unanswered(&id(4), at(2_050), at(3_250));
+    monitor.record_probe_timeout(&id(4), at(2_050), at(3_250));
     assert_eq!(monitor.summary(at(3_250)).unproved_zones, 1);
     monitor
 }
@@ -71,13 +71,14 @@
     // (agent epoch, heartbeat sequence, machines that count as unanswering after the message)
     for (shift, tally, unanswering) in [(3, 7, 1), (3, 6, 1), (2, 90, 1), (3, 8, 0), (4, 1, 0)] {
         let mut monitor = monitor_with_unanswered_probe();
-        monitor.heartbeat(id(4), ReportNo { shift, tally }, true, at(3_300));
+        monitor.record_heartbeat(id(4), ReportNo { shift, tally }, true, at(3_300));
         let summary = monitor.summary(at(3_300));
-        assert_eq!(summary.unanswering, unanswering, "heartbeat {shift} {tally}");
+        assert_eq!(summary.unanswered, unanswering, "heartbeat {shift} {tally}");
         let mut monitor = monitor_with_unanswered_probe();
-        let newer = monitor.answered(id(4), ReportNo { shift, tally }, true, at(3_300), at(3_350));
+        let newer =
+            monitor.record_probe_response(id(4), ReportNo { shift, tally }, true, at(3_300), at(3_350));
         assert_eq!(newer, unanswering == 0, "answer {shift} {tally}");
-        assert_eq!(monitor.summary(at(3_350)).unanswering, unanswering, "answer {shift} {tally}");
+        assert_eq!(monitor.summary(at(3_350)).unanswered, unanswering, "answer {shift} {tally}");
     }
 }
 
@@ -133,9 +134,9 @@
     for (case, ticks, counts) in cases {
         let mut monitor = LivenessMonitor::new("west", REPORT_INTERVAL, LEASE, START);
         let rentals: Vec<Rental> = (0..20).map(rental).collect();
-        monitor.listed(Some((&rentals, false)), START);
-        ticks.iter().for_each(|ms| monitor.works(at(*ms)));
-        monitor.unanswered(&id(4), at(2_000), at(3_200));
+        monitor.record_list_page(Some((&rentals, false)), START);
+        ticks.iter().for_each(|ms| monitor.record_tick(at(*ms)));
+        monitor.record_probe_timeout(&id(4), at(2_000), at(3_200));
         assert_eq!(monitor.summary(at(3_200)).unproved_zones, usize::from(counts), "{case}");
     }
 }
@@ -147,11 +148,11 @@
     for (heartbeat, unanswering) in [(1_999, 1), (2_000, 0), (2_500, 0)] {
         let mut monitor = LivenessMonitor::new("west", REPORT_INTERVAL, LEASE, START);
         let rentals: Vec<Rental> = (0..20).map(rental).collect();
-        monitor.listed(Some((&rentals, false)), START);
-        (0..=3_200).step_by(100).for_each(|ms| monitor.works(at(ms)));
-        monitor.heartbeat(id(4), ReportNo { shift: 1, tally: 1 }, true, at(heartbeat));
-        monitor.unanswered(&id(4), at(2_000), at(3_200));
-        assert_eq!(monitor.summary(at(3_200)).unanswering, unanswering, "heartbeat at {heartbeat}");
+        monitor.record_list_page(Some((&rentals, false)), START);
+        (0..=3_200).step_by(100).for_each(|ms| monitor.record_tick(at(ms)));
+        monitor.record_heartbeat(id(4), ReportNo { shift: 1, tally: 1 }, true, at(heartbeat));
+        monitor.record_probe_timeout(&id(4), at(2_000), at(3_200));
+        assert_eq!(monitor.summary(at(3_200)).unanswered, unanswering, "heartbeat at {heartbeat}");
     }
 }
 
@@ -163,13 +164,19 @@
         // In the process's own zone: answers from other zones would suffice if it were small.
         let mut monitor = LivenessMonitor::new("south", REPORT_INTERVAL, LEASE, START);
         let rentals: Vec<Rental> = (0..10).map(rental).collect();
-        monitor.listed(Some((&rentals, truncated)), START);
+        monitor.record_list_page(Some((&rentals, truncated)), START);
         let mut evidence = None;
         for ms in (0..6_000).step_by(100) {
-            monitor.works(at(ms));
+            monitor.record_tick(at(ms));
             if ms >= 1_200 && ms % 1_000 == 200 {
-                monitor.unanswered(&id(0), at(ms - 1_200), at(ms));
-                monitor.answered(id(4), ReportNo { shift: 1, tally: ms }, true, at(ms - 50), at(ms));
+                monitor.record_probe_timeout(&id(0), at(ms - 1_200), at(ms));
+                monitor.record_probe_response(
+                    id(4),
+                    ReportNo { shift: 1, tally: ms },
+                    true,
+                    at(ms - 50),
+                    at(ms),
+                );
             }
             evidence = monitor.suspects(at(9_000), at(ms)).remove(&id(0)).map(|suspect| suspect.evidence);
         }
--- a/crates/core/src/liveness/tests/scenarios.rs
+++ b/crates/core/src/liveness/tests/scenarios.rs
@@ -6,7 +6,7 @@
 //! the placements until the deadline. A probe is answered after the machine's latency, or times out
 //! after 1.2 s.
 use super::*;
-use crate::cancellation_enforcer::{Act, Deputy};
+use crate::cancellation_enforcer::{CancellationEnforcer, EnforcementAction};
 use std::ops::Range;
 
 mod degraded;
@@ -150,7 +150,7 @@
 fn simulate(scenario: &Scenario) -> Outcome {
     let mut outcome = Outcome::default();
     let mut monitor = LivenessMonitor::new("a", Micros::millis(scenario.report), LEASE, at(scenario.begins));
-    let mut enforcer = Deputy::new(scenario.incarnation);
+    let mut enforcer = CancellationEnforcer::new(scenario.incarnation);
     let rentals: Vec<Rental> = scenario.machines.iter().enumerate().map(|(i, m)| rental_of(i, m)).collect();
     let mut events: BTreeMap<u64, Vec<Event>> = BTreeMap::new();
     for (i, m) in scenario.machines.iter().enumerate() {
@@ -171,38 +171,40 @@
             match event {
                 Event::List if lost_lists > 0 => {
                     lost_lists -= 1;
-                    monitor.listed(None, now);
+                    monitor.record_list_page(None, now);
                 }
-                Event::List => monitor.listed(Some((&rentals, false)), now),
+                Event::List => monitor.record_list_page(Some((&rentals, false)), now),
                 // The same condition as `Node::watches_liveness`.
                 Event::Heartbeat(_) | Event::Answer(..) if monitor.listed_count() == 0 => {}
-                Event::Heartbeat(i) => monitor.heartbeat(name(i), next_message(&mut messages), true, now),
+                Event::Heartbeat(i) => {
+                    monitor.record_heartbeat(name(i), next_message(&mut messages), true, now)
+                }
                 Event::Answer(i, sent) => {
-                    monitor.answered(name(i), next_message(&mut messages), true, at(sent), now);
+                    monitor.record_probe_response(name(i), next_message(&mut messages), true, at(sent), now);
                 }
-                Event::Unanswered(i, sent) => monitor.unanswered(&name(i), at(sent), now),
+                Event::Unanswered(i, sent) => monitor.record_probe_timeout(&name(i), at(sent), now),
                 Event::Deleted(ids) => {
-                    enforcer.deleted(&ids, Some(true), now);
-                    ids.iter().for_each(|id| monitor.deleted(id));
+                    enforcer.record_deletion_result(&ids, Some(true), now);
+                    ids.iter().for_each(|id| monitor.record_deletion(id));
                 }
             }
         }
         if !(ms - scenario.begins).is_multiple_of(TICK) {
             continue;
         }
-        monitor.works(now);
+        monitor.record_tick(now);
         if monitor.list_page_due(now).is_some() {
             monitor.record_list_request();
             events.entry(ms + scenario.cloud).or_default().push(Event::List);
         }
-        if !enforcer.due(now) {
+        if !enforcer.scan_due(now) {
             continue;
         }
         let suspects = monitor.suspects(at(DEADLINE), now);
         let mut actions = Vec::new();
         for action in enforcer.tick(&suspects, Micros::millis(CANCEL), monitor.listed_count(), now) {
             match action {
-                Act::Ask(ids) => {
+                EnforcementAction::Probe(ids) => {
                     for i in ids.iter().map(number) {
                         let m = &scenario.machines[i];
                         let answer = ms + m.latency;
@@ -219,7 +221,7 @@
                         actions.push(format!("probes {i}"));
                     }
                 }
-                Act::Delete(ids) => {
+                EnforcementAction::Delete(ids) => {
                     for i in ids.iter().map(number) {
                         outcome.deleted.entry(i).or_insert(ms);
                         actions.push(format!("deletes {i}"));
--- a/crates/core/src/node/cancellations.rs
+++ b/crates/core/src/node/cancellations.rs
@@ -65,7 +65,7 @@
     /// Takes a cancellation; whether it was not known here.
     fn take(&mut self, c: &Cancellation, nodes: usize, now: Micros) -> bool {
         if let Some(k) = self.jobs.get_mut(&c.job) {
-            k.record.told |= c.told;
+            k.record.may_confirm |= c.may_confirm;
             for (mine, theirs) in k.record.acknowledged_by.iter_mut().zip(&c.acknowledged_by) {
                 *mine = (*mine).max(*theirs);
             }
@@ -121,7 +121,7 @@
         let until = self.now + PATIENCE;
         let reachable = self.leader_node().is_some_and(|n| n == self.nodes.me || self.reaches(n));
         let Some(k) = self.cancellations.jobs.get_mut(&job) else { return };
-        if !k.record.told && !reachable {
+        if !k.record.may_confirm && !reachable {
             return self.not_told(asker);
         }
         k.askers.push((asker, until));
@@ -146,10 +146,10 @@
         let Some(j) = self.mirror.ledger.jobs.get(&job).filter(|j| j.phase == Phase::Aborted) else { return };
         let record = Cancellation {
             job,
-            at_ms: j.ended_ms,
-            stamp: j.end_stamp,
+            ended_ms: j.ended_ms,
+            record_version: j.end_stamp,
             cause: j.cause.clone(),
-            told: false,
+            may_confirm: false,
             acknowledged_by: Vec::new(),
         };
         self.cancellations.take(&record, self.nodes.names.len(), self.now);
@@ -162,14 +162,14 @@
             return true;
         }
         let Some(k) = self.cancellations.jobs.get(&job) else { return false };
-        k.record.told || self.all_know(k)
+        k.record.may_confirm || self.all_know(k)
     }
 
     /// Whether everybody who must know of a cancellation does.
     fn all_know(&self, k: &Known) -> bool {
         // A leader that took its key before the record has to be told; whether there is
         // one, only a mirror that holds the record knows.
-        let applied = self.mirror.ledger.applied >= k.record.stamp;
+        let applied = self.mirror.ledger.applied >= k.record.record_version;
         let heard_know = self.peers.all().filter(|n| *n != self.nodes.me && self.hears(*n, HEARD)).all(|n| {
             let process = self.peers.states[n.0 as usize].incarnation;
             k.record.acknowledged_by[n.0 as usize] >= process
@@ -211,7 +211,7 @@
         let mut done = Vec::new();
         for job in told {
             let Some(k) = self.cancellations.jobs.get_mut(&job) else { continue };
-            if !std::mem::replace(&mut k.record.told, true) {
+            if !std::mem::replace(&mut k.record.may_confirm, true) {
                 // The others may tell users as well, and need not ask each other.
                 k.announce = true;
                 k.sent.fill(None);
@@ -242,11 +242,11 @@
             let i = n.0 as usize;
             let process = self.peers.states[i].incarnation;
             let due = |k: &&mut Known| {
-                let waited = !k.askers.is_empty() || k.word_owed && !k.record.told;
+                let waited = !k.askers.is_empty() || k.word_owed && !k.record.may_confirm;
                 let again = if waited { AGAIN } else { AGAIN_LATER };
                 // Who is told the first time after the end learned of it in another
                 // way as a rule; then its acknowledgement comes with those of others.
-                let first = if waited || k.record.told { Micros(0) } else { AGAIN_LATER };
+                let first = if waited || k.record.may_confirm { Micros(0) } else { AGAIN_LATER };
                 let knows = k.record.acknowledged_by[i] >= process && !(leads && waited && k.led < term);
                 let news = k.announce && k.sent[i].is_none();
                 (!knows || news)
@@ -259,7 +259,7 @@
                 all.push(k.record.clone());
             }
             if !all.is_empty() {
-                self.send(n, Message::Cancelled(all));
+                self.send(n, Message::Cancellations(all));
             }
         }
     }
@@ -284,7 +284,7 @@
         }
         for (jobs, leads) in [(vouched, leads), (others, None)] {
             if !jobs.is_empty() {
-                self.send(from, Message::CancellationsAck { jobs, leads });
+                self.send(from, Message::CancellationsAck { jobs, leading_term: leads });
             }
         }
         self.drive();
@@ -298,8 +298,8 @@
             Some(Phase::Aborted) => {}
             Some(Phase::Active) | None => {
                 debug!("{}: told of its cancellation", c.job);
-                let end = jobs::cancelled_value(c.at_ms, c.cause.as_deref(), false);
-                let change = self.mirror.ledger.apply(&keys::end(c.job), Some(&end), c.stamp);
+                let end = jobs::cancelled_value(c.ended_ms, c.cause.as_deref(), false);
+                let change = self.mirror.ledger.apply(&keys::end(c.job), Some(&end), c.record_version);
                 self.changed(change);
             }
         }
--- a/crates/core/src/node/catalogue.rs
+++ b/crates/core/src/node/catalogue.rs
@@ -1,5 +1,5 @@
 //! Machine types as the cloud sells them, its calls and their budget.
-use crate::controller::Sizes;
+use crate::controller::MachineSizes;
 use crate::leader::HireRequest;
 use crate::leader::growth::LIST_PAGE;
 use crate::rate::Bucket;
@@ -11,7 +11,7 @@
 #[derive(Debug)]
 pub(super) struct Catalogue {
     pub flavors: Vec<Flavor>,
-    pub sizes: Sizes,
+    pub sizes: MachineSizes,
     pub asked_at: Micros,
     /// The types were asked for.
     pub open: bool,
@@ -23,7 +23,7 @@
     pub fn new(calls: f64, now: Micros) -> Self {
         Catalogue {
             flavors: Vec::new(),
-            sizes: Sizes::new(),
+            sizes: MachineSizes::new(),
             asked_at: Micros(0),
             open: false,
             bucket: Bucket::new(calls * 0.85, calls, now),
--- a/crates/core/src/node/duties.rs
+++ b/crates/core/src/node/duties.rs
@@ -45,7 +45,15 @@
                 if i != self.nodes.me.0 as usize {
                     let hears = hears.clone();
                     let loaded = self.mirror.loaded;
-                    self.out.send(NodeId(i as u8), Message::Ping { state_ok, hears, queued, loaded });
+                    self.out.send(
+                        NodeId(i as u8),
+                        Message::Ping {
+                            state_reachable: state_ok,
+                            receives_from: hears,
+                            queued_writes: queued,
+                            state_loaded: loaded,
+                        },
+                    );
                 }
             }
         }
@@ -448,14 +456,14 @@
             l.writing(w, false);
         }
         match result {
-            CallResult::Answer { status: 200, .. } => {
+            CallResult::Response { status: 200, .. } => {
                 for w in &writes {
                     l.written(w);
                 }
                 self.leadership.refused.accepted(&writes);
                 self.lead();
             }
-            CallResult::Answer { status: 409, body } => {
+            CallResult::Response { status: 409, body } => {
                 let failed =
                     serde_json::from_slice::<MultiAnswer>(body).map(|a| a.failed).unwrap_or_default();
                 if failed.iter().any(|k| k == keys::LEADER) {
@@ -466,7 +474,7 @@
                 self.leadership.retry_at = self.now + Micros::millis(60);
                 self.leadership.contest(&failed, self.now);
             }
-            CallResult::Answer { status: 400, body } => {
+            CallResult::Response { status: 400, body } => {
                 let reason = String::from_utf8_lossy(body);
                 self.leadership.refused.refused(&writes, &reason, self.now);
             }
@@ -509,7 +517,7 @@
     pub(super) fn cloud_called(&mut self, term: u64, wish: CloudWish, result: &CallResult) {
         let Some(l) = self.leadership.leader.as_mut().filter(|l| l.term == term) else { return };
         let body = match result {
-            CallResult::Answer { status: 200, body } => Some(body),
+            CallResult::Response { status: 200, body } => Some(body),
             _ => None,
         };
         match wish {
@@ -529,14 +537,14 @@
     pub(super) fn hired(&mut self, req: HireRequest, result: &CallResult) {
         let Some(l) = self.leadership.leader.as_mut() else { return };
         match result {
-            CallResult::Answer { status: 200, body } => {
+            CallResult::Response { status: 200, body } => {
                 let hosts = serde_json::from_slice::<Hosts>(body).map(|h| h.hosts).unwrap_or_default();
                 l.hired(&req, Some(&hosts), &self.catalogue.sizes, self.now);
             }
-            CallResult::Answer { status: 503, body } if body.windows(11).any(|w| w == b"no capacity") => {
+            CallResult::Response { status: 503, body } if body.windows(11).any(|w| w == b"no capacity") => {
                 l.hired(&req, Some(&[]), &self.catalogue.sizes, self.now);
             }
-            CallResult::Answer { status: 400, body } => {
+            CallResult::Response { status: 400, body } => {
                 error!("rental refused: {}", String::from_utf8_lossy(body));
                 l.hired(&req, Some(&[]), &self.catalogue.sizes, self.now);
             }
--- a/crates/core/src/node/host.rs
+++ b/crates/core/src/node/host.rs
@@ -21,7 +21,7 @@
                 now: self.now,
                 wall_ms: self.wall_ms,
                 ledger: &self.mirror.ledger,
-                running: &self.ctl.running,
+                running: &self.ctl.running_counts,
                 flavors: &self.catalogue.flavors,
                 teams: &self.teams,
                 loaded: self.mirror.loaded,
@@ -43,9 +43,9 @@
     fn for_guest(&mut self, o: GuestOutput) {
         match o {
             GuestOutput::Answer(id, a) => self.out.items.push(Output::ExtensionResponse(id, a)),
-            GuestOutput::Open(id, a) => self.out.items.push(Output::Open(id, a)),
-            GuestOutput::Chunk(id, data) => self.out.items.push(Output::Chunk(id, data)),
-            GuestOutput::Close(id) => self.out.items.push(Output::Close(id)),
+            GuestOutput::Open(id, a) => self.out.items.push(Output::StreamOpen(id, a)),
+            GuestOutput::Chunk(id, data) => self.out.items.push(Output::StreamChunk(id, data)),
+            GuestOutput::Close(id) => self.out.items.push(Output::StreamClose(id)),
             GuestOutput::Prove(t) => self.wait(Waiter::Guest(t), Micros::millis(1500)),
             GuestOutput::Read(t, prefix) => {
                 let none = Listing { pairs: Vec::new(), truncated: false, ledger: 0 };
@@ -72,7 +72,7 @@
     /// A page of what the guest reads came; it is told when all are there.
     pub(super) fn guest_page(&mut self, t: Ticket, prefix: String, mut so_far: Listing, result: CallResult) {
         let page: Option<Listing> = match &result {
-            CallResult::Answer { status: 200, body } => serde_json::from_slice(body).ok(),
+            CallResult::Response { status: 200, body } => serde_json::from_slice(body).ok(),
             _ => None,
         };
         let Some(page) = page else { return self.ask_guest(GuestInput::Called(t, CallResult::NotSent)) };
@@ -82,7 +82,7 @@
             return self.read_page(t, prefix, so_far);
         }
         let body = serde_json::to_vec(&so_far).unwrap_or_default();
-        self.ask_guest(GuestInput::Called(t, CallResult::Answer { status: 200, body }));
+        self.ask_guest(GuestInput::Called(t, CallResult::Response { status: 200, body }));
     }
 
     /// There is no proof that the mirror is up to date.
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -29,8 +29,8 @@
 use waiting::{MAX_WAITING, UserWrite, Users, Waiter};
 
 use crate::books::{Book, Kept};
-use crate::controller::{HeartbeatReply, Controller, parse_tasks};
-use crate::cancellation_enforcer::Deputy;
+use crate::cancellation_enforcer::CancellationEnforcer;
+use crate::controller::{Controller, HeartbeatReply, parse_tasks};
 use crate::election::Role;
 use crate::guest::{Guest, GuestInput, GuestOutput, Host, Ticket};
 use crate::jobs::{self, Change, LeaderRecord, Ledger, MachineRecord, Phase, keys};
@@ -149,7 +149,7 @@
     ctl: Controller,
     /// Books of leaders that this node is a witness of.
     kept: Kept,
-    deputy: Deputy,
+    deputy: CancellationEnforcer,
     liveness: LivenessMonitor,
     liveness_logged: Micros,
     books_asked: Micros,
@@ -203,7 +203,7 @@
             held_check_ins: HeldCheckIns::default(),
             ctl: Controller::default(),
             kept: Kept::default(),
-            deputy: Deputy::new(incarnation),
+            deputy: CancellationEnforcer::new(incarnation),
             liveness: LivenessMonitor::new(
                 &p.domain,
                 Micros::from_secs_f64(d.workers.report_s),
@@ -237,13 +237,13 @@
             Input::ExtensionRequest { id, method, path, token, body } => {
                 self.ask_guest(GuestInput::Request { id, method, path, token, body });
             }
-            Input::Gone(id) => {
+            Input::ClientDisconnected(id) => {
                 self.status.asker_gone(id);
                 self.held_check_ins.held.retain(|_, (r, ..)| *r != id);
                 self.ask_guest(GuestInput::Gone(id));
             }
-            Input::Called { id, result } => self.called(id, result),
-            Input::Refused(n) => {
+            Input::CallCompleted { id, result } => self.called(id, result),
+            Input::PeerRefused(n) => {
                 if let Some(p) = self.peers.states.get_mut(n.0 as usize) {
                     p.refused = Some(self.now);
                 }
@@ -265,7 +265,7 @@
         let gauges = Gauges {
             revision: self.mirror.ledger.applied,
             ready: self.ready(),
-            machines_held: self.ctl.held(),
+            machines_held: self.ctl.held_count(),
             leader: self.leader_node().map(|n| n.0),
             term: self.leader_term(),
         };
@@ -313,10 +313,10 @@
         );
         if of_state && !matches!(p, Purpose::Follow) {
             match &result {
-                CallResult::Answer { status, .. } if *status < 500 && *status != 429 => {
+                CallResult::Response { status, .. } if *status < 500 && *status != 429 => {
                     self.mirror.ok_at = Some(self.now)
                 }
-                CallResult::Answer { status: 429, .. } => {}
+                CallResult::Response { status: 429, .. } => {}
                 _ => self.mirror.fail_at = Some(self.now),
             }
         }
@@ -325,7 +325,8 @@
             Purpose::Follow => {
                 self.mirror.following = false;
                 match result {
-                    CallResult::Answer { status: 200, body } => match serde_json::from_slice::<News>(&body) {
+                    CallResult::Response { status: 200, body } => match serde_json::from_slice::<News>(&body)
+                    {
                         Ok(n) => {
                             self.mirror.ok_at = Some(self.now);
                             self.status.caught_up(self.now);
@@ -336,7 +337,7 @@
                             self.mirror.follow_at = self.now + Micros::millis(500);
                         }
                     },
-                    CallResult::Answer { status: 410, .. } => {
+                    CallResult::Response { status: 410, .. } => {
                         info!(
                             "watch expired revision={}: reading the state anew",
                             self.mirror.ledger.applied
@@ -352,7 +353,7 @@
             Purpose::GuestRead(t, prefix, so_far) => self.guest_page(t, prefix, so_far, result),
             Purpose::GrantNew { asked } => {
                 let lease = match &result {
-                    CallResult::Answer { status: 200, body } => serde_json::from_slice::<Grant>(body).ok(),
+                    CallResult::Response { status: 200, body } => serde_json::from_slice::<Grant>(body).ok(),
                     _ => None,
                 };
                 match lease {
@@ -392,7 +393,7 @@
                 }
             }
             Purpose::TakeKey { asked, lease, term } => match &result {
-                CallResult::Answer { status: 200, body } => {
+                CallResult::Response { status: 200, body } => {
                     let stamp = serde_json::from_slice::<MultiAnswer>(body).map_or(0, |a| a.ledger);
                     self.leadership.election.won(term, lease, stamp, asked);
                     self.leadership.had_peers = false;
@@ -407,8 +408,8 @@
                 }
             },
             Purpose::Renew { sent } => match result {
-                CallResult::Answer { status: 200, .. } => self.leadership.election.renewed(sent),
-                CallResult::Answer { status: 404, .. } => {
+                CallResult::Response { status: 200, .. } => self.leadership.election.renewed(sent),
+                CallResult::Response { status: 404, .. } => {
                     if self.leadership.election.term().is_some() {
                         self.step_down("its lease ended");
                     }
@@ -417,7 +418,7 @@
             },
             Purpose::EndLease => {}
             Purpose::Mail(number) => {
-                let taken = matches!(result, CallResult::Answer { status: 200, .. });
+                let taken = matches!(result, CallResult::Response { status: 200, .. });
                 self.post_relayed(number, taken);
             }
             Purpose::LeaderWrites(term, w) => self.leader_written(term, w, &result),
@@ -429,7 +430,7 @@
             Purpose::Cloud(term, w) => self.cloud_called(term, w, &result),
             Purpose::Flavors => {
                 self.catalogue.open = false;
-                if let CallResult::Answer { status: 200, body } = &result
+                if let CallResult::Response { status: 200, body } = &result
                     && let Ok(f) = serde_json::from_slice::<Flavors>(body)
                 {
                     self.catalogue.take(f);
@@ -439,12 +440,12 @@
             Purpose::Deputy { machine, sent } => self.deputy_answered(&machine, sent, &result),
             Purpose::DeputyDelete(ids) => self.suspects_deleted(&ids, &result),
             Purpose::Worker(m) => {
-                self.ctl.called(&m, id, &result, self.now);
+                self.ctl.call_completed(&m, id, &result, self.now);
                 self.drive();
                 self.sync(false);
             }
             Purpose::Probe(m) => {
-                if let CallResult::Answer { status: 200, body } = &result
+                if let CallResult::Response { status: 200, body } = &result
                     && let Ok(r) = serde_json::from_slice::<Report>(body)
                     && r.host == m.as_str()
                 {
@@ -468,7 +469,7 @@
     ) {
         self.mirror.listing = false;
         let page: Option<Listing> = match &result {
-            CallResult::Answer { status: 200, body } => serde_json::from_slice(body).ok(),
+            CallResult::Response { status: 200, body } => serde_json::from_slice(body).ok(),
             _ => None,
         };
         let Some(page) = page else {
@@ -484,7 +485,7 @@
             return;
         };
         self.mirror.reading.pages += 1;
-        if let CallResult::Answer { body, .. } = &result {
+        if let CallResult::Response { body, .. } = &result {
             self.mirror.reading.bytes += body.len();
         }
         for p in &page.pairs {
@@ -535,8 +536,8 @@
         self.users.barrier_open = false;
         self.status.proof_ended(&result, self.now);
         let news: Option<News> = match &result {
-            CallResult::Answer { status: 200, body } => serde_json::from_slice(body).ok(),
-            CallResult::Answer { status: 410, .. } => {
+            CallResult::Response { status: 200, body } => serde_json::from_slice(body).ok(),
+            CallResult::Response { status: 410, .. } => {
                 info!("proof expired revision={}: reading the state anew", self.mirror.ledger.applied);
                 self.mirror.listed = false;
                 None
@@ -556,7 +557,7 @@
                 }
             }
             None => {
-                let limited = matches!(result, CallResult::Answer { status: 429 | 410, .. });
+                let limited = matches!(result, CallResult::Response { status: 429 | 410, .. });
                 for (w, until) in waiting {
                     if limited && self.now < until {
                         self.users.waiters.push((w, until));
--- a/crates/core/src/node/peers.rs
+++ b/crates/core/src/node/peers.rs
@@ -42,7 +42,7 @@
             Some(r) => {
                 let envelope =
                     Envelope { from: self.nodes.me, incarnation: self.incarnation, message: m.clone() };
-                self.out.send(r, Message::Forward { to, envelope: envelope.pack() });
+                self.out.send(r, Message::Forward { to, envelope: envelope.to_bytes() });
             }
             None => self.relay.keep(to, &m),
         }
@@ -102,7 +102,12 @@
 
     pub(super) fn peer(&mut self, from: NodeId, incarnation: u64, m: Message) {
         match m {
-            Message::Ping { state_ok, hears, queued, loaded } => {
+            Message::Ping {
+                state_reachable: state_ok,
+                receives_from: hears,
+                queued_writes: queued,
+                state_loaded: loaded,
+            } => {
                 if let Some(p) = self.peers.states.get_mut(from.0 as usize) {
                     p.loaded = loaded;
                     p.state_ok = state_ok;
@@ -110,14 +115,14 @@
                     p.queued = queued;
                 }
             }
-            Message::Cancelled(all) => self.cancellations_came(from, &all),
-            Message::CancellationsAck { jobs, leads } => {
+            Message::Cancellations(all) => self.cancellations_came(from, &all),
+            Message::CancellationsAck { jobs, leading_term: leads } => {
                 self.cancellations_known(from, incarnation, &jobs, leads);
             }
             Message::Forward { to, envelope } => {
                 if to != self.nodes.me {
                     self.out.send(to, Message::Forward { to, envelope });
-                } else if let Some(p) = Envelope::unpack(&envelope).filter(|p| p.from != to) {
+                } else if let Some(p) = Envelope::from_bytes(&envelope).filter(|p| p.from != to) {
                     // One hop: a envelope holds no other envelope that is passed on.
                     if !matches!(p.message, Message::Forward { .. }) {
                         self.peer(p.from, p.incarnation, p.message);
@@ -131,10 +136,10 @@
                     l.sync(from, incarnation, &view, &self.mirror.ledger, self.now);
                 }
             }
-            Message::Seen { id, build, zone, spot, addr, report, asked } => {
+            Message::MachineDiscovered { id, build, zone, spot, addr, report, probed: asked } => {
                 if let Some(l) = self.leadership.leader.as_mut() {
                     let rec = MachineRecord { build, zone, spot, addr };
-                    let s = UnleasedReport { id, report, asked };
+                    let s = UnleasedReport { id, report, probed: asked };
                     l.seen(from, &s, &rec, &self.catalogue.sizes, self.now);
                 }
             }
@@ -143,11 +148,11 @@
                 seq,
                 base,
                 incarnation: mine,
-                ack,
+                acked_sync: ack,
                 lease,
                 block,
-                elsewhere,
-                handouts,
+                not_in_block: elsewhere,
+                assignments: handouts,
                 stops,
                 running,
             } => {
@@ -168,7 +173,7 @@
                 self.drive();
                 self.sync(false);
             }
-            Message::Books(page) => {
+            Message::PlacementLogUpdate(page) => {
                 let (on_record, _) = &self.mirror.ledger.books;
                 self.kept.drop_before(on_record.term);
                 // A leader that another has followed is kept no books for.
@@ -220,7 +225,7 @@
         let term = self.leader_term();
         let first = std::mem::replace(&mut self.peers.sync_term, term) != term;
         // A leader that has acknowledged nothing is sent everything, less often.
-        let pause = match (self.ctl.dirty, self.ctl.needs_full_sync(term)) {
+        let pause = match (self.ctl.sync_pending, self.ctl.needs_full_sync(term)) {
             (true, true) => WHOLE_VIEW_INTERVAL,
             (true, false) => VIEW_INTERVAL,
             (false, _) => IDLE_VIEW_INTERVAL,
@@ -233,7 +238,7 @@
         let strangers = self.held_check_ins.strangers.iter().map(|(id, (_, report, asked))| UnleasedReport {
             id: id.clone(),
             report: *report,
-            asked: *asked,
+            probed: *asked,
         });
         let strangers = strangers.collect();
         let m = self.ctl.sync(term, strangers, &self.mirror.ledger, self.now);
--- a/crates/core/src/node/relay.rs
+++ b/crates/core/src/node/relay.rs
@@ -57,7 +57,7 @@
     /// allow, and keeps them to be posted; the number of parts, or `None` if it
     /// is too long.
     pub fn cut(&mut self, to: &str, from: &str, envelope: &Envelope, limits: &StoreLimits) -> Option<usize> {
-        let text = BASE64.encode(&envelope.pack());
+        let text = BASE64.encode(&envelope.to_bytes());
         let in_txn = TXN_TEXT_BYTES / limits.txn_ops.max(1);
         let room = limits.value_bytes.saturating_sub(PART_OVERHEAD).min(in_txn).max(PART_OVERHEAD);
         let parts: Vec<&str> =
@@ -111,7 +111,7 @@
             return None;
         }
         let (_, text, _) = self.open.remove(&sender)?;
-        Envelope::unpack(&BASE64.decode(text.as_bytes()).ok()?)
+        Envelope::from_bytes(&BASE64.decode(text.as_bytes()).ok()?)
     }
 }
 
@@ -171,8 +171,8 @@
                     assert!(limits.fits(v), "{what}");
                 }
             }
-            let received = receive(&mut to, &transactions).map(|e| e.pack());
-            assert_eq!(received, want.map(|_| sent.pack()), "{what}");
+            let received = receive(&mut to, &transactions).map(|e| e.to_bytes());
+            assert_eq!(received, want.map(|_| sent.to_bytes()), "{what}");
         }
     }
 
@@ -193,6 +193,6 @@
         assert!(from.posting());
         let second_transactions = transactions(&mut from);
         assert!(receive(&mut to, &[first]).is_none());
-        assert_eq!(receive(&mut to, &second_transactions).map(|e| e.pack()), Some(second.pack()));
+        assert_eq!(receive(&mut to, &second_transactions).map(|e| e.to_bytes()), Some(second.to_bytes()));
     }
 }
--- a/crates/core/src/node/requests.rs
+++ b/crates/core/src/node/requests.rs
@@ -8,7 +8,7 @@
         match (method, path, rest) {
             ("GET", "/ready", _) => {
                 if self.ready() {
-                    self.out.answer(id, 200, br#"{"ready":true}"#.to_vec());
+                    self.out.respond(id, 200, br#"{"ready":true}"#.to_vec());
                 } else {
                     self.refuse(id, RefusalReason::NotReady);
                 }
@@ -16,7 +16,7 @@
             ("POST", "/checkin", _) => self.checkin(id, body),
             ("POST", "/submissions", _) => self.submit(id, body),
             (_, "/ready" | "/checkin" | "/submissions", _) => {
-                self.out.answer(id, 405, users::error("wrong method"))
+                self.out.respond(id, 405, users::error("wrong method"))
             }
             (m, _, Some(rest)) => {
                 let (job, abort) = match rest.strip_suffix("/abort") {
@@ -24,12 +24,12 @@
                     None => (rest, false),
                 };
                 if m != if abort { "POST" } else { "GET" } {
-                    return self.out.answer(id, 405, users::error("wrong method"));
+                    return self.out.respond(id, 405, users::error("wrong method"));
                 }
                 // Jobs with an id of the service's own can be looked at; they end
                 // by the interface that they came by.
                 match JobId::parse(job).filter(|j| !(abort && j.own())) {
-                    None => self.out.answer(id, 404, users::error("no such job")),
+                    None => self.out.respond(id, 404, users::error("no such job")),
                     Some(j) if abort => self.wait(Waiter::Abort(id, j), Micros::millis(3500)),
                     Some(j) => {
                         self.status.poll_came(id, self.now);
@@ -37,7 +37,7 @@
                     }
                 }
             }
-            _ => self.out.answer(id, 404, users::error("no such path")),
+            _ => self.out.respond(id, 404, users::error("no such path")),
         }
     }
 
@@ -63,7 +63,7 @@
             Phase::Active => return false,
             Phase::Done => {
                 let answer = users::job_answer(job, "done", j.tasks, 0);
-                self.out.answer(id, 200, answer);
+                self.out.respond(id, 200, answer);
             }
             Phase::Aborted if self.may_tell(job) => self.aborted_answer(id, job),
             Phase::Aborted => self.tell_user(id, job),
@@ -77,7 +77,7 @@
             Some(cause) => users::failed_answer(job, cause),
             None => users::job_answer(job, "aborted", 0, 0),
         };
-        self.out.answer(id, 200, answer);
+        self.out.respond(id, 200, answer);
     }
 
     pub(super) fn current_answer(&mut self, id: RequestId, job: JobId) {
@@ -85,11 +85,11 @@
             return;
         }
         let Some(j) = self.mirror.ledger.jobs.get(&job) else {
-            return self.out.answer(id, 404, users::error("no such job"));
+            return self.out.respond(id, 404, users::error("no such job"));
         };
-        let running = self.ctl.running.get(&job).copied().unwrap_or(0);
+        let running = self.ctl.running_counts.get(&job).copied().unwrap_or(0);
         let stage = if running > 0 { "running" } else { "queued" };
-        self.out.answer(id, 200, users::job_answer(job, stage, j.done.below(j.tasks), running));
+        self.out.respond(id, 200, users::job_answer(job, stage, j.done.below(j.tasks), running));
     }
 
     pub(super) fn wait(&mut self, w: Waiter, limit: Micros) {
@@ -121,7 +121,7 @@
     /// Tells a user to ask again, and counts why.
     pub(super) fn refuse(&mut self, id: RequestId, reason: RefusalReason) {
         self.status.refused(reason);
-        self.out.later(id, reason.sentence());
+        self.out.respond_unavailable(id, reason.sentence());
     }
 
     pub(super) fn submit(&mut self, id: RequestId, body: &[u8]) {
@@ -132,7 +132,7 @@
         };
         let Some(job) = job else {
             let reason = parsed.err().unwrap_or_default();
-            return self.out.answer(id, 400, users::error(&reason));
+            return self.out.respond(id, 400, users::error(&reason));
         };
         let checked = parsed.map_err(|e| (400, e)).and_then(|s| self.check(s));
         let known = self.mirror.ledger.jobs.contains_key(&job);
@@ -233,14 +233,14 @@
                     Ok(spec) => {
                         if let Some(dependency) = self.unknown_dependency(&spec) {
                             let reason = format!("awaits: {dependency} was never accepted");
-                            return self.out.answer(id, 422, users::error(&reason));
+                            return self.out.respond(id, 422, users::error(&reason));
                         }
                         let until = self.now + Micros::millis(3000);
                         self.users.writes.push_back((UserWrite::Submit(id, Box::new(spec)), until));
                         self.write_users();
                     }
                     Err((503, _)) => self.refuse(id, RefusalReason::MachineTypesUnknown),
-                    Err((status, reason)) => self.out.answer(id, status, users::error(&reason)),
+                    Err((status, reason)) => self.out.respond(id, status, users::error(&reason)),
                 }
             }
             Waiter::Abort(id, job) => {
@@ -248,7 +248,7 @@
                     return;
                 }
                 if !self.mirror.ledger.jobs.contains_key(&job) {
-                    return self.out.answer(id, 404, users::error("no such job"));
+                    return self.out.respond(id, 404, users::error("no such job"));
                 }
                 let until = self.now + Micros::millis(3000);
                 let end = jobs::cancelled_value(self.wall_ms, None, false);
@@ -323,7 +323,7 @@
 
     pub(super) fn user_written(&mut self, w: UserWrite, result: &CallResult) {
         match (w, result) {
-            (UserWrite::Submit(id, spec), CallResult::Answer { status: 200, body }) => {
+            (UserWrite::Submit(id, spec), CallResult::Response { status: 200, body }) => {
                 let job = spec.id;
                 let stamp = serde_json::from_slice::<MultiAnswer>(body).map_or(0, |a| a.ledger);
                 debug!("{job}: accepted at {stamp}");
@@ -331,34 +331,34 @@
                     |id: &JobId| self.mirror.ledger.jobs.get(id).is_some_and(|j| j.phase == Phase::Aborted);
                 // Accepted all the same, and cancelled with what it depends on.
                 let stage = if spec.dependencies.iter().any(cancelled) { "aborted" } else { "queued" };
-                self.out.answer(id, 201, users::job_answer(job, stage, 0, 0));
+                self.out.respond(id, 201, users::job_answer(job, stage, 0, 0));
             }
-            (UserWrite::Abort(id, job, end), CallResult::Answer { status: 200, body }) => {
+            (UserWrite::Abort(id, job, end), CallResult::Response { status: 200, body }) => {
                 info!("{job}: cancelled");
                 let stamp = serde_json::from_slice::<MultiAnswer>(body).map_or(0, |a| a.ledger);
                 self.ended_by(&[Write::Put { put: keys::end(job), v: end, hold: None }], stamp);
                 self.tell_user(id, job);
             }
-            (UserWrite::Guest(t, m, _), CallResult::Answer { status: 200, body }) => {
+            (UserWrite::Guest(t, m, _), CallResult::Response { status: 200, body }) => {
                 let stamp = serde_json::from_slice::<MultiAnswer>(body).map_or(0, |a| a.ledger);
                 let ended = self.ended_by(&m.writes, stamp);
                 self.tell_guest(t, &ended, result.clone());
             }
             // The key is there already: the current state is the answer.
-            (UserWrite::Submit(id, spec), CallResult::Answer { status: 409, .. }) => {
+            (UserWrite::Submit(id, spec), CallResult::Response { status: 409, .. }) => {
                 self.wait(Waiter::Poll(id, spec.id), Micros::millis(1500));
             }
-            (UserWrite::Abort(id, job, _), CallResult::Answer { status: 409, .. }) => {
+            (UserWrite::Abort(id, job, _), CallResult::Response { status: 409, .. }) => {
                 self.wait(Waiter::Abort(id, job), Micros::millis(1500));
             }
-            (UserWrite::Guest(t, m, as_leader), CallResult::Answer { status: 429, .. }) => {
+            (UserWrite::Guest(t, m, as_leader), CallResult::Response { status: 429, .. }) => {
                 self.users.bucket.force(self.now, 1.0);
                 self.users
                     .writes
                     .push_back((UserWrite::Guest(t, m, as_leader), self.now + Micros::millis(2000)));
             }
             (UserWrite::Guest(t, ..), r) => self.ask_guest(GuestInput::Called(t, r.clone())),
-            (w, CallResult::Answer { status: 429, .. }) => {
+            (w, CallResult::Response { status: 429, .. }) => {
                 let pause = Micros::millis(100 + self.rng.u64(0..100));
                 self.users.bucket.force(self.now, 1.0);
                 self.users.writes.push_back((w, self.now + Micros::millis(2000) - pause));
--- a/crates/core/src/node/stand_in.rs
+++ b/crates/core/src/node/stand_in.rs
@@ -1,9 +1,11 @@
 //! A witness's work in place of a leader that is silent (`crate::deputy`).
 use super::*;
-use crate::cancellation_enforcer::{Act, Evidence, LEADER_SILENCE_TIMEOUT, Suspect, cancellation_deadline};
+use crate::cancellation_enforcer::{
+    EnforcementAction, Evidence, LEADER_SILENCE_TIMEOUT, Suspect, cancellation_deadline,
+};
 use crate::jobs::Job;
 use crate::liveness::LivenessSummary;
-use crate::peer::Held;
+use crate::peer::TaskStatus;
 
 /// A line about the machines is written this often while silence is all there is to go by.
 const LIVENESS_LOG_INTERVAL: Micros = Micros::secs(5);
@@ -12,7 +14,7 @@
 
 impl Node {
     pub(super) fn stand_in(&mut self) {
-        self.liveness.works(self.now);
+        self.liveness.record_tick(self.now);
         if let Some(deadline) = self.deadline_without_knowledge() {
             // A good answer now and then elects nobody: what is known of the machines is kept.
             if self.state_is_away() || self.liveness.listed_count() > 0 {
@@ -20,16 +22,16 @@
             }
         }
         if self.liveness.listed_count() > 0 {
-            self.deputy.stand_down();
+            self.deputy.reset();
         }
         // Also what was heard before the state was read: it is not kept up from then on.
         self.liveness.clear();
         let term = self.leader_term();
         let long = self.deputy.leadership_established(term, self.now);
         if self.somebody_leads() && long || self.now.since(self.began) < LEADER_SILENCE_TIMEOUT {
-            return self.deputy.stand_down();
+            return self.deputy.reset();
         }
-        if !self.deputy.due(self.now) {
+        if !self.deputy.scan_due(self.now) {
             return;
         }
         let suspects = self.suspects();
@@ -41,7 +43,7 @@
     /// with cancelled tasks. Nothing is deleted while the state service's last answer was good.
     fn stand_in_blindly(&mut self, deadline: Micros) {
         self.list_machines();
-        if !self.deputy.due(self.now) {
+        if !self.deputy.scan_due(self.now) {
             return;
         }
         let mut suspects = self.liveness.suspects(deadline, self.now);
@@ -59,7 +61,7 @@
             return;
         }
         self.liveness_logged = self.now;
-        let LivenessSummary { running, unanswering, silent, unproved_zones } =
+        let LivenessSummary { running, unanswered: unanswering, silent, unproved_zones } =
             self.liveness.summary(self.now);
         info!(
             "liveness: running={running} unanswering={unanswering} silent={silent} unproved_zones={unproved_zones}"
@@ -79,17 +81,17 @@
     /// A page of the cloud's list came, or none did.
     pub(super) fn machines_listed(&mut self, result: &CallResult) {
         let page: Option<Rentals> = match result {
-            CallResult::Answer { status: 200, body } => serde_json::from_slice(body).ok(),
+            CallResult::Response { status: 200, body } => serde_json::from_slice(body).ok(),
             _ => None,
         };
-        self.liveness.listed(page.as_ref().map(|p| (&p.hosts[..], p.truncated)), self.now);
+        self.liveness.record_list_page(page.as_ref().map(|p| (&p.hosts[..], p.truncated)), self.now);
     }
 
     fn enforce_cancellations(&mut self, suspects: &BTreeMap<MachineId, Suspect>, machines: usize) {
         for act in self.deputy.tick(suspects, self.ctx.cancel, machines, self.now) {
             match act {
-                Act::Ask(ids) => ids.into_iter().for_each(|id| self.ask_suspect(id)),
-                Act::Delete(ids) => self.delete_suspects(ids),
+                EnforcementAction::Probe(ids) => ids.into_iter().for_each(|id| self.ask_suspect(id)),
+                EnforcementAction::Delete(ids) => self.delete_suspects(ids),
             }
         }
     }
@@ -112,20 +114,21 @@
     /// A deletion ended.
     pub(super) fn suspects_deleted(&mut self, ids: &[MachineId], result: &CallResult) {
         let done = match result {
-            CallResult::Answer { status, .. } => Some(*status == 200),
+            CallResult::Response { status, .. } => Some(*status == 200),
             CallResult::NotSent => Some(false),
             CallResult::Unknown => None,
         };
-        self.deputy.deleted(ids, done, self.now);
+        self.deputy.record_deletion_result(ids, done, self.now);
         if done == Some(true) {
-            ids.iter().for_each(|id| self.liveness.deleted(id));
+            ids.iter().for_each(|id| self.liveness.record_deletion(id));
         }
     }
 
     /// A leader is heard, or holds its key where the state service can be asked: one behind
     /// a cut deals with what it can reach, and its books here are late.
     fn somebody_leads(&self) -> bool {
-        let heard = self.leadership.leader.is_some() || self.now.since(self.peers.led_at) < LEADER_SILENCE_TIMEOUT;
+        let heard =
+            self.leadership.leader.is_some() || self.now.since(self.peers.led_at) < LEADER_SILENCE_TIMEOUT;
         heard || self.mirror.state_ok(self.now) && self.mirror.ledger.leader.is_some()
     }
 
@@ -150,7 +153,7 @@
         let machines = &self.mirror.ledger.machines;
         let holder = |id: &MachineId| match self.ctl.holds(id) {
             true => Some(self.nodes.me),
-            false => self.ctl.directory.get(id).copied(),
+            false => self.ctl.holders.get(id).copied(),
         };
         let unsettled: Vec<(Micros, &Job)> = match self.kept.all().any(|b| !b.unknown.is_empty()) {
             true => self.mirror.ledger.jobs.keys().filter_map(|id| self.unsettled(*id)).collect(),
@@ -181,7 +184,9 @@
         }
         suspects
             .into_iter()
-            .map(|(id, (by, starts))| (id, Suspect { by, evidence: Evidence::Placement { starts } }))
+            .map(|(id, (by, starts))| {
+                (id, Suspect { deadline: by, evidence: Evidence::Placement { starts } })
+            })
             .collect()
     }
 
@@ -194,9 +199,9 @@
     /// A question or a stop ended; a machine answers both with its report.
     pub(super) fn deputy_answered(&mut self, machine: &MachineId, sent: Micros, result: &CallResult) {
         if *result == CallResult::Unknown {
-            return self.liveness.unanswered(machine, sent, self.now);
+            return self.liveness.record_probe_timeout(machine, sent, self.now);
         }
-        let CallResult::Answer { status: 200 | 409, body } = result else { return };
+        let CallResult::Response { status: 200 | 409, body } = result else { return };
         let Some((r, tasks)) = readable_report(body) else {
             return self.note_odd_answer(machine, "is unreadable");
         };
@@ -205,13 +210,14 @@
         }
         if self.watches_liveness() {
             let has_tasks = has_tasks(&tasks);
-            let news = self.liveness.answered(machine.clone(), r.number(), has_tasks, sent, self.now);
+            let news =
+                self.liveness.record_probe_response(machine.clone(), r.number(), has_tasks, sent, self.now);
             if !news {
                 debug!("{machine}: its answer is older than another message, and changes nothing");
             }
         }
         let unwanted = Controller::stops_for_unleased(&tasks, &self.mirror.ledger);
-        let Some(stops) = self.deputy.answered(&r, unwanted) else { return };
+        let Some(stops) = self.deputy.record_probe_response(&r, unwanted) else { return };
         let call = self.out.call(Call {
             target: Target::Worker(r.addr),
             method: "POST",
@@ -224,16 +230,16 @@
 
     /// An answer that changes nothing; said once for each machine.
     fn note_odd_answer(&mut self, machine: &MachineId, what: &str) {
-        if self.liveness.note_odd_answer(machine) {
+        if self.liveness.record_invalid_response(machine) {
             warn!("ignored: an answer to a question to {machine} {what}");
         }
     }
 
     /// A worker sent a heartbeat.
-    pub(super) fn note_heartbeat(&mut self, report: &Report, tasks: &[Held]) {
+    pub(super) fn note_heartbeat(&mut self, report: &Report, tasks: &[TaskStatus]) {
         if self.watches_liveness() {
             let machine = MachineId::from(&*report.host);
-            self.liveness.heartbeat(machine, report.number(), has_tasks(tasks), self.now);
+            self.liveness.record_heartbeat(machine, report.number(), has_tasks(tasks), self.now);
         }
     }
 
@@ -243,13 +249,13 @@
     }
 }
 
-fn readable_report(body: &[u8]) -> Option<(Report, Vec<Held>)> {
+fn readable_report(body: &[u8]) -> Option<(Report, Vec<TaskStatus>)> {
     let report: Report = serde_json::from_slice(body).ok()?;
     let tasks = parse_tasks(&report)?;
     Some((report, tasks))
 }
 
-fn has_tasks(tasks: &[Held]) -> bool {
+fn has_tasks(tasks: &[TaskStatus]) -> bool {
     tasks.iter().any(|task| !task.state.exited())
 }
 
--- a/crates/core/src/node/stand_in/tests.rs
+++ b/crates/core/src/node/stand_in/tests.rs
@@ -54,7 +54,7 @@
         held_s: 100.0,
     };
     let rentals: Vec<Rental> = names.iter().map(rental).collect();
-    node.liveness.listed(Some((&rentals, false)), node.now);
+    node.liveness.record_list_page(Some((&rentals, false)), node.now);
 }
 
 /// Probes of `m0` are not answered from a time on, while `m1` answers: why `m0` is probed in the end.
@@ -65,9 +65,9 @@
         let sent = from + Micros::secs(second);
         for ms in (0..1_200).step_by(20) {
             node.now = sent + Micros::millis(ms);
-            node.liveness.works(node.now);
+            node.liveness.record_tick(node.now);
         }
-        let answer = CallResult::Answer { status: 200, body: idle_report("m1", 1_000 + second) };
+        let answer = CallResult::Response { status: 200, body: idle_report("m1", 1_000 + second) };
         node.deputy_answered(&m1, sent, &answer);
         node.deputy_answered(&m0, sent, &CallResult::Unknown);
         node.liveness.suspects(by, node.now);
@@ -107,7 +107,7 @@
 
 #[test]
 fn answers_that_are_not_the_machines_own_report_are_no_sign_of_life() {
-    let answer = |status, body: Vec<u8>| CallResult::Answer { status, body };
+    let answer = |status, body: Vec<u8>| CallResult::Response { status, body };
     let whole = idle_report("m0", 9);
     // What comes for m0 after its silence, and how many machines don't answer then.
     let cases = [
@@ -125,7 +125,7 @@
         let sent = node.now;
         node.now = sent + Micros::millis(20);
         node.deputy_answered(&MachineId::from("m0"), sent, &result);
-        assert_eq!(node.liveness.summary(node.now).unanswering, unanswering, "{what}");
+        assert_eq!(node.liveness.summary(node.now).unanswered, unanswering, "{what}");
         let stranger = MachineId::from("m7");
         assert!(node.liveness.address(&stranger).is_none(), "{what}");
     }
--- a/crates/core/src/node/status.rs
+++ b/crates/core/src/node/status.rs
@@ -164,7 +164,7 @@
     /// Answers are about to leave.
     pub(super) fn answers_leave(&mut self, outputs: &[Output]) {
         for output in outputs {
-            let Output::Answer { id, status, .. } = output else { continue };
+            let Output::Response { id, status, .. } = output else { continue };
             if self.open_polls.remove(id).is_none() {
                 continue;
             }
@@ -189,10 +189,10 @@
     pub(super) fn proof_ended(&mut self, result: &CallResult, now: Micros) {
         self.proof_slowest = self.proof_slowest.max(now.since(self.proof_sent));
         let outcome = match result {
-            CallResult::Answer { status: 200, .. } => &mut self.proofs.proved,
-            CallResult::Answer { status: 429, .. } => &mut self.proofs.limited,
-            CallResult::Answer { status: 410, .. } => &mut self.proofs.too_old,
-            CallResult::Answer { .. } => &mut self.proofs.refused,
+            CallResult::Response { status: 200, .. } => &mut self.proofs.proved,
+            CallResult::Response { status: 429, .. } => &mut self.proofs.limited,
+            CallResult::Response { status: 410, .. } => &mut self.proofs.too_old,
+            CallResult::Response { .. } => &mut self.proofs.refused,
             CallResult::NotSent | CallResult::Unknown => &mut self.proofs.unanswered,
         };
         *outcome += 1;
--- a/crates/core/src/node/status/tests.rs
+++ b/crates/core/src/node/status/tests.rs
@@ -3,7 +3,7 @@
 const GAUGES: Gauges = Gauges { revision: 7, ready: true, machines_held: 2, leader: Some(1), term: 4 };
 
 fn answer(id: u64, status: u16) -> Output {
-    Output::Answer { id: RequestId(id), status, body: Vec::new(), retry_after: None }
+    Output::Response { id: RequestId(id), status, body: Vec::new(), retry_after: None }
 }
 
 #[test]
@@ -21,7 +21,7 @@
     status.proof_asked(ms(2000));
     status.proof_ended(&CallResult::Unknown, ms(3200));
     status.proof_asked(ms(3300));
-    status.proof_ended(&CallResult::Answer { status: 200, body: Vec::new() }, ms(3310));
+    status.proof_ended(&CallResult::Response { status: 200, body: Vec::new() }, ms(3310));
     status.caught_up(ms(3310));
     assert_eq!(status.line(GAUGES, ms(10_999)), None);
     let line = status.line(GAUGES, ms(11_000)).unwrap();
--- a/crates/core/src/node/workers.rs
+++ b/crates/core/src/node/workers.rs
@@ -4,10 +4,10 @@
 impl Node {
     pub(super) fn checkin(&mut self, id: RequestId, body: &[u8]) {
         let Ok(r) = serde_json::from_slice::<Report>(body) else {
-            return self.out.answer(id, 400, users::error("not a report"));
+            return self.out.respond(id, 400, users::error("not a report"));
         };
         let Some(tasks) = parse_tasks(&r) else {
-            return self.out.answer(id, 400, users::error("a task's name is unreadable"));
+            return self.out.respond(id, 400, users::error("a task's name is unreadable"));
         };
         self.note_heartbeat(&r, &tasks);
         let machine = MachineId::from(&*r.host);
@@ -21,18 +21,18 @@
         }
         match self.ctl.checkin(&r, tasks, &self.mirror.ledger, self.now) {
             HeartbeatReply::Orders(baton, orders) => self.renew(id, baton.0, orders),
-            HeartbeatReply::Elsewhere(to) | HeartbeatReply::Lost(to)
+            HeartbeatReply::Misdirected(to) | HeartbeatReply::Superseded(to)
                 if !self.held_check_ins.is_news(&machine, r.number()) =>
             {
                 // A copy, or held up on the way: nobody waits for the answer.
                 self.send_elsewhere(id, to);
             }
-            reply @ (HeartbeatReply::Elsewhere(to) | HeartbeatReply::Lost(to)) => {
+            reply @ (HeartbeatReply::Misdirected(to) | HeartbeatReply::Superseded(to)) => {
                 self.tell_seen(&machine, MachineRecord::of(&r), r.number(), false);
                 // Others reach it if it has a token from them, here or since it was
                 // kept alive here; one without tasks loses nothing on its way to them.
                 let kept = self.held_check_ins.kept.get(&machine).copied();
-                let lost = matches!(reply, HeartbeatReply::Lost(_))
+                let lost = matches!(reply, HeartbeatReply::Superseded(_))
                     || kept.is_some_and(|b| r.baton > b)
                     || r.pieces.is_empty();
                 match self.holder_to_name(&machine, to) {
@@ -91,7 +91,7 @@
             return self.send_elsewhere(id, None);
         }
         let body = serde_json::to_vec(&CheckinAnswer { baton, orders }).unwrap_or_default();
-        self.out.answer(id, 200, body);
+        self.out.respond(id, 200, body);
     }
 
     /// Neither the state service nor another controller is heard.
@@ -105,23 +105,23 @@
             Some(name) => json!({ "foreman": name }),
             None => json!({}),
         };
-        self.out.answer(id, 421, body.to_string().into_bytes());
+        self.out.respond(id, 421, body.to_string().into_bytes());
     }
 
     pub(super) fn tell_seen(&mut self, id: &MachineId, rec: MachineRecord, report: ReportNo, asked: bool) {
         if self.mirror.ledger.machines.contains_key(id) {
             // The leader knows it: the next `Sync` names it.
             self.held_check_ins.strangers.insert(id.clone(), (self.now, report, asked));
-            self.ctl.dirty = true;
+            self.ctl.sync_pending = true;
         } else if let Some(to) = self.leader_node() {
-            let m = Message::Seen {
+            let m = Message::MachineDiscovered {
                 id: id.clone(),
                 build: rec.build,
                 zone: rec.zone,
                 spot: rec.spot,
                 addr: rec.addr,
                 report,
-                asked,
+                probed: asked,
             };
             self.send(to, m);
         }
@@ -140,17 +140,19 @@
             let tasks = parse_tasks(&r).unwrap_or_default();
             match self.ctl.checkin(&r, tasks, &self.mirror.ledger, self.now) {
                 HeartbeatReply::Orders(baton, orders) => self.renew(id, baton.0, orders),
-                HeartbeatReply::Elsewhere(to) | HeartbeatReply::Lost(to) => match self.holder_to_name(&m, to) {
-                    Some(n) => self.send_elsewhere(id, Some(n)),
-                    None => self.keep_alive(id, &r),
-                },
+                HeartbeatReply::Misdirected(to) | HeartbeatReply::Superseded(to) => {
+                    match self.holder_to_name(&m, to) {
+                        Some(n) => self.send_elsewhere(id, Some(n)),
+                        None => self.keep_alive(id, &r),
+                    }
+                }
             }
         }
     }
 
     /// Sends what the block's workers should hear.
     pub(super) fn drive(&mut self) {
-        for (call, machine) in self.ctl.drive(&self.mirror.ledger, self.now, &mut self.out) {
+        for (call, machine) in self.ctl.send_commands(&self.mirror.ledger, self.now, &mut self.out) {
             self.calls.insert(call, Purpose::Worker(machine));
         }
     }
--- a/crates/core/src/peer.rs
+++ b/crates/core/src/peer.rs
@@ -43,7 +43,7 @@
 
 /// A task on a machine.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
-pub struct Held {
+pub struct TaskStatus {
     /// Task.
     pub task: TaskId,
     /// Attempt.
@@ -58,23 +58,23 @@
     /// Machine.
     pub id: MachineId,
     /// Token under which the sender holds it.
-    pub baton: Baton,
+    pub fencing_token: Baton,
     /// Highest token its worker was seen to know.
-    pub seen_baton: Baton,
+    pub seen_fencing_token: Baton,
     /// Its last report.
-    pub last: ReportNo,
+    pub last_report: ReportNo,
     /// That report shows that the worker hears: it came in answer to a call, stayed
     /// with its controller, or has the grant's token for the first time.
-    pub obeys: bool,
+    pub acknowledges_commands: bool,
     /// How long ago it was heard; `None` if never by this controller.
     pub last_contact_age: Option<Micros>,
     /// Spot notice.
-    pub warning: Option<Micros>,
+    pub preemption_notice: Option<Micros>,
     /// The controller wants a higher token: a start of a task that must not
     /// run may still arrive.
-    pub want_baton: bool,
+    pub needs_new_fencing_token: bool,
     /// Tasks, starts that are not settled among them.
-    pub tasks: Vec<Held>,
+    pub tasks: Vec<TaskStatus>,
 }
 
 /// A report of a recorded machine that the sender does not hold.
@@ -86,12 +86,12 @@
     pub report: ReportNo,
     /// The worker answered the sender's question, so that it is well now; a
     /// check-in may be a copy of one that is long past.
-    pub asked: bool,
+    pub probed: bool,
 }
 
 /// What became of a hand-out.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
-pub struct Outcome {
+pub struct AssignmentOutcome {
     /// The hand-out.
     pub attempt: Attempt,
     /// Where it was started, or `None` if it never was and never will be.
@@ -104,7 +104,7 @@
     /// Machine.
     pub id: MachineId,
     /// Token.
-    pub baton: Baton,
+    pub fencing_token: Baton,
     /// Worker address.
     pub addr: String,
     /// Draining: start nothing on it.
@@ -121,7 +121,7 @@
     /// The only zone it may go to.
     pub zone: Option<String>,
     /// The machine that the leader reserved room on.
-    pub hint: MachineId,
+    pub preferred_machine: MachineId,
 }
 
 /// A stop that the leader asks for.
@@ -143,13 +143,13 @@
     /// Job.
     pub job: JobId,
     /// Its end's time of day, in milliseconds.
-    pub at_ms: u64,
+    pub ended_ms: u64,
     /// Version of the record of the end.
-    pub stamp: u64,
+    pub record_version: u64,
     /// Why it was ended by the service, if it was.
     pub cause: Option<String>,
     /// Everybody who has to know does: a user may be told of it.
-    pub told: bool,
+    pub may_confirm: bool,
     /// Processes that know of it, by controller; 0 for none.
     pub acknowledged_by: Vec<u64>,
 }
@@ -160,22 +160,22 @@
     /// To everybody, about twice a second.
     Ping {
         /// The sender reaches the state service.
-        state_ok: bool,
+        state_reachable: bool,
         /// Nodes that it hears directly.
-        hears: Vec<NodeId>,
+        receives_from: Vec<NodeId>,
         /// Users' changes that wait for their turn in the sender's budget.
-        queued: u32,
+        queued_writes: u32,
         /// The sender has read the state in this life.
-        loaded: bool,
+        state_loaded: bool,
     },
     /// Cancellations that the receiver has not acknowledged, or that all know of now.
-    Cancelled(Vec<Cancellation>),
+    Cancellations(Vec<Cancellation>),
     /// The sender acts on these cancellations.
     CancellationsAck {
         /// Jobs.
         jobs: Vec<JobId>,
         /// The term that it leads, if it leads one.
-        leads: Option<u64>,
+        leading_term: Option<u64>,
     },
     /// To a node that hears the receiver: a `Envelope` to be passed on.
     Forward {
@@ -195,17 +195,17 @@
         /// What the leader has taken; 0: nothing, this is the whole view.
         base: u64,
         /// The last `Update` of that term taken.
-        seen: u64,
+        acked_update: u64,
         /// Machines that changed.
         machines: Vec<MachineState>,
         /// Machines that were heard and did not change, how long ago, and by which
         /// report.
-        heard: Vec<(MachineId, Micros, ReportNo)>,
+        contacts: Vec<(MachineId, Micros, ReportNo)>,
         /// Recorded machines whose workers lately reported to the sender, which
         /// does not hold them.
-        strangers: Vec<UnleasedReport>,
+        unleased_reports: Vec<UnleasedReport>,
         /// Hand-outs that the leader has not acknowledged.
-        outcomes: Vec<Outcome>,
+        outcomes: Vec<AssignmentOutcome>,
     },
     /// The leader's orders to one controller: what changed since the `Update`
     /// numbered `base`, which the receiver acknowledged. A receiver that has
@@ -220,15 +220,15 @@
         /// The receiver's incarnation that it is meant for.
         incarnation: u64,
         /// The last `Sync` taken.
-        ack: u64,
+        acked_sync: u64,
         /// Block lease, counted from the sending of that `Sync`.
         lease: Micros,
         /// Machines of the receiver's block that are new or changed.
         block: Vec<GrantedMachine>,
         /// Machines that others hold, or nobody: not of the block (any more).
-        elsewhere: Vec<(MachineId, Option<NodeId>)>,
+        not_in_block: Vec<(MachineId, Option<NodeId>)>,
         /// Hand-outs whose outcome the leader does not know.
-        handouts: Vec<Assignment>,
+        assignments: Vec<Assignment>,
         /// Stops wanted.
         stops: Vec<StopRequest>,
         /// Running tasks of jobs whose number changed, for display.
@@ -236,7 +236,7 @@
     },
     /// To the leader: a machine that the sender does not hold reported to it
     /// (or answered a probe).
-    Seen {
+    MachineDiscovered {
         /// Machine.
         id: MachineId,
         /// Type.
@@ -250,7 +250,7 @@
         /// The report.
         report: ReportNo,
         /// The worker was asked, and answered.
-        asked: bool,
+        probed: bool,
     },
     /// From the leader: ask this machine for its status.
     Probe {
@@ -260,7 +260,7 @@
         addr: String,
     },
     /// From the leader to a witness: its books.
-    Books(Page),
+    PlacementLogUpdate(Page),
     /// From a witness: the books of that term are taken up to this change.
     PlacementLogAck {
         /// Term.
@@ -290,13 +290,13 @@
 
 impl Envelope {
     /// As bytes, behind the version.
-    pub fn pack(&self) -> Vec<u8> {
+    pub fn to_bytes(&self) -> Vec<u8> {
         let mut out = vec![PROTOCOL_VERSION];
         out.extend(borsh::to_vec(self).unwrap_or_default());
         out
     }
     /// From bytes of the same version.
-    pub fn unpack(bytes: &[u8]) -> Option<Self> {
+    pub fn from_bytes(bytes: &[u8]) -> Option<Self> {
         let (version, rest) = bytes.split_first()?;
         (*version == PROTOCOL_VERSION).then(|| borsh::from_slice(rest).ok())?
     }
@@ -320,7 +320,7 @@
 pub const FRAME_HEADER_LEN: usize = 5;
 
 /// Builds a frame.
-pub fn encode(e: &Envelope) -> Result<Vec<u8>, FrameError> {
+pub fn encode_frame(e: &Envelope) -> Result<Vec<u8>, FrameError> {
     let body = borsh::to_vec(e)?;
     if body.len() > MAX_FRAME_BYTES {
         return Err(FrameError::TooLong(body.len()));
@@ -360,7 +360,7 @@
 }
 
 /// A process's number: later processes of a controller have higher ones.
-pub fn process_number(wall_ms: u64, salt: u64) -> u64 {
+pub fn incarnation_number(wall_ms: u64, salt: u64) -> u64 {
     (wall_ms << 8) | (salt & 0xff)
 }
 
--- a/crates/core/src/peer/inbox.rs
+++ b/crates/core/src/peer/inbox.rs
@@ -7,12 +7,12 @@
 use std::collections::VecDeque;
 
 /// A message that waits, and the number of the process that sent it.
-pub type Waiting = (u64, Message);
+pub type QueuedMessage = (u64, Message);
 
 /// The messages that wait.
 #[derive(Debug, Default)]
 pub struct Inbox {
-    messages: VecDeque<Waiting>,
+    messages: VecDeque<QueuedMessage>,
 }
 
 /// Whether a message says all that an earlier one of the same process says, as it is now.
@@ -21,20 +21,22 @@
         (Message::Ping { .. }, Message::Ping { .. }) => true,
         // A view holds what changed since its base, which the receiver has taken.
         (Message::Sync { term, seq, .. }, Message::Sync { term: t, seq: s, .. }) => term == t && seq > s,
-        (Message::Books(page), Message::Books(other)) => page.term == other.term && page.seq >= other.seq,
+        (Message::PlacementLogUpdate(page), Message::PlacementLogUpdate(other)) => {
+            page.term == other.term && page.seq >= other.seq
+        }
         _ => false,
     }
 }
 
 impl Inbox {
     /// A message came.
-    pub fn put(&mut self, process: u64, message: Message) {
+    pub fn push(&mut self, process: u64, message: Message) {
         self.messages.retain(|(p, earlier)| *p != process || !supersedes(&message, earlier));
         self.messages.push_back((process, message));
     }
 
     /// The earliest message.
-    pub fn take(&mut self) -> Option<Waiting> {
+    pub fn pop(&mut self) -> Option<QueuedMessage> {
         self.messages.pop_front()
     }
 
--- a/crates/core/src/peer/inbox/tests.rs
+++ b/crates/core/src/peer/inbox/tests.rs
@@ -7,24 +7,29 @@
         term,
         seq,
         base,
-        seen: 0,
+        acked_update: 0,
         machines: Vec::new(),
-        heard: Vec::new(),
-        strangers: Vec::new(),
+        contacts: Vec::new(),
+        unleased_reports: Vec::new(),
         outcomes: Vec::new(),
     }
 }
 
 fn page(term: u64, seq: u64) -> Message {
-    Message::Books(Page { term, seq, base: 1, tasks: Vec::new(), unknown: Vec::new() })
+    Message::PlacementLogUpdate(Page { term, seq, base: 1, tasks: Vec::new(), unknown: Vec::new() })
 }
 
 fn ping(queued: u32) -> Message {
-    Message::Ping { state_ok: true, hears: Vec::new(), queued, loaded: true }
+    Message::Ping {
+        state_reachable: true,
+        receives_from: Vec::new(),
+        queued_writes: queued,
+        state_loaded: true,
+    }
 }
 
 fn known(job: u64) -> Message {
-    Message::CancellationsAck { jobs: vec![JobId(job)], leads: None }
+    Message::CancellationsAck { jobs: vec![JobId(job)], leading_term: None }
 }
 
 #[test]
@@ -43,9 +48,9 @@
     ];
     for (i, (came, left)) in cases.into_iter().enumerate() {
         let mut inbox = Inbox::default();
-        came.iter().for_each(|(process, m)| inbox.put(*process, m.clone()));
+        came.iter().for_each(|(process, m)| inbox.push(*process, m.clone()));
         let want: Vec<&(u64, Message)> = left.iter().map(|at| &came[*at]).collect();
-        let got: Vec<(u64, Message)> = std::iter::from_fn(|| inbox.take()).collect();
+        let got: Vec<(u64, Message)> = std::iter::from_fn(|| inbox.pop()).collect();
         assert_eq!(got.iter().collect::<Vec<_>>(), want, "case {i}");
     }
 }
--- a/crates/core/src/peer/tests.rs
+++ b/crates/core/src/peer/tests.rs
@@ -5,9 +5,14 @@
     let e = Envelope {
         from: NodeId(1),
         incarnation: 9,
-        message: Message::Ping { state_ok: true, hears: vec![NodeId(2)], queued: 3, loaded: true },
+        message: Message::Ping {
+            state_reachable: true,
+            receives_from: vec![NodeId(2)],
+            queued_writes: 3,
+            state_loaded: true,
+        },
     };
-    let f = encode(&e).unwrap();
+    let f = encode_frame(&e).unwrap();
     let head: [u8; FRAME_HEADER_LEN] = f[..FRAME_HEADER_LEN].try_into().unwrap();
     assert_eq!(decode_header(head).unwrap(), f.len() - FRAME_HEADER_LEN);
     assert_eq!(decode_body(&f[FRAME_HEADER_LEN..]).unwrap(), e);
