--- a/crates/core/src/controller/placing.rs
+++ b/crates/core/src/controller/assignments.rs
@@ -1,26 +1,26 @@
-//! Hand-outs and stops. Invariant: a hand-out goes only to a machine that was
-//! granted before it, whose worker has shown that grant's token.
+//! Assignments and stops from the leader. Invariant: an assignment is placed only on a machine that
+//! was granted before it, and whose worker has reported that grant's fencing token.
 use super::*;
 
 impl Controller {
-    /// Takes hand-outs, starting what fits.
+    /// Starts the assigned tasks that fit on a machine, and records the outcome of each assignment.
     pub fn apply_assignments(
         &mut self,
-        handouts: &[Assignment],
+        assignments: &[Assignment],
         ledger: &Ledger,
         sizes: &MachineSizes,
         now: Micros,
     ) {
-        for h in handouts {
+        for h in assignments {
             if self.outcomes.contains_key(&h.attempt) {
                 continue;
             }
             let machine = self.place(h, ledger, sizes, now);
             match &machine {
-                Some(id) => self.touch(id),
-                None => debug!("{}: no room for hand-out {}", h.task, h.attempt.0),
+                Some(id) => self.mark_changed(id),
+                None => debug!("{}: no capacity for assignment attempt={}", h.task, h.attempt.0),
             }
-            self.outcomes.insert(h.attempt, Placed { machine, told: None });
+            self.outcomes.insert(h.attempt, Placed { machine, first_sync: None });
             self.sync_pending = true;
         }
     }
@@ -34,35 +34,35 @@
     ) -> Option<MachineId> {
         let job = ledger.jobs.get(&h.task.job)?;
         let spec = job.spec.as_ref()?;
-        if over(Some(job), h.task.index) || now >= self.lease_until {
+        if is_finished(Some(job), h.task.index) || now >= self.lease_until {
             return None;
         }
-        // The leader chose by the same measure and reserved room there: its
-        // machine, if that will do, and the best of the others otherwise.
-        let rate = |id: &MachineId, w: &Worker| self.rate(h, spec, id, w, ledger, sizes, now);
-        let id = match self.workers.get(&h.preferred_machine).and_then(|w| rate(&h.preferred_machine, w)) {
+        // The leader chose by the same score and reserved capacity on its preferred machine. If that
+        // machine cannot start the task, the best other one is taken.
+        let score = |id: &MachineId, w: &Worker| self.score(h, spec, id, w, ledger, sizes, now);
+        let id = match self.workers.get(&h.preferred_machine).and_then(|w| score(&h.preferred_machine, w)) {
             Some(_) => h.preferred_machine.clone(),
-            None => self.workers.iter().filter_map(|(id, w)| Some((rate(id, w)?, id))).min()?.1.clone(),
+            None => self.workers.iter().filter_map(|(id, w)| Some((score(id, w)?, id))).min()?.1.clone(),
         };
         let w = self.workers.get_mut(&id)?;
         w.images.insert(spec.image.clone());
         w.starts.insert(
             (h.task, h.attempt),
             Start {
-                baton: w.baton,
-                shift: w.shift,
+                fencing_token: w.fencing_token,
+                agent_epoch: w.agent_epoch,
                 need: spec.need,
-                seen: false,
-                sending: Sending::Settled,
-                in_answer_to: None,
+                reported: false,
+                delivery: Delivery::Settled,
+                in_response_to: None,
             },
         );
         Some(id)
     }
 
-    /// How well a machine suits a hand-out; `None` if it can't be started there.
+    /// How well a machine suits an assignment; `None` if the task cannot be started there.
     #[allow(clippy::too_many_arguments)]
-    pub(super) fn rate(
+    pub(super) fn score(
         &self,
         h: &Assignment,
         spec: &JobSpec,
@@ -72,13 +72,20 @@
         sizes: &MachineSizes,
         now: Micros,
     ) -> Option<placement::Score> {
-        // Only machines granted before the hand-out: the leader bound the
-        // task to those. Only recorded ones, and only once the worker has
-        // this grant's token: what else it may hold is known then.
-        if w.baton.0 >= h.attempt.0 || w.draining || w.seen_baton != w.baton || w.warning.is_some() {
+        // Only machines granted before the assignment: the leader bound the task to those. Only
+        // recorded ones, and only once the worker has this grant's token: all other tasks that it
+        // may run are known then.
+        if w.fencing_token.0 >= h.attempt.0
+            || w.draining
+            || w.seen_fencing_token != w.fencing_token
+            || w.preemption_notice.is_some()
+        {
             return None;
         }
-        if w.shift == 0 || !w.obeys || w.heard.is_none_or(|t| now.since(t) > Micros::secs(5)) {
+        if w.agent_epoch == 0
+            || !w.acknowledges_commands
+            || w.last_contact.is_none_or(|t| now.since(t) > Micros::secs(5))
+        {
             return None;
         }
         let m = ledger.machines.get(id)?;
@@ -95,7 +102,7 @@
         placement::score(spec, &c, h.zone.as_deref())
     }
 
-    /// Takes the leader's stops.
+    /// Applies the leader's stop requests to tasks that are on the named machine or starting there.
     pub fn apply_stops(&mut self, stops: &[StopRequest]) {
         for s in stops {
             if let Some(w) = self.workers.get_mut(&s.machine) {
@@ -105,7 +112,7 @@
                     let sent_direct = w.stops.get(&k).is_some_and(|o| o.sent_direct && o.grace == grace);
                     w.stops.insert(k, Stop { grace, sent_direct });
                     if !sent_direct {
-                        self.touch(&s.machine);
+                        self.mark_changed(&s.machine);
                     }
                 }
             }
--- a/crates/core/src/controller/block.rs
+++ b/crates/core/src/controller/block.rs
@@ -1,10 +1,10 @@
-//! The block as the leader leases it. Invariant: what is here is a block that the
-//! leader had, since an update counts only over the one that it builds on.
+//! Applies the leader's updates of the block, the machines leased to this controller. Invariant: the
+//! block here is one that the leader had, since an update is applied only on top of its base.
 use super::*;
 
 impl Controller {
-    /// Takes what changed of the leader's block; `whole` if that is all of it.
-    /// Returns how many machines were granted.
+    /// Applies changes of the block; with `whole`, `block` is all of it. Returns the number of
+    /// machines granted.
     pub fn apply_block(
         &mut self,
         whole: bool,
@@ -34,19 +34,18 @@
             if w.addr.is_empty() {
                 w.addr = g.addr.clone();
             }
-            if g.fencing_token > w.baton {
-                w.baton = g.fencing_token;
-                w.announce = true;
-                w.not_before = Micros(0);
+            if g.fencing_token > w.fencing_token {
+                w.fencing_token = g.fencing_token;
+                w.announce_token = true;
+                w.next_call_at = Micros(0);
                 added += 1;
             }
-            self.touch(&g.id);
+            self.mark_changed(&g.id);
         }
         added
     }
 
-    /// Whether an update is news, and not one that was held up on the way, and
-    /// the one that it builds on was taken.
+    /// Accepts an update unless it is outdated or a duplicate, or its base was not applied here.
     pub fn accept_update(&mut self, term: u64, seq: u64, base: u64) -> bool {
         if term < self.term || (term == self.term && seq <= self.update_seq) {
             return false;
@@ -55,7 +54,7 @@
             return false;
         }
         if term > self.term {
-            // Seqs and outcomes belong to a term's leader.
+            // Sequence numbers and outcomes belong to the leader of one term.
             self.outcomes.clear();
             self.acked = 0;
             self.base = 0;
@@ -72,7 +71,7 @@
         true
     }
 
-    /// Takes numbers of running tasks; `whole` if these are all.
+    /// Applies counts of running tasks; with `whole`, they replace all earlier ones.
     pub fn apply_running_counts(&mut self, whole: bool, running: &[(JobId, u32)]) {
         if whole {
             self.running_counts.clear();
@@ -85,12 +84,13 @@
         }
     }
 
-    /// The leader's acknowledgement of a view came.
+    /// Records for the pacing of further messages that the leader has acknowledged a `Sync`.
     pub fn record_sync_ack(&mut self, ack: u64, now: Micros) {
         self.pacer.acknowledged(ack, now);
     }
 
-    /// The leader took the `Sync` numbered `ack`.
+    /// Makes the `Sync` numbered `ack`, which the leader has applied, the base of the next one, and
+    /// extends the block lease, which counts from when that `Sync` was sent.
     pub fn apply_sync_ack(&mut self, ack: u64, lease: Micros) {
         self.base = ack;
         if let Some(sent) = self.sync_sent.get(&ack).copied() {
@@ -100,7 +100,7 @@
         self.sync_sent.retain(|s, _| *s >= ack);
         if ack > self.acked {
             self.acked = ack;
-            self.outcomes.retain(|_, p| p.told.is_none_or(|t| t > ack));
+            self.outcomes.retain(|_, p| p.first_sync.is_none_or(|s| s > ack));
         }
     }
 }
--- /dev/null
+++ b/crates/core/src/controller/commands.rs
@@ -0,0 +1,268 @@
+//! Commands to workers, in responses to heartbeats and in direct calls. Invariant: a start is sent
+//! only under its grant's fencing token, and `clear` only when no call with the start can still
+//! arrive.
+use super::*;
+
+impl Controller {
+    /// Commands for a machine. `response` is true if they are sent in the response to a heartbeat.
+    pub(super) fn commands(
+        &mut self,
+        id: &MachineId,
+        ledger: &Ledger,
+        response: bool,
+        may_start: bool,
+    ) -> Vec<Order> {
+        let acked = self.acked;
+        let Some(w) = self.workers.get_mut(id) else { return Vec::new() };
+        let mut out = Vec::new();
+        let command = |verb: &str, k: &(TaskId, Attempt), grace: Option<f64>| Order {
+            verb: verb.into(),
+            piece: k.0.to_string(),
+            attempt: k.1.0,
+            wind_down_s: grace,
+        };
+        for t in &w.tasks {
+            let k = (t.task, t.attempt);
+            if t.state.exited() {
+                // `clear` is sent only in responses to heartbeats, after which no earlier response
+                // can be executed, and only when no `/do` call with the start is pending, which
+                // would start the task again if it arrived late.
+                let settled = w.starts.get(&k).is_none_or(|s| s.delivery == Delivery::Settled);
+                let recorded = match t.state {
+                    TaskState::Done => is_finished(ledger.jobs.get(&t.task.job), t.task.index),
+                    _ => w.exits.get(&k).copied().flatten().is_some_and(|seq| seq <= acked),
+                };
+                if response && settled && recorded {
+                    out.push(command("clear", &k, None));
+                }
+                continue;
+            }
+            let unwanted = is_finished(ledger.jobs.get(&t.task.job), t.task.index);
+            let stop = w.stops.get(&k).copied();
+            let grace = if unwanted {
+                Some(Micros(0))
+            } else {
+                // A task that is already saving is stopped only if it gets no more time to save.
+                stop.map(|s| s.grace).filter(|g| t.state != TaskState::Saving || g.0 == 0)
+            };
+            let Some(grace) = grace else { continue };
+            let sent = stop.is_some_and(|s| s.sent_direct && s.grace == grace);
+            if response || !sent {
+                out.push(command("halt", &k, Some(grace.as_secs_f64())));
+                w.stops.insert(k, Stop { grace, sent_direct: sent || !response });
+            }
+        }
+        // No task is started on a worker that commands may not reach: the task would be bound to it.
+        if may_start && w.acknowledges_commands {
+            let present: BTreeSet<(TaskId, Attempt)> = w.tasks.iter().map(|t| (t.task, t.attempt)).collect();
+            for (k, s) in w.starts.iter_mut() {
+                let unwanted = is_finished(ledger.jobs.get(&k.0.job), k.0.index) || w.stops.contains_key(k);
+                if s.reported
+                    || present.contains(k)
+                    || unwanted
+                    || s.fencing_token != w.fencing_token
+                    || s.agent_epoch != w.agent_epoch
+                {
+                    continue;
+                }
+                if response {
+                    s.in_response_to = Some((w.agent_epoch, w.sequence));
+                    out.push(command("run", k, None));
+                } else if s.delivery == Delivery::Settled && s.in_response_to.is_none() {
+                    out.push(command("run", k, None));
+                }
+            }
+        }
+        out
+    }
+
+    /// Marks a machine as changed: the leader must be notified soon, and a command may be due to the
+    /// worker.
+    pub(super) fn mark_changed(&mut self, id: &MachineId) {
+        if let Some(w) = self.workers.get_mut(id) {
+            w.changed_in = self.sync_seq + 1;
+            w.reported_in = w.changed_in;
+            self.touched.insert(id.clone());
+            self.sync_pending = true;
+        }
+    }
+
+    /// Marks the machines with running or starting tasks of a job that are finished, since the job
+    /// ended or the tasks were recorded as done. These tasks have to be stopped or cleared.
+    pub fn job_changed(&mut self, id: JobId, job: &Job) {
+        let finished = |t: &TaskId| t.job == id && is_finished(Some(job), t.index);
+        let affected: Vec<MachineId> = self
+            .workers
+            .iter()
+            .filter(|(_, w)| {
+                w.tasks.iter().any(|t| !t.state.exited() && finished(&t.task))
+                    || w.starts.keys().any(|(t, _)| finished(t))
+            })
+            .map(|(id, _)| id.clone())
+            .collect();
+        affected.iter().for_each(|id| self.mark_changed(id));
+    }
+
+    /// Drops starts of finished or stopped tasks that cannot have arrived.
+    pub(super) fn drop_obsolete_starts(&mut self, id: &MachineId, ledger: &Ledger) {
+        let Some(w) = self.workers.get_mut(id) else { return };
+        let before = w.starts.len();
+        let (stops, tasks) = (&w.stops, &w.tasks);
+        w.starts.retain(|k, s| {
+            let may_arrive = s.reported || s.delivery != Delivery::Settled || s.in_response_to.is_some();
+            may_arrive
+                || tasks.iter().any(|t| (t.task, t.attempt) == *k)
+                || !(is_finished(ledger.jobs.get(&k.0.job), k.0.index) || stops.contains_key(k))
+        });
+        if before != w.starts.len() {
+            self.mark_changed(id);
+        }
+    }
+
+    /// Sends the commands and probes that are due, with at most one call in flight to each worker.
+    /// Returns the calls sent.
+    pub fn send_commands(
+        &mut self,
+        ledger: &Ledger,
+        now: Micros,
+        out: &mut Outbox,
+    ) -> Vec<(CallId, MachineId)> {
+        let may_start = now < self.lease_until;
+        // All workers are scanned periodically for changes that only the passing of time brings.
+        let ids: Vec<MachineId> = if now.since(self.scanned_at) >= SCAN_INTERVAL {
+            self.scanned_at = now;
+            self.touched.clear();
+            self.workers.keys().cloned().collect()
+        } else {
+            std::mem::take(&mut self.touched).into_iter().collect()
+        };
+        let mut calls = Vec::new();
+        for id in ids {
+            self.drop_obsolete_starts(&id, ledger);
+            let Some(w) = self.workers.get(&id) else { continue };
+            if w.direct.is_some() || w.addr.is_empty() || now < w.next_call_at {
+                continue;
+            }
+            // A healthy worker that waits for a controller that has exited sends no report for
+            // seconds, so it is probed. So is a worker whose last report does not show that
+            // commands reach it.
+            let unconfirmed = w.last_contact.is_some_and(|t| now.since(t) > PROBE_AFTER)
+                || w.agent_epoch > 0 && !w.acknowledges_commands;
+            // Stops are sent to it all the same, and the response to them is its report as well: a
+            // worker that reaches no controller learns of a cancellation in no other way.
+            let commands = match w.agent_epoch {
+                0 => Vec::new(),
+                _ => self.commands(&id, ledger, false, may_start && !unconfirmed),
+            };
+            let Some(w) = self.workers.get_mut(&id) else { continue };
+            if w.agent_epoch == 0 || unconfirmed && commands.is_empty() {
+                if w.announce_token || unconfirmed {
+                    let call = out.call(Call {
+                        target: Target::Worker(w.addr.clone()),
+                        method: "GET",
+                        path: "/status".into(),
+                        body: Vec::new(),
+                        timeout: PROBE_TIMEOUT,
+                    });
+                    calls.push((call, id.clone()));
+                    w.direct =
+                        Some(DirectCall { call, runs: Vec::new(), stops: Vec::new(), status_only: true });
+                }
+                continue;
+            }
+            if commands.is_empty() && !w.announce_token {
+                continue;
+            }
+            w.announce_token = false;
+            let sent = |verb: &str| -> Vec<(TaskId, Attempt)> {
+                let matching = commands.iter().filter(|o| o.verb == verb);
+                matching.filter_map(|o| Some((TaskId::parse(&o.piece)?, Attempt(o.attempt)))).collect()
+            };
+            let (runs, stops) = (sent("run"), sent("halt"));
+            for k in &runs {
+                if let Some(s) = w.starts.get_mut(k) {
+                    s.delivery = Delivery::InFlight;
+                }
+            }
+            let body = Direct { baton: w.fencing_token.0, shift: w.agent_epoch, orders: commands };
+            let call = out.call(Call {
+                target: Target::Worker(w.addr.clone()),
+                method: "POST",
+                path: "/do".into(),
+                body: serde_json::to_vec(&body).unwrap_or_default(),
+                timeout: Micros::millis(2000),
+            });
+            w.direct = Some(DirectCall { call, runs, stops, status_only: false });
+            calls.push((call, id));
+        }
+        calls
+    }
+
+    /// Processes the result of a direct call.
+    pub fn call_completed(&mut self, id: &MachineId, call: CallId, result: &CallResult, now: Micros) {
+        let Some(w) = self.workers.get_mut(id) else { return };
+        if w.direct.as_ref().is_none_or(|d| d.call != call) {
+            return;
+        }
+        let Some(d) = w.direct.take() else { return };
+        if let CallResult::Response { status, .. } = result {
+            debug!("{id}: direct call answered status={status} starts={}", d.runs.len());
+        }
+        let delivery = match result {
+            CallResult::Response { status: 200 | 400 | 409, .. } | CallResult::NotSent => Delivery::Settled,
+            _ => Delivery::Uncertain,
+        };
+        for k in &d.runs {
+            if let Some(s) = w.starts.get_mut(k) {
+                s.delivery = delivery;
+            }
+        }
+        // A stop that was not carried out is sent again. So is one that may not have been carried
+        // out, if it grants no time to save: a repeated stop does no harm then, and a worker that
+        // reaches no controller receives it in no other way.
+        let done = matches!(result, CallResult::Response { status: 200, .. });
+        for k in d.stops.iter().filter(|_| !done) {
+            if let Some(s) = w.stops.get_mut(k).filter(|s| delivery == Delivery::Settled || s.grace.0 == 0) {
+                s.sent_direct = false;
+            }
+        }
+        match result {
+            CallResult::Response { status: status @ (200 | 409), body } => {
+                let report: Option<Report> = serde_json::from_slice(body).ok();
+                let Some((r, tasks)) = report.and_then(|r| parse_tasks(&r).map(|t| (r, t))) else {
+                    warn!("{id}: direct call returned an unreadable report");
+                    w.next_call_at = now + Micros::secs(1);
+                    self.mark_changed(id);
+                    return;
+                };
+                if r.host != id.as_str() {
+                    // Another machine uses the address now.
+                    w.next_call_at = now + Micros::secs(1);
+                    self.mark_changed(id);
+                    return;
+                }
+                if Baton(r.baton) > w.fencing_token {
+                    info!("{id}: lease superseded by a higher fencing token {}", r.baton);
+                    self.workers.remove(id);
+                    return;
+                }
+                w.apply_report(&r, tasks, false, now);
+                // Also if a report sent later arrived first, and this one was not applied.
+                w.acknowledges_commands = true;
+                if *status == 409 || d.status_only {
+                    w.announce_token = w.seen_fencing_token < w.fencing_token;
+                }
+            }
+            CallResult::Response { status, .. } => {
+                debug!("{id}: direct call answered status={status}");
+                w.next_call_at = now + Micros::secs(1);
+            }
+            CallResult::NotSent | CallResult::Unknown => {
+                debug!("{id}: direct call failed: {result:?}");
+                w.announce_token = w.announce_token || w.seen_fencing_token < w.fencing_token;
+                w.next_call_at = now + Micros::millis(700);
+            }
+        }
+        self.mark_changed(id);
+    }
+}
--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -1,16 +1,16 @@
-//! A controller's own part: the machines of its block, what it started on
-//! them, and what it tells the leader.
+//! The state of a controller besides any leadership: the machines of its block, the tasks that it
+//! started on them, and what it reports to the leader.
+mod assignments;
 mod block;
+mod commands;
 #[cfg(test)]
-mod late;
-mod orders;
-mod placing;
+mod stale_heartbeats;
 #[cfg(test)]
 mod stops;
-mod view;
+mod sync;
 mod worker;
 
-use worker::{DirectCall, Sending, Start, Stop, Worker, over};
+use worker::{Delivery, DirectCall, Start, Stop, Worker, is_finished};
 
 use crate::jobs::{Job, Ledger, Phase};
 use crate::peer::pacing::Pacer;
@@ -26,53 +26,56 @@
 use log::{debug, info, warn};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What became of a hand-out, until the leader knows.
+/// The outcome of an assignment, kept until the leader has acknowledged it.
 #[derive(Debug)]
 struct Placed {
     machine: Option<MachineId>,
-    told: Option<u64>,
+    /// The first `Sync` that reported it.
+    first_sync: Option<u64>,
 }
 
-/// The part's state.
+/// The machines of a controller's block and its view of them.
 #[derive(Debug, Default)]
 pub struct Controller {
     workers: BTreeMap<MachineId, Worker>,
     outcomes: BTreeMap<Attempt, Placed>,
-    /// Term of the last update taken.
+    /// Term of the last update applied.
     pub term: u64,
     update_seq: u64,
-    /// Until then tasks may be started.
+    /// Tasks may be started until this time.
     lease_until: Micros,
     sync_seq: u64,
     pacer: Pacer,
+    /// When each `Sync` was sent.
     sync_sent: BTreeMap<u64, Micros>,
+    /// The highest `Sync` of this term that the leader has acknowledged.
     acked: u64,
-    /// The `Sync` of this term that the leader has taken; the next one tells
-    /// what changed since.
+    /// The `Sync` of this term that the leader has applied last; the next one holds the changes
+    /// since.
     base: u64,
-    /// Something changed that the leader should hear.
+    /// A change that the leader should receive soon was not sent yet.
     pub sync_pending: bool,
-    /// Workers that something may have to be sent to.
+    /// Workers to which a command may have to be sent.
     touched: BTreeSet<MachineId>,
-    swept: Micros,
-    /// Who holds which machine.
+    scanned_at: Micros,
+    /// The controllers that hold other machines.
     pub holders: BTreeMap<MachineId, NodeId>,
-    /// Running tasks, as the leader last said.
+    /// Running tasks of each job, as last reported by the leader.
     pub running_counts: BTreeMap<JobId, u32>,
 }
 
-/// A worker that was silent for so long is asked by its holder.
+/// A worker without contact for this long is probed by the controller that holds its machine.
 pub const PROBE_AFTER: Micros = Micros::millis(2800);
-/// How long its answer is waited for.
+/// Timeout of such a probe.
 pub const PROBE_TIMEOUT: Micros = Micros::millis(1500);
 
-/// How often all workers are looked at.
-const SWEEP: Micros = Micros::millis(200);
+/// All workers are scanned this often.
+const SCAN_INTERVAL: Micros = Micros::millis(200);
 
-/// Sizes of machine types by name.
+/// Resources of machine types by name.
 pub type MachineSizes = BTreeMap<String, Resources>;
 
-/// Reads the tasks of a report; `None` if the report makes no sense.
+/// Reads the tasks of a report; `None` if a task id is invalid.
 pub fn parse_tasks(r: &Report) -> Option<Vec<TaskStatus>> {
     r.pieces
         .iter()
@@ -85,7 +88,7 @@
                 ("exited", Some("halted")) => TaskState::Stopped,
                 ("exited", Some("error")) => TaskState::Failed,
                 ("exited", _) => TaskState::Refused,
-                // An unknown state is something that is there.
+                // A task in an unknown state counts as present on the machine.
                 _ => TaskState::Running,
             };
             Some(TaskStatus { task: TaskId::parse(&p.piece)?, attempt: Attempt(p.attempt), state })
@@ -93,14 +96,14 @@
         .collect()
 }
 
-/// What to answer to a check-in.
+/// The reply to a worker's heartbeat.
 #[derive(Debug, PartialEq)]
 pub enum HeartbeatReply {
-    /// 200 with these orders.
+    /// 200 with these commands.
     Orders(Baton, Vec<Order>),
-    /// 421, naming the holder if it is known.
+    /// 421, naming the controller that holds the machine if it is known.
     Misdirected(Option<NodeId>),
-    /// The same, and the worker has a token from somebody who reaches it.
+    /// The same; the worker has a higher fencing token, from a controller that reaches it.
     Superseded(Option<NodeId>),
 }
 
@@ -120,7 +123,7 @@
         now < self.lease_until
     }
 
-    /// A check-in.
+    /// Processes a heartbeat and returns the reply.
     pub fn checkin(
         &mut self,
         r: &Report,
@@ -132,36 +135,37 @@
         let Some(w) = self.workers.get_mut(&id) else {
             return HeartbeatReply::Misdirected(self.holders.get(&id).copied());
         };
-        if Baton(r.baton) > w.baton {
-            // Somebody holds it under a higher token: this node's word is void.
-            info!("{id}: lost to a higher token {}", r.baton);
+        if Baton(r.baton) > w.fencing_token {
+            // Another controller holds the machine under a higher token: this lease is void.
+            info!("{id}: lease superseded by a higher fencing token {}", r.baton);
             self.workers.remove(&id);
             let to = self.holders.remove(&id);
             return HeartbeatReply::Superseded(to);
         }
-        let before = w.outline();
-        if !w.take(r, tasks, true, now) {
-            // A late report: its sender is gone, and its tasks are old.
-            return HeartbeatReply::Orders(w.baton, Vec::new());
+        let before = w.urgent_state();
+        if !w.apply_report(r, tasks, true, now) {
+            // The report is outdated or a duplicate: its tasks are stale, and no worker waits for
+            // this reply.
+            return HeartbeatReply::Orders(w.fencing_token, Vec::new());
         }
-        // A report that says nothing new waits for the next `Sync` that is due.
-        w.reported = self.sync_seq + 1;
-        let news = w.outline() != before;
+        // A report without an urgent change waits for the next `Sync` that is due.
+        w.reported_in = self.sync_seq + 1;
+        let changed = w.urgent_state() != before;
         self.touched.insert(id.clone());
-        if news {
-            self.touch(&id);
+        if changed {
+            self.mark_changed(&id);
         }
         let may_start = now < self.lease_until;
-        let orders = self.orders(&id, ledger, true, may_start);
+        let commands = self.commands(&id, ledger, true, may_start);
         let w = &self.workers[&id];
-        HeartbeatReply::Orders(w.baton, orders)
+        HeartbeatReply::Orders(w.fencing_token, commands)
     }
 
-    /// Stops what is over on a machine that this controller does not hold:
-    /// nothing else may be ordered there.
+    /// Stop commands for the finished tasks of a machine that this controller does not hold. No
+    /// other command may be sent there.
     pub fn stops_for_unleased(tasks: &[TaskStatus], ledger: &Ledger) -> Vec<Order> {
         let unwanted =
-            |t: &&TaskStatus| !t.state.exited() && over(ledger.jobs.get(&t.task.job), t.task.index);
+            |t: &&TaskStatus| !t.state.exited() && is_finished(ledger.jobs.get(&t.task.job), t.task.index);
         let halt = |t: &TaskStatus| Order {
             verb: "halt".into(),
             piece: t.task.to_string(),
@@ -186,18 +190,18 @@
     }
 
     #[test]
-    fn an_update_is_taken_only_if_its_base_was() {
-        // (term, number, base; taken), one after the other
+    fn an_update_is_accepted_only_if_its_base_was_applied() {
+        // (term, number, base, whether it is accepted), in sequence
         let steps = [
             (3, 5, 0, true),
-            // A repetition, and one from before.
+            // A duplicate, and an earlier update.
             (3, 5, 0, false),
             (3, 4, 0, false),
             (3, 7, 5, true),
-            // It builds on one that was lost.
+            // Its base was lost.
             (3, 9, 8, false),
             (3, 10, 5, true),
-            // Another leader's first says everything; its later ones don't do.
+            // A new leader's first update must be a full one.
             (4, 12, 11, false),
             (4, 13, 0, true),
             (3, 99, 0, false),
@@ -209,9 +213,9 @@
     }
 
     #[test]
-    fn a_sync_tells_what_was_not_acknowledged() {
+    fn a_sync_holds_what_was_not_acknowledged() {
         let (ledger, now) = (Ledger::default(), Micros::secs(9));
-        let told = |c: &mut Controller, term| match c.sync(term, Vec::new(), &ledger, now) {
+        let sent = |c: &mut Controller, term| match c.sync(term, Vec::new(), &ledger, now) {
             Message::Sync { seq, base, machines, .. } => {
                 (seq, base, machines.iter().map(|m| m.id.to_string()).collect::<Vec<_>>().join(","))
             }
@@ -220,23 +224,23 @@
         let mut c = Controller::default();
         assert!(c.accept_update(1, 1, 0));
         c.apply_block(true, &[granted("a", 1), granted("b", 2)], &[]);
-        assert_eq!(told(&mut c, 1), (1, 0, "a,b".into()));
-        // Not acknowledged: all of it again.
-        assert_eq!(told(&mut c, 1), (2, 0, "a,b".into()));
+        assert_eq!(sent(&mut c, 1), (1, 0, "a,b".into()));
+        // Not acknowledged, so it is sent again.
+        assert_eq!(sent(&mut c, 1), (2, 0, "a,b".into()));
         c.apply_sync_ack(2, Micros::secs(20));
-        assert_eq!(told(&mut c, 1), (3, 2, String::new()));
+        assert_eq!(sent(&mut c, 1), (3, 2, String::new()));
         c.apply_block(false, &[granted("c", 3)], &[("a".into(), Some(NodeId(1)))]);
-        assert_eq!(told(&mut c, 1), (4, 2, "c".into()));
-        // An older acknowledgement that is the leader's newest word goes back.
+        assert_eq!(sent(&mut c, 1), (4, 2, "c".into()));
+        // A lower acknowledgement in the leader's latest update lowers the base.
         c.apply_sync_ack(1, Micros::secs(20));
-        assert_eq!(told(&mut c, 1), (5, 1, "c".into()));
-        // A leader of another term has taken nothing.
-        assert_eq!(told(&mut c, 2), (6, 0, "b,c".into()));
+        assert_eq!(sent(&mut c, 1), (5, 1, "c".into()));
+        // The leader of another term has applied nothing.
+        assert_eq!(sent(&mut c, 2), (6, 0, "b,c".into()));
     }
 
     #[test]
-    fn a_stranger_is_only_told_to_stop_what_is_over() {
-        let held = |job, state| TaskStatus {
+    fn a_machine_not_held_here_only_gets_stops_of_finished_tasks() {
+        let status = |job, state| TaskStatus {
             task: TaskId { job: JobId(job), index: 0 },
             attempt: Attempt(job),
             state,
@@ -244,10 +248,10 @@
         let mut ledger = Ledger::default();
         ledger.apply("g/x/j-000001", Some(&serde_json::json!({"end": "aborted", "at": 1})), 1);
         let tasks = [
-            held(1, TaskState::Running),
-            held(1, TaskState::Stopped),
-            held(2, TaskState::Running),
-            held(2, TaskState::Done),
+            status(1, TaskState::Running),
+            status(1, TaskState::Stopped),
+            status(2, TaskState::Running),
+            status(2, TaskState::Done),
         ];
         let orders = Controller::stops_for_unleased(&tasks, &ledger);
         let got: Vec<(&str, &str)> = orders.iter().map(|o| (o.verb.as_str(), o.piece.as_str())).collect();
--- a/crates/core/src/controller/late.rs
+++ b/crates/core/src/controller/stale_heartbeats.rs
@@ -1,11 +1,11 @@
-//! Late, repeated and reordered reports: whatever comes after the newest one changes
-//! nothing, and what comes before it is overtaken by it.
+//! Delayed, duplicate and reordered reports: a report that arrives after the newest one changes
+//! nothing, and one that arrives before it is superseded by it.
 use super::*;
 use gorseshore_protocol::workers::Piece;
 use proptest::prelude::*;
 
-/// Reports of one worker in the order in which it sent them: its session ends now and
-/// then, tasks come, run and exit, it hears of its token at some time.
+/// Reports of one worker in the order in which it sent them: its agent restarts at times, tasks
+/// start, run and exit, and it receives its fencing token at some time.
 fn history() -> impl Strategy<Value = Vec<Report>> {
     let step = (0u8..8, 0u64..4, 0usize..4);
     proptest::collection::vec(step, 2..20).prop_map(|steps| {
@@ -43,14 +43,23 @@
     })
 }
 
-/// What a controller makes of the machine: all that it tells, starts and stops by.
-fn seen(c: &Controller) -> impl PartialEq + std::fmt::Debug + use<> {
+/// What a controller derives from the reports: everything that decides what it reports, starts and
+/// stops.
+fn derived_state(c: &Controller) -> impl PartialEq + std::fmt::Debug + use<> {
     let w = &c.workers[&MachineId::from("m")];
     let exits: Vec<(TaskId, Attempt)> = w.exits.keys().copied().collect();
-    (w.number(), w.seen_baton, w.tasks.clone(), w.warning.is_some(), w.heard, exits, w.starts.len())
+    (
+        w.heartbeat_seq(),
+        w.seen_fencing_token,
+        w.tasks.clone(),
+        w.preemption_notice.is_some(),
+        w.last_contact,
+        exits,
+        w.starts.len(),
+    )
 }
 
-fn give(c: &mut Controller, r: &Report, at: u64) -> HeartbeatReply {
+fn receive(c: &mut Controller, r: &Report, at: u64) -> HeartbeatReply {
     c.checkin(r, parse_tasks(r).unwrap(), &Ledger::default(), Micros::secs(at))
 }
 
@@ -66,28 +75,28 @@
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn the_outcome_is_that_of_the_newest_report(
+    fn the_state_is_that_of_the_newest_report(
         history in history(),
         order in proptest::collection::vec(0usize..1000, 0..60),
     ) {
         let newest = history.last().unwrap();
         let mut alone = controller();
-        give(&mut alone, newest, 50);
-        // Any of them before it, in any order and number, and copies of all after it.
+        receive(&mut alone, newest, 50);
+        // Any reports in any order and number before the newest one, and duplicates of all after it.
         let mut c = controller();
         for i in &order {
-            give(&mut c, &history[i % (history.len() - 1)], 40);
+            receive(&mut c, &history[i % (history.len() - 1)], 40);
         }
-        give(&mut c, newest, 50);
-        prop_assert_eq!(format!("{:?}", seen(&c)), format!("{:?}", seen(&alone)));
-        let before = format!("{:?}", seen(&c));
+        receive(&mut c, newest, 50);
+        prop_assert_eq!(format!("{:?}", derived_state(&c)), format!("{:?}", derived_state(&alone)));
+        let before = format!("{:?}", derived_state(&c));
         let (sync, dirty) = (c.sync_seq, c.sync_pending);
         for i in &order {
-            let reply = give(&mut c, &history[i % history.len()], 90);
-            // A copy draws no order.
+            let reply = receive(&mut c, &history[i % history.len()], 90);
+            // The reply to a duplicate holds no command.
             prop_assert_eq!(reply, HeartbeatReply::Orders(Baton(7), Vec::new()));
         }
-        prop_assert_eq!(format!("{:?}", seen(&c)), before);
-        prop_assert_eq!((c.sync_seq, c.sync_pending), (sync, dirty), "a copy is no news");
+        prop_assert_eq!(format!("{:?}", derived_state(&c)), before);
+        prop_assert_eq!((c.sync_seq, c.sync_pending), (sync, dirty), "a duplicate triggers no sync");
     }
 }
--- a/crates/core/src/controller/stops.rs
+++ b/crates/core/src/controller/stops.rs
@@ -1,6 +1,6 @@
-//! Stops by direct calls: they go out until they are carried out, also to a worker that
-//! reaches nobody. One that was sent once, and to one that was quiet none, left a machine to
-//! its lease or to its deletion.
+//! Stops by direct calls are sent until they are carried out, also to a worker that reaches no
+//! controller. Stops were once sent a single time, and never to a worker without recent contact, so
+//! that a task ended only with its worker's lease or with the deletion of the machine.
 use super::*;
 use crate::Output;
 use crate::jobs::keys;
@@ -23,28 +23,29 @@
     }
 }
 
-/// A controller with a machine that runs a task of a job cancelled since.
-fn controller(heard: Micros) -> (Controller, Ledger) {
+/// A controller with a machine whose last contact is at `contact`, and which runs a task of a job
+/// that was cancelled afterwards.
+fn controller(contact: Micros) -> (Controller, Ledger) {
     let mut c = Controller::default();
     let g = GrantedMachine { id: "m".into(), fencing_token: Baton(7), addr: "m:1".into(), draining: false };
     assert!(c.accept_update(1, 1, 0));
     c.apply_block(true, &[g], &[]);
     let mut ledger = Ledger::default();
     for tally in [1, 2] {
-        c.checkin(&report(tally), parse_tasks(&report(tally)).unwrap(), &ledger, heard);
+        c.checkin(&report(tally), parse_tasks(&report(tally)).unwrap(), &ledger, contact);
     }
-    // Its token is announced first.
+    // The worker is sent its fencing token first.
     let mut out = Outbox::default();
-    for (id, _) in c.send_commands(&ledger, heard, &mut out) {
+    for (id, _) in c.send_commands(&ledger, contact, &mut out) {
         let body = serde_json::to_vec(&report(3)).unwrap();
-        c.call_completed(&"m".into(), id, &CallResult::Response { status: 200, body }, heard);
+        c.call_completed(&"m".into(), id, &CallResult::Response { status: 200, body }, contact);
     }
     ledger.apply(&keys::end(JobId(1)), Some(&serde_json::json!({"end": "aborted", "at": 1})), 9);
     (c, ledger)
 }
 
-/// The paths of the calls that go out, and whether they stop the task.
-fn driven(c: &mut Controller, ledger: &Ledger, now: Micros) -> Vec<(CallId, String, bool)> {
+/// The calls that are sent: their paths, and whether they stop the task.
+fn sent_calls(c: &mut Controller, ledger: &Ledger, now: Micros) -> Vec<(CallId, String, bool)> {
     let mut out = Outbox::default();
     c.send_commands(ledger, now, &mut out);
     let calls = out.items.into_iter().filter_map(|o| match o {
@@ -58,40 +59,40 @@
 }
 
 #[test]
-fn a_stop_goes_out_until_it_is_carried_out() {
-    let answer = |status| {
+fn a_stop_is_sent_until_it_is_carried_out() {
+    let response = |status| {
         let body = serde_json::to_vec(&report(9)).unwrap();
         CallResult::Response { status, body }
     };
-    // (what became of the call; whether it goes out again)
+    // (result of the call, whether the stop is sent again)
     let cases = [
         (CallResult::Unknown, true),
         (CallResult::NotSent, true),
-        (answer(409), true),
+        (response(409), true),
         (CallResult::Response { status: 503, body: Vec::new() }, true),
-        (answer(200), false),
+        (response(200), false),
     ];
-    for (result, again) in cases {
+    for (result, resent) in cases {
         let start = Micros::secs(50);
         let (mut c, ledger) = controller(start);
-        let calls = driven(&mut c, &ledger, start + Micros::millis(300));
+        let calls = sent_calls(&mut c, &ledger, start + Micros::millis(300));
         assert_eq!(calls.len(), 1, "{result:?}: {calls:?}");
         assert!(calls[0].1 == "/do" && calls[0].2, "{result:?}: {calls:?}");
         c.call_completed(&"m".into(), calls[0].0, &result, start + Micros::millis(400));
-        let calls = driven(&mut c, &ledger, start + Micros::millis(2200));
+        let calls = sent_calls(&mut c, &ledger, start + Micros::millis(2200));
         let stopped = calls.iter().any(|(_, path, stops)| path == "/do" && *stops);
-        assert_eq!(stopped, again, "{result:?}: {calls:?}");
+        assert_eq!(stopped, resent, "{result:?}: {calls:?}");
     }
 }
 
 #[test]
-fn a_quiet_worker_is_told_what_is_over() {
+fn a_worker_without_recent_contact_is_sent_stops() {
     let start = Micros::secs(50);
     let (mut c, ledger) = controller(start);
-    let calls = driven(&mut c, &ledger, start + PROBE_AFTER + Micros::secs(1));
+    let calls = sent_calls(&mut c, &ledger, start + PROBE_AFTER + Micros::secs(1));
     assert!(calls.len() == 1 && calls[0].1 == "/do" && calls[0].2, "{calls:?}");
-    // One with nothing to stop is asked how it is.
+    // A worker with nothing to stop is probed.
     let (mut c, _) = controller(start);
-    let calls = driven(&mut c, &Ledger::default(), start + PROBE_AFTER + Micros::secs(1));
+    let calls = sent_calls(&mut c, &Ledger::default(), start + PROBE_AFTER + Micros::secs(1));
     assert!(calls.len() == 1 && calls[0].1 == "/status", "{calls:?}");
 }
--- a/crates/core/src/controller/worker.rs
+++ b/crates/core/src/controller/worker.rs
@@ -1,31 +1,33 @@
-//! A machine of the block: what its worker said last, and what is open there.
-//! Invariant: a start stays until a report shows it, or a later session or a higher
-//! token rules it out (`Worker::take`).
+//! A machine of the block: its worker's last report, and the starts and stops that are pending there.
+//! Invariant: a pending start is kept until a report shows its task, or a later agent epoch or a
+//! higher fencing token rules out that it still arrives (`Worker::apply_report`).
 use super::*;
 
-/// What is known of the sendings of a start by `/do`.
+/// Whether a `/do` call with a start may still arrive.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Sending {
-    /// None can still arrive.
+pub(super) enum Delivery {
+    /// No call can still arrive.
     Settled,
-    /// One is under way.
+    /// A call is in flight.
     InFlight,
-    /// One was never answered; it may be executed minutes later.
+    /// A call was not answered; it may be executed minutes later.
     Uncertain,
 }
 
 /// A start that this controller decided on.
 #[derive(Debug, Clone)]
 pub(super) struct Start {
-    pub(super) baton: Baton,
-    pub(super) shift: u64,
+    pub(super) fencing_token: Baton,
+    pub(super) agent_epoch: u64,
     pub(super) need: Resources,
-    pub(super) seen: bool,
-    pub(super) sending: Sending,
-    /// The check-in whose answer last carried the start.
-    pub(super) in_answer_to: Option<(u64, u64)>,
+    /// A report has shown the task.
+    pub(super) reported: bool,
+    pub(super) delivery: Delivery,
+    /// Epoch and sequence of the heartbeat whose response last carried the start.
+    pub(super) in_response_to: Option<(u64, u64)>,
 }
 
+/// The call to a worker that is in flight.
 #[derive(Debug)]
 pub(super) struct DirectCall {
     pub(super) call: CallId,
@@ -34,119 +36,131 @@
     pub(super) status_only: bool,
 }
 
-/// A stop under way.
+/// A pending stop.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct Stop {
     pub(super) grace: Micros,
-    /// It went out by a direct call that is open, or was carried out.
+    /// A direct call with it is in flight, or was answered with success.
     pub(super) sent_direct: bool,
 }
 
 /// A machine of the block.
 #[derive(Debug)]
 pub(super) struct Worker {
-    pub(super) baton: Baton,
+    pub(super) fencing_token: Baton,
     pub(super) addr: String,
     pub(super) draining: bool,
-    pub(super) shift: u64,
-    pub(super) tally: u64,
-    pub(super) seen_baton: Baton,
-    /// The last report shows that the worker hears what it is told: it may arrive
-    /// while no answer and no command gets back.
-    pub(super) obeys: bool,
-    pub(super) heard: Option<Micros>,
-    pub(super) warning: Option<(Micros, Micros)>,
+    /// Agent epoch and sequence of the last report; epoch 0 before the first one.
+    pub(super) agent_epoch: u64,
+    pub(super) sequence: u64,
+    /// The highest fencing token that the worker has reported.
+    pub(super) seen_fencing_token: Baton,
+    /// The last report shows that responses and commands reach the worker. Its reports may arrive
+    /// although they do not.
+    pub(super) acknowledges_commands: bool,
+    pub(super) last_contact: Option<Micros>,
+    /// When the spot notice was received, and the time left then.
+    pub(super) preemption_notice: Option<(Micros, Micros)>,
     pub(super) tasks: Vec<TaskStatus>,
     pub(super) starts: BTreeMap<(TaskId, Attempt), Start>,
     pub(super) stops: BTreeMap<(TaskId, Attempt), Stop>,
-    /// Exited tasks and the `Sync` that first told of them.
+    /// Exited tasks and the `Sync` that first reported each.
     pub(super) exits: BTreeMap<(TaskId, Attempt), Option<u64>>,
     pub(super) direct: Option<DirectCall>,
-    /// Raise the token at the worker with a direct call.
-    pub(super) announce: bool,
-    pub(super) not_before: Micros,
+    /// A direct call has to send the worker its new fencing token.
+    pub(super) announce_token: bool,
+    /// No direct call is sent before this time.
+    pub(super) next_call_at: Micros,
     pub(super) images: BTreeSet<String>,
-    /// The `Sync` that first tells of the last change, and of the last report.
-    pub(super) changed: u64,
-    pub(super) reported: u64,
+    /// The first `Sync` that holds the last change, and the first that holds the last report.
+    pub(super) changed_in: u64,
+    pub(super) reported_in: u64,
 }
 
 impl Worker {
     pub(super) fn new(g: &GrantedMachine) -> Self {
         Worker {
-            baton: g.fencing_token,
+            fencing_token: g.fencing_token,
             addr: g.addr.clone(),
             draining: g.draining,
-            shift: 0,
-            tally: 0,
-            seen_baton: Baton(0),
-            obeys: false,
-            heard: None,
-            warning: None,
+            agent_epoch: 0,
+            sequence: 0,
+            seen_fencing_token: Baton(0),
+            acknowledges_commands: false,
+            last_contact: None,
+            preemption_notice: None,
             tasks: Vec::new(),
             starts: BTreeMap::new(),
             stops: BTreeMap::new(),
             exits: BTreeMap::new(),
             direct: None,
-            announce: true,
-            not_before: Micros(0),
+            announce_token: true,
+            next_call_at: Micros(0),
             images: BTreeSet::new(),
-            changed: 0,
-            reported: 0,
+            changed_in: 0,
+            reported_in: 0,
         }
     }
 
-    pub(super) fn number(&self) -> ReportNo {
-        ReportNo { shift: self.shift, tally: self.tally }
+    pub(super) fn heartbeat_seq(&self) -> ReportNo {
+        ReportNo { shift: self.agent_epoch, tally: self.sequence }
     }
 
     pub(super) fn has(&self, key: &(TaskId, Attempt)) -> bool {
         self.tasks.iter().any(|t| (t.task, t.attempt) == *key)
     }
 
-    /// Takes a report that is newer than what is known. `checkin` is true if
-    /// it came as a check-in, which proves earlier answers settled.
-    pub(super) fn take(&mut self, r: &Report, tasks: Vec<TaskStatus>, checkin: bool, now: Micros) -> bool {
-        if r.number() <= self.number() {
+    /// Applies a report unless it is outdated or a duplicate; returns whether it was applied.
+    /// `checkin` is true for a heartbeat, which proves that no earlier response is still to be
+    /// executed.
+    pub(super) fn apply_report(
+        &mut self,
+        r: &Report,
+        tasks: Vec<TaskStatus>,
+        checkin: bool,
+        now: Micros,
+    ) -> bool {
+        if r.number() <= self.heartbeat_seq() {
             return false;
         }
-        // A worker that got no answer turns to the next controller, so that one whose
-        // next message comes here was answered; so does it show by the token that was
-        // raised. The answer to a call is a proof by itself.
-        let follows = r.shift == self.shift && r.tally == self.tally + 1;
-        let raised = self.seen_baton < self.baton && Baton(r.baton) == self.baton;
-        self.obeys = !checkin || follows || raised;
-        self.shift = r.shift;
-        self.tally = r.tally;
-        self.seen_baton = self.seen_baton.max(Baton(r.baton));
-        self.heard = Some(now);
+        // A worker that receives no response contacts the next controller. So one that sends its
+        // next heartbeat here received the last response, and so did one that reports the raised
+        // fencing token. A response to a direct call is a proof in itself.
+        let follows = r.shift == self.agent_epoch && r.tally == self.sequence + 1;
+        let raised = self.seen_fencing_token < self.fencing_token && Baton(r.baton) == self.fencing_token;
+        self.acknowledges_commands = !checkin || follows || raised;
+        self.agent_epoch = r.shift;
+        self.sequence = r.tally;
+        self.seen_fencing_token = self.seen_fencing_token.max(Baton(r.baton));
+        self.last_contact = Some(now);
         self.addr = r.addr.clone();
-        self.warning = r.warning_s.map(|s| (now, Micros::from_secs_f64(s)));
+        self.preemption_notice = r.warning_s.map(|s| (now, Micros::from_secs_f64(s)));
         self.tasks = tasks;
         for t in &self.tasks {
             if let Some(s) = self.starts.get_mut(&(t.task, t.attempt)) {
-                s.seen = true;
+                s.reported = true;
             }
         }
-        let (shift, tally, baton) = (r.shift, r.tally, Baton(r.baton));
+        let (agent_epoch, sequence, fencing_token) = (r.shift, r.tally, Baton(r.baton));
         let present: BTreeSet<(TaskId, Attempt)> = self.tasks.iter().map(|t| (t.task, t.attempt)).collect();
         self.starts.retain(|k, s| {
             if present.contains(k) {
                 return true;
             }
-            // A later session, or a higher token: nothing sent before can be
-            // executed any more, and the report is without the task.
-            if shift > s.shift || baton > s.baton {
+            // After a later agent epoch or a higher fencing token, no earlier command can be
+            // executed, and the report does not show the task.
+            if agent_epoch > s.agent_epoch || fencing_token > s.fencing_token {
                 return false;
             }
-            // It was here and was cleared; no sending may still arrive.
-            if s.seen {
-                return s.sending != Sending::Settled;
+            // The task was there and was cleared. The start is kept while a call with it may still
+            // arrive.
+            if s.reported {
+                return s.delivery != Delivery::Settled;
             }
-            // A check-in after the one whose answer carried the start: that
-            // answer was dropped. The start is sent again.
-            if checkin && s.in_answer_to.is_some_and(|t| (shift, tally) > t) {
-                s.in_answer_to = None;
+            // A heartbeat after the one whose response carried the start: that response was lost.
+            // The start is sent again.
+            if checkin && s.in_response_to.is_some_and(|t| (agent_epoch, sequence) > t) {
+                s.in_response_to = None;
             }
             true
         });
@@ -160,16 +174,22 @@
         true
     }
 
-    /// What a report can change that the leader has to hear at once.
-    pub(super) fn outline(&self) -> (u64, (Baton, bool), bool, Vec<TaskStatus>, usize) {
-        let told = (self.seen_baton, self.obeys);
-        (self.shift, told, self.warning.is_some(), self.tasks.clone(), self.starts.len())
+    /// The state of which the leader must be notified at once if a report changes it.
+    pub(super) fn urgent_state(&self) -> (u64, (Baton, bool), bool, Vec<TaskStatus>, usize) {
+        let token_and_commands = (self.seen_fencing_token, self.acknowledges_commands);
+        (
+            self.agent_epoch,
+            token_and_commands,
+            self.preemption_notice.is_some(),
+            self.tasks.clone(),
+            self.starts.len(),
+        )
     }
 
     pub(super) fn used(&self, ledger: &Ledger) -> Resources {
         let mut used = Resources::default();
         for t in self.tasks.iter().filter(|t| !t.state.exited()) {
-            used = used.plus(need_of(ledger, t.task.job));
+            used = used.plus(resources_of(ledger, t.task.job));
         }
         for s in self.starts.iter().filter(|(k, _)| !self.has(k)) {
             used = used.plus(s.1.need);
@@ -178,8 +198,9 @@
     }
 }
 
-/// What a task of the job takes; a machine's worth if nobody knows.
-pub(super) fn need_of(ledger: &Ledger, job: JobId) -> Resources {
+/// The resources that a task of the job needs; if its specification is not known, more than any
+/// machine has.
+pub(super) fn resources_of(ledger: &Ledger, job: JobId) -> Resources {
     ledger
         .jobs
         .get(&job)
@@ -187,7 +208,9 @@
         .map_or(Resources { cpu: 1_000_000, gpu: 0, mem: 1_000_000 }, |s| s.need)
 }
 
-pub(super) fn over(job: Option<&Job>, index: u32) -> bool {
+/// Whether the task needs no run any more: its job ended, it is recorded as done, or the job no
+/// longer has a task of this index.
+pub(super) fn is_finished(job: Option<&Job>, index: u32) -> bool {
     job.is_some_and(|j| {
         j.phase != Phase::Active || j.done.contains(index) || index >= j.tasks && j.spec.is_some()
     })
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,5 +1,5 @@
-//! The service without input or output: a state machine that takes inputs,
-//! time among them, and returns what to send, ask and answer.
+//! The scheduler as a state machine without I/O: it takes inputs, including the passing of time, and
+//! returns the calls, messages and responses to send.
 #![warn(missing_docs)]
 pub mod books;
 pub mod cancellation_enforcer;
@@ -22,64 +22,64 @@
 use crate::peer::Message;
 use gorseshore_protocol::ids::{Micros, NodeId};
 
-/// Names a request that waits for an answer from this node.
+/// Identifies a request that this node has to answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestId(pub u64);
 
-/// Names a call that this node made.
+/// Identifies a call that this node made.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct CallId(pub u64);
 
-/// Whom a call goes to.
+/// The receiver of a call.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Target {
-    /// State service.
+    /// The state service.
     State,
-    /// Cloud.
+    /// The cloud.
     Cloud,
-    /// A worker.
+    /// A worker, by its address.
     Worker(String),
 }
 
 /// A call to an outside system.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Call {
-    /// Whom.
+    /// Receiver.
     pub target: Target,
     /// `GET`, `POST` or `DELETE`.
     pub method: &'static str,
     /// Path with query.
     pub path: String,
-    /// JSON body, empty for none.
+    /// JSON body; empty if there is none.
     pub body: Vec<u8>,
-    /// Given up after this.
+    /// The call fails without a response after this.
     pub timeout: Micros,
 }
 
-/// How a call ended.
+/// The result of a call.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CallResult {
-    /// An answer.
+    /// A response was received.
     Response {
         /// HTTP status.
         status: u16,
         /// Body.
         body: Vec<u8>,
     },
-    /// Nothing was sent: it can't have happened.
+    /// Nothing was sent, so the call cannot have had any effect.
     NotSent,
-    /// No answer: it may have happened, or may happen still.
+    /// There was no response: the call may have had its effect, or may still have it.
     Unknown,
 }
 
-/// What comes in.
+/// An input of the state machine.
 #[derive(Debug, Clone)]
 pub enum Input {
-    /// Time went on.
+    /// Time has passed.
     Tick,
     /// A request from a user or a worker.
     Request {
-        /// Its name.
+        /// Identifies the request.
         id: RequestId,
         /// Method.
         method: String,
@@ -88,48 +88,47 @@
         /// Body.
         body: Vec<u8>,
     },
-    /// A request on the guest's address.
+    /// A request on the extension's address.
     ExtensionRequest {
-        /// Its name.
+        /// Identifies the request.
         id: RequestId,
         /// Method.
         method: String,
         /// Path with query.
         path: String,
-        /// The token that it carries.
+        /// The token of the request.
         token: Option<String>,
         /// Body.
         body: Vec<u8>,
     },
-    /// The requester went away.
+    /// The client of a request disconnected.
     ClientDisconnected(RequestId),
-    /// A call ended.
+    /// A call completed.
     CallCompleted {
-        /// Which.
+        /// The call.
         id: CallId,
-        /// How.
+        /// Its result.
         result: CallResult,
     },
-    /// Another controller's host refused a connection: it is up, its process
-    /// is not.
+    /// Another controller's host refused a connection: the host runs, but not the process.
     PeerRefused(NodeId),
     /// A message from another controller.
     Peer {
         /// Sender.
         from: NodeId,
-        /// Sender's process.
+        /// Incarnation number of the sender's process.
         incarnation: u64,
         /// Message.
         message: Message,
     },
 }
 
-/// What goes out.
+/// An output of the state machine.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Output {
-    /// Answers a request.
+    /// Responds to a request.
     Response {
-        /// Which.
+        /// The request.
         id: RequestId,
         /// HTTP status.
         status: u16,
@@ -138,17 +137,17 @@
         /// `Retry-After`, in seconds.
         retry_after: Option<u32>,
     },
-    /// Answers a request on the guest's address.
+    /// Responds to a request on the extension's address.
     ExtensionResponse(RequestId, guest::Answer),
-    /// Begins an answer without end.
+    /// Starts a streaming response.
     StreamOpen(RequestId, guest::Answer),
-    /// Goes on with it.
+    /// Continues a streaming response.
     StreamChunk(RequestId, Vec<u8>),
-    /// Ends it.
+    /// Ends a streaming response.
     StreamClose(RequestId),
     /// Makes a call.
     Call {
-        /// Its name.
+        /// Identifies the call.
         id: CallId,
         /// The call.
         call: Call,
@@ -162,10 +161,10 @@
     },
 }
 
-/// Collects outputs and names calls.
+/// Collects outputs and numbers calls.
 #[derive(Debug, Default)]
 pub struct Outbox {
-    /// What to do.
+    /// Outputs in order.
     pub items: Vec<Output>,
     next_call: u64,
 }
@@ -177,11 +176,11 @@
         self.items.push(Output::Call { id, call });
         id
     }
-    /// Adds an answer.
+    /// Adds a response.
     pub fn respond(&mut self, id: RequestId, status: u16, body: Vec<u8>) {
         self.items.push(Output::Response { id, status, body, retry_after: None });
     }
-    /// Adds an answer that asks the user to come back.
+    /// Adds a 503 response that asks the client to retry after one second.
     pub fn respond_unavailable(&mut self, id: RequestId, reason: &str) {
         let body = gorseshore_protocol::users::error(reason);
         self.items.push(Output::Response { id, status: 503, body, retry_after: Some(1) });
--- a/crates/core/src/peer.rs
+++ b/crates/core/src/peer.rs
@@ -1,5 +1,5 @@
-//! What controllers say to each other: borsh messages, framed by a length and
-//! a version, one way on a connection that the sender opens.
+//! Messages between controllers: encoded with borsh, framed by a length and a version, and sent one
+//! way on a connection that the sender opens.
 use crate::books::Page;
 use borsh::{BorshDeserialize, BorshSerialize};
 use gorseshore_protocol::ids::{Attempt, Baton, JobId, MachineId, Micros, NodeId, TaskId};
@@ -9,39 +9,39 @@
 pub mod inbox;
 pub mod pacing;
 
-/// Version of the messages; a frame of another version is refused.
+/// Version of the messages; a frame with another version is rejected.
 pub const PROTOCOL_VERSION: u8 = 5;
-/// Longest frame taken.
+/// Longest body accepted in a frame, in bytes.
 pub const MAX_FRAME_BYTES: usize = 16 << 20;
 
 /// State of a task on a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum TaskState {
-    /// A start was sent and is neither seen nor refuted.
+    /// A start is pending that no report has shown or ruled out yet.
     Starting,
     /// Waits for its image.
     Fetching,
-    /// Runs.
+    /// Running.
     Running,
-    /// Saves.
+    /// Saves its progress before it exits.
     Saving,
     /// Completed.
     Done,
-    /// Stopped by command.
+    /// Stopped by a command.
     Stopped,
     /// Failed.
     Failed,
-    /// Its start was refused.
+    /// The worker refused to start it.
     Refused,
 }
 impl TaskState {
-    /// Whether it ended.
+    /// Whether the task has exited.
     pub fn exited(self) -> bool {
         matches!(self, Self::Done | Self::Stopped | Self::Failed | Self::Refused)
     }
 }
 
-/// A task on a machine.
+/// The state of a task on a machine.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct TaskStatus {
     /// Task.
@@ -52,28 +52,29 @@
     pub state: TaskState,
 }
 
-/// A machine as its controller knows it.
+/// A controller's view of a machine that it holds.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct MachineState {
     /// Machine.
     pub id: MachineId,
-    /// Token under which the sender holds it.
+    /// Fencing token under which the sender holds it.
     pub fencing_token: Baton,
-    /// Highest token its worker was seen to know.
+    /// Highest fencing token that its worker has reported.
     pub seen_fencing_token: Baton,
-    /// Its last report.
+    /// Number of its last report.
     pub last_report: ReportNo,
-    /// That report shows that the worker hears: it came in answer to a call, stayed
-    /// with its controller, or has the grant's token for the first time.
+    /// The last report shows that commands reach the worker: it answered a direct call, sent its
+    /// next heartbeat to the same controller, or reported the grant's fencing token for the first
+    /// time.
     pub acknowledges_commands: bool,
-    /// How long ago it was heard; `None` if never by this controller.
+    /// Time since the last contact; `None` if this controller had none.
     pub last_contact_age: Option<Micros>,
-    /// Spot notice.
+    /// Time left after a spot notice.
     pub preemption_notice: Option<Micros>,
-    /// The controller wants a higher token: a start of a task that must not
-    /// run may still arrive.
+    /// The controller requests a higher fencing token, because a start of a task that must not run
+    /// may still arrive.
     pub needs_new_fencing_token: bool,
-    /// Tasks, starts that are not settled among them.
+    /// Tasks, including those with a pending start.
     pub tasks: Vec<TaskStatus>,
 }
 
@@ -82,19 +83,19 @@
 pub struct UnleasedReport {
     /// Machine.
     pub id: MachineId,
-    /// The report.
+    /// Number of the report.
     pub report: ReportNo,
-    /// The worker answered the sender's question, so that it is well now; a
-    /// check-in may be a copy of one that is long past.
+    /// The worker answered the sender's probe, so it is healthy now. A heartbeat may be a duplicate
+    /// of one sent long ago.
     pub probed: bool,
 }
 
-/// What became of a hand-out.
+/// The outcome of an assignment.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct AssignmentOutcome {
-    /// The hand-out.
+    /// Attempt of the assignment.
     pub attempt: Attempt,
-    /// Where it was started, or `None` if it never was and never will be.
+    /// The machine where it was started; `None` if it was not and never will be.
     pub machine: Option<MachineId>,
 }
 
@@ -103,28 +104,28 @@
 pub struct GrantedMachine {
     /// Machine.
     pub id: MachineId,
-    /// Token.
+    /// Fencing token of the grant.
     pub fencing_token: Baton,
     /// Worker address.
     pub addr: String,
-    /// Draining: start nothing on it.
+    /// The machine is draining: no task is started on it.
     pub draining: bool,
 }
 
-/// A task handed out.
+/// A task that the leader assigns to a controller.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct Assignment {
     /// Task.
     pub task: TaskId,
-    /// Attempt, above the token of every machine that it may go to.
+    /// Attempt, higher than the fencing token of every machine on which it may be started.
     pub attempt: Attempt,
-    /// The only zone it may go to.
+    /// The only zone in which it may be started.
     pub zone: Option<String>,
-    /// The machine that the leader reserved room on.
+    /// The machine on which the leader reserved capacity.
     pub preferred_machine: MachineId,
 }
 
-/// A stop that the leader asks for.
+/// A stop that the leader requests.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct StopRequest {
     /// Task.
@@ -137,143 +138,142 @@
     pub grace: Micros,
 }
 
-/// A cancellation that is on record in the state service.
+/// A cancellation that is recorded in the state service.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
 pub struct Cancellation {
     /// Job.
     pub job: JobId,
-    /// Its end's time of day, in milliseconds.
+    /// Time of day of the job's end, in milliseconds.
     pub ended_ms: u64,
     /// Version of the record of the end.
     pub record_version: u64,
-    /// Why it was ended by the service, if it was.
+    /// Why the service ended the job, if it did.
     pub cause: Option<String>,
-    /// Everybody who has to know does: a user may be told of it.
+    /// All controllers that have to know it do: it may be confirmed to a client.
     pub may_confirm: bool,
-    /// Processes that know of it, by controller; 0 for none.
+    /// Incarnation of the process that knows it, by controller; 0 for none.
     pub acknowledged_by: Vec<u64>,
 }
 
 /// A message.
 #[derive(Debug, Clone, PartialEq, BorshSerialize, BorshDeserialize)]
 pub enum Message {
-    /// To everybody, about twice a second.
+    /// To all controllers, about twice a second.
     Ping {
         /// The sender reaches the state service.
         state_reachable: bool,
-        /// Nodes that it hears directly.
+        /// Controllers from which the sender receives messages directly.
         receives_from: Vec<NodeId>,
-        /// Users' changes that wait for their turn in the sender's budget.
+        /// Users' changes that wait in the sender's write budget.
         queued_writes: u32,
-        /// The sender has read the state in this life.
+        /// The sender has read the state since its process started.
         state_loaded: bool,
     },
-    /// Cancellations that the receiver has not acknowledged, or that all know of now.
+    /// Cancellations that the receiver has not acknowledged, or that all controllers know by now.
     Cancellations(Vec<Cancellation>),
-    /// The sender acts on these cancellations.
+    /// Acknowledges cancellations: the sender acts on them.
     CancellationsAck {
         /// Jobs.
         jobs: Vec<JobId>,
-        /// The term that it leads, if it leads one.
+        /// The term that the sender leads, if it leads one.
         leading_term: Option<u64>,
     },
-    /// To a node that hears the receiver: a `Envelope` to be passed on.
+    /// An envelope to forward, to a controller that can reach the receiver.
     Forward {
-        /// Receiver.
+        /// Final receiver.
         to: NodeId,
-        /// A `Envelope`.
+        /// A packed `Envelope`.
         envelope: Vec<u8>,
     },
-    /// A controller's view, to the leader: what changed since the `Sync`
-    /// numbered `base`, which the leader acknowledged, so that a lost, late or
-    /// repeated one does no harm.
+    /// A controller's view, to the leader: the changes since the `Sync` numbered `base`, which the
+    /// leader acknowledged, so that a lost, delayed or duplicate one does no harm.
     Sync {
-        /// The leader's term that it is meant for.
+        /// Term of the leader that it is meant for.
         term: u64,
-        /// Counts up.
+        /// Ascending number.
         seq: u64,
-        /// What the leader has taken; 0: nothing, this is the whole view.
+        /// The `Sync` that the leader has applied; 0 if none, then this is the whole view.
         base: u64,
-        /// The last `Update` of that term taken.
+        /// The last `Update` of that term that the sender has applied.
         acked_update: u64,
         /// Machines that changed.
         machines: Vec<MachineState>,
-        /// Machines that were heard and did not change, how long ago, and by which
-        /// report.
+        /// Unchanged machines that reported, the time since their last contact, and the number of
+        /// the report.
         contacts: Vec<(MachineId, Micros, ReportNo)>,
-        /// Recorded machines whose workers lately reported to the sender, which
-        /// does not hold them.
+        /// Recorded machines that the sender does not hold, and whose workers reported to it
+        /// recently.
         unleased_reports: Vec<UnleasedReport>,
-        /// Hand-outs that the leader has not acknowledged.
+        /// Outcomes that the leader has not acknowledged.
         outcomes: Vec<AssignmentOutcome>,
     },
-    /// The leader's orders to one controller: what changed since the `Update`
-    /// numbered `base`, which the receiver acknowledged. A receiver that has
-    /// not taken `base` leaves the message; its next `Sync` says so.
+    /// The leader's instructions to one controller: the changes since the `Update` numbered `base`,
+    /// which the receiver acknowledged. A receiver that has not applied `base` ignores the message;
+    /// its next `Sync` shows that.
     Update {
         /// Term.
         term: u64,
-        /// Counts up.
+        /// Ascending number.
         seq: u64,
-        /// What the receiver has taken; 0: nothing, this is all there is.
+        /// The `Update` that the receiver has applied; 0 if none, then this is the whole state.
         base: u64,
-        /// The receiver's incarnation that it is meant for.
+        /// Incarnation of the receiver that it is meant for.
         incarnation: u64,
-        /// The last `Sync` taken.
+        /// The last `Sync` applied.
         acked_sync: u64,
-        /// Block lease, counted from the sending of that `Sync`.
+        /// Duration of the block lease, from when that `Sync` was sent.
         lease: Micros,
         /// Machines of the receiver's block that are new or changed.
         block: Vec<GrantedMachine>,
-        /// Machines that others hold, or nobody: not of the block (any more).
+        /// Machines that are not or no longer in the block, and the controller that holds each, if
+        /// one does.
         not_in_block: Vec<(MachineId, Option<NodeId>)>,
-        /// Hand-outs whose outcome the leader does not know.
+        /// Assignments whose outcome the leader does not know.
         assignments: Vec<Assignment>,
-        /// Stops wanted.
+        /// Stops requested.
         stops: Vec<StopRequest>,
-        /// Running tasks of jobs whose number changed, for display.
+        /// Counts of running tasks, for jobs whose count changed; for display only.
         running: Vec<(JobId, u32)>,
     },
-    /// To the leader: a machine that the sender does not hold reported to it
-    /// (or answered a probe).
+    /// To the leader: a machine that the sender does not hold reported to it or answered a probe.
     MachineDiscovered {
         /// Machine.
         id: MachineId,
-        /// Type.
+        /// Machine type.
         build: String,
         /// Zone.
         zone: String,
-        /// Spot.
+        /// It is a spot machine.
         spot: bool,
         /// Worker address.
         addr: String,
-        /// The report.
+        /// Number of the report.
         report: ReportNo,
-        /// The worker was asked, and answered.
+        /// The report answers a probe.
         probed: bool,
     },
-    /// From the leader: ask this machine for its status.
+    /// From the leader: probe this machine.
     Probe {
         /// Machine.
         id: MachineId,
         /// Worker address.
         addr: String,
     },
-    /// From the leader to a witness: its books.
+    /// From the leader to a standby replica: its placement log.
     PlacementLogUpdate(Page),
-    /// From a witness: the books of that term are taken up to this change.
+    /// From a standby replica: it has applied the placement log of a term up to this change.
     PlacementLogAck {
         /// Term.
         term: u64,
-        /// Number of the last change taken.
+        /// Number of the last change applied.
         seq: u64,
     },
-    /// From a new leader: the books of an earlier term are wanted.
+    /// From a new leader: requests the placement log of an earlier term.
     PlacementLogRequest {
         /// Term.
         term: u64,
     },
-    /// To the new leader: the whole books of that term.
+    /// To the new leader: the complete placement log of that term.
     PlacementLogSnapshot(Page),
 }
 
@@ -282,44 +282,44 @@
 pub struct Envelope {
     /// Sender.
     pub from: NodeId,
-    /// Number drawn when the sender's process started.
+    /// Incarnation number of the sender's process (`incarnation_number`).
     pub incarnation: u64,
     /// Message.
     pub message: Message,
 }
 
 impl Envelope {
-    /// As bytes, behind the version.
+    /// Serializes the envelope, preceded by the version.
     pub fn to_bytes(&self) -> Vec<u8> {
         let mut out = vec![PROTOCOL_VERSION];
         out.extend(borsh::to_vec(self).unwrap_or_default());
         out
     }
-    /// From bytes of the same version.
+    /// Deserializes an envelope of the same version.
     pub fn from_bytes(bytes: &[u8]) -> Option<Self> {
         let (version, rest) = bytes.split_first()?;
         (*version == PROTOCOL_VERSION).then(|| borsh::from_slice(rest).ok())?
     }
 }
 
-/// Why a frame was refused.
+/// Why a frame was rejected.
 #[derive(Debug, Error)]
 pub enum FrameError {
-    /// Too long.
-    #[error("frame of {0} bytes is too long")]
+    /// The body is longer than `MAX_FRAME_BYTES`.
+    #[error("frame of {0} bytes exceeds the limit of {MAX_FRAME_BYTES} bytes")]
     TooLong(usize),
-    /// Another version.
-    #[error("version {0} is not {PROTOCOL_VERSION}")]
+    /// The version is not `PROTOCOL_VERSION`.
+    #[error("frame has protocol version {0}, expected {PROTOCOL_VERSION}")]
     Version(u8),
-    /// Not a message.
-    #[error("not a message: {0}")]
+    /// The body is not a valid message.
+    #[error("frame holds no valid message: {0}")]
     Malformed(#[from] std::io::Error),
 }
 
-/// Length of a frame's head: four bytes of length, one of version.
+/// Bytes of a frame header: four for the length of the body, one for the version.
 pub const FRAME_HEADER_LEN: usize = 5;
 
-/// Builds a frame.
+/// Encodes an envelope as a frame with header.
 pub fn encode_frame(e: &Envelope) -> Result<Vec<u8>, FrameError> {
     let body = borsh::to_vec(e)?;
     if body.len() > MAX_FRAME_BYTES {
@@ -332,7 +332,7 @@
     Ok(out)
 }
 
-/// Reads a frame's head; the length of its body.
+/// Decodes a frame header; returns the length of the body in bytes.
 pub fn decode_header(head: [u8; FRAME_HEADER_LEN]) -> Result<usize, FrameError> {
     let [a, b, c, d, version] = head;
     if version != PROTOCOL_VERSION {
@@ -342,24 +342,24 @@
     if len > MAX_FRAME_BYTES { Err(FrameError::TooLong(len)) } else { Ok(len) }
 }
 
-/// Reads a frame's body.
+/// Decodes a frame body.
 pub fn decode_body(body: &[u8]) -> Result<Envelope, FrameError> {
     Ok(borsh::from_slice(body)?)
 }
 
-/// How long a process waits after its start before it takes its number, where
-/// the times of day of two processes of one controller differ from true time by
-/// up to `clock_off` each.
+/// The time that a process waits after its start before it takes its incarnation number, if the
+/// wall clocks of two processes of one controller differ from true time by up to `clock_off` each.
 ///
-/// An earlier process took its own no later than its end, on a clock that was at
-/// most `clock_off` ahead; this one starts after that end and takes its number on
-/// one that is at most `clock_off` behind. After twice as long, and a little, the
-/// later number is the higher one, however quickly the process came back.
+/// The earlier process took its number no later than it exited, on a clock at most `clock_off`
+/// ahead. The later process starts after that, and takes its number on a clock at most `clock_off`
+/// behind. After a wait of twice `clock_off` and 2 ms, the later number is the higher one, however
+/// quickly the process was restarted.
 pub fn incarnation_delay(clock_off: Micros) -> Micros {
     clock_off.scale(2, 1) + Micros::millis(2)
 }
 
-/// A process's number: later processes of a controller have higher ones.
+/// The incarnation number of a process; later processes of a controller have higher numbers. The low
+/// 8 bits are the salt.
 pub fn incarnation_number(wall_ms: u64, salt: u64) -> u64 {
     (wall_ms << 8) | (salt & 0xff)
 }
--- a/crates/core/src/peer/inbox/tests.rs
+++ b/crates/core/src/peer/inbox/tests.rs
@@ -28,28 +28,28 @@
     }
 }
 
-fn known(job: u64) -> Message {
+fn ack(job: u64) -> Message {
     Message::CancellationsAck { jobs: vec![JobId(job)], leading_term: None }
 }
 
 #[test]
-fn only_what_a_later_message_repeats_is_left_out() {
-    type Came = Vec<(u64, Message)>;
-    // What came, by process; the places of what is left.
-    let cases: Vec<(Came, Vec<usize>)> = vec![
+fn only_superseded_messages_are_dropped() {
+    type Arrived = Vec<(u64, Message)>;
+    // (messages as they arrive, with the sender's incarnation; indices of those that remain)
+    let cases: Vec<(Arrived, Vec<usize>)> = vec![
         (vec![(7, view(1, 1, 0)), (7, view(1, 2, 0)), (7, view(1, 3, 2))], vec![2]),
-        // Another leader's view, and another process's.
+        // A view for another leader, and one of another process.
         (vec![(7, view(1, 1, 0)), (7, view(2, 2, 0))], vec![0, 1]),
         (vec![(7, view(1, 1, 0)), (8, view(1, 2, 0))], vec![0, 1]),
-        // A late copy says less than what waits.
+        // A delayed earlier view does not supersede a later one.
         (vec![(7, view(1, 5, 0)), (7, view(1, 4, 0))], vec![0, 1]),
         (vec![(7, page(1, 1)), (7, page(1, 4)), (7, page(2, 2))], vec![1, 2]),
-        (vec![(7, ping(1)), (7, known(1)), (7, ping(2)), (7, known(1))], vec![1, 2, 3]),
+        (vec![(7, ping(1)), (7, ack(1)), (7, ping(2)), (7, ack(1))], vec![1, 2, 3]),
     ];
-    for (i, (came, left)) in cases.into_iter().enumerate() {
+    for (i, (arrived, remaining)) in cases.into_iter().enumerate() {
         let mut inbox = Inbox::default();
-        came.iter().for_each(|(process, m)| inbox.push(*process, m.clone()));
-        let want: Vec<&(u64, Message)> = left.iter().map(|at| &came[*at]).collect();
+        arrived.iter().for_each(|(incarnation, m)| inbox.push(*incarnation, m.clone()));
+        let want: Vec<&(u64, Message)> = remaining.iter().map(|at| &arrived[*at]).collect();
         let got: Vec<(u64, Message)> = std::iter::from_fn(|| inbox.pop()).collect();
         assert_eq!(got.iter().collect::<Vec<_>>(), want, "case {i}");
     }
--- a/crates/core/src/peer/tests.rs
+++ b/crates/core/src/peer/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn frames_round_trip_and_bad_ones_are_refused() {
+fn frames_round_trip_and_invalid_ones_are_rejected() {
     let e = Envelope {
         from: NodeId(1),
         incarnation: 9,
