--- a/crates/core/src/controller/block.rs
+++ b/crates/core/src/controller/block.rs
@@ -3,21 +3,21 @@
 use super::*;
 
 impl Controller {
-    /// Applies changes of the block; with `whole`, `block` is all of it. Returns the number of
+    /// Applies changes of the block; with `full`, `block` is all of it. Returns the number of
     /// machines granted.
     pub fn apply_block(
         &mut self,
-        whole: bool,
+        full: bool,
         block: &[GrantedMachine],
-        elsewhere: &[(MachineId, Option<NodeId>)],
+        not_in_block: &[(MachineId, Option<NodeId>)],
     ) -> usize {
         let mut added = 0;
-        if whole {
+        if full {
             let keep: BTreeSet<&MachineId> = block.iter().map(|g| &g.id).collect();
             self.workers.retain(|id, _| keep.contains(id));
             self.holders.clear();
         }
-        for (id, holder) in elsewhere {
+        for (id, holder) in not_in_block {
             self.workers.remove(id);
             match holder {
                 Some(n) => self.holders.insert(id.clone(), *n),
@@ -71,9 +71,9 @@
         true
     }
 
-    /// Applies counts of running tasks; with `whole`, they replace all earlier ones.
-    pub fn apply_running_counts(&mut self, whole: bool, running: &[(JobId, u32)]) {
-        if whole {
+    /// Applies counts of running tasks; with `full`, they replace all earlier ones.
+    pub fn apply_running_counts(&mut self, full: bool, running: &[(JobId, u32)]) {
+        if full {
             self.running_counts.clear();
         }
         for (id, n) in running {
--- a/crates/core/src/controller/sync.rs
+++ b/crates/core/src/controller/sync.rs
@@ -19,7 +19,7 @@
             self.sync_sent.pop_first();
         }
         self.sync_pending = false;
-        let (base, seen) = if term == self.term { (self.base, self.update_seq) } else { (0, 0) };
+        let (base, acked_update) = if term == self.term { (self.base, self.update_seq) } else { (0, 0) };
         let contacts = self
             .workers
             .iter()
@@ -68,7 +68,7 @@
                 AssignmentOutcome { attempt: *a, machine: p.machine.clone() }
             })
             .collect();
-        Message::Sync { term, seq, base, acked_update: seen, machines, contacts, unleased_reports, outcomes }
+        Message::Sync { term, seq, base, acked_update, machines, contacts, unleased_reports, outcomes }
     }
 
     /// Whether the next `Sync` may be sent: `interval` after the last one if the leader keeps up.
--- a/crates/core/src/peer.rs
+++ b/crates/core/src/peer.rs
@@ -178,7 +178,7 @@
         /// The term that the sender leads, if it leads one.
         leading_term: Option<u64>,
     },
-    /// An envelope to forward, to a controller that can reach the receiver.
+    /// An envelope to forward, sent to a controller that receives messages from the receiver.
     Forward {
         /// Final receiver.
         to: NodeId,
