--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -100,7 +100,7 @@
 #[derive(Debug, PartialEq)]
 pub enum HeartbeatReply {
     /// 200 with these commands.
-    Orders(Baton, Vec<Order>),
+    Commands(Baton, Vec<Order>),
     /// 421, naming the controller that holds the machine if it is known.
     Misdirected(Option<NodeId>),
     /// The same; the worker has a higher fencing token, from a controller that reaches it.
@@ -146,7 +146,7 @@
         if !w.apply_report(r, tasks, true, now) {
             // The report is outdated or a duplicate: its tasks are stale, and no worker waits for
             // this reply.
-            return HeartbeatReply::Orders(w.fencing_token, Vec::new());
+            return HeartbeatReply::Commands(w.fencing_token, Vec::new());
         }
         // A report without an urgent change waits for the next `Sync` that is due.
         w.reported_in = self.sync_seq + 1;
@@ -158,7 +158,7 @@
         let may_start = now < self.lease_until;
         let commands = self.commands(&id, ledger, true, may_start);
         let w = &self.workers[&id];
-        HeartbeatReply::Orders(w.fencing_token, commands)
+        HeartbeatReply::Commands(w.fencing_token, commands)
     }
 
     /// Stop commands for the finished tasks of a machine that this controller does not hold. No
--- a/crates/core/src/controller/stale_heartbeats.rs
+++ b/crates/core/src/controller/stale_heartbeats.rs
@@ -94,7 +94,7 @@
         for i in &order {
             let reply = receive(&mut c, &history[i % history.len()], 90);
             // The reply to a duplicate holds no command.
-            prop_assert_eq!(reply, HeartbeatReply::Orders(Baton(7), Vec::new()));
+            prop_assert_eq!(reply, HeartbeatReply::Commands(Baton(7), Vec::new()));
         }
         prop_assert_eq!(format!("{:?}", derived_state(&c)), before);
         prop_assert_eq!((c.sync_seq, c.sync_pending), (sync, dirty), "a duplicate triggers no sync");
--- a/crates/core/src/node/workers.rs
+++ b/crates/core/src/node/workers.rs
@@ -20,7 +20,7 @@
             return self.send_elsewhere(id, None);
         }
         match self.ctl.checkin(&r, tasks, &self.mirror.ledger, self.now) {
-            HeartbeatReply::Orders(baton, orders) => self.renew(id, baton.0, orders),
+            HeartbeatReply::Commands(baton, orders) => self.renew(id, baton.0, orders),
             HeartbeatReply::Misdirected(to) | HeartbeatReply::Superseded(to)
                 if !self.held_check_ins.is_news(&machine, r.number()) =>
             {
@@ -139,7 +139,7 @@
             let Some((id, r, _)) = self.held_check_ins.held.remove(&m) else { continue };
             let tasks = parse_tasks(&r).unwrap_or_default();
             match self.ctl.checkin(&r, tasks, &self.mirror.ledger, self.now) {
-                HeartbeatReply::Orders(baton, orders) => self.renew(id, baton.0, orders),
+                HeartbeatReply::Commands(baton, orders) => self.renew(id, baton.0, orders),
                 HeartbeatReply::Misdirected(to) | HeartbeatReply::Superseded(to) => {
                     match self.holder_to_name(&m, to) {
                         Some(n) => self.send_elsewhere(id, Some(n)),
--- a/crates/standins/src/scale.rs
+++ b/crates/standins/src/scale.rs
@@ -240,13 +240,13 @@
             // 421 names the holder; the next one is asked then.
             for _ in 0..2 {
                 match self.controllers[to].checkin(&r, tasks.clone(), &self.ledger, self.now) {
-                    HeartbeatReply::Orders(baton, orders) if baton.0 >= w.baton => {
+                    HeartbeatReply::Commands(baton, orders) if baton.0 >= w.baton => {
                         w.baton = baton.0;
                         w.execute(&orders, &facts, self.now.0);
                         w.advance(&facts, self.now.0);
                         break;
                     }
-                    HeartbeatReply::Orders(..) => break,
+                    HeartbeatReply::Commands(..) => break,
                     HeartbeatReply::Misdirected(holder) | HeartbeatReply::Superseded(holder) => {
                         to = holder.map_or((to + 1) % self.controllers.len(), |n| n.0 as usize);
                     }
