--- a/crates/core/src/cancellation_enforcer.rs
+++ b/crates/core/src/cancellation_enforcer.rs
@@ -48,11 +48,11 @@
 const DELETE_BUDGET_WINDOW: Micros = Micros::secs(10);
 
 /// The deadline for the tasks of a job whose cancellation may have been confirmed to the client
-/// at the time of day `at_ms`, less one second for the difference between the clocks. The
+/// at the time of day `ended_ms`, less one second for the difference between the clocks. The
 /// process's monotonic clock may have started after that time, so the deadline is derived from
 /// the time left, not from the time elapsed.
-pub fn cancellation_deadline(at_ms: u64, wall_ms: u64, cancel: Micros, now: Micros) -> Micros {
-    (now + cancel) - Micros::millis((wall_ms + 1000).saturating_sub(at_ms))
+pub fn cancellation_deadline(ended_ms: u64, wall_ms: u64, cancel: Micros, now: Micros) -> Micros {
+    (now + cancel) - Micros::millis((wall_ms + 1000).saturating_sub(ended_ms))
 }
 
 /// How long before the deadline deletions may begin: 35% of the cancellation time, as in a leader,
@@ -192,7 +192,7 @@
 }
 
 impl CancellationEnforcer {
-    /// Without suspects. The incarnation of the process decides the order of its first probes.
+    /// Without suspects. The incarnation number decides the order of this process's first probes.
     pub fn new(incarnation: u64) -> Self {
         CancellationEnforcer { incarnation, ..CancellationEnforcer::default() }
     }
@@ -237,12 +237,12 @@
         let delete_before = delete_before(deletable, cancel);
         let mut order: Vec<(Micros, &MachineId, &Suspect)> =
             suspects.iter().map(|(id, s)| (s.deadline, id, s)).collect();
-        order.sort_by_key(|(by, id, _)| (*by, *id));
+        order.sort_by_key(|(deadline, id, _)| (*deadline, *id));
         let mut due_probes = Vec::new();
         let mut due_deletions = Vec::new();
         let mut unanswered = 0;
-        for (by, id, suspect) in order {
-            if now < by - probe_before {
+        for (deadline, id, suspect) in order {
+            if now < deadline - probe_before {
                 break;
             }
             let p = self.suspects.entry(id.clone()).or_default();
@@ -253,16 +253,16 @@
                 let urgent = suspect.is_urgent();
                 due_probes.push(DueProbe {
                     machine: id.clone(),
-                    deadline: by,
+                    deadline,
                     last_probed: p.last_probed,
                     urgent,
                 });
             }
             let had_time_to_answer = p.first_probed.is_some_and(|t| now.since(t) >= PROBE_RETRY_INTERVAL);
-            let may_delete = suspect.may_be_deleted() && now >= by - delete_before;
+            let may_delete = suspect.may_be_deleted() && now >= deadline - delete_before;
             unanswered += (may_delete && !had_time_to_answer) as usize;
             if may_delete && had_time_to_answer && p.delete_retry_at.is_none_or(|t| now >= t) {
-                due_deletions.push((by, id.clone(), p.delete_retry_at.is_some()));
+                due_deletions.push((deadline, id.clone(), p.delete_retry_at.is_some()));
             }
         }
         let by_silence = suspects.values().any(|s| matches!(s.evidence, Evidence::Silence(_)));
@@ -331,7 +331,7 @@
             self.recent_deletions.pop_front();
         }
         let new = due.iter().filter(|(.., retry)| !retry).count() + unanswered;
-        let last_call_at = due.first().map_or(now, |(by, ..)| *by - cancel.scale(5, 100));
+        let last_call_at = due.first().map_or(now, |(deadline, ..)| *deadline - cancel.scale(5, 100));
         let share = (machines / DELETE_BUDGET_DIVISOR).max(2);
         let budget = share.saturating_sub(self.recent_deletions.len());
         let within_budget = budget + share * (last_call_at.since(now).0 / DELETE_BUDGET_WINDOW.0) as usize;
@@ -354,7 +354,7 @@
         delete
     }
 
-    /// Records a machine's report and returns the stop orders for its cancelled tasks. They carry
+    /// Records a machine's report and returns the stop commands for its cancelled tasks. They carry
     /// the fencing token and the agent epoch of the report, so that a newer grant is not affected.
     pub fn record_probe_response(&mut self, r: &Report, unwanted: Vec<Order>) -> Option<Direct> {
         let p = self.suspects.get_mut(&MachineId::from(&*r.host))?;
--- a/crates/core/src/cancellation_enforcer/tests.rs
+++ b/crates/core/src/cancellation_enforcer/tests.rs
@@ -114,9 +114,9 @@
     let cancel = Micros::millis(46_500);
     // (machines, milliseconds before the deadline at which deletions may begin)
     for (machines, earliest) in [(1_000, 16_275), (4_000, 19_825), (6_000, 27_825)] {
-        let by = CONFIRMED + cancel;
+        let deadline = CONFIRMED + cancel;
         let mut suspects = suspects(machines, false);
-        suspects.values_mut().for_each(|s| s.deadline = by);
+        suspects.values_mut().for_each(|s| s.deadline = deadline);
         let (mut enforcer, mut deleted) = (CancellationEnforcer::default(), BTreeSet::new());
         for ms in (0..46_500).step_by(200) {
             let now = CONFIRMED + Micros::millis(ms);
@@ -166,8 +166,8 @@
     // the difference between the clocks)
     for (ago, clock, left) in [(0, 1, 99), (30, 1, 69), (30, 5000, 69), (98, 1, 1), (99, 1, 0)] {
         let now = Micros::secs(clock);
-        let by = cancellation_deadline(1_000_000, 1_000_000 + ago * 1000, CANCEL, now);
-        assert_eq!(by.since(now), Micros::secs(left), "{ago} s ago, at {clock} s");
+        let deadline = cancellation_deadline(1_000_000, 1_000_000 + ago * 1000, CANCEL, now);
+        assert_eq!(deadline.since(now), Micros::secs(left), "{ago} s ago, at {clock} s");
     }
     let long_over = cancellation_deadline(0, 10_000_000, CANCEL, Micros::secs(1));
     assert_eq!(long_over, Micros(0));
--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -180,10 +180,10 @@
 mod tests {
     use super::*;
 
-    fn granted(id: &str, baton: u64) -> GrantedMachine {
+    fn granted(id: &str, fencing_token: u64) -> GrantedMachine {
         GrantedMachine {
             id: id.into(),
-            fencing_token: Baton(baton),
+            fencing_token: Baton(fencing_token),
             addr: format!("{id}:1"),
             draining: false,
         }
@@ -253,8 +253,8 @@
             status(2, TaskState::Running),
             status(2, TaskState::Done),
         ];
-        let orders = Controller::stops_for_unleased(&tasks, &ledger);
-        let got: Vec<(&str, &str)> = orders.iter().map(|o| (o.verb.as_str(), o.piece.as_str())).collect();
+        let commands = Controller::stops_for_unleased(&tasks, &ledger);
+        let got: Vec<(&str, &str)> = commands.iter().map(|o| (o.verb.as_str(), o.piece.as_str())).collect();
         assert_eq!(got, [("halt", "j-000001/0")]);
     }
 }
--- a/crates/core/src/controller/stops.rs
+++ b/crates/core/src/controller/stops.rs
@@ -50,8 +50,8 @@
     c.send_commands(ledger, now, &mut out);
     let calls = out.items.into_iter().filter_map(|o| match o {
         Output::Call { id, call } => {
-            let orders = serde_json::from_slice::<Direct>(&call.body).map(|d| d.orders).unwrap_or_default();
-            Some((id, call.path, orders.iter().any(|o| o.verb == "halt" && o.piece == "j-000001/0")))
+            let commands = serde_json::from_slice::<Direct>(&call.body).map(|d| d.orders).unwrap_or_default();
+            Some((id, call.path, commands.iter().any(|o| o.verb == "halt" && o.piece == "j-000001/0")))
         }
         _ => None,
     });
--- a/crates/core/src/liveness.rs
+++ b/crates/core/src/liveness.rs
@@ -23,8 +23,8 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A probe is no evidence if this process was later than this while the probe was pending: half of
-/// the probe timeout, so that an answer that arrives in time is read in time.
+/// A probe is no evidence if two ticks of this process were further apart than this while the probe
+/// was pending: half of the probe timeout, so that an answer that arrives in time is read in time.
 const MAX_TICK_GAP: Micros = Micros::millis(600);
 /// Reference machines probed for each answer that a proof needs: some of them may fall silent
 /// themselves.
@@ -113,7 +113,7 @@
     instances: InstanceList,
     observations: BTreeMap<MachineId, Observation>,
     /// Machines that sent an invalid probe answer.
-    odd_answers: BTreeSet<MachineId>,
+    invalid_responses: BTreeSet<MachineId>,
     zones: BTreeMap<String, Reachability>,
     /// When any machine of any zone answered.
     any_zone: Reachability,
@@ -132,7 +132,7 @@
         LivenessMonitor {
             instances: InstanceList::new(now),
             observations: BTreeMap::new(),
-            odd_answers: BTreeSet::new(),
+            invalid_responses: BTreeSet::new(),
             zones: BTreeMap::new(),
             any_zone: Reachability::default(),
             lateness: Lateness::with_limit(MAX_TICK_GAP, now),
@@ -151,7 +151,7 @@
     pub fn clear(&mut self) {
         self.instances.clear();
         self.observations.clear();
-        self.odd_answers.clear();
+        self.invalid_responses.clear();
         self.zones.clear();
         self.any_zone = Reachability::default();
     }
@@ -225,7 +225,7 @@
 
     /// Records an invalid answer of a machine. Returns whether it is the machine's first one.
     pub fn record_invalid_response(&mut self, id: &MachineId) -> bool {
-        self.odd_answers.insert(id.clone())
+        self.invalid_responses.insert(id.clone())
     }
 
     /// Removes a machine that this process deleted.
@@ -233,9 +233,9 @@
         self.instances.remove(id);
     }
 
-    /// Machines to probe, including those proven silent. Their tasks must be terminated before
-    /// the deadline `by`.
-    pub fn suspects(&mut self, by: Micros, now: Micros) -> BTreeMap<MachineId, Suspect> {
+    /// Machines to probe, including those proven silent, whose tasks must be terminated before
+    /// `deadline`.
+    pub fn suspects(&mut self, deadline: Micros, now: Micros) -> BTreeMap<MachineId, Suspect> {
         self.confirm_silences();
         let outcomes = self.probe_outcomes();
         let references = self.references(&outcomes);
@@ -251,7 +251,7 @@
                 None => (!self.is_recent(seen, now)).then_some(ProbeReason::NoRecentContact),
             };
             if let Some(reason) = reason {
-                suspects.insert(id.clone(), Suspect { deadline: by, evidence: Evidence::Silence(reason) });
+                suspects.insert(id.clone(), Suspect { deadline, evidence: Evidence::Silence(reason) });
             }
         }
         suspects
@@ -275,7 +275,7 @@
         summary
     }
 
-    /// Whether the unanswered probes of a machine prove it silent.
+    /// `Silent` if the unanswered probes of a machine prove that it is silent, and it may run tasks.
     fn classify(
         &self,
         seen: &Observation,
