--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -6,9 +6,9 @@
 pub mod controller;
 pub mod dependencies;
 pub mod election;
+pub mod extension;
 pub mod fair_queue;
 pub mod fleet;
-pub mod guest;
 pub mod jobs;
 mod lateness;
 pub mod leader;
@@ -138,9 +138,9 @@
         retry_after: Option<u32>,
     },
     /// Responds to a request on the extension's address.
-    ExtensionResponse(RequestId, guest::Answer),
+    ExtensionResponse(RequestId, extension::Answer),
     /// Starts a streaming response.
-    StreamOpen(RequestId, guest::Answer),
+    StreamOpen(RequestId, extension::Answer),
     /// Continues a streaming response.
     StreamChunk(RequestId, Vec<u8>),
     /// Ends a streaming response.
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -1,38 +1,38 @@
-//! A whole controller node: its mirror of the state service, its part in the
-//! election, its block, and the leader's work while it leads.
+//! A controller node: its replica of the state service, its part in the election, its lease of
+//! machines, and the leader's work while it leads.
+mod cancellation_enforcement;
 mod cancellations;
 mod catalogue;
-mod duties;
-mod held_check_ins;
-mod host;
-mod knowledge;
+mod control_loop;
+mod deferred_heartbeats;
+mod extension_host;
+mod heartbeats;
 mod leadership;
 mod membership;
-mod mirror;
-mod peers;
-mod refusals;
+mod messaging;
+mod pending_requests;
+mod placement_knowledge;
+mod rejected_writes;
 mod relay;
+mod replica_sync;
 mod requests;
-mod stand_in;
 mod status;
-mod waiting;
-mod workers;
 
 use cancellations::Cancellations;
 use catalogue::{Catalogue, delete_call, list_call, rent_call};
-use held_check_ins::HeldCheckIns;
+use deferred_heartbeats::DeferredHeartbeats;
 use leadership::Leadership;
-use membership::{HEARD, Peers};
-use mirror::{Mirror, StateReading};
+use membership::{PEER_TIMEOUT, Peers};
+use pending_requests::{MAX_PENDING, PendingRequests, PendingWrite, Waiter};
 use relay::Relay;
+use replica_sync::{ReadProgress, ReplicaSync};
 use status::{Gauges, RefusalReason, ServiceStatus};
-use waiting::{MAX_WAITING, UserWrite, Users, Waiter};
 
 use crate::books::{Book, Kept};
 use crate::cancellation_enforcer::CancellationEnforcer;
 use crate::controller::{Controller, HeartbeatReply, parse_tasks};
 use crate::election::Role;
-use crate::guest::{Guest, GuestInput, GuestOutput, Host, Ticket};
+use crate::extension::{Extension, ExtensionContext, ExtensionInput, ExtensionOutput, OperationId};
 use crate::jobs::{self, Change, LeaderRecord, Ledger, MachineRecord, Phase, keys};
 use crate::leader::{CloudWish, Context, HireRequest, Leader, LeaderWrite, View};
 use crate::limits::StoreLimits;
@@ -50,19 +50,19 @@
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Who is who.
+/// All controllers of the cluster.
 #[derive(Debug, Clone)]
-pub struct Nodes {
-    /// Names, sorted; a `NodeId` is an index.
+pub struct ClusterMembers {
+    /// Host names, sorted; a `NodeId` is an index.
     pub names: Vec<String>,
-    /// Zones.
+    /// Zones, in the order of the names.
     pub zones: Vec<String>,
-    /// This node.
-    pub me: NodeId,
+    /// This controller.
+    pub own_id: NodeId,
 }
 
-impl Nodes {
-    /// From the platform's settings.
+impl ClusterMembers {
+    /// Reads the platform's settings.
     pub fn new(p: &Platform) -> Self {
         let mut all: Vec<(String, String)> =
             p.peers.iter().map(|x| (x.host_name.clone(), x.domain.clone())).collect();
@@ -70,105 +70,105 @@
         all.sort();
         let me = all.iter().position(|(n, _)| *n == p.host_name).unwrap_or(0);
         let (names, zones) = all.into_iter().unzip();
-        Nodes { names, zones, me: NodeId(me as u8) }
+        ClusterMembers { names, zones, own_id: NodeId(me as u8) }
     }
 }
 
-/// What a call was for.
+/// What a call was made for.
 #[derive(Debug)]
-enum Purpose {
+enum CallPurpose {
     List {
         from: Option<String>,
-        first: Option<u64>,
-        ledger: Box<Ledger>,
+        first_revision: Option<u64>,
+        replica: Box<Ledger>,
     },
-    Follow,
-    Barrier(Vec<(Waiter, Micros)>),
-    Write(UserWrite),
-    /// Pages of a guest's reading: the prefix, and what came so far.
-    GuestRead(Ticket, String, Listing),
-    GrantNew {
-        asked: Micros,
+    Watch,
+    ReadBarrier(Vec<(Waiter, Micros)>),
+    Write(PendingWrite),
+    /// Pages of an extension's read: the prefix, and the pages received so far.
+    ExtensionRead(OperationId, String, Listing),
+    CreateLease {
+        requested_at: Micros,
     },
-    TakeKey {
-        asked: Micros,
+    AcquireLeaderKey {
+        requested_at: Micros,
         lease: u64,
         term: u64,
     },
-    Renew {
+    RenewLease {
         sent: Micros,
     },
-    EndLease,
-    /// A transaction of a relayed message, by the message's number.
-    Mail(u64),
+    RevokeLease,
+    /// A transaction of a relayed message, with the message's number.
+    RelayedMessage(u64),
     LeaderWrites(u64, Vec<LeaderWrite>),
-    /// The record of a term's witnesses.
-    BooksRecord(u64),
+    /// The record of a term's standby replicas.
+    StandbyRecord(u64),
     Cloud(u64, CloudWish),
     Flavors,
-    Worker(MachineId),
+    WorkerCall(MachineId),
     Probe(MachineId),
-    /// A page of the cloud's list, in a leader's place.
+    /// A page of the cloud's list, for enforcing cancellations without a leader.
     MachineList,
-    /// A machine that may hold a cancelled task, asked or told in a leader's place.
-    Deputy {
+    /// A probe of a machine that may hold a cancelled task, or a stop sent to it, without a leader.
+    SuspectCall {
         machine: MachineId,
         sent: Micros,
     },
-    /// Machines deleted in a leader's place.
-    DeputyDelete(Vec<MachineId>),
+    /// Machines deleted without a leader, because they may hold cancelled tasks.
+    SuspectDeletion(Vec<MachineId>),
 }
 
-/// The node. Each part owns the state of one duty; what crosses parts is here.
+/// A controller node. Each field owns the state of one duty; what several duties share is here.
 pub struct Node {
-    nodes: Nodes,
+    members: ClusterMembers,
     operator: Operator,
     teams: Vec<Team>,
-    ctx: Context,
+    leader_config: Context,
     limits: StoreLimits,
     now: Micros,
-    /// When this process began, and when it could last know what was cancelled.
-    began: Micros,
-    informed: Option<Micros>,
-    /// When a controller was last in touch that knows where tasks may be.
-    placements_at: Micros,
+    /// When this process started, and when it could last learn of new cancellations.
+    started_at: Micros,
+    informed_at: Option<Micros>,
+    /// When this node was last in contact with a controller that knows where tasks may be.
+    placements_known_at: Micros,
     wall_ms: u64,
     rng: fastrand::Rng,
     out: Outbox,
-    calls: BTreeMap<CallId, Purpose>,
+    calls: BTreeMap<CallId, CallPurpose>,
     incarnation: u64,
-    mirror: Mirror,
-    users: Users,
+    replica_sync: ReplicaSync,
+    pending: PendingRequests,
     status: ServiceStatus,
     cancellations: Cancellations,
     leadership: Leadership,
     peers: Peers,
     relay: Relay,
     catalogue: Catalogue,
-    held_check_ins: HeldCheckIns,
-    ctl: Controller,
-    /// Books of leaders that this node is a witness of.
-    kept: Kept,
-    deputy: CancellationEnforcer,
+    deferred_heartbeats: DeferredHeartbeats,
+    controller: Controller,
+    /// Leaders' placement logs of which this node is a standby replica.
+    log_replicas: Kept,
+    enforcer: CancellationEnforcer,
     liveness: LivenessMonitor,
-    liveness_logged: Micros,
-    books_asked: Micros,
-    has_guest: bool,
-    guest: Option<Box<dyn Guest>>,
-    /// What came for the guest while it was being asked.
-    guest_inputs: Vec<GuestInput>,
+    liveness_logged_at: Micros,
+    log_requested_at: Micros,
+    has_extension: bool,
+    extension: Option<Box<dyn Extension>>,
+    /// Inputs that arrived while the extension was handling another one.
+    extension_inputs: Vec<ExtensionInput>,
 }
 
 impl Node {
-    /// A node that knows nothing yet.
+    /// Creates a node with an empty state replica.
     pub fn new(p: &Platform, operator: Operator, seed: u64, incarnation: u64, now: Micros) -> Self {
-        let nodes = Nodes::new(p);
+        let members = ClusterMembers::new(p);
         let d = &p.deployment;
-        let n = nodes.names.len() as f64;
-        let ctx = Context {
-            me: nodes.me,
-            names: nodes.names.clone(),
-            zones: nodes.zones.clone(),
+        let n = members.names.len() as f64;
+        let leader_config = Context {
+            me: members.own_id,
+            names: members.names.clone(),
+            zones: members.zones.clone(),
             operator: operator.clone(),
             teams: d.teams.clone(),
             objectives: d.objectives.clone(),
@@ -181,394 +181,408 @@
         let limits = StoreLimits::new(&d.state);
         Node {
             teams: d.teams.clone(),
-            ctx,
+            leader_config,
             limits,
             now,
-            began: now,
-            informed: None,
-            placements_at: now,
+            started_at: now,
+            informed_at: None,
+            placements_known_at: now,
             wall_ms: 0,
             rng: fastrand::Rng::with_seed(seed),
             out: Outbox::default(),
             calls: BTreeMap::new(),
             incarnation: incarnation.max(2),
-            mirror: Mirror::default(),
-            users: Users::new(limits.changes_per_s * 0.9 / n, limits.requests_per_s / n, now),
+            replica_sync: ReplicaSync::default(),
+            pending: PendingRequests::new(limits.changes_per_s * 0.9 / n, limits.requests_per_s / n, now),
             status: ServiceStatus::new(now),
             cancellations: Cancellations::default(),
             leadership: Leadership::new(&operator, limits.changes_per_s, now),
-            peers: Peers::new(nodes.names.len()),
+            peers: Peers::new(members.names.len()),
             relay: Relay::default(),
             catalogue: Catalogue::new(d.cloud.rps, now),
-            held_check_ins: HeldCheckIns::default(),
-            ctl: Controller::default(),
-            kept: Kept::default(),
-            deputy: CancellationEnforcer::new(incarnation),
+            deferred_heartbeats: DeferredHeartbeats::default(),
+            controller: Controller::default(),
+            log_replicas: Kept::default(),
+            enforcer: CancellationEnforcer::new(incarnation),
             liveness: LivenessMonitor::new(
                 &p.domain,
                 Micros::from_secs_f64(d.workers.report_s),
                 Micros::from_secs_f64(d.workers.lease_s),
                 now,
             ),
-            liveness_logged: now,
-            books_asked: Micros(0),
-            has_guest: false,
-            guest: None,
-            guest_inputs: Vec::new(),
+            liveness_logged_at: now,
+            log_requested_at: Micros(0),
+            has_extension: false,
+            extension: None,
+            extension_inputs: Vec::new(),
             operator,
-            nodes,
+            members,
         }
     }
 
-    /// A node with a guest beside the scheduler.
-    pub fn with_guest(mut self, guest: Box<dyn Guest>) -> Self {
-        self.has_guest = true;
-        self.guest = Some(guest);
+    /// Adds an extension beside the scheduler.
+    pub fn with_extension(mut self, extension: Box<dyn Extension>) -> Self {
+        self.has_extension = true;
+        self.extension = Some(extension);
         self
     }
 
-    /// Takes an input at a time; what to do about it.
+    /// Handles one input; returns what to send and call.
     pub fn handle(&mut self, now: Micros, wall_ms: u64, input: Input) -> Vec<Output> {
         self.now = self.now.max(now);
         self.wall_ms = wall_ms;
         match input {
             Input::Tick => self.tick(),
-            Input::Request { id, method, path, body } => self.request(id, &method, &path, &body),
+            Input::Request { id, method, path, body } => self.route_request(id, &method, &path, &body),
             Input::ExtensionRequest { id, method, path, token, body } => {
-                self.ask_guest(GuestInput::Request { id, method, path, token, body });
+                self.run_extension(ExtensionInput::Request { id, method, path, token, body });
             }
             Input::ClientDisconnected(id) => {
-                self.status.asker_gone(id);
-                self.held_check_ins.held.retain(|_, (r, ..)| *r != id);
-                self.ask_guest(GuestInput::Gone(id));
+                self.status.client_disconnected(id);
+                self.deferred_heartbeats.deferred.retain(|_, (r, ..)| *r != id);
+                self.run_extension(ExtensionInput::ClientDisconnected(id));
             }
-            Input::CallCompleted { id, result } => self.called(id, result),
+            Input::CallCompleted { id, result } => self.call_completed(id, result),
             Input::PeerRefused(n) => {
                 if let Some(p) = self.peers.states.get_mut(n.0 as usize) {
-                    p.refused = Some(self.now);
+                    p.refused_at = Some(self.now);
                 }
             }
             Input::Peer { from, incarnation, message } => {
                 if let Some(p) = self.peers.states.get_mut(from.0 as usize) {
-                    p.heard = Some(self.now);
+                    p.last_contact = Some(self.now);
                     p.incarnation = p.incarnation.max(incarnation);
                 }
-                self.peer(from, incarnation, message);
+                self.receive_message(from, incarnation, message);
             }
         }
-        self.status.answers_leave(&self.out.items);
+        self.status.responses_sent(&self.out.items);
         std::mem::take(&mut self.out.items)
     }
 
-    /// The `status` line of a controller, if one is due.
+    /// The `status` line, if one is due.
     pub fn status_line(&mut self) -> Option<String> {
         let gauges = Gauges {
-            revision: self.mirror.ledger.applied,
-            ready: self.ready(),
-            machines_held: self.ctl.held_count(),
+            revision: self.replica_sync.replica.applied,
+            ready: self.is_ready(),
+            machines_held: self.controller.held_count(),
             leader: self.leader_node().map(|n| n.0),
             term: self.leader_term(),
         };
         self.status.line(gauges, self.now)
     }
 
-    /// How often an invariant that is checked at run time did not hold.
+    /// How many violations of invariants this process has detected at run time.
     pub fn invariant_violations(&self) -> u64 {
         self.status.violations() + self.leadership.leader.as_ref().map_or(0, Leader::violations)
     }
 
-    /// Whether this node leads, and may say so.
+    /// Whether this node leads and its lease is confirmed.
     pub fn leads(&self) -> bool {
         self.leadership.leader.is_some() && self.leadership.election.may_lead(self.now)
     }
 
-    /// Whether users are served here; `GET /ready` says the same.
+    /// Whether clients are served here; `GET /ready` returns the same.
     pub fn serves_users(&self) -> bool {
-        self.ready()
+        self.is_ready()
     }
 
-    /// Whether this node is ready for users and holds a block that it may start
-    /// tasks on.
+    /// Whether this node serves clients and holds a lease of machines that it may start tasks on.
     pub fn in_service(&self) -> bool {
-        self.ready() && self.ctl.lease_valid(self.now)
+        self.is_ready() && self.controller.lease_valid(self.now)
     }
 
-    /// Whether what this node keeps as things change agrees with a fresh
-    /// count: for tests.
-    pub fn check_kept(&self) -> Result<(), String> {
+    /// For tests: compares the sums that are updated incrementally with a recount.
+    pub fn check_aggregates(&self) -> Result<(), String> {
         self.leadership.leader.as_ref().map_or(Ok(()), Leader::check_sums)
     }
 
-    fn called(&mut self, id: CallId, result: CallResult) {
+    fn call_completed(&mut self, id: CallId, result: CallResult) {
         let Some(p) = self.calls.remove(&id) else { return };
-        let of_state = !matches!(
+        let to_state_service = !matches!(
             p,
-            Purpose::Cloud(..)
-                | Purpose::Flavors
-                | Purpose::Worker(_)
-                | Purpose::Probe(_)
-                | Purpose::MachineList
-                | Purpose::Deputy { .. }
-                | Purpose::DeputyDelete(_)
+            CallPurpose::Cloud(..)
+                | CallPurpose::Flavors
+                | CallPurpose::WorkerCall(_)
+                | CallPurpose::Probe(_)
+                | CallPurpose::MachineList
+                | CallPurpose::SuspectCall { .. }
+                | CallPurpose::SuspectDeletion(_)
         );
-        if of_state && !matches!(p, Purpose::Follow) {
+        if to_state_service && !matches!(p, CallPurpose::Watch) {
             match &result {
                 CallResult::Response { status, .. } if *status < 500 && *status != 429 => {
-                    self.mirror.ok_at = Some(self.now)
+                    self.replica_sync.last_success = Some(self.now)
                 }
                 CallResult::Response { status: 429, .. } => {}
-                _ => self.mirror.fail_at = Some(self.now),
+                _ => self.replica_sync.last_failure = Some(self.now),
             }
         }
         match p {
-            Purpose::List { from, first, ledger } => self.listed_page(from, first, ledger, result),
-            Purpose::Follow => {
-                self.mirror.following = false;
+            CallPurpose::List { from, first_revision, replica } => {
+                self.list_page_received(from, first_revision, replica, result)
+            }
+            CallPurpose::Watch => {
+                self.replica_sync.watch_in_flight = false;
                 match result {
                     CallResult::Response { status: 200, body } => match serde_json::from_slice::<News>(&body)
                     {
                         Ok(n) => {
-                            self.mirror.ok_at = Some(self.now);
+                            self.replica_sync.last_success = Some(self.now);
                             self.status.caught_up(self.now);
-                            self.apply(n);
+                            self.apply_events(n);
                         }
                         Err(e) => {
-                            warn!("unreadable news: {e}");
-                            self.mirror.follow_at = self.now + Micros::millis(500);
+                            warn!("invalid watch response: {e}");
+                            self.replica_sync.next_watch_at = self.now + Micros::millis(500);
                         }
                     },
                     CallResult::Response { status: 410, .. } => {
                         info!(
-                            "watch expired revision={}: reading the state anew",
-                            self.mirror.ledger.applied
+                            "watch expired revision={}: reading the state from the start",
+                            self.replica_sync.replica.applied
                         );
-                        self.mirror.listed = false;
+                        self.replica_sync.listed = false;
+                    }
+                    _ => {
+                        self.replica_sync.next_watch_at =
+                            self.now + Micros::millis(150 + self.rng.u64(0..150))
                     }
-                    _ => self.mirror.follow_at = self.now + Micros::millis(150 + self.rng.u64(0..150)),
                 }
-                self.follow();
+                self.watch_state();
+            }
+            CallPurpose::ReadBarrier(waiting) => self.read_barrier_completed(waiting, result),
+            CallPurpose::Write(w) => self.pending_write_completed(w, &result),
+            CallPurpose::ExtensionRead(t, prefix, so_far) => {
+                self.extension_page_received(t, prefix, so_far, result)
             }
-            Purpose::Barrier(waiting) => self.barrier_done(waiting, result),
-            Purpose::Write(w) => self.user_written(w, &result),
-            Purpose::GuestRead(t, prefix, so_far) => self.guest_page(t, prefix, so_far, result),
-            Purpose::GrantNew { asked } => {
+            CallPurpose::CreateLease { requested_at } => {
                 let lease = match &result {
                     CallResult::Response { status: 200, body } => serde_json::from_slice::<Grant>(body).ok(),
                     _ => None,
                 };
                 match lease {
-                    Some(g) if self.mirror.ledger.leader.is_none() => {
-                        let (term, stamp) = self.mirror.ledger.term;
+                    Some(g) if self.replica_sync.replica.leader.is_none() => {
+                        let (term, term_revision) = self.replica_sync.replica.term;
                         let rec = LeaderRecord {
-                            node: self.nodes.names[self.nodes.me.0 as usize].clone(),
+                            node: self.members.names[self.members.own_id.0 as usize].clone(),
                             term: term + 1,
                             lease: g.hold,
                         };
                         let m = Multi {
                             when: vec![
                                 When { path: keys::LEADER.into(), stamp: 0 },
-                                When { path: keys::TERM.into(), stamp },
-                                When { path: keys::BOOKS.into(), stamp: self.mirror.ledger.books.1 },
+                                When { path: keys::TERM.into(), stamp: term_revision },
+                                When { path: keys::BOOKS.into(), stamp: self.replica_sync.replica.books.1 },
                             ],
                             writes: vec![
                                 Write::Put {
                                     put: keys::BOOKS.into(),
-                                    v: json!(self.mirror.ledger.books.0.taken_over(term + 1)),
+                                    v: json!(self.replica_sync.replica.books.0.taken_over(term + 1)),
                                     hold: None,
                                 },
                                 Write::Put { put: keys::TERM.into(), v: json!(term + 1), hold: None },
                                 Write::Put { put: keys::LEADER.into(), v: json!(rec), hold: Some(g.hold) },
                             ],
                         };
-                        let id = self.multi(&m);
-                        self.calls.insert(id, Purpose::TakeKey { asked, lease: g.hold, term: term + 1 });
+                        let id = self.send_transaction(&m);
+                        self.calls.insert(
+                            id,
+                            CallPurpose::AcquireLeaderKey { requested_at, lease: g.hold, term: term + 1 },
+                        );
                     }
                     lease => {
                         if let Some(g) = lease {
-                            self.end_lease(g.hold);
+                            self.revoke_lease(g.hold);
                         }
                         let pause = Micros::millis(150 + self.rng.u64(0..300));
-                        self.leadership.election.lost(self.now, pause);
+                        self.leadership.election.step_down(self.now, pause);
                     }
                 }
             }
-            Purpose::TakeKey { asked, lease, term } => match &result {
+            CallPurpose::AcquireLeaderKey { requested_at, lease, term } => match &result {
                 CallResult::Response { status: 200, body } => {
-                    let stamp = serde_json::from_slice::<MultiAnswer>(body).map_or(0, |a| a.ledger);
-                    self.leadership.election.won(term, lease, stamp, asked);
+                    let key_revision = serde_json::from_slice::<MultiAnswer>(body).map_or(0, |a| a.ledger);
+                    self.leadership.election.elected(term, lease, key_revision, requested_at);
                     self.leadership.had_peers = false;
-                    self.leadership.won = Some((term, stamp));
-                    self.barrier();
+                    self.leadership.acquired = Some((term, key_revision));
+                    self.start_read_barrier();
                 }
                 _ => {
-                    // Lost, or nobody knows: without its lease a late key goes too.
-                    self.end_lease(lease);
+                    // Lost or unknown. Revoking the lease also deletes a key that is written late.
+                    self.revoke_lease(lease);
                     let pause = Micros::millis(200 + self.rng.u64(0..400));
-                    self.leadership.election.lost(self.now, pause);
+                    self.leadership.election.step_down(self.now, pause);
                 }
             },
-            Purpose::Renew { sent } => match result {
-                CallResult::Response { status: 200, .. } => self.leadership.election.renewed(sent),
+            CallPurpose::RenewLease { sent } => match result {
+                CallResult::Response { status: 200, .. } => self.leadership.election.renewal_confirmed(sent),
                 CallResult::Response { status: 404, .. } => {
                     if self.leadership.election.term().is_some() {
-                        self.step_down("its lease ended");
+                        self.step_down("lease expired");
                     }
                 }
-                _ => self.leadership.election.renewing = false,
+                _ => self.leadership.election.renewal_in_flight = false,
             },
-            Purpose::EndLease => {}
-            Purpose::Mail(number) => {
-                let taken = matches!(result, CallResult::Response { status: 200, .. });
-                self.post_relayed(number, taken);
+            CallPurpose::RevokeLease => {}
+            CallPurpose::RelayedMessage(number) => {
+                let posted = matches!(result, CallResult::Response { status: 200, .. });
+                self.post_next_transaction(number, posted);
             }
-            Purpose::LeaderWrites(term, w) => self.leader_written(term, w, &result),
-            Purpose::BooksRecord(term) => {
+            CallPurpose::LeaderWrites(term, w) => self.leader_writes_completed(term, w, &result),
+            CallPurpose::StandbyRecord(term) => {
                 if let Some(l) = self.leadership.leader.as_mut().filter(|l| l.term == term) {
                     l.books_record_ended();
                 }
             }
-            Purpose::Cloud(term, w) => self.cloud_called(term, w, &result),
-            Purpose::Flavors => {
-                self.catalogue.open = false;
+            CallPurpose::Cloud(term, w) => self.cloud_call_completed(term, w, &result),
+            CallPurpose::Flavors => {
+                self.catalogue.request_in_flight = false;
                 if let CallResult::Response { status: 200, body } = &result
                     && let Ok(f) = serde_json::from_slice::<Flavors>(body)
                 {
-                    self.catalogue.take(f);
+                    self.catalogue.update(f);
                 }
             }
-            Purpose::MachineList => self.machines_listed(&result),
-            Purpose::Deputy { machine, sent } => self.deputy_answered(&machine, sent, &result),
-            Purpose::DeputyDelete(ids) => self.suspects_deleted(&ids, &result),
-            Purpose::Worker(m) => {
-                self.ctl.call_completed(&m, id, &result, self.now);
-                self.drive();
-                self.sync(false);
+            CallPurpose::MachineList => self.machine_list_received(&result),
+            CallPurpose::SuspectCall { machine, sent } => {
+                self.suspect_call_completed(&machine, sent, &result)
+            }
+            CallPurpose::SuspectDeletion(ids) => self.suspect_deletion_completed(&ids, &result),
+            CallPurpose::WorkerCall(m) => {
+                self.controller.call_completed(&m, id, &result, self.now);
+                self.send_worker_calls();
+                self.send_sync(false);
             }
-            Purpose::Probe(m) => {
+            CallPurpose::Probe(m) => {
                 if let CallResult::Response { status: 200, body } = &result
                     && let Ok(r) = serde_json::from_slice::<Report>(body)
                     && r.host == m.as_str()
                 {
-                    self.tell_seen(&m, MachineRecord::of(&r), r.number(), true);
+                    self.report_unleased(&m, MachineRecord::of(&r), r.number(), true);
                 }
             }
         }
     }
 
-    fn end_lease(&mut self, lease: u64) {
-        let id = self.state("DELETE", format!("/grants/{lease}"), Vec::new(), Micros::millis(1000));
-        self.calls.insert(id, Purpose::EndLease);
+    fn revoke_lease(&mut self, lease: u64) {
+        let id =
+            self.call_state_service("DELETE", format!("/grants/{lease}"), Vec::new(), Micros::millis(1000));
+        self.calls.insert(id, CallPurpose::RevokeLease);
     }
 
-    fn listed_page(
+    fn list_page_received(
         &mut self,
         from: Option<String>,
-        first: Option<u64>,
-        mut ledger: Box<Ledger>,
+        first_revision: Option<u64>,
+        mut replica: Box<Ledger>,
         result: CallResult,
     ) {
-        self.mirror.listing = false;
+        self.replica_sync.list_in_flight = false;
         let page: Option<Listing> = match &result {
             CallResult::Response { status: 200, body } => serde_json::from_slice(body).ok(),
             _ => None,
         };
         let Some(page) = page else {
-            // Many that start at once share the state service's budget: what was
-            // read is kept, and goes on after a pause.
+            // Many processes that start at once share the state service's budget: the pages read so
+            // far are kept, and the read resumes after a pause.
             let pause = Micros::millis(150 + self.rng.u64(0..300));
-            self.mirror.retry_list_at = self.now + pause;
-            self.mirror.reading.interruptions += 1;
+            self.replica_sync.next_list_at = self.now + pause;
+            self.replica_sync.read_progress.interruptions += 1;
             if from.is_some() {
-                debug!("reading the state was interrupted");
-                self.mirror.so_far = Some((from, first, ledger));
+                debug!("state read interrupted");
+                self.replica_sync.interrupted_list = Some((from, first_revision, replica));
             }
             return;
         };
-        self.mirror.reading.pages += 1;
+        self.replica_sync.read_progress.pages += 1;
         if let CallResult::Response { body, .. } = &result {
-            self.mirror.reading.bytes += body.len();
+            self.replica_sync.read_progress.bytes += body.len();
         }
         for p in &page.pairs {
-            ledger.apply(&p.path, Some(&p.v), p.stamp);
+            replica.apply(&p.path, Some(&p.v), p.stamp);
         }
-        // Later pages are newer: the news from the first page's revision on
-        // is applied over them.
-        let first = first.unwrap_or(page.ledger);
+        // Later pages are newer: the watch starts at the first page's revision and its events are
+        // applied over them.
+        let first_revision = first_revision.unwrap_or(page.ledger);
         if let (true, Some(last)) = (page.truncated, page.pairs.last()) {
-            return self.list(Some(last.path.clone()), Some(first), ledger);
+            return self.list_state(Some(last.path.clone()), Some(first_revision), replica);
         }
-        ledger.applied = first;
-        let aside = ledger.aside.take().unwrap_or_default();
-        self.mirror.ledger = *ledger;
+        replica.applied = first_revision;
+        let extension_entries = replica.aside.take().unwrap_or_default();
+        self.replica_sync.replica = *replica;
         self.reapply_cancellations();
-        if let Some(g) = self.guest.as_mut() {
-            g.begin(first);
-            for (name, v, stamp) in &aside {
-                g.apply(name, Some(v), *stamp);
+        if let Some(g) = self.extension.as_mut() {
+            g.reset(first_revision);
+            for (name, v, revision) in &extension_entries {
+                g.apply(name, Some(v), *revision);
             }
-            for (id, job) in self.mirror.ledger.jobs.range(JobId(OWN_IDS)..) {
+            for (id, job) in self.replica_sync.replica.jobs.range(JobId(OWN_IDS)..) {
                 g.job_changed(*id, job.stamp.max(job.end_stamp));
             }
         }
-        self.mirror.listed = true;
-        for (id, job) in &self.mirror.ledger.jobs {
-            self.ctl.job_changed(*id, job);
+        self.replica_sync.listed = true;
+        for (id, job) in &self.replica_sync.replica.jobs {
+            self.controller.job_changed(*id, job);
         }
         if let Some(l) = self.leadership.leader.as_mut() {
-            for id in self.mirror.ledger.jobs.keys() {
-                l.job_changed(*id, &self.mirror.ledger, self.now);
+            for id in self.replica_sync.replica.jobs.keys() {
+                l.job_changed(*id, &self.replica_sync.replica, self.now);
             }
         }
-        let StateReading { began, pages, bytes, interruptions } = self.mirror.reading;
+        let ReadProgress { started_at, pages, bytes, interruptions } = self.replica_sync.read_progress;
         info!(
-            "state read revision={first} last_revision={} pages={pages} bytes={bytes} interruptions={interruptions} \
-             duration_ms={} jobs={} machines={}",
+            "state read revision={first_revision} last_revision={} pages={pages} bytes={bytes} \
+             interruptions={interruptions} duration_ms={} jobs={} machines={}",
             page.ledger,
-            self.now.since(began).0 / 1000,
-            self.mirror.ledger.jobs.len(),
-            self.mirror.ledger.machines.len()
+            self.now.since(started_at).0 / 1000,
+            self.replica_sync.replica.jobs.len(),
+            self.replica_sync.replica.machines.len()
         );
-        self.barrier();
-        self.follow();
+        self.start_read_barrier();
+        self.watch_state();
     }
 
-    fn barrier_done(&mut self, waiting: Vec<(Waiter, Micros)>, result: CallResult) {
-        self.users.barrier_open = false;
-        self.status.proof_ended(&result, self.now);
-        let news: Option<News> = match &result {
+    fn read_barrier_completed(&mut self, waiting: Vec<(Waiter, Micros)>, result: CallResult) {
+        self.pending.barrier_in_flight = false;
+        self.status.read_barrier_completed(&result, self.now);
+        let response: Option<News> = match &result {
             CallResult::Response { status: 200, body } => serde_json::from_slice(body).ok(),
             CallResult::Response { status: 410, .. } => {
-                info!("proof expired revision={}: reading the state anew", self.mirror.ledger.applied);
-                self.mirror.listed = false;
+                info!(
+                    "proof expired revision={}: reading the state from the start",
+                    self.replica_sync.replica.applied
+                );
+                self.replica_sync.listed = false;
                 None
             }
             _ => None,
         };
-        match news {
+        match response {
             Some(n) => {
                 self.status.caught_up(self.now);
-                self.apply(n);
-                if !self.mirror.loaded {
-                    self.mirror.loaded = true;
+                self.apply_events(n);
+                if !self.replica_sync.loaded {
+                    self.replica_sync.loaded = true;
                     info!("ready");
                 }
                 for (w, _) in waiting {
-                    self.resolve(w);
+                    self.complete_waiter(w);
                 }
             }
             None => {
                 let limited = matches!(result, CallResult::Response { status: 429 | 410, .. });
                 for (w, until) in waiting {
                     if limited && self.now < until {
-                        self.users.waiters.push((w, until));
+                        self.pending.waiters.push((w, until));
                     } else {
-                        self.cant_ask(&w, RefusalReason::ProofFailed);
+                        self.fail_waiter(&w, RefusalReason::ReadBarrierFailed);
                     }
                 }
             }
         }
-        if !self.users.waiters.is_empty() {
-            self.barrier();
+        if !self.pending.waiters.is_empty() {
+            self.start_read_barrier();
         }
     }
 }
--- a/crates/nomad/src/service/register.rs
+++ b/crates/nomad/src/service/register.rs
@@ -15,7 +15,7 @@
 use crate::translate::{self, Planned};
 use crate::tree::{Faults, Severity};
 use gorseshore_core::CallResult;
-use gorseshore_core::guest::{GuestOutput, Host};
+use gorseshore_core::extension::{ExtensionContext, ExtensionOutput};
 use gorseshore_core::jobs::{Phase, job_value, keys};
 use gorseshore_core::limits::value_len;
 use gorseshore_protocol::ids::{JobId, Micros, OWN_IDS};
@@ -93,7 +93,7 @@
     }
 
     /// `POST /v1/jobs`.
-    pub(crate) fn register(&mut self, host: &Host<'_>, r: Request) {
+    pub(crate) fn register(&mut self, host: &ExtensionContext<'_>, r: Request) {
         let Ok(text) = std::str::from_utf8(&r.body) else { return self.refuse(r.id, 400, "not UTF-8") };
         if self.site.machines.is_empty() {
             return self.refuse(r.id, 503, "the machine types are not known yet");
@@ -120,9 +120,9 @@
     }
 
     /// What natively is a 422: a task that alone is over its team's limit.
-    fn limits(&self, host: &Host<'_>, groups: &[Planned]) -> Result<(), String> {
+    fn limits(&self, host: &ExtensionContext<'_>, groups: &[Planned]) -> Result<(), String> {
         for p in groups {
-            if value_len(&job_value(&p.spec, host.wall_ms)) + DESCRIPTION_MARGIN > host.value_limit {
+            if value_len(&job_value(&p.spec, host.wall_ms)) + DESCRIPTION_MARGIN > host.max_value_bytes {
                 return Err(format!("group {}: the description is too long", p.group));
             }
             let Some(team) = host.teams.iter().find(|t| t.name == p.spec.team) else {
@@ -136,7 +136,7 @@
     }
 
     /// Scaling, stopping, dispatching, a launch by hand.
-    pub(crate) fn change(&mut self, host: &Host<'_>, r: Request) {
+    pub(crate) fn change(&mut self, host: &ExtensionContext<'_>, r: Request) {
         let (Route::Scale(id) | Route::Stop(id) | Route::Dispatch(id) | Route::Force(id)) = &r.route else {
             return;
         };
@@ -181,7 +181,7 @@
             }
             _ => match self.dispatch(host, &r, &known, &content, &body) {
                 Ok((wish, None)) => self.begin_change(host, r, key, wish, false),
-                Ok((_, Some(done))) => self.answer(r.id, 200, host.ledger.applied, &done),
+                Ok((_, Some(done))) => self.answer(r.id, 200, host.replica.applied, &done),
                 Err(text) => self.refuse(r.id, 400, &text),
             },
         }
@@ -190,7 +190,7 @@
     /// Checks a dispatch against the job's rules for payload and meta.
     fn dispatch(
         &mut self,
-        host: &Host<'_>,
+        host: &ExtensionContext<'_>,
         r: &Request,
         known: &Known,
         content: &Content,
@@ -249,7 +249,7 @@
     /// Starts a change; the mirror is up to date.
     pub(crate) fn begin_change(
         &mut self,
-        host: &Host<'_>,
+        host: &ExtensionContext<'_>,
         request: Request,
         key: JobKey,
         wish: Wish,
@@ -285,7 +285,7 @@
     }
 
     /// What is to be written, by the job as it is now.
-    fn decide(&mut self, host: &Host<'_>, mut r: Registration) {
+    fn decide(&mut self, host: &ExtensionContext<'_>, mut r: Registration) {
         r.tries += 1;
         if r.tries > TRIES || host.now > r.until {
             return self.give_up(&r, 503, "others change the job all the time, or the state service is slow");
@@ -313,7 +313,7 @@
                     && k.head.hash == hash
                 {
                     let answer = registered(&r.key, &k.head, k.stamp, &r.wish);
-                    return self.answer(r.request.id, 200, host.ledger.applied, &answer);
+                    return self.answer(r.request.id, 200, host.replica.applied, &answer);
                 }
                 match self.next_head(host, known.as_ref(), job, (class, team), (hash, shape)) {
                     Ok(h) => (h, Some(content.clone())),
@@ -337,7 +337,7 @@
                 };
                 if h.groups[at].count == *count {
                     let answer = registered(&r.key, &k.head, k.stamp, &r.wish);
-                    return self.answer(r.request.id, 200, host.ledger.applied, &answer);
+                    return self.answer(r.request.id, 200, host.replica.applied, &answer);
                 }
                 let total: u64 = h.groups.iter().map(|g| g.count as u64).sum::<u64>()
                     - h.groups[at].count as u64
@@ -349,7 +349,7 @@
                     return self.give_up(&r, 400, &text);
                 }
                 // One that is over can't be scaled: the group begins anew.
-                let job = host.ledger.jobs.get(&JobId(h.groups[at].job));
+                let job = host.replica.jobs.get(&JobId(h.groups[at].job));
                 if job.is_some_and(|j| j.phase != Phase::Active) {
                     h.groups[at].job = self.native();
                 }
@@ -372,7 +372,7 @@
                 let Some(k) = known else { return self.give_up(&r, 404, "job not found") };
                 if k.head.stop && (k.head.purge || !purge) {
                     let answer = registered(&r.key, &k.head, k.stamp, &r.wish);
-                    return self.answer(r.request.id, 200, host.ledger.applied, &answer);
+                    return self.answer(r.request.id, 200, host.replica.applied, &answer);
                 }
                 let mut h = Head::clone(&k.head);
                 (h.stop, h.purge) = (true, h.purge || *purge);
@@ -416,7 +416,7 @@
     /// ones otherwise.
     fn next_head(
         &mut self,
-        host: &Host<'_>,
+        host: &ExtensionContext<'_>,
         known: Option<&Known>,
         job: &Job,
         (class, team): (&str, &str),
@@ -461,7 +461,7 @@
             earlier: Vec::new(),
         };
         let Some(k) = known else { return Ok(head) };
-        let active = |id: u64| host.ledger.jobs.get(&JobId(id)).is_none_or(|j| j.phase == Phase::Active);
+        let active = |id: u64| host.replica.jobs.get(&JobId(id)).is_none_or(|j| j.phase == Phase::Active);
         if !k.head.stop && k.head.shape == head.shape && k.head.groups.iter().all(|g| active(g.job)) {
             for g in &mut head.groups {
                 if let Some(old) = k.head.groups.iter().find(|x| x.name == g.name) {
@@ -472,7 +472,7 @@
         } else {
             // Of what is gone for good nothing has to be waited for.
             let gone = |id: &JobId| {
-                host.ledger.jobs.get(id).is_some_and(|j| match j.phase {
+                host.replica.jobs.get(id).is_some_and(|j| match j.phase {
                     Phase::Active => false,
                     Phase::Done => true,
                     Phase::Aborted => j.settled,
@@ -490,7 +490,7 @@
     /// Names the parts and begins to write.
     fn prepare(
         &mut self,
-        host: &Host<'_>,
+        host: &ExtensionContext<'_>,
         mut r: Registration,
         mut head: Head,
         content: Option<Rc<Content>>,
@@ -500,9 +500,9 @@
         r.written.clear();
         if let Some(c) = content {
             let text = serde_json::to_string(&*c).unwrap_or_default();
-            let parts = cut(&text, host.value_limit.saturating_sub(64));
+            let parts = cut(&text, host.max_value_bytes.saturating_sub(64));
             // The head's conditions name every part.
-            let most = (host.changes_at_once * 4).saturating_sub(6);
+            let most = (host.max_txn_writes * 4).saturating_sub(6);
             if text.len() > MAX_CONTENT || parts.len() > most {
                 let text = format!(
                     "the job takes {} bytes in {} parts, at most {MAX_CONTENT} in {most}",
@@ -518,7 +518,7 @@
             self.keep_content(&head.nonce, c);
         }
         // A head of longer values than may be written now gives up its oldest versions.
-        let too_long = |head: &Head| value_len(&json!(head)) + HEAD_MARGIN > host.value_limit;
+        let too_long = |head: &Head| value_len(&json!(head)) + HEAD_MARGIN > host.max_value_bytes;
         while too_long(&head) && head.earlier.pop().is_some() {}
         if too_long(&head) {
             return self.give_up(&r, 400, "the job has too many groups for a record of the state service");
@@ -528,7 +528,7 @@
     }
 
     /// Writes the next parts, or the head.
-    fn go_on(&mut self, host: &Host<'_>, mut r: Registration) {
+    fn go_on(&mut self, host: &ExtensionContext<'_>, mut r: Registration) {
         if host.now > r.until {
             return self.give_up(&r, 503, "the state service is slow");
         }
@@ -536,7 +536,7 @@
         if done < r.parts.len() {
             r.step = Step::Parts;
             let (mut size, mut writes) = (200, Vec::new());
-            for (name, text) in r.parts[done..].iter().take(host.changes_at_once) {
+            for (name, text) in r.parts[done..].iter().take(host.max_txn_writes) {
                 size += text.len() * 2 + 300;
                 if size > 50_000 && !writes.is_empty() {
                     break;
@@ -571,7 +571,12 @@
     }
 
     /// A write of a change ended.
-    pub(crate) fn register_written(&mut self, host: &Host<'_>, mut r: Registration, result: &CallResult) {
+    pub(crate) fn register_written(
+        &mut self,
+        host: &ExtensionContext<'_>,
+        mut r: Registration,
+        result: &CallResult,
+    ) {
         match (r.step, revision(result), result) {
             (Step::Parts, Some(stamp), _) => {
                 let done = r.written.len();
@@ -584,15 +589,15 @@
             (Step::Parts, None, _) => self.retry_parts(host, r),
             (_, Some(stamp), _) => self.finish(host, &r, stamp),
             (_, None, CallResult::NotSent) => self.give_up(&r, 503, "the state service can't be asked now"),
-            (_, None, CallResult::Response { status: 409, .. }) => self.look_again(r, Step::Again),
+            (_, None, CallResult::Answer { status: 409, .. }) => self.look_again(r, Step::Again),
             (_, None, CallResult::Unknown) => self.look_again(r, Step::Confirm),
-            (_, None, CallResult::Response { .. }) => {
+            (_, None, CallResult::Answer { .. }) => {
                 self.give_up(&r, 503, "the state service does not take it now")
             }
         }
     }
 
-    fn retry_parts(&mut self, host: &Host<'_>, mut r: Registration) {
+    fn retry_parts(&mut self, host: &ExtensionContext<'_>, mut r: Registration) {
         r.tries += 1;
         if r.tries > TRIES {
             return self.give_up(&r, 503, "the state service did not confirm it");
@@ -603,11 +608,11 @@
     fn look_again(&mut self, mut r: Registration, step: Step) {
         r.step = step;
         let ticket = self.ticket(Pending::Register(Box::new(r)));
-        self.out.push(GuestOutput::Prove(ticket));
+        self.out.push(ExtensionOutput::ReadBarrier(ticket));
     }
 
     /// The mirror is up to date again.
-    pub(crate) fn register_proved(&mut self, host: &Host<'_>, r: Registration) {
+    pub(crate) fn register_proved(&mut self, host: &ExtensionContext<'_>, r: Registration) {
         if r.step == Step::Again {
             return self.decide(host, r);
         }
@@ -623,7 +628,7 @@
     }
 
     /// It is recorded.
-    fn finish(&mut self, host: &Host<'_>, r: &Registration, stamp: u64) {
+    fn finish(&mut self, host: &ExtensionContext<'_>, r: &Registration, stamp: u64) {
         let Some(head) = &r.head else { return };
         log::info!("{} {}: version {} recorded at {stamp}", head.namespace, head.id, head.version);
         if r.by_leader {
@@ -634,11 +639,11 @@
             Wish::Child { id, .. } => dispatched(id, &head.key(), stamp),
             w => registered(&r.key, head, stamp, w),
         };
-        self.answer(r.request.id, 200, host.ledger.applied.max(stamp), &answer);
+        self.answer(r.request.id, 200, host.replica.applied.max(stamp), &answer);
     }
 
     /// Whether a job that this one launched still runs.
-    pub(crate) fn child_runs(&self, host: &Host<'_>, parent: &Head) -> bool {
+    pub(crate) fn child_runs(&self, host: &ExtensionContext<'_>, parent: &Head) -> bool {
         self.heads.values().any(|k| {
             k.head.parent.as_ref() == Some(&parent.id)
                 && k.head.namespace == parent.namespace
--- a/crates/shell/src/client.rs
+++ b/crates/shell/src/client.rs
@@ -122,7 +122,7 @@
                 if let Some(s) = kept {
                     self.keep(addr, s);
                 }
-                CallResult::Response { status, body }
+                CallResult::Answer { status, body }
             }
             _ => CallResult::Unknown,
         }
--- a/crates/standins/src/scale.rs
+++ b/crates/standins/src/scale.rs
@@ -5,7 +5,7 @@
 use crate::cloud::flavor;
 use crate::worker::{Facts, Machine};
 use gorseshore_core::books::Kept;
-use gorseshore_core::controller::{Controller, HeartbeatReply, MachineSizes, parse_tasks};
+use gorseshore_core::controller::{Controller, HeartbeatReply, Sizes, parse_tasks};
 use gorseshore_core::jobs::{Ledger, job_value, keys, machines_value};
 use gorseshore_core::leader::{Context, Leader, View};
 use gorseshore_core::peer::Message;
@@ -73,7 +73,7 @@
 /// Leader, controllers and workers, and their clock.
 struct Bench {
     ledger: Ledger,
-    sizes: MachineSizes,
+    sizes: Sizes,
     leader: Leader,
     controllers: Vec<Controller>,
     kept: Kept,
@@ -99,8 +99,8 @@
     }
 }
 
-fn sizes() -> MachineSizes {
-    MachineSizes::from([("big".into(), Resources::have(CPUS, 0.0, CPUS * 4.0))])
+fn sizes() -> Sizes {
+    Sizes::from([("big".into(), Resources::have(CPUS, 0.0, CPUS * 4.0))])
 }
 
 fn machine_records(ledger: &mut Ledger, machines: usize) -> Vec<Machine> {
@@ -177,11 +177,11 @@
                     term,
                     seq,
                     base,
-                    acked_sync: ack,
+                    ack,
                     lease,
                     block,
-                    not_in_block: elsewhere,
-                    assignments: handouts,
+                    elsewhere,
+                    handouts,
                     stops,
                     running,
                     ..
@@ -196,7 +196,7 @@
                     c.apply_assignments(&handouts, &self.ledger, &self.sizes, self.now);
                     c.apply_stops(&stops);
                 }
-                Message::PlacementLogUpdate(page) => {
+                Message::Books(page) => {
                     let seq = self.kept.take(page);
                     self.leader.books_taken(to, 1, seq, self.now);
                 }
@@ -240,14 +240,14 @@
             // 421 names the holder; the next one is asked then.
             for _ in 0..2 {
                 match self.controllers[to].checkin(&r, tasks.clone(), &self.ledger, self.now) {
-                    HeartbeatReply::Commands(baton, orders) if baton.0 >= w.baton => {
+                    HeartbeatReply::Orders(baton, orders) if baton.0 >= w.baton => {
                         w.baton = baton.0;
                         w.execute(&orders, &facts, self.now.0);
                         w.advance(&facts, self.now.0);
                         break;
                     }
-                    HeartbeatReply::Commands(..) => break,
-                    HeartbeatReply::Misdirected(holder) | HeartbeatReply::Superseded(holder) => {
+                    HeartbeatReply::Orders(..) => break,
+                    HeartbeatReply::Elsewhere(holder) | HeartbeatReply::Lost(holder) => {
                         to = holder.map_or((to + 1) % self.controllers.len(), |n| n.0 as usize);
                     }
                 }
