--- a/crates/core/src/node/cancellation_enforcement.rs
+++ b/crates/core/src/node/cancellation_enforcement.rs
@@ -194,7 +194,7 @@
         suspects
             .into_iter()
             .map(|(id, (deadline, starts))| {
-                (id, Suspect { deadline: deadline, evidence: Evidence::Placement { starts } })
+                (id, Suspect { deadline, evidence: Evidence::Placement { starts } })
             })
             .collect()
     }
--- a/crates/core/src/node/cancellations.rs
+++ b/crates/core/src/node/cancellations.rs
@@ -323,7 +323,7 @@
         }
         for (jobs, leads) in [(guaranteed, leads), (others, None)] {
             if !jobs.is_empty() {
-                self.send(from, Message::CancellationsAck { jobs, leading_term });
+                self.send(from, Message::CancellationsAck { jobs, leading_term: leads });
             }
         }
         self.send_worker_calls();
--- a/crates/core/src/node/control_loop.rs
+++ b/crates/core/src/node/control_loop.rs
@@ -48,10 +48,10 @@
                     self.out.send(
                         NodeId(i as u8),
                         Message::Ping {
-                            state_reachable,
+                            state_reachable: state_ok,
                             receives_from: contacts,
-                            queued_writes,
-                            state_loaded,
+                            queued_writes: queued,
+                            state_loaded: loaded,
                         },
                     );
                 }
--- a/crates/core/src/node/heartbeats.rs
+++ b/crates/core/src/node/heartbeats.rs
@@ -137,7 +137,7 @@
                 spot: rec.spot,
                 addr: rec.addr,
                 report,
-                probed: probed,
+                probed,
             };
             self.send(to, m);
         }
--- a/crates/core/tests/record_compatibility.rs
+++ b/crates/core/tests/record_compatibility.rs
@@ -464,7 +464,7 @@
         text += &more;
         if part + 1 == parts {
             let packed = BASE64.decode(text.as_bytes()).unwrap();
-            whole.push(Envelope::unpack(&packed).expect("an envelope of production's version"));
+            whole.push(Envelope::from_bytes(&packed).expect("an envelope of production's version"));
         }
     }
     whole
@@ -504,7 +504,7 @@
                 if let Output::Call { id, call } = output
                     && let Some(result) = self.answer(&call)
                 {
-                    outputs.extend(self.input(Input::Called { id, result }));
+                    outputs.extend(self.input(Input::CallCompleted { id, result }));
                 }
             }
         }
@@ -539,7 +539,7 @@
             }
             _ => json!({}),
         };
-        Some(CallResult::Answer { status: 200, body: body.to_string().into_bytes() })
+        Some(CallResult::Response { status: 200, body: body.to_string().into_bytes() })
     }
 }
 
--- a/crates/core/tests/wire_compatibility.rs
+++ b/crates/core/tests/wire_compatibility.rs
@@ -9,9 +9,9 @@
 use data_encoding::HEXLOWER;
 use gorseshore_core::books::{Entry, Page};
 use gorseshore_core::peer::{
-    Assignment, Cancellation, Envelope, FRAME_HEADER_LEN, FrameError, GrantedMachine, Held, MAX_FRAME_BYTES,
-    MachineState, Message, Outcome, PROTOCOL_VERSION, StopRequest, TaskState, UnleasedReport, decode_body,
-    decode_header, encode,
+    Assignment, AssignmentOutcome, Cancellation, Envelope, FRAME_HEADER_LEN, FrameError, GrantedMachine,
+    MAX_FRAME_BYTES, MachineState, Message, PROTOCOL_VERSION, StopRequest, TaskState, TaskStatus,
+    UnleasedReport, decode_body, decode_header, encode_frame,
 };
 use gorseshore_protocol::ids::{Attempt, Baton, JobId, MachineId, Micros, NodeId, TaskId};
 use gorseshore_protocol::workers::ReportNo;
@@ -122,20 +122,20 @@
     ReportNo { shift, tally }
 }
 
-fn held(index: u32, state: TaskState) -> Held {
-    Held { task: task(412, index), attempt: Attempt(0x1000_0000 + u64::from(index)), state }
+fn held(index: u32, state: TaskState) -> TaskStatus {
+    TaskStatus { task: task(412, index), attempt: Attempt(0x1000_0000 + u64::from(index)), state }
 }
 
 fn machine_states() -> Vec<MachineState> {
     let silent = MachineState {
         id: MachineId::from("host-000001"),
-        baton: Baton::new(7, 12),
-        seen_baton: Baton::new(6, 99),
-        last: report(2, 41),
-        obeys: false,
+        fencing_token: Baton::new(7, 12),
+        seen_fencing_token: Baton::new(6, 99),
+        last_report: report(2, 41),
+        acknowledges_commands: false,
         last_contact_age: None,
-        warning: None,
-        want_baton: true,
+        preemption_notice: None,
+        needs_new_fencing_token: true,
         tasks: Vec::new(),
     };
     let all_states = [
@@ -150,10 +150,10 @@
     ];
     let busy = MachineState {
         id: MachineId::from("host-000002"),
-        obeys: true,
+        acknowledges_commands: true,
         last_contact_age: Some(Micros::millis(250)),
-        warning: Some(Micros::secs(30)),
-        want_baton: false,
+        preemption_notice: Some(Micros::secs(30)),
+        needs_new_fencing_token: false,
         tasks: all_states.into_iter().enumerate().map(|(i, s)| held(i as u32, s)).collect(),
         ..silent.clone()
     };
@@ -194,17 +194,20 @@
         term: 7,
         seq: 20,
         base,
-        seen: 18,
+        acked_update: 18,
         machines: machine_states(),
-        heard: vec![(MachineId::from("host-000004"), Micros::millis(1500), report(1, 5))],
-        strangers: vec![UnleasedReport {
+        contacts: vec![(MachineId::from("host-000004"), Micros::millis(1500), report(1, 5))],
+        unleased_reports: vec![UnleasedReport {
             id: MachineId::from("host-000005"),
             report: report(1, 6),
-            asked: true,
+            probed: true,
         }],
         outcomes: vec![
-            Outcome { attempt: Attempt(0x7000_0001), machine: Some(MachineId::from("host-000001")) },
-            Outcome { attempt: Attempt(0x7000_0002), machine: None },
+            AssignmentOutcome {
+                attempt: Attempt(0x7000_0001),
+                machine: Some(MachineId::from("host-000001")),
+            },
+            AssignmentOutcome { attempt: Attempt(0x7000_0002), machine: None },
         ],
     }
 }
@@ -214,11 +217,11 @@
         task: task(412, 9),
         attempt: Attempt(0x7000_0003),
         zone: zone.map(str::to_owned),
-        hint: MachineId::from("host-000002"),
+        preferred_machine: MachineId::from("host-000002"),
     };
     let granted = |id: &str, draining| GrantedMachine {
         id: MachineId::from(id),
-        baton: Baton::new(7, 13),
+        fencing_token: Baton::new(7, 13),
         addr: "10.0.0.7:8040".into(),
         draining,
     };
@@ -227,14 +230,14 @@
         seq: 21,
         base: 20,
         incarnation: INCARNATION,
-        ack: 20,
+        acked_sync: 20,
         lease: Micros::secs(20),
         block: vec![granted("host-000001", false), granted("host-000002", true)],
-        elsewhere: vec![
+        not_in_block: vec![
             (MachineId::from("host-000006"), Some(NodeId(2))),
             (MachineId::from("host-000007"), None),
         ],
-        handouts: vec![hand_out(None), hand_out(Some("west"))],
+        assignments: vec![hand_out(None), hand_out(Some("west"))],
         stops: vec![StopRequest {
             task: task(412, 4),
             attempt: Attempt(0x7000_0004),
@@ -248,10 +251,10 @@
 fn cancellation(cause: Option<&str>, told: bool, acknowledged_by: Vec<u64>) -> Cancellation {
     Cancellation {
         job: JobId(412),
-        at_ms: 1_764_600_000_123,
-        stamp: 5150,
+        ended_ms: 1_764_600_000_123,
+        record_version: 5150,
         cause: cause.map(str::to_owned),
-        told,
+        may_confirm: told,
         acknowledged_by,
     }
 }
@@ -261,40 +264,53 @@
     vec![
         (
             "ping",
-            Message::Ping { state_ok: true, hears: vec![NodeId(0), NodeId(2)], queued: 17, loaded: false },
+            Message::Ping {
+                state_reachable: true,
+                receives_from: vec![NodeId(0), NodeId(2)],
+                queued_writes: 17,
+                state_loaded: false,
+            },
+        ),
+        (
+            "ping, hears nobody",
+            Message::Ping {
+                state_reachable: false,
+                receives_from: vec![],
+                queued_writes: 0,
+                state_loaded: true,
+            },
         ),
-        ("ping, hears nobody", Message::Ping { state_ok: false, hears: vec![], queued: 0, loaded: true }),
         (
             "cancelled",
-            Message::Cancelled(vec![
+            Message::Cancellations(vec![
                 cancellation(None, false, vec![0, INCARNATION, 9]),
                 cancellation(Some("attempts used up: task 3 failed 2 times"), true, vec![]),
             ]),
         ),
         (
             "cancelled known, by the leader",
-            Message::CancellationsAck { jobs: vec![JobId(412), JobId(413)], leads: Some(7) },
+            Message::CancellationsAck { jobs: vec![JobId(412), JobId(413)], leading_term: Some(7) },
         ),
-        ("cancelled known", Message::CancellationsAck { jobs: vec![JobId(412)], leads: None }),
+        ("cancelled known", Message::CancellationsAck { jobs: vec![JobId(412)], leading_term: None }),
         ("forward", Message::Forward { to: NodeId(1), envelope: vec![5, 1, 2, 0xff] }),
         ("sync, whole", sync(0)),
         ("sync", sync(19)),
         ("update", update()),
         (
             "seen",
-            Message::Seen {
+            Message::MachineDiscovered {
                 id: MachineId::from("host-000008"),
                 build: "big".into(),
                 zone: "east".into(),
                 spot: true,
                 addr: "10.0.0.8:8040".into(),
                 report: report(3, 77),
-                asked: false,
+                probed: false,
             },
         ),
         ("probe", Message::Probe { id: MachineId::from("host-000008"), addr: "10.0.0.8:8040".into() }),
-        ("books, whole", Message::Books(page(0))),
-        ("books", Message::Books(page(990))),
+        ("books, whole", Message::PlacementLogUpdate(page(0))),
+        ("books", Message::PlacementLogUpdate(page(990))),
         ("books taken", Message::PlacementLogAck { term: 7, seq: 1000 }),
         ("books wanted", Message::PlacementLogRequest { term: 6 }),
         ("books of", Message::PlacementLogSnapshot(page(0))),
@@ -323,14 +339,14 @@
 fn sort(m: &Message) -> usize {
     match m {
         Message::Ping { .. } => 0,
-        Message::Cancelled(_) => 1,
+        Message::Cancellations(_) => 1,
         Message::CancellationsAck { .. } => 2,
         Message::Forward { .. } => 3,
         Message::Sync { .. } => 4,
         Message::Update { .. } => 5,
-        Message::Seen { .. } => 6,
+        Message::MachineDiscovered { .. } => 6,
         Message::Probe { .. } => 7,
-        Message::Books(_) => 8,
+        Message::PlacementLogUpdate(_) => 8,
         Message::PlacementLogAck { .. } => 9,
         Message::PlacementLogRequest { .. } => 10,
         Message::PlacementLogSnapshot(_) => 11,
@@ -359,7 +375,7 @@
 #[test]
 fn frames_are_written_as_production_writes_them() {
     for (name, message) in messages() {
-        let written = encode(&envelope(message)).unwrap();
+        let written = encode_frame(&envelope(message)).unwrap();
         assert_eq!(HEXLOWER.encode(&written), HEXLOWER.encode(&frame(name)), "{name}");
     }
 }
@@ -381,12 +397,12 @@
     for (name, message) in messages() {
         let mut packed = vec![5];
         packed.extend_from_slice(split(&frame(name)).1);
-        assert_eq!(Envelope::unpack(&packed), Some(envelope(message.clone())), "{name}");
-        assert_eq!(envelope(message).pack(), packed, "{name}");
+        assert_eq!(Envelope::from_bytes(&packed), Some(envelope(message.clone())), "{name}");
+        assert_eq!(envelope(message).to_bytes(), packed, "{name}");
     }
     let books_taken = bytes("05030807060504030201090700000000000000e803000000000000");
     assert_eq!(
-        Envelope::unpack(&books_taken),
+        Envelope::from_bytes(&books_taken),
         Some(envelope(Message::PlacementLogAck { term: 7, seq: 1000 }))
     );
 }
--- a/crates/nomad/src/service/mod.rs
+++ b/crates/nomad/src/service/mod.rs
@@ -189,7 +189,7 @@
 
     /// A content that was read in parts.
     pub(crate) fn content_of(&mut self, nonce: &str, result: &CallResult) -> Option<Rc<Content>> {
-        let CallResult::Answer { status: 200, body } = result else { return None };
+        let CallResult::Response { status: 200, body } = result else { return None };
         let page: gorseshore_protocol::state::Listing = serde_json::from_slice(body).ok()?;
         let text: String = page.pairs.iter().filter_map(|p| p.v.as_str()).collect();
         let content: Rc<Content> = Rc::new(serde_json::from_str(&text).ok()?);
@@ -252,9 +252,9 @@
             Some(Pending::Reconcile(key)) => {
                 self.busy.remove(&key);
                 let again = match result {
-                    CallResult::Answer { status: 200, .. } => Micros(0),
+                    CallResult::Response { status: 200, .. } => Micros(0),
                     // The mirror is behind, or another leads: what holds will show.
-                    CallResult::Answer { status: 409, .. } => host.now + Micros::millis(100),
+                    CallResult::Response { status: 409, .. } => host.now + Micros::millis(100),
                     _ => host.now + Micros::millis(500 + self.rng.u64(0..500)),
                 };
                 self.dirty.insert(key, again);
@@ -277,7 +277,7 @@
 /// The revision of a change that was answered with 200.
 pub(crate) fn revision(result: &CallResult) -> Option<u64> {
     match result {
-        CallResult::Answer { status: 200, body } => {
+        CallResult::Response { status: 200, body } => {
             Some(serde_json::from_slice::<MultiAnswer>(body).ok()?.ledger)
         }
         _ => None,
--- a/crates/nomad/src/service/register.rs
+++ b/crates/nomad/src/service/register.rs
@@ -589,9 +589,9 @@
             (Step::Parts, None, _) => self.retry_parts(host, r),
             (_, Some(stamp), _) => self.finish(host, &r, stamp),
             (_, None, CallResult::NotSent) => self.give_up(&r, 503, "the state service can't be asked now"),
-            (_, None, CallResult::Answer { status: 409, .. }) => self.look_again(r, Step::Again),
+            (_, None, CallResult::Response { status: 409, .. }) => self.look_again(r, Step::Again),
             (_, None, CallResult::Unknown) => self.look_again(r, Step::Confirm),
-            (_, None, CallResult::Answer { .. }) => {
+            (_, None, CallResult::Response { .. }) => {
                 self.give_up(&r, 503, "the state service does not take it now")
             }
         }
--- a/crates/shell/src/client.rs
+++ b/crates/shell/src/client.rs
@@ -122,7 +122,7 @@
                 if let Some(s) = kept {
                     self.keep(addr, s);
                 }
-                CallResult::Answer { status, body }
+                CallResult::Response { status, body }
             }
             _ => CallResult::Unknown,
         }
--- a/crates/shell/src/handling.rs
+++ b/crates/shell/src/handling.rs
@@ -33,9 +33,11 @@
         match input {
             Input::Tick => InputKind::Tick,
             Input::Request { path, .. } if path == "/checkin" => InputKind::Heartbeat,
-            Input::Request { .. } | Input::ExtensionRequest { .. } | Input::Gone(_) => InputKind::Request,
-            Input::Called { .. } => InputKind::CallResult,
-            Input::Refused(_) | Input::Peer { .. } => InputKind::Message,
+            Input::Request { .. } | Input::ExtensionRequest { .. } | Input::ClientDisconnected(_) => {
+                InputKind::Request
+            }
+            Input::CallCompleted { .. } => InputKind::CallResult,
+            Input::PeerRefused(_) | Input::Peer { .. } => InputKind::Message,
         }
     }
 }
--- a/crates/shell/src/lib.rs
+++ b/crates/shell/src/lib.rs
@@ -11,7 +11,7 @@
 use admission::Bounds;
 use gorseshore_core::extension::{Answer, Extension};
 use gorseshore_core::node::{ClusterMembers, Node};
-use gorseshore_core::peer::{Envelope, Message, incarnation_delay, process_number};
+use gorseshore_core::peer::{Envelope, Message, incarnation_delay, incarnation_number};
 use gorseshore_core::{CallResult, Input, Output, RequestId};
 use gorseshore_protocol::ids::{Micros, NodeId};
 use gorseshore_settings::{Operator, Platform};
@@ -68,20 +68,20 @@
         self.handling.borrow_mut().add(kind, began.elapsed());
         for o in outputs {
             match o {
-                Output::Answer { id, status, body, retry_after } => {
+                Output::Response { id, status, body, retry_after } => {
                     let headers = retry_after.map(|s| ("Retry-After", s.to_string())).into_iter().collect();
                     self.reply(id, Answer { status, headers, body });
                 }
                 Output::ExtensionResponse(id, answer) => self.reply(id, answer),
-                Output::Open(id, answer) => self.part(id, Reply::Head(answer)),
-                Output::Chunk(id, data) => self.part(id, Reply::Chunk(data)),
-                Output::Close(id) => drop(self.waiting.borrow_mut().remove(&id)),
+                Output::StreamOpen(id, answer) => self.part(id, Reply::Head(answer)),
+                Output::StreamChunk(id, data) => self.part(id, Reply::Chunk(data)),
+                Output::StreamClose(id) => drop(self.waiting.borrow_mut().remove(&id)),
                 Output::Call { id, call } => {
                     let shell = self.clone();
                     self.executor
                         .spawn(async move {
                             let result: CallResult = shell.client.call(&call).await;
-                            shell.input(Input::Called { id, result });
+                            shell.input(Input::CallCompleted { id, result });
                         })
                         .detach();
                 }
@@ -106,13 +106,13 @@
         if !kept {
             self.waiting.borrow_mut().remove(&id);
             let shell = self.clone();
-            self.executor.spawn(async move { shell.input(Input::Gone(id)) }).detach();
+            self.executor.spawn(async move { shell.input(Input::ClientDisconnected(id)) }).detach();
         }
     }
 
     fn send(&self, to: NodeId, message: Message) {
         let Some(Some(out)) = self.peers.get(to.0 as usize) else { return };
-        match gorseshore_core::peer::encode(&Envelope {
+        match gorseshore_core::peer::encode_frame(&Envelope {
             from: self.me,
             incarnation: self.incarnation,
             message,
@@ -167,7 +167,7 @@
     /// The requester is gone.
     pub fn gone(self: &Rc<Self>, id: RequestId) {
         if self.waiting.borrow_mut().remove(&id).is_some() {
-            self.input(Input::Gone(id));
+            self.input(Input::ClientDisconnected(id));
         }
     }
 }
@@ -234,7 +234,7 @@
         let clock_off = Micros::from_secs_f64(platform.deployment.clock_off_ms / 1000.0);
         Timer::after(Duration::from_micros(incarnation_delay(clock_off).0)).await;
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
-        let incarnation = process_number(wall, seed);
+        let incarnation = incarnation_number(wall, seed);
         let mut node = Node::new(&platform, operator, seed, incarnation, Micros(1_000_000));
         if let Some(guest) = guest {
             node = node.with_extension(guest);
--- a/crates/shell/src/peers.rs
+++ b/crates/shell/src/peers.rs
@@ -65,7 +65,7 @@
         if let Some(Err(e)) = &stream
             && e.kind() == std::io::ErrorKind::ConnectionRefused
         {
-            shell.input(Input::Refused(node));
+            shell.input(Input::PeerRefused(node));
         }
         if let Some(Ok(mut s)) = stream {
             let _ = s.set_nodelay(true);
@@ -128,7 +128,7 @@
             return Ok(());
         };
         if (envelope.from.0 as usize) < nodes && envelope.from != shell.me {
-            inboxes.entry(envelope.from).or_default().put(envelope.incarnation, envelope.message);
+            inboxes.entry(envelope.from).or_default().push(envelope.incarnation, envelope.message);
         }
         frames += 1;
         if frames == MAX_FRAMES_AT_ONCE {
@@ -140,7 +140,7 @@
 
 fn handle_waiting(shell: &Rc<Shell>, inboxes: &mut BTreeMap<NodeId, Inbox>) {
     for (from, inbox) in inboxes {
-        while let Some((incarnation, message)) = inbox.take() {
+        while let Some((incarnation, message)) = inbox.pop() {
             shell.input(Input::Peer { from: *from, incarnation, message });
         }
     }
--- a/crates/standins/src/scale.rs
+++ b/crates/standins/src/scale.rs
@@ -5,7 +5,7 @@
 use crate::cloud::flavor;
 use crate::worker::{Facts, Machine};
 use gorseshore_core::books::Kept;
-use gorseshore_core::controller::{Controller, HeartbeatReply, Sizes, parse_tasks};
+use gorseshore_core::controller::{Controller, HeartbeatReply, MachineSizes, parse_tasks};
 use gorseshore_core::jobs::{Ledger, job_value, keys, machines_value};
 use gorseshore_core::leader::{Context, Leader, View};
 use gorseshore_core::peer::Message;
@@ -73,7 +73,7 @@
 /// Leader, controllers and workers, and their clock.
 struct Bench {
     ledger: Ledger,
-    sizes: Sizes,
+    sizes: MachineSizes,
     leader: Leader,
     controllers: Vec<Controller>,
     kept: Kept,
@@ -99,8 +99,8 @@
     }
 }
 
-fn sizes() -> Sizes {
-    Sizes::from([("big".into(), Resources::have(CPUS, 0.0, CPUS * 4.0))])
+fn sizes() -> MachineSizes {
+    MachineSizes::from([("big".into(), Resources::have(CPUS, 0.0, CPUS * 4.0))])
 }
 
 fn machine_records(ledger: &mut Ledger, machines: usize) -> Vec<Machine> {
@@ -177,11 +177,11 @@
                     term,
                     seq,
                     base,
-                    ack,
+                    acked_sync: ack,
                     lease,
                     block,
-                    elsewhere,
-                    handouts,
+                    not_in_block: elsewhere,
+                    assignments: handouts,
                     stops,
                     running,
                     ..
@@ -196,7 +196,7 @@
                     c.apply_assignments(&handouts, &self.ledger, &self.sizes, self.now);
                     c.apply_stops(&stops);
                 }
-                Message::Books(page) => {
+                Message::PlacementLogUpdate(page) => {
                     let seq = self.kept.take(page);
                     self.leader.books_taken(to, 1, seq, self.now);
                 }
@@ -240,14 +240,14 @@
             // 421 names the holder; the next one is asked then.
             for _ in 0..2 {
                 match self.controllers[to].checkin(&r, tasks.clone(), &self.ledger, self.now) {
-                    HeartbeatReply::Orders(baton, orders) if baton.0 >= w.baton => {
+                    HeartbeatReply::Commands(baton, orders) if baton.0 >= w.baton => {
                         w.baton = baton.0;
                         w.execute(&orders, &facts, self.now.0);
                         w.advance(&facts, self.now.0);
                         break;
                     }
-                    HeartbeatReply::Orders(..) => break,
-                    HeartbeatReply::Elsewhere(holder) | HeartbeatReply::Lost(holder) => {
+                    HeartbeatReply::Commands(..) => break,
+                    HeartbeatReply::Misdirected(holder) | HeartbeatReply::Superseded(holder) => {
                         to = holder.map_or((to + 1) % self.controllers.len(), |n| n.0 as usize);
                     }
                 }
--- a/tests/world/blink.rs
+++ b/tests/world/blink.rs
@@ -3,7 +3,7 @@
 //! every stage of their recovery, while messages, transactions and rentals of
 //! their earlier life are still on their way.
 use super::*;
-use gorseshore_core::peer::{incarnation_delay, process_number};
+use gorseshore_core::peer::{incarnation_delay, incarnation_number};
 
 pub const BLINK: Size = Size { busy_until: 120 * S, ends: 280 * S, blinks: true, ..SMALL };
 /// Seven that read everything within a tight budget of requests.
@@ -123,7 +123,7 @@
         };
         self.blink.began[n] = self.now;
         self.blink.waiting[n] = true;
-        process_number(WALL_MS + self.now / 1000 + self.blink.ahead_ms[n], salt)
+        incarnation_number(WALL_MS + self.now / 1000 + self.blink.ahead_ms[n], salt)
     }
 
     /// What a controller has come to.
--- a/tests/world/desk.rs
+++ b/tests/world/desk.rs
@@ -88,7 +88,7 @@
     fn execute(&mut self, m: &Multi) -> CallResult {
         let body = serde_json::to_vec(m).unwrap();
         let Outcome::Answer(status, body) = self.state.request("POST", "/multi", &body, 0) else { panic!() };
-        CallResult::Answer { status, body }
+        CallResult::Response { status, body }
     }
 
     fn input(&mut self, input: ExtensionInput) {
@@ -134,7 +134,7 @@
                         let body = serde_json::to_vec(&all).unwrap();
                         inputs.push_back(ExtensionInput::OperationCompleted(
                             t,
-                            CallResult::Answer { status: 200, body },
+                            CallResult::Response { status: 200, body },
                         ));
                     }
                     ExtensionOutput::Write { ticket, mut multi, as_leader } => {
@@ -215,7 +215,7 @@
     assert_eq!(natives.len(), 1);
     for m in &late {
         let r = d.execute(m);
-        assert!(matches!(r, CallResult::Answer { status: 409, .. }), "{r:?}");
+        assert!(matches!(r, CallResult::Response { status: 409, .. }), "{r:?}");
     }
     assert_eq!(d.state.names("g/j/"), natives, "only the newer version's job is there");
     // The same of a job that was stopped.
@@ -227,7 +227,7 @@
     assert_eq!(d.ask("DELETE", "/v1/job/k", "").unwrap().0, 200);
     assert!(!late.is_empty());
     for m in &late {
-        assert!(matches!(d.execute(m), CallResult::Answer { status: 409, .. }));
+        assert!(matches!(d.execute(m), CallResult::Response { status: 409, .. }));
     }
     assert_eq!(d.state.names("g/j/"), natives);
 }
--- a/tests/world/load.rs
+++ b/tests/world/load.rs
@@ -36,11 +36,13 @@
 /// What of a message takes time for each of its entries.
 fn entries(message: &Message) -> u64 {
     let count = match message {
-        Message::Sync { machines, heard, outcomes, .. } => machines.len() + heard.len() + outcomes.len(),
-        Message::Update { block, elsewhere, handouts, stops, .. } => {
+        Message::Sync { machines, contacts: heard, outcomes, .. } => {
+            machines.len() + heard.len() + outcomes.len()
+        }
+        Message::Update { block, not_in_block: elsewhere, assignments: handouts, stops, .. } => {
             block.len() + elsewhere.len() + handouts.len() + stops.len()
         }
-        Message::Books(page) | Message::PlacementLogSnapshot(page) => page.tasks.len(),
+        Message::PlacementLogUpdate(page) | Message::PlacementLogSnapshot(page) => page.tasks.len(),
         _ => 0,
     };
     count as u64
@@ -69,7 +71,7 @@
         let queue = &mut self.load.waiting[n];
         match input {
             Input::Peer { from, incarnation, message } => {
-                self.load.inboxes[n][from.0 as usize].put(incarnation, message);
+                self.load.inboxes[n][from.0 as usize].push(incarnation, message);
                 queue.push_back(Waits::Message(from));
             }
             // A timer that is due once is due.
@@ -86,7 +88,7 @@
                 Waits::Input(input) => return Some(input),
                 Waits::Message(from) => {
                     // Fewer are left than came if a later one says it all.
-                    if let Some((incarnation, message)) = self.load.inboxes[n][from.0 as usize].take() {
+                    if let Some((incarnation, message)) = self.load.inboxes[n][from.0 as usize].pop() {
                         return Some(Input::Peer { from, incarnation, message });
                     }
                 }
--- a/tests/world/main.rs
+++ b/tests/world/main.rs
@@ -502,7 +502,7 @@
         }
         for o in outputs {
             match o {
-                Output::Answer { id, status, body, .. } => {
+                Output::Response { id, status, body, .. } => {
                     if self.oncall_swallows(n, id, status, &body) {
                         continue;
                     }
@@ -563,7 +563,7 @@
                     let d = self.delay();
                     self.at(d, Event::GuestAnswered(id, answer));
                 }
-                Output::Open(..) | Output::Chunk(..) | Output::Close(_) => {}
+                Output::StreamOpen(..) | Output::StreamChunk(..) | Output::StreamClose(_) => {}
                 Output::Send { to, message } => {
                     let to = to.0 as usize;
                     let cut = self.node_node_cut(n, to);
@@ -1263,7 +1263,7 @@
                     let w = self.watches.remove(i);
                     let d = self.delay();
                     let status = if self.state.too_old(w.from) { 410 } else { 200 };
-                    let r = CallResult::Answer { status, body };
+                    let r = CallResult::Response { status, body };
                     self.at(d, Event::Called(w.node, w.incarnation, w.call, r));
                 }
                 None => i += 1,
@@ -1310,7 +1310,7 @@
             }
             Event::Called(n, me, id, result) => {
                 if self.incarnations[n] == me {
-                    self.feed(n, Input::Called { id, result });
+                    self.feed(n, Input::CallCompleted { id, result });
                 }
             }
             Event::Peer(from, to, incarnation, message) => {
@@ -1420,7 +1420,7 @@
         };
         if let Some((status, body)) = answer {
             let d = self.delay();
-            self.at(d, Event::Called(n, me, id, CallResult::Answer { status, body }));
+            self.at(d, Event::Called(n, me, id, CallResult::Response { status, body }));
         }
     }
 }
