--- a/crates/core/src/liveness/tests/scenarios.rs
+++ b/crates/core/src/liveness/tests/scenarios.rs
@@ -174,7 +174,7 @@
                     monitor.record_list_page(None, now);
                 }
                 Event::List => monitor.record_list_page(Some((&rentals, false)), now),
-                // The same condition as `Node::watches_liveness`.
+                // The same condition as `Node::uses_liveness`.
                 Event::Heartbeat(_) | Event::Answer(..) if monitor.listed_count() == 0 => {}
                 Event::Heartbeat(i) => {
                     monitor.record_heartbeat(name(i), next_message(&mut messages), true, now)
