--- a/crates/core/src/leader/bindings.rs
+++ b/crates/core/src/leader/bindings.rs
@@ -67,19 +67,19 @@
         for s in sync.unleased_reports {
             if let Some(m) = self.machines.get(&s.id) {
                 let rec = m.record();
-                self.apply_unleased_report(from, s, &rec, &Sizes::new(), now);
+                self.apply_unleased_report(from, s, &rec, &MachineSizes::new(), now);
             }
         }
     }
 
-    pub(super) fn apply_outcome(&mut self, from: NodeId, incarnation: u64, o: &Outcome) {
+    pub(super) fn apply_outcome(&mut self, from: NodeId, incarnation: u64, o: &AssignmentOutcome) {
         let Some(PendingAssignment { to, assignment: h, .. }) = self.pending_assignments.remove(&o.attempt)
         else {
             return;
         };
         debug_assert_eq!(to, from);
         self.needs_scheduling = true;
-        if let Some(m) = self.machines.get_mut(&h.hint) {
+        if let Some(m) = self.machines.get_mut(&h.preferred_machine) {
             m.reserved.remove(&o.attempt);
         }
         let Some(run) = self.jobs.get_mut(&h.task.job) else { return };
@@ -112,28 +112,28 @@
         let Some(m) = self.machines.get_mut(&s.id) else { return };
         if !self.grants_started {
             // A heartbeat that the controllers know already is not new when it comes again.
-            m.is_new_heartbeat(s.last, from);
+            m.is_new_heartbeat(s.last_report, from);
             // Before the first grants: the controller that held it under the highest token is
             // its best holder.
-            if s.baton > m.fencing_token && s.baton.term() < self.term {
-                m.fencing_token = s.baton;
+            if s.fencing_token > m.fencing_token && s.fencing_token.term() < self.term {
+                m.fencing_token = s.fencing_token;
                 m.holder = Some(from);
             }
             return;
         }
         // A heartbeat counts as contact under any token: a holder that was partitioned has not
         // received its newest grant, and its machines are not dead.
-        if let Some(ago) = s.heard_ago {
-            m.record_contact(now - ago, from, s.last);
+        if let Some(ago) = s.last_contact_age {
+            m.record_contact(now - ago, from, s.last_report);
         }
-        if m.holder != Some(from) || m.fencing_token != s.baton {
+        if m.holder != Some(from) || m.fencing_token != s.fencing_token {
             return;
         }
-        m.preemption_at = s.warning.map(|w| now + w);
-        m.needs_new_token = s.want_baton;
-        let confirmed = s.seen_baton >= m.fencing_token;
-        if let Some(ago) = s.heard_ago {
-            m.command_reachability.told(s.obeys, now - ago, now);
+        m.preemption_at = s.preemption_notice.map(|w| now + w);
+        m.needs_new_token = s.needs_new_fencing_token;
+        let confirmed = s.seen_fencing_token >= m.fencing_token;
+        if let Some(ago) = s.last_contact_age {
+            m.command_reachability.told(s.acknowledges_commands, now - ago, now);
         }
         let newly_confirmed = confirmed && !m.confirmed;
         if newly_confirmed {
@@ -390,9 +390,9 @@
     pub fn apply_unleased_report(
         &mut self,
         from: NodeId,
-        s: &Sighting,
+        s: &UnleasedReport,
         rec: &MachineRecord,
-        sizes: &Sizes,
+        sizes: &MachineSizes,
         now: Micros,
     ) {
         let id = &s.id;
@@ -403,7 +403,7 @@
             // A copy of a heartbeat may arrive after its machine was deleted, and a new leader has
             // nothing to compare it with: only a worker that answers a probe is adopted. An
             // unexpected one that can't be probed appears in the cloud's list.
-            None if !s.asked => {
+            None if !s.probed => {
                 if self.last_seen.get(id).is_none_or(|(_, t)| now.since(*t) > Micros::millis(1500)) {
                     self.last_seen.insert(id.clone(), (from, now));
                     self.probes.push((from, id.clone(), rec.addr.clone()));
@@ -429,7 +429,7 @@
                     return;
                 }
                 self.last_seen.insert(id.clone(), (from, now));
-                m.command_reachability.seen(s.asked, m.holder != Some(from), now);
+                m.command_reachability.seen(s.probed, m.holder != Some(from), now);
                 if m.stage == Stage::Booting {
                     m.stage = Stage::Up;
                     m.stage_since = now;
--- a/crates/core/src/leader/blocks.rs
+++ b/crates/core/src/leader/blocks.rs
@@ -24,7 +24,7 @@
     pub(super) fn in_contact(&self, n: NodeId, now: Micros) -> bool {
         let heard = self.nodes.get(n.0 as usize).and_then(|x| x.last_contact);
         heard.is_some_and(|t| {
-            now.since(self.lateness.silent_from_within(t, MAX_BACKLOG_ALLOWANCE)) < CONTACT_TIMEOUT
+            now.since(self.lateness.silence_start_capped(t, MAX_BACKLOG_ALLOWANCE)) < CONTACT_TIMEOUT
         })
     }
 
@@ -90,7 +90,7 @@
     /// Grants and moves machines, watches them, and schedules tasks. Called about every 20 ms
     /// while this node may lead.
     pub fn tick(&mut self, state_replica: &Ledger, now: Micros) {
-        self.lateness.works(now);
+        self.lateness.record_tick(now);
         if !self.grants_started {
             let all_in_contact = self.controllers_in_contact(now).into_iter().all(|c| c);
             let waited = now.since(self.term_start);
@@ -149,8 +149,8 @@
             match m.holder {
                 None => unheld.push((id.clone(), m.zone.clone())),
                 Some(h) => {
-                    let silent_from = m.last_contact.map(|t| self.lateness.silent_from(t));
-                    let silent = silent_from.is_none_or(|t| now.since(t) > Micros::millis(3500))
+                    let silence_start = m.last_contact.map(|t| self.lateness.silence_start(t));
+                    let silent = silence_start.is_none_or(|t| now.since(t) > Micros::millis(3500))
                         && now.since(m.granted_at) > Micros::millis(1500);
                     if let Some(s) = seen
                         && s != h
@@ -231,7 +231,7 @@
         }
         // Within this time it should have sent a heartbeat, or have answered its holder's probe.
         let overdue =
-            (self.config.report_interval.scale(5, 4) + Micros::secs(1)).min(ASKED_AFTER + ASK_TIMEOUT);
+            (self.config.report_interval.scale(5, 4) + Micros::secs(1)).min(PROBE_AFTER + PROBE_TIMEOUT);
         let heard_by = latest.iter().map(|((h, zone), (t, _))| (Some(*h), *zone, *t));
         for (by, zone, at) in heard_by.chain(zone_latest.iter().map(|(z, t)| (None, *z, *t))) {
             self.network_paths.heard(by, zone, at, overdue);
@@ -253,7 +253,7 @@
             let last = m.last_contact.unwrap_or(m.stage_since);
             let base = self
                 .lateness
-                .silent_from(last)
+                .silence_start(last)
                 .max(self.term_start)
                 .max(reported)
                 .max(m.holder_changed_at)
--- a/crates/core/src/leader/cancelled.rs
+++ b/crates/core/src/leader/cancelled.rs
@@ -6,11 +6,17 @@
 use run::Binding;
 
 impl Leader {
-    /// Whether a start of a cancelled job may still be ordered. `known_by` are the
+    /// Whether a start of a cancelled job may still be ordered. `acknowledged_by` are the
     /// incarnations that act on the cancellation, by controller; `exited` are controllers whose
     /// hosts report that their process has exited.
-    pub fn may_still_start(&self, id: JobId, known_by: &[u64], exited: &[NodeId], now: Micros) -> bool {
-        let unaware = self.unaware(known_by, exited, now);
+    pub fn may_still_start(
+        &self,
+        id: JobId,
+        acknowledged_by: &[u64],
+        exited: &[NodeId],
+        now: Micros,
+    ) -> bool {
+        let unaware = self.unaware(acknowledged_by, exited, now);
         if unaware.is_empty() {
             return false;
         }
@@ -26,10 +32,10 @@
 
     /// Controllers that may start tasks and don't act on a cancellation. A controller's block
     /// lease began before this leader last received its `Sync`, or before this term.
-    fn unaware(&self, known_by: &[u64], exited: &[NodeId], now: Micros) -> Vec<NodeId> {
+    fn unaware(&self, acknowledged_by: &[u64], exited: &[NodeId], now: Micros) -> Vec<NodeId> {
         let may_start = |(i, node): &(usize, &Node)| {
             let n = NodeId(*i as u8);
-            let known = known_by.get(*i).is_some_and(|known| *known >= node.incarnation.max(1));
+            let known = acknowledged_by.get(*i).is_some_and(|known| *known >= node.incarnation.max(1));
             let lease_until = node.last_contact.unwrap_or(self.term_start) + self.config.operator.block_lease;
             n != self.config.node_id && !known && !exited.contains(&n) && now < lease_until
         };
--- a/crates/core/src/leader/deaf.rs
+++ b/crates/core/src/leader/deaf.rs
@@ -82,7 +82,7 @@
 
     /// Whether others should ask it for this doubt: the last question had its time.
     pub(super) fn ask_due(&self, now: Micros) -> bool {
-        self.doubted_for(ASKED_WHEN, now) && now.since(self.asked_at) > ASK_TIMEOUT
+        self.doubted_for(ASKED_WHEN, now) && now.since(self.asked_at) > PROBE_TIMEOUT
     }
 
     /// It is asked by others.
@@ -140,7 +140,7 @@
                 continue;
             }
             let limit = if m.bound.is_empty() { lease.scale(2, 1) } else { lease.scale(7, 10) };
-            let span = now.since(self.lateness.silent_from(h.obeyed));
+            let span = now.since(self.lateness.silence_start(h.obeyed));
             // Where most machines of a controller hear nothing, it is its way out that
             // is cut: others take them.
             let of_holder = m.holder.and_then(|h| held.get(&h)).copied().unwrap_or_default();
--- a/crates/core/src/leader/log_replication.rs
+++ b/crates/core/src/leader/log_replication.rs
@@ -26,7 +26,7 @@
         }
         let in_contact = self.incarnations_in_contact(now);
         let due = self.placement_log.due_updates(&in_contact, now);
-        due.into_iter().map(|(n, base)| (n, Message::Books(self.log_update(base)))).collect()
+        due.into_iter().map(|(n, base)| (n, Message::PlacementLogUpdate(self.log_update(base)))).collect()
     }
 
     /// The current places of all tasks that changed after `base`.
--- a/crates/core/src/leader/messages.rs
+++ b/crates/core/src/leader/messages.rs
@@ -67,7 +67,7 @@
                 let draining = m.draining.is_some() || m.stage == Stage::Deleting;
                 block.push(GrantedMachine {
                     id: id.clone(),
-                    baton: m.fencing_token,
+                    fencing_token: m.fencing_token,
                     addr: m.addr.clone(),
                     draining,
                 });
@@ -88,7 +88,7 @@
                 && h.log_seq <= covered
                 && h.sent.is_none_or(|t| now.since(t) >= ASSIGNMENT_RETRY_INTERVAL)
         };
-        let mut assignments: Vec<(HandOut, u64)> = Vec::new();
+        let mut assignments: Vec<(Assignment, u64)> = Vec::new();
         for h in self.pending_assignments.values_mut().filter(|_| lease_ok).filter(due) {
             h.sent = Some(now);
             assignments.push((h.assignment.clone(), h.log_seq));
@@ -102,11 +102,11 @@
             seq,
             base,
             incarnation,
-            ack,
+            acked_sync: ack,
             lease: if lease_ok { self.config.operator.block_lease } else { Micros(0) },
             block,
-            elsewhere,
-            handouts: assignments.into_iter().map(|(h, _)| h).collect(),
+            not_in_block: elsewhere,
+            assignments: assignments.into_iter().map(|(h, _)| h).collect(),
             stops: self
                 .pending_stops
                 .values()
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -31,7 +31,7 @@
 use wishes::HireStage;
 pub use wishes::{CloudWish, HireRequest, LeaderWrite};
 
-use crate::controller::{ASK_TIMEOUT, ASKED_AFTER, Sizes};
+use crate::controller::{MachineSizes, PROBE_AFTER, PROBE_TIMEOUT};
 use crate::dependencies::Urgency;
 use crate::fair_queue::FairQueue;
 use crate::fleet::{self, Demand, Offer, Policy, Room, Want};
@@ -40,7 +40,8 @@
 use crate::leader::ways::Ways;
 use crate::peer::pacing::Pacer;
 use crate::peer::{
-    GrantedMachine, HandOut, MachineState, Message, Outcome, Sighting, StopRequest, TaskState,
+    Assignment, AssignmentOutcome, GrantedMachine, MachineState, Message, StopRequest, TaskState,
+    UnleasedReport,
 };
 use crate::placement::{self, Candidate};
 use crate::placement_log::PlacementLog;
@@ -102,7 +103,7 @@
 #[derive(Debug)]
 struct PendingAssignment {
     to: NodeId,
-    assignment: HandOut,
+    assignment: Assignment,
     /// The change of the placement log that all replicas have to acknowledge before the
     /// assignment is sent.
     log_seq: u64,
@@ -124,16 +125,26 @@
     /// Machines that sent a heartbeat without a change, and how long ago.
     pub contacts: &'a [(MachineId, Micros, ReportNo)],
     /// Machines that the controller does not hold and whose workers send it heartbeats.
-    pub unleased_reports: &'a [Sighting],
+    pub unleased_reports: &'a [UnleasedReport],
     /// Assignments that the controller has carried out or refused.
-    pub outcomes: &'a [Outcome],
+    pub outcomes: &'a [AssignmentOutcome],
 }
 
 impl<'a> SyncView<'a> {
     /// The content of a `Sync`, and the term of the leader that it is meant for; `None` for
     /// any other message.
     pub fn of(m: &'a Message) -> Option<(u64, SyncView<'a>)> {
-        let Message::Sync { term, seq, base, seen, machines, heard, strangers, outcomes } = m else {
+        let Message::Sync {
+            term,
+            seq,
+            base,
+            acked_update: seen,
+            machines,
+            contacts: heard,
+            unleased_reports: strangers,
+            outcomes,
+        } = m
+        else {
             return None;
         };
         let (seq, base, seen) = (*seq, *base, *seen);
@@ -276,7 +287,7 @@
         term: u64,
         leader_key_revision: u64,
         state_replica: &Ledger,
-        sizes: &Sizes,
+        sizes: &MachineSizes,
         now: Micros,
         wall_ms: u64,
     ) -> Self {
@@ -364,7 +375,12 @@
             match job.phase {
                 Phase::Aborted if job.settled => l.note_cancelled_by_another(*id, job),
                 Phase::Aborted => {
-                    let by = crate::deputy::gone_by(job.ended_ms, wall_ms, l.config.cancel_timeout, now);
+                    let by = crate::cancellation_enforcer::cancellation_deadline(
+                        job.ended_ms,
+                        wall_ms,
+                        l.config.cancel_timeout,
+                        now,
+                    );
                     l.cancelled_jobs.insert(*id, by);
                 }
                 _ => l.job_changed(*id, state_replica, now),
--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -5,7 +5,7 @@
 
 use super::*;
 use crate::jobs::{job_value, keys};
-use crate::peer::Held;
+use crate::peer::TaskStatus;
 use serde_json::json;
 
 mod pipelines;
@@ -63,7 +63,7 @@
             let v = json!({"t": "big", "z": "east", "s": false, "a": format!("addr{i}")});
             state_replica.apply(&keys::machine(&m(&format!("m{i}"))), Some(&v), 1);
         }
-        let sizes = Sizes::from([("big".into(), Resources::have(8.0, 0.0, 32.0))]);
+        let sizes = MachineSizes::from([("big".into(), Resources::have(8.0, 0.0, 32.0))]);
         let now = Micros::secs(100);
         let leader = Leader::new(context(), TERM, 50, &state_replica, &sizes, now, 1_000_000);
         let mut b = Harness { state_replica, leader, now, seq: [0; 2], incarnation: [5, 6] };
@@ -106,7 +106,7 @@
     /// Lets an assigned task start and fail; its attempt.
     fn fail_task(&mut self, id: u64, index: u32) -> Attempt {
         let a = self.attempt(task(id, index)).expect("assigned");
-        self.sync(A, &[], &[Outcome { attempt: a, machine: Some(m("m0")) }]);
+        self.sync(A, &[], &[AssignmentOutcome { attempt: a, machine: Some(m("m0")) }]);
         // The failure is reported twice, the first time under an older token, which leaves
         // the known tasks unchanged.
         let token = self.token("m0");
@@ -153,7 +153,7 @@
         self.leader.tick(&self.state_replica, self.now);
     }
 
-    fn sync(&mut self, from: NodeId, machines: &[MachineState], outcomes: &[Outcome]) {
+    fn sync(&mut self, from: NodeId, machines: &[MachineState], outcomes: &[AssignmentOutcome]) {
         let i = from.0 as usize;
         self.seq[i] += 1;
         let view = SyncView {
@@ -171,14 +171,14 @@
     fn state(&self, id: &str, seen: Baton, tasks: &[(TaskId, Attempt, TaskState)]) -> MachineState {
         MachineState {
             id: m(id),
-            baton: self.leader.machines[&m(id)].fencing_token,
-            seen_baton: seen,
-            last: ReportNo { shift: 1, tally: self.now.0 },
-            obeys: true,
-            heard_ago: Some(Micros(0)),
-            warning: None,
-            want_baton: false,
-            tasks: tasks.iter().map(|(t, a, s)| Held { task: *t, attempt: *a, state: *s }).collect(),
+            fencing_token: self.leader.machines[&m(id)].fencing_token,
+            seen_fencing_token: seen,
+            last_report: ReportNo { shift: 1, tally: self.now.0 },
+            acknowledges_commands: true,
+            last_contact_age: Some(Micros(0)),
+            preemption_notice: None,
+            needs_new_fencing_token: false,
+            tasks: tasks.iter().map(|(t, a, s)| TaskStatus { task: *t, attempt: *a, state: *s }).collect(),
         }
     }
 
@@ -205,11 +205,11 @@
     // (what happens after the assignment of the only task, whether the task is then released)
     let cases: [(&str, Step, bool); 11] = [
         ("nothing", |_, _| {}, false),
-        ("never started", |b, a| b.sync(A, &[], &[Outcome { attempt: a, machine: None }]), true),
+        ("never started", |b, a| b.sync(A, &[], &[AssignmentOutcome { attempt: a, machine: None }]), true),
         (
             "started; a heartbeat under the current token does not list it",
             |b, a| {
-                b.sync(A, &[], &[Outcome { attempt: a, machine: Some(m("m0")) }]);
+                b.sync(A, &[], &[AssignmentOutcome { attempt: a, machine: Some(m("m0")) }]);
                 b.confirm("m0", &[]);
             },
             true,
@@ -217,7 +217,7 @@
         (
             "started, outcome of the start unknown",
             |b, a| {
-                b.sync(A, &[], &[Outcome { attempt: a, machine: Some(m("m0")) }]);
+                b.sync(A, &[], &[AssignmentOutcome { attempt: a, machine: Some(m("m0")) }]);
                 b.confirm("m0", &[(task(1, 0), a, TaskState::Starting)]);
             },
             false,
@@ -225,7 +225,7 @@
         (
             "a heartbeat under an older token does not list it",
             |b, a| {
-                b.sync(A, &[], &[Outcome { attempt: a, machine: Some(m("m0")) }]);
+                b.sync(A, &[], &[AssignmentOutcome { attempt: a, machine: Some(m("m0")) }]);
                 b.leader.grant(&m("m0"), A, "test", b.now);
                 let s = b.state("m0", Baton(0), &[]);
                 b.sync(A, &[s], &[]);
@@ -274,7 +274,7 @@
             |b, a| {
                 b.incarnation[0] += 1;
                 b.sync(A, &[], &[]);
-                let outcomes = [Outcome { attempt: a, machine: None }];
+                let outcomes = [AssignmentOutcome { attempt: a, machine: None }];
                 let view = SyncView {
                     seq: 99,
                     base: 0,
@@ -332,7 +332,7 @@
     let bound = |b: &Harness| b.leader.jobs[&JobId(1)].bound.len();
     assert_eq!(bound(&b), 2, "4 CPUs of 2 each");
     let a0 = b.attempt(task(1, 0)).unwrap();
-    b.sync(A, &[], &[Outcome { attempt: a0, machine: None }]);
+    b.sync(A, &[], &[AssignmentOutcome { attempt: a0, machine: None }]);
     b.tick(30);
     assert_eq!(bound(&b), 2, "one is released, another is assigned");
 
@@ -343,8 +343,8 @@
     b.tick(30);
     let on: Vec<_> =
         (0..2).map(|i| (task(1, i), b.attempt(task(1, i)).unwrap(), TaskState::Running)).collect();
-    let outcomes: Vec<Outcome> =
-        on.iter().map(|(_, a, _)| Outcome { attempt: *a, machine: Some(m("m0")) }).collect();
+    let outcomes: Vec<AssignmentOutcome> =
+        on.iter().map(|(_, a, _)| AssignmentOutcome { attempt: *a, machine: Some(m("m0")) }).collect();
     let s = b.state("m0", b.token("m0"), &on);
     b.sync(A, &[s], &outcomes);
     b.add_job(2, 61, "owner", "array", "idle", 2, 4.0);
@@ -434,7 +434,7 @@
         b.add_job(1, 40, "t", "standing", "prod", 1, 4.0);
         let end = json!({"end": "aborted", "at": 1_000_000, "gone": settled});
         b.state_replica.apply(&keys::end(JobId(1)), Some(&end), 45);
-        let sizes = Sizes::from([("big".into(), Resources::have(8.0, 0.0, 32.0))]);
+        let sizes = MachineSizes::from([("big".into(), Resources::have(8.0, 0.0, 32.0))]);
         // No controller is in the machine's zone, so its silence may be a partition.
         let away = LeaderConfig { zones: vec!["west".into(), "west".into()], ..context() };
         b.leader = Leader::new(away, TERM + 1, 80, &b.state_replica, &sizes, b.now, 1_000_000);
@@ -522,7 +522,7 @@
     };
     assert_eq!(fails(&b), 0);
     // A new leader continues from the record.
-    let sizes = Sizes::from([("big".into(), Resources::have(8.0, 0.0, 32.0))]);
+    let sizes = MachineSizes::from([("big".into(), Resources::have(8.0, 0.0, 32.0))]);
     b.leader = Leader::new(context(), TERM + 1, 80, &b.state_replica, &sizes, b.now, 1_000_000);
     b.sync(A, &[], &[]);
     b.sync(B, &[], &[]);
@@ -575,7 +575,7 @@
         if machines == 2 {
             let v = json!({"t": "big", "z": "east", "s": false, "a": "addr1"});
             b.state_replica.apply(&keys::machine(&m("m1")), Some(&v), 71);
-            let sizes = Sizes::from([("big".into(), Resources::have(8.0, 0.0, 32.0))]);
+            let sizes = MachineSizes::from([("big".into(), Resources::have(8.0, 0.0, 32.0))]);
             let mut new = Machine::new(&b.state_replica.machines[&m("m1")], sizes["big"], Stage::Up, b.now);
             new.recorded = true;
             b.leader.machines.insert(m("m1"), new);
@@ -611,7 +611,7 @@
     }
     // The task above the number ends; it is not replaced until it is requested again.
     let a3 = b.attempt(task(1, 3)).unwrap();
-    b.sync(A, &[], &[Outcome { attempt: a3, machine: None }]);
+    b.sync(A, &[], &[AssignmentOutcome { attempt: a3, machine: None }]);
     b.tick(30);
     assert_eq!(bound(&b), [0, 1, 2]);
     b.edit_job(1, 80, |s| s.tasks = 4);
@@ -628,7 +628,7 @@
         b.add_job(1, 60, "t", "standing", "prod", 1, 1.0);
         b.tick(30);
         let a = b.attempt(task(1, 0)).unwrap();
-        b.sync(A, &[], &[Outcome { attempt: a, machine: Some(m("m0")) }]);
+        b.sync(A, &[], &[AssignmentOutcome { attempt: a, machine: Some(m("m0")) }]);
         let on = b.state("m0", b.token("m0"), &[(task(1, 0), a, TaskState::Running)]);
         b.sync(A, &[on], &[]);
         b.add_job(2, 61, "t", "standing", "prod", 1, 1.0);
@@ -805,8 +805,9 @@
         let mut ends: BTreeMap<MachineId, Vec<(TaskId, Attempt, TaskState)>> = BTreeMap::new();
         let mut outcomes = Vec::new();
         for PendingAssignment { assignment: h, .. } in b.leader.pending_assignments.values() {
-            outcomes.push(Outcome { attempt: h.attempt, machine: Some(h.hint.clone()) });
-            ends.entry(h.hint.clone()).or_default().push((h.task, h.attempt, TaskState::Failed));
+            outcomes
+                .push(AssignmentOutcome { attempt: h.attempt, machine: Some(h.preferred_machine.clone()) });
+            ends.entry(h.preferred_machine.clone()).or_default().push((h.task, h.attempt, TaskState::Failed));
         }
         most.push(outcomes.len());
         b.sync(A, &[], &outcomes.clone());
@@ -860,7 +861,8 @@
             if h.task.job == JobId(2) {
                 began.get_or_insert(half / 2);
             }
-            outcomes.push(Outcome { attempt: h.attempt, machine: Some(h.hint.clone()) });
+            outcomes
+                .push(AssignmentOutcome { attempt: h.attempt, machine: Some(h.preferred_machine.clone()) });
             on.push((h.task, h.attempt, half + 20 + h.task.index % 7));
         }
         b.sync(A, &[], &outcomes.clone());
@@ -883,7 +885,7 @@
 /// with.
 #[test]
 fn copies_of_heartbeats_prove_nothing() {
-    let sizes = Sizes::from([("big".into(), Resources::have(8.0, 0.0, 32.0))]);
+    let sizes = MachineSizes::from([("big".into(), Resources::have(8.0, 0.0, 32.0))]);
     let rec = |build: &str| MachineRecord {
         build: build.into(),
         zone: "east".into(),
@@ -904,7 +906,7 @@
     for (i, (id, build, report, asked, counts, known)) in cases.into_iter().enumerate() {
         let mut b = Harness::new(1);
         b.confirm("m0", &[]);
-        let s = Sighting { id: m(id), report, asked };
+        let s = UnleasedReport { id: m(id), report, probed: asked };
         b.leader.apply_unleased_report(B, &s, &rec(build), &sizes, b.now);
         let seen = b.leader.last_seen.get(&m(id)).is_some_and(|(n, _)| *n == B);
         assert_eq!((seen, b.leader.machines.contains_key(&m(id))), (counts, known), "case {i}");
@@ -918,7 +920,7 @@
     b.confirm("m0", &[]);
     let contact = b.leader.machines[&m("m0")].last_contact;
     let mut s = b.state("m0", b.token("m0"), &[]);
-    s.last = b.leader.machines[&m("m0")].newest_heartbeat;
+    s.last_report = b.leader.machines[&m("m0")].newest_heartbeat;
     b.now = b.now + Micros::secs(2);
     b.sync(B, &[s], &[]);
     assert_eq!(b.leader.machines[&m("m0")].last_contact, contact, "a copy at another controller");
@@ -940,11 +942,12 @@
                 b.add_job(100 + i as u64, 60, "t", "array", "standard", 1, 8.0);
             }
             b.tick(30);
-            let placed = |h: &PendingAssignment| Outcome {
+            let placed = |h: &PendingAssignment| AssignmentOutcome {
                 attempt: h.assignment.attempt,
-                machine: Some(h.assignment.hint.clone()),
+                machine: Some(h.assignment.preferred_machine.clone()),
             };
-            let outcomes: Vec<Outcome> = b.leader.pending_assignments.values().map(placed).collect();
+            let outcomes: Vec<AssignmentOutcome> =
+                b.leader.pending_assignments.values().map(placed).collect();
             b.sync(A, &[], &outcomes);
             b.sync(B, &[], &outcomes);
         }
@@ -957,9 +960,13 @@
                 s.tasks = b.leader.machines[&m(id)]
                     .bound
                     .iter()
-                    .map(|t| Held { task: *t, attempt: b.attempt(*t).unwrap(), state: TaskState::Running })
+                    .map(|t| TaskStatus {
+                        task: *t,
+                        attempt: b.attempt(*t).unwrap(),
+                        state: TaskState::Running,
+                    })
                     .collect();
-                s.obeys = i >= unreachable;
+                s.acknowledges_commands = i >= unreachable;
                 let from = b.leader.machines[&m(id)].holder.unwrap_or(holder);
                 b.sync(from, &[s], &[]);
             }
@@ -981,11 +988,11 @@
     let mut b = Harness::new(1);
     b.confirm("m0", &[]);
     let mut s = b.state("m0", b.token("m0"), &[]);
-    s.obeys = false;
-    s.last.tally += 1;
+    s.acknowledges_commands = false;
+    s.last_report.tally += 1;
     b.sync(A, &[s.clone()], &[]);
     b.now = b.now + Micros::secs(30);
-    s.last.tally += 1;
+    s.last_report.tally += 1;
     b.sync(A, &[s], &[]);
     b.sync(B, &[], &[]);
     b.tick(100);
@@ -999,13 +1006,13 @@
 fn a_controller_unaware_of_the_cancellation_may_still_order_a_start() {
     type Step = fn(&mut Harness, Attempt);
     let nothing: Step = |_, _| {};
-    let placed: Step = |b, a| b.sync(B, &[], &[Outcome { attempt: a, machine: Some(m("m0")) }]);
+    let placed: Step = |b, a| b.sync(B, &[], &[AssignmentOutcome { attempt: a, machine: Some(m("m0")) }]);
     let running: Step = |b, a| {
-        b.sync(B, &[], &[Outcome { attempt: a, machine: Some(m("m0")) }]);
+        b.sync(B, &[], &[AssignmentOutcome { attempt: a, machine: Some(m("m0")) }]);
         b.confirm("m0", &[(task(1, 0), a, TaskState::Running)]);
     };
     let moved: Step = |b, a| {
-        b.sync(B, &[], &[Outcome { attempt: a, machine: Some(m("m0")) }]);
+        b.sync(B, &[], &[AssignmentOutcome { attempt: a, machine: Some(m("m0")) }]);
         b.leader.grant(&m("m0"), A, "test", b.now);
     };
     let (no_controller, itself, earlier) = (vec![0, 0], vec![0, 6], vec![0, 5]);
@@ -1022,7 +1029,7 @@
         ("B's lease has expired", nothing, &no_controller, None, lease, false),
         (
             "refused",
-            |b, a| b.sync(B, &[], &[Outcome { attempt: a, machine: None }]),
+            |b, a| b.sync(B, &[], &[AssignmentOutcome { attempt: a, machine: None }]),
             &no_controller,
             None,
             Micros(0),
@@ -1048,7 +1055,7 @@
             false,
         ),
     ];
-    for (what, step, known_by, ended, later, want) in cases {
+    for (what, step, acknowledged_by, ended, later, want) in cases {
         let mut b = Harness::new(1);
         b.leader.grant(&m("m0"), B, "test", b.now);
         b.confirm("m0", &[]);
@@ -1058,7 +1065,7 @@
         b.sync(B, &[], &[]);
         step(&mut b, attempt);
         let ended: Vec<NodeId> = ended.into_iter().collect();
-        let got = b.leader.may_still_start(JobId(1), known_by, &ended, b.now + later);
+        let got = b.leader.may_still_start(JobId(1), acknowledged_by, &ended, b.now + later);
         assert_eq!(got, want, "{what}");
     }
 }
@@ -1079,7 +1086,7 @@
         (None, 400, Some("m900")),
         (Some(page("m999", false)), 2_000, None),
     ];
-    let sizes = Sizes::default();
+    let sizes = MachineSizes::default();
     for (i, (last, pause, from)) in steps.into_iter().enumerate() {
         b.leader.listed(last.as_ref(), &sizes, b.now);
         let lists = |b: &mut Harness, ms| {
--- a/crates/core/src/leader/tests/lateness.rs
+++ b/crates/core/src/leader/tests/lateness.rs
@@ -48,13 +48,19 @@
     b.add_job(100, 60, "t", "array", "standard", 1, 1.0);
     b.tick(30);
     let placed = |h: &PendingAssignment| {
-        (h.to, Outcome { attempt: h.assignment.attempt, machine: Some(h.assignment.hint.clone()) })
+        (
+            h.to,
+            AssignmentOutcome {
+                attempt: h.assignment.attempt,
+                machine: Some(h.assignment.preferred_machine.clone()),
+            },
+        )
     };
     let (to, outcome) = b.leader.pending_assignments.values().map(placed).next().unwrap();
     b.sync(to, &[], &[outcome]);
     let report = |b: &Harness, obeys| {
         let task = (task(100, 0), b.attempt(task(100, 0)).unwrap(), TaskState::Running);
-        MachineState { obeys, ..b.state("m0", b.token("m0"), &[task]) }
+        MachineState { acknowledges_commands: obeys, ..b.state("m0", b.token("m0"), &[task]) }
     };
     let unacknowledged = report(&b, false);
     b.sync(to, &[unacknowledged], &[]);
--- a/crates/core/src/leader/tests/limits.rs
+++ b/crates/core/src/leader/tests/limits.rs
@@ -36,7 +36,7 @@
     let length = record.to_string().len();
     assert!((3500..4096).contains(&length), "{length}");
     b.state_replica.apply(RECORD, Some(&record), 1);
-    let sizes = Sizes::from([("sedlo".into(), Resources::have(8.0, 0.0, 32.0))]);
+    let sizes = MachineSizes::from([("sedlo".into(), Resources::have(8.0, 0.0, 32.0))]);
     b.leader = Leader::new(context(), TERM, 50, &b.state_replica, &sizes, b.now, 1_000_000);
     b.add_job(LONG.0, 60, "t", "array", "standard", TASKS, 1.0);
     b.add_job(FAILING.0, 61, "t", "array", "standard", 100, 1.0);
--- a/crates/core/src/leader/tests/pipelines.rs
+++ b/crates/core/src/leader/tests/pipelines.rs
@@ -46,7 +46,7 @@
 
     /// Replaces the leader by a new one over the same records.
     fn next_leader(&mut self) {
-        let sizes = Sizes::from([("big".into(), Resources::have(8.0, 0.0, 32.0))]);
+        let sizes = MachineSizes::from([("big".into(), Resources::have(8.0, 0.0, 32.0))]);
         self.leader = Leader::new(context(), TERM + 1, 500, &self.state_replica, &sizes, self.now, 1_000_000);
     }
 }
@@ -86,7 +86,7 @@
     b.add_dependent(2, "standard", 1, &[1], None);
     b.tick(30);
     let attempt = b.attempt(task(1, 0)).unwrap();
-    b.sync(A, &[], &[Outcome { attempt, machine: Some(m("m0")) }]);
+    b.sync(A, &[], &[AssignmentOutcome { attempt, machine: Some(m("m0")) }]);
     let state = b.state("m0", b.token("m0"), &[(task(1, 0), attempt, TaskState::Done)]);
     b.sync(A, &[state], &[]);
     b.tick(100);
@@ -136,7 +136,7 @@
         let mut tasks = Vec::new();
         for index in 0..4 {
             let attempt = b.attempt(task(1, index)).unwrap();
-            b.sync(A, &[], &[Outcome { attempt, machine: Some(m("m0")) }]);
+            b.sync(A, &[], &[AssignmentOutcome { attempt, machine: Some(m("m0")) }]);
             tasks.push((task(1, index), attempt, TaskState::Running));
         }
         let state = b.state("m0", b.token("m0"), &tasks);
--- a/crates/core/src/node/cancellations.rs
+++ b/crates/core/src/node/cancellations.rs
@@ -70,14 +70,14 @@
     /// Merges a cancellation; returns whether it was new here.
     fn merge(&mut self, c: &Cancellation, nodes: usize, now: Micros) -> bool {
         if let Some(tracked) = self.jobs.get_mut(&c.job) {
-            tracked.record.told |= c.told;
-            for (mine, theirs) in tracked.record.known_by.iter_mut().zip(&c.known_by) {
+            tracked.record.may_confirm |= c.may_confirm;
+            for (mine, theirs) in tracked.record.acknowledged_by.iter_mut().zip(&c.acknowledged_by) {
                 *mine = (*mine).max(*theirs);
             }
             return false;
         }
         let mut record = c.clone();
-        record.known_by.resize(nodes, 0);
+        record.acknowledged_by.resize(nodes, 0);
         let notified_at = vec![None; nodes];
         self.jobs.insert(
             c.job,
@@ -135,7 +135,7 @@
         let until = self.now + CONFIRMATION_TIMEOUT;
         let reachable = self.leader_node().is_some_and(|n| n == self.members.own_id || self.has_path(n));
         let Some(tracked) = self.cancellations.jobs.get_mut(&job) else { return };
-        if !tracked.record.told && !reachable {
+        if !tracked.record.may_confirm && !reachable {
             return self.fail_confirmation(requester);
         }
         tracked.requesters.push((requester, until));
@@ -164,11 +164,11 @@
         };
         let record = Cancellation {
             job,
-            at_ms: j.ended_ms,
-            stamp: j.end_stamp,
+            ended_ms: j.ended_ms,
+            record_version: j.end_stamp,
             cause: j.cause.clone(),
-            told: false,
-            known_by: Vec::new(),
+            may_confirm: false,
+            acknowledged_by: Vec::new(),
         };
         self.cancellations.merge(&record, self.members.names.len(), self.now);
     }
@@ -180,19 +180,19 @@
             return true;
         }
         let Some(tracked) = self.cancellations.jobs.get(&job) else { return false };
-        tracked.record.told || self.is_acknowledged(tracked)
+        tracked.record.may_confirm || self.is_acknowledged(tracked)
     }
 
     /// Whether every controller that must know of a cancellation has acknowledged it.
     fn is_acknowledged(&self, tracked: &TrackedCancellation) -> bool {
         // A leader that acquired its key before the record was written has to be notified. Only a
         // state replica that holds the record shows whether there is such a leader.
-        let applied = self.replica_sync.replica.applied >= tracked.record.stamp;
+        let applied = self.replica_sync.replica.applied >= tracked.record.record_version;
         let contacts_acknowledged =
             self.peers.all().filter(|n| *n != self.members.own_id && self.in_contact(*n, PEER_TIMEOUT)).all(
                 |n| {
                     let process = self.peers.states[n.0 as usize].incarnation;
-                    tracked.record.known_by[n.0 as usize] >= process
+                    tracked.record.acknowledged_by[n.0 as usize] >= process
                 },
             );
         applied && contacts_acknowledged && {
@@ -207,7 +207,7 @@
         let down: Vec<NodeId> =
             self.peers.all().filter(|n| self.peers.is_process_down(*n, self.now)).collect();
         let start_possible =
-            leader.may_still_start(tracked.record.job, &tracked.record.known_by, &down, self.now);
+            leader.may_still_start(tracked.record.job, &tracked.record.acknowledged_by, &down, self.now);
         (!start_possible).then_some(leader.term)
     }
 
@@ -237,7 +237,7 @@
         let mut done = Vec::new();
         for job in confirmed {
             let Some(tracked) = self.cancellations.jobs.get_mut(&job) else { continue };
-            if !std::mem::replace(&mut tracked.record.told, true) {
+            if !std::mem::replace(&mut tracked.record.may_confirm, true) {
                 // The other controllers may confirm it to clients as well, without querying each
                 // other.
                 tracked.announce_confirmation = true;
@@ -272,14 +272,14 @@
             let process = self.peers.states[i].incarnation;
             let due = |tracked: &&mut TrackedCancellation| {
                 let is_awaited =
-                    !tracked.requesters.is_empty() || tracked.guarantee_owed && !tracked.record.told;
+                    !tracked.requesters.is_empty() || tracked.guarantee_owed && !tracked.record.may_confirm;
                 let interval = if is_awaited { RETRY_INTERVAL } else { IDLE_RETRY_INTERVAL };
                 // Unless a client waits, the first notification is delayed: the controller usually
                 // learns of the end from the state service, and its acknowledgement is batched with
                 // others.
                 let initial_delay =
-                    if is_awaited || tracked.record.told { Micros(0) } else { IDLE_RETRY_INTERVAL };
-                let acknowledged = tracked.record.known_by[i] >= process
+                    if is_awaited || tracked.record.may_confirm { Micros(0) } else { IDLE_RETRY_INTERVAL };
+                let acknowledged = tracked.record.acknowledged_by[i] >= process
                     && !(leads && is_awaited && tracked.guaranteed_term < term);
                 let to_announce = tracked.announce_confirmation && tracked.notified_at[i].is_none();
                 (!acknowledged || to_announce)
@@ -294,7 +294,7 @@
                 batch.push(tracked.record.clone());
             }
             if !batch.is_empty() {
-                self.send(n, Message::Cancelled(batch));
+                self.send(n, Message::Cancellations(batch));
             }
         }
     }
@@ -323,7 +323,7 @@
         }
         for (jobs, leads) in [(guaranteed, leads), (others, None)] {
             if !jobs.is_empty() {
-                self.send(from, Message::CancelledKnown { jobs, leads });
+                self.send(from, Message::CancellationsAck { jobs, leading_term: leads });
             }
         }
         self.send_worker_calls();
@@ -337,8 +337,8 @@
             Some(Phase::Aborted) => {}
             Some(Phase::Active) | None => {
                 debug!("{}: notified of its cancellation", c.job);
-                let end = jobs::cancelled_value(c.at_ms, c.cause.as_deref(), false);
-                let change = self.replica_sync.replica.apply(&keys::end(c.job), Some(&end), c.stamp);
+                let end = jobs::cancelled_value(c.ended_ms, c.cause.as_deref(), false);
+                let change = self.replica_sync.replica.apply(&keys::end(c.job), Some(&end), c.record_version);
                 self.record_job_change(change);
             }
         }
@@ -357,7 +357,7 @@
 
     fn record_acknowledgement(&mut self, job: JobId, n: NodeId, process: u64) {
         if let Some(tracked) = self.cancellations.jobs.get_mut(&job) {
-            let known = &mut tracked.record.known_by[n.0 as usize];
+            let known = &mut tracked.record.acknowledged_by[n.0 as usize];
             *known = (*known).max(process);
         }
     }
@@ -380,7 +380,7 @@
             // acknowledgement.
             if let Some(i) = leader.map(|n| n.0 as usize)
                 && tracked.guaranteed_term < term
-                && tracked.record.known_by[i] >= self.peers.states[i].incarnation.max(1)
+                && tracked.record.acknowledged_by[i] >= self.peers.states[i].incarnation.max(1)
             {
                 tracked.notified_at[i] = None;
             }
--- a/crates/core/src/node/extension_host.rs
+++ b/crates/core/src/node/extension_host.rs
@@ -21,7 +21,7 @@
                 now: self.now,
                 wall_ms: self.wall_ms,
                 replica: &self.replica_sync.replica,
-                running: &self.controller.running,
+                running: &self.controller.running_counts,
                 flavors: &self.catalogue.flavors,
                 teams: &self.teams,
                 state_loaded: self.replica_sync.loaded,
@@ -42,10 +42,10 @@
 
     fn apply_extension_output(&mut self, o: ExtensionOutput) {
         match o {
-            ExtensionOutput::Answer(id, a) => self.out.items.push(Output::GuestAnswer(id, a)),
-            ExtensionOutput::Open(id, a) => self.out.items.push(Output::Open(id, a)),
-            ExtensionOutput::Chunk(id, data) => self.out.items.push(Output::Chunk(id, data)),
-            ExtensionOutput::Close(id) => self.out.items.push(Output::Close(id)),
+            ExtensionOutput::Answer(id, a) => self.out.items.push(Output::ExtensionResponse(id, a)),
+            ExtensionOutput::Open(id, a) => self.out.items.push(Output::StreamOpen(id, a)),
+            ExtensionOutput::Chunk(id, data) => self.out.items.push(Output::StreamChunk(id, data)),
+            ExtensionOutput::Close(id) => self.out.items.push(Output::StreamClose(id)),
             ExtensionOutput::ReadBarrier(t) => {
                 self.await_read_barrier(Waiter::Extension(t), Micros::millis(1500))
             }
@@ -84,7 +84,7 @@
         result: CallResult,
     ) {
         let page: Option<Listing> = match &result {
-            CallResult::Answer { status: 200, body } => serde_json::from_slice(body).ok(),
+            CallResult::Response { status: 200, body } => serde_json::from_slice(body).ok(),
             _ => None,
         };
         let Some(page) = page else {
@@ -96,7 +96,7 @@
             return self.read_extension_page(t, prefix, so_far);
         }
         let body = serde_json::to_vec(&so_far).unwrap_or_default();
-        self.run_extension(ExtensionInput::OperationCompleted(t, CallResult::Answer { status: 200, body }));
+        self.run_extension(ExtensionInput::OperationCompleted(t, CallResult::Response { status: 200, body }));
     }
 
     /// Fails a request whose read barrier can't be completed.
--- a/crates/core/src/node/heartbeats.rs
+++ b/crates/core/src/node/heartbeats.rs
@@ -4,10 +4,10 @@
 impl Node {
     pub(super) fn receive_heartbeat(&mut self, id: RequestId, body: &[u8]) {
         let Ok(r) = serde_json::from_slice::<Report>(body) else {
-            return self.out.answer(id, 400, users::error("invalid report"));
+            return self.out.respond(id, 400, users::error("invalid report"));
         };
-        let Some(tasks) = read_tasks(&r) else {
-            return self.out.answer(id, 400, users::error("invalid task id in the report"));
+        let Some(tasks) = parse_tasks(&r) else {
+            return self.out.respond(id, 400, users::error("invalid task id in the report"));
         };
         self.record_heartbeat(&r, &tasks);
         let machine = MachineId::from(&*r.host);
@@ -24,19 +24,21 @@
             return self.redirect(id, None);
         }
         match self.controller.checkin(&r, tasks, &self.replica_sync.replica, self.now) {
-            CheckinReply::Orders(fencing_token, commands) => self.renew_lease(id, fencing_token.0, commands),
-            CheckinReply::Elsewhere(to) | CheckinReply::Lost(to)
+            HeartbeatReply::Commands(fencing_token, commands) => {
+                self.renew_lease(id, fencing_token.0, commands)
+            }
+            HeartbeatReply::Misdirected(to) | HeartbeatReply::Superseded(to)
                 if !self.deferred_heartbeats.is_newest(&machine, r.number()) =>
             {
                 // A copy, or a delayed report: no worker waits for this answer.
                 self.redirect(id, to);
             }
-            reply @ (CheckinReply::Elsewhere(to) | CheckinReply::Lost(to)) => {
+            reply @ (HeartbeatReply::Misdirected(to) | HeartbeatReply::Superseded(to)) => {
                 self.report_unleased(&machine, MachineRecord::of(&r), r.number(), false);
                 // Other controllers reach the worker if it has a token from them, now or since its
                 // lease was renewed here. A worker without tasks loses nothing on the way to them.
                 let renewed_token = self.deferred_heartbeats.renewed_tokens.get(&machine).copied();
-                let may_redirect = matches!(reply, CheckinReply::Lost(_))
+                let may_redirect = matches!(reply, HeartbeatReply::Superseded(_))
                     || renewed_token.is_some_and(|b| r.baton > b)
                     || r.pieces.is_empty();
                 match self.redirect_target(&machine, to) {
@@ -86,8 +88,8 @@
     /// unknown or unreachable for the worker. It uses the token that the worker reported, so that
     /// nothing is started and a newer grant is not affected. It only stops tasks that are over.
     fn renew_unheld(&mut self, id: RequestId, r: &Report) {
-        let tasks = read_tasks(r).unwrap_or_default();
-        let commands = Controller::stops_for_stranger(&tasks, &self.replica_sync.replica);
+        let tasks = parse_tasks(r).unwrap_or_default();
+        let commands = Controller::stops_for_unleased(&tasks, &self.replica_sync.replica);
         self.deferred_heartbeats.record_renewal(MachineId::from(&*r.host), r.baton);
         self.renew_lease(id, r.baton, commands);
     }
@@ -99,7 +101,7 @@
         }
         let body =
             serde_json::to_vec(&CheckinAnswer { baton: fencing_token, orders: commands }).unwrap_or_default();
-        self.out.answer(id, 200, body);
+        self.out.respond(id, 200, body);
     }
 
     /// Whether neither the state service nor another controller is in contact.
@@ -113,7 +115,7 @@
             Some(name) => json!({ "foreman": name }),
             None => json!({}),
         };
-        self.out.answer(id, 421, body.to_string().into_bytes());
+        self.out.respond(id, 421, body.to_string().into_bytes());
     }
 
     pub(super) fn report_unleased(
@@ -126,16 +128,16 @@
         if self.replica_sync.replica.machines.contains_key(id) {
             // The leader knows the machine: the next `Sync` names it.
             self.deferred_heartbeats.unleased_reports.insert(id.clone(), (self.now, report, probed));
-            self.controller.dirty = true;
+            self.controller.sync_pending = true;
         } else if let Some(to) = self.leader_node() {
-            let m = Message::Seen {
+            let m = Message::MachineDiscovered {
                 id: id.clone(),
                 build: rec.build,
                 zone: rec.zone,
                 spot: rec.spot,
                 addr: rec.addr,
                 report,
-                asked: probed,
+                probed,
             };
             self.send(to, m);
         }
@@ -151,22 +153,26 @@
             .collect();
         for m in due {
             let Some((id, r, _)) = self.deferred_heartbeats.deferred.remove(&m) else { continue };
-            let tasks = read_tasks(&r).unwrap_or_default();
+            let tasks = parse_tasks(&r).unwrap_or_default();
             match self.controller.checkin(&r, tasks, &self.replica_sync.replica, self.now) {
-                CheckinReply::Orders(fencing_token, commands) => {
+                HeartbeatReply::Commands(fencing_token, commands) => {
                     self.renew_lease(id, fencing_token.0, commands)
                 }
-                CheckinReply::Elsewhere(to) | CheckinReply::Lost(to) => match self.redirect_target(&m, to) {
-                    Some(n) => self.redirect(id, Some(n)),
-                    None => self.renew_unheld(id, &r),
-                },
+                HeartbeatReply::Misdirected(to) | HeartbeatReply::Superseded(to) => {
+                    match self.redirect_target(&m, to) {
+                        Some(n) => self.redirect(id, Some(n)),
+                        None => self.renew_unheld(id, &r),
+                    }
+                }
             }
         }
     }
 
     /// Sends the calls that are due to workers of machines held here.
     pub(super) fn send_worker_calls(&mut self) {
-        for (call, machine) in self.controller.drive(&self.replica_sync.replica, self.now, &mut self.out) {
+        for (call, machine) in
+            self.controller.send_commands(&self.replica_sync.replica, self.now, &mut self.out)
+        {
             self.calls.insert(call, CallPurpose::WorkerCall(machine));
         }
     }
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -28,15 +28,15 @@
 use replica_sync::{ReadProgress, ReplicaSync};
 use status::{Gauges, RefusalReason, ServiceStatus};
 
-use crate::controller::{CheckinReply, Controller, read_tasks};
-use crate::deputy::Deputy;
+use crate::cancellation_enforcer::CancellationEnforcer;
+use crate::controller::{Controller, HeartbeatReply, parse_tasks};
 use crate::election::Role;
 use crate::extension::{Extension, ExtensionContext, ExtensionInput, ExtensionOutput, OperationId};
 use crate::jobs::{self, Change, LeaderRecord, Ledger, MachineRecord, Phase, keys};
 use crate::leader::{CloudWish, HireRequest, Leader, LeaderConfig, LeaderWrite, SyncView};
 use crate::limits::StoreLimits;
 use crate::liveness::LivenessMonitor;
-use crate::peer::{Envelope, Message, Sighting};
+use crate::peer::{Envelope, Message, UnleasedReport};
 use crate::placement_log::{LogReplica, LogReplicas};
 use crate::{Call, CallId, CallResult, Input, Outbox, Output, RequestId, Target};
 use gorseshore_protocol::cloud::{Flavors, Hosts, Rentals};
@@ -149,7 +149,7 @@
     controller: Controller,
     /// Leaders' placement logs of which this node is a standby replica.
     log_replicas: LogReplicas,
-    enforcer: Deputy,
+    enforcer: CancellationEnforcer,
     liveness: LivenessMonitor,
     liveness_logged_at: Micros,
     log_requested_at: Micros,
@@ -203,7 +203,7 @@
             deferred_heartbeats: DeferredHeartbeats::default(),
             controller: Controller::default(),
             log_replicas: LogReplicas::default(),
-            enforcer: Deputy::new(incarnation),
+            enforcer: CancellationEnforcer::new(incarnation),
             liveness: LivenessMonitor::new(
                 &p.domain,
                 Micros::from_secs_f64(d.workers.report_s),
@@ -234,16 +234,16 @@
         match input {
             Input::Tick => self.tick(),
             Input::Request { id, method, path, body } => self.route_request(id, &method, &path, &body),
-            Input::GuestRequest { id, method, path, token, body } => {
+            Input::ExtensionRequest { id, method, path, token, body } => {
                 self.run_extension(ExtensionInput::Request { id, method, path, token, body });
             }
-            Input::Gone(id) => {
+            Input::ClientDisconnected(id) => {
                 self.status.client_disconnected(id);
                 self.deferred_heartbeats.deferred.retain(|_, (r, ..)| *r != id);
                 self.run_extension(ExtensionInput::ClientDisconnected(id));
             }
-            Input::Called { id, result } => self.call_completed(id, result),
-            Input::Refused(n) => {
+            Input::CallCompleted { id, result } => self.call_completed(id, result),
+            Input::PeerRefused(n) => {
                 if let Some(p) = self.peers.states.get_mut(n.0 as usize) {
                     p.refused_at = Some(self.now);
                 }
@@ -265,7 +265,7 @@
         let gauges = Gauges {
             revision: self.replica_sync.replica.applied,
             ready: self.is_ready(),
-            machines_held: self.controller.held(),
+            machines_held: self.controller.held_count(),
             leader: self.leader_node().map(|n| n.0),
             term: self.leader_term(),
         };
@@ -311,10 +311,10 @@
         );
         if to_state_service && !matches!(p, CallPurpose::Watch) {
             match &result {
-                CallResult::Answer { status, .. } if *status < 500 && *status != 429 => {
+                CallResult::Response { status, .. } if *status < 500 && *status != 429 => {
                     self.replica_sync.last_success = Some(self.now)
                 }
-                CallResult::Answer { status: 429, .. } => {}
+                CallResult::Response { status: 429, .. } => {}
                 _ => self.replica_sync.last_failure = Some(self.now),
             }
         }
@@ -325,7 +325,8 @@
             CallPurpose::Watch => {
                 self.replica_sync.watch_in_flight = false;
                 match result {
-                    CallResult::Answer { status: 200, body } => match serde_json::from_slice::<News>(&body) {
+                    CallResult::Response { status: 200, body } => match serde_json::from_slice::<News>(&body)
+                    {
                         Ok(n) => {
                             self.replica_sync.last_success = Some(self.now);
                             self.status.caught_up(self.now);
@@ -336,7 +337,7 @@
                             self.replica_sync.next_watch_at = self.now + Micros::millis(500);
                         }
                     },
-                    CallResult::Answer { status: 410, .. } => {
+                    CallResult::Response { status: 410, .. } => {
                         info!(
                             "watch expired revision={}: reading the state from the start",
                             self.replica_sync.replica.applied
@@ -357,7 +358,7 @@
             }
             CallPurpose::CreateLease { requested_at } => {
                 let lease = match &result {
-                    CallResult::Answer { status: 200, body } => serde_json::from_slice::<Grant>(body).ok(),
+                    CallResult::Response { status: 200, body } => serde_json::from_slice::<Grant>(body).ok(),
                     _ => None,
                 };
                 match lease {
@@ -400,7 +401,7 @@
                 }
             }
             CallPurpose::AcquireLeaderKey { requested_at, lease, term } => match &result {
-                CallResult::Answer { status: 200, body } => {
+                CallResult::Response { status: 200, body } => {
                     let key_revision = serde_json::from_slice::<MultiAnswer>(body).map_or(0, |a| a.ledger);
                     self.leadership.election.elected(term, lease, key_revision, requested_at);
                     self.leadership.had_peers = false;
@@ -415,8 +416,8 @@
                 }
             },
             CallPurpose::RenewLease { sent } => match result {
-                CallResult::Answer { status: 200, .. } => self.leadership.election.renewal_confirmed(sent),
-                CallResult::Answer { status: 404, .. } => {
+                CallResult::Response { status: 200, .. } => self.leadership.election.renewal_confirmed(sent),
+                CallResult::Response { status: 404, .. } => {
                     if self.leadership.election.term().is_some() {
                         self.step_down("lease expired");
                     }
@@ -425,7 +426,7 @@
             },
             CallPurpose::RevokeLease => {}
             CallPurpose::RelayedMessage(number) => {
-                let posted = matches!(result, CallResult::Answer { status: 200, .. });
+                let posted = matches!(result, CallResult::Response { status: 200, .. });
                 self.post_next_transaction(number, posted);
             }
             CallPurpose::LeaderWrites(term, w) => self.leader_writes_completed(term, w, &result),
@@ -437,7 +438,7 @@
             CallPurpose::Cloud(term, w) => self.cloud_call_completed(term, w, &result),
             CallPurpose::Flavors => {
                 self.catalogue.request_in_flight = false;
-                if let CallResult::Answer { status: 200, body } = &result
+                if let CallResult::Response { status: 200, body } = &result
                     && let Ok(f) = serde_json::from_slice::<Flavors>(body)
                 {
                     self.catalogue.update(f);
@@ -449,12 +450,12 @@
             }
             CallPurpose::SuspectDeletion(ids) => self.suspect_deletion_completed(&ids, &result),
             CallPurpose::WorkerCall(m) => {
-                self.controller.called(&m, id, &result, self.now);
+                self.controller.call_completed(&m, id, &result, self.now);
                 self.send_worker_calls();
                 self.send_sync(false);
             }
             CallPurpose::Probe(m) => {
-                if let CallResult::Answer { status: 200, body } = &result
+                if let CallResult::Response { status: 200, body } = &result
                     && let Ok(r) = serde_json::from_slice::<Report>(body)
                     && r.host == m.as_str()
                 {
@@ -479,7 +480,7 @@
     ) {
         self.replica_sync.list_in_flight = false;
         let page: Option<Listing> = match &result {
-            CallResult::Answer { status: 200, body } => serde_json::from_slice(body).ok(),
+            CallResult::Response { status: 200, body } => serde_json::from_slice(body).ok(),
             _ => None,
         };
         let Some(page) = page else {
@@ -495,7 +496,7 @@
             return;
         };
         self.replica_sync.read_progress.pages += 1;
-        if let CallResult::Answer { body, .. } = &result {
+        if let CallResult::Response { body, .. } = &result {
             self.replica_sync.read_progress.bytes += body.len();
         }
         for p in &page.pairs {
@@ -546,8 +547,8 @@
         self.pending.barrier_in_flight = false;
         self.status.read_barrier_completed(&result, self.now);
         let response: Option<News> = match &result {
-            CallResult::Answer { status: 200, body } => serde_json::from_slice(body).ok(),
-            CallResult::Answer { status: 410, .. } => {
+            CallResult::Response { status: 200, body } => serde_json::from_slice(body).ok(),
+            CallResult::Response { status: 410, .. } => {
                 info!(
                     "proof expired revision={}: reading the state from the start",
                     self.replica_sync.replica.applied
@@ -570,7 +571,7 @@
                 }
             }
             None => {
-                let limited = matches!(result, CallResult::Answer { status: 429 | 410, .. });
+                let limited = matches!(result, CallResult::Response { status: 429 | 410, .. });
                 for (w, until) in waiting {
                     if limited && self.now < until {
                         self.pending.waiters.push((w, until));
--- a/crates/core/src/node/status.rs
+++ b/crates/core/src/node/status.rs
@@ -169,7 +169,7 @@
     /// Counts responses that are about to be sent.
     pub(super) fn responses_sent(&mut self, outputs: &[Output]) {
         for output in outputs {
-            let Output::Answer { id, status, .. } = output else { continue };
+            let Output::Response { id, status, .. } = output else { continue };
             if self.open_polls.remove(id).is_none() {
                 continue;
             }
@@ -194,10 +194,10 @@
     pub(super) fn read_barrier_completed(&mut self, result: &CallResult, now: Micros) {
         self.slowest_barrier = self.slowest_barrier.max(now.since(self.barrier_sent_at));
         let count = match result {
-            CallResult::Answer { status: 200, .. } => &mut self.barriers.proved,
-            CallResult::Answer { status: 429, .. } => &mut self.barriers.limited,
-            CallResult::Answer { status: 410, .. } => &mut self.barriers.too_old,
-            CallResult::Answer { .. } => &mut self.barriers.refused,
+            CallResult::Response { status: 200, .. } => &mut self.barriers.proved,
+            CallResult::Response { status: 429, .. } => &mut self.barriers.limited,
+            CallResult::Response { status: 410, .. } => &mut self.barriers.too_old,
+            CallResult::Response { .. } => &mut self.barriers.refused,
             CallResult::NotSent | CallResult::Unknown => &mut self.barriers.unanswered,
         };
         *count += 1;
--- a/crates/core/tests/record_compatibility.rs
+++ b/crates/core/tests/record_compatibility.rs
@@ -448,7 +448,7 @@
 
 #[test]
 fn the_reader_of_production_reads_relayed_messages() {
-    let message = Message::BooksTaken { term: 7, seq: 1000 };
+    let message = Message::PlacementLogAck { term: 7, seq: 1000 };
     let want = Envelope { from: NodeId(3), incarnation: 0x0102_0304_0506_0708, message };
     assert_eq!(opened(MAIL.iter().map(|(key, text)| ((*key).to_owned(), parse(text)))), vec![want]);
 }
@@ -467,7 +467,7 @@
         text += &more;
         if part + 1 == parts {
             let packed = BASE64.decode(text.as_bytes()).unwrap();
-            whole.push(Envelope::unpack(&packed).expect("an envelope of production's version"));
+            whole.push(Envelope::from_bytes(&packed).expect("an envelope of production's version"));
         }
     }
     whole
@@ -507,7 +507,7 @@
                 if let Output::Call { id, call } = output
                     && let Some(result) = self.answer(&call)
                 {
-                    outputs.extend(self.input(Input::Called { id, result }));
+                    outputs.extend(self.input(Input::CallCompleted { id, result }));
                 }
             }
         }
@@ -542,7 +542,7 @@
             }
             _ => json!({}),
         };
-        Some(CallResult::Answer { status: 200, body: body.to_string().into_bytes() })
+        Some(CallResult::Response { status: 200, body: body.to_string().into_bytes() })
     }
 }
 
