--- a/crates/core/src/leader/cancelled.rs
+++ b/crates/core/src/leader/cancelled.rs
@@ -45,8 +45,8 @@
     /// Whether one of these controllers may still order the start of a bound task.
     fn start_is_possible(&self, task: TaskId, b: &Binding, unaware: &[NodeId]) -> bool {
         // An assignment of an earlier term belongs to no controller in this one.
-        let handed_to = self.pending_assignments.get(&b.attempt).map(|h| h.to);
-        if b.handed.is_some() && handed_to.is_none_or(|n| unaware.contains(&n)) {
+        let assigned_to = self.pending_assignments.get(&b.attempt).map(|h| h.to);
+        if b.handed.is_some() && assigned_to.is_none_or(|n| unaware.contains(&n)) {
             return true;
         }
         b.on.iter().filter_map(|id| self.machines.get(id)).any(|m| {
--- a/crates/core/src/leader/messages.rs
+++ b/crates/core/src/leader/messages.rs
@@ -59,9 +59,9 @@
         node.update_due = false;
         node.ack_due = false;
         let base = if node.acked_update < self.min_update_base { 0 } else { node.acked_update };
-        let (incarnation, ack) = (node.incarnation, node.sync_seq);
+        let (incarnation, acked_sync) = (node.incarnation, node.sync_seq);
         let mut block = Vec::new();
-        let mut elsewhere = Vec::new();
+        let mut not_in_block = Vec::new();
         for (id, m) in self.machines.iter().filter(|(_, m)| base == 0 || m.changed_in > base) {
             if m.holder == Some(to) {
                 let draining = m.draining.is_some() || m.stage == Stage::Deleting;
@@ -72,11 +72,11 @@
                     draining,
                 });
             } else {
-                elsewhere.push((id.clone(), m.holder));
+                not_in_block.push((id.clone(), m.holder));
             }
         }
         let deleted = self.deleted_machines.iter().filter(|(_, (_, stamp))| base > 0 && *stamp > base);
-        elsewhere.extend(deleted.map(|(id, _)| (id.clone(), None)));
+        not_in_block.extend(deleted.map(|(id, _)| (id.clone(), None)));
         let held = |id: &MachineId| self.machines.get(id).is_some_and(|m| m.holder == Some(to));
         // Without a confirmed lease no task is assigned and no block lease renewed. Nor is an
         // assignment sent that a replica may lack.
@@ -102,10 +102,10 @@
             seq,
             base,
             incarnation,
-            acked_sync: ack,
+            acked_sync,
             lease: if lease_ok { self.config.operator.block_lease } else { Micros(0) },
             block,
-            not_in_block: elsewhere,
+            not_in_block,
             assignments: assignments.into_iter().map(|(h, _)| h).collect(),
             stops: self
                 .pending_stops
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -134,32 +134,13 @@
     /// The content of a `Sync`, and the term of the leader that it is meant for; `None` for
     /// any other message.
     pub fn of(m: &'a Message) -> Option<(u64, SyncView<'a>)> {
-        let Message::Sync {
-            term,
-            seq,
-            base,
-            acked_update: seen,
-            machines,
-            contacts: heard,
-            unleased_reports: strangers,
-            outcomes,
-        } = m
+        let Message::Sync { term, seq, base, acked_update, machines, contacts, unleased_reports, outcomes } =
+            m
         else {
             return None;
         };
-        let (seq, base, seen) = (*seq, *base, *seen);
-        Some((
-            *term,
-            SyncView {
-                seq,
-                base,
-                acked_update: seen,
-                machines,
-                contacts: heard,
-                unleased_reports: strangers,
-                outcomes,
-            },
-        ))
+        let (seq, base, acked_update) = (*seq, *base, *acked_update);
+        Some((*term, SyncView { seq, base, acked_update, machines, contacts, unleased_reports, outcomes }))
     }
 }
 
--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -886,8 +886,8 @@
 #[test]
 fn copies_of_heartbeats_prove_nothing() {
     let sizes = MachineSizes::from([("big".into(), Resources::have(8.0, 0.0, 32.0))]);
-    let rec = |build: &str| MachineRecord {
-        build: build.into(),
+    let rec = |machine_type: &str| MachineRecord {
+        build: machine_type.into(),
         zone: "east".into(),
         spot: false,
         addr: "a:1".into(),
@@ -903,14 +903,14 @@
         ("m9", "big", no(7), false, true, false),
         ("m9", "big", no(7), true, true, true),
     ];
-    for (i, (id, build, report, asked, counts, known)) in cases.into_iter().enumerate() {
+    for (i, (id, machine_type, report, probed, counts, known)) in cases.into_iter().enumerate() {
         let mut b = Harness::new(1);
         b.confirm("m0", &[]);
-        let s = UnleasedReport { id: m(id), report, probed: asked };
-        b.leader.apply_unleased_report(B, &s, &rec(build), &sizes, b.now);
+        let s = UnleasedReport { id: m(id), report, probed };
+        b.leader.apply_unleased_report(B, &s, &rec(machine_type), &sizes, b.now);
         let seen = b.leader.last_seen.get(&m(id)).is_some_and(|(n, _)| *n == B);
         assert_eq!((seen, b.leader.machines.contains_key(&m(id))), (counts, known), "case {i}");
-        if id == "m9" && !asked {
+        if id == "m9" && !probed {
             // The heartbeat is not trusted: the machine is probed.
             assert_eq!(b.leader.probes, [(B, m("m9"), "a:1".to_owned())]);
         }
--- a/crates/core/src/leader/tests/lateness.rs
+++ b/crates/core/src/leader/tests/lateness.rs
@@ -58,9 +58,9 @@
     };
     let (to, outcome) = b.leader.pending_assignments.values().map(placed).next().unwrap();
     b.sync(to, &[], &[outcome]);
-    let report = |b: &Harness, obeys| {
+    let report = |b: &Harness, acknowledges_commands| {
         let task = (task(100, 0), b.attempt(task(100, 0)).unwrap(), TaskState::Running);
-        MachineState { acknowledges_commands: obeys, ..b.state("m0", b.token("m0"), &[task]) }
+        MachineState { acknowledges_commands, ..b.state("m0", b.token("m0"), &[task]) }
     };
     let unacknowledged = report(&b, false);
     b.sync(to, &[unacknowledged], &[]);
