--- a/crates/core/src/leader/assignments.rs
+++ b/crates/core/src/leader/assignments.rs
@@ -24,7 +24,7 @@
     /// Machines on which it may have been started: the block at the time of the assignment,
     /// shared by all assignments of that time.
     pub(super) candidates: Rc<BTreeSet<MachineId>>,
-    pub(super) hint: MachineId,
+    pub(super) preferred_machine: MachineId,
     pub(super) zone: String,
     /// The machine at which it is watched; `None` if its block is empty.
     pub(super) watched_at: Option<MachineId>,
--- a/crates/core/src/leader/bindings.rs
+++ b/crates/core/src/leader/bindings.rs
@@ -354,7 +354,7 @@
             } else if let Some(unresolved) = b.handed.take() {
                 self.unresolved_tasks.remove(task, &unresolved);
                 self.placement_log.record_change(task);
-                released.push((task, b.attempt, unresolved.hint));
+                released.push((task, b.attempt, unresolved.preferred_machine));
             }
         }
         for (task, attempt, hint) in released {
--- a/crates/core/src/leader/log_replication.rs
+++ b/crates/core/src/leader/log_replication.rs
@@ -46,7 +46,7 @@
             };
             let unresolved = b.handed.as_ref().map(|h| {
                 let zone = run.spec.has_zone_rule().then(|| h.zone.clone());
-                (h.hint.clone(), zone)
+                (h.preferred_machine.clone(), zone)
             });
             let starting = b.on.iter().any(|id| {
                 let state = self.machines.get(id).and_then(|m| m.tasks.get(task)).map(|t| t.1);
@@ -148,7 +148,7 @@
                     // No process: no controller reports its outcome to this term.
                     incarnation: 0,
                     candidates: block.clone(),
-                    hint: hint.clone(),
+                    preferred_machine: hint.clone(),
                     zone: zone.clone().or(at_hint).unwrap_or_default(),
                     watched_at: first_candidate(block, &spec, e.attempt, &self.machines),
                 }
--- a/crates/core/src/leader/schedule.rs
+++ b/crates/core/src/leader/schedule.rs
@@ -364,7 +364,7 @@
         let handed = UnresolvedAssignment {
             incarnation,
             candidates: machines,
-            hint: hint.clone(),
+            preferred_machine: hint.clone(),
             zone,
             watched_at: watched,
         };
