--- a/crates/core/src/leader/bindings.rs
+++ b/crates/core/src/leader/bindings.rs
@@ -357,9 +357,9 @@
                 released.push((task, b.attempt, unresolved.preferred_machine));
             }
         }
-        for (task, attempt, hint) in released {
+        for (task, attempt, preferred) in released {
             self.pending_assignments.remove(&attempt);
-            if let Some(m) = self.machines.get_mut(&hint) {
+            if let Some(m) = self.machines.get_mut(&preferred) {
                 m.reserved.remove(&attempt);
             }
             self.release_if_unplaced(task);
--- a/crates/core/src/leader/log_replication.rs
+++ b/crates/core/src/leader/log_replication.rs
@@ -137,19 +137,19 @@
             // A machine without a record is deleted: only a deleted machine loses its record.
             let on: BTreeSet<MachineId> =
                 e.machines.iter().filter(|id| self.machines.contains_key(*id)).cloned().collect();
-            let unresolved = e.unresolved_assignment.as_ref().map(|(hint, zone)| {
+            let unresolved = e.unresolved_assignment.as_ref().map(|(preferred, zone)| {
                 let block = blocks.entry(zone).or_insert_with(|| {
                     let in_zone = |m: &Machine| zone.as_ref().is_none_or(|z| *z == m.zone);
                     let all = self.machines.iter().filter(|(_, m)| in_zone(m));
                     Rc::new(all.map(|(id, _)| id.clone()).collect())
                 });
-                let at_hint = self.machines.get(hint).map(|m| m.zone.clone());
+                let preferred_zone = self.machines.get(preferred).map(|m| m.zone.clone());
                 UnresolvedAssignment {
                     // No process: no controller reports its outcome to this term.
                     incarnation: 0,
                     candidates: block.clone(),
-                    preferred_machine: hint.clone(),
-                    zone: zone.clone().or(at_hint).unwrap_or_default(),
+                    preferred_machine: preferred.clone(),
+                    zone: zone.clone().or(preferred_zone).unwrap_or_default(),
                     watched_at: first_candidate(block, &spec, e.attempt, &self.machines),
                 }
             });
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -177,7 +177,7 @@
     /// Its term.
     pub term: u64,
     config: LeaderConfig,
-    epoch: u64,
+    token_sequence: u64,
     term_start: Micros,
     term_start_wall_ms: u64,
     /// Revision of the leader's key: no earlier leader assigned tasks of jobs recorded later.
@@ -286,7 +286,7 @@
         let mut l = Leader {
             term,
             config: ctx,
-            epoch: 0,
+            token_sequence: 0,
             term_start: now,
             term_start_wall_ms: wall_ms,
             leader_key_revision,
@@ -437,13 +437,13 @@
 
     /// A fencing token that was never used before in this deployment.
     fn next_token(&mut self) -> u64 {
-        self.epoch += 1;
-        Baton::new(self.term, self.epoch).0
+        self.token_sequence += 1;
+        Baton::new(self.term, self.token_sequence).0
     }
 
     /// Whether the term's fencing tokens are nearly used up, so the leader must step down.
     pub fn tokens_exhausted(&self) -> bool {
-        self.epoch + 100_000 >= 1 << EPOCH_BITS
+        self.token_sequence + 100_000 >= 1 << EPOCH_BITS
     }
 
     /// Applies a changed job record.
--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -584,8 +584,9 @@
         }
         b.pass_idle(2 * seconds);
         let run = &b.leader.jobs[&JobId(1)];
-        let hint = run.bound.get(&0).and_then(|x| x.handed.as_ref()).map(|h| h.preferred_machine.to_string());
-        assert_eq!(hint.as_deref(), want, "{machines} machines, proven {proven}, {seconds} s");
+        let preferred =
+            run.bound.get(&0).and_then(|x| x.handed.as_ref()).map(|h| h.preferred_machine.to_string());
+        assert_eq!(preferred.as_deref(), want, "{machines} machines, proven {proven}, {seconds} s");
     }
 }
 
