--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -52,7 +52,7 @@
     /// doesn't help it.
     pub starving: bool,
     /// Nothing of it runs, and it has waited for a while: where no spot machine
-    /// can be had, it may get one of `Policy::ordinary_for_arrays`.
+    /// can be had, it may get one of `Policy::on_demand_for_arrays`.
     pub thirsty: bool,
     /// The job's tasks on machines, by zone.
     pub zones: BTreeMap<String, u32>,
@@ -80,7 +80,7 @@
     pub max_new: usize,
     /// Ordinary machines that may be added for arrays that could run on spot
     /// ones, while there are none of these.
-    pub ordinary_for_arrays: usize,
+    pub on_demand_for_arrays: usize,
     /// CPUs of room for replicas that should be there in each zone, in
     /// thousandths: those that come don't wait for a machine to boot.
     pub spare: BTreeMap<String, u64>,
@@ -103,7 +103,7 @@
         *zone_cpu.entry(r.zone.clone()).or_default() += r.size.cpu;
     }
     rooms.retain(|r| r.free.cpu > 0 || r.lent > 0 && !r.spot);
-    let mut nowhere = Nowhere::default();
+    let mut nowhere = UnplaceableNeeds::default();
     for d in demands {
         let mut zones = d.zones.clone();
         let left = d.waiting - fill(&mut rooms, &zone_cpu, &mut nowhere, &d.spec, &mut zones, d.waiting);
@@ -123,7 +123,7 @@
         .map(|(s, n, ..)| *n as f64 * s.estimate_s.max(1.0))
         .sum();
     let mut slots = (work / policy.drain_s).ceil() - policy.running_arrays - placed_arrays;
-    let mut ordinary_left = policy.ordinary_for_arrays;
+    let mut ordinary_left = policy.on_demand_for_arrays;
     for (spec, mut left, mut zones, starving, thirsty) in unmet {
         if spec.kind == Kind::Array {
             if slots <= 0.0 && !starving {
@@ -147,7 +147,7 @@
                 .iter()
                 .filter(|o| !o.refused && spec.allows(&o.build, &o.zone, o.spot, &o.size))
                 .filter(|o| o.spot || ordinary)
-                .filter(|o| zone_ok(&spec, &o.zone, &zones))
+                .filter(|o| zone_allows_task(&spec, &o.zone, &zones))
                 .map(|o| {
                     let k = o.size.count(&spec.need, 10_000).max(1);
                     let used = k.min((left as u64).max(k.div_ceil(4)));
@@ -193,7 +193,7 @@
 }
 
 /// Whether another task of the job may go to `zone`.
-pub fn zone_ok(spec: &JobSpec, zone: &str, zones: &BTreeMap<String, u32>) -> bool {
+pub fn zone_allows_task(spec: &JobSpec, zone: &str, zones: &BTreeMap<String, u32>) -> bool {
     let here = zones.get(zone).copied().unwrap_or(0);
     let elsewhere = zones.iter().any(|(z, n)| z != zone && *n > 0);
     !(spec.one_zone && elsewhere) && here < spec.zone_cap()
@@ -202,9 +202,9 @@
 /// Needs that no room fits: as rooms only get smaller, a task that takes as much
 /// or more need not be tried.
 #[derive(Debug, Default)]
-struct Nowhere(Vec<Resources>);
+struct UnplaceableNeeds(Vec<Resources>);
 
-impl Nowhere {
+impl UnplaceableNeeds {
     fn covers(&self, need: &Resources) -> bool {
         self.0.iter().any(|n| need.fits(n))
     }
@@ -223,7 +223,7 @@
 fn fill(
     rooms: &mut [Room],
     zone_cpu: &BTreeMap<String, u64>,
-    nowhere: &mut Nowhere,
+    nowhere: &mut UnplaceableNeeds,
     spec: &JobSpec,
     zones: &mut BTreeMap<String, u32>,
     left: u32,
@@ -269,7 +269,7 @@
 
 /// Puts up to `left` tasks of the job into one room.
 fn put(room: &mut Room, spec: &JobSpec, zones: &mut BTreeMap<String, u32>, left: u32) -> u32 {
-    if !zone_ok(spec, &room.zone, zones) {
+    if !zone_allows_task(spec, &room.zone, zones) {
         return 0;
     }
     let here = zones.get(&room.zone).copied().unwrap_or(0);
@@ -302,7 +302,7 @@
     }
 
     fn policy(running_arrays: f64, spare: BTreeMap<String, u64>) -> Policy {
-        Policy { drain_s: 30.0, running_arrays, max_new: 50, ordinary_for_arrays: 0, spare }
+        Policy { drain_s: 30.0, running_arrays, max_new: 50, on_demand_for_arrays: 0, spare }
     }
 
     #[test]
@@ -318,7 +318,7 @@
         ];
         for (i, (offers, thirsty, allowed, want)) in cases.into_iter().enumerate() {
             let d = Demand { thirsty, ..demand("array", 8, 4.0, true, false) };
-            let p = Policy { ordinary_for_arrays: allowed, ..policy(0.0, BTreeMap::new()) };
+            let p = Policy { on_demand_for_arrays: allowed, ..policy(0.0, BTreeMap::new()) };
             let got = plan(Vec::new(), &[d], &offers, &p);
             assert_eq!(got.values().sum::<u32>(), want, "case {i}: {got:?}");
         }
--- a/crates/core/src/leader/deaf.rs
+++ b/crates/core/src/leader/deaf.rs
@@ -7,17 +7,17 @@
 
 /// A doubt that lasted longer was no lost packet: the machine is trusted again only
 /// after a pause, twice as long each time.
-const EPISODE: Micros = Micros::secs(8);
-const FIRST_PAUSE: u64 = 2;
+const MIN_EPISODE_DURATION: Micros = Micros::secs(8);
+const TRUST_PAUSE_BASE_S: u64 = 2;
 /// Others ask a machine after so much doubt; so often in vain, and it hears nothing.
-const ASKED_WHEN: Micros = Micros::secs(2);
-const IN_VAIN: u32 = 3;
+const DOUBT_BEFORE_PROBE: Micros = Micros::secs(2);
+const MIN_UNANSWERED_PROBES: u32 = 3;
 /// A machine of which nothing came for longer is silent, which is judged elsewhere.
-const ALIVE: Micros = Micros::secs(12);
+const SILENCE_TIMEOUT: Micros = Micros::secs(12);
 /// One machine in so many, and never fewer than two, may be deleted for this in
-/// `BUDGET_OF`.
-const BUDGET: usize = 20;
-const BUDGET_OF: Micros = Micros::secs(10);
+/// `DELETION_WINDOW`.
+const MACHINES_PER_DELETION: usize = 20;
+const DELETION_WINDOW: Micros = Micros::secs(10);
 
 /// Whether a machine hears what it is told.
 #[derive(Debug)]
@@ -25,9 +25,9 @@
     /// Its last report to its holder shows it.
     pub obeys: bool,
     /// When it last did.
-    obeyed: Micros,
+    last_acknowledged: Micros,
     /// Since when it is in doubt, and how often it was asked since.
-    doubted: Option<Micros>,
+    unacknowledged_since: Option<Micros>,
     asked: u32,
     asked_at: Micros,
     episodes: u32,
@@ -39,8 +39,8 @@
     pub(super) fn new(now: Micros) -> Self {
         Hearing {
             obeys: true,
-            obeyed: now,
-            doubted: None,
+            last_acknowledged: now,
+            unacknowledged_since: None,
             asked: 0,
             asked_at: Micros(0),
             episodes: 0,
@@ -55,7 +55,7 @@
             self.shown(at, now);
         } else {
             // Since it came: what comes between that and its being told ends the doubt.
-            self.doubted.get_or_insert(at);
+            self.unacknowledged_since.get_or_insert(at);
         }
     }
 
@@ -64,25 +64,25 @@
         if asked {
             self.shown(now, now);
         } else if elsewhere {
-            self.doubted.get_or_insert(now);
+            self.unacknowledged_since.get_or_insert(now);
         }
     }
 
     /// It showed at `at` that it hears. What was shown before the doubt ends none.
     fn shown(&mut self, at: Micros, now: Micros) {
-        self.obeyed = self.obeyed.max(at);
-        let Some(since) = self.doubted.filter(|since| at >= *since) else { return };
-        self.doubted = None;
+        self.last_acknowledged = self.last_acknowledged.max(at);
+        let Some(since) = self.unacknowledged_since.filter(|since| at >= *since) else { return };
+        self.unacknowledged_since = None;
         self.asked = 0;
-        if now.since(since) > EPISODE {
+        if now.since(since) > MIN_EPISODE_DURATION {
             self.episodes += 1;
-            self.trusted_at = now + Micros::secs(FIRST_PAUSE << self.episodes.min(5));
+            self.trusted_at = now + Micros::secs(TRUST_PAUSE_BASE_S << self.episodes.min(5));
         }
     }
 
     /// Whether others should ask it for this doubt: the last question had its time.
     pub(super) fn ask_due(&self, now: Micros) -> bool {
-        self.doubted_for(ASKED_WHEN, now) && now.since(self.asked_at) > ASK_TIMEOUT
+        self.unacknowledged_for(DOUBT_BEFORE_PROBE, now) && now.since(self.asked_at) > ASK_TIMEOUT
     }
 
     /// It is asked by others.
@@ -94,8 +94,8 @@
     }
 
     /// Whether it has been in doubt for so long.
-    pub(super) fn doubted_for(&self, span: Micros, now: Micros) -> bool {
-        self.doubted.is_some_and(|t| now.since(t) > span)
+    pub(super) fn unacknowledged_for(&self, span: Micros, now: Micros) -> bool {
+        self.unacknowledged_since.is_some_and(|t| now.since(t) > span)
     }
 }
 
@@ -116,31 +116,35 @@
         let mut held: BTreeMap<NodeId, (usize, usize)> = BTreeMap::new();
         let (mut up, mut any) = (0, false);
         for m in self.machines.values().filter(|m| m.stage == Stage::Up) {
-            let doubted = m.hearing.doubted.is_some();
-            (up, any) = (up + 1, any || doubted);
+            let unacknowledged_since = m.hearing.unacknowledged_since.is_some();
+            (up, any) = (up + 1, any || unacknowledged_since);
             if let Some(h) = m.holder {
                 let (n, of) = held.entry(h).or_default();
-                (*n, *of) = (*n + doubted as usize, *of + 1);
+                (*n, *of) = (*n + unacknowledged_since as usize, *of + 1);
             }
         }
         if !any {
             return;
         }
-        while self.deaf_gone.front().is_some_and(|t| now.since(*t) > BUDGET_OF) {
+        while self.deaf_gone.front().is_some_and(|t| now.since(*t) > DELETION_WINDOW) {
             self.deaf_gone.pop_front();
         }
-        let left = (up / BUDGET).max(2).saturating_sub(self.deaf_gone.len());
+        let left = (up / MACHINES_PER_DELETION).max(2).saturating_sub(self.deaf_gone.len());
         let mut doomed = Vec::new();
         for (id, m) in &self.machines {
             let h = &m.hearing;
             let last = m.heard.max(self.last_seen.get(id).map(|x| x.1));
-            let alive = last.is_some_and(|t| now.since(t) < ALIVE);
+            let alive = last.is_some_and(|t| now.since(t) < SILENCE_TIMEOUT);
             // The last question may still be answered.
-            if m.stage != Stage::Up || h.doubted.is_none() || !alive || h.asked <= IN_VAIN {
+            if m.stage != Stage::Up
+                || h.unacknowledged_since.is_none()
+                || !alive
+                || h.asked <= MIN_UNANSWERED_PROBES
+            {
                 continue;
             }
             let limit = if m.bound.is_empty() { lease.scale(2, 1) } else { lease.scale(7, 10) };
-            let span = now.since(self.lateness.silent_from(h.obeyed));
+            let span = now.since(self.lateness.silent_from(h.last_acknowledged));
             // Where most machines of a controller hear nothing, it is its way out that
             // is cut: others take them.
             let of_holder = m.holder.and_then(|h| held.get(&h)).copied().unwrap_or_default();
@@ -180,9 +184,13 @@
             (|h, t| h.told(true, t, t), 50, false, 58),
         ];
         let mut h = Hearing::new(s(0));
-        for (i, (step, at, doubted, trusted)) in steps.into_iter().enumerate() {
+        for (i, (step, at, unacknowledged_since, trusted)) in steps.into_iter().enumerate() {
             step(&mut h, s(at));
-            assert_eq!((h.doubted.is_some(), h.trusted_at), (doubted, s(trusted)), "step {i}");
+            assert_eq!(
+                (h.unacknowledged_since.is_some(), h.trusted_at),
+                (unacknowledged_since, s(trusted)),
+                "step {i}"
+            );
         }
     }
 }
--- a/crates/core/src/leader/growth.rs
+++ b/crates/core/src/leader/growth.rs
@@ -13,26 +13,26 @@
 pub const LIST_PAUSE: Micros = Micros::secs(2);
 /// One in so many of the cloud's calls may be for a page of its list: what is to be
 /// deleted and rented goes first, and more machines make more pages.
-const LIST_PART: f64 = 4.0;
+const CALLS_PER_LIST_PAGE: f64 = 4.0;
 /// Rentals open at a time where the cloud takes few calls.
-const OPEN_RENTALS: usize = 6;
+const MIN_OPEN_RENTALS: usize = 6;
 /// A decision adds one machine for so many that there are, and at least as many as a
 /// rental request takes.
-const ADDED_PART: usize = 24;
+const MACHINES_PER_ADDED_MACHINE: usize = 24;
 
 /// The least time between pages of the cloud's list.
-pub fn list_page_pause(calls_a_second: f64) -> Micros {
-    Micros::from_secs_f64(LIST_PART / calls_a_second.max(0.1)).min(LIST_PAUSE)
+pub fn list_page_interval(calls_a_second: f64) -> Micros {
+    Micros::from_secs_f64(CALLS_PER_LIST_PAGE / calls_a_second.max(0.1)).min(LIST_PAUSE)
 }
 
 /// Rentals that may be open at a time: what the cloud takes in a second.
-pub fn open_rentals(calls_a_second: f64) -> usize {
-    (calls_a_second as usize).max(OPEN_RENTALS)
+pub fn max_open_rentals(calls_a_second: f64) -> usize {
+    (calls_a_second as usize).max(MIN_OPEN_RENTALS)
 }
 
 /// Machines that one decision may add to so many.
-pub fn machines_added(machines: usize) -> usize {
-    (machines / ADDED_PART).max(MACHINES_A_RENTAL as usize)
+pub fn max_machines_added(machines: usize) -> usize {
+    (machines / MACHINES_PER_ADDED_MACHINE).max(MACHINES_A_RENTAL as usize)
 }
 
 #[cfg(test)]
@@ -43,12 +43,12 @@
     fn bounds_grow_with_the_fleet_and_stay_within_the_clouds() {
         // (machines, most added by a decision)
         for (machines, added) in [(0, 50), (1_200, 50), (4_000, 166), (6_000, 250)] {
-            assert_eq!(machines_added(machines), added, "{machines} machines");
+            assert_eq!(max_machines_added(machines), added, "{machines} machines");
         }
         // (calls a second, rentals open, milliseconds between pages)
         for (calls, open, pause) in [(0.5, 6, 2_000), (5.0, 6, 800), (15.0, 15, 266)] {
-            assert_eq!(open_rentals(calls), open, "{calls} calls");
-            assert_eq!(list_page_pause(calls).0 / 1000, pause, "{calls} calls");
+            assert_eq!(max_open_rentals(calls), open, "{calls} calls");
+            assert_eq!(list_page_interval(calls).0 / 1000, pause, "{calls} calls");
         }
     }
 }
--- a/crates/core/src/leader/health.rs
+++ b/crates/core/src/leader/health.rs
@@ -7,12 +7,12 @@
 use std::collections::BTreeMap;
 
 /// The silence of fewer machines says nothing about their zone.
-const ENOUGH: u32 = 3;
+const MIN_MACHINES_FOR_EVIDENCE: u32 = 3;
 /// Machines that may boot in a closed zone: one at first, twice as many after
-/// each `PROBE_EVERY`, up to this.
+/// each `PROBE_DOUBLING_INTERVAL`, up to this.
 pub const MOST_PROBES: u32 = 8;
 /// How long a closed zone's allowance of probes stays as it is.
-const PROBE_EVERY: Micros = Micros::secs(10);
+const PROBE_DOUBLING_INTERVAL: Micros = Micros::secs(10);
 
 /// What there is of a zone, and when it was last heard.
 #[derive(Debug, Clone, Copy, Default)]
@@ -59,7 +59,7 @@
             !open
         });
         for (zone, sight) in sights {
-            if sight.up < ENOUGH || self.closed.contains_key(zone) {
+            if sight.up < MIN_MACHINES_FOR_EVIDENCE || self.closed.contains_key(zone) {
                 continue;
             }
             let silent = now.since(sight.heard.unwrap_or(began).max(began));
@@ -88,7 +88,7 @@
     /// How many machines may boot in a zone; no bound while it is open.
     pub fn allowed(&self, zone: &str, now: Micros) -> Option<u32> {
         let since = self.closed.get(zone)?;
-        let steps = now.since(*since).0 / PROBE_EVERY.0;
+        let steps = now.since(*since).0 / PROBE_DOUBLING_INTERVAL.0;
         Some(1u32.checked_shl(steps.min(31) as u32).unwrap_or(u32::MAX).min(MOST_PROBES))
     }
 }
--- a/crates/core/src/leader/machines.rs
+++ b/crates/core/src/leader/machines.rs
@@ -3,18 +3,18 @@
 
 /// An array of which nothing runs has waited for a while after this, in
 /// milliseconds.
-const THIRSTY_MS: u64 = 30_000;
+const ON_DEMAND_WAIT_MS: u64 = 30_000;
 /// One in so many ordinary machines may hold nothing but arrays while spot ones
 /// are sold out.
-const ORDINARY_PART: usize = 2;
+const ON_DEMAND_PER_ARRAY_MACHINE: usize = 2;
 /// Spot machines are sold out when in so long a time only a few could be had for
 /// what waits.
-const SOLD_OUT: Micros = Micros::secs(60);
+const SPOT_SOLD_OUT_WINDOW: Micros = Micros::secs(60);
 /// Waiting tasks for each spot machine that was had meanwhile.
-const FEW: usize = 4;
+const PENDING_PER_SPOT_RENTAL: usize = 4;
 /// While spot machines are more than one in so many of the CPUs of ordinary ones, work
 /// that waits for them gets its turn there: a small deployment has few at any time.
-const SPOT_THERE: u64 = 10;
+const ON_DEMAND_TO_SPOT_CPU_RATIO: u64 = 10;
 
 impl Leader {
     /// Decides what to rent and return; what to ask the cloud now.
@@ -27,17 +27,17 @@
             let passed = now.since(self.measured);
             self.measured = now;
             self.fleet_at = now + Micros::millis(400);
-            self.measure();
+            self.refresh_usage();
             for m in self.machines.values_mut() {
                 m.busy += m.used.cpu as u128 * passed.0 as u128;
             }
-            self.drain_warned(now);
+            self.save_tasks_before_reclaim(now);
             let suspects = self.machines.iter().filter(|(_, m)| !m.failed_jobs.is_empty());
             let suspects: Vec<MachineId> = suspects.map(|(id, _)| id.clone()).collect();
             suspects.iter().for_each(|id| self.take_out_if_guilty(id));
-            self.watch_zones(now);
-            self.return_idle(flavors, now);
-            self.tell_waits(now);
+            self.update_zone_health(now);
+            self.delete_idle(flavors, now);
+            self.log_longest_pending(now);
             if now >= self.rent_not_before {
                 self.plan_hires(flavors, now);
             }
@@ -55,7 +55,7 @@
             }
         }
         let pause = match self.list_from {
-            Some(_) => growth::list_page_pause(self.ctx.cloud_rps),
+            Some(_) => growth::list_page_interval(self.ctx.cloud_rps),
             None => growth::LIST_PAUSE,
         };
         if !self.listing && now.since(self.listed) >= pause {
@@ -199,7 +199,7 @@
     }
 
     /// Closes zones of which nothing is heard, and opens them again.
-    fn watch_zones(&mut self, now: Micros) {
+    fn update_zone_health(&mut self, now: Micros) {
         let mut sights: BTreeMap<String, Sight> = BTreeMap::new();
         for (id, m) in &self.machines {
             let seen = self.last_seen.get(id).map(|x| x.1);
@@ -236,7 +236,7 @@
         Some(allowed.saturating_sub(booting as u32 + asked))
     }
 
-    pub(super) fn drain_warned(&mut self, now: Micros) {
+    pub(super) fn save_tasks_before_reclaim(&mut self, now: Micros) {
         // Work that can be saved is saved before the cloud takes the machine.
         let mut stops = Vec::new();
         for (id, m) in &self.machines {
@@ -266,7 +266,7 @@
         });
     }
 
-    pub(super) fn return_idle(&mut self, flavors: &[Flavor], now: Micros) {
+    pub(super) fn delete_idle(&mut self, flavors: &[Flavor], now: Micros) {
         let mut back = Vec::new();
         let waiting = self.jobs.values().any(|r| !r.over && !r.held && r.waiting() > 0);
         // Room for replicas that come, by zone: ordinary machines only.
@@ -274,7 +274,7 @@
         for m in self.machines.values().filter(|m| !m.spot && m.usable()) {
             *spare.entry(m.zone.clone()).or_default() += m.free().cpu;
         }
-        let targets = self.spare_targets(now);
+        let targets = self.spare_cpu_targets(now);
         let least = (self.ctx.operator.spare_cpus * 1000.0) as u64;
         let list: Vec<MachineId> = self.machines.keys().cloned().collect();
         for id in list {
@@ -327,7 +327,7 @@
     /// for the largest service there is, and for what comes while a machine
     /// boots, as far as the last minute tells; never more than a tenth of what
     /// runs, or a start from nothing would be taken for the usual flow.
-    fn spare_targets(&self, now: Micros) -> BTreeMap<String, u64> {
+    fn spare_cpu_targets(&self, now: Micros) -> BTreeMap<String, u64> {
         let least = (self.ctx.operator.spare_cpus * 1000.0) as u64;
         let all = self.machines.values().map(|m| &m.zone);
         let zones: BTreeSet<&String> = all.filter(|z| !self.health.is_closed(z)).collect();
@@ -350,7 +350,7 @@
     }
 
     pub(super) fn plan_hires(&mut self, flavors: &[Flavor], now: Micros) {
-        let open = growth::open_rentals(self.ctx.cloud_rps);
+        let open = growth::max_open_rentals(self.ctx.cloud_rps);
         if self.hires.len() >= open {
             return;
         }
@@ -383,7 +383,7 @@
             .values()
             .filter(|m| m.draining.is_none() && m.warning.is_none() && !self.health.is_closed(&m.zone))
             .filter(|m| m.stage == Stage::Booting || (m.stage == Stage::Up && (m.confirmed || !m.unknown)))
-            .filter(|m| !m.hearing.doubted_for(Micros::secs(5), now))
+            .filter(|m| !m.hearing.unacknowledged_for(Micros::secs(5), now))
             .filter(|m| {
                 // One that is late may never come.
                 let boot = flavors.iter().find(|f| f.sku == m.build).map_or(60.0, |f| f.boot_s);
@@ -419,38 +419,44 @@
         let mut running = 0.0;
         for r in self.jobs.values() {
             if r.spec.kind == Kind::Array {
-                running += self.ends_soon(r) as f64;
+                running += self.tasks_expected_to_end(r) as f64;
             }
-            let waiting = r.may_start();
+            let waiting = r.startable_tasks();
             // A job that fails wherever it is gets no more machines; one whose
             // attempts are bounded comes to its end the sooner.
             let hopeless = r.failures > 5 && !r.proven && r.spec.attempts.is_none();
-            if waiting == 0 || r.over || r.held || self.blocked(r) || hopeless {
+            if waiting == 0 || r.over || r.held || self.may_run_on_unconfirmed_machine(r) || hopeless {
                 continue;
             }
             let waited = |ms: u64| r.bound.is_empty() && wall_ms > r.ready_ms + ms;
-            let (starving, dry) = (waited(90_000), waited(THIRSTY_MS) && r.spec.kind == Kind::Array);
+            let (starving, dry) = (waited(90_000), waited(ON_DEMAND_WAIT_MS) && r.spec.kind == Kind::Array);
             thirsty += if dry { waiting as usize } else { 0 };
             list.push((
                 r.urgency.rank,
                 r.order(wall_ms, slots),
-                Demand { spec: r.spec.clone(), waiting, starving, thirsty: dry, zones: self.zones_of(r) },
+                Demand {
+                    spec: r.spec.clone(),
+                    waiting,
+                    starving,
+                    thirsty: dry,
+                    zones: self.tasks_per_zone(r),
+                },
             ));
         }
         list.sort_by_key(|(rank, order, d)| (std::cmp::Reverse(*rank), *order, d.spec.id));
         let mut demands: Vec<Demand> = list.into_iter().map(|x| x.2).collect();
         self.keep_to_limits(&mut demands);
         let policy = Policy {
-            spare: self.spare_targets(now),
+            spare: self.spare_cpu_targets(now),
             drain_s: 20.0,
             running_arrays: running,
-            ordinary_for_arrays: self.ordinary_for_arrays(thirsty, now),
+            on_demand_for_arrays: self.on_demand_for_arrays(thirsty, now),
             max_new: self
                 .ctx
                 .operator
                 .max_machines
                 .saturating_sub(self.machines.len())
-                .min(growth::machines_added(self.machines.len())),
+                .min(growth::max_machines_added(self.machines.len())),
         };
         let full = policy.max_new == 0 && !demands.is_empty();
         if std::mem::replace(&mut self.fleet_full, full) != full && full {
@@ -507,31 +513,31 @@
     /// Ordinary machines that may be added for arrays while spot ones are sold
     /// out: with those that hold nothing but arrays now, a part of all that are
     /// there. Replicas that come stop work on these, as on any.
-    fn ordinary_for_arrays(&mut self, thirsty: usize, now: Micros) -> usize {
-        while self.spot_had.front().is_some_and(|(t, _)| now.since(*t) >= SOLD_OUT) {
+    fn on_demand_for_arrays(&mut self, thirsty: usize, now: Micros) -> usize {
+        while self.spot_had.front().is_some_and(|(t, _)| now.since(*t) >= SPOT_SOLD_OUT_WINDOW) {
             self.spot_had.pop_front();
         }
         let had: usize = self.spot_had.iter().map(|(_, n)| n).sum();
-        if thirsty <= had * FEW || now.since(self.began) < SOLD_OUT {
+        if thirsty <= had * PENDING_PER_SPOT_RENTAL || now.since(self.began) < SPOT_SOLD_OUT_WINDOW {
             return 0;
         }
         let cpus = |spot| {
             let there = self.machines.values().filter(|m| m.spot == spot && m.stage == Stage::Up);
             there.map(|m| m.size.cpu).sum::<u64>()
         };
-        if cpus(true) * SPOT_THERE > cpus(false) {
+        if cpus(true) * ON_DEMAND_TO_SPOT_CPU_RATIO > cpus(false) {
             return 0;
         }
         let ordinary = || self.machines.values().filter(|m| !m.spot && m.stage != Stage::Deleting);
         let of_array = |t: &TaskId| self.jobs.get(&t.job).is_some_and(|r| r.spec.kind == Kind::Array);
         let given = ordinary()
             .filter(|m| m.stage == Stage::Booting || !m.tasks.is_empty() && m.tasks.keys().all(of_array));
-        (ordinary().count() / ORDINARY_PART).saturating_sub(given.count())
+        (ordinary().count() / ON_DEMAND_PER_ARRAY_MACHINE).saturating_sub(given.count())
     }
 
     /// Tasks of an array whose ends will be heard: where nothing is heard,
     /// nothing ends.
-    fn ends_soon(&self, r: &Run) -> usize {
+    fn tasks_expected_to_end(&self, r: &Run) -> usize {
         if !self.health.any_closed() {
             return r.bound.len();
         }
--- a/crates/core/src/leader/room.rs
+++ b/crates/core/src/leader/room.rs
@@ -1,7 +1,7 @@
 //! Room on the machines that tasks may be handed to, in order, so that finding
 //! the best machine looks at a few of them and not at the whole fleet.
 //!
-//! Invariant: between `Leader::settle_rooms` and the end of the pass, a machine
+//! Invariant: between `Leader::refresh_placement_index` and the end of the pass, a machine
 //! stands here exactly if tasks may be handed to it, with the room that it has:
 //! whatever takes room meanwhile (`Leader::hand_out`) brings its place up to
 //! date. Between passes places may be out of date, and nobody looks.
@@ -9,7 +9,7 @@
 use std::collections::HashMap;
 
 /// A machine's place: those on which tasks failed come last, then by free CPUs.
-type Place = (bool, u64, MachineId);
+type IndexKey = (bool, u64, MachineId);
 
 /// What a machine's place was worked out from.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -21,19 +21,19 @@
 }
 
 #[derive(Debug)]
-struct KindRooms {
+struct KindIndex {
     build: String,
     zone: String,
     spot: bool,
     size: Resources,
-    all: BTreeSet<Place>,
-    by_image: HashMap<String, BTreeSet<Place>>,
+    all: BTreeSet<IndexKey>,
+    by_image: HashMap<String, BTreeSet<IndexKey>>,
 }
 
 /// The places, by kind of machine and by image.
 #[derive(Debug)]
 pub(super) struct Rooms {
-    kinds: Vec<KindRooms>,
+    kinds: Vec<KindIndex>,
     /// CPUs of ordinary machines by zone, in thousandths, as of this pass.
     zone_cpu: BTreeMap<String, u64>,
     /// Names before and behind all others, for the ends of ranges.
@@ -49,7 +49,7 @@
 }
 
 /// What a machine has to satisfy beyond its kind and its room.
-pub(super) struct Asked<'a> {
+pub(super) struct PlacementQuery<'a> {
     pub spec: &'a JobSpec,
     pub zones: &'a BTreeMap<String, u32>,
 }
@@ -57,9 +57,9 @@
 impl Rooms {
     fn kind(&mut self, m: &Machine) -> usize {
         let same =
-            |k: &KindRooms| k.spot == m.spot && k.size == m.size && k.build == m.build && k.zone == m.zone;
+            |k: &KindIndex| k.spot == m.spot && k.size == m.size && k.build == m.build && k.zone == m.zone;
         self.kinds.iter().position(same).unwrap_or_else(|| {
-            self.kinds.push(KindRooms {
+            self.kinds.push(KindIndex {
                 build: m.build.clone(),
                 zone: m.zone.clone(),
                 spot: m.spot,
@@ -114,21 +114,21 @@
     }
 
     /// Places of machines with at least so many free CPUs.
-    fn from(&self, failed: bool, cpu: u64) -> std::ops::Range<Place> {
+    fn from(&self, failed: bool, cpu: u64) -> std::ops::Range<IndexKey> {
         (failed, cpu, self.first.clone())..(failed, u64::MAX, self.last.clone())
     }
 
     /// Whether some machine has so many free CPUs, wherever it is.
     pub(super) fn any(&self, cpu: u64) -> bool {
         let (well, failed) = (self.from(false, cpu), self.from(true, cpu));
-        let some = |k: &KindRooms, r: &std::ops::Range<Place>| k.all.range(r.clone()).next().is_some();
+        let some = |k: &KindIndex, r: &std::ops::Range<IndexKey>| k.all.range(r.clone()).next().is_some();
         self.kinds.iter().any(|k| !k.all.is_empty() && (some(k, &well) || some(k, &failed)))
     }
 
     /// The best machine for a task of the job among those that `fits` accepts.
     pub(super) fn best(
         &self,
-        asked: &Asked<'_>,
+        asked: &PlacementQuery<'_>,
         fits: impl Fn(&MachineId) -> Option<Resources>,
     ) -> Option<MachineId> {
         let spec = asked.spec;
@@ -136,7 +136,7 @@
         for k in &self.kinds {
             if k.all.is_empty()
                 || !spec.allows(&k.build, &k.zone, k.spot, &k.size)
-                || !fleet::zone_ok(spec, &k.zone, asked.zones)
+                || !fleet::zone_allows_task(spec, &k.zone, asked.zones)
             {
                 continue;
             }
@@ -175,7 +175,7 @@
 
 impl Leader {
     /// Brings the places up to date with all that changed since the last pass.
-    pub(super) fn settle_rooms(&mut self, now: Micros) {
+    pub(super) fn refresh_placement_index(&mut self, now: Micros) {
         let contact = self.contacts(now);
         self.rooms.zone_cpu.values_mut().for_each(|z| *z = 0);
         for (id, m) in self.machines.iter_mut() {
@@ -193,8 +193,8 @@
     /// The best machine for one more task of the job.
     pub(super) fn find(&self, run: &Run, zones: &BTreeMap<String, u32>, now: Micros) -> Option<MachineId> {
         let spec = &run.spec;
-        let again = run.may_go_back(now);
-        self.rooms.best(&Asked { spec, zones }, |id| {
+        let again = run.may_retry_on_failed_machine(now);
+        self.rooms.best(&PlacementQuery { spec, zones }, |id| {
             let m = self.machines.get(id)?;
             let gathers = m.gathers_for(now).is_some_and(|job| job != spec.id);
             let kept = m.kept_for.is_some_and(|(r, until)| run.urgency.rank < r && now < until)
@@ -241,7 +241,7 @@
     fn by_looking(
         machines: &BTreeMap<MachineId, Machine>,
         rooms: &Rooms,
-        a: &Asked<'_>,
+        a: &PlacementQuery<'_>,
     ) -> Option<MachineId> {
         let rate = |m: &Machine| {
             let zone_cpu = match a.spec.kind {
@@ -260,7 +260,7 @@
             Some((m.failures > 0, placement::score(a.spec, &c, None)?))
         };
         let open = machines.iter().filter(|(_, m)| m.placed.is_some());
-        let there = open.filter(|(_, m)| fleet::zone_ok(a.spec, &m.zone, a.zones));
+        let there = open.filter(|(_, m)| fleet::zone_allows_task(a.spec, &m.zone, a.zones));
         there.filter_map(|(id, m)| Some((rate(m)?, id))).min().map(|(_, id)| id.clone())
     }
 
@@ -302,7 +302,7 @@
             let kind = if rng.bool() { "standing" } else { "array" };
             let s = spec(kind, rng.u64(1..9), rng.u64(1..20), images[rng.usize(0..4)], rng.bool());
             let taken = BTreeMap::from([(zones[rng.usize(0..3)].to_owned(), rng.u32(0..6))]);
-            let asked = Asked { spec: &s, zones: &taken };
+            let asked = PlacementQuery { spec: &s, zones: &taken };
             let got = rooms.best(&asked, |id| Some(machines[id].free()).filter(|f| f.fits(&s.need)));
             assert_eq!(got, by_looking(&machines, &rooms, &asked), "step {step}: {s:?}");
             assert!(got.is_none() || rooms.any(s.need.cpu), "step {step}");
--- a/crates/core/src/leader/run.rs
+++ b/crates/core/src/leader/run.rs
@@ -15,11 +15,11 @@
 
 /// A job whose attempts are bounded waits so long for a machine on which it has not failed:
 /// a boot or two. A faulty machine is the one with room, since nothing stays on it.
-pub(super) const ELSEWHERE: Micros = Micros::secs(15);
+pub(super) const RETRY_ELSEWHERE_TIMEOUT: Micros = Micros::secs(15);
 
 /// A job without a deadline and without an objective for its class is due after so many
 /// seconds.
-const NEVER_DUE_S: f64 = 1e9;
+const DEFAULT_DEADLINE_S: f64 = 1e9;
 
 /// What a job of a pipeline takes beside its tasks' run time, in milliseconds: images,
 /// reports, the record of its end, and the hand-out of the next one.
@@ -38,7 +38,7 @@
     /// depends on, in milliseconds of the time of day.
     pub(super) ready_ms: u64,
     /// What its class is expected to be complete within, in milliseconds.
-    within_ms: Option<u64>,
+    objective_ms: Option<u64>,
     pub(super) done: TaskSet,
     pub(super) bound: BTreeMap<u32, Binding>,
     pub(super) again: BTreeSet<u32>,
@@ -47,14 +47,14 @@
     pub(super) failures: u32,
     pub(super) failed_on: BTreeSet<MachineId>,
     pub(super) proven: bool,
-    /// Something of it completed, or ran for `overdue::BEGUN`.
+    /// Something of it completed, or ran for `overdue::MIN_RUN_TIME`.
     pub(super) begun: bool,
     pub(super) unrecorded_since: Option<Micros>,
     /// Tasks that are done and whose record is not seen yet. The books hold them: a
     /// worker shows them until then, but the next leader may hand out before it hears it.
     pub(super) unrecorded: BTreeSet<u32>,
     /// Work was stopped for it; until then no more is.
-    pub(super) room_until: Micros,
+    pub(super) preempt_not_before: Micros,
     /// Until then it waits for a machine with its image.
     pub(super) patience: Option<Micros>,
     /// Done or cancelled: nothing of it is started, but what is left of it on
@@ -77,7 +77,7 @@
         let within = of_class().filter(|o| o.kind == "finished").filter_map(|o| o.within_s).reduce(f64::max);
         let times = of_class().filter_map(|o| o.times).fold(1.0, f64::max);
         let millis = |s: f64| (s.max(0.0) * 1000.0) as u64;
-        let due = spec.deadline_s.unwrap_or(NEVER_DUE_S);
+        let due = spec.deadline_s.unwrap_or(DEFAULT_DEADLINE_S);
         let own_urgency = Urgency {
             rank: spec.rank,
             due_ms: job.submitted_ms + millis(due),
@@ -89,7 +89,7 @@
             own_urgency,
             urgency: own_urgency,
             ready_ms: job.submitted_ms,
-            within_ms: within.map(millis),
+            objective_ms: within.map(millis),
             done: job.done.clone(),
             held: false,
             spec,
@@ -103,7 +103,7 @@
             begun: !job.done.is_empty(),
             unrecorded_since: None,
             unrecorded: BTreeSet::new(),
-            room_until: Micros(0),
+            preempt_not_before: Micros(0),
             patience: None,
             over: job.phase != Phase::Active,
             fails: job.failed.clone(),
@@ -117,7 +117,7 @@
     /// its submission.
     pub(super) fn ready_at(&mut self, ready_ms: u64) {
         self.ready_ms = ready_ms;
-        if let (Some(within), false) = (self.within_ms, self.own_urgency.deadline) {
+        if let (Some(within), false) = (self.objective_ms, self.own_urgency.deadline) {
             self.own_urgency.due_ms = ready_ms + within;
             self.own_urgency.last_ms = ready_ms + within;
         }
@@ -164,21 +164,23 @@
     /// elsewhere, so that the machine is judged by others' failures too, or it has failed
     /// on several. Bounded attempts were once used up within a second by a faulty machine;
     /// but a job's end is put off for a time only.
-    pub(super) fn may_go_back(&self, now: Micros) -> bool {
-        let waited = self.spec.attempts.is_some() && now >= self.retry_at + ELSEWHERE;
+    pub(super) fn may_retry_on_failed_machine(&self, now: Micros) -> bool {
+        let waited = self.spec.attempts.is_some() && now >= self.retry_at + RETRY_ELSEWHERE_TIMEOUT;
         self.proven || self.failed_on.len() > 3 || waited
     }
     /// When it may, if that is a matter of time.
-    pub(super) fn goes_back_at(&self, now: Micros) -> Option<Micros> {
-        let waits = self.spec.attempts.is_some() && !self.failed_on.is_empty() && !self.may_go_back(now);
-        waits.then(|| self.retry_at + ELSEWHERE)
+    pub(super) fn retry_on_failed_machine_at(&self, now: Micros) -> Option<Micros> {
+        let waits = self.spec.attempts.is_some()
+            && !self.failed_on.is_empty()
+            && !self.may_retry_on_failed_machine(now);
+        waits.then(|| self.retry_at + RETRY_ELSEWHERE_TIMEOUT)
     }
     /// How many of its tasks may be handed out now.
-    pub(super) fn may_start(&self) -> u32 {
+    pub(super) fn startable_tasks(&self) -> u32 {
         if self.mistaken() { self.bound.is_empty() as u32 } else { self.waiting() }
     }
     /// Nothing more of it is handed out now.
-    pub(super) fn held_back(&self) -> bool {
+    pub(super) fn is_throttled(&self) -> bool {
         !self.bound.is_empty() && self.mistaken()
     }
     /// The next task that waits.
--- a/crates/core/src/leader/schedule.rs
+++ b/crates/core/src/leader/schedule.rs
@@ -19,44 +19,44 @@
 #[derive(Debug, Default)]
 pub(super) struct Waiting {
     ranks: BTreeMap<Rank, BTreeMap<String, Rc<[JobId]>>>,
-    least_cpu: BTreeMap<Rank, u64>,
+    min_cpu: BTreeMap<Rank, u64>,
     /// Those that nothing ran of for very long, the earliest first.
     pub(super) overdue: Vec<JobId>,
     made: Micros,
     /// When a job may be tried again that is left out for now.
     retry: Option<Micros>,
     /// Machines may hold anything: what they hold up changes with every report.
-    unsure: bool,
+    has_unconfirmed_machines: bool,
 }
 
 impl Waiting {
     /// At the beginning of a term.
     pub(super) fn new() -> Self {
-        Waiting { unsure: true, ..Waiting::default() }
+        Waiting { has_unconfirmed_machines: true, ..Waiting::default() }
     }
 }
 
 /// How long the order of waiting jobs is kept while nothing begins to wait.
-const ORDER_KEPT: Micros = Micros::millis(250);
+const QUEUE_MAX_AGE: Micros = Micros::millis(250);
 
 /// Machines that one pass looks at to stop work on: a burst of replicas is
 /// served in several passes, so that none takes long.
-const LOOKED_AT: usize = 8_000;
+const MAX_SCANNED_MACHINES: usize = 8_000;
 
 /// Hand-outs of arrays wait while so many have no outcome: each is kept, told and
 /// counted, and an array of 25,000 short tasks would fill a leader's memory with them.
-const ON_THEIR_WAY: usize = 2_000;
+const MAX_UNRESOLVED_ASSIGNMENTS: usize = 2_000;
 
 /// What a pass has found out about room that lower work would leave.
 #[derive(Debug, Default)]
-pub(super) struct Lendable {
+pub(super) struct PreemptionCandidates {
     /// Machines with work that may be stopped, and the room if all of it went.
     machines: Option<Vec<(MachineId, Resources)>>,
     most: Resources,
     looked: usize,
 }
 
-impl Lendable {
+impl PreemptionCandidates {
     /// Whether so much can be had anywhere by stopping work.
     fn any(&self, need: &Resources) -> bool {
         self.machines.is_none() || self.most.fits(need)
@@ -66,13 +66,13 @@
 /// What one pass keeps in mind.
 struct Pass {
     guaranteed: bool,
-    lendable: Lendable,
+    lendable: PreemptionCandidates,
     now: Micros,
 }
 
 impl Leader {
     /// Adds up what the tasks take of machines on which they changed.
-    pub(super) fn measure(&mut self) {
+    pub(super) fn refresh_usage(&mut self) {
         let jobs = &self.jobs;
         for m in self.machines.values_mut().filter(|m| m.stale) {
             m.stale = false;
@@ -85,13 +85,13 @@
         self.sums.teams.get(team).copied().unwrap_or_default()
     }
 
-    pub(super) fn over_limit(&self, spec: &JobSpec) -> bool {
+    pub(super) fn exceeds_team_limit(&self, spec: &JobSpec) -> bool {
         let Some(team) = self.ctx.teams.iter().find(|t| t.name == spec.team) else { return true };
         if team.cpus_max == 0.0 && team.gpus_max == 0.0 {
             return false;
         }
         // Machines that nobody heard yet may hold anybody's tasks.
-        if self.unsure() {
+        if self.has_unconfirmed_machines() {
             return true;
         }
         let (c, g) = self.team_use(&spec.team);
@@ -101,18 +101,18 @@
 
     /// Whether there are machines that nobody heard in this term. Once there are
     /// none, there are none for the rest of it.
-    fn unsure(&self) -> bool {
-        self.waiting.unsure && self.machines.values().any(|m| m.unknown)
+    fn has_unconfirmed_machines(&self) -> bool {
+        self.waiting.has_unconfirmed_machines && self.machines.values().any(|m| m.unknown)
     }
 
     /// Whether a machine that nobody heard may hold a task of the job.
-    pub(super) fn blocked(&self, run: &Run) -> bool {
+    pub(super) fn may_run_on_unconfirmed_machine(&self, run: &Run) -> bool {
         run.stamp <= self.began_stamp
-            && self.waiting.unsure
+            && self.waiting.has_unconfirmed_machines
             && self.machines.values().any(|m| m.unknown && m.suits(&run.spec))
     }
 
-    pub(super) fn zones_of(&self, run: &Run) -> BTreeMap<String, u32> {
+    pub(super) fn tasks_per_zone(&self, run: &Run) -> BTreeMap<String, u32> {
         let mut zones: BTreeMap<String, u32> = BTreeMap::new();
         if !run.spec.has_zone_rule() {
             return zones;
@@ -138,24 +138,24 @@
     /// Hands out what can be: first what fits into the teams' guarantees, then
     /// by priority, and within it by the smallest eligible start tag.
     pub(super) fn schedule(&mut self, now: Micros) {
-        self.measure();
-        let kept = now.since(self.waiting.made) < ORDER_KEPT && !self.waiting.unsure;
+        self.refresh_usage();
+        let kept = now.since(self.waiting.made) < QUEUE_MAX_AGE && !self.waiting.has_unconfirmed_machines;
         if self.requeue || !kept || self.waiting.retry.is_some_and(|t| now >= t) {
             self.requeue = false;
-            self.waiting = self.waiting_jobs(now);
+            self.waiting = self.build_pending_jobs(now);
         }
         // Who waits only for time is looked at again when it has passed.
         self.dirty |= self.waiting.retry.is_some();
         if self.waiting.ranks.is_empty() {
             return;
         }
-        self.settle_rooms(now);
-        self.serve_overdue(now);
+        self.refresh_placement_index(now);
+        self.serve_starved(now);
         let borrowing = self.ctx.teams.iter().any(|t| t.cpus > 0.0 || t.gpus > 0.0);
         for guaranteed in [true, false].into_iter().filter(|g| borrowing || !g) {
-            let mut pass = Pass { guaranteed, lendable: Lendable::default(), now };
+            let mut pass = Pass { guaranteed, lendable: PreemptionCandidates::default(), now };
             for rank in RANKS {
-                self.serve_rank(rank, &mut pass);
+                self.serve_priority(rank, &mut pass);
             }
         }
     }
@@ -166,35 +166,40 @@
     }
 
     /// The jobs that have a task to start, by priority and team, in order.
-    fn waiting_jobs(&mut self, now: Micros) -> Waiting {
+    fn build_pending_jobs(&mut self, now: Micros) -> Waiting {
         let wall_ms = self.wall_ms(now);
         let slots = self.array_slots();
-        let mut waiting = Waiting { made: now, unsure: self.unsure(), ..Waiting::default() };
+        let mut waiting = Waiting {
+            made: now,
+            has_unconfirmed_machines: self.has_unconfirmed_machines(),
+            ..Waiting::default()
+        };
         let mut ranks: BTreeMap<Rank, BTreeMap<String, Vec<((bool, u64, u64), JobId)>>> = BTreeMap::new();
         let mut ready: Vec<JobId> = Vec::new();
         let (mut overdue, mut begun): (Vec<(u64, JobId)>, Vec<JobId>) = Default::default();
         for (id, run) in self.jobs.iter_mut().filter(|(_, r)| !r.over && !r.held) {
-            let later = if run.retry_at > now { Some(run.retry_at) } else { run.goes_back_at(now) };
+            let later =
+                if run.retry_at > now { Some(run.retry_at) } else { run.retry_on_failed_machine_at(now) };
             if let Some(at) = later {
                 waiting.retry = Some(waiting.retry.map_or(at, |t| t.min(at)));
             }
-            if run.retry_at <= now && run.used_up().is_none() && run.peek().is_some() && !run.held_back() {
+            if run.retry_at <= now && run.used_up().is_none() && run.peek().is_some() && !run.is_throttled() {
                 ready.push(*id);
             }
         }
         for id in ready {
             let Some(run) = self.jobs.get(&id) else { continue };
-            if waiting.unsure && self.blocked(run) {
+            if waiting.has_unconfirmed_machines && self.may_run_on_unconfirmed_machine(run) {
                 continue;
             }
-            if !run.begun && wall_ms > run.ready_ms + overdue::OVERDUE_MS {
-                match self.has_begun(id, run, now) {
+            if !run.begun && wall_ms > run.ready_ms + overdue::STARVATION_TIMEOUT_MS {
+                match self.has_run_long_enough(id, run, now) {
                     true => begun.push(id),
                     false => overdue.push((run.ready_ms, id)),
                 }
             }
             let (rank, cpu) = (run.urgency.rank, run.spec.need.cpu);
-            let least = waiting.least_cpu.entry(rank).or_insert(cpu);
+            let least = waiting.min_cpu.entry(rank).or_insert(cpu);
             *least = cpu.min(*least);
             let teams = ranks.entry(rank).or_default();
             teams.entry(run.spec.team.clone()).or_default().push((run.order(wall_ms, slots), id));
@@ -223,9 +228,9 @@
         self.ctx.operator.team_weights.get(team).copied().unwrap_or(1.0)
     }
 
-    fn serve_rank(&mut self, rank: Rank, pass: &mut Pass) {
+    fn serve_priority(&mut self, rank: Rank, pass: &mut Pass) {
         let teams = self.waiting.ranks.get(&rank).cloned().unwrap_or_default();
-        let least = self.waiting.least_cpu.get(&rank).copied().unwrap_or(0);
+        let least = self.waiting.min_cpu.get(&rank).copied().unwrap_or(0);
         let mut queue = self.queues.remove(&rank).unwrap_or_default();
         let cost = self.ctx.operator.task_cost;
         for t in &self.ctx.teams {
@@ -265,26 +270,27 @@
         let now = pass.now;
         let Some(run) = self.jobs.get_mut(&id).filter(|r| !r.over) else { return false };
         let Some(index) = run.peek() else { return false };
-        let may_preempt = (pass.guaranteed || run.urgency.rank == Rank::Production) && now >= run.room_until;
+        let may_preempt =
+            (pass.guaranteed || run.urgency.rank == Rank::Production) && now >= run.preempt_not_before;
         let need = run.spec.need;
         if !(self.rooms.any(need.cpu) || may_preempt && pass.lendable.any(&need)) {
             return false;
         }
         let Some(run) = self.jobs.get(&id) else { return false };
-        let crowded = self.handouts.len() >= ON_THEIR_WAY && run.spec.kind == Kind::Array;
+        let crowded = self.handouts.len() >= MAX_UNRESOLVED_ASSIGNMENTS && run.spec.kind == Kind::Array;
         if crowded
-            || run.held_back()
-            || self.over_limit(&run.spec)
+            || run.is_throttled()
+            || self.exceeds_team_limit(&run.spec)
             || pass.guaranteed && !self.within_guarantee(&run.spec)
         {
             return false;
         }
-        let zones = self.zones_of(run);
+        let zones = self.tasks_per_zone(run);
         match self.find(run, &zones, now) {
-            Some(machine) if self.better_with_image(id, &machine, now) => {
+            Some(machine) if self.should_wait_for_image(id, &machine, now) => {
                 // Batch work that holds the room where the image is gives way:
                 // a fetch takes seconds.
-                let made = may_preempt && self.make_room(id, &zones, true, pass).is_some();
+                let made = may_preempt && self.preempt_for(id, &zones, true, pass).is_some();
                 if let Some(run) = self.jobs.get_mut(&id) {
                     run.patience.get_or_insert(if made { now + Micros::millis(700) } else { now });
                 }
@@ -295,21 +301,21 @@
                 self.hand_out(TaskId { job: id, index }, machine);
                 true
             }
-            None if may_preempt && pass.lendable.looked >= LOOKED_AT => {
+            None if may_preempt && pass.lendable.looked >= MAX_SCANNED_MACHINES => {
                 self.dirty = true;
                 false
             }
             None if may_preempt => {
                 // Room for all that waits at once; what was stopped needs a
                 // moment to go, and stopping more meanwhile would be waste.
-                let (mut zones, mut left) = (zones, run.may_start());
+                let (mut zones, mut left) = (zones, run.startable_tasks());
                 while left > 0 {
-                    let Some((zone, room)) = self.make_room(id, &zones, false, pass) else { break };
+                    let Some((zone, room)) = self.preempt_for(id, &zones, false, pass) else { break };
                     *zones.entry(zone).or_default() += room.min(left);
                     left -= room.min(left);
                 }
                 if let Some(run) = self.jobs.get_mut(&id) {
-                    run.room_until = now + Micros::millis(800);
+                    run.preempt_not_before = now + Micros::millis(800);
                 }
                 false
             }
@@ -382,7 +388,7 @@
 
     /// Whether a replica should rather wait a moment for room on a machine that
     /// has its image.
-    pub(super) fn better_with_image(&self, id: JobId, found: &MachineId, now: Micros) -> bool {
+    pub(super) fn should_wait_for_image(&self, id: JobId, found: &MachineId, now: Micros) -> bool {
         let Some(run) = self.jobs.get(&id) else { return false };
         run.spec.kind == Kind::Service
             && run.spec.rank == Rank::Production
@@ -394,7 +400,7 @@
     /// Stops work so that a task of `id` fits on some machine: work of lower
     /// priority, or, for a team within its guarantee, what others borrowed.
     /// The zone, and how many such tasks fit there then.
-    fn make_room(
+    fn preempt_for(
         &mut self,
         id: JobId,
         zones: &BTreeMap<String, u32>,
@@ -407,7 +413,9 @@
         if pass.lendable.machines.is_none() {
             pass.lendable = self.lendable(guaranteed, now);
         }
-        let Lendable { machines: Some(lent), most, looked } = &mut pass.lendable else { return None };
+        let PreemptionCandidates { machines: Some(lent), most, looked } = &mut pass.lendable else {
+            return None;
+        };
         if !most.fits(&spec.need) {
             return None;
         }
@@ -418,7 +426,7 @@
             let Some(m) = self.machines.get(mid) else { continue };
             if image && !m.images.contains(&spec.image)
                 || !m.suits(&spec)
-                || !fleet::zone_ok(&spec, &m.zone, zones)
+                || !fleet::zone_allows_task(&spec, &m.zone, zones)
                 || m.kept_for.is_some_and(|(_, until)| now < until)
             {
                 continue;
@@ -479,9 +487,9 @@
 
     /// Machines with work that replicas, or a team within its guarantee, may
     /// have stopped, and the most room that this would leave.
-    fn lendable(&self, guaranteed: bool, now: Micros) -> Lendable {
+    fn lendable(&self, guaranteed: bool, now: Micros) -> PreemptionCandidates {
         let contact = self.contacts(now);
-        let mut l = Lendable::default();
+        let mut l = PreemptionCandidates::default();
         let mut machines = Vec::new();
         for (id, m) in self.machines.iter().filter(|(_, m)| m.in_reach(&contact)) {
             let mut room = m.free();
--- a/crates/core/src/leader/waits.rs
+++ b/crates/core/src/leader/waits.rs
@@ -3,9 +3,9 @@
 use super::*;
 
 /// How often it is said.
-const EVERY: Micros = Micros::secs(60);
+const REPORT_INTERVAL: Micros = Micros::secs(60);
 /// Waits that are shorter than this are not worth a line.
-const LONG: Micros = Micros::secs(30);
+const MIN_REPORTED_WAIT: Micros = Micros::secs(30);
 
 /// Why a job that waits does.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -54,18 +54,18 @@
         if run.retry_at > now {
             return Why::Failing;
         }
-        if self.blocked(run) {
+        if self.may_run_on_unconfirmed_machine(run) {
             return Why::Unheard;
         }
-        if self.over_limit(spec) {
+        if self.exceeds_team_limit(spec) {
             return Why::Limit;
         }
-        let zones = self.zones_of(run);
+        let zones = self.tasks_per_zone(run);
         let allowed = |m: &&Machine| m.suits(spec);
         let (mut any, mut zone, mut room) = (false, false, false);
         for m in self.machines.values().filter(allowed) {
             any = true;
-            let ok = fleet::zone_ok(spec, &m.zone, &zones);
+            let ok = fleet::zone_allows_task(spec, &m.zone, &zones);
             zone |= ok;
             room |= ok && m.free().fits(&spec.need);
         }
@@ -95,15 +95,15 @@
         }
         let waits = longest.into_iter().filter_map(|(class, (at, id))| {
             let waited = Micros::millis(wall_ms.saturating_sub(at));
-            let run = self.jobs.get(&id).filter(|_| waited >= LONG)?;
+            let run = self.jobs.get(&id).filter(|_| waited >= MIN_REPORTED_WAIT)?;
             Some((class.to_owned(), id, waited, self.why(run, now)))
         });
         waits.collect()
     }
 
     /// Says so, once a minute.
-    pub(super) fn tell_waits(&mut self, now: Micros) {
-        if now.since(self.waits_told) < EVERY {
+    pub(super) fn log_longest_pending(&mut self, now: Micros) {
+        if now.since(self.waits_told) < REPORT_INTERVAL {
             return;
         }
         self.waits_told = now;
--- a/crates/core/src/leader/ways.rs
+++ b/crates/core/src/leader/ways.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 #[derive(Debug, Clone, Copy, Default)]
-struct Way {
+struct NetworkPath {
     since: Micros,
     last: Micros,
 }
@@ -14,7 +14,7 @@
 /// Ways to zones as they were heard.
 #[derive(Debug, Default)]
 pub struct Ways {
-    zones: BTreeMap<String, BTreeMap<Option<NodeId>, Way>>,
+    zones: BTreeMap<String, BTreeMap<Option<NodeId>, NetworkPath>>,
 }
 
 impl Ways {
