--- a/crates/core/src/leader/overdue.rs
+++ b/crates/core/src/leader/overdue.rs
@@ -1,22 +1,24 @@
-//! A bound on how long a job waits for its first task, beside the tags: priorities and
-//! tags say who goes first, and where what comes is more than the room, the last never
-//! goes. A job of which nothing ran for `STARVATION_TIMEOUT_MS` gets one task before all others;
-//! its team is charged for it as for any. Limits, rules of zones and kinds, and the
-//! first claim of replicas stand. Where no machine has room for a task of it, one is
-//! kept from others until it has: small tasks would eat what becomes free.
+//! Starvation protection: bounds how long a job waits for its first task.
+//!
+//! Priorities and start tags only order the jobs. While demand exceeds capacity, the last job
+//! in that order would never start. A job that has run nothing for `STARVATION_TIMEOUT_MS`
+//! therefore gets one task before all other jobs, and its team is charged for it as for any
+//! task. Team limits, zone and machine type rules, and the precedence of replicas still apply.
+//! If no machine has free capacity for the task, one machine is reserved until it has:
+//! otherwise small tasks would take each piece of capacity that becomes free.
 use super::*;
 
-/// Nothing of a job ran for so long, in milliseconds.
+/// A job that has run nothing for this long is starved.
 pub(super) const STARVATION_TIMEOUT_MS: u64 = 100_000;
-/// A start that is undone sooner was none.
+/// A task counts as a start of its job once it has run for longer than this.
 const MIN_RUN_TIME: Micros = Micros::secs(30);
-/// A machine gathers room for so long at most before another one is chosen.
+/// Longest time that a machine is reserved for a starved job; then another one may be chosen.
 const ACCUMULATION_TIMEOUT: Micros = Micros::secs(60);
-/// One machine in so many may gather room, and always one.
+/// One machine may be reserved for a starved job, and one more for each this many machines.
 const MACHINES_PER_ACCUMULATION: usize = 64;
 
 impl Leader {
-    /// Whether a task of the job has run for long enough to count.
+    /// Whether a task of the job has run for longer than `MIN_RUN_TIME`.
     pub(super) fn has_run_long_enough(&self, id: JobId, run: &Run, now: Micros) -> bool {
         let started = |index: u32, on: &MachineId| {
             let at = self.machines.get(on).and_then(|m| m.started.get(&TaskId { job: id, index }));
@@ -25,15 +27,16 @@
         run.bound.iter().any(|(i, b)| b.on.iter().any(|on| started(*i, on)))
     }
 
-    /// Hands out one task of each overdue job for which there is room.
+    /// Assigns one task of each starved job that fits on a machine, and reserves machines for
+    /// the others.
     pub(super) fn serve_starved(&mut self, now: Micros) {
-        if self.waiting.overdue.is_empty() {
+        if self.waiting.starved.is_empty() {
             return;
         }
-        let overdue = std::mem::take(&mut self.waiting.overdue);
-        let there = self.machines.values().filter(|m| m.gathers_for(now).is_some()).count();
-        let mut left = (self.machines.len() / MACHINES_PER_ACCUMULATION + 1).saturating_sub(there);
-        for id in &overdue {
+        let starved = std::mem::take(&mut self.waiting.starved);
+        let accumulating = self.machines.values().filter(|m| m.gathers_for(now).is_some()).count();
+        let mut left = (self.machines.len() / MACHINES_PER_ACCUMULATION + 1).saturating_sub(accumulating);
+        for id in &starved {
             let Some(run) = self.jobs.get_mut(id) else { continue };
             let Some(index) = run.peek().filter(|_| !run.over && !run.begun && run.bound.is_empty()) else {
                 continue;
@@ -45,8 +48,8 @@
             let zones = self.tasks_per_zone(run);
             if let Some(machine) = self.find(run, &zones, now) {
                 let (rank, team, class) = (run.urgency.rank, run.spec.team.clone(), run.spec.class.clone());
-                info!("{id} of class {class} waited too long: its first task goes before others");
-                self.hand_out(TaskId { job: *id, index }, machine);
+                info!("{id} of class {class} is starved: its first task is assigned before other jobs");
+                self.assign(TaskId { job: *id, index }, machine);
                 let w = self.weight(&team);
                 let queue = self.queues.entry(rank).or_default();
                 queue.set_waiting(&team, true, self.ctx.operator.task_cost, w);
@@ -54,22 +57,22 @@
                 for m in self.machines.values_mut().filter(|m| m.gathers.is_some_and(|(j, _)| j == *id)) {
                     m.gathers = None;
                 }
-            } else if left > 0 && self.gather(*id, now) {
+            } else if left > 0 && self.accumulate_capacity(*id, now) {
                 left -= 1;
             }
         }
-        self.waiting.overdue = overdue;
+        self.waiting.starved = starved;
     }
 
-    /// Keeps a machine from others until it has room for a task of the job; false if
-    /// one is kept already, or none will do.
-    fn gather(&mut self, id: JobId, now: Micros) -> bool {
+    /// Reserves a machine until it has free capacity for a task of the job; false if one is
+    /// reserved already, or none is suitable.
+    fn accumulate_capacity(&mut self, id: JobId, now: Micros) -> bool {
         let Some(run) = self.jobs.get(&id) else { return false };
         let (spec, zones, contact) = (run.spec.clone(), self.tasks_per_zone(run), self.contacts(now));
         if self.machines.values().any(|m| m.gathers_for(now) == Some(id)) {
             return false;
         }
-        // Replicas don't end, so that what they hold is no room to come.
+        // Replicas do not exit, so their resources do not become free.
         let ends = |t: &TaskId| self.jobs.get(&t.job).is_some_and(|r| r.spec.kind == Kind::Array);
         let lasting = |m: &Machine| {
             let mut sum = Resources::default();
@@ -85,10 +88,11 @@
             .filter(|(_, m)| m.suits(&spec))
             .filter(|(_, m)| fleet::zone_allows_task(&spec, &m.zone, &zones))
             .filter(|(_, m)| m.size.minus(lasting(m)).fits(&spec.need))
-            // The least has to end; among equals the one that is cheapest to keep.
+            // The machine with the fewest CPUs still to become free; among equals the one
+            // that is cheapest to reserve: spot first, then the smallest.
             .min_by_key(|(_, m)| (spec.need.minus(m.free()).cpu, !m.spot, m.size.cpu));
         let Some(best) = best.map(|(id, _)| id.clone()) else { return false };
-        debug!("{id} waited too long: room is gathered for it on {best}");
+        debug!("{id} is starved: {best} is reserved for it until a task fits");
         if let Some(m) = self.machines.get_mut(&best) {
             m.gathers = Some((id, now + ACCUMULATION_TIMEOUT));
         }
--- a/crates/core/src/leader/schedule.rs
+++ b/crates/core/src/leader/schedule.rs
@@ -1,8 +1,10 @@
-//! What goes next, and where: SFQ, limits, placement, preemption.
+//! The scheduling pass: decides which task starts next and on which machine, by start-time
+//! fair queueing (SFQ), team limits, placement and preemption.
 use super::assignments::{Handed, first_watched};
 use super::*;
 
-/// What the tasks of a machine take. A task whose job is forgotten takes all.
+/// Sum of the resources that a machine's tasks take. A task whose job is not known counts as
+/// the whole machine.
 pub(super) fn used(m: &Machine, jobs: &BTreeMap<JobId, Run>) -> Resources {
     let mut sum = Resources::default();
     for t in m.tasks.keys() {
@@ -14,64 +16,71 @@
     sum
 }
 
-/// Jobs that have a task to start, by priority and team, in the order in which
-/// they are served, and the least that one of their tasks takes.
+/// Jobs with a task to start, in the order in which they are served.
 #[derive(Debug, Default)]
 pub(super) struct Waiting {
-    ranks: BTreeMap<Rank, BTreeMap<String, Rc<[JobId]>>>,
+    /// Jobs by priority and team.
+    by_priority: BTreeMap<Rank, BTreeMap<String, Rc<[JobId]>>>,
+    /// Smallest CPU demand of a task, by priority, in thousandths of a CPU.
     min_cpu: BTreeMap<Rank, u64>,
-    /// Those that nothing ran of for very long, the earliest first.
-    pub(super) overdue: Vec<JobId>,
-    made: Micros,
-    /// When a job may be tried again that is left out for now.
-    retry: Option<Micros>,
-    /// Machines may hold anything: what they hold up changes with every report.
+    /// Jobs that have waited longer than `STARVATION_TIMEOUT_MS` for their first task, the
+    /// earliest ready first; at most 50.
+    pub(super) starved: Vec<JobId>,
+    built_at: Micros,
+    /// Earliest time at which a job that is waiting only for a delay becomes eligible.
+    next_retry: Option<Micros>,
+    /// Some machines have had no contact in this term. They may hold any task, so the jobs
+    /// that they block change with every heartbeat.
     has_unconfirmed_machines: bool,
 }
 
 impl Waiting {
-    /// At the beginning of a term.
+    /// The state at the start of a term.
     pub(super) fn new() -> Self {
         Waiting { has_unconfirmed_machines: true, ..Waiting::default() }
     }
 }
 
-/// How long the order of waiting jobs is kept while nothing begins to wait.
+/// Maximum age of the job order while no job becomes pending.
 const QUEUE_MAX_AGE: Micros = Micros::millis(250);
 
-/// Machines that one pass looks at to stop work on: a burst of replicas is
-/// served in several passes, so that none takes long.
+/// Machines that one pass scans for preemption. A burst of replicas is served in several
+/// passes, which bounds the duration of each.
 const MAX_SCANNED_MACHINES: usize = 8_000;
 
-/// Hand-outs of arrays wait while so many have no outcome: each is kept, told and
-/// counted, and an array of 25,000 short tasks would fill a leader's memory with them.
+/// No array task is assigned while this many assignments have no outcome. The leader stores,
+/// sends and counts each one, and an array of 25,000 short tasks would fill its memory.
 const MAX_UNRESOLVED_ASSIGNMENTS: usize = 2_000;
 
-/// What a pass has found out about room that lower work would leave.
+/// Capacity that preemption could free, as one pass has computed it.
 #[derive(Debug, Default)]
 pub(super) struct PreemptionCandidates {
-    /// Machines with work that may be stopped, and the room if all of it went.
+    /// Machines with preemptible tasks, and their free capacity if all of these stopped;
+    /// `None` until it is computed.
     machines: Option<Vec<(MachineId, Resources)>>,
-    most: Resources,
-    looked: usize,
+    /// Maximum of that capacity over all machines, for each resource.
+    max_capacity: Resources,
+    /// Machines scanned in this pass.
+    scanned: usize,
 }
 
 impl PreemptionCandidates {
-    /// Whether so much can be had anywhere by stopping work.
-    fn any(&self, need: &Resources) -> bool {
-        self.machines.is_none() || self.most.fits(need)
+    /// Whether preemption may free `need` on some machine; true until it is computed.
+    fn may_fit(&self, need: &Resources) -> bool {
+        self.machines.is_none() || self.max_capacity.fits(need)
     }
 }
 
-/// What one pass keeps in mind.
+/// State of one pass over the queues.
 struct Pass {
+    /// Only tasks within their team's guarantee are served.
     guaranteed: bool,
-    lendable: PreemptionCandidates,
+    preemption: PreemptionCandidates,
     now: Micros,
 }
 
 impl Leader {
-    /// Adds up what the tasks take of machines on which they changed.
+    /// Recomputes the usage of machines whose tasks changed.
     pub(super) fn refresh_usage(&mut self) {
         let jobs = &self.jobs;
         for m in self.machines.values_mut().filter(|m| m.stale) {
@@ -80,17 +89,18 @@
         }
     }
 
-    /// CPUs and GPUs of a team's bound tasks, wherever they may be.
+    /// CPUs and GPUs of a team's bound tasks, on whichever machine they may be.
     pub(super) fn team_use(&self, team: &str) -> (u64, u64) {
         self.sums.teams.get(team).copied().unwrap_or_default()
     }
 
+    /// Whether one more task of the job would exceed its team's limit.
     pub(super) fn exceeds_team_limit(&self, spec: &JobSpec) -> bool {
         let Some(team) = self.ctx.teams.iter().find(|t| t.name == spec.team) else { return true };
         if team.cpus_max == 0.0 && team.gpus_max == 0.0 {
             return false;
         }
-        // Machines that nobody heard yet may hold anybody's tasks.
+        // Machines without contact in this term may hold tasks of any team.
         if self.has_unconfirmed_machines() {
             return true;
         }
@@ -99,19 +109,20 @@
         (max.cpu > 0 && c + spec.need.cpu > max.cpu) || (max.gpu > 0 && g + spec.need.gpu > max.gpu)
     }
 
-    /// Whether there are machines that nobody heard in this term. Once there are
-    /// none, there are none for the rest of it.
+    /// Whether some machine has had no contact in this term. Once all have had contact, this
+    /// stays false for the rest of the term.
     fn has_unconfirmed_machines(&self) -> bool {
         self.waiting.has_unconfirmed_machines && self.machines.values().any(|m| m.unknown)
     }
 
-    /// Whether a machine that nobody heard may hold a task of the job.
+    /// Whether a machine without contact in this term may hold a task of the job.
     pub(super) fn may_run_on_unconfirmed_machine(&self, run: &Run) -> bool {
         run.stamp <= self.began_stamp
             && self.waiting.has_unconfirmed_machines
             && self.machines.values().any(|m| m.unknown && m.suits(&run.spec))
     }
 
+    /// Bound tasks by zone, for a job with a zone rule; empty for any other.
     pub(super) fn tasks_per_zone(&self, run: &Run) -> BTreeMap<String, u32> {
         let mut zones: BTreeMap<String, u32> = BTreeMap::new();
         if !run.spec.has_zone_rule() {
@@ -130,58 +141,60 @@
         zones
     }
 
-    /// The time of day, as far as it can be told from the steady clock.
+    /// The time of day in milliseconds, computed from the monotonic clock.
     pub(super) fn wall_ms(&self, now: Micros) -> u64 {
         self.began_ms + now.since(self.began).0 / 1000
     }
 
-    /// Hands out what can be: first what fits into the teams' guarantees, then
-    /// by priority, and within it by the smallest eligible start tag.
+    /// Assigns every task that can start: first the tasks within their teams' guarantees, then
+    /// by priority, and within a priority by the smallest eligible start tag.
     pub(super) fn schedule(&mut self, now: Micros) {
         self.refresh_usage();
-        let kept = now.since(self.waiting.made) < QUEUE_MAX_AGE && !self.waiting.has_unconfirmed_machines;
-        if self.requeue || !kept || self.waiting.retry.is_some_and(|t| now >= t) {
+        let fresh =
+            now.since(self.waiting.built_at) < QUEUE_MAX_AGE && !self.waiting.has_unconfirmed_machines;
+        if self.requeue || !fresh || self.waiting.next_retry.is_some_and(|t| now >= t) {
             self.requeue = false;
             self.waiting = self.build_pending_jobs(now);
         }
-        // Who waits only for time is looked at again when it has passed.
-        self.dirty |= self.waiting.retry.is_some();
-        if self.waiting.ranks.is_empty() {
+        // Jobs that wait only for a delay need another pass when it has passed.
+        self.dirty |= self.waiting.next_retry.is_some();
+        if self.waiting.by_priority.is_empty() {
             return;
         }
         self.refresh_placement_index(now);
         self.serve_starved(now);
         let borrowing = self.ctx.teams.iter().any(|t| t.cpus > 0.0 || t.gpus > 0.0);
         for guaranteed in [true, false].into_iter().filter(|g| borrowing || !g) {
-            let mut pass = Pass { guaranteed, lendable: PreemptionCandidates::default(), now };
+            let mut pass = Pass { guaranteed, preemption: PreemptionCandidates::default(), now };
             for rank in RANKS {
                 self.serve_priority(rank, &mut pass);
             }
         }
     }
 
-    /// Array tasks that are on machines or on their way.
+    /// Array tasks that are on machines or assigned.
     pub fn array_slots(&self) -> u64 {
         self.sums.arrays
     }
 
-    /// The jobs that have a task to start, by priority and team, in order.
+    /// Collects and sorts the jobs that have a task to start.
     fn build_pending_jobs(&mut self, now: Micros) -> Waiting {
         let wall_ms = self.wall_ms(now);
         let slots = self.array_slots();
         let mut waiting = Waiting {
-            made: now,
+            built_at: now,
             has_unconfirmed_machines: self.has_unconfirmed_machines(),
             ..Waiting::default()
         };
-        let mut ranks: BTreeMap<Rank, BTreeMap<String, Vec<((bool, u64, u64), JobId)>>> = BTreeMap::new();
+        let mut by_priority: BTreeMap<Rank, BTreeMap<String, Vec<((bool, u64, u64), JobId)>>> =
+            BTreeMap::new();
         let mut ready: Vec<JobId> = Vec::new();
-        let (mut overdue, mut begun): (Vec<(u64, JobId)>, Vec<JobId>) = Default::default();
+        let (mut starved, mut begun): (Vec<(u64, JobId)>, Vec<JobId>) = Default::default();
         for (id, run) in self.jobs.iter_mut().filter(|(_, r)| !r.over && !r.held) {
             let later =
                 if run.retry_at > now { Some(run.retry_at) } else { run.retry_on_failed_machine_at(now) };
             if let Some(at) = later {
-                waiting.retry = Some(waiting.retry.map_or(at, |t| t.min(at)));
+                waiting.next_retry = Some(waiting.next_retry.map_or(at, |t| t.min(at)));
             }
             if run.retry_at <= now && run.used_up().is_none() && run.peek().is_some() && !run.is_throttled() {
                 ready.push(*id);
@@ -195,13 +208,13 @@
             if !run.begun && wall_ms > run.ready_ms + overdue::STARVATION_TIMEOUT_MS {
                 match self.has_run_long_enough(id, run, now) {
                     true => begun.push(id),
-                    false => overdue.push((run.ready_ms, id)),
+                    false => starved.push((run.ready_ms, id)),
                 }
             }
             let (rank, cpu) = (run.urgency.rank, run.spec.need.cpu);
             let least = waiting.min_cpu.entry(rank).or_insert(cpu);
             *least = cpu.min(*least);
-            let teams = ranks.entry(rank).or_default();
+            let teams = by_priority.entry(rank).or_default();
             teams.entry(run.spec.team.clone()).or_default().push((run.order(wall_ms, slots), id));
         }
         for id in begun {
@@ -209,9 +222,9 @@
                 run.begun = true;
             }
         }
-        overdue.sort();
-        // In turn, as those before them get their task.
-        waiting.overdue = overdue.into_iter().map(|(_, id)| id).take(50).collect();
+        starved.sort();
+        // The rest follow as the jobs before them get their first task.
+        waiting.starved = starved.into_iter().map(|(_, id)| id).take(50).collect();
         let sorted = |mut v: Vec<_>| {
             v.sort();
             v.into_iter().map(|(_, id)| id).collect()
@@ -219,7 +232,7 @@
         let by_team = |teams: BTreeMap<String, Vec<_>>| {
             teams.into_iter().map(|(t, v)| (t, sorted(v))).collect::<BTreeMap<_, _>>()
         };
-        waiting.ranks = ranks.into_iter().map(|(rank, teams)| (rank, by_team(teams))).collect();
+        waiting.by_priority = by_priority.into_iter().map(|(rank, teams)| (rank, by_team(teams))).collect();
         waiting
     }
 
@@ -228,8 +241,9 @@
         self.ctx.operator.team_weights.get(team).copied().unwrap_or(1.0)
     }
 
+    /// Serves the pending jobs of one priority, the team with the smallest start tag first.
     fn serve_priority(&mut self, rank: Rank, pass: &mut Pass) {
-        let teams = self.waiting.ranks.get(&rank).cloned().unwrap_or_default();
+        let teams = self.waiting.by_priority.get(&rank).cloned().unwrap_or_default();
         let least = self.waiting.min_cpu.get(&rank).copied().unwrap_or(0);
         let mut queue = self.queues.remove(&rank).unwrap_or_default();
         let cost = self.ctx.operator.task_cost;
@@ -237,10 +251,10 @@
             queue.set_waiting(&t.name, teams.contains_key(&t.name), cost, self.weight(&t.name));
         }
         let mut next: BTreeMap<&str, usize> = BTreeMap::new();
-        let mut stuck: BTreeSet<String> = BTreeSet::new();
+        let mut unservable: BTreeSet<String> = BTreeSet::new();
         let need = Resources { cpu: least, gpu: 0, mem: 0 };
         let preempts = pass.guaranteed || rank == Rank::Production;
-        'rank: while let Some((_, team)) = queue.order().into_iter().find(|(_, t)| !stuck.contains(t)) {
+        'rank: while let Some((_, team)) = queue.order().into_iter().find(|(_, t)| !unservable.contains(t)) {
             let Some((team, list)) = teams.get_key_value(&team) else { break };
             let at = next.entry(team).or_default();
             let mut served = false;
@@ -250,22 +264,22 @@
                     break;
                 }
                 *at += 1;
-                // Where nothing has room for the least that waits, the rest of
-                // them need not be looked at.
-                if !(self.rooms.any(least) || preempts && pass.lendable.any(&need)) {
+                // If neither free CPUs nor preemption can fit the smallest pending task, the
+                // other jobs need no scan.
+                if !(self.rooms.any(least) || preempts && pass.preemption.may_fit(&need)) {
                     break 'rank;
                 }
             }
             if served {
                 queue.serve(team);
             } else {
-                stuck.insert(team.clone());
+                unservable.insert(team.clone());
             }
         }
         self.queues.insert(rank, queue);
     }
 
-    /// Hands out one task of a job; false if none can be now.
+    /// Assigns one task of a job; false if none can start now.
     fn serve_job(&mut self, id: JobId, pass: &mut Pass) -> bool {
         let now = pass.now;
         let Some(run) = self.jobs.get_mut(&id).filter(|r| !r.over) else { return false };
@@ -273,12 +287,12 @@
         let may_preempt =
             (pass.guaranteed || run.urgency.rank == Rank::Production) && now >= run.preempt_not_before;
         let need = run.spec.need;
-        if !(self.rooms.any(need.cpu) || may_preempt && pass.lendable.any(&need)) {
+        if !(self.rooms.any(need.cpu) || may_preempt && pass.preemption.may_fit(&need)) {
             return false;
         }
         let Some(run) = self.jobs.get(&id) else { return false };
-        let crowded = self.handouts.len() >= MAX_UNRESOLVED_ASSIGNMENTS && run.spec.kind == Kind::Array;
-        if crowded
+        let at_limit = self.handouts.len() >= MAX_UNRESOLVED_ASSIGNMENTS && run.spec.kind == Kind::Array;
+        if at_limit
             || run.is_throttled()
             || self.exceeds_team_limit(&run.spec)
             || pass.guaranteed && !self.within_guarantee(&run.spec)
@@ -288,31 +302,31 @@
         let zones = self.tasks_per_zone(run);
         match self.find(run, &zones, now) {
             Some(machine) if self.should_wait_for_image(id, &machine, now) => {
-                // Batch work that holds the room where the image is gives way:
-                // a fetch takes seconds.
-                let made = may_preempt && self.preempt_for(id, &zones, true, pass).is_some();
+                // Preempts batch tasks on a machine that has the image, because a fetch
+                // takes seconds.
+                let preempted = may_preempt && self.preempt_for(id, &zones, true, pass).is_some();
                 if let Some(run) = self.jobs.get_mut(&id) {
-                    run.patience.get_or_insert(if made { now + Micros::millis(700) } else { now });
+                    run.patience.get_or_insert(if preempted { now + Micros::millis(700) } else { now });
                 }
                 self.dirty = true;
                 false
             }
             Some(machine) => {
-                self.hand_out(TaskId { job: id, index }, machine);
+                self.assign(TaskId { job: id, index }, machine);
                 true
             }
-            None if may_preempt && pass.lendable.looked >= MAX_SCANNED_MACHINES => {
+            None if may_preempt && pass.preemption.scanned >= MAX_SCANNED_MACHINES => {
                 self.dirty = true;
                 false
             }
             None if may_preempt => {
-                // Room for all that waits at once; what was stopped needs a
-                // moment to go, and stopping more meanwhile would be waste.
+                // Frees capacity for all pending tasks of the job at once. Stopped tasks
+                // take a moment to exit, and preempting more before that would waste work.
                 let (mut zones, mut left) = (zones, run.startable_tasks());
                 while left > 0 {
-                    let Some((zone, room)) = self.preempt_for(id, &zones, false, pass) else { break };
-                    *zones.entry(zone).or_default() += room.min(left);
-                    left -= room.min(left);
+                    let Some((zone, fitting)) = self.preempt_for(id, &zones, false, pass) else { break };
+                    *zones.entry(zone).or_default() += fitting.min(left);
+                    left -= fitting.min(left);
                 }
                 if let Some(run) = self.jobs.get_mut(&id) {
                     run.preempt_not_before = now + Micros::millis(800);
@@ -323,7 +337,7 @@
         }
     }
 
-    /// Whether one more such task fits into its team's guarantee.
+    /// Whether one more task of the job fits into its team's guarantee.
     fn within_guarantee(&self, spec: &JobSpec) -> bool {
         let Some(team) = self.ctx.teams.iter().find(|t| t.name == spec.team) else { return false };
         let (c, g) = self.team_use(&spec.team);
@@ -332,7 +346,7 @@
             && (g + spec.need.gpu <= own.gpu || spec.need.gpu == 0)
     }
 
-    /// Teams that use more than their guarantee, and by how much.
+    /// CPUs and GPUs that teams use beyond their guarantee.
     fn borrowed(&self) -> BTreeMap<String, (u64, u64)> {
         let teams = self.ctx.teams.iter().map(|t| {
             let (c, g) = self.team_use(&t.name);
@@ -342,7 +356,9 @@
         teams.filter(|(_, b)| *b != (0, 0)).collect()
     }
 
-    pub(super) fn hand_out(&mut self, task: TaskId, hint: MachineId) {
+    /// Assigns a task: binds it to the machines of the controller that holds `hint`, and
+    /// reserves its resources on `hint`.
+    pub(super) fn assign(&mut self, task: TaskId, hint: MachineId) {
         let attempt = Attempt(self.draw());
         let Some(m) = self.machines.get(&hint) else { return };
         let (Some(node), zone) = (m.holder, m.zone.clone()) else { return };
@@ -358,7 +374,7 @@
             .clone();
         let incarnation = self.nodes.get(node.0 as usize).map_or(0, |n| n.incarnation);
         let image = if m.images.contains(&run.spec.image) { "has" } else { "fetches" };
-        debug!("{task}: handed out for {hint}, which {image} its image, attempt {}", attempt.0);
+        debug!("{task}: assigned to {hint}, which {image} its image, attempt {}", attempt.0);
         let fixed = run.spec.has_zone_rule();
         let out = HandOut { task, attempt, zone: fixed.then(|| zone.clone()), hint: hint.clone() };
         let need = run.spec.need;
@@ -386,8 +402,8 @@
         }
     }
 
-    /// Whether a replica should rather wait a moment for room on a machine that
-    /// has its image.
+    /// Whether a production replica should wait for free capacity on a machine that has its
+    /// image instead of starting on `found`, which lacks it.
     pub(super) fn should_wait_for_image(&self, id: JobId, found: &MachineId, now: Micros) -> bool {
         let Some(run) = self.jobs.get(&id) else { return false };
         run.spec.kind == Kind::Service
@@ -397,9 +413,10 @@
             && self.machines.values().any(|m| m.images.contains(&run.spec.image))
     }
 
-    /// Stops work so that a task of `id` fits on some machine: work of lower
-    /// priority, or, for a team within its guarantee, what others borrowed.
-    /// The zone, and how many such tasks fit there then.
+    /// Preempts tasks so that a task of job `id` fits on some machine: tasks of lower priority
+    /// or, for a team within its guarantee, tasks of teams beyond theirs. Returns the zone and
+    /// how many tasks of the job fit there after that. With `image`, only machines that have
+    /// the job's image are considered.
     fn preempt_for(
         &mut self,
         id: JobId,
@@ -410,19 +427,20 @@
         let (guaranteed, now) = (pass.guaranteed, pass.now);
         let run = self.jobs.get(&id)?;
         let (spec, rank) = (run.spec.clone(), run.urgency.rank);
-        if pass.lendable.machines.is_none() {
-            pass.lendable = self.lendable(guaranteed, now);
+        if pass.preemption.machines.is_none() {
+            pass.preemption = self.preemption_candidates(guaranteed, now);
         }
-        let PreemptionCandidates { machines: Some(lent), most, looked } = &mut pass.lendable else {
+        let PreemptionCandidates { machines: Some(candidates), max_capacity, scanned } = &mut pass.preemption
+        else {
             return None;
         };
-        if !most.fits(&spec.need) {
+        if !max_capacity.fits(&spec.need) {
             return None;
         }
         let borrowed = if guaranteed { self.borrowed() } else { BTreeMap::new() };
         let mut best: Option<(u64, MachineId, Vec<(TaskId, Attempt)>, u32)> = None;
-        for (mid, _) in lent.iter().filter(|(_, room)| room.fits(&spec.need)) {
-            *looked += 1;
+        for (mid, _) in candidates.iter().filter(|(_, capacity)| capacity.fits(&spec.need)) {
+            *scanned += 1;
             let Some(m) = self.machines.get(mid) else { continue };
             if image && !m.images.contains(&spec.image)
                 || !m.suits(&spec)
@@ -431,8 +449,9 @@
             {
                 continue;
             }
-            let mut lendable = borrowed.clone();
-            // The first task of a job that waited too long goes last.
+            let mut reclaimable = borrowed.clone();
+            // The only task of an array that has not yet run long enough is preempted last:
+            // it may be the first task of a starved job.
             let first = |t: &TaskId| {
                 self.jobs
                     .get(&t.job)
@@ -444,7 +463,7 @@
                 .filter(|(_, (_, s))| *s != TaskState::Starting)
                 .map(|(t, (a, _))| (first(t), m.started.get(t).map_or(0, |x| now.since(*x).0), *t, *a))
                 .collect();
-            // The least work lost: the last ones started.
+            // The last started tasks lose the least work.
             victims.sort();
             let mut free = m.free();
             let (mut lost, mut chosen) = (0, Vec::new());
@@ -454,14 +473,14 @@
                 }
                 let Some(r) = self.jobs.get(&t.job) else { continue };
                 let lower = r.urgency.rank < rank;
-                let lent = r.spec.team != spec.team
-                    && lendable
+                let reclaims = r.spec.team != spec.team
+                    && reclaimable
                         .get(&r.spec.team)
                         .is_some_and(|(c, g)| r.spec.need.cpu <= *c && r.spec.need.gpu <= *g);
-                if !lower && !lent {
+                if !lower && !reclaims {
                     continue;
                 }
-                if let Some((c, g)) = lendable.get_mut(&r.spec.team) {
+                if let Some((c, g)) = reclaimable.get_mut(&r.spec.team) {
                     *c = c.saturating_sub(r.spec.need.cpu);
                     *g = g.saturating_sub(r.spec.need.gpu);
                 }
@@ -469,49 +488,50 @@
                 lost += ran + 1;
                 chosen.push((t, a));
             }
-            let room = free.count(&spec.need, 1000) as u32;
-            if room > 0 && !chosen.is_empty() && best.as_ref().is_none_or(|(l, ..)| lost < *l) {
-                best = Some((lost, mid.clone(), chosen, room));
+            let fitting = free.count(&spec.need, 1000) as u32;
+            if fitting > 0 && !chosen.is_empty() && best.as_ref().is_none_or(|(l, ..)| lost < *l) {
+                best = Some((lost, mid.clone(), chosen, fitting));
             }
         }
-        let (_, mid, chosen, room) = best?;
+        let (_, mid, chosen, fitting) = best?;
         for (task, attempt) in &chosen {
-            info!("{task}: stopped on {mid} to make room for {id}");
+            info!("{task}: preempted on {mid} for {id}");
             self.stop(*task, *attempt, &mid, Micros(0), now);
         }
         let m = self.machines.get_mut(&mid)?;
         m.kept_for = Some((rank, now + Micros::secs(2)));
         let here = zones.get(&m.zone).copied().unwrap_or(0);
-        Some((m.zone.clone(), room.min(spec.zone_cap().saturating_sub(here)).max(1)))
+        Some((m.zone.clone(), fitting.min(spec.zone_cap().saturating_sub(here)).max(1)))
     }
 
-    /// Machines with work that replicas, or a team within its guarantee, may
-    /// have stopped, and the most room that this would leave.
-    fn lendable(&self, guaranteed: bool, now: Micros) -> PreemptionCandidates {
+    /// Machines with tasks that replicas, or a team within its guarantee, may preempt, and the
+    /// maximum capacity that this would free.
+    fn preemption_candidates(&self, guaranteed: bool, now: Micros) -> PreemptionCandidates {
         let contact = self.contacts(now);
         let mut l = PreemptionCandidates::default();
         let mut machines = Vec::new();
         for (id, m) in self.machines.iter().filter(|(_, m)| m.in_reach(&contact)) {
-            let mut room = m.free();
-            let mut some = false;
+            let mut capacity = m.free();
+            let mut preemptible = false;
             for (t, _) in m.tasks.iter().filter(|(_, (_, s))| *s != TaskState::Starting) {
                 let Some(r) = self.jobs.get(&t.job) else { continue };
                 if guaranteed || r.urgency.rank < Rank::Production {
-                    room = room.plus(r.spec.need);
-                    some = true;
+                    capacity = capacity.plus(r.spec.need);
+                    preemptible = true;
                 }
             }
-            if some {
-                l.most.cpu = l.most.cpu.max(room.cpu);
-                l.most.gpu = l.most.gpu.max(room.gpu);
-                l.most.mem = l.most.mem.max(room.mem);
-                machines.push((id.clone(), room));
+            if preemptible {
+                l.max_capacity.cpu = l.max_capacity.cpu.max(capacity.cpu);
+                l.max_capacity.gpu = l.max_capacity.gpu.max(capacity.gpu);
+                l.max_capacity.mem = l.max_capacity.mem.max(capacity.mem);
+                machines.push((id.clone(), capacity));
             }
         }
         l.machines = Some(machines);
         l
     }
 
+    /// Records a stop order for an attempt and notifies the machine's controller.
     pub(super) fn stop(
         &mut self,
         task: TaskId,
