--- a/crates/core/src/leader/room.rs
+++ b/crates/core/src/leader/room.rs
@@ -1,54 +1,58 @@
-//! Room on the machines that tasks may be handed to, in order, so that finding
-//! the best machine looks at a few of them and not at the whole fleet.
+//! Index of the machines that accept tasks, ordered by free capacity, so that placement scans
+//! a few machines instead of the whole fleet.
 //!
-//! Invariant: between `Leader::refresh_placement_index` and the end of the pass, a machine
-//! stands here exactly if tasks may be handed to it, with the room that it has:
-//! whatever takes room meanwhile (`Leader::hand_out`) brings its place up to
-//! date. Between passes places may be out of date, and nobody looks.
+//! Invariant: between `Leader::refresh_placement_index` and the end of the scheduling pass, the
+//! index contains exactly the machines that accept tasks, each under its current free capacity;
+//! `Leader::assign`, which takes capacity during the pass, updates the entry. Between passes
+//! entries may be stale, and the index is not read.
 use super::*;
 use std::collections::HashMap;
 
-/// A machine's place: those on which tasks failed come last, then by free CPUs.
+/// Sort key of a machine: machines on which tasks failed come last, then by free CPUs in
+/// thousandths.
 type IndexKey = (bool, u64, MachineId);
 
-/// What a machine's place was worked out from.
+/// The state of a machine from which its sort key was computed.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct Placed {
+    /// Position in `Rooms::kinds`.
     kind: usize,
     failed: bool,
     free: Resources,
+    /// Number of images on the machine.
     images: usize,
 }
 
+/// Machines of the same type, zone, price class and size.
 #[derive(Debug)]
 struct KindIndex {
     build: String,
     zone: String,
     spot: bool,
     size: Resources,
-    all: BTreeSet<IndexKey>,
+    by_cpu: BTreeSet<IndexKey>,
     by_image: HashMap<String, BTreeSet<IndexKey>>,
 }
 
-/// The places, by kind of machine and by image.
+/// Sort keys by kind of machine and by image.
 #[derive(Debug)]
 pub(super) struct Rooms {
     kinds: Vec<KindIndex>,
-    /// CPUs of ordinary machines by zone, in thousandths, as of this pass.
+    /// CPUs of on-demand machines by zone, in thousandths, as of this pass.
     zone_cpu: BTreeMap<String, u64>,
-    /// Names before and behind all others, for the ends of ranges.
-    first: MachineId,
-    last: MachineId,
+    /// Machine ids that sort before and after all others, used as range bounds.
+    min_id: MachineId,
+    max_id: MachineId,
 }
 
 impl Default for Rooms {
     fn default() -> Self {
-        let (first, last) = (MachineId::from(""), MachineId::from("\u{10ffff}"));
-        Rooms { kinds: Vec::new(), zone_cpu: BTreeMap::new(), first, last }
+        let (min_id, max_id) = (MachineId::from(""), MachineId::from("\u{10ffff}"));
+        Rooms { kinds: Vec::new(), zone_cpu: BTreeMap::new(), min_id, max_id }
     }
 }
 
-/// What a machine has to satisfy beyond its kind and its room.
+/// A task to key: its job, and the job's bound tasks by zone.
 pub(super) struct PlacementQuery<'a> {
     pub spec: &'a JobSpec,
     pub zones: &'a BTreeMap<String, u32>,
@@ -64,48 +68,48 @@
                 zone: m.zone.clone(),
                 spot: m.spot,
                 size: m.size,
-                all: BTreeSet::new(),
+                by_cpu: BTreeSet::new(),
                 by_image: HashMap::new(),
             });
             self.kinds.len() - 1
         })
     }
 
-    /// Brings a machine's place up to date; `open`: tasks may be handed to it.
+    /// Updates a machine's entry; a machine that does not accept tasks (`open` false) has none.
     pub(super) fn put(&mut self, id: &MachineId, m: &mut Machine, open: bool) {
-        let now = open.then(|| Placed {
+        let entry = open.then(|| Placed {
             kind: m.placed.map_or_else(|| self.kind(m), |p| p.kind),
             failed: m.failures > 0,
             free: m.free(),
             images: m.images.len(),
         });
-        if m.placed == now {
+        if m.placed == entry {
             return;
         }
         self.take(id, m);
-        if let Some(p) = now {
-            let place = (p.failed, p.free.cpu, id.clone());
+        if let Some(p) = entry {
+            let key = (p.failed, p.free.cpu, id.clone());
             let kind = &mut self.kinds[p.kind];
             for image in &m.images {
                 match kind.by_image.get_mut(image) {
-                    Some(set) => drop(set.insert(place.clone())),
-                    None => drop(kind.by_image.insert(image.clone(), BTreeSet::from([place.clone()]))),
+                    Some(set) => drop(set.insert(key.clone())),
+                    None => drop(kind.by_image.insert(image.clone(), BTreeSet::from([key.clone()]))),
                 }
             }
-            kind.all.insert(place);
+            kind.by_cpu.insert(key);
         }
-        m.placed = now;
+        m.placed = entry;
     }
 
-    /// Takes a machine out.
+    /// Removes a machine from the index.
     pub(super) fn take(&mut self, id: &MachineId, m: &mut Machine) {
         let Some(p) = m.placed.take() else { return };
-        let place = (p.failed, p.free.cpu, id.clone());
+        let key = (p.failed, p.free.cpu, id.clone());
         let kind = &mut self.kinds[p.kind];
-        kind.all.remove(&place);
+        kind.by_cpu.remove(&key);
         for image in &m.images {
             if let Some(set) = kind.by_image.get_mut(image)
-                && set.remove(&place)
+                && set.remove(&key)
                 && set.is_empty()
             {
                 kind.by_image.remove(image);
@@ -113,30 +117,30 @@
         }
     }
 
-    /// Places of machines with at least so many free CPUs.
-    fn from(&self, failed: bool, cpu: u64) -> std::ops::Range<IndexKey> {
-        (failed, cpu, self.first.clone())..(failed, u64::MAX, self.last.clone())
+    /// Range of the sort keys of machines with at least `cpu` thousandths of a CPU free.
+    fn key_range(&self, failed: bool, cpu: u64) -> std::ops::Range<IndexKey> {
+        (failed, cpu, self.min_id.clone())..(failed, u64::MAX, self.max_id.clone())
     }
 
-    /// Whether some machine has so many free CPUs, wherever it is.
-    pub(super) fn any(&self, cpu: u64) -> bool {
-        let (well, failed) = (self.from(false, cpu), self.from(true, cpu));
-        let some = |k: &KindIndex, r: &std::ops::Range<IndexKey>| k.all.range(r.clone()).next().is_some();
-        self.kinds.iter().any(|k| !k.all.is_empty() && (some(k, &well) || some(k, &failed)))
+    /// Whether any machine of any kind has at least `cpu` thousandths of a CPU free.
+    pub(super) fn any_with_cpu(&self, cpu: u64) -> bool {
+        let (healthy, failed) = (self.key_range(false, cpu), self.key_range(true, cpu));
+        let some = |k: &KindIndex, r: &std::ops::Range<IndexKey>| k.by_cpu.range(r.clone()).next().is_some();
+        self.kinds.iter().any(|k| !k.by_cpu.is_empty() && (some(k, &healthy) || some(k, &failed)))
     }
 
-    /// The best machine for a task of the job among those that `fits` accepts.
+    /// The best machine for the task among those for which `fits` returns free capacity.
     pub(super) fn best(
         &self,
-        asked: &PlacementQuery<'_>,
+        query: &PlacementQuery<'_>,
         fits: impl Fn(&MachineId) -> Option<Resources>,
     ) -> Option<MachineId> {
-        let spec = asked.spec;
+        let spec = query.spec;
         let mut best: Option<((bool, placement::Score), &MachineId)> = None;
         for k in &self.kinds {
-            if k.all.is_empty()
+            if k.by_cpu.is_empty()
                 || !spec.allows(&k.build, &k.zone, k.spot, &k.size)
-                || !fleet::zone_allows_task(spec, &k.zone, asked.zones)
+                || !fleet::zone_allows_task(spec, &k.zone, query.zones)
             {
                 continue;
             }
@@ -145,11 +149,11 @@
                 Kind::Array => 0,
             };
             let with_image = k.by_image.get(&spec.image);
-            // Of one kind, the first in order is the best one: by failures, by
-            // image, by the room that is left.
-            for (set, image) in with_image.map(|s| (s, true)).into_iter().chain([(&k.all, false)]) {
+            // Within one kind, the best machine is the first one: by failures, then by image,
+            // then by the fewest free CPUs.
+            for (set, image) in with_image.map(|s| (s, true)).into_iter().chain([(&k.by_cpu, false)]) {
                 for failed in [false, true] {
-                    let enough = self.from(failed, spec.need.cpu);
+                    let enough = self.key_range(failed, spec.need.cpu);
                     let first = set.range(enough).find_map(|(_, _, id)| Some((fits(id)?, id)));
                     let Some((free, id)) = first else { continue };
                     let c = Candidate {
@@ -174,7 +178,7 @@
 }
 
 impl Leader {
-    /// Brings the places up to date with all that changed since the last pass.
+    /// Updates the index with all changes since the last pass.
     pub(super) fn refresh_placement_index(&mut self, now: Micros) {
         let contact = self.contacts(now);
         self.rooms.zone_cpu.values_mut().for_each(|z| *z = 0);
@@ -193,33 +197,33 @@
     /// The best machine for one more task of the job.
     pub(super) fn find(&self, run: &Run, zones: &BTreeMap<String, u32>, now: Micros) -> Option<MachineId> {
         let spec = &run.spec;
-        let again = run.may_retry_on_failed_machine(now);
+        let may_retry = run.may_retry_on_failed_machine(now);
         self.rooms.best(&PlacementQuery { spec, zones }, |id| {
             let m = self.machines.get(id)?;
-            let gathers = m.gathers_for(now).is_some_and(|job| job != spec.id);
-            let kept = m.kept_for.is_some_and(|(r, until)| run.urgency.rank < r && now < until)
-                || gathers && run.urgency.rank < Rank::Production;
-            let failed = !again && run.failed_on.contains(id);
+            let accumulates = m.gathers_for(now).is_some_and(|job| job != spec.id);
+            let reserved = m.kept_for.is_some_and(|(r, until)| run.urgency.rank < r && now < until)
+                || accumulates && run.urgency.rank < Rank::Production;
+            let failed = !may_retry && run.failed_on.contains(id);
             let free = m.free();
-            (!kept && !failed && free.fits(&spec.need)).then_some(free)
+            (!reserved && !failed && free.fits(&spec.need)).then_some(free)
         })
     }
 
-    /// Whether the places are those that the machines have now: for tests.
+    /// Checks that the index agrees with the machines' entries; for tests.
     pub(super) fn check_rooms(&self) -> Result<(), String> {
         for (id, m) in &self.machines {
             let Some(p) = m.placed else { continue };
             let k = &self.rooms.kinds[p.kind];
-            let place = (p.failed, p.free.cpu, id.clone());
-            let images = m.images.iter().filter(|i| k.by_image.get(*i).is_some_and(|s| s.contains(&place)));
-            if !k.all.contains(&place) || images.count() < p.images {
-                return Err(format!("{id}: its place {p:?} is not kept"));
+            let key = (p.failed, p.free.cpu, id.clone());
+            let images = m.images.iter().filter(|i| k.by_image.get(*i).is_some_and(|s| s.contains(&key)));
+            if !k.by_cpu.contains(&key) || images.count() < p.images {
+                return Err(format!("{id}: its entry {p:?} is not in the index"));
             }
         }
         let placed = self.machines.values().filter(|m| m.placed.is_some()).count();
-        let kept: usize = self.rooms.kinds.iter().map(|k| k.all.len()).sum();
-        if placed != kept {
-            return Err(format!("{placed} machines have a place, {kept} are kept"));
+        let indexed: usize = self.rooms.kinds.iter().map(|k| k.by_cpu.len()).sum();
+        if placed != indexed {
+            return Err(format!("{placed} machines have an entry, the index holds {indexed}"));
         }
         Ok(())
     }
@@ -237,13 +241,13 @@
         parse_submission(v.to_string().as_bytes()).unwrap()
     }
 
-    /// What a look at every machine finds.
-    fn by_looking(
+    /// The best machine by a scan of all machines.
+    fn by_full_scan(
         machines: &BTreeMap<MachineId, Machine>,
         rooms: &Rooms,
         a: &PlacementQuery<'_>,
     ) -> Option<MachineId> {
-        let rate = |m: &Machine| {
+        let score = |m: &Machine| {
             let zone_cpu = match a.spec.kind {
                 Kind::Service => rooms.zone_cpu.get(&m.zone).copied().unwrap_or(0),
                 Kind::Array => 0,
@@ -261,11 +265,11 @@
         };
         let open = machines.iter().filter(|(_, m)| m.placed.is_some());
         let there = open.filter(|(_, m)| fleet::zone_allows_task(a.spec, &m.zone, a.zones));
-        there.filter_map(|(id, m)| Some((rate(m)?, id))).min().map(|(_, id)| id.clone())
+        there.filter_map(|(id, m)| Some((score(m)?, id))).min().map(|(_, id)| id.clone())
     }
 
     #[test]
-    fn the_machine_found_is_the_one_that_a_look_at_all_finds() {
+    fn the_index_finds_the_same_machine_as_a_full_scan() {
         let mut rng = fastrand::Rng::with_seed(7);
         let (zones, images) = (["a", "b", "c"], ["i", "j", "k", "l"]);
         let zone_cpu = BTreeMap::from([("a".into(), 9), ("b".into(), 5), ("c".into(), 7)]);
@@ -286,8 +290,7 @@
         let ids: Vec<MachineId> = machines.keys().cloned().collect();
         let mut found = 0;
         for step in 0..3000 {
-            // Something changes: what is used, an image, a failure, or whether
-            // tasks may go there at all.
+            // A machine changes: its usage, an image, a failure, or whether it accepts tasks.
             let id = &ids[rng.usize(0..ids.len())];
             let m = machines.get_mut(id).unwrap();
             m.used = Resources {
@@ -302,16 +305,19 @@
             let kind = if rng.bool() { "standing" } else { "array" };
             let s = spec(kind, rng.u64(1..9), rng.u64(1..20), images[rng.usize(0..4)], rng.bool());
             let taken = BTreeMap::from([(zones[rng.usize(0..3)].to_owned(), rng.u32(0..6))]);
-            let asked = PlacementQuery { spec: &s, zones: &taken };
-            let got = rooms.best(&asked, |id| Some(machines[id].free()).filter(|f| f.fits(&s.need)));
-            assert_eq!(got, by_looking(&machines, &rooms, &asked), "step {step}: {s:?}");
-            assert!(got.is_none() || rooms.any(s.need.cpu), "step {step}");
+            let query = PlacementQuery { spec: &s, zones: &taken };
+            let got = rooms.best(&query, |id| Some(machines[id].free()).filter(|f| f.fits(&s.need)));
+            assert_eq!(got, by_full_scan(&machines, &rooms, &query), "step {step}: {s:?}");
+            assert!(got.is_none() || rooms.any_with_cpu(s.need.cpu), "step {step}");
             found += got.is_some() as u32;
         }
         assert!(found > 1000, "{found} found a machine");
         for id in &ids {
             rooms.take(id, machines.get_mut(id).unwrap());
         }
-        assert!(!rooms.any(0) && rooms.kinds.iter().all(|k| k.all.is_empty() && k.by_image.is_empty()));
+        assert!(
+            !rooms.any_with_cpu(0)
+                && rooms.kinds.iter().all(|k| k.by_cpu.is_empty() && k.by_image.is_empty())
+        );
     }
 }
--- a/crates/core/src/leader/schedule.rs
+++ b/crates/core/src/leader/schedule.rs
@@ -266,7 +266,7 @@
                 *at += 1;
                 // If neither free CPUs nor preemption can fit the smallest pending task, the
                 // other jobs need no scan.
-                if !(self.rooms.any(least) || preempts && pass.preemption.may_fit(&need)) {
+                if !(self.rooms.any_with_cpu(least) || preempts && pass.preemption.may_fit(&need)) {
                     break 'rank;
                 }
             }
@@ -287,7 +287,7 @@
         let may_preempt =
             (pass.guaranteed || run.urgency.rank == Rank::Production) && now >= run.preempt_not_before;
         let need = run.spec.need;
-        if !(self.rooms.any(need.cpu) || may_preempt && pass.preemption.may_fit(&need)) {
+        if !(self.rooms.any_with_cpu(need.cpu) || may_preempt && pass.preemption.may_fit(&need)) {
             return false;
         }
         let Some(run) = self.jobs.get(&id) else { return false };
--- a/crates/core/src/leader/waits.rs
+++ b/crates/core/src/leader/waits.rs
@@ -1,52 +1,53 @@
-//! Who waits longest, and why: said in the log once a minute, for each class, so
-//! that an operator sees who is starved before its users tell.
+//! Logs once a minute, for each class, the job that has been pending longest and the reason, so
+//! that an operator sees a starved job before its users report it.
 use super::*;
 
-/// How often it is said.
+/// Time between two reports.
 const REPORT_INTERVAL: Micros = Micros::secs(60);
-/// Waits that are shorter than this are not worth a line.
+/// Shorter waits are not logged.
 const MIN_REPORTED_WAIT: Micros = Micros::secs(30);
 
-/// Why a job that waits does.
+/// Why a job is pending.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Why {
-    /// It replaces a job of which something may be left, or depends on one that is not done.
+    /// The job replaces one that may still have tasks on machines, or depends on one that is
+    /// not done.
     Held,
-    /// Its tasks failed, and are tried again later.
+    /// Its tasks failed, and the delay before the next attempt has not passed.
     Failing,
-    /// Machines that nobody heard may hold its tasks.
+    /// Machines without contact in this term may hold its tasks.
     Unheard,
     /// Its team is at its limit.
     Limit,
-    /// Its rules leave no zone for another task.
+    /// Its zone rule leaves no zone for another task.
     Zones,
-    /// No machine that it may run on has room, and none can be had of the kinds
-    /// that it may run on.
+    /// No machine that the job may run on has free capacity, and the cloud has recently refused
+    /// machines that it may run on.
     SoldOut,
-    /// No machine that it may run on has room.
+    /// No machine that the job may run on has free capacity.
     NoRoom,
-    /// Others come first.
+    /// Other jobs are served first.
     Turn,
 }
 
 impl std::fmt::Display for Why {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
-            Why::Held => "a job that it replaces or depends on is not over",
-            Why::Failing => "its tasks failed and are tried again later",
-            Why::Unheard => "machines that nobody heard may hold its tasks",
+            Why::Held => "a job that it replaces or depends on has not ended",
+            Why::Failing => "its tasks failed and are retried after a delay",
+            Why::Unheard => "machines without contact in this term may hold its tasks",
             Why::Limit => "its team is at its limit",
             Why::Zones => "its zone rule leaves no zone",
-            Why::SoldOut => "no room, and the cloud has none of its kinds",
-            Why::NoRoom => "no room on the kinds of machines that it may run on",
-            Why::Turn => "others come first",
+            Why::SoldOut => "no free capacity, and the cloud refused machines that it may run on",
+            Why::NoRoom => "no free capacity on the machines that it may run on",
+            Why::Turn => "other jobs are served first",
         })
     }
 }
 
 impl Leader {
-    /// Why a job has a task that waits.
-    fn why(&self, run: &Run, now: Micros) -> Why {
+    /// Why a job with a pending task does not start it.
+    fn pending_reason(&self, run: &Run, now: Micros) -> Why {
         let spec = &run.spec;
         if run.held {
             return Why::Held;
@@ -62,17 +63,17 @@
         }
         let zones = self.tasks_per_zone(run);
         let allowed = |m: &&Machine| m.suits(spec);
-        let (mut any, mut zone, mut room) = (false, false, false);
+        let (mut any, mut zone, mut fits) = (false, false, false);
         for m in self.machines.values().filter(allowed) {
             any = true;
             let ok = fleet::zone_allows_task(spec, &m.zone, &zones);
             zone |= ok;
-            room |= ok && m.free().fits(&spec.need);
+            fits |= ok && m.free().fits(&spec.need);
         }
         if any && !zone {
             return Why::Zones;
         }
-        if room {
+        if fits {
             return Why::Turn;
         }
         let recent = |t: &Micros| now.since(*t) < Micros::secs(20);
@@ -85,7 +86,8 @@
         if refused { Why::SoldOut } else { Why::NoRoom }
     }
 
-    /// The job of each class that has waited longest with nothing of it running.
+    /// For each class, the job that has waited longest with no task bound, if it has waited for
+    /// at least `MIN_REPORTED_WAIT`: class, job, wait and reason.
     pub fn longest_waits(&self, now: Micros) -> Vec<(String, JobId, Micros, Why)> {
         let wall_ms = self.wall_ms(now);
         let mut longest: BTreeMap<&str, (u64, JobId)> = BTreeMap::new();
@@ -96,22 +98,22 @@
         let waits = longest.into_iter().filter_map(|(class, (at, id))| {
             let waited = Micros::millis(wall_ms.saturating_sub(at));
             let run = self.jobs.get(&id).filter(|_| waited >= MIN_REPORTED_WAIT)?;
-            Some((class.to_owned(), id, waited, self.why(run, now)))
+            Some((class.to_owned(), id, waited, self.pending_reason(run, now)))
         });
         waits.collect()
     }
 
-    /// Says so, once a minute.
+    /// Logs the longest pending job of each class once per `REPORT_INTERVAL`.
     pub(super) fn log_longest_pending(&mut self, now: Micros) {
         if now.since(self.waits_told) < REPORT_INTERVAL {
             return;
         }
         self.waits_told = now;
-        for (class, id, waited, why) in self.longest_waits(now) {
-            let left =
+        for (class, id, waited, reason) in self.longest_waits(now) {
+            let pending =
                 self.jobs.values().filter(|r| !r.over && r.spec.class == class && r.waiting() > 0).count();
             warn!(
-                "{id} of class {class} has waited for {:.0} s, longest of {left} that wait: {why}",
+                "{id} of class {class} has been pending for {:.0} s, the longest of {pending} pending jobs: {reason}",
                 waited.as_secs_f64()
             );
         }
