--- a/crates/core/src/leader/health.rs
+++ b/crates/core/src/leader/health.rs
@@ -1,78 +1,79 @@
-//! What the leader makes of zones from what it hears. A zone of which nothing
-//! is heard any more, while others are heard, is closed to renting: a machine
-//! rented there boots into the same silence. Invariant: while a zone is closed,
-//! at most `allowed` machines of it are booting or asked for, and never more
-//! than `MOST_PROBES`; the first machine heard opens it.
+//! Zone health. A zone whose machines have lost contact, while other zones respond, is closed to
+//! renting: a machine rented there would be unreachable too.
+//!
+//! Invariant: while a zone is closed, at most `allowed` machines of it are booting or requested,
+//! and never more than `MOST_PROBES`; the first contact with one of its machines opens it.
 use gorseshore_protocol::ids::Micros;
 use std::collections::BTreeMap;
 
-/// The silence of fewer machines says nothing about their zone.
+/// The silence of fewer machines than this is no evidence about their zone.
 const MIN_MACHINES_FOR_EVIDENCE: u32 = 3;
-/// Machines that may boot in a closed zone: one at first, twice as many after
-/// each `PROBE_DOUBLING_INTERVAL`, up to this.
+/// Maximum number of machines that may boot in a closed zone. The allowance starts at one and
+/// doubles after each `PROBE_DOUBLING_INTERVAL`.
 pub const MOST_PROBES: u32 = 8;
-/// How long a closed zone's allowance of probes stays as it is.
+/// Time after which the allowance of a closed zone doubles.
 const PROBE_DOUBLING_INTERVAL: Micros = Micros::secs(10);
 
-/// What there is of a zone, and when it was last heard.
+/// The machines of a zone and the last contact with any of them.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Sight {
-    /// Machines that are up as far as is known.
+    /// Machines believed to be up.
     pub up: u32,
-    /// When any of them was last heard, by whomever, in this term.
+    /// Last contact with any of them, by any controller, in this term.
     pub heard: Option<Micros>,
 }
 
-/// A zone's state changed.
+/// A change of a zone's state.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Turn {
-    /// Nothing of so many machines was heard for so long.
+    /// The zone closed: its name, its machines up, and how long none of them had contact.
     Closed(String, u32, Micros),
-    /// A machine was heard after so long.
+    /// The zone opened: its name, and how long it was closed.
     Opened(String, Micros),
 }
 
-/// Zones as they are taken to be.
+/// The closed zones.
 #[derive(Debug, Default)]
 pub struct Health {
+    /// Closed zones, and since when.
     closed: BTreeMap<String, Micros>,
 }
 
 impl Health {
-    /// Takes what is seen of each zone. `began` is when this leader began to
-    /// listen and `patience` how long a sound zone may be silent.
-    pub fn look(
+    /// Opens and closes zones by their observations. Silence counts from `began`, when this
+    /// leader began to receive heartbeats; a healthy zone may be silent for `max_silence`.
+    pub fn update(
         &mut self,
-        sights: &BTreeMap<String, Sight>,
+        observations: &BTreeMap<String, Sight>,
         began: Micros,
-        patience: Micros,
+        max_silence: Micros,
         now: Micros,
     ) -> Vec<Turn> {
-        let mut turns = Vec::new();
+        let mut transitions = Vec::new();
         self.closed.retain(|zone, since| {
-            let sight = sights.get(zone).copied().unwrap_or_default();
-            // Without machines there is nothing left to hear of it.
-            let open = sight.up == 0 || sight.heard.is_some_and(|t| t > *since);
+            let observation = observations.get(zone).copied().unwrap_or_default();
+            // A zone without machines can have no further contact.
+            let open = observation.up == 0 || observation.heard.is_some_and(|t| t > *since);
             if open {
-                turns.push(Turn::Opened(zone.clone(), now.since(*since)));
+                transitions.push(Turn::Opened(zone.clone(), now.since(*since)));
             }
             !open
         });
-        for (zone, sight) in sights {
-            if sight.up < MIN_MACHINES_FOR_EVIDENCE || self.closed.contains_key(zone) {
+        for (zone, observation) in observations {
+            if observation.up < MIN_MACHINES_FOR_EVIDENCE || self.closed.contains_key(zone) {
                 continue;
             }
-            let silent = now.since(sight.heard.unwrap_or(began).max(began));
-            // Who hears nothing at all learns nothing about one zone.
-            let heard_elsewhere = sights
+            let silent = now.since(observation.heard.unwrap_or(began).max(began));
+            // If no zone responds, the fault is the leader's: no zone is closed.
+            let others_respond = observations
                 .iter()
-                .any(|(z, s)| z != zone && s.heard.is_some_and(|t| t > began && now.since(t) < patience));
-            if silent > patience && heard_elsewhere {
+                .any(|(z, s)| z != zone && s.heard.is_some_and(|t| t > began && now.since(t) < max_silence));
+            if silent > max_silence && others_respond {
                 self.closed.insert(zone.clone(), now);
-                turns.push(Turn::Closed(zone.clone(), sight.up, silent));
+                transitions.push(Turn::Closed(zone.clone(), observation.up, silent));
             }
         }
-        turns
+        transitions
     }
 
     /// Whether a zone is closed.
@@ -85,7 +86,7 @@
         !self.closed.is_empty()
     }
 
-    /// How many machines may boot in a zone; no bound while it is open.
+    /// Machines that may boot in a zone; `None` if it is open, which means no bound.
     pub fn allowed(&self, zone: &str, now: Micros) -> Option<u32> {
         let since = self.closed.get(zone)?;
         let steps = now.since(*since).0 / PROBE_DOUBLING_INTERVAL.0;
@@ -98,22 +99,22 @@
     use super::*;
 
     #[test]
-    fn a_silent_zone_closes_and_the_first_machine_heard_opens_it() {
-        // (seconds, machines and when heard in east, the same in west; what turns)
+    fn a_silent_zone_closes_and_the_first_contact_opens_it() {
+        // (time in seconds, machines up and last contact in east, the same in west; transitions)
         type Seen = (u32, Option<u64>);
         let steps: [(u64, Seen, Seen, &[&str]); 9] = [
-            // A new leader has heard nobody yet.
+            // A new leader has had no contact yet.
             (102, (50, None), (50, None), &[]),
-            // It hears one zone; the other gets its time.
+            // One zone responds; the other has not been silent for long enough.
             (104, (50, Some(104)), (50, None), &[]),
             (110, (50, Some(109)), (50, None), &["close west"]),
             (111, (50, Some(110)), (50, None), &[]),
-            // What was heard before the closing does not open it.
+            // A contact from before the zone closed does not open it.
             (112, (50, Some(111)), (50, Some(103)), &[]),
             (150, (50, Some(149)), (50, Some(149)), &["open west"]),
-            // Nothing is heard of any: it is the leader that is deaf.
+            // No zone responds: the fault is the leader's.
             (170, (50, Some(149)), (50, Some(149)), &[]),
-            // Two machines are no zone.
+            // Two silent machines are too few to be evidence.
             (180, (50, Some(179)), (2, Some(149)), &[]),
             (181, (50, Some(180)), (3, Some(149)), &["close west"]),
         ];
@@ -122,7 +123,7 @@
             let sight = |(up, heard): Seen| Sight { up, heard: heard.map(Micros::secs) };
             let seen = BTreeMap::from([("east".to_owned(), sight(east)), ("west".to_owned(), sight(west))]);
             let got: Vec<String> = h
-                .look(&seen, Micros::secs(100), Micros::secs(6), Micros::secs(at))
+                .update(&seen, Micros::secs(100), Micros::secs(6), Micros::secs(at))
                 .iter()
                 .map(|t| match t {
                     Turn::Closed(z, ..) => format!("close {z}"),
@@ -131,7 +132,7 @@
                 .collect();
             assert_eq!(got, want, "at {at} s");
         }
-        // Probes: bounded, and growing.
+        // The allowance doubles up to its bound.
         let allowed: Vec<Option<u32>> =
             [181, 192, 202, 212, 600].map(|s| h.allowed("west", Micros::secs(s))).to_vec();
         assert_eq!(allowed, [Some(1), Some(2), Some(4), Some(8), Some(MOST_PROBES)]);
--- a/crates/core/src/leader/machines.rs
+++ b/crates/core/src/leader/machines.rs
@@ -214,7 +214,7 @@
         // All of a zone's workers report in a quarter more than this.
         let patience = self.ctx.report.max(Micros::secs(4)) + Micros::secs(2);
         let listens_from = self.lateness.silent_from(self.began + Micros::secs(2));
-        for turn in self.health.look(&sights, listens_from, patience, now) {
+        for turn in self.health.update(&sights, listens_from, patience, now) {
             self.dirty = true;
             match turn {
                 Turn::Closed(zone, up, silent) => warn!(
@@ -433,7 +433,7 @@
             thirsty += if dry { waiting as usize } else { 0 };
             list.push((
                 r.urgency.rank,
-                r.order(wall_ms, slots),
+                r.queue_key(wall_ms, slots),
                 Demand {
                     spec: r.spec.clone(),
                     waiting,
--- a/crates/core/src/leader/room.rs
+++ b/crates/core/src/leader/room.rs
@@ -52,7 +52,7 @@
     }
 }
 
-/// A task to key: its job, and the job's bound tasks by zone.
+/// A task to place: its job, and the job's bound tasks by zone.
 pub(super) struct PlacementQuery<'a> {
     pub spec: &'a JobSpec,
     pub zones: &'a BTreeMap<String, u32>,
--- a/crates/core/src/leader/run.rs
+++ b/crates/core/src/leader/run.rs
@@ -1,73 +1,83 @@
-//! A job as the leader runs it, and where its tasks may be. Invariant: a task that is
-//! bound anywhere, or done, is not the next one (`Run::peek`).
+//! The leader's state of one job: progress, failures, and the machines on which its tasks may
+//! be. Invariant: `Run::peek` never returns a task that is bound or done.
 use super::*;
 
-/// Where a task may be. It is free only when all of it is gone.
+/// Where an attempt of a task may be. The task is unbound only when no controller can still
+/// start the attempt and no machine has it.
 #[derive(Debug, Clone)]
 pub(super) struct Binding {
     pub(super) attempt: Attempt,
+    /// The assignment, until its outcome is known.
     pub(super) handed: Option<Handed>,
+    /// Machines that have the attempt.
     pub(super) on: BTreeSet<MachineId>,
 }
 
-/// A job of which so many tasks failed, on several machines, and none ran well.
+/// A job counts as faulty after more failures than this, on more than one machine, while none
+/// of its tasks has run well.
 pub(super) const MISTAKEN: u32 = 3;
 
-/// A job whose attempts are bounded waits so long for a machine on which it has not failed:
-/// a boot or two. A faulty machine is the one with room, since nothing stays on it.
+/// A job with bounded attempts waits this long for a machine on which it has not failed: the
+/// time of one or two boots. A faulty machine always has free capacity, because every task on
+/// it exits.
 pub(super) const RETRY_ELSEWHERE_TIMEOUT: Micros = Micros::secs(15);
 
-/// A job without a deadline and without an objective for its class is due after so many
-/// seconds.
+/// Due time, in seconds after submission, of a job without a deadline whose class has no
+/// objective.
 const DEFAULT_DEADLINE_S: f64 = 1e9;
 
-/// What a job of a pipeline takes beside its tasks' run time, in milliseconds: images,
-/// reports, the record of its end, and the hand-out of the next one.
+/// Time that a job of a pipeline takes beside the run time of its tasks: image fetches,
+/// heartbeats, the record of its end, and the assignment of the next job's tasks.
 const STAGE_OVERHEAD_MS: u64 = 5_000;
 
-/// A job as the leader runs it.
+/// The leader's state of one job.
 #[derive(Debug)]
 pub(super) struct Run {
     pub(super) spec: Rc<JobSpec>,
     pub(super) stamp: u64,
-    /// Its own priority and times.
+    /// Its own priority and due times.
     pub(super) own_urgency: Urgency,
     /// The same, with what it inherits from jobs that depend on it.
     pub(super) urgency: Urgency,
-    /// From when its waiting counts: its submission, or the end of the last job that it
-    /// depends on, in milliseconds of the time of day.
+    /// Time of day, in milliseconds, from which its wait counts: its submission, or the end of
+    /// the last job that it depends on.
     pub(super) ready_ms: u64,
-    /// What its class is expected to be complete within, in milliseconds.
+    /// Time within which jobs of its class are expected to complete, in milliseconds.
     objective_ms: Option<u64>,
     pub(super) done: TaskSet,
     pub(super) bound: BTreeMap<u32, Binding>,
+    /// Tasks to start again after their binding ended.
     pub(super) again: BTreeSet<u32>,
+    /// Tasks below this index are bound, done, or in `again`.
     pub(super) next: u32,
+    /// No task is assigned before this, after a failure.
     pub(super) retry_at: Micros,
     pub(super) failures: u32,
     pub(super) failed_on: BTreeSet<MachineId>,
+    /// A task of it completed, or ran long enough to show that the job is not faulty itself.
     pub(super) proven: bool,
-    /// Something of it completed, or ran for `overdue::MIN_RUN_TIME`.
+    /// A task of it completed, or ran for longer than `overdue::MIN_RUN_TIME`.
     pub(super) begun: bool,
+    /// When a task first completed that is not recorded as done yet.
     pub(super) unrecorded_since: Option<Micros>,
-    /// Tasks that are done and whose record is not seen yet. The books hold them: a
-    /// worker shows them until then, but the next leader may hand out before it hears it.
+    /// Tasks that are done and whose record is not seen yet. The placement log holds them: a
+    /// worker reports them until then, but the next leader may assign them again before it
+    /// receives that worker's heartbeat.
     pub(super) unrecorded: BTreeSet<u32>,
-    /// Work was stopped for it; until then no more is.
+    /// Tasks were preempted for the job; until then no more are.
     pub(super) preempt_not_before: Micros,
-    /// Until then it waits for a machine with its image.
+    /// Until then the job waits for free capacity on a machine that has its image.
     pub(super) patience: Option<Micros>,
-    /// Done or cancelled: nothing of it is started, but what is left of it on
-    /// machines counts.
+    /// The job is done or cancelled: no task is started, but tasks still on machines count.
     pub(super) over: bool,
-    /// Failed attempts, where their number is bounded, and the tasks whose
-    /// count is not recorded yet: those are not started again before it is.
+    /// Failed attempts by task, for a job with bounded attempts.
     pub(super) fails: BTreeMap<u32, Failures>,
+    /// Tasks whose failure count is not recorded yet. They are not started again before it is.
     pub(super) unsaved: BTreeSet<u32>,
-    /// Something of the job that it replaces may be left, or a job that it depends on is
-    /// not recorded as done.
+    /// The job that it replaces may still have tasks on machines, or a job that it depends on
+    /// is not recorded as done.
     pub(super) held: bool,
-    /// Its running tasks as last told, and the update that first told so.
+    /// Number of running tasks last sent to the controllers, and the first update with it.
     pub(super) shown: (u32, u64),
 }
 
@@ -113,8 +123,8 @@
         run.ready_at(job.submitted_ms);
         run
     }
-    /// Its waiting counts from this time of day, in milliseconds; its deadline still from
-    /// its submission.
+    /// Sets the time of day, in milliseconds, from which its wait and the objective of its class
+    /// count. A deadline of its own still counts from its submission.
     pub(super) fn ready_at(&mut self, ready_ms: u64) {
         self.ready_ms = ready_ms;
         if let (Some(within), false) = (self.objective_ms, self.own_urgency.deadline) {
@@ -122,68 +132,69 @@
             self.own_urgency.last_ms = ready_ms + within;
         }
     }
-    /// What it takes from its release to its record as done, by its owner's estimate, in
-    /// milliseconds: as far as jobs that it depends on have to be over before.
+    /// Time from its release to its record as done, in milliseconds, by its owner's estimate.
+    /// Jobs that it depends on have to end this much earlier.
     pub(super) fn span_ms(&self) -> u64 {
         (self.spec.estimate_s * 1000.0) as u64 + STAGE_OVERHEAD_MS
     }
-    /// A task whose attempts are used up.
+    /// The first task whose attempts are used up.
     pub(super) fn used_up(&self) -> Option<u32> {
-        let most = self.spec.attempts?;
-        self.fails.iter().find(|(_, f)| f.count >= most).map(|(i, _)| *i)
+        let max_attempts = self.spec.attempts?;
+        self.fails.iter().find(|(_, f)| f.count >= max_attempts).map(|(i, _)| *i)
     }
-    /// The record says so: number of tasks, progress and failures. The tasks that
-    /// are on record as done by it.
+    /// Applies a changed job record: number of tasks, progress and failures. Returns the tasks
+    /// of `unrecorded` that are now recorded as done.
     pub(super) fn recorded(&mut self, job: &Job, spec: &JobSpec) -> Vec<u32> {
         self.done.union(&job.done);
         let recorded: Vec<u32> = self.unrecorded.iter().copied().filter(|i| job.done.contains(*i)).collect();
         self.unrecorded.retain(|i| !job.done.contains(*i));
         if spec.tasks != self.spec.tasks {
-            // What is above the smaller number is looked at again.
+            // Tasks from the smaller number on are checked again.
             self.next = self.next.min(spec.tasks).min(self.spec.tasks);
             let mut s = JobSpec::clone(&self.spec);
             s.tasks = spec.tasks;
             self.spec = Rc::new(s);
         }
         for (i, f) in &job.failed {
-            let mine = self.fails.entry(*i).or_default();
-            if f.last >= mine.last {
-                *mine = *f;
+            let own = self.fails.entry(*i).or_default();
+            if f.last >= own.last {
+                *own = *f;
                 self.unsaved.remove(i);
             }
         }
         recorded
     }
-    /// Whether it seems to have been submitted with a mistake: it fails wherever it is.
-    /// Then one task at a time is tried, after growing pauses; one that runs well shows
-    /// that the machines were at fault. Bounded attempts are used up as they are.
+    /// Whether the job itself seems faulty: it fails on every machine. One task at a time is
+    /// then tried, after increasing delays; a task that runs well shows that the machines were
+    /// faulty. A job with bounded attempts is not throttled: it uses them up.
     pub(super) fn mistaken(&self) -> bool {
         !self.proven && self.spec.attempts.is_none() && self.failures > MISTAKEN && self.failed_on.len() > 1
     }
-    /// Whether its tasks may go to machines on which some have failed: it runs well
-    /// elsewhere, so that the machine is judged by others' failures too, or it has failed
-    /// on several. Bounded attempts were once used up within a second by a faulty machine;
-    /// but a job's end is put off for a time only.
+    /// Whether its tasks may be assigned to machines on which some of them failed: the job runs
+    /// well elsewhere, so its failures are evidence against the machine together with those of
+    /// other jobs, or it failed on more than three machines. A job with bounded attempts also
+    /// waits `RETRY_ELSEWHERE_TIMEOUT`: without that, one faulty machine used up all attempts
+    /// within a second. The limit on this wait keeps the job's end from being delayed forever.
     pub(super) fn may_retry_on_failed_machine(&self, now: Micros) -> bool {
         let waited = self.spec.attempts.is_some() && now >= self.retry_at + RETRY_ELSEWHERE_TIMEOUT;
         self.proven || self.failed_on.len() > 3 || waited
     }
-    /// When it may, if that is a matter of time.
+    /// When that becomes true with time alone; `None` if it is true or does not depend on time.
     pub(super) fn retry_on_failed_machine_at(&self, now: Micros) -> Option<Micros> {
         let waits = self.spec.attempts.is_some()
             && !self.failed_on.is_empty()
             && !self.may_retry_on_failed_machine(now);
         waits.then(|| self.retry_at + RETRY_ELSEWHERE_TIMEOUT)
     }
-    /// How many of its tasks may be handed out now.
+    /// Number of tasks that may be assigned now.
     pub(super) fn startable_tasks(&self) -> u32 {
         if self.mistaken() { self.bound.is_empty() as u32 } else { self.waiting() }
     }
-    /// Nothing more of it is handed out now.
+    /// Whether no further task may be assigned while one is bound, because the job seems faulty.
     pub(super) fn is_throttled(&self) -> bool {
         !self.bound.is_empty() && self.mistaken()
     }
-    /// The next task that waits.
+    /// The next task to start: first those to start again, then by index.
     pub(super) fn peek(&mut self) -> Option<u32> {
         while let Some(i) = self.again.iter().copied().find(|i| !self.unsaved.contains(i)) {
             if i < self.spec.tasks && !self.done.contains(i) && !self.bound.contains_key(&i) {
@@ -199,24 +210,26 @@
         }
         None
     }
-    /// Its place among its team's jobs: the earliest due first, behind them
-    /// those that can't be in time any more, until they have waited very long.
-    /// `slots` is how many such tasks run at a time.
-    pub(super) fn order(&self, wall_ms: u64, slots: u64) -> (bool, u64, u64) {
+    /// Sort key among its team's jobs: the earliest due first, then the jobs that can no longer
+    /// complete in time. A late job rejoins the others when it is past its last due time by three
+    /// times the span from its ready time to that due time. `slots` is the number of array tasks
+    /// that run at a time.
+    pub(super) fn queue_key(&self, wall_ms: u64, slots: u64) -> (bool, u64, u64) {
         let Urgency { due_ms, last_ms, deadline, .. } = self.urgency;
         let span = last_ms.saturating_sub(self.ready_ms);
         let waves = 1.0 + self.waiting() as f64 / slots.max(1) as f64;
         let end = wall_ms + (self.spec.estimate_s * waves * 1000.0) as u64;
         let late = end > last_ms && wall_ms < last_ms + 3 * span;
-        // A large job holds up many small ones that could still be in time: it
-        // goes behind them by its part of the slots. A deadline of its owner's
-        // is kept to as it is.
-        let part = match deadline {
+        // A large job delays many small ones that could still complete in time, so its due time
+        // is moved back in proportion to the slots that it would take. A deadline set by its
+        // owner is not moved.
+        let share = match deadline {
             false => (self.waiting() as f64 / slots.max(1) as f64).min(1.0),
             true => 0.0,
         };
-        (late, due_ms + (span as f64 * part) as u64, self.ready_ms)
+        (late, due_ms + (span as f64 * share) as u64, self.ready_ms)
     }
+    /// Number of tasks that are neither done nor bound.
     pub(super) fn waiting(&self) -> u32 {
         let n = self.spec.tasks;
         let bound = self.bound.keys().filter(|i| **i < n && !self.done.contains(**i)).count() as u32;
--- a/crates/core/src/leader/schedule.rs
+++ b/crates/core/src/leader/schedule.rs
@@ -215,7 +215,7 @@
             let least = waiting.min_cpu.entry(rank).or_insert(cpu);
             *least = cpu.min(*least);
             let teams = by_priority.entry(rank).or_default();
-            teams.entry(run.spec.team.clone()).or_default().push((run.order(wall_ms, slots), id));
+            teams.entry(run.spec.team.clone()).or_default().push((run.queue_key(wall_ms, slots), id));
         }
         for id in begun {
             if let Some(run) = self.jobs.get_mut(&id) {
--- a/crates/core/src/leader/wishes.rs
+++ b/crates/core/src/leader/wishes.rs
@@ -1,58 +1,62 @@
-//! What the leader wants written and asked of the cloud.
+//! State service writes and cloud calls that the leader requests.
 use gorseshore_protocol::ids::{JobId, MachineId};
 
-/// A write that the leader wants.
+/// A write to the state service that the leader requests.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum LeaderWrite {
-    /// A job is done.
+    /// Records that a job is done.
     End(JobId),
-    /// Machines of one kind may be started on.
+    /// Records machines of one kind, so that tasks may start on them.
     Machines(Vec<MachineId>),
-    /// A rental request's name.
+    /// Records the name of a rental request.
     Hire(String),
-    /// Progress of a job.
+    /// Records which tasks of a chunk are done.
     Progress(JobId, u32),
-    /// How often tasks of a chunk have failed.
+    /// Records how often the tasks of a chunk have failed.
     Failures(JobId, u32),
-    /// A task's attempts are used up: the job has failed.
+    /// Records that the job has failed because this task has used up its attempts.
     Fail(JobId, u32),
-    /// Nothing is left of a cancelled job.
+    /// Records that no task of a cancelled job is left on any machine.
     Settle(JobId),
-    /// A job is cancelled with one that it depends on.
+    /// Records that a job is cancelled together with one that it depends on.
     CancelledWith(JobId),
-    /// Machines of the record with this key are gone.
+    /// Removes deleted machines from the machine record with this key.
     Forget(String),
 }
 
-/// A call to the cloud that the leader wants.
+/// A call to the cloud that the leader requests.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudWish {
-    /// Rent; its name is recorded.
+    /// Rents machines; the name of the request is recorded.
     Hire(HireRequest),
-    /// Delete.
+    /// Deletes machines.
     Delete(Vec<MachineId>),
-    /// List after this name.
+    /// Lists machines, from the start or after this name.
     List(Option<String>),
 }
 
-/// A rental under way.
+/// A rental request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct HireRequest {
-    /// Its name.
+    /// Name of the request. The same name always yields the same machines.
     pub name: String,
-    /// Type.
+    /// Machine type.
     pub build: String,
     /// Zone.
     pub zone: String,
-    /// Spot.
+    /// Whether the machines are spot machines.
     pub spot: bool,
-    /// How many.
+    /// Number of machines.
     pub count: u32,
 }
 
+/// Progress of a rental request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum HireStage {
+    /// Its name is not recorded yet.
     ToRecord,
+    /// Its name is recorded; the call to the cloud is due.
     Recorded,
+    /// The call was made; its result is awaited.
     Called,
 }
