--- a/crates/core/src/leader/deaf.rs
+++ b/crates/core/src/leader/deaf.rs
@@ -1,37 +1,41 @@
-//! Machines whose reports arrive while no answer and no command reaches them. Such a
-//! machine looks alive, but its lease runs out, its tasks die, and it comes back as a
-//! new session. What it holds is bound to it until it is deleted: no report under the
-//! present token can come from it. Invariant: only a machine that controllers asked in
-//! vain is deleted for this, and only so many at a time.
+//! Machines whose heartbeats arrive while no response and no command reaches them. Such a
+//! machine appears alive, but its worker's lease expires, its tasks are killed, and the worker
+//! starts a new agent epoch. Its tasks stay bound to it until it is deleted, because it never
+//! receives the current fencing token and cannot report under it.
+//!
+//! Invariant: a machine is deleted for this only after unanswered probes by controllers, and
+//! only one in `MACHINES_PER_DELETION` machines, or two, in `DELETION_WINDOW`.
 use super::*;
 
-/// A doubt that lasted longer was no lost packet: the machine is trusted again only
-/// after a pause, twice as long each time.
+/// A missing acknowledgement that lasts longer is not a lost packet: the machine accepts tasks
+/// again only after a pause, which doubles with each episode.
 const MIN_EPISODE_DURATION: Micros = Micros::secs(8);
+/// Half of the first pause, in seconds: the pause is this value shifted left by the number of
+/// episodes, at most 5.
 const TRUST_PAUSE_BASE_S: u64 = 2;
-/// Others ask a machine after so much doubt; so often in vain, and it hears nothing.
+/// Other controllers probe a machine after it has acknowledged nothing for this long.
 const DOUBT_BEFORE_PROBE: Micros = Micros::secs(2);
+/// After this many unanswered probes, commands do not reach the machine.
 const MIN_UNANSWERED_PROBES: u32 = 3;
-/// A machine of which nothing came for longer is silent, which is judged elsewhere.
+/// A machine without contact for longer is silent, which `Leader::watch_silent` handles.
 const SILENCE_TIMEOUT: Micros = Micros::secs(12);
-/// One machine in so many, and never fewer than two, may be deleted for this in
-/// `DELETION_WINDOW`.
+/// One machine in this many, and always two, may be deleted for this in `DELETION_WINDOW`.
 const MACHINES_PER_DELETION: usize = 20;
 const DELETION_WINDOW: Micros = Micros::secs(10);
 
-/// Whether a machine hears what it is told.
+/// Whether responses and commands reach a machine.
 #[derive(Debug)]
 pub(super) struct Hearing {
-    /// Its last report to its holder shows it.
+    /// Its last heartbeat to its holder shows that responses reach it.
     pub obeys: bool,
-    /// When it last did.
+    /// When it last showed this, to any controller.
     last_acknowledged: Micros,
-    /// Since when it is in doubt, and how often it was asked since.
+    /// Since when it has acknowledged nothing, and the probes sent since then.
     unacknowledged_since: Option<Micros>,
-    asked: u32,
-    asked_at: Micros,
+    probes_sent: u32,
+    probed_at: Micros,
     episodes: u32,
-    /// Nothing is handed to it before.
+    /// No task is assigned to it before this.
     pub trusted_at: Micros,
 }
 
@@ -41,122 +45,126 @@
             obeys: true,
             last_acknowledged: now,
             unacknowledged_since: None,
-            asked: 0,
-            asked_at: Micros(0),
+            probes_sent: 0,
+            probed_at: Micros(0),
             episodes: 0,
             trusted_at: Micros(0),
         }
     }
 
-    /// Its holder tells of the report that came at `at`.
+    /// Its holder reports the heartbeat that it received at `at`.
     pub(super) fn told(&mut self, obeys: bool, at: Micros, now: Micros) {
         self.obeys = obeys;
         if obeys {
-            self.shown(at, now);
+            self.acknowledged(at, now);
         } else {
-            // Since it came: what comes between that and its being told ends the doubt.
+            // Counts from the arrival of the heartbeat, so that an acknowledgement that arrives
+            // before the holder's report is processed still ends it.
             self.unacknowledged_since.get_or_insert(at);
         }
     }
 
-    /// Another controller was reported to, or asked it and had an answer.
+    /// A controller, the holder or another one (`elsewhere`), received the machine's heartbeat or
+    /// probed it and had a response (`asked`).
     pub(super) fn seen(&mut self, asked: bool, elsewhere: bool, now: Micros) {
         if asked {
-            self.shown(now, now);
+            self.acknowledged(now, now);
         } else if elsewhere {
             self.unacknowledged_since.get_or_insert(now);
         }
     }
 
-    /// It showed at `at` that it hears. What was shown before the doubt ends none.
-    fn shown(&mut self, at: Micros, now: Micros) {
+    /// It acknowledged at `at`. An acknowledgement from before `unacknowledged_since` does not
+    /// end the episode.
+    fn acknowledged(&mut self, at: Micros, now: Micros) {
         self.last_acknowledged = self.last_acknowledged.max(at);
         let Some(since) = self.unacknowledged_since.filter(|since| at >= *since) else { return };
         self.unacknowledged_since = None;
-        self.asked = 0;
+        self.probes_sent = 0;
         if now.since(since) > MIN_EPISODE_DURATION {
             self.episodes += 1;
             self.trusted_at = now + Micros::secs(TRUST_PAUSE_BASE_S << self.episodes.min(5));
         }
     }
 
-    /// Whether others should ask it for this doubt: the last question had its time.
+    /// Whether other controllers should probe it now: the last probe has timed out.
     pub(super) fn ask_due(&self, now: Micros) -> bool {
-        self.unacknowledged_for(DOUBT_BEFORE_PROBE, now) && now.since(self.asked_at) > ASK_TIMEOUT
+        self.unacknowledged_for(DOUBT_BEFORE_PROBE, now) && now.since(self.probed_at) > ASK_TIMEOUT
     }
 
-    /// It is asked by others.
+    /// Counts a probe by other controllers, if one is due.
     pub(super) fn ask(&mut self, now: Micros) {
         if self.ask_due(now) {
-            self.asked += 1;
-            self.asked_at = now;
+            self.probes_sent += 1;
+            self.probed_at = now;
         }
     }
 
-    /// Whether it has been in doubt for so long.
+    /// Whether it has acknowledged nothing for longer than `span`.
     pub(super) fn unacknowledged_for(&self, span: Micros, now: Micros) -> bool {
         self.unacknowledged_since.is_some_and(|t| now.since(t) > span)
     }
 }
 
 impl Machine {
-    /// Its holder tells that a report came that changed nothing.
+    /// Its holder reports a heartbeat that changed nothing.
     pub(super) fn goes_on(&mut self, from: NodeId, at: Micros, now: Micros) {
         if self.holder == Some(from) && self.confirmed && self.hearing.obeys {
-            self.hearing.shown(at, now);
+            self.hearing.acknowledged(at, now);
         }
     }
 }
 
 impl Leader {
-    /// Deletes machines that hear nothing: those with tasks shortly before their
-    /// workers' leases end, so that one that hears again in time loses nothing.
+    /// Deletes machines that commands do not reach. A machine with tasks is deleted shortly
+    /// before its worker's lease ends, so that one that recovers in time loses no task.
     pub(super) fn watch_deaf(&mut self, now: Micros) {
         let lease = self.ctx.lease;
         let mut held: BTreeMap<NodeId, (usize, usize)> = BTreeMap::new();
-        let (mut up, mut any) = (0, false);
+        let (mut up, mut any_unacknowledged) = (0, false);
         for m in self.machines.values().filter(|m| m.stage == Stage::Up) {
-            let unacknowledged_since = m.hearing.unacknowledged_since.is_some();
-            (up, any) = (up + 1, any || unacknowledged_since);
+            let unacknowledged = m.hearing.unacknowledged_since.is_some();
+            (up, any_unacknowledged) = (up + 1, any_unacknowledged || unacknowledged);
             if let Some(h) = m.holder {
                 let (n, of) = held.entry(h).or_default();
-                (*n, *of) = (*n + unacknowledged_since as usize, *of + 1);
+                (*n, *of) = (*n + unacknowledged as usize, *of + 1);
             }
         }
-        if !any {
+        if !any_unacknowledged {
             return;
         }
         while self.deaf_gone.front().is_some_and(|t| now.since(*t) > DELETION_WINDOW) {
             self.deaf_gone.pop_front();
         }
         let left = (up / MACHINES_PER_DELETION).max(2).saturating_sub(self.deaf_gone.len());
-        let mut doomed = Vec::new();
+        let mut to_delete = Vec::new();
         for (id, m) in &self.machines {
             let h = &m.hearing;
             let last = m.heard.max(self.last_seen.get(id).map(|x| x.1));
             let alive = last.is_some_and(|t| now.since(t) < SILENCE_TIMEOUT);
-            // The last question may still be answered.
+            // The last probe may still be answered.
             if m.stage != Stage::Up
                 || h.unacknowledged_since.is_none()
                 || !alive
-                || h.asked <= MIN_UNANSWERED_PROBES
+                || h.probes_sent <= MIN_UNANSWERED_PROBES
             {
                 continue;
             }
             let limit = if m.bound.is_empty() { lease.scale(2, 1) } else { lease.scale(7, 10) };
             let span = now.since(self.lateness.silent_from(h.last_acknowledged));
-            // Where most machines of a controller hear nothing, it is its way out that
-            // is cut: others take them.
+            // If most machines of a controller acknowledge nothing, its outbound network path is
+            // cut: other controllers take the machines over.
             let of_holder = m.holder.and_then(|h| held.get(&h)).copied().unwrap_or_default();
-            let way_out = of_holder.1 >= 4 && of_holder.0 * 2 > of_holder.1;
-            if span > limit && (!way_out || span > lease.scale(2, 1)) {
-                doomed.push((std::cmp::Reverse(span), id.clone()));
+            let outbound_cut = of_holder.1 >= 4 && of_holder.0 * 2 > of_holder.1;
+            if span > limit && (!outbound_cut || span > lease.scale(2, 1)) {
+                to_delete.push((std::cmp::Reverse(span), id.clone()));
             }
         }
-        doomed.sort();
-        for (span, id) in doomed.into_iter().take(left) {
+        to_delete.sort();
+        for (span, id) in to_delete.into_iter().take(left) {
             self.deaf_gone.push_back(now);
-            let why = format!("it reports and has heard nothing for {:.1} s", span.0.as_secs_f64());
+            let why =
+                format!("it sends heartbeats but has acknowledged nothing for {:.1} s", span.0.as_secs_f64());
             self.delete(&id, &why, now);
         }
     }
@@ -167,14 +175,14 @@
     use super::*;
 
     #[test]
-    fn a_doubt_ends_by_what_comes_after_it() {
+    fn only_a_later_acknowledgement_ends_an_episode() {
         let s = Micros::secs;
-        // (what is told at second; in doubt after it, trusted again at second)
+        // (event, its time in seconds; unacknowledged after it, trusted again at second)
         type Step = (fn(&mut Hearing, Micros), u64, bool, u64);
         let steps: [Step; 9] = [
             (|h, t| h.told(true, t, t), 1, false, 0),
             (|h, t| h.seen(false, true, t), 5, true, 0),
-            // The holder tells again of what came before.
+            // The holder reports a heartbeat from before the episode.
             (|h, t| h.told(true, Micros::secs(4), t), 6, true, 0),
             (|h, t| h.told(true, t, t), 9, false, 0),
             (|h, t| h.told(false, t, t), 20, true, 0),
--- a/crates/core/src/leader/growth.rs
+++ b/crates/core/src/leader/growth.rs
@@ -9,7 +9,7 @@
 /// Machines in a deletion: the maximum that the cloud accepts.
 pub const NAMES_A_DELETION: usize = 100;
 
-/// Time from the end of one list to the start of the next.
+/// Time from the end of one list to the start of the next, if the cloud's rate limit allows it.
 pub const LIST_PAUSE: Micros = Micros::secs(2);
 /// One in this many calls to the cloud may be for a list page. The rest are for deletions and
 /// rentals, which take precedence, because the number of pages grows with the number of machines.
--- a/crates/core/src/leader/ways.rs
+++ b/crates/core/src/leader/ways.rs
@@ -1,39 +1,40 @@
-//! When the way to a zone last opened, for each controller and for all of them
-//! together. A machine counts as silent from then on only: when a cut ends, the
-//! first machine that is heard says that the way is open again, and nothing yet
-//! about the others, whose reports and answers are still on theirs.
+//! When the network path to a zone was last restored, for each controller and for all of them
+//! together. A machine's silence counts only from then on: when a network partition ends, the
+//! first contact shows that the path is open again, but says nothing about the other machines,
+//! whose heartbeats and responses are still in transit.
 use gorseshore_protocol::ids::{Micros, NodeId};
 use std::collections::BTreeMap;
 
+/// A network path: when it was last restored, and the last contact over it.
 #[derive(Debug, Clone, Copy, Default)]
 struct NetworkPath {
-    since: Micros,
-    last: Micros,
+    opened_at: Micros,
+    last_contact: Micros,
 }
 
-/// Ways to zones as they were heard.
+/// Network paths by zone, and by controller or for all of them (`None`).
 #[derive(Debug, Default)]
 pub struct Ways {
     zones: BTreeMap<String, BTreeMap<Option<NodeId>, NetworkPath>>,
 }
 
 impl Ways {
-    /// A machine of the zone was heard at `at` by a controller, or by any of
-    /// them (`None`). After more than `gap` without a word the way opens anew.
+    /// Records a contact at `at` between a machine of the zone and a controller, or any of them
+    /// (`None`). If there was none for longer than `gap`, the path counts as restored at `at`.
     pub fn heard(&mut self, by: Option<NodeId>, zone: &str, at: Micros, gap: Micros) {
         let zone = match self.zones.get_mut(zone) {
             Some(z) => z,
             None => self.zones.entry(zone.to_owned()).or_default(),
         };
-        let way = zone.entry(by).or_default();
-        if at > way.last + gap {
-            way.since = at;
+        let path = zone.entry(by).or_default();
+        if at > path.last_contact + gap {
+            path.opened_at = at;
         }
-        way.last = way.last.max(at);
+        path.last_contact = path.last_contact.max(at);
     }
 
-    /// Since when the way has been open; zero if nothing was heard on it.
+    /// Since when the path has been open; zero if there was no contact over it.
     pub fn open_since(&self, by: Option<NodeId>, zone: &str) -> Micros {
-        self.zones.get(zone).and_then(|z| z.get(&by)).map_or(Micros(0), |w| w.since)
+        self.zones.get(zone).and_then(|z| z.get(&by)).map_or(Micros(0), |path| path.opened_at)
     }
 }
