--- a/crates/core/src/leader/machines.rs
+++ b/crates/core/src/leader/machines.rs
@@ -1,27 +1,29 @@
-//! Machines: what is asked of the cloud.
+//! Autoscaling: rents and deletes machines, and applies the cloud's responses.
 use super::*;
 
-/// An array of which nothing runs has waited for a while after this, in
-/// milliseconds.
-const ON_DEMAND_WAIT_MS: u64 = 30_000;
-/// One in so many ordinary machines may hold nothing but arrays while spot ones
+/// An array that has run nothing for this long may get on-demand machines while spot machines
 /// are sold out.
+const ON_DEMAND_WAIT_MS: u64 = 30_000;
+/// One in this many on-demand machines may hold only array tasks while spot machines are sold
+/// out.
 const ON_DEMAND_PER_ARRAY_MACHINE: usize = 2;
-/// Spot machines are sold out when in so long a time only a few could be had for
-/// what waits.
+/// Spot machines count as sold out when few were rented within this time, compared with the
+/// pending tasks.
 const SPOT_SOLD_OUT_WINDOW: Micros = Micros::secs(60);
-/// Waiting tasks for each spot machine that was had meanwhile.
+/// Spot machines are sold out when there are more pending tasks than this for each spot machine
+/// rented within `SPOT_SOLD_OUT_WINDOW`.
 const PENDING_PER_SPOT_RENTAL: usize = 4;
-/// While spot machines are more than one in so many of the CPUs of ordinary ones, work
-/// that waits for them gets its turn there: a small deployment has few at any time.
+/// While spot machines have more than one CPU for this many CPUs of on-demand machines, they do
+/// not count as sold out: pending arrays get their turn on them. A small deployment has only a
+/// few spot machines at any time.
 const ON_DEMAND_TO_SPOT_CPU_RATIO: u64 = 10;
 
 impl Leader {
-    /// Decides what to rent and return; what to ask the cloud now.
+    /// Decides which machines to rent and delete, and returns the calls to make to the cloud now.
     pub fn fleet(&mut self, flavors: &[Flavor], now: Micros) -> Vec<CloudWish> {
-        let mut wishes = Vec::new();
+        let mut requests = Vec::new();
         if !self.granted {
-            return wishes;
+            return requests;
         }
         if now >= self.fleet_at {
             let passed = now.since(self.measured);
@@ -48,25 +50,26 @@
                 keep
             });
         }
-        wishes.extend(self.deletions(now));
+        requests.extend(self.deletions(now));
         for (req, stage, _) in self.hires.values() {
             if *stage == HireStage::Recorded {
-                wishes.push(CloudWish::Hire(req.clone()));
+                requests.push(CloudWish::Hire(req.clone()));
             }
         }
-        let pause = match self.list_from {
+        let interval = match self.list_from {
             Some(_) => growth::list_page_interval(self.ctx.cloud_rps),
             None => growth::LIST_PAUSE,
         };
-        if !self.listing && now.since(self.listed) >= pause {
-            wishes.push(CloudWish::List(self.list_from.clone()));
+        if !self.listing && now.since(self.listed) >= interval {
+            requests.push(CloudWish::List(self.list_from.clone()));
         }
-        wishes
+        requests
     }
 
-    /// Deletions that are due.
+    /// The deletion call to send now, if machines are to be deleted. An unconfirmed deletion is
+    /// sent again after 3 s.
     pub fn deletions(&self, now: Micros) -> Option<CloudWish> {
-        let doomed: Vec<MachineId> = self
+        let ids: Vec<MachineId> = self
             .machines
             .iter()
             .filter(|(_, m)| {
@@ -75,12 +78,12 @@
             .map(|(id, _)| id.clone())
             .take(growth::NAMES_A_DELETION)
             .collect();
-        (!doomed.is_empty()).then_some(CloudWish::Delete(doomed))
+        (!ids.is_empty()).then_some(CloudWish::Delete(ids))
     }
 
-    /// A wish went out.
-    pub fn wish_sent(&mut self, wish: &CloudWish, now: Micros) {
-        match wish {
+    /// Records that a call to the cloud was sent.
+    pub fn wish_sent(&mut self, request: &CloudWish, now: Micros) {
+        match request {
             CloudWish::Delete(ids) => {
                 for id in ids {
                     if let Some(m) = self.machines.get_mut(id) {
@@ -98,27 +101,28 @@
         }
     }
 
-    /// The cloud deleted these.
+    /// Removes machines whose deletion the cloud confirmed.
     pub fn deleted(&mut self, ids: &[MachineId], now: Micros) {
         for id in ids {
             self.machine_gone(id, now);
         }
     }
 
-    /// A deletion was not confirmed; it is sent again.
+    /// Makes an unconfirmed deletion due again.
     pub fn delete_failed(&mut self, ids: &[MachineId], now: Micros) {
         for id in ids {
             if let Some(m) = self.machines.get_mut(id) {
-                // In half a second, whatever the usual pause.
+                // Due in 0.5 s instead of the usual 3 s.
                 m.delete_sent = Some(now - Micros::millis(2500));
             }
         }
     }
 
-    /// A rental ended: machines, a refusal (`Some(empty)`), or nobody knows.
+    /// Applies the result of a rental request: the rented machines, a refusal (`Some` of an empty
+    /// slice), or an unknown result (`None`).
     pub fn hired(&mut self, req: &HireRequest, got: Option<&[String]>, sizes: &Sizes, now: Micros) {
         let Some(hosts) = got else {
-            // The same name again gives the same machines.
+            // Sent again under the same name, for which the cloud returns the same machines.
             if let Some(h) = self.hires.get_mut(&req.name) {
                 h.1 = HireStage::Recorded;
             }
@@ -155,7 +159,7 @@
         }
     }
 
-    /// A page of the list (or none, if the call failed).
+    /// Applies a page of the cloud's machine list; `None` if the call failed.
     pub fn listed(&mut self, page: Option<&Rentals>, sizes: &Sizes, now: Micros) {
         self.listing = false;
         self.listed = now;
@@ -175,7 +179,7 @@
                         self.tell(&id);
                     }
                     if failed && !deleting {
-                        self.delete(&id, "it failed", now);
+                        self.delete(&id, "the cloud reports that it failed", now);
                     }
                 }
                 None => {
@@ -186,58 +190,61 @@
                         spot: r.loaners,
                         addr: r.addr.clone(),
                     };
-                    info!("{id}: found in the list ({} in {}, {})", r.build, rec.zone, r.stage);
+                    info!("{id}: adopted from the cloud's list ({} in {}, {})", r.build, rec.zone, r.stage);
                     let mut m = Machine::new(&rec, *size, Stage::Booting, now);
                     m.since = now - Micros::from_secs_f64(r.held_s);
                     self.machines.insert(id.clone(), m);
                     if r.stage == "failed" {
-                        self.delete(&id, "it failed", now);
+                        self.delete(&id, "the cloud reports that it failed", now);
                     }
                 }
             }
         }
     }
 
-    /// Closes zones of which nothing is heard, and opens them again.
+    /// Closes zones without contact to renting, and opens them again.
     fn update_zone_health(&mut self, now: Micros) {
-        let mut sights: BTreeMap<String, Sight> = BTreeMap::new();
+        let mut observations: BTreeMap<String, Sight> = BTreeMap::new();
         for (id, m) in &self.machines {
             let seen = self.last_seen.get(id).map(|x| x.1);
-            let sight = match sights.get_mut(&m.zone) {
+            let observation = match observations.get_mut(&m.zone) {
                 Some(s) => s,
-                None => sights.entry(m.zone.clone()).or_default(),
+                None => observations.entry(m.zone.clone()).or_default(),
             };
-            sight.up += (m.stage == Stage::Up) as u32;
-            // Also of one that is being deleted: it is the way that counts.
-            sight.heard = sight.heard.max(m.heard.max(seen));
-        }
-        // All of a zone's workers report in a quarter more than this.
-        let patience = self.ctx.report.max(Micros::secs(4)) + Micros::secs(2);
-        let listens_from = self.lateness.silent_from(self.began + Micros::secs(2));
-        for turn in self.health.update(&sights, listens_from, patience, now) {
+            observation.up += (m.stage == Stage::Up) as u32;
+            // Contact with a machine that is being deleted counts too, because it shows that the
+            // network path is open.
+            observation.heard = observation.heard.max(m.heard.max(seen));
+        }
+        // All workers of a zone send a heartbeat within 1.25 times the report interval.
+        let max_silence = self.ctx.report.max(Micros::secs(4)) + Micros::secs(2);
+        let silence_from = self.lateness.silent_from(self.began + Micros::secs(2));
+        for transition in self.health.update(&observations, silence_from, max_silence, now) {
             self.dirty = true;
-            match turn {
+            match transition {
                 Turn::Closed(zone, up, silent) => warn!(
-                    "zone {zone} is closed to renting: nothing of its {up} machines for {:.1} s, while others are heard",
+                    "zone {zone} closed to renting: no contact with its {up} machines for {:.1} s, while other zones respond",
                     silent.as_secs_f64()
                 ),
                 Turn::Opened(zone, after) => {
-                    info!("zone {zone} is open to renting again after {:.1} s", after.as_secs_f64())
+                    info!("zone {zone} opened to renting again after {:.1} s", after.as_secs_f64())
                 }
             }
         }
     }
 
-    /// How many more machines may be asked for in a zone; no bound while it is open.
+    /// Machines that may still be requested in a zone; `None` if it is open, which means no bound.
     fn probes_left(&self, zone: &str, now: Micros) -> Option<u32> {
         let allowed = self.health.allowed(zone, now)?;
         let booting = self.machines.values().filter(|m| m.stage == Stage::Booting && m.zone == zone).count();
-        let asked: u32 = self.hires.values().filter(|(r, ..)| r.zone == zone).map(|(r, ..)| r.count).sum();
-        Some(allowed.saturating_sub(booting as u32 + asked))
+        let requested: u32 =
+            self.hires.values().filter(|(r, ..)| r.zone == zone).map(|(r, ..)| r.count).sum();
+        Some(allowed.saturating_sub(booting as u32 + requested))
     }
 
+    /// Stops tasks that can save a checkpoint before the cloud reclaims their spot machine, and
+    /// drops stop orders whose attempt is no longer on its machine.
     pub(super) fn save_tasks_before_reclaim(&mut self, now: Micros) {
-        // Work that can be saved is saved before the cloud takes the machine.
         let mut stops = Vec::new();
         for (id, m) in &self.machines {
             let Some(until) = m.warning else { continue };
@@ -245,7 +252,7 @@
                 let Some(r) = self.jobs.get(&t.job) else { continue };
                 let save = Micros::from_secs_f64(r.spec.save_s);
                 let left = until - now;
-                // The notice may be half as long as it says.
+                // The cloud may reclaim the machine after half of the announced time.
                 if r.spec.checkpoint_s > 0.0
                     && *s == TaskState::Running
                     && left.scale(1, 2) <= save + Micros::millis(2500)
@@ -257,7 +264,7 @@
             }
         }
         for (t, a, id, grace) in stops {
-            info!("{t}: saved and stopped, {id} is taken back");
+            info!("{t}: stopped to save a checkpoint, the cloud reclaims {id}");
             self.stop(t, a, &id, grace, now);
         }
         let machines = &self.machines;
@@ -266,10 +273,12 @@
         });
     }
 
+    /// Deletes machines that did not boot in time, that are drained, or that are idle beyond the
+    /// spare capacity to keep.
     pub(super) fn delete_idle(&mut self, flavors: &[Flavor], now: Micros) {
-        let mut back = Vec::new();
+        let mut to_delete = Vec::new();
         let waiting = self.jobs.values().any(|r| !r.over && !r.held && r.waiting() > 0);
-        // Room for replicas that come, by zone: ordinary machines only.
+        // Spare CPUs for new replicas by zone; only on-demand machines count.
         let mut spare: BTreeMap<String, u64> = BTreeMap::new();
         for m in self.machines.values().filter(|m| !m.spot && m.usable()) {
             *spare.entry(m.zone.clone()).or_default() += m.free().cpu;
@@ -283,13 +292,13 @@
                 Stage::Booting => {
                     let boot = flavors.iter().find(|f| f.sku == m.build).map_or(60.0, |f| f.boot_s);
                     if now.since(m.since) > Micros::from_secs_f64(boot * 4.0 + 20.0) {
-                        back.push((id, "it never came up"));
+                        to_delete.push((id, "it did not boot in time"));
                     }
                 }
                 Stage::Up if m.confirmed && m.empty() => {
                     let idle = now.since(*m.idle_since.get_or_insert(now));
                     if m.draining.is_some() {
-                        back.push((id, "out of use and empty"));
+                        to_delete.push((id, "it is drained and empty"));
                         continue;
                     }
                     if idle < self.ctx.operator.idle_return || m.warning.is_some() {
@@ -306,27 +315,28 @@
                     if waiting && idle < self.ctx.operator.idle_return.scale(3, 1) {
                         continue;
                     }
-                    back.push((id, "idle"));
+                    to_delete.push((id, "idle"));
                 }
                 Stage::Up => m.idle_since = None,
                 Stage::Deleting => {}
             }
         }
-        for (id, why) in back {
+        for (id, why) in to_delete {
             self.delete(&id, why, now);
         }
     }
 
-    /// CPUs of a machine that work below the highest priority takes.
-    fn lent(&self, m: &Machine) -> u64 {
+    /// CPUs, in thousandths, that tasks below the highest priority take on a machine.
+    fn preemptible_cpu(&self, m: &Machine) -> u64 {
         let lower = |t: &&TaskId| self.jobs.get(&t.job).is_some_and(|r| r.urgency.rank < Rank::Production);
         m.tasks.keys().filter(lower).map(|t| self.jobs[&t.job].spec.need.cpu).sum()
     }
 
-    /// Room that should be there for production replicas that come, by zone:
-    /// for the largest service there is, and for what comes while a machine
-    /// boots, as far as the last minute tells; never more than a tenth of what
-    /// runs, or a start from nothing would be taken for the usual flow.
+    /// Spare CPUs, in thousandths, to keep in each open zone for new production replicas: at
+    /// least the `spare_cpus` setting, the share of the largest service that one zone may hold,
+    /// and the replicas expected while a machine boots. These are estimated as half of the last
+    /// minute's new replicas, divided among the zones, and are capped at a tenth of the running
+    /// replicas: otherwise a start from nothing would count as the usual rate.
     fn spare_cpu_targets(&self, now: Micros) -> BTreeMap<String, u64> {
         let least = (self.ctx.operator.spare_cpus * 1000.0) as u64;
         let all = self.machines.values().map(|m| &m.zone);
@@ -345,10 +355,11 @@
         if largest == 0 {
             return BTreeMap::new();
         }
-        let flow = (recent / 2).min(running / 10) / zones.len().max(1) as u64;
-        zones.into_iter().map(|z| (z.clone(), least.max(largest).max(flow))).collect()
+        let expected = (recent / 2).min(running / 10) / zones.len().max(1) as u64;
+        zones.into_iter().map(|z| (z.clone(), least.max(largest).max(expected))).collect()
     }
 
+    /// Creates rental requests for the pending tasks.
     pub(super) fn plan_hires(&mut self, flavors: &[Flavor], now: Micros) {
         let open = growth::max_open_rentals(self.ctx.cloud_rps);
         if self.hires.len() >= open {
@@ -385,7 +396,7 @@
             .filter(|m| m.stage == Stage::Booting || (m.stage == Stage::Up && (m.confirmed || !m.unknown)))
             .filter(|m| !m.hearing.unacknowledged_for(Micros::secs(5), now))
             .filter(|m| {
-                // One that is late may never come.
+                // A machine that is late to boot may never come up.
                 let boot = flavors.iter().find(|f| f.sku == m.build).map_or(60.0, |f| f.boot_s);
                 m.stage == Stage::Up || now.since(m.since) < Micros::from_secs_f64(boot * 1.8 + 5.0)
             })
@@ -395,7 +406,7 @@
                 spot: m.spot,
                 size: m.size,
                 free: m.free(),
-                lent: if m.spot { 0 } else { self.lent(m) },
+                lent: if m.spot { 0 } else { self.preemptible_cpu(m) },
             })
             .collect();
         for (r, ..) in self.hires.values().filter(|(r, ..)| !self.health.is_closed(&r.zone)) {
@@ -422,8 +433,8 @@
                 running += self.tasks_expected_to_end(r) as f64;
             }
             let waiting = r.startable_tasks();
-            // A job that fails wherever it is gets no more machines; one whose
-            // attempts are bounded comes to its end the sooner.
+            // A job that fails on every machine gets no more machines. A job with bounded
+            // attempts does, and reaches its end sooner.
             let hopeless = r.failures > 5 && !r.proven && r.spec.attempts.is_none();
             if waiting == 0 || r.over || r.held || self.may_run_on_unconfirmed_machine(r) || hopeless {
                 continue;
@@ -460,10 +471,10 @@
         };
         let full = policy.max_new == 0 && !demands.is_empty();
         if std::mem::replace(&mut self.fleet_full, full) != full && full {
-            warn!("max_machines is reached: work waits and nothing more is rented");
+            warn!("max_machines is reached: tasks are pending and no machine is rented");
         }
-        // A closed zone is tried with a few machines, and only where the work
-        // would want them there.
+        // A closed zone is probed with a few machines, and only if the plan over all zones would
+        // rent machines there.
         let mut wants = BTreeMap::new();
         if self.health.any_closed() {
             let (closed, open): (Vec<Offer>, Vec<Offer>) =
@@ -487,8 +498,8 @@
         }
     }
 
-    /// Asks for machines of one kind, in as many rentals as they take and may be open;
-    /// in one at least, so that no kind waits for the others.
+    /// Creates rental requests for machines of one kind: as many as are needed and may be open,
+    /// but at least one, so that no kind waits for the others.
     pub(super) fn ask_for(&mut self, want: &Want, machines: u32, open: usize, now: Micros) {
         let mut left = machines;
         loop {
@@ -510,15 +521,16 @@
         }
     }
 
-    /// Ordinary machines that may be added for arrays while spot ones are sold
-    /// out: with those that hold nothing but arrays now, a part of all that are
-    /// there. Replicas that come stop work on these, as on any.
+    /// On-demand machines that may be added for arrays while spot machines are sold out.
+    /// Together with the on-demand machines that are booting or hold only array tasks, they are
+    /// at most one in `ON_DEMAND_PER_ARRAY_MACHINE` of all on-demand machines. New replicas
+    /// preempt tasks on these machines as on any other.
     fn on_demand_for_arrays(&mut self, thirsty: usize, now: Micros) -> usize {
         while self.spot_had.front().is_some_and(|(t, _)| now.since(*t) >= SPOT_SOLD_OUT_WINDOW) {
             self.spot_had.pop_front();
         }
-        let had: usize = self.spot_had.iter().map(|(_, n)| n).sum();
-        if thirsty <= had * PENDING_PER_SPOT_RENTAL || now.since(self.began) < SPOT_SOLD_OUT_WINDOW {
+        let rented: usize = self.spot_had.iter().map(|(_, n)| n).sum();
+        if thirsty <= rented * PENDING_PER_SPOT_RENTAL || now.since(self.began) < SPOT_SOLD_OUT_WINDOW {
             return 0;
         }
         let cpus = |spot| {
@@ -528,15 +540,15 @@
         if cpus(true) * ON_DEMAND_TO_SPOT_CPU_RATIO > cpus(false) {
             return 0;
         }
-        let ordinary = || self.machines.values().filter(|m| !m.spot && m.stage != Stage::Deleting);
+        let on_demand = || self.machines.values().filter(|m| !m.spot && m.stage != Stage::Deleting);
         let of_array = |t: &TaskId| self.jobs.get(&t.job).is_some_and(|r| r.spec.kind == Kind::Array);
-        let given = ordinary()
+        let taken = on_demand()
             .filter(|m| m.stage == Stage::Booting || !m.tasks.is_empty() && m.tasks.keys().all(of_array));
-        (ordinary().count() / ON_DEMAND_PER_ARRAY_MACHINE).saturating_sub(given.count())
+        (on_demand().count() / ON_DEMAND_PER_ARRAY_MACHINE).saturating_sub(taken.count())
     }
 
-    /// Tasks of an array whose ends will be heard: where nothing is heard,
-    /// nothing ends.
+    /// Bound tasks of an array whose end can be reported. Tasks whose machines are all in closed
+    /// zones are left out.
     fn tasks_expected_to_end(&self, r: &Run) -> usize {
         if !self.health.any_closed() {
             return r.bound.len();
@@ -545,8 +557,8 @@
         r.bound.values().filter(|b| b.on.is_empty() || !b.on.iter().all(lost)).count()
     }
 
-    /// Leaves of what waits, in the order in which it is served, only what the
-    /// teams' limits let start: a machine for the rest would stand idle.
+    /// Reduces the demands, in the order in which they are served, to the tasks that the teams'
+    /// limits let start: machines rented for the rest would be idle.
     pub(super) fn keep_to_limits(&self, demands: &mut Vec<Demand>) {
         let mut left: BTreeMap<&str, Resources> = BTreeMap::new();
         for team in &self.ctx.teams {
@@ -555,7 +567,7 @@
                 continue;
             }
             let (cpu, gpu) = self.sums.teams.get(&team.name).copied().unwrap_or_default();
-            // No limit is meant by 0.
+            // 0 means no limit.
             let of = |max: u64, used: u64| if max == 0 { u64::MAX } else { max.saturating_sub(used) };
             left.insert(
                 &team.name,
@@ -563,10 +575,10 @@
             );
         }
         demands.retain_mut(|d| {
-            let Some(room) = left.get_mut(d.spec.team.as_str()) else { return true };
-            d.waiting = room.count(&d.spec.need, d.waiting as u64) as u32;
+            let Some(quota) = left.get_mut(d.spec.team.as_str()) else { return true };
+            d.waiting = quota.count(&d.spec.need, d.waiting as u64) as u32;
             for _ in 0..d.waiting {
-                *room = room.minus(d.spec.need);
+                *quota = quota.minus(d.spec.need);
             }
             d.waiting > 0
         });
