--- a/crates/core/src/leader/machines.rs
+++ b/crates/core/src/leader/machines.rs
@@ -426,7 +426,7 @@
         }
         let (wall_ms, slots) = (self.wall_ms(now), self.array_slots());
         let mut list: Vec<(Rank, (bool, u64, u64), Demand)> = Vec::new();
-        let mut thirsty = 0;
+        let mut long_pending_tasks = 0;
         let mut running = 0.0;
         for r in self.jobs.values() {
             if r.spec.kind == Kind::Array {
@@ -440,8 +440,9 @@
                 continue;
             }
             let waited = |ms: u64| r.bound.is_empty() && wall_ms > r.ready_ms + ms;
-            let (starving, dry) = (waited(90_000), waited(ON_DEMAND_WAIT_MS) && r.spec.kind == Kind::Array);
-            thirsty += if dry { waiting as usize } else { 0 };
+            let (starved, on_demand_allowed) =
+                (waited(90_000), waited(ON_DEMAND_WAIT_MS) && r.spec.kind == Kind::Array);
+            long_pending_tasks += if on_demand_allowed { waiting as usize } else { 0 };
             list.push((
                 r.urgency.rank,
                 r.queue_key(wall_ms, slots),
@@ -461,7 +462,7 @@
             spare: self.spare_cpu_targets(now),
             drain_s: 20.0,
             running_arrays: running,
-            on_demand_for_arrays: self.on_demand_for_arrays(thirsty, now),
+            on_demand_for_arrays: self.on_demand_for_arrays(long_pending_tasks, now),
             max_new: self
                 .ctx
                 .operator
@@ -525,12 +526,14 @@
     /// Together with the on-demand machines that are booting or hold only array tasks, they are
     /// at most one in `ON_DEMAND_PER_ARRAY_MACHINE` of all on-demand machines. New replicas
     /// preempt tasks on these machines as on any other.
-    fn on_demand_for_arrays(&mut self, thirsty: usize, now: Micros) -> usize {
+    fn on_demand_for_arrays(&mut self, long_pending_tasks: usize, now: Micros) -> usize {
         while self.spot_had.front().is_some_and(|(t, _)| now.since(*t) >= SPOT_SOLD_OUT_WINDOW) {
             self.spot_had.pop_front();
         }
         let rented: usize = self.spot_had.iter().map(|(_, n)| n).sum();
-        if thirsty <= rented * PENDING_PER_SPOT_RENTAL || now.since(self.began) < SPOT_SOLD_OUT_WINDOW {
+        if long_pending_tasks <= rented * PENDING_PER_SPOT_RENTAL
+            || now.since(self.began) < SPOT_SOLD_OUT_WINDOW
+        {
             return 0;
         }
         let cpus = |spot| {
