--- a/crates/core/src/leader/schedule.rs
+++ b/crates/core/src/leader/schedule.rs
@@ -90,7 +90,7 @@
     }
 
     /// CPUs and GPUs of a team's bound tasks, on whichever machine they may be.
-    pub(super) fn team_use(&self, team: &str) -> (u64, u64) {
+    pub(super) fn team_usage(&self, team: &str) -> (u64, u64) {
         self.sums.teams.get(team).copied().unwrap_or_default()
     }
 
@@ -104,7 +104,7 @@
         if self.has_unconfirmed_machines() {
             return true;
         }
-        let (c, g) = self.team_use(&spec.team);
+        let (c, g) = self.team_usage(&spec.team);
         let max = Resources::have(team.cpus_max, team.gpus_max, 0.0);
         (max.cpu > 0 && c + spec.need.cpu > max.cpu) || (max.gpu > 0 && g + spec.need.gpu > max.gpu)
     }
@@ -340,7 +340,7 @@
     /// Whether one more task of the job fits into its team's guarantee.
     fn within_guarantee(&self, spec: &JobSpec) -> bool {
         let Some(team) = self.ctx.teams.iter().find(|t| t.name == spec.team) else { return false };
-        let (c, g) = self.team_use(&spec.team);
+        let (c, g) = self.team_usage(&spec.team);
         let own = Resources::have(team.cpus, team.gpus, 0.0);
         (c + spec.need.cpu <= own.cpu || spec.need.cpu == 0)
             && (g + spec.need.gpu <= own.gpu || spec.need.gpu == 0)
@@ -349,7 +349,7 @@
     /// CPUs and GPUs that teams use beyond their guarantee.
     fn borrowed(&self) -> BTreeMap<String, (u64, u64)> {
         let teams = self.ctx.teams.iter().map(|t| {
-            let (c, g) = self.team_use(&t.name);
+            let (c, g) = self.team_usage(&t.name);
             let own = Resources::have(t.cpus, t.gpus, 0.0);
             (t.name.clone(), (c.saturating_sub(own.cpu), g.saturating_sub(own.gpu)))
         });
--- a/crates/core/src/leader/tests/pipelines.rs
+++ b/crates/core/src/leader/tests/pipelines.rs
@@ -159,10 +159,10 @@
     b.confirm("m0", &[]);
     b.stage(1, "standard", 1, &[], None);
     b.tick(30);
-    let one_handed = b.leader.team_use("t");
+    let one_handed = b.leader.team_usage("t");
     b.stage(2, "high", 50, &[1], None);
     b.tick(300);
-    assert_eq!(b.leader.team_use("t"), one_handed);
+    assert_eq!(b.leader.team_usage("t"), one_handed);
     assert!(b.leader.queues.get(&Rank::High).is_none_or(|q| q.order().is_empty()));
 }
 
