--- a/crates/core/src/leader/machines.rs
+++ b/crates/core/src/leader/machines.rs
@@ -424,7 +424,7 @@
                 }
             }
         }
-        let (wall_ms, slots) = (self.wall_ms(now), self.array_slots());
+        let (wall_ms, slots) = (self.wall_ms(now), self.active_array_tasks());
         let mut list: Vec<(Rank, (bool, u64, u64), Demand)> = Vec::new();
         let mut long_pending_tasks = 0;
         let mut running = 0.0;
--- a/crates/core/src/leader/schedule.rs
+++ b/crates/core/src/leader/schedule.rs
@@ -173,14 +173,14 @@
     }
 
     /// Array tasks that are on machines or assigned.
-    pub fn array_slots(&self) -> u64 {
+    pub fn active_array_tasks(&self) -> u64 {
         self.sums.arrays
     }
 
     /// Collects and sorts the jobs that have a task to start.
     fn build_pending_jobs(&mut self, now: Micros) -> Waiting {
         let wall_ms = self.wall_ms(now);
-        let slots = self.array_slots();
+        let slots = self.active_array_tasks();
         let mut waiting = Waiting {
             built_at: now,
             has_unconfirmed_machines: self.has_unconfirmed_machines(),
--- a/crates/standins/src/scale.rs
+++ b/crates/standins/src/scale.rs
@@ -281,7 +281,7 @@
         }
         let t = Instant::now();
         let before = self.now;
-        while self.leader.array_slots() < HAND_OUTS as u64 {
+        while self.leader.active_array_tasks() < HAND_OUTS as u64 {
             self.now = self.now + Micros::millis(25);
             self.leader.tick(&self.ledger, self.now);
             self.exchange();
@@ -323,8 +323,8 @@
         b.job("array", 1, CPUS / 2.0)?;
     }
     let mut before = u64::MAX;
-    while b.leader.array_slots() != before {
-        before = b.leader.array_slots();
+    while b.leader.active_array_tasks() != before {
+        before = b.leader.active_array_tasks();
         b.pass();
         b.report();
     }
