--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -710,8 +710,8 @@
             b.leader.jobs.remove(&JobId(9));
             b.leader.job_changed(JobId(9), &b.ledger, b.now);
         }
-        assert!(b.leader.longest_waits(b.now).is_empty(), "{what}: too soon");
-        let waits = b.leader.longest_waits(b.now + Micros::secs(40));
+        assert!(b.leader.longest_pending(b.now).is_empty(), "{what}: too soon");
+        let waits = b.leader.longest_pending(b.now + Micros::secs(40));
         let got: Vec<(JobId, Why)> = waits.iter().map(|w| (w.1, w.3)).collect();
         assert_eq!(got, [(JobId(9), want)], "{what}");
     }
--- a/crates/core/src/leader/waits.rs
+++ b/crates/core/src/leader/waits.rs
@@ -88,7 +88,7 @@
 
     /// For each class, the job that has waited longest with no task bound, if it has waited for
     /// at least `MIN_REPORTED_WAIT`: class, job, wait and reason.
-    pub fn longest_waits(&self, now: Micros) -> Vec<(String, JobId, Micros, Why)> {
+    pub fn longest_pending(&self, now: Micros) -> Vec<(String, JobId, Micros, Why)> {
         let wall_ms = self.wall_ms(now);
         let mut longest: BTreeMap<&str, (u64, JobId)> = BTreeMap::new();
         for (id, r) in self.jobs.iter().filter(|(_, r)| !r.over && r.bound.is_empty() && r.waiting() > 0) {
@@ -109,7 +109,7 @@
             return;
         }
         self.waits_told = now;
-        for (class, id, waited, reason) in self.longest_waits(now) {
+        for (class, id, waited, reason) in self.longest_pending(now) {
             let pending =
                 self.jobs.values().filter(|r| !r.over && r.spec.class == class && r.waiting() > 0).count();
             warn!(
