--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -225,7 +225,7 @@
     /// Arrays of which more is done than was recorded when last looked at.
     progressed: BTreeSet<JobId>,
     /// Machines with room, in order.
-    rooms: room::Rooms,
+    rooms: room::CapacityIndex,
     /// Jobs that wait, in order; `requeue`: some began to wait since.
     waiting: schedule::Waiting,
     requeue: bool,
@@ -305,7 +305,7 @@
             health: Health::default(),
             ways: Ways::default(),
             progressed: BTreeSet::new(),
-            rooms: room::Rooms::default(),
+            rooms: room::CapacityIndex::default(),
             waiting: schedule::Waiting::new(),
             requeue: true,
             dirty: true,
--- a/crates/core/src/leader/room.rs
+++ b/crates/core/src/leader/room.rs
@@ -15,7 +15,7 @@
 /// The state of a machine from which its sort key was computed.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct Placed {
-    /// Position in `Rooms::kinds`.
+    /// Position in `CapacityIndex::kinds`.
     kind: usize,
     failed: bool,
     free: Resources,
@@ -36,7 +36,7 @@
 
 /// Sort keys by kind of machine and by image.
 #[derive(Debug)]
-pub(super) struct Rooms {
+pub(super) struct CapacityIndex {
     kinds: Vec<KindIndex>,
     /// CPUs of on-demand machines by zone, in thousandths, as of this pass.
     zone_cpu: BTreeMap<String, u64>,
@@ -45,10 +45,10 @@
     max_id: MachineId,
 }
 
-impl Default for Rooms {
+impl Default for CapacityIndex {
     fn default() -> Self {
         let (min_id, max_id) = (MachineId::from(""), MachineId::from("\u{10ffff}"));
-        Rooms { kinds: Vec::new(), zone_cpu: BTreeMap::new(), min_id, max_id }
+        CapacityIndex { kinds: Vec::new(), zone_cpu: BTreeMap::new(), min_id, max_id }
     }
 }
 
@@ -58,7 +58,7 @@
     pub zones: &'a BTreeMap<String, u32>,
 }
 
-impl Rooms {
+impl CapacityIndex {
     fn kind(&mut self, m: &Machine) -> usize {
         let same =
             |k: &KindIndex| k.spot == m.spot && k.size == m.size && k.build == m.build && k.zone == m.zone;
@@ -244,7 +244,7 @@
     /// The best machine by a scan of all machines.
     fn by_full_scan(
         machines: &BTreeMap<MachineId, Machine>,
-        rooms: &Rooms,
+        rooms: &CapacityIndex,
         a: &PlacementQuery<'_>,
     ) -> Option<MachineId> {
         let score = |m: &Machine| {
@@ -273,7 +273,7 @@
         let mut rng = fastrand::Rng::with_seed(7);
         let (zones, images) = (["a", "b", "c"], ["i", "j", "k", "l"]);
         let zone_cpu = BTreeMap::from([("a".into(), 9), ("b".into(), 5), ("c".into(), 7)]);
-        let mut rooms = Rooms { zone_cpu, ..Rooms::default() };
+        let mut rooms = CapacityIndex { zone_cpu, ..CapacityIndex::default() };
         let mut machines: BTreeMap<MachineId, Machine> = BTreeMap::new();
         for i in 0..60 {
             let cpus = [4.0, 8.0, 64.0][rng.usize(0..3)];
