--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -378,7 +378,7 @@
         if sums != kept {
             return Err(format!("bound tasks: {kept:?} kept, {sums:?} counted"));
         }
-        self.check_rooms()?;
+        self.check_capacity_index()?;
         if handed != self.handed {
             return Err(format!("handed: {:?} kept, {handed:?} counted", self.handed));
         }
--- a/crates/core/src/leader/room.rs
+++ b/crates/core/src/leader/room.rs
@@ -210,7 +210,7 @@
     }
 
     /// Checks that the index agrees with the machines' entries; for tests.
-    pub(super) fn check_rooms(&self) -> Result<(), String> {
+    pub(super) fn check_capacity_index(&self) -> Result<(), String> {
         for (id, m) in &self.machines {
             let Some(p) = m.placed else { continue };
             let k = &self.rooms.kinds[p.kind];
