--- a/crates/core/src/leader/bindings.rs
+++ b/crates/core/src/leader/bindings.rs
@@ -255,7 +255,7 @@
                 } else {
                     run.retry_at = now + Micros::millis(200);
                 }
-                if run.mistaken() && run.failures == MISTAKEN + 1 {
+                if run.mistaken() && run.failures == FAULTY_JOB_FAILURES + 1 {
                     info!("{}: fails wherever it is: one task at a time from here on", task.job);
                 }
                 if let Some(m) = self.machines.get_mut(id) {
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -27,7 +27,7 @@
 use crate::lateness::Lateness;
 use assignments::{AssignedTasks, Handed, may_hold};
 pub use machine::{Machine, Stage};
-use run::{Binding, MISTAKEN, Run};
+use run::{Binding, FAULTY_JOB_FAILURES, Run};
 use wishes::HireStage;
 pub use wishes::{CloudWish, HireRequest, LeaderWrite};
 
--- a/crates/core/src/leader/run.rs
+++ b/crates/core/src/leader/run.rs
@@ -15,7 +15,7 @@
 
 /// A job counts as faulty after more failures than this, on more than one machine, while none
 /// of its tasks has run well.
-pub(super) const MISTAKEN: u32 = 3;
+pub(super) const FAULTY_JOB_FAILURES: u32 = 3;
 
 /// A job with bounded attempts waits this long for a machine on which it has not failed: the
 /// time of one or two boots. A faulty machine always has free capacity, because every task on
@@ -168,7 +168,10 @@
     /// then tried, after increasing delays; a task that runs well shows that the machines were
     /// faulty. A job with bounded attempts is not throttled: it uses them up.
     pub(super) fn mistaken(&self) -> bool {
-        !self.proven && self.spec.attempts.is_none() && self.failures > MISTAKEN && self.failed_on.len() > 1
+        !self.proven
+            && self.spec.attempts.is_none()
+            && self.failures > FAULTY_JOB_FAILURES
+            && self.failed_on.len() > 1
     }
     /// Whether its tasks may be assigned to machines on which some of them failed: the job runs
     /// well elsewhere, so its failures are evidence against the machine together with those of
