--- a/crates/core/src/leader/bindings.rs
+++ b/crates/core/src/leader/bindings.rs
@@ -243,7 +243,7 @@
                     let f = run.fails.entry(task.index).or_default();
                     if attempt > f.last {
                         *f = Failures { count: f.count + 1, last: attempt };
-                        run.unsaved.insert(task.index);
+                        run.unrecorded_failures.insert(task.index);
                     }
                     again = f.count;
                 }
--- a/crates/core/src/leader/run.rs
+++ b/crates/core/src/leader/run.rs
@@ -73,7 +73,7 @@
     /// Failed attempts by task, for a job with bounded attempts.
     pub(super) fails: BTreeMap<u32, Failures>,
     /// Tasks whose failure count is not recorded yet. They are not started again before it is.
-    pub(super) unsaved: BTreeSet<u32>,
+    pub(super) unrecorded_failures: BTreeSet<u32>,
     /// The job that it replaces may still have tasks on machines, or a job that it depends on
     /// is not recorded as done.
     pub(super) held: bool,
@@ -117,7 +117,7 @@
             patience: None,
             over: job.phase != Phase::Active,
             fails: job.failed.clone(),
-            unsaved: BTreeSet::new(),
+            unrecorded_failures: BTreeSet::new(),
             shown: (0, 0),
         };
         run.ready_at(job.submitted_ms);
@@ -159,7 +159,7 @@
             let own = self.fails.entry(*i).or_default();
             if f.last >= own.last {
                 *own = *f;
-                self.unsaved.remove(i);
+                self.unrecorded_failures.remove(i);
             }
         }
         recorded
@@ -199,7 +199,7 @@
     }
     /// The next task to start: first those to start again, then by index.
     pub(super) fn peek(&mut self) -> Option<u32> {
-        while let Some(i) = self.again.iter().copied().find(|i| !self.unsaved.contains(i)) {
+        while let Some(i) = self.again.iter().copied().find(|i| !self.unrecorded_failures.contains(i)) {
             if i < self.spec.tasks && !self.done.contains(i) && !self.bound.contains_key(&i) {
                 return Some(i);
             }
