--- a/crates/core/src/leader/records.rs
+++ b/crates/core/src/leader/records.rs
@@ -19,7 +19,7 @@
         // A job is failed by what is recorded, never by what one leader saw.
         let bounded = self.jobs.iter().filter(|(id, r)| r.spec.attempts.is_some() && active(id));
         for (id, r) in bounded {
-            if let Some(i) = r.used_up().filter(|i| !r.unrecorded_failures.contains(i)) {
+            if let Some(i) = r.exhausted_task().filter(|i| !r.unrecorded_failures.contains(i)) {
                 v.push(LeaderWrite::Fail(*id, i));
             }
             let chunks: BTreeSet<u32> = r.unrecorded_failures.iter().map(|i| i / FAILED_CHUNK).collect();
--- a/crates/core/src/leader/run.rs
+++ b/crates/core/src/leader/run.rs
@@ -138,7 +138,7 @@
         (self.spec.estimate_s * 1000.0) as u64 + STAGE_OVERHEAD_MS
     }
     /// The first task whose attempts are used up.
-    pub(super) fn used_up(&self) -> Option<u32> {
+    pub(super) fn exhausted_task(&self) -> Option<u32> {
         let max_attempts = self.spec.attempts?;
         self.fails.iter().find(|(_, f)| f.count >= max_attempts).map(|(i, _)| *i)
     }
--- a/crates/core/src/leader/schedule.rs
+++ b/crates/core/src/leader/schedule.rs
@@ -196,7 +196,11 @@
             if let Some(at) = later {
                 waiting.next_retry = Some(waiting.next_retry.map_or(at, |t| t.min(at)));
             }
-            if run.retry_at <= now && run.used_up().is_none() && run.peek().is_some() && !run.is_throttled() {
+            if run.retry_at <= now
+                && run.exhausted_task().is_none()
+                && run.peek().is_some()
+                && !run.is_throttled()
+            {
                 ready.push(*id);
             }
         }
