--- a/crates/core/src/leader/machines.rs
+++ b/crates/core/src/leader/machines.rs
@@ -82,7 +82,7 @@
     }
 
     /// Records that a call to the cloud was sent.
-    pub fn wish_sent(&mut self, request: &CloudWish, now: Micros) {
+    pub fn cloud_request_sent(&mut self, request: &CloudWish, now: Micros) {
         match request {
             CloudWish::Delete(ids) => {
                 for id in ids {
--- a/crates/core/src/node/duties.rs
+++ b/crates/core/src/node/duties.rs
@@ -495,7 +495,7 @@
             if !self.catalogue.bucket.take(self.now, 1.0, keep) {
                 continue;
             }
-            l.wish_sent(&w, self.now);
+            l.cloud_request_sent(&w, self.now);
             let call = match &w {
                 CloudWish::Delete(ids) => delete_call(ids.iter().map(|i| i.to_string()).collect()),
                 CloudWish::Hire(request) => rent_call(request),
