--- a/crates/core/src/leader/machines.rs
+++ b/crates/core/src/leader/machines.rs
@@ -109,7 +109,7 @@
     }
 
     /// Makes an unconfirmed deletion due again.
-    pub fn delete_failed(&mut self, ids: &[MachineId], now: Micros) {
+    pub fn deletion_unconfirmed(&mut self, ids: &[MachineId], now: Micros) {
         for id in ids {
             if let Some(m) = self.machines.get_mut(id) {
                 // Due in 0.5 s instead of the usual 3 s.
--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -257,7 +257,7 @@
             "a deletion that nobody confirmed",
             |b, _| {
                 b.leader.delete(&m("m0"), "test", b.now);
-                b.leader.delete_failed(&[m("m0")], b.now);
+                b.leader.deletion_unconfirmed(&[m("m0")], b.now);
             },
             false,
         ),
--- a/crates/core/src/node/duties.rs
+++ b/crates/core/src/node/duties.rs
@@ -515,7 +515,7 @@
         match wish {
             CloudWish::Delete(ids) => match body {
                 Some(_) => l.deleted(&ids, self.now),
-                None => l.delete_failed(&ids, self.now),
+                None => l.deletion_unconfirmed(&ids, self.now),
             },
             CloudWish::Hire(req) => self.hired(req, result),
             CloudWish::List(_) => {
