--- a/crates/core/src/leader/machines.rs
+++ b/crates/core/src/leader/machines.rs
@@ -41,7 +41,7 @@
             self.delete_idle(flavors, now);
             self.log_longest_pending(now);
             if now >= self.rent_not_before {
-                self.plan_hires(flavors, now);
+                self.plan_scale_out(flavors, now);
             }
             let forgotten = &mut self.forgotten;
             self.gone.retain(|_, (t, stamp)| {
@@ -360,7 +360,7 @@
     }
 
     /// Creates rental requests for the pending tasks.
-    pub(super) fn plan_hires(&mut self, flavors: &[Flavor], now: Micros) {
+    pub(super) fn plan_scale_out(&mut self, flavors: &[Flavor], now: Micros) {
         let open = growth::max_open_rentals(self.ctx.cloud_rps);
         if self.hires.len() >= open {
             return;
--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -480,7 +480,7 @@
     // The same through what is rented: 40 CPUs wait, 4 may run.
     let mut b = Bench::new(0);
     b.job(1, 60, "tight", "array", "standard", 20, 2.0);
-    b.leader.plan_hires(&flavors, b.now);
+    b.leader.plan_scale_out(&flavors, b.now);
     let rented: u32 = b.leader.hires.values().map(|(r, ..)| r.count).sum();
     assert_eq!(rented, 1);
 }
