--- a/crates/core/src/leader/machines.rs
+++ b/crates/core/src/leader/machines.rs
@@ -457,7 +457,7 @@
         }
         list.sort_by_key(|(rank, order, d)| (std::cmp::Reverse(*rank), *order, d.spec.id));
         let mut demands: Vec<Demand> = list.into_iter().map(|x| x.2).collect();
-        self.keep_to_limits(&mut demands);
+        self.cap_demand_to_team_limits(&mut demands);
         let policy = Policy {
             spare: self.spare_cpu_targets(now),
             drain_s: 20.0,
@@ -562,7 +562,7 @@
 
     /// Reduces the demands, in the order in which they are served, to the tasks that the teams'
     /// limits let start: machines rented for the rest would be idle.
-    pub(super) fn keep_to_limits(&self, demands: &mut Vec<Demand>) {
+    pub(super) fn cap_demand_to_team_limits(&self, demands: &mut Vec<Demand>) {
         let mut left: BTreeMap<&str, Resources> = BTreeMap::new();
         for team in &self.ctx.teams {
             let max = Resources::have(team.cpus_max, team.gpus_max, 0.0);
--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -474,7 +474,7 @@
                 zones: BTreeMap::new(),
             });
         }
-        b.leader.keep_to_limits(&mut demands);
+        b.leader.cap_demand_to_team_limits(&mut demands);
         assert_eq!(demands.iter().map(|d| d.waiting).sum::<u32>(), want, "{jobs:?}");
     }
     // The same through what is rented: 40 CPUs wait, 4 may run.
