--- a/crates/core/src/leader/growth.rs
+++ b/crates/core/src/leader/growth.rs
@@ -3,7 +3,7 @@
 use gorseshore_protocol::ids::Micros;
 
 /// Machines on a page of the cloud's list: the maximum that the cloud returns.
-pub const LIST_PAGE: usize = 500;
+pub const MAX_MACHINES_PER_LIST_PAGE: usize = 500;
 /// Machines in a rental request: the maximum that the cloud accepts.
 pub const MACHINES_A_RENTAL: u32 = 50;
 /// Machines in a deletion: the maximum that the cloud accepts.
--- a/crates/core/src/node/catalogue.rs
+++ b/crates/core/src/node/catalogue.rs
@@ -1,7 +1,7 @@
 //! Machine types as the cloud sells them, its calls and their budget.
 use crate::controller::Sizes;
 use crate::leader::HireRequest;
-use crate::leader::growth::LIST_PAGE;
+use crate::leader::growth::MAX_MACHINES_PER_LIST_PAGE;
 use crate::rate::Bucket;
 use crate::{Call, Target};
 use gorseshore_protocol::cloud::{Flavor, Flavors, Hire, Hosts};
@@ -77,5 +77,5 @@
 /// Asks for a page of the list of machines, after a name.
 pub(super) fn list_call(from: Option<&str>) -> Call {
     let from = from.map_or(String::new(), |name| format!("from={name}&"));
-    cloud_call("GET", format!("/rentals?{from}limit={LIST_PAGE}"), Vec::new())
+    cloud_call("GET", format!("/rentals?{from}limit={MAX_MACHINES_PER_LIST_PAGE}"), Vec::new())
 }
