--- a/crates/core/src/leader/growth.rs
+++ b/crates/core/src/leader/growth.rs
@@ -5,7 +5,7 @@
 /// Machines on a page of the cloud's list: the maximum that the cloud returns.
 pub const MAX_MACHINES_PER_LIST_PAGE: usize = 500;
 /// Machines in a rental request: the maximum that the cloud accepts.
-pub const MACHINES_A_RENTAL: u32 = 50;
+pub const MAX_MACHINES_PER_RENTAL: u32 = 50;
 /// Machines in a deletion: the maximum that the cloud accepts.
 pub const NAMES_A_DELETION: usize = 100;
 
@@ -32,7 +32,7 @@
 
 /// Machines that one scale-out decision may add to a fleet of `machines`.
 pub fn max_machines_added(machines: usize) -> usize {
-    (machines / MACHINES_PER_ADDED_MACHINE).max(MACHINES_A_RENTAL as usize)
+    (machines / MACHINES_PER_ADDED_MACHINE).max(MAX_MACHINES_PER_RENTAL as usize)
 }
 
 #[cfg(test)]
--- a/crates/core/src/leader/machines.rs
+++ b/crates/core/src/leader/machines.rs
@@ -504,7 +504,7 @@
     pub(super) fn ask_for(&mut self, want: &Want, machines: u32, open: usize, now: Micros) {
         let mut left = machines;
         loop {
-            let count = left.min(growth::MACHINES_A_RENTAL);
+            let count = left.min(growth::MAX_MACHINES_PER_RENTAL);
             self.hire_count += 1;
             let name = format!("g-{}-{}", self.term, self.hire_count);
             let req = HireRequest {
