--- a/crates/core/src/leader/growth.rs
+++ b/crates/core/src/leader/growth.rs
@@ -7,7 +7,7 @@
 /// Machines in a rental request: the maximum that the cloud accepts.
 pub const MAX_MACHINES_PER_RENTAL: u32 = 50;
 /// Machines in a deletion: the maximum that the cloud accepts.
-pub const NAMES_A_DELETION: usize = 100;
+pub const MAX_MACHINES_PER_DELETION: usize = 100;
 
 /// Time from the end of one list to the start of the next, if the cloud's rate limit allows it.
 pub const LIST_PAUSE: Micros = Micros::secs(2);
--- a/crates/core/src/leader/machines.rs
+++ b/crates/core/src/leader/machines.rs
@@ -76,7 +76,7 @@
                 m.stage == Stage::Deleting && m.delete_sent.is_none_or(|t| now.since(t) > Micros::secs(3))
             })
             .map(|(id, _)| id.clone())
-            .take(growth::NAMES_A_DELETION)
+            .take(growth::MAX_MACHINES_PER_DELETION)
             .collect();
         (!ids.is_empty()).then_some(CloudWish::Delete(ids))
     }
