--- a/crates/core/src/leader/growth.rs
+++ b/crates/core/src/leader/growth.rs
@@ -10,7 +10,7 @@
 pub const MAX_MACHINES_PER_DELETION: usize = 100;
 
 /// Time from the end of one list to the start of the next, if the cloud's rate limit allows it.
-pub const LIST_PAUSE: Micros = Micros::secs(2);
+pub const LIST_INTERVAL: Micros = Micros::secs(2);
 /// One in this many calls to the cloud may be for a list page. The rest are for deletions and
 /// rentals, which take precedence, because the number of pages grows with the number of machines.
 const CALLS_PER_LIST_PAGE: f64 = 4.0;
@@ -22,7 +22,7 @@
 
 /// Least time between two pages of the cloud's list.
 pub fn list_page_interval(calls_per_s: f64) -> Micros {
-    Micros::from_secs_f64(CALLS_PER_LIST_PAGE / calls_per_s.max(0.1)).min(LIST_PAUSE)
+    Micros::from_secs_f64(CALLS_PER_LIST_PAGE / calls_per_s.max(0.1)).min(LIST_INTERVAL)
 }
 
 /// Rentals that may be open at a time: the calls that the cloud accepts in a second.
--- a/crates/core/src/leader/machines.rs
+++ b/crates/core/src/leader/machines.rs
@@ -58,7 +58,7 @@
         }
         let interval = match self.list_from {
             Some(_) => growth::list_page_interval(self.ctx.cloud_rps),
-            None => growth::LIST_PAUSE,
+            None => growth::LIST_INTERVAL,
         };
         if !self.listing && now.since(self.listed) >= interval {
             requests.push(CloudWish::List(self.list_from.clone()));
