--- a/crates/core/src/leader/machines.rs
+++ b/crates/core/src/leader/machines.rs
@@ -20,7 +20,7 @@
 
 impl Leader {
     /// Decides which machines to rent and delete, and returns the calls to make to the cloud now.
-    pub fn fleet(&mut self, flavors: &[Flavor], now: Micros) -> Vec<CloudWish> {
+    pub fn fleet(&mut self, flavors: &[Flavor], now: Micros) -> Vec<CloudRequest> {
         let mut requests = Vec::new();
         if !self.granted {
             return requests;
@@ -53,7 +53,7 @@
         requests.extend(self.deletions(now));
         for (req, stage, _) in self.hires.values() {
             if *stage == HireStage::Recorded {
-                requests.push(CloudWish::Hire(req.clone()));
+                requests.push(CloudRequest::Hire(req.clone()));
             }
         }
         let interval = match self.list_from {
@@ -61,14 +61,14 @@
             None => growth::LIST_INTERVAL,
         };
         if !self.listing && now.since(self.listed) >= interval {
-            requests.push(CloudWish::List(self.list_from.clone()));
+            requests.push(CloudRequest::List(self.list_from.clone()));
         }
         requests
     }
 
     /// The deletion call to send now, if machines are to be deleted. An unconfirmed deletion is
     /// sent again after 3 s.
-    pub fn deletions(&self, now: Micros) -> Option<CloudWish> {
+    pub fn deletions(&self, now: Micros) -> Option<CloudRequest> {
         let ids: Vec<MachineId> = self
             .machines
             .iter()
@@ -78,26 +78,26 @@
             .map(|(id, _)| id.clone())
             .take(growth::MAX_MACHINES_PER_DELETION)
             .collect();
-        (!ids.is_empty()).then_some(CloudWish::Delete(ids))
+        (!ids.is_empty()).then_some(CloudRequest::Delete(ids))
     }
 
     /// Records that a call to the cloud was sent.
-    pub fn cloud_request_sent(&mut self, request: &CloudWish, now: Micros) {
+    pub fn cloud_request_sent(&mut self, request: &CloudRequest, now: Micros) {
         match request {
-            CloudWish::Delete(ids) => {
+            CloudRequest::Delete(ids) => {
                 for id in ids {
                     if let Some(m) = self.machines.get_mut(id) {
                         m.delete_sent = Some(now);
                     }
                 }
             }
-            CloudWish::Hire(r) => {
+            CloudRequest::Hire(r) => {
                 if let Some(h) = self.hires.get_mut(&r.name) {
                     h.1 = HireStage::Called;
                     h.2 = now;
                 }
             }
-            CloudWish::List(_) => self.listing = true,
+            CloudRequest::List(_) => self.listing = true,
         }
     }
 
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -29,7 +29,7 @@
 pub use machine::{Machine, Stage};
 use run::{Binding, FAULTY_JOB_FAILURES, Run};
 use wishes::HireStage;
-pub use wishes::{CloudWish, HireRequest, LeaderWrite};
+pub use wishes::{CloudRequest, HireRequest, LeaderWrite};
 
 use crate::books::Ledgers;
 use crate::controller::{ASK_TIMEOUT, ASKED_AFTER, Sizes};
--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -1052,10 +1052,10 @@
         b.leader.listed(last.as_ref(), &sizes, b.now);
         let lists = |b: &mut Bench, ms| {
             let wishes = b.leader.fleet(&[], b.now + Micros::millis(ms));
-            wishes.into_iter().find(|w| matches!(w, CloudWish::List(_)))
+            wishes.into_iter().find(|w| matches!(w, CloudRequest::List(_)))
         };
         assert_eq!(lists(&mut b, pause - 50), None, "step {i}");
-        assert_eq!(lists(&mut b, pause), Some(CloudWish::List(from.map(str::to_owned))), "step {i}");
+        assert_eq!(lists(&mut b, pause), Some(CloudRequest::List(from.map(str::to_owned))), "step {i}");
         b.now = b.now + Micros::millis(pause);
     }
 }
--- a/crates/core/src/leader/wishes.rs
+++ b/crates/core/src/leader/wishes.rs
@@ -26,7 +26,7 @@
 
 /// A call to the cloud that the leader requests.
 #[derive(Debug, Clone, PartialEq)]
-pub enum CloudWish {
+pub enum CloudRequest {
     /// Rents machines; the name of the request is recorded.
     Hire(HireRequest),
     /// Deletes machines.
--- a/crates/core/src/node/duties.rs
+++ b/crates/core/src/node/duties.rs
@@ -488,37 +488,37 @@
         };
         for w in wishes {
             let keep = match w {
-                CloudWish::Delete(_) => 0.0,
-                CloudWish::Hire(_) => 0.5,
-                CloudWish::List(_) => 1.0,
+                CloudRequest::Delete(_) => 0.0,
+                CloudRequest::Hire(_) => 0.5,
+                CloudRequest::List(_) => 1.0,
             };
             if !self.catalogue.bucket.take(self.now, 1.0, keep) {
                 continue;
             }
             l.cloud_request_sent(&w, self.now);
             let call = match &w {
-                CloudWish::Delete(ids) => delete_call(ids.iter().map(|i| i.to_string()).collect()),
-                CloudWish::Hire(request) => rent_call(request),
-                CloudWish::List(from) => list_call(from.as_deref()),
+                CloudRequest::Delete(ids) => delete_call(ids.iter().map(|i| i.to_string()).collect()),
+                CloudRequest::Hire(request) => rent_call(request),
+                CloudRequest::List(from) => list_call(from.as_deref()),
             };
             let id = self.out.call(call);
             self.calls.insert(id, Purpose::Cloud(term, w));
         }
     }
 
-    pub(super) fn cloud_called(&mut self, term: u64, wish: CloudWish, result: &CallResult) {
+    pub(super) fn cloud_called(&mut self, term: u64, wish: CloudRequest, result: &CallResult) {
         let Some(l) = self.leadership.leader.as_mut().filter(|l| l.term == term) else { return };
         let body = match result {
             CallResult::Answer { status: 200, body } => Some(body),
             _ => None,
         };
         match wish {
-            CloudWish::Delete(ids) => match body {
+            CloudRequest::Delete(ids) => match body {
                 Some(_) => l.deleted(&ids, self.now),
                 None => l.deletion_unconfirmed(&ids, self.now),
             },
-            CloudWish::Hire(req) => self.hired(req, result),
-            CloudWish::List(_) => {
+            CloudRequest::Hire(req) => self.hired(req, result),
+            CloudRequest::List(_) => {
                 let page: Option<Rentals> = body.and_then(|b| serde_json::from_slice(b).ok());
                 l.listed(page.as_ref(), &self.catalogue.sizes, self.now);
             }
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -34,7 +34,7 @@
 use crate::election::Role;
 use crate::guest::{Guest, GuestInput, GuestOutput, Host, Ticket};
 use crate::jobs::{self, Change, LeaderRecord, Ledger, MachineRecord, Phase, keys};
-use crate::leader::{CloudWish, Context, HireRequest, Leader, LeaderWrite, View};
+use crate::leader::{CloudRequest, Context, HireRequest, Leader, LeaderWrite, View};
 use crate::limits::StoreLimits;
 use crate::liveness::LivenessMonitor;
 use crate::peer::{Envelope, Message, Sighting};
@@ -104,7 +104,7 @@
     LeaderWrites(u64, Vec<LeaderWrite>),
     /// The record of a term's witnesses.
     BooksRecord(u64),
-    Cloud(u64, CloudWish),
+    Cloud(u64, CloudRequest),
     Flavors,
     Worker(MachineId),
     Probe(MachineId),
