--- a/crates/core/src/leader/machines.rs
+++ b/crates/core/src/leader/machines.rs
@@ -120,7 +120,7 @@
 
     /// Applies the result of a rental request: the rented machines, a refusal (`Some` of an empty
     /// slice), or an unknown result (`None`).
-    pub fn hired(&mut self, req: &HireRequest, got: Option<&[String]>, sizes: &Sizes, now: Micros) {
+    pub fn hired(&mut self, req: &ScaleOutRequest, got: Option<&[String]>, sizes: &Sizes, now: Micros) {
         let Some(hosts) = got else {
             // Sent again under the same name, for which the cloud returns the same machines.
             if let Some(h) = self.hires.get_mut(&req.name) {
@@ -507,7 +507,7 @@
             let count = left.min(growth::MAX_MACHINES_PER_RENTAL);
             self.hire_count += 1;
             let name = format!("g-{}-{}", self.term, self.hire_count);
-            let req = HireRequest {
+            let req = ScaleOutRequest {
                 name: name.clone(),
                 build: want.build.clone(),
                 zone: want.zone.clone(),
--- a/crates/core/src/leader/wishes.rs
+++ b/crates/core/src/leader/wishes.rs
@@ -28,7 +28,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudRequest {
     /// Rents machines; the name of the request is recorded.
-    Hire(HireRequest),
+    Hire(ScaleOutRequest),
     /// Deletes machines.
     Delete(Vec<MachineId>),
     /// Lists machines, from the start or after this name.
@@ -37,7 +37,7 @@
 
 /// A rental request.
 #[derive(Debug, Clone, PartialEq)]
-pub struct HireRequest {
+pub struct ScaleOutRequest {
     /// Name of the request. The same name always yields the same machines.
     pub name: String,
     /// Machine type.
--- a/crates/core/src/node/catalogue.rs
+++ b/crates/core/src/node/catalogue.rs
@@ -1,6 +1,6 @@
 //! Machine types as the cloud sells them, its calls and their budget.
 use crate::controller::Sizes;
-use crate::leader::HireRequest;
+use crate::leader::ScaleOutRequest;
 use crate::leader::growth::MAX_MACHINES_PER_LIST_PAGE;
 use crate::rate::Bucket;
 use crate::{Call, Target};
@@ -57,7 +57,7 @@
 }
 
 /// Rents machines.
-pub(super) fn rent_call(request: &HireRequest) -> Call {
+pub(super) fn rent_call(request: &ScaleOutRequest) -> Call {
     let body = Hire {
         hire: request.name.clone(),
         build: request.build.clone(),
--- a/crates/core/src/node/duties.rs
+++ b/crates/core/src/node/duties.rs
@@ -526,7 +526,7 @@
         self.lead();
     }
 
-    pub(super) fn hired(&mut self, req: HireRequest, result: &CallResult) {
+    pub(super) fn hired(&mut self, req: ScaleOutRequest, result: &CallResult) {
         let Some(l) = self.leadership.leader.as_mut() else { return };
         match result {
             CallResult::Answer { status: 200, body } => {
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -34,7 +34,7 @@
 use crate::election::Role;
 use crate::guest::{Guest, GuestInput, GuestOutput, Host, Ticket};
 use crate::jobs::{self, Change, LeaderRecord, Ledger, MachineRecord, Phase, keys};
-use crate::leader::{CloudRequest, Context, HireRequest, Leader, LeaderWrite, View};
+use crate::leader::{CloudRequest, Context, Leader, LeaderWrite, ScaleOutRequest, View};
 use crate::limits::StoreLimits;
 use crate::liveness::LivenessMonitor;
 use crate::peer::{Envelope, Message, Sighting};
