--- a/crates/core/src/leader/machines.rs
+++ b/crates/core/src/leader/machines.rs
@@ -52,7 +52,7 @@
         }
         requests.extend(self.deletions(now));
         for (req, stage, _) in self.hires.values() {
-            if *stage == HireStage::Recorded {
+            if *stage == ScaleOutStage::Recorded {
                 requests.push(CloudRequest::Hire(req.clone()));
             }
         }
@@ -93,7 +93,7 @@
             }
             CloudRequest::Hire(r) => {
                 if let Some(h) = self.hires.get_mut(&r.name) {
-                    h.1 = HireStage::Called;
+                    h.1 = ScaleOutStage::Called;
                     h.2 = now;
                 }
             }
@@ -124,7 +124,7 @@
         let Some(hosts) = got else {
             // Sent again under the same name, for which the cloud returns the same machines.
             if let Some(h) = self.hires.get_mut(&req.name) {
-                h.1 = HireStage::Recorded;
+                h.1 = ScaleOutStage::Recorded;
             }
             return;
         };
@@ -514,7 +514,7 @@
                 spot: want.spot,
                 count,
             };
-            self.hires.insert(name, (req, HireStage::ToRecord, now));
+            self.hires.insert(name, (req, ScaleOutStage::ToRecord, now));
             left -= count;
             if left == 0 || self.hires.len() >= open {
                 return;
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -28,7 +28,7 @@
 use assignments::{AssignedTasks, Handed, may_hold};
 pub use machine::{Machine, Stage};
 use run::{Binding, FAULTY_JOB_FAILURES, Run};
-use wishes::HireStage;
+use wishes::ScaleOutStage;
 pub use wishes::{CloudRequest, LeaderWrite, ScaleOutRequest};
 
 use crate::books::Ledgers;
@@ -214,7 +214,7 @@
     /// Bound tasks: what teams use of CPUs and GPUs, and how many are of arrays.
     sums: Sums,
     stops: BTreeMap<(TaskId, Attempt), (StopRequest, Micros)>,
-    hires: BTreeMap<String, (ScaleOutRequest, HireStage, Micros)>,
+    hires: BTreeMap<String, (ScaleOutRequest, ScaleOutStage, Micros)>,
     refused: BTreeMap<(String, String, bool), Micros>,
     /// Spot machines that were rented of late: when, and how many.
     spot_had: VecDeque<(Micros, usize)>,
--- a/crates/core/src/leader/records.rs
+++ b/crates/core/src/leader/records.rs
@@ -38,7 +38,7 @@
         }
         v.extend(kinds.into_values().map(|(_, list)| LeaderWrite::Machines(list)));
         for (name, (_, stage, _)) in &self.hires {
-            if *stage == HireStage::ToRecord {
+            if *stage == ScaleOutStage::ToRecord {
                 v.push(LeaderWrite::Hire(name.clone()));
             }
         }
@@ -132,9 +132,9 @@
             }
             LeaderWrite::Hire(name) => {
                 if let Some(h) = self.hires.get_mut(name)
-                    && h.1 == HireStage::ToRecord
+                    && h.1 == ScaleOutStage::ToRecord
                 {
-                    h.1 = HireStage::Recorded;
+                    h.1 = ScaleOutStage::Recorded;
                 }
             }
             LeaderWrite::Progress(id, _) => {
--- a/crates/core/src/leader/wishes.rs
+++ b/crates/core/src/leader/wishes.rs
@@ -52,7 +52,7 @@
 
 /// Progress of a rental request.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(super) enum HireStage {
+pub(super) enum ScaleOutStage {
     /// Its name is not recorded yet.
     ToRecord,
     /// Its name is recorded; the call to the cloud is due.
