--- a/crates/core/src/leader/machines.rs
+++ b/crates/core/src/leader/machines.rs
@@ -514,7 +514,7 @@
                 spot: want.spot,
                 count,
             };
-            self.hires.insert(name, (req, ScaleOutStage::ToRecord, now));
+            self.hires.insert(name, (req, ScaleOutStage::Unrecorded, now));
             left -= count;
             if left == 0 || self.hires.len() >= open {
                 return;
--- a/crates/core/src/leader/records.rs
+++ b/crates/core/src/leader/records.rs
@@ -38,7 +38,7 @@
         }
         v.extend(kinds.into_values().map(|(_, list)| LeaderWrite::Machines(list)));
         for (name, (_, stage, _)) in &self.hires {
-            if *stage == ScaleOutStage::ToRecord {
+            if *stage == ScaleOutStage::Unrecorded {
                 v.push(LeaderWrite::Hire(name.clone()));
             }
         }
@@ -132,7 +132,7 @@
             }
             LeaderWrite::Hire(name) => {
                 if let Some(h) = self.hires.get_mut(name)
-                    && h.1 == ScaleOutStage::ToRecord
+                    && h.1 == ScaleOutStage::Unrecorded
                 {
                     h.1 = ScaleOutStage::Recorded;
                 }
--- a/crates/core/src/leader/wishes.rs
+++ b/crates/core/src/leader/wishes.rs
@@ -54,7 +54,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum ScaleOutStage {
     /// Its name is not recorded yet.
-    ToRecord,
+    Unrecorded,
     /// Its name is recorded; the call to the cloud is due.
     Recorded,
     /// The call was made; its result is awaited.
