--- a/crates/core/src/leader/health.rs
+++ b/crates/core/src/leader/health.rs
@@ -16,7 +16,7 @@
 
 /// The machines of a zone and the last contact with any of them.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Sight {
+pub struct ZoneObservation {
     /// Machines believed to be up.
     pub up: u32,
     /// Last contact with any of them, by any controller, in this term.
@@ -44,7 +44,7 @@
     /// leader began to receive heartbeats; a healthy zone may be silent for `max_silence`.
     pub fn update(
         &mut self,
-        observations: &BTreeMap<String, Sight>,
+        observations: &BTreeMap<String, ZoneObservation>,
         began: Micros,
         max_silence: Micros,
         now: Micros,
@@ -120,7 +120,7 @@
         ];
         let mut h = Health::default();
         for (at, east, west, want) in steps {
-            let sight = |(up, heard): Seen| Sight { up, heard: heard.map(Micros::secs) };
+            let sight = |(up, heard): Seen| ZoneObservation { up, heard: heard.map(Micros::secs) };
             let seen = BTreeMap::from([("east".to_owned(), sight(east)), ("west".to_owned(), sight(west))]);
             let got: Vec<String> = h
                 .update(&seen, Micros::secs(100), Micros::secs(6), Micros::secs(at))
--- a/crates/core/src/leader/machines.rs
+++ b/crates/core/src/leader/machines.rs
@@ -204,7 +204,7 @@
 
     /// Closes zones without contact to renting, and opens them again.
     fn update_zone_health(&mut self, now: Micros) {
-        let mut observations: BTreeMap<String, Sight> = BTreeMap::new();
+        let mut observations: BTreeMap<String, ZoneObservation> = BTreeMap::new();
         for (id, m) in &self.machines {
             let seen = self.last_seen.get(id).map(|x| x.1);
             let observation = match observations.get_mut(&m.zone) {
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -37,7 +37,7 @@
 use crate::fair_queue::FairQueue;
 use crate::fleet::{self, Demand, Offer, Policy, Room, Want};
 use crate::jobs::{Failures, Job, Ledger, MachineRecord, Phase, TaskSet};
-use crate::leader::health::{Health, Sight, Turn};
+use crate::leader::health::{Health, Turn, ZoneObservation};
 use crate::leader::ways::Ways;
 use crate::peer::pacing::Pacer;
 use crate::peer::{
