--- a/crates/core/src/leader/health.rs
+++ b/crates/core/src/leader/health.rs
@@ -2,7 +2,7 @@
 //! renting: a machine rented there would be unreachable too.
 //!
 //! Invariant: while a zone is closed, at most `allowed` machines of it are booting or requested,
-//! and never more than `MOST_PROBES`; the first contact with one of its machines opens it.
+//! and never more than `MAX_PROBE_MACHINES`; the first contact with one of its machines opens it.
 use gorseshore_protocol::ids::Micros;
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 const MIN_MACHINES_FOR_EVIDENCE: u32 = 3;
 /// Maximum number of machines that may boot in a closed zone. The allowance starts at one and
 /// doubles after each `PROBE_DOUBLING_INTERVAL`.
-pub const MOST_PROBES: u32 = 8;
+pub const MAX_PROBE_MACHINES: u32 = 8;
 /// Time after which the allowance of a closed zone doubles.
 const PROBE_DOUBLING_INTERVAL: Micros = Micros::secs(10);
 
@@ -90,7 +90,7 @@
     pub fn allowed(&self, zone: &str, now: Micros) -> Option<u32> {
         let since = self.closed.get(zone)?;
         let steps = now.since(*since).0 / PROBE_DOUBLING_INTERVAL.0;
-        Some(1u32.checked_shl(steps.min(31) as u32).unwrap_or(u32::MAX).min(MOST_PROBES))
+        Some(1u32.checked_shl(steps.min(31) as u32).unwrap_or(u32::MAX).min(MAX_PROBE_MACHINES))
     }
 }
 
@@ -135,7 +135,7 @@
         // The allowance doubles up to its bound.
         let allowed: Vec<Option<u32>> =
             [181, 192, 202, 212, 600].map(|s| h.allowed("west", Micros::secs(s))).to_vec();
-        assert_eq!(allowed, [Some(1), Some(2), Some(4), Some(8), Some(MOST_PROBES)]);
+        assert_eq!(allowed, [Some(1), Some(2), Some(4), Some(8), Some(MAX_PROBE_MACHINES)]);
         assert_eq!(h.allowed("east", Micros::secs(181)), None);
     }
 }
--- a/tests/world/fleet.rs
+++ b/tests/world/fleet.rs
@@ -3,7 +3,7 @@
 //! taken spot machines and one of sick ones, all controllers down with the state
 //! service away. Beside the rules it is checked that nothing else suffers.
 use super::*;
-use gorseshore_core::leader::health::MOST_PROBES;
+use gorseshore_core::leader::health::MAX_PROBE_MACHINES;
 use std::collections::BTreeSet;
 
 /// Three controllers, one zone with a single one of them.
@@ -286,7 +286,7 @@
         assert!(seen.lost.is_empty(), "{what}: machines that were well: {:?}", seen.lost);
         // A hand-out on its way at the cut may have gone to any machine there.
         assert!(seen.cut_lost <= 20 * times, "{what}: {} machines with replicas lost", seen.cut_lost);
-        let most = MOST_PROBES as usize;
+        let most = MAX_PROBE_MACHINES as usize;
         assert!(seen.rented_blind <= most, "{what}: {} rented in a closed zone", seen.rented_blind);
         for (at, missing, of) in &seen.missing {
             // Some wait for one more machine that never came up.
