--- a/crates/core/src/leader/bindings.rs
+++ b/crates/core/src/leader/bindings.rs
@@ -407,7 +407,7 @@
                 if m.stage == Stage::Booting {
                     m.stage = Stage::Up;
                     m.since = now;
-                    m.hearing = deaf::Hearing::new(now);
+                    m.hearing = deaf::CommandReachability::new(now);
                     self.dirty = true;
                 }
                 if !rec.addr.is_empty() && m.addr != rec.addr {
--- a/crates/core/src/leader/deaf.rs
+++ b/crates/core/src/leader/deaf.rs
@@ -25,7 +25,7 @@
 
 /// Whether responses and commands reach a machine.
 #[derive(Debug)]
-pub(super) struct Hearing {
+pub(super) struct CommandReachability {
     /// Its last heartbeat to its holder shows that responses reach it.
     pub obeys: bool,
     /// When it last showed this, to any controller.
@@ -39,9 +39,9 @@
     pub trusted_at: Micros,
 }
 
-impl Hearing {
+impl CommandReachability {
     pub(super) fn new(now: Micros) -> Self {
-        Hearing {
+        CommandReachability {
             obeys: true,
             last_acknowledged: now,
             unacknowledged_since: None,
@@ -178,7 +178,7 @@
     fn only_a_later_acknowledgement_ends_an_episode() {
         let s = Micros::secs;
         // (event, its time in seconds; unacknowledged after it, trusted again at second)
-        type Step = (fn(&mut Hearing, Micros), u64, bool, u64);
+        type Step = (fn(&mut CommandReachability, Micros), u64, bool, u64);
         let steps: [Step; 9] = [
             (|h, t| h.told(true, t, t), 1, false, 0),
             (|h, t| h.seen(false, true, t), 5, true, 0),
@@ -191,7 +191,7 @@
             (|h, t| h.seen(false, false, t), 45, true, 34),
             (|h, t| h.told(true, t, t), 50, false, 58),
         ];
-        let mut h = Hearing::new(s(0));
+        let mut h = CommandReachability::new(s(0));
         for (i, (step, at, unacknowledged_since, trusted)) in steps.into_iter().enumerate() {
             step(&mut h, s(at));
             assert_eq!(
