--- a/crates/core/src/leader/blocks.rs
+++ b/crates/core/src/leader/blocks.rs
@@ -249,7 +249,7 @@
             let seen = self.last_seen.get(id).is_some_and(|(_, t)| now.since(*t) < Micros::secs(5));
             let lost =
                 silent > Micros::millis(3200) && m.probed.is_none_or(|t| now.since(t) > Micros::millis(1500));
-            if lost || m.hearing.ask_due(now) {
+            if lost || m.hearing.probe_due(now) {
                 probes.push((m.probed, id.clone()));
             }
             let open = base + overdue;
--- a/crates/core/src/leader/deaf.rs
+++ b/crates/core/src/leader/deaf.rs
@@ -88,13 +88,13 @@
     }
 
     /// Whether other controllers should probe it now: the last probe has timed out.
-    pub(super) fn ask_due(&self, now: Micros) -> bool {
+    pub(super) fn probe_due(&self, now: Micros) -> bool {
         self.unacknowledged_for(DOUBT_BEFORE_PROBE, now) && now.since(self.probed_at) > ASK_TIMEOUT
     }
 
     /// Counts a probe by other controllers, if one is due.
     pub(super) fn ask(&mut self, now: Micros) {
-        if self.ask_due(now) {
+        if self.probe_due(now) {
             self.probes_sent += 1;
             self.probed_at = now;
         }
