--- a/crates/core/src/leader/bindings.rs
+++ b/crates/core/src/leader/bindings.rs
@@ -54,7 +54,7 @@
         for (id, ago, report) in view.heard {
             if let Some(m) = self.machines.get_mut(id) {
                 m.heard_at(now - *ago, from, *report);
-                m.goes_on(from, now - *ago, now);
+                m.holder_reported_unchanged(from, now - *ago, now);
             }
         }
         for s in view.strangers {
--- a/crates/core/src/leader/deaf.rs
+++ b/crates/core/src/leader/deaf.rs
@@ -108,7 +108,7 @@
 
 impl Machine {
     /// Its holder reports a heartbeat that changed nothing.
-    pub(super) fn goes_on(&mut self, from: NodeId, at: Micros, now: Micros) {
+    pub(super) fn holder_reported_unchanged(&mut self, from: NodeId, at: Micros, now: Micros) {
         if self.holder == Some(from) && self.confirmed && self.hearing.obeys {
             self.hearing.acknowledged(at, now);
         }
