--- a/crates/core/src/leader/blocks.rs
+++ b/crates/core/src/leader/blocks.rs
@@ -122,7 +122,7 @@
             self.blocks_at = now;
             self.move_blocks(now);
             self.watch_silent(now);
-            self.watch_deaf(now);
+            self.delete_unreachable_for_commands(now);
         }
         self.stop_cancelled(ledger, now);
         if self.dirty && now.since(self.scheduled) >= Micros::millis(20) {
--- a/crates/core/src/leader/deaf.rs
+++ b/crates/core/src/leader/deaf.rs
@@ -118,7 +118,7 @@
 impl Leader {
     /// Deletes machines that commands do not reach. A machine with tasks is deleted shortly
     /// before its worker's lease ends, so that one that recovers in time loses no task.
-    pub(super) fn watch_deaf(&mut self, now: Micros) {
+    pub(super) fn delete_unreachable_for_commands(&mut self, now: Micros) {
         let lease = self.ctx.lease;
         let mut held: BTreeMap<NodeId, (usize, usize)> = BTreeMap::new();
         let (mut up, mut any_unacknowledged) = (0, false);
