--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -38,7 +38,7 @@
 use crate::fleet::{self, Demand, Offer, Policy, Room, Want};
 use crate::jobs::{Failures, Job, Ledger, MachineRecord, Phase, TaskSet};
 use crate::leader::health::{Health, Turn, ZoneObservation};
-use crate::leader::ways::Ways;
+use crate::leader::ways::NetworkPaths;
 use crate::peer::pacing::Pacer;
 use crate::peer::{
     GrantedMachine, HandOut, MachineState, Message, Outcome, Sighting, StopRequest, TaskState,
@@ -221,7 +221,7 @@
     /// Zones, as far as they are heard.
     health: Health,
     /// When the ways to the zones opened.
-    ways: Ways,
+    ways: NetworkPaths,
     /// Arrays of which more is done than was recorded when last looked at.
     progressed: BTreeSet<JobId>,
     /// Machines with room, in order.
@@ -303,7 +303,7 @@
             refused: BTreeMap::new(),
             spot_had: VecDeque::new(),
             health: Health::default(),
-            ways: Ways::default(),
+            ways: NetworkPaths::default(),
             progressed: BTreeSet::new(),
             rooms: room::CapacityIndex::default(),
             waiting: schedule::Waiting::new(),
--- a/crates/core/src/leader/ways.rs
+++ b/crates/core/src/leader/ways.rs
@@ -14,11 +14,11 @@
 
 /// Network paths by zone, and by controller or for all of them (`None`).
 #[derive(Debug, Default)]
-pub struct Ways {
+pub struct NetworkPaths {
     zones: BTreeMap<String, BTreeMap<Option<NodeId>, NetworkPath>>,
 }
 
-impl Ways {
+impl NetworkPaths {
     /// Records a contact at `at` between a machine of the zone and a controller, or any of them
     /// (`None`). If there was none for longer than `gap`, the path counts as restored at `at`.
     pub fn heard(&mut self, by: Option<NodeId>, zone: &str, at: Micros, gap: Micros) {
