--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -677,7 +677,7 @@
                 b.leader.refused.insert(("big".into(), "east".into(), false), b.now + Micros::secs(35));
             },
             ("t", 1, 8.0),
-            Why::SoldOut,
+            Why::CloudSoldOut,
         ),
         (
             "its team is at its limit",
--- a/crates/core/src/leader/waits.rs
+++ b/crates/core/src/leader/waits.rs
@@ -23,7 +23,7 @@
     Zones,
     /// No machine that the job may run on has free capacity, and the cloud has recently refused
     /// machines that it may run on.
-    SoldOut,
+    CloudSoldOut,
     /// No machine that the job may run on has free capacity.
     NoRoom,
     /// Other jobs are served first.
@@ -38,7 +38,7 @@
             Why::Unheard => "machines without contact in this term may hold its tasks",
             Why::Limit => "its team is at its limit",
             Why::Zones => "its zone rule leaves no zone",
-            Why::SoldOut => "no free capacity, and the cloud refused machines that it may run on",
+            Why::CloudSoldOut => "no free capacity, and the cloud refused machines that it may run on",
             Why::NoRoom => "no free capacity on the machines that it may run on",
             Why::Turn => "other jobs are served first",
         })
@@ -83,7 +83,7 @@
             .refused
             .iter()
             .any(|((build, z, spot), t)| recent(t) && of_types(build) && in_zones(z) && (spec.spot || !spot));
-        if refused { Why::SoldOut } else { Why::NoRoom }
+        if refused { Why::CloudSoldOut } else { Why::NoRoom }
     }
 
     /// For each class, the job that has waited longest with no task bound, if it has waited for
