--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -666,7 +666,7 @@
     };
     // (what comes before, the job that waits: team, tasks, CPUs; why)
     let cases: [(&str, Step, (&str, u32, f64), Why); 6] = [
-        ("nobody heard the machine", |b| b.seq[0] += 1, ("t", 1, 1.0), Why::Unheard),
+        ("nobody heard the machine", |b| b.seq[0] += 1, ("t", 1, 1.0), Why::UnconfirmedMachines),
         ("the machine is full", fill, ("t", 1, 8.0), Why::NoRoom),
         (
             "the machine is full, and the cloud has none",
@@ -704,7 +704,15 @@
     for (what, before, (team, tasks, cpus), want) in cases {
         let mut b = Bench::new(1);
         before(&mut b);
-        b.job(9, if want == Why::Unheard { 40 } else { 61 }, team, "array", "standard", tasks, cpus);
+        b.job(
+            9,
+            if want == Why::UnconfirmedMachines { 40 } else { 61 },
+            team,
+            "array",
+            "standard",
+            tasks,
+            cpus,
+        );
         if want == Why::Held {
             b.edit(9, 62, |s| s.after = vec![JobId(8)]);
             b.leader.jobs.remove(&JobId(9));
--- a/crates/core/src/leader/waits.rs
+++ b/crates/core/src/leader/waits.rs
@@ -16,7 +16,7 @@
     /// Its tasks failed, and the delay before the next attempt has not passed.
     Failing,
     /// Machines without contact in this term may hold its tasks.
-    Unheard,
+    UnconfirmedMachines,
     /// Its team is at its limit.
     Limit,
     /// Its zone rule leaves no zone for another task.
@@ -35,7 +35,7 @@
         f.write_str(match self {
             Why::Held => "a job that it replaces or depends on has not ended",
             Why::Failing => "its tasks failed and are retried after a delay",
-            Why::Unheard => "machines without contact in this term may hold its tasks",
+            Why::UnconfirmedMachines => "machines without contact in this term may hold its tasks",
             Why::Limit => "its team is at its limit",
             Why::Zones => "its zone rule leaves no zone",
             Why::CloudSoldOut => "no free capacity, and the cloud refused machines that it may run on",
@@ -56,7 +56,7 @@
             return Why::Failing;
         }
         if self.may_run_on_unconfirmed_machine(run) {
-            return Why::Unheard;
+            return Why::UnconfirmedMachines;
         }
         if self.exceeds_team_limit(spec) {
             return Why::Limit;
