--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -667,7 +667,7 @@
     // (what comes before, the job that waits: team, tasks, CPUs; why)
     let cases: [(&str, Step, (&str, u32, f64), Why); 6] = [
         ("nobody heard the machine", |b| b.seq[0] += 1, ("t", 1, 1.0), Why::UnconfirmedMachines),
-        ("the machine is full", fill, ("t", 1, 8.0), Why::NoRoom),
+        ("the machine is full", fill, ("t", 1, 8.0), Why::NoFreeCapacity),
         (
             "the machine is full, and the cloud has none",
             |b| {
--- a/crates/core/src/leader/waits.rs
+++ b/crates/core/src/leader/waits.rs
@@ -25,7 +25,7 @@
     /// machines that it may run on.
     CloudSoldOut,
     /// No machine that the job may run on has free capacity.
-    NoRoom,
+    NoFreeCapacity,
     /// Other jobs are served first.
     Turn,
 }
@@ -39,7 +39,7 @@
             Why::Limit => "its team is at its limit",
             Why::Zones => "its zone rule leaves no zone",
             Why::CloudSoldOut => "no free capacity, and the cloud refused machines that it may run on",
-            Why::NoRoom => "no free capacity on the machines that it may run on",
+            Why::NoFreeCapacity => "no free capacity on the machines that it may run on",
             Why::Turn => "other jobs are served first",
         })
     }
@@ -83,7 +83,7 @@
             .refused
             .iter()
             .any(|((build, z, spot), t)| recent(t) && of_types(build) && in_zones(z) && (spec.spot || !spot));
-        if refused { Why::CloudSoldOut } else { Why::NoRoom }
+        if refused { Why::CloudSoldOut } else { Why::NoFreeCapacity }
     }
 
     /// For each class, the job that has waited longest with no task bound, if it has waited for
