--- a/crates/core/src/leader/changes.rs
+++ b/crates/core/src/leader/changes.rs
@@ -108,7 +108,7 @@
                 Some(changes.given(keys::end(*id), job.end_stamp).put(keys::end(*id), end))
             }
             // Whatever end is on record stands.
-            LeaderWrite::CancelledWith(id) => {
+            LeaderWrite::CancelDependent(id) => {
                 let job = ledger.jobs.get(id)?;
                 let end = cancelled_value(job.ended_ms, None, true);
                 Some(changes.given(keys::end(*id), 0).put(keys::end(*id), end))
--- a/crates/core/src/leader/records.rs
+++ b/crates/core/src/leader/records.rs
@@ -65,7 +65,7 @@
             }
         }
         let unrecorded = self.unrecorded_cancellations.iter().take(CANCELLATIONS_AT_ONCE);
-        v.extend(unrecorded.map(|id| LeaderWrite::CancelledWith(*id)));
+        v.extend(unrecorded.map(|id| LeaderWrite::CancelDependent(*id)));
         for (key, (ids, _)) in &ledger.records {
             if ids.iter().any(|id| self.gone.contains_key(id)) {
                 v.push(LeaderWrite::Forget(key.clone()));
@@ -147,7 +147,7 @@
             | LeaderWrite::Failures(..)
             | LeaderWrite::Fail(..)
             | LeaderWrite::Settle(_)
-            | LeaderWrite::CancelledWith(_)
+            | LeaderWrite::CancelDependent(_)
             | LeaderWrite::Forget(_) => {}
         }
     }
--- a/crates/core/src/leader/tests/pipelines.rs
+++ b/crates/core/src/leader/tests/pipelines.rs
@@ -177,10 +177,10 @@
     b.end(1, "aborted");
     let wanted = |b: &Bench| {
         let writes = b.leader.writes(&b.ledger, 4000, b.now);
-        let with = |w: &LeaderWrite| matches!(w, LeaderWrite::CancelledWith(_));
+        let with = |w: &LeaderWrite| matches!(w, LeaderWrite::CancelDependent(_));
         writes.into_iter().filter(with).collect::<Vec<_>>()
     };
-    let all: Vec<LeaderWrite> = (2..5).map(|id| LeaderWrite::CancelledWith(JobId(id))).collect();
+    let all: Vec<LeaderWrite> = (2..5).map(|id| LeaderWrite::CancelDependent(JobId(id))).collect();
     assert_eq!(wanted(&b), all);
     // Also by the next leader, until it is on record.
     b.next_leader();
--- a/crates/core/src/leader/wishes.rs
+++ b/crates/core/src/leader/wishes.rs
@@ -19,7 +19,7 @@
     /// Records that no task of a cancelled job is left on any machine.
     Settle(JobId),
     /// Records that a job is cancelled together with one that it depends on.
-    CancelledWith(JobId),
+    CancelDependent(JobId),
     /// Removes deleted machines from the machine record with this key.
     Forget(String),
 }
--- a/crates/core/src/node/duties.rs
+++ b/crates/core/src/node/duties.rs
@@ -393,7 +393,7 @@
                 LeaderWrite::End(_) | LeaderWrite::Machines(_) | LeaderWrite::Hire(_) => 0.0,
                 LeaderWrite::Failures(..) | LeaderWrite::Fail(..) => 0.0,
                 LeaderWrite::Progress(..) | LeaderWrite::Settle(_) => 1.0,
-                LeaderWrite::CancelledWith(_) | LeaderWrite::Forget(_) => 2.0,
+                LeaderWrite::CancelDependent(_) | LeaderWrite::Forget(_) => 2.0,
             };
             if !self.leadership.bucket.take(self.now, changes.writes.len() as f64, keep) {
                 break;
--- a/crates/core/src/node/leadership.rs
+++ b/crates/core/src/node/leadership.rs
@@ -96,7 +96,7 @@
                 let left: Vec<_> = ids.iter().filter(|id| free(keys::machines(id))).cloned().collect();
                 return (!left.is_empty()).then_some(LeaderWrite::Machines(left));
             }
-            LeaderWrite::End(id) | LeaderWrite::Settle(id) | LeaderWrite::CancelledWith(id) => {
+            LeaderWrite::End(id) | LeaderWrite::Settle(id) | LeaderWrite::CancelDependent(id) => {
                 free(keys::end(*id))
             }
             LeaderWrite::Fail(id, _) => free(keys::end(*id)) && free(keys::job(*id)),
--- a/crates/core/src/node/refusals.rs
+++ b/crates/core/src/node/refusals.rs
@@ -74,7 +74,7 @@
     match write {
         LeaderWrite::End(id)
         | LeaderWrite::Settle(id)
-        | LeaderWrite::CancelledWith(id)
+        | LeaderWrite::CancelDependent(id)
         | LeaderWrite::Fail(id, _) => keys::end(*id),
         LeaderWrite::Machines(ids) => ids.first().map(keys::machines).unwrap_or_default(),
         LeaderWrite::Hire(_) => keys::HIRE.into(),
