--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -50,7 +50,7 @@
     pub waiting: u32,
     /// Nothing of it runs, and it has waited for long: what others run on
     /// doesn't help it.
-    pub starving: bool,
+    pub starved: bool,
     /// Nothing of it runs, and it has waited for a while: where no spot machine
     /// can be had, it may get one of `Policy::on_demand_for_arrays`.
     pub thirsty: bool,
@@ -112,7 +112,7 @@
         }
         if left > 0 {
             let whole = left == d.waiting;
-            unmet.push((d.spec.clone(), left, zones, d.starving && whole, d.thirsty && whole));
+            unmet.push((d.spec.clone(), left, zones, d.starved && whole, d.thirsty && whole));
         }
     }
     // Arrays share what is there: rent only what the backlog needs to be
@@ -124,9 +124,9 @@
         .sum();
     let mut slots = (work / policy.drain_s).ceil() - policy.running_arrays - placed_arrays;
     let mut ordinary_left = policy.on_demand_for_arrays;
-    for (spec, mut left, mut zones, starving, thirsty) in unmet {
+    for (spec, mut left, mut zones, starved, thirsty) in unmet {
         if spec.kind == Kind::Array {
-            if slots <= 0.0 && !starving {
+            if slots <= 0.0 && !starved {
                 continue;
             }
             left = left.min(slots.ceil().max(1.0) as u32);
@@ -298,7 +298,7 @@
             "image_gb":1,"same_place":false,"apart":spread,"loaners":spot,"guess_s":30,
             "mark_s":0,"stow_s":0});
         let spec = gorseshore_protocol::users::parse_submission(v.to_string().as_bytes()).unwrap();
-        Demand { spec: Rc::new(spec), waiting: n, starving: false, thirsty: false, zones: BTreeMap::new() }
+        Demand { spec: Rc::new(spec), waiting: n, starved: false, thirsty: false, zones: BTreeMap::new() }
     }
 
     fn policy(running_arrays: f64, spare: BTreeMap<String, u64>) -> Policy {
@@ -366,11 +366,11 @@
     fn a_job_that_nothing_there_fits_is_not_left_waiting() {
         let offers = [offer("small", "a", false, 4.0, 0.16)];
         let policy = policy(100.0, BTreeMap::new());
-        for (starving, machines) in [(false, 0), (true, 1)] {
+        for (starved, machines) in [(false, 0), (true, 1)] {
             let mut d = demand("array", 3, 4.0, false, false);
-            d.starving = starving;
+            d.starved = starved;
             let got = plan(Vec::new(), &[d], &offers, &policy);
-            assert_eq!(got.values().sum::<u32>(), machines, "{starving}");
+            assert_eq!(got.values().sum::<u32>(), machines, "{starved}");
         }
     }
 
--- a/crates/core/src/leader/machines.rs
+++ b/crates/core/src/leader/machines.rs
@@ -449,7 +449,7 @@
                 Demand {
                     spec: r.spec.clone(),
                     waiting,
-                    starving,
+                    starved,
                     thirsty: dry,
                     zones: self.tasks_per_zone(r),
                 },
--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -469,7 +469,7 @@
             demands.push(Demand {
                 spec,
                 waiting: *tasks,
-                starving: false,
+                starved: false,
                 thirsty: false,
                 zones: BTreeMap::new(),
             });
