--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -53,7 +53,7 @@
     pub starved: bool,
     /// Nothing of it runs, and it has waited for a while: where no spot machine
     /// can be had, it may get one of `Policy::on_demand_for_arrays`.
-    pub thirsty: bool,
+    pub on_demand_allowed: bool,
     /// The job's tasks on machines, by zone.
     pub zones: BTreeMap<String, u32>,
 }
@@ -112,7 +112,7 @@
         }
         if left > 0 {
             let whole = left == d.waiting;
-            unmet.push((d.spec.clone(), left, zones, d.starved && whole, d.thirsty && whole));
+            unmet.push((d.spec.clone(), left, zones, d.starved && whole, d.on_demand_allowed && whole));
         }
     }
     // Arrays share what is there: rent only what the backlog needs to be
@@ -124,7 +124,7 @@
         .sum();
     let mut slots = (work / policy.drain_s).ceil() - policy.running_arrays - placed_arrays;
     let mut ordinary_left = policy.on_demand_for_arrays;
-    for (spec, mut left, mut zones, starved, thirsty) in unmet {
+    for (spec, mut left, mut zones, starved, on_demand_allowed) in unmet {
         if spec.kind == Kind::Array {
             if slots <= 0.0 && !starved {
                 continue;
@@ -139,7 +139,7 @@
         left -= fill(&mut rooms, &zone_cpu, &mut nowhere, &spec, &mut zones, left);
         // Unless it is starved: then a few.
         let dry = spot_only
-            && thirsty
+            && on_demand_allowed
             && offers.iter().all(|o| !o.spot || o.refused || !spec.allows(&o.build, &o.zone, true, &o.size));
         while left > 0 && added < policy.max_new {
             let ordinary = !spot_only || dry && ordinary_left > 0;
@@ -298,7 +298,13 @@
             "image_gb":1,"same_place":false,"apart":spread,"loaners":spot,"guess_s":30,
             "mark_s":0,"stow_s":0});
         let spec = gorseshore_protocol::users::parse_submission(v.to_string().as_bytes()).unwrap();
-        Demand { spec: Rc::new(spec), waiting: n, starved: false, thirsty: false, zones: BTreeMap::new() }
+        Demand {
+            spec: Rc::new(spec),
+            waiting: n,
+            starved: false,
+            on_demand_allowed: false,
+            zones: BTreeMap::new(),
+        }
     }
 
     fn policy(running_arrays: f64, spare: BTreeMap<String, u64>) -> Policy {
@@ -316,8 +322,8 @@
             // A spot machine may come elsewhere.
             (vec![offer("a", false, false), offer("a", true, true), offer("b", true, false)], true, 2, 8),
         ];
-        for (i, (offers, thirsty, allowed, want)) in cases.into_iter().enumerate() {
-            let d = Demand { thirsty, ..demand("array", 8, 4.0, true, false) };
+        for (i, (offers, on_demand_allowed, allowed, want)) in cases.into_iter().enumerate() {
+            let d = Demand { on_demand_allowed, ..demand("array", 8, 4.0, true, false) };
             let p = Policy { on_demand_for_arrays: allowed, ..policy(0.0, BTreeMap::new()) };
             let got = plan(Vec::new(), &[d], &offers, &p);
             assert_eq!(got.values().sum::<u32>(), want, "case {i}: {got:?}");
--- a/crates/core/src/leader/machines.rs
+++ b/crates/core/src/leader/machines.rs
@@ -450,7 +450,7 @@
                     spec: r.spec.clone(),
                     waiting,
                     starved,
-                    thirsty: dry,
+                    on_demand_allowed: dry,
                     zones: self.tasks_per_zone(r),
                 },
             ));
--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -470,7 +470,7 @@
                 spec,
                 waiting: *tasks,
                 starved: false,
-                thirsty: false,
+                on_demand_allowed: false,
                 zones: BTreeMap::new(),
             });
         }
