--- a/crates/core/src/node/catalogue.rs
+++ b/crates/core/src/node/catalogue.rs
@@ -2,7 +2,7 @@
 use crate::controller::Sizes;
 use crate::leader::ScaleOutRequest;
 use crate::leader::growth::MAX_MACHINES_PER_LIST_PAGE;
-use crate::rate::Bucket;
+use crate::rate::TokenBucket;
 use crate::{Call, Target};
 use gorseshore_protocol::cloud::{Flavor, Flavors, Hire, Hosts};
 use gorseshore_protocol::ids::{Micros, Resources};
@@ -15,7 +15,7 @@
     pub asked_at: Micros,
     /// The types were asked for.
     pub open: bool,
-    pub bucket: Bucket,
+    pub bucket: TokenBucket,
 }
 
 impl Catalogue {
@@ -26,7 +26,7 @@
             sizes: Sizes::new(),
             asked_at: Micros(0),
             open: false,
-            bucket: Bucket::new(calls * 0.85, calls, now),
+            bucket: TokenBucket::new(calls * 0.85, calls, now),
         }
     }
 
--- a/crates/core/src/node/leadership.rs
+++ b/crates/core/src/node/leadership.rs
@@ -4,7 +4,7 @@
 use crate::election::Election;
 use crate::jobs::keys;
 use crate::leader::{Leader, LeaderWrite};
-use crate::rate::Bucket;
+use crate::rate::TokenBucket;
 use gorseshore_protocol::ids::Micros;
 use gorseshore_settings::Operator;
 use std::collections::{BTreeMap, BTreeSet};
@@ -25,7 +25,7 @@
     pub contested: BTreeMap<String, (u32, Micros)>,
     /// Writes that the state service called wrong.
     pub refused: Refusals,
-    pub bucket: Bucket,
+    pub bucket: TokenBucket,
     /// Another controller was heard in this term as leader.
     pub had_peers: bool,
     pub vacant_since: Option<Micros>,
@@ -46,7 +46,7 @@
             wrote_at: Micros(0),
             contested: BTreeMap::new(),
             refused: Refusals::default(),
-            bucket: Bucket::new(changes * 0.45, changes * 0.4, now),
+            bucket: TokenBucket::new(changes * 0.45, changes * 0.4, now),
             had_peers: false,
             vacant_since: None,
             ended_lease: None,
--- a/crates/core/src/node/waiting.rs
+++ b/crates/core/src/node/waiting.rs
@@ -3,7 +3,7 @@
 //! is up to date, and a change for its turn.
 use crate::RequestId;
 use crate::guest::Ticket;
-use crate::rate::Bucket;
+use crate::rate::TokenBucket;
 use gorseshore_protocol::ids::{JobId, Micros};
 use gorseshore_protocol::job::JobSpec;
 use gorseshore_protocol::state::Multi;
@@ -50,10 +50,10 @@
     pub waiters: Vec<(Waiter, Micros)>,
     /// For their turn in the budget of changes; until when.
     pub writes: VecDeque<(UserWrite, Micros)>,
-    pub bucket: Bucket,
+    pub bucket: TokenBucket,
     /// The proof was asked for.
     pub barrier_open: bool,
-    pub barrier_bucket: Bucket,
+    pub barrier_bucket: TokenBucket,
 }
 
 impl Users {
@@ -62,9 +62,9 @@
         Users {
             waiters: Vec::new(),
             writes: VecDeque::new(),
-            bucket: Bucket::new(changes, changes, now),
+            bucket: TokenBucket::new(changes, changes, now),
             barrier_open: false,
-            barrier_bucket: Bucket::new(requests * 0.45, requests * 0.2, now),
+            barrier_bucket: TokenBucket::new(requests * 0.45, requests * 0.2, now),
         }
     }
 
--- a/crates/core/src/rate.rs
+++ b/crates/core/src/rate.rs
@@ -3,16 +3,16 @@
 
 /// A bucket: `rate` a second, bursts of `burst`.
 #[derive(Debug, Clone)]
-pub struct Bucket {
+pub struct TokenBucket {
     rate: f64,
     burst: f64,
     level: f64,
     at: Micros,
 }
-impl Bucket {
+impl TokenBucket {
     /// A full bucket.
     pub fn new(rate: f64, burst: f64, now: Micros) -> Self {
-        Bucket { rate, burst: burst.max(1.0), level: burst.max(1.0), at: now }
+        TokenBucket { rate, burst: burst.max(1.0), level: burst.max(1.0), at: now }
     }
     /// Changes the rate, keeping the level.
     pub fn set_rate(&mut self, rate: f64, burst: f64) {
@@ -46,10 +46,10 @@
 
     #[test]
     fn a_bucket_keeps_its_rate_and_its_reserve() {
-        let mut b = Bucket::new(10.0, 10.0, Micros(0));
+        let mut b = TokenBucket::new(10.0, 10.0, Micros(0));
         let taken = (0..100).filter(|i| b.take(Micros::millis(i * 10), 1.0, 0.0)).count();
         assert!((18..=20).contains(&taken), "{taken}");
-        let mut b = Bucket::new(10.0, 10.0, Micros(0));
+        let mut b = TokenBucket::new(10.0, 10.0, Micros(0));
         assert_eq!((0..20).filter(|_| b.take(Micros(0), 1.0, 4.0)).count(), 6);
         b.force(Micros(0), 20.0);
         assert!(!b.take(Micros::secs(1), 1.0, 0.0));
