--- a/crates/core/src/leader/tests/limits.rs
+++ b/crates/core/src/leader/tests/limits.rs
@@ -16,7 +16,7 @@
 const LIMITS: [(usize, usize); 5] = [(16_000, 24), (8000, 8), (4000, 8), (2000, 4), (1000, 3)];
 
 fn limits((value_bytes, txn_ops): (usize, usize)) -> StoreLimits {
-    StoreLimits { value_bytes, txn_ops, requests_per_s: 100.0, changes_per_s: 15.0 }
+    StoreLimits { value_bytes, txn_ops, requests_per_s: 100.0, writes_per_s: 15.0 }
 }
 
 fn name(i: usize) -> MachineId {
--- a/crates/core/src/limits.rs
+++ b/crates/core/src/limits.rs
@@ -21,7 +21,7 @@
     /// Requests a second.
     pub requests_per_s: f64,
     /// Puts and removals a second.
-    pub changes_per_s: f64,
+    pub writes_per_s: f64,
 }
 
 impl StoreLimits {
@@ -32,7 +32,7 @@
             value_bytes: (effective.value_kb * BYTES_PER_KB) as usize,
             txn_ops: effective.txn_ops,
             requests_per_s: effective.rps,
-            changes_per_s: effective.write_rps,
+            writes_per_s: effective.write_rps,
         }
     }
 
@@ -95,7 +95,7 @@
         };
         let limits = settings(json!({"value_kb": 2.0, "txn_ops": 4}));
         assert_eq!((limits.value_bytes, limits.txn_ops, limits.txn_conditions()), (2000, 4, 16));
-        assert_eq!((limits.requests_per_s, limits.changes_per_s), (100.0, 15.0));
+        assert_eq!((limits.requests_per_s, limits.writes_per_s), (100.0, 15.0));
         assert!(limits.fits(&json!("x".repeat(1998))) && !limits.fits(&json!("x".repeat(1999))));
         assert!(settings(json!({})).fits(&json!("x".repeat(1999))));
     }
--- a/crates/core/src/node/duties.rs
+++ b/crates/core/src/node/duties.rs
@@ -40,7 +40,7 @@
                 .collect();
             let queued = self.users.writes.len() as u32;
             let others = self.peers.queued(self.now);
-            self.users.share_budget(others, self.nodes.names.len(), self.limits.changes_per_s);
+            self.users.share_budget(others, self.nodes.names.len(), self.limits.writes_per_s);
             for i in 0..self.nodes.names.len() {
                 if i != self.nodes.me.0 as usize {
                     let hears = hears.clone();
--- a/crates/core/src/node/peers.rs
+++ b/crates/core/src/node/peers.rs
@@ -87,7 +87,7 @@
             }
         }
         // A seventh of all changes, shared by those who may be in the same need.
-        let share = self.limits.changes_per_s / 7.0 / self.nodes.names.len() as f64;
+        let share = self.limits.writes_per_s / 7.0 / self.nodes.names.len() as f64;
         let pause = Micros::from_secs_f64(posted as f64 / share.max(0.1));
         self.relay.next_at = self.now + pause.clamp(Micros::millis(400), Micros::millis(1500));
     }
--- a/crates/core/src/node/relay.rs
+++ b/crates/core/src/node/relay.rs
@@ -120,7 +120,7 @@
     use super::*;
 
     fn limits(value_bytes: usize, txn_ops: usize) -> StoreLimits {
-        StoreLimits { value_bytes, txn_ops, requests_per_s: 100.0, changes_per_s: 15.0 }
+        StoreLimits { value_bytes, txn_ops, requests_per_s: 100.0, writes_per_s: 15.0 }
     }
 
     fn envelope(bytes: usize) -> Envelope {
