--- a/crates/core/src/leader/machines.rs
+++ b/crates/core/src/leader/machines.rs
@@ -450,7 +450,7 @@
                     spec: r.spec.clone(),
                     waiting,
                     starved,
-                    on_demand_allowed: dry,
+                    on_demand_allowed,
                     zones: self.tasks_per_zone(r),
                 },
             ));
