--- a/crates/core/src/leader/blocks.rs
+++ b/crates/core/src/leader/blocks.rs
@@ -326,7 +326,7 @@
             }
         }
         for (t, a, id) in stops {
-            self.stop(t, a, &id, Micros(0), now);
+            self.request_stop(t, a, &id, Micros(0), now);
         }
     }
 
--- a/crates/core/src/leader/machines.rs
+++ b/crates/core/src/leader/machines.rs
@@ -265,7 +265,7 @@
         }
         for (t, a, id, grace) in stops {
             info!("{t}: stopped to save a checkpoint, the cloud reclaims {id}");
-            self.stop(t, a, &id, grace, now);
+            self.request_stop(t, a, &id, grace, now);
         }
         let machines = &self.machines;
         self.stops.retain(|(t, a), (r, _)| {
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -227,7 +227,7 @@
     /// Machines with room, in order.
     rooms: room::CapacityIndex,
     /// Jobs that wait, in order; `requeue`: some began to wait since.
-    waiting: schedule::Waiting,
+    waiting: schedule::PendingJobs,
     requeue: bool,
     /// Something changed: schedule.
     pub dirty: bool,
@@ -306,7 +306,7 @@
             ways: NetworkPaths::default(),
             progressed: BTreeSet::new(),
             rooms: room::CapacityIndex::default(),
-            waiting: schedule::Waiting::new(),
+            waiting: schedule::PendingJobs::new(),
             requeue: true,
             dirty: true,
             fleet_at: now,
@@ -387,7 +387,7 @@
             if m.bound != counted {
                 return Err(format!("bound to {id}: {:?} kept, {counted:?} counted", m.bound));
             }
-            if !m.stale && m.used != schedule::used(m, &self.jobs) {
+            if !m.stale && m.used != schedule::used_resources(m, &self.jobs) {
                 return Err(format!("used of {id}: {:?} kept", m.used));
             }
         }
--- a/crates/core/src/leader/schedule.rs
+++ b/crates/core/src/leader/schedule.rs
@@ -5,7 +5,7 @@
 
 /// Sum of the resources that a machine's tasks take. A task whose job is not known counts as
 /// the whole machine.
-pub(super) fn used(m: &Machine, jobs: &BTreeMap<JobId, Run>) -> Resources {
+pub(super) fn used_resources(m: &Machine, jobs: &BTreeMap<JobId, Run>) -> Resources {
     let mut sum = Resources::default();
     for t in m.tasks.keys() {
         match jobs.get(&t.job) {
@@ -18,7 +18,7 @@
 
 /// Jobs with a task to start, in the order in which they are served.
 #[derive(Debug, Default)]
-pub(super) struct Waiting {
+pub(super) struct PendingJobs {
     /// Jobs by priority and team.
     by_priority: BTreeMap<Rank, BTreeMap<String, Rc<[JobId]>>>,
     /// Smallest CPU demand of a task, by priority, in thousandths of a CPU.
@@ -34,10 +34,10 @@
     has_unconfirmed_machines: bool,
 }
 
-impl Waiting {
+impl PendingJobs {
     /// The state at the start of a term.
     pub(super) fn new() -> Self {
-        Waiting { has_unconfirmed_machines: true, ..Waiting::default() }
+        PendingJobs { has_unconfirmed_machines: true, ..PendingJobs::default() }
     }
 }
 
@@ -85,7 +85,7 @@
         let jobs = &self.jobs;
         for m in self.machines.values_mut().filter(|m| m.stale) {
             m.stale = false;
-            m.used = used(m, jobs);
+            m.used = used_resources(m, jobs);
         }
     }
 
@@ -178,13 +178,13 @@
     }
 
     /// Collects and sorts the jobs that have a task to start.
-    fn build_pending_jobs(&mut self, now: Micros) -> Waiting {
+    fn build_pending_jobs(&mut self, now: Micros) -> PendingJobs {
         let wall_ms = self.wall_ms(now);
         let slots = self.active_array_tasks();
-        let mut waiting = Waiting {
+        let mut waiting = PendingJobs {
             built_at: now,
             has_unconfirmed_machines: self.has_unconfirmed_machines(),
-            ..Waiting::default()
+            ..PendingJobs::default()
         };
         let mut by_priority: BTreeMap<Rank, BTreeMap<String, Vec<((bool, u64, u64), JobId)>>> =
             BTreeMap::new();
@@ -500,7 +500,7 @@
         let (_, mid, chosen, fitting) = best?;
         for (task, attempt) in &chosen {
             info!("{task}: preempted on {mid} for {id}");
-            self.stop(*task, *attempt, &mid, Micros(0), now);
+            self.request_stop(*task, *attempt, &mid, Micros(0), now);
         }
         let m = self.machines.get_mut(&mid)?;
         m.kept_for = Some((rank, now + Micros::secs(2)));
@@ -536,7 +536,7 @@
     }
 
     /// Records a stop order for an attempt and notifies the machine's controller.
-    pub(super) fn stop(
+    pub(super) fn request_stop(
         &mut self,
         task: TaskId,
         attempt: Attempt,
