--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -656,7 +656,7 @@
 
 #[test]
 fn the_log_says_who_waits_longest_and_why() {
-    use super::waits::Why;
+    use super::waits::PendingReason;
     type Step = fn(&mut Bench);
     // A job that takes all of the machine's eight CPUs.
     let fill: Step = |b| {
@@ -665,9 +665,9 @@
         b.tick(30);
     };
     // (what comes before, the job that waits: team, tasks, CPUs; why)
-    let cases: [(&str, Step, (&str, u32, f64), Why); 6] = [
-        ("nobody heard the machine", |b| b.seq[0] += 1, ("t", 1, 1.0), Why::UnconfirmedMachines),
-        ("the machine is full", fill, ("t", 1, 8.0), Why::NoFreeCapacity),
+    let cases: [(&str, Step, (&str, u32, f64), PendingReason); 6] = [
+        ("nobody heard the machine", |b| b.seq[0] += 1, ("t", 1, 1.0), PendingReason::UnconfirmedMachines),
+        ("the machine is full", fill, ("t", 1, 8.0), PendingReason::NoFreeCapacity),
         (
             "the machine is full, and the cloud has none",
             |b| {
@@ -677,7 +677,7 @@
                 b.leader.refused.insert(("big".into(), "east".into(), false), b.now + Micros::secs(35));
             },
             ("t", 1, 8.0),
-            Why::CloudSoldOut,
+            PendingReason::CloudSoldOut,
         ),
         (
             "its team is at its limit",
@@ -687,7 +687,7 @@
                 b.tick(30);
             },
             ("tight", 1, 4.0),
-            Why::Limit,
+            PendingReason::TeamLimit,
         ),
         (
             "it replaces one that runs",
@@ -697,30 +697,35 @@
                 b.tick(30);
             },
             ("t", 1, 1.0),
-            Why::Held,
+            PendingReason::DependencyNotEnded,
+        ),
+        (
+            "nothing was handed out yet",
+            |b| b.confirm("m0", &[]),
+            ("t", 1, 1.0),
+            PendingReason::QueuedBehindOthers,
         ),
-        ("nothing was handed out yet", |b| b.confirm("m0", &[]), ("t", 1, 1.0), Why::Turn),
     ];
     for (what, before, (team, tasks, cpus), want) in cases {
         let mut b = Bench::new(1);
         before(&mut b);
         b.job(
             9,
-            if want == Why::UnconfirmedMachines { 40 } else { 61 },
+            if want == PendingReason::UnconfirmedMachines { 40 } else { 61 },
             team,
             "array",
             "standard",
             tasks,
             cpus,
         );
-        if want == Why::Held {
+        if want == PendingReason::DependencyNotEnded {
             b.edit(9, 62, |s| s.after = vec![JobId(8)]);
             b.leader.jobs.remove(&JobId(9));
             b.leader.job_changed(JobId(9), &b.ledger, b.now);
         }
         assert!(b.leader.longest_pending(b.now).is_empty(), "{what}: too soon");
         let waits = b.leader.longest_pending(b.now + Micros::secs(40));
-        let got: Vec<(JobId, Why)> = waits.iter().map(|w| (w.1, w.3)).collect();
+        let got: Vec<(JobId, PendingReason)> = waits.iter().map(|w| (w.1, w.3)).collect();
         assert_eq!(got, [(JobId(9), want)], "{what}");
     }
 }
--- a/crates/core/src/leader/waits.rs
+++ b/crates/core/src/leader/waits.rs
@@ -9,57 +9,59 @@
 
 /// Why a job is pending.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Why {
+pub enum PendingReason {
     /// The job replaces one that may still have tasks on machines, or depends on one that is
     /// not done.
-    Held,
+    DependencyNotEnded,
     /// Its tasks failed, and the delay before the next attempt has not passed.
-    Failing,
+    RetryDelay,
     /// Machines without contact in this term may hold its tasks.
     UnconfirmedMachines,
     /// Its team is at its limit.
-    Limit,
+    TeamLimit,
     /// Its zone rule leaves no zone for another task.
-    Zones,
+    ZoneRule,
     /// No machine that the job may run on has free capacity, and the cloud has recently refused
     /// machines that it may run on.
     CloudSoldOut,
     /// No machine that the job may run on has free capacity.
     NoFreeCapacity,
     /// Other jobs are served first.
-    Turn,
+    QueuedBehindOthers,
 }
 
-impl std::fmt::Display for Why {
+impl std::fmt::Display for PendingReason {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
-            Why::Held => "a job that it replaces or depends on has not ended",
-            Why::Failing => "its tasks failed and are retried after a delay",
-            Why::UnconfirmedMachines => "machines without contact in this term may hold its tasks",
-            Why::Limit => "its team is at its limit",
-            Why::Zones => "its zone rule leaves no zone",
-            Why::CloudSoldOut => "no free capacity, and the cloud refused machines that it may run on",
-            Why::NoFreeCapacity => "no free capacity on the machines that it may run on",
-            Why::Turn => "other jobs are served first",
+            PendingReason::DependencyNotEnded => "a job that it replaces or depends on has not ended",
+            PendingReason::RetryDelay => "its tasks failed and are retried after a delay",
+            PendingReason::UnconfirmedMachines => "machines without contact in this term may hold its tasks",
+            PendingReason::TeamLimit => "its team is at its limit",
+            PendingReason::ZoneRule => "its zone rule leaves no zone",
+            PendingReason::CloudSoldOut => {
+                "no free capacity, and the cloud refused machines that it may run on"
+            }
+            PendingReason::NoFreeCapacity => "no free capacity on the machines that it may run on",
+            PendingReason::QueuedBehindOthers => "other jobs are served first",
         })
     }
 }
 
 impl Leader {
     /// Why a job with a pending task does not start it.
-    fn pending_reason(&self, run: &Run, now: Micros) -> Why {
+    fn pending_reason(&self, run: &Run, now: Micros) -> PendingReason {
         let spec = &run.spec;
         if run.held {
-            return Why::Held;
+            return PendingReason::DependencyNotEnded;
         }
         if run.retry_at > now {
-            return Why::Failing;
+            return PendingReason::RetryDelay;
         }
         if self.may_run_on_unconfirmed_machine(run) {
-            return Why::UnconfirmedMachines;
+            return PendingReason::UnconfirmedMachines;
         }
         if self.exceeds_team_limit(spec) {
-            return Why::Limit;
+            return PendingReason::TeamLimit;
         }
         let zones = self.tasks_per_zone(run);
         let allowed = |m: &&Machine| m.suits(spec);
@@ -71,10 +73,10 @@
             fits |= ok && m.free().fits(&spec.need);
         }
         if any && !zone {
-            return Why::Zones;
+            return PendingReason::ZoneRule;
         }
         if fits {
-            return Why::Turn;
+            return PendingReason::QueuedBehindOthers;
         }
         let recent = |t: &Micros| now.since(*t) < Micros::secs(20);
         let in_zones = |z: &str| spec.zones.as_ref().is_none_or(|l| l.iter().any(|x| x == z));
@@ -83,12 +85,12 @@
             .refused
             .iter()
             .any(|((build, z, spot), t)| recent(t) && of_types(build) && in_zones(z) && (spec.spot || !spot));
-        if refused { Why::CloudSoldOut } else { Why::NoFreeCapacity }
+        if refused { PendingReason::CloudSoldOut } else { PendingReason::NoFreeCapacity }
     }
 
     /// For each class, the job that has waited longest with no task bound, if it has waited for
     /// at least `MIN_REPORTED_WAIT`: class, job, wait and reason.
-    pub fn longest_pending(&self, now: Micros) -> Vec<(String, JobId, Micros, Why)> {
+    pub fn longest_pending(&self, now: Micros) -> Vec<(String, JobId, Micros, PendingReason)> {
         let wall_ms = self.wall_ms(now);
         let mut longest: BTreeMap<&str, (u64, JobId)> = BTreeMap::new();
         for (id, r) in self.jobs.iter().filter(|(_, r)| !r.over && r.bound.is_empty() && r.waiting() > 0) {
