--- a/crates/core/src/leader/bindings.rs
+++ b/crates/core/src/leader/bindings.rs
@@ -352,7 +352,7 @@
     pub(super) fn machine_gone(&mut self, id: &MachineId, now: Micros) {
         let tasks = match self.machines.remove(id) {
             Some(mut m) => {
-                self.rooms.take(id, &mut m);
+                self.rooms.remove(id, &mut m);
                 m.bound
             }
             None => BTreeSet::new(),
--- a/crates/core/src/leader/overdue.rs
+++ b/crates/core/src/leader/overdue.rs
@@ -46,7 +46,7 @@
                 continue;
             }
             let zones = self.tasks_per_zone(run);
-            if let Some(machine) = self.find(run, &zones, now) {
+            if let Some(machine) = self.find_machine(run, &zones, now) {
                 let (rank, team, class) = (run.urgency.rank, run.spec.team.clone(), run.spec.class.clone());
                 info!("{id} of class {class} is starved: its first task is assigned before other jobs");
                 self.assign(TaskId { job: *id, index }, machine);
--- a/crates/core/src/leader/room.rs
+++ b/crates/core/src/leader/room.rs
@@ -14,7 +14,7 @@
 
 /// The state of a machine from which its sort key was computed.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(super) struct Placed {
+pub(super) struct IndexEntry {
     /// Position in `CapacityIndex::kinds`.
     kind: usize,
     failed: bool,
@@ -76,8 +76,8 @@
     }
 
     /// Updates a machine's entry; a machine that does not accept tasks (`open` false) has none.
-    pub(super) fn put(&mut self, id: &MachineId, m: &mut Machine, open: bool) {
-        let entry = open.then(|| Placed {
+    pub(super) fn update(&mut self, id: &MachineId, m: &mut Machine, open: bool) {
+        let entry = open.then(|| IndexEntry {
             kind: m.placed.map_or_else(|| self.kind(m), |p| p.kind),
             failed: m.failures > 0,
             free: m.free(),
@@ -86,7 +86,7 @@
         if m.placed == entry {
             return;
         }
-        self.take(id, m);
+        self.remove(id, m);
         if let Some(p) = entry {
             let key = (p.failed, p.free.cpu, id.clone());
             let kind = &mut self.kinds[p.kind];
@@ -102,7 +102,7 @@
     }
 
     /// Removes a machine from the index.
-    pub(super) fn take(&mut self, id: &MachineId, m: &mut Machine) {
+    pub(super) fn remove(&mut self, id: &MachineId, m: &mut Machine) {
         let Some(p) = m.placed.take() else { return };
         let key = (p.failed, p.free.cpu, id.clone());
         let kind = &mut self.kinds[p.kind];
@@ -190,12 +190,17 @@
                 }
             }
             let open = m.open(&contact, now);
-            self.rooms.put(id, m, open);
+            self.rooms.update(id, m, open);
         }
     }
 
     /// The best machine for one more task of the job.
-    pub(super) fn find(&self, run: &Run, zones: &BTreeMap<String, u32>, now: Micros) -> Option<MachineId> {
+    pub(super) fn find_machine(
+        &self,
+        run: &Run,
+        zones: &BTreeMap<String, u32>,
+        now: Micros,
+    ) -> Option<MachineId> {
         let spec = &run.spec;
         let may_retry = run.may_retry_on_failed_machine(now);
         self.rooms.best(&PlacementQuery { spec, zones }, |id| {
@@ -301,7 +306,7 @@
             m.failures = (rng.u32(0..9) == 0) as u32;
             m.images.insert(images[rng.usize(0..4)].into());
             let open = rng.u32(0..7) > 0;
-            rooms.put(id, m, open);
+            rooms.update(id, m, open);
             let kind = if rng.bool() { "standing" } else { "array" };
             let s = spec(kind, rng.u64(1..9), rng.u64(1..20), images[rng.usize(0..4)], rng.bool());
             let taken = BTreeMap::from([(zones[rng.usize(0..3)].to_owned(), rng.u32(0..6))]);
@@ -313,7 +318,7 @@
         }
         assert!(found > 1000, "{found} found a machine");
         for id in &ids {
-            rooms.take(id, machines.get_mut(id).unwrap());
+            rooms.remove(id, machines.get_mut(id).unwrap());
         }
         assert!(
             !rooms.any_with_cpu(0)
--- a/crates/core/src/leader/schedule.rs
+++ b/crates/core/src/leader/schedule.rs
@@ -304,7 +304,7 @@
             return false;
         }
         let zones = self.tasks_per_zone(run);
-        match self.find(run, &zones, now) {
+        match self.find_machine(run, &zones, now) {
             Some(machine) if self.should_wait_for_image(id, &machine, now) => {
                 // Preempts batch tasks on a machine that has the image, because a fetch
                 // takes seconds.
@@ -397,7 +397,7 @@
             m.reserved.insert(attempt, need);
             m.images.insert(run.spec.image.clone());
             m.idle_since = None;
-            self.rooms.put(&hint, m, true);
+            self.rooms.update(&hint, m, true);
         }
         let at = self.books.hand_out(task);
         self.handouts.insert(attempt, OnItsWay { to: node, out, covered_by: at, sent: None });
