--- a/crates/core/src/leader/bindings.rs
+++ b/crates/core/src/leader/bindings.rs
@@ -74,16 +74,18 @@
         }
         let Some(run) = self.jobs.get_mut(&h.task.job) else { return };
         let Some(b) = run.bound.get_mut(&h.task.index) else { return };
-        if b.attempt != o.attempt || b.handed.as_ref().is_none_or(|x| x.incarnation != incarnation) {
+        if b.attempt != o.attempt
+            || b.unresolved_assignment.as_ref().is_none_or(|x| x.incarnation != incarnation)
+        {
             return;
         }
-        let Some(handed) = b.handed.take() else { return };
+        let Some(handed) = b.unresolved_assignment.take() else { return };
         self.handed.remove(h.task, &handed);
         if let Some(id) = &o.machine
             && handed.machines.contains(id)
             && let Some(m) = self.machines.get_mut(id).filter(|m| may_hold(m, o.attempt))
         {
-            b.on.insert(id.clone());
+            b.reported_on.insert(id.clone());
             m.bound.insert(h.task);
             m.tasks.insert(h.task, (o.attempt, TaskState::Starting));
             m.stale = true;
@@ -163,22 +165,22 @@
                 let run = self
                     .jobs
                     .entry(task.job)
-                    .or_insert_with(|| Run::new(job, spec.clone(), &self.ctx.objectives));
-                run.proven |= proven;
+                    .or_insert_with(|| JobRun::new(job, spec.clone(), &self.ctx.objectives));
+                run.ran_well |= proven;
                 let sums = &mut self.sums;
                 let b = run.bound.entry(task.index).or_insert_with(|| {
                     sums.bound(&spec);
-                    Binding { attempt: *attempt, handed: None, on: BTreeSet::new() }
+                    Binding { attempt: *attempt, unresolved_assignment: None, reported_on: BTreeSet::new() }
                 });
                 m.bound.insert(*task);
                 // That a start has arrived is in the books, too: a witness that stands in
                 // for a leader deletes where it may not have.
                 let arrived = *state != TaskState::Starting
                     && old.get(task).is_some_and(|(_, s)| *s == TaskState::Starting);
-                if b.on.insert(s.id.clone()) || arrived {
+                if b.reported_on.insert(s.id.clone()) || arrived {
                     self.books.note(*task);
-                    if b.on.len() > 1 {
-                        warn!("{task} may be on several machines: {:?}", b.on);
+                    if b.reported_on.len() > 1 {
+                        warn!("{task} may be on several machines: {:?}", b.reported_on);
                     }
                 }
             }
@@ -218,10 +220,10 @@
         now: Micros,
     ) {
         let Some(run) = self.jobs.get_mut(&task.job) else { return };
-        let known = run.bound.get(&task.index).is_some_and(|b| b.on.contains(id));
+        let known = run.bound.get(&task.index).is_some_and(|b| b.reported_on.contains(id));
         match state {
             TaskState::Done if run.spec.kind == Kind::Array && task.index < run.spec.tasks => {
-                (run.proven, run.begun) = (true, true);
+                (run.ran_well, run.started) = (true, true);
                 self.progressed.insert(task.job);
                 if run.done.insert(task.index)
                     && ledger.jobs.get(&task.job).is_some_and(|j| !j.done.contains(task.index))
@@ -240,7 +242,7 @@
                 if run.spec.attempts.is_some()
                     && let Some(attempt) = run.bound.get(&task.index).map(|b| b.attempt.0)
                 {
-                    let f = run.fails.entry(task.index).or_default();
+                    let f = run.failed_attempts.entry(task.index).or_default();
                     if attempt > f.last {
                         *f = Failures { count: f.count + 1, last: attempt };
                         run.unrecorded_failures.insert(task.index);
@@ -249,13 +251,13 @@
                 }
                 run.failures += 1;
                 run.failed_on.insert(id.clone());
-                if run.failed_on.len() > 1 && !run.proven {
+                if run.failed_on.len() > 1 && !run.ran_well {
                     // It fails wherever it is: wait longer each time.
                     run.retry_at = now + Micros::millis(500 << again.min(7));
                 } else {
                     run.retry_at = now + Micros::millis(200);
                 }
-                if run.mistaken() && run.failures == FAULTY_JOB_FAILURES + 1 {
+                if run.is_faulty() && run.failures == FAULTY_JOB_FAILURES + 1 {
                     info!("{}: fails wherever it is: one task at a time from here on", task.job);
                 }
                 if let Some(m) = self.machines.get_mut(id) {
@@ -274,7 +276,7 @@
     pub(super) fn take_out_if_guilty(&mut self, id: &MachineId) {
         let Some(m) = self.machines.get_mut(id).filter(|m| m.draining.is_none()) else { return };
         let jobs = &self.jobs;
-        let proven = |j: &JobId| jobs.get(j).is_some_and(|r| r.proven);
+        let proven = |j: &JobId| jobs.get(j).is_some_and(|r| r.ran_well);
         let told: Vec<u32> = m.failed_jobs.iter().filter(|(j, _)| proven(j)).map(|(_, n)| *n).collect();
         if told.iter().sum::<u32>() >= 2 {
             info!("{id}: tasks of {} jobs that run elsewhere failed on it; taken out of use", told.len());
@@ -287,7 +289,7 @@
         if let Some(run) = self.jobs.get_mut(&task.job)
             && let Some(b) = run.bound.get_mut(&task.index)
         {
-            b.on.remove(id);
+            b.reported_on.remove(id);
             self.books.note(task);
         }
         if let Some(m) = self.machines.get_mut(id) {
@@ -299,15 +301,15 @@
     pub(super) fn free_if_nowhere(&mut self, task: TaskId) {
         if let Some(run) = self.jobs.get_mut(&task.job)
             && let Some(b) = run.bound.get(&task.index)
-            && b.on.is_empty()
-            && b.handed.is_none()
+            && b.reported_on.is_empty()
+            && b.unresolved_assignment.is_none()
         {
             let attempt = b.attempt;
             run.bound.remove(&task.index);
             self.books.note(task);
             self.sums.freed(&run.spec);
             if !run.done.contains(task.index) {
-                run.again.insert(task.index);
+                run.requeued.insert(task.index);
                 self.requeue = true;
             }
             self.stops.remove(&(task, attempt));
@@ -325,7 +327,7 @@
         for task in self.handed.take_watched(id) {
             let Some(run) = self.jobs.get_mut(&task.job) else { continue };
             let Some(b) = run.bound.get_mut(&task.index) else { continue };
-            let Some(h) = b.handed.as_mut() else { continue };
+            let Some(h) = b.unresolved_assignment.as_mut() else { continue };
             if token.is_none_or(|t| b.attempt.0 < t.0) {
                 let next = |after| next_open(&h.machines, after, &run.spec, b.attempt, &self.machines);
                 // Free only if none of them may hold it: what a job allows may have changed.
@@ -333,7 +335,7 @@
             }
             if h.watched.is_some() {
                 self.handed.watch(task, h.watched.as_ref());
-            } else if let Some(handed) = b.handed.take() {
+            } else if let Some(handed) = b.unresolved_assignment.take() {
                 self.handed.remove(task, &handed);
                 self.books.note(task);
                 free.push((task, b.attempt, handed.hint));
--- a/crates/core/src/leader/blocks.rs
+++ b/crates/core/src/leader/blocks.rs
@@ -344,13 +344,13 @@
             }
             if now >= self.deletion_due(*by, 95, Micros::millis(1500)) {
                 let bound = || run.iter().flat_map(|r| r.bound.values());
-                doomed.extend(bound().flat_map(|b| b.on.iter()).map(|id| (id.clone(), *job)));
+                doomed.extend(bound().flat_map(|b| b.reported_on.iter()).map(|id| (id.clone(), *job)));
                 // A hand-out went to a machine that its job may use.
                 let holds = |id: &MachineId, attempt: Attempt| {
                     let (Some(r), Some(m)) = (run, self.machines.get(id)) else { return false };
                     m.suits(&r.spec) && may_hold(m, attempt)
                 };
-                for (b, h) in bound().filter_map(|b| Some((b, b.handed.as_ref()?))) {
+                for (b, h) in bound().filter_map(|b| Some((b, b.unresolved_assignment.as_ref()?))) {
                     let machines = h.machines.iter().filter(|id| holds(id, b.attempt));
                     doomed.extend(machines.map(|id| (id.clone(), *job)));
                 }
--- a/crates/core/src/leader/books.rs
+++ b/crates/core/src/leader/books.rs
@@ -39,15 +39,21 @@
                     Entry { attempt: Attempt(0), on: Vec::new(), starting: false, done, handed: None };
                 return done.then_some(nowhere);
             };
-            let handed = b.handed.as_ref().map(|h| {
+            let handed = b.unresolved_assignment.as_ref().map(|h| {
                 let zone = run.spec.has_zone_rule().then(|| h.zone.clone());
                 (h.hint.clone(), zone)
             });
-            let starting = b.on.iter().any(|id| {
+            let starting = b.reported_on.iter().any(|id| {
                 let state = self.machines.get(id).and_then(|m| m.tasks.get(task)).map(|t| t.1);
                 state.is_none_or(|s| s == TaskState::Starting)
             });
-            Some(Entry { attempt: b.attempt, on: b.on.iter().cloned().collect(), starting, done, handed })
+            Some(Entry {
+                attempt: b.attempt,
+                on: b.reported_on.iter().cloned().collect(),
+                starting,
+                done,
+                handed,
+            })
         };
         let tasks = match self.books.changed(base) {
             Some(tasks) => tasks.into_iter().map(|t| (t, entry(&t))).collect(),
@@ -115,7 +121,7 @@
             if e.done && job.phase == Phase::Active && !job.done.contains(task.index) {
                 let objectives = &self.ctx.objectives;
                 let run =
-                    self.jobs.entry(task.job).or_insert_with(|| Run::new(job, spec.clone(), objectives));
+                    self.jobs.entry(task.job).or_insert_with(|| JobRun::new(job, spec.clone(), objectives));
                 run.done.insert(task.index);
                 run.unrecorded.insert(task.index);
                 self.progressed.insert(task.job);
@@ -144,7 +150,7 @@
                 continue;
             }
             let objectives = &self.ctx.objectives;
-            let run = self.jobs.entry(task.job).or_insert_with(|| Run::new(job, spec.clone(), objectives));
+            let run = self.jobs.entry(task.job).or_insert_with(|| JobRun::new(job, spec.clone(), objectives));
             for id in &on {
                 if let Some(m) = self.machines.get_mut(id) {
                     m.bound.insert(*task);
@@ -157,7 +163,10 @@
                 self.handed.watch(*task, handed.watched.as_ref());
             }
             self.sums.bound(&run.spec);
-            run.bound.insert(task.index, Binding { attempt: e.attempt, handed, on });
+            run.bound.insert(
+                task.index,
+                Binding { attempt: e.attempt, unresolved_assignment: handed, reported_on: on },
+            );
             self.books.note(*task);
             taken += 1;
         }
--- a/crates/core/src/leader/cancelled.rs
+++ b/crates/core/src/leader/cancelled.rs
@@ -38,10 +38,10 @@
     fn start_is_open(&self, task: TaskId, b: &Binding, unaware: &[NodeId]) -> bool {
         // A hand-out of the term before is nobody's in this one.
         let handed_to = self.handouts.get(&b.attempt).map(|h| h.to);
-        if b.handed.is_some() && handed_to.is_none_or(|n| unaware.contains(&n)) {
+        if b.unresolved_assignment.is_some() && handed_to.is_none_or(|n| unaware.contains(&n)) {
             return true;
         }
-        b.on.iter().filter_map(|id| self.machines.get(id)).any(|m| {
+        b.reported_on.iter().filter_map(|id| self.machines.get(id)).any(|m| {
             let seen = m.tasks.get(&task).is_some_and(|(_, state)| *state != TaskState::Starting);
             // Another holder's token that the worker has not shown proves nothing.
             let arrived = m.started.contains_key(&task) || m.confirmed && seen;
--- a/crates/core/src/leader/dependents.rs
+++ b/crates/core/src/leader/dependents.rs
@@ -20,11 +20,11 @@
 
     /// Joins the urgency of one job; whether that changed it.
     fn join_urgency(&mut self, id: JobId, ledger: &Ledger) -> bool {
-        let Some(run) = self.jobs.get(&id).filter(|r| !r.over) else { return false };
+        let Some(run) = self.jobs.get(&id).filter(|r| !r.ended) else { return false };
         let dependents = ledger.dependencies.dependents(id).iter().filter_map(|d| self.jobs.get(d));
         let urgency = dependents
-            .filter(|r| !r.over)
-            .fold(run.own_urgency, |urgency, r| urgency.inherit(&r.urgency, r.span_ms()));
+            .filter(|r| !r.ended)
+            .fold(run.own_urgency, |urgency, r| urgency.inherit(&r.urgency, r.estimated_span_ms()));
         if urgency == run.urgency {
             return false;
         }
--- a/crates/core/src/leader/machines.rs
+++ b/crates/core/src/leader/machines.rs
@@ -277,7 +277,7 @@
     /// spare capacity to keep.
     pub(super) fn delete_idle(&mut self, flavors: &[Flavor], now: Micros) {
         let mut to_delete = Vec::new();
-        let waiting = self.jobs.values().any(|r| !r.over && !r.held && r.waiting() > 0);
+        let waiting = self.jobs.values().any(|r| !r.ended && !r.held && r.pending_tasks() > 0);
         // Spare CPUs for new replicas by zone; only on-demand machines count.
         let mut spare: BTreeMap<String, u64> = BTreeMap::new();
         for m in self.machines.values().filter(|m| !m.spot && m.usable()) {
@@ -343,8 +343,9 @@
         let zones: BTreeSet<&String> = all.filter(|z| !self.health.is_closed(z)).collect();
         let minute_ago = self.wall_ms(now).saturating_sub(60_000);
         let (mut largest, mut recent, mut running) = (0, 0, 0);
-        let services =
-            |r: &&Run| r.spec.kind == Kind::Service && r.spec.rank == Rank::Production && !r.over && !r.held;
+        let services = |r: &&JobRun| {
+            r.spec.kind == Kind::Service && r.spec.rank == Rank::Production && !r.ended && !r.held
+        };
         for r in self.jobs.values().filter(services) {
             largest = largest.max(r.spec.need.cpu * r.spec.zone_cap() as u64);
             running += r.spec.need.cpu * r.bound.len() as u64;
@@ -435,8 +436,8 @@
             let waiting = r.startable_tasks();
             // A job that fails on every machine gets no more machines. A job with bounded
             // attempts does, and reaches its end sooner.
-            let hopeless = r.failures > 5 && !r.proven && r.spec.attempts.is_none();
-            if waiting == 0 || r.over || r.held || self.may_run_on_unconfirmed_machine(r) || hopeless {
+            let hopeless = r.failures > 5 && !r.ran_well && r.spec.attempts.is_none();
+            if waiting == 0 || r.ended || r.held || self.may_run_on_unconfirmed_machine(r) || hopeless {
                 continue;
             }
             let waited = |ms: u64| r.bound.is_empty() && wall_ms > r.ready_ms + ms;
@@ -552,12 +553,12 @@
 
     /// Bound tasks of an array whose end can be reported. Tasks whose machines are all in closed
     /// zones are left out.
-    fn tasks_expected_to_end(&self, r: &Run) -> usize {
+    fn tasks_expected_to_end(&self, r: &JobRun) -> usize {
         if !self.health.any_closed() {
             return r.bound.len();
         }
         let lost = |id: &MachineId| self.machines.get(id).is_some_and(|m| self.health.is_closed(&m.zone));
-        r.bound.values().filter(|b| b.on.is_empty() || !b.on.iter().all(lost)).count()
+        r.bound.values().filter(|b| b.reported_on.is_empty() || !b.reported_on.iter().all(lost)).count()
     }
 
     /// Reduces the demands, in the order in which they are served, to the tasks that the teams'
--- a/crates/core/src/leader/messages.rs
+++ b/crates/core/src/leader/messages.rs
@@ -89,7 +89,7 @@
         if let Some(at) = open.iter().map(|(_, at)| *at).max() {
             self.books.release(at);
         }
-        let running = self.jobs.iter().filter(|(_, r)| r.shown.1 > base);
+        let running = self.jobs.iter().filter(|(_, r)| r.reported_running.1 > base);
         Message::Update {
             term: self.term,
             seq,
@@ -101,7 +101,7 @@
             elsewhere,
             handouts: open.into_iter().map(|(h, _)| h).collect(),
             stops: self.stops.values().filter(|(r, _)| held(&r.machine)).map(|(r, _)| r.clone()).collect(),
-            running: running.map(|(id, r)| (*id, r.shown.0)).collect(),
+            running: running.map(|(id, r)| (*id, r.reported_running.0)).collect(),
         }
     }
 
@@ -109,8 +109,8 @@
     pub(super) fn count_running(&mut self) {
         for r in self.jobs.values_mut() {
             let n = r.bound.keys().filter(|i| !r.done.contains(**i)).count() as u32;
-            if n != r.shown.0 {
-                r.shown = (n, self.version + 1);
+            if n != r.reported_running.0 {
+                r.reported_running = (n, self.version + 1);
             }
         }
     }
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -27,7 +27,7 @@
 use crate::lateness::Lateness;
 use assignments::{AssignedTasks, Handed, may_hold};
 pub use machine::{Machine, Stage};
-use run::{Binding, FAULTY_JOB_FAILURES, Run};
+use run::{Binding, FAULTY_JOB_FAILURES, JobRun};
 use wishes::ScaleOutStage;
 pub use wishes::{CloudRequest, LeaderWrite, ScaleOutRequest};
 
@@ -190,7 +190,7 @@
     version: u64,
     /// Deletions told before this are forgotten.
     forgotten: u64,
-    jobs: BTreeMap<JobId, Run>,
+    jobs: BTreeMap<JobId, JobRun>,
     /// Cancelled jobs that are not proven to be nowhere, and by when their tasks have to
     /// be gone.
     aborted: BTreeMap<JobId, Micros>,
@@ -363,11 +363,11 @@
             for (index, b) in &r.bound {
                 let task = TaskId { job: *job, index: *index };
                 sums.bound(&r.spec);
-                if let Some(h) = &b.handed {
+                if let Some(h) = &b.unresolved_assignment {
                     handed.watch(task, h.watched.as_ref());
                     self.check_watched(task, b.attempt, h)?;
                 }
-                for id in &b.on {
+                for id in &b.reported_on {
                     on.entry(id).or_default().insert(task);
                 }
             }
@@ -433,18 +433,18 @@
                 let Some(spec) = &job.spec else { return };
                 match self.jobs.get_mut(&id) {
                     None => {
-                        let mut run = Run::new(job, spec.clone(), &self.ctx.objectives);
+                        let mut run = JobRun::new(job, spec.clone(), &self.ctx.objectives);
                         run.held = !spec.after.is_empty() || !ledger.dependencies.released(id);
                         if run.held {
                             self.held.insert(id);
                         } else {
-                            run.ready_at(ledger.released_ms(id));
+                            run.set_ready_ms(ledger.released_ms(id));
                         }
                         self.jobs.insert(id, run);
                         self.inherit_urgency(id, ledger);
                     }
                     Some(run) => {
-                        for index in run.recorded(job, spec) {
+                        for index in run.apply_record(job, spec) {
                             self.books.note(TaskId { job: id, index });
                         }
                     }
@@ -460,7 +460,7 @@
         if job.phase != Phase::Active
             && let Some(run) = self.jobs.get_mut(&id)
         {
-            run.over = true;
+            run.ended = true;
             for index in std::mem::take(&mut run.unrecorded) {
                 self.books.note(TaskId { job: id, index });
             }
@@ -493,7 +493,7 @@
             self.requeue = true;
             if let Some(run) = self.jobs.get_mut(&id) {
                 run.held = false;
-                run.ready_at(ledger.released_ms(id));
+                run.set_ready_ms(ledger.released_ms(id));
             }
             self.inherit_urgency(id, ledger);
         }
--- a/crates/core/src/leader/overdue.rs
+++ b/crates/core/src/leader/overdue.rs
@@ -19,12 +19,12 @@
 
 impl Leader {
     /// Whether a task of the job has run for longer than `MIN_RUN_TIME`.
-    pub(super) fn has_run_long_enough(&self, id: JobId, run: &Run, now: Micros) -> bool {
+    pub(super) fn has_run_long_enough(&self, id: JobId, run: &JobRun, now: Micros) -> bool {
         let started = |index: u32, on: &MachineId| {
             let at = self.machines.get(on).and_then(|m| m.started.get(&TaskId { job: id, index }));
             at.is_some_and(|t| now.since(*t) > MIN_RUN_TIME)
         };
-        run.bound.iter().any(|(i, b)| b.on.iter().any(|on| started(*i, on)))
+        run.bound.iter().any(|(i, b)| b.reported_on.iter().any(|on| started(*i, on)))
     }
 
     /// Assigns one task of each starved job that fits on a machine, and reserves machines for
@@ -38,7 +38,9 @@
         let mut left = (self.machines.len() / MACHINES_PER_ACCUMULATION + 1).saturating_sub(accumulating);
         for id in &starved {
             let Some(run) = self.jobs.get_mut(id) else { continue };
-            let Some(index) = run.peek().filter(|_| !run.over && !run.begun && run.bound.is_empty()) else {
+            let Some(index) =
+                run.next_pending().filter(|_| !run.ended && !run.started && run.bound.is_empty())
+            else {
                 continue;
             };
             let Some(run) = self.jobs.get(id) else { continue };
--- a/crates/core/src/leader/records.rs
+++ b/crates/core/src/leader/records.rs
@@ -110,12 +110,12 @@
     pub fn failures(&self, id: JobId, chunk: u32) -> Option<BTreeMap<u32, Failures>> {
         let run = self.jobs.get(&id)?;
         let range = chunk * FAILED_CHUNK..(chunk + 1) * FAILED_CHUNK;
-        Some(run.fails.range(range).map(|(i, f)| (*i, *f)).collect())
+        Some(run.failed_attempts.range(range).map(|(i, f)| (*i, *f)).collect())
     }
 
     /// How often a task has failed.
     pub fn attempts_of(&self, id: JobId, index: u32) -> u32 {
-        self.jobs.get(&id).and_then(|r| r.fails.get(&index)).map_or(0, |f| f.count)
+        self.jobs.get(&id).and_then(|r| r.failed_attempts.get(&index)).map_or(0, |f| f.count)
     }
 
     /// A write succeeded.
--- a/crates/core/src/leader/room.rs
+++ b/crates/core/src/leader/room.rs
@@ -197,7 +197,7 @@
     /// The best machine for one more task of the job.
     pub(super) fn find_machine(
         &self,
-        run: &Run,
+        run: &JobRun,
         zones: &BTreeMap<String, u32>,
         now: Micros,
     ) -> Option<MachineId> {
--- a/crates/core/src/leader/run.rs
+++ b/crates/core/src/leader/run.rs
@@ -8,9 +8,9 @@
 pub(super) struct Binding {
     pub(super) attempt: Attempt,
     /// The assignment, until its outcome is known.
-    pub(super) handed: Option<Handed>,
+    pub(super) unresolved_assignment: Option<Handed>,
     /// Machines that have the attempt.
-    pub(super) on: BTreeSet<MachineId>,
+    pub(super) reported_on: BTreeSet<MachineId>,
 }
 
 /// A job counts as faulty after more failures than this, on more than one machine, while none
@@ -32,7 +32,7 @@
 
 /// The leader's state of one job.
 #[derive(Debug)]
-pub(super) struct Run {
+pub(super) struct JobRun {
     pub(super) spec: Rc<JobSpec>,
     pub(super) stamp: u64,
     /// Its own priority and due times.
@@ -47,7 +47,7 @@
     pub(super) done: TaskSet,
     pub(super) bound: BTreeMap<u32, Binding>,
     /// Tasks to start again after their binding ended.
-    pub(super) again: BTreeSet<u32>,
+    pub(super) requeued: BTreeSet<u32>,
     /// Tasks below this index are bound, done, or in `again`.
     pub(super) next: u32,
     /// No task is assigned before this, after a failure.
@@ -55,9 +55,9 @@
     pub(super) failures: u32,
     pub(super) failed_on: BTreeSet<MachineId>,
     /// A task of it completed, or ran long enough to show that the job is not faulty itself.
-    pub(super) proven: bool,
+    pub(super) ran_well: bool,
     /// A task of it completed, or ran for longer than `overdue::MIN_RUN_TIME`.
-    pub(super) begun: bool,
+    pub(super) started: bool,
     /// When a task first completed that is not recorded as done yet.
     pub(super) unrecorded_since: Option<Micros>,
     /// Tasks that are done and whose record is not seen yet. The placement log holds them: a
@@ -69,19 +69,19 @@
     /// Until then the job waits for free capacity on a machine that has its image.
     pub(super) patience: Option<Micros>,
     /// The job is done or cancelled: no task is started, but tasks still on machines count.
-    pub(super) over: bool,
+    pub(super) ended: bool,
     /// Failed attempts by task, for a job with bounded attempts.
-    pub(super) fails: BTreeMap<u32, Failures>,
+    pub(super) failed_attempts: BTreeMap<u32, Failures>,
     /// Tasks whose failure count is not recorded yet. They are not started again before it is.
     pub(super) unrecorded_failures: BTreeSet<u32>,
     /// The job that it replaces may still have tasks on machines, or a job that it depends on
     /// is not recorded as done.
     pub(super) held: bool,
     /// Number of running tasks last sent to the controllers, and the first update with it.
-    pub(super) shown: (u32, u64),
+    pub(super) reported_running: (u32, u64),
 }
 
-impl Run {
+impl JobRun {
     pub(super) fn new(job: &Job, spec: Rc<JobSpec>, objectives: &[Objective]) -> Self {
         let of_class = || objectives.iter().filter(|o| o.class == spec.class);
         let within = of_class().filter(|o| o.kind == "finished").filter_map(|o| o.within_s).reduce(f64::max);
@@ -94,7 +94,7 @@
             last_ms: job.submitted_ms + millis(due * times),
             deadline: spec.deadline_s.is_some(),
         };
-        let mut run = Run {
+        let mut run = JobRun {
             stamp: job.stamp,
             own_urgency,
             urgency: own_urgency,
@@ -104,28 +104,28 @@
             held: false,
             spec,
             bound: BTreeMap::new(),
-            again: BTreeSet::new(),
+            requeued: BTreeSet::new(),
             next: 0,
             retry_at: Micros(0),
             failures: 0,
             failed_on: BTreeSet::new(),
-            proven: false,
-            begun: !job.done.is_empty(),
+            ran_well: false,
+            started: !job.done.is_empty(),
             unrecorded_since: None,
             unrecorded: BTreeSet::new(),
             preempt_not_before: Micros(0),
             patience: None,
-            over: job.phase != Phase::Active,
-            fails: job.failed.clone(),
+            ended: job.phase != Phase::Active,
+            failed_attempts: job.failed.clone(),
             unrecorded_failures: BTreeSet::new(),
-            shown: (0, 0),
+            reported_running: (0, 0),
         };
-        run.ready_at(job.submitted_ms);
+        run.set_ready_ms(job.submitted_ms);
         run
     }
     /// Sets the time of day, in milliseconds, from which its wait and the objective of its class
     /// count. A deadline of its own still counts from its submission.
-    pub(super) fn ready_at(&mut self, ready_ms: u64) {
+    pub(super) fn set_ready_ms(&mut self, ready_ms: u64) {
         self.ready_ms = ready_ms;
         if let (Some(within), false) = (self.objective_ms, self.own_urgency.deadline) {
             self.own_urgency.due_ms = ready_ms + within;
@@ -134,17 +134,17 @@
     }
     /// Time from its release to its record as done, in milliseconds, by its owner's estimate.
     /// Jobs that it depends on have to end this much earlier.
-    pub(super) fn span_ms(&self) -> u64 {
+    pub(super) fn estimated_span_ms(&self) -> u64 {
         (self.spec.estimate_s * 1000.0) as u64 + STAGE_OVERHEAD_MS
     }
     /// The first task whose attempts are used up.
     pub(super) fn exhausted_task(&self) -> Option<u32> {
         let max_attempts = self.spec.attempts?;
-        self.fails.iter().find(|(_, f)| f.count >= max_attempts).map(|(i, _)| *i)
+        self.failed_attempts.iter().find(|(_, f)| f.count >= max_attempts).map(|(i, _)| *i)
     }
     /// Applies a changed job record: number of tasks, progress and failures. Returns the tasks
     /// of `unrecorded` that are now recorded as done.
-    pub(super) fn recorded(&mut self, job: &Job, spec: &JobSpec) -> Vec<u32> {
+    pub(super) fn apply_record(&mut self, job: &Job, spec: &JobSpec) -> Vec<u32> {
         self.done.union(&job.done);
         let recorded: Vec<u32> = self.unrecorded.iter().copied().filter(|i| job.done.contains(*i)).collect();
         self.unrecorded.retain(|i| !job.done.contains(*i));
@@ -156,7 +156,7 @@
             self.spec = Rc::new(s);
         }
         for (i, f) in &job.failed {
-            let own = self.fails.entry(*i).or_default();
+            let own = self.failed_attempts.entry(*i).or_default();
             if f.last >= own.last {
                 *own = *f;
                 self.unrecorded_failures.remove(i);
@@ -167,8 +167,8 @@
     /// Whether the job itself seems faulty: it fails on every machine. One task at a time is
     /// then tried, after increasing delays; a task that runs well shows that the machines were
     /// faulty. A job with bounded attempts is not throttled: it uses them up.
-    pub(super) fn mistaken(&self) -> bool {
-        !self.proven
+    pub(super) fn is_faulty(&self) -> bool {
+        !self.ran_well
             && self.spec.attempts.is_none()
             && self.failures > FAULTY_JOB_FAILURES
             && self.failed_on.len() > 1
@@ -180,7 +180,7 @@
     /// within a second. The limit on this wait keeps the job's end from being delayed forever.
     pub(super) fn may_retry_on_failed_machine(&self, now: Micros) -> bool {
         let waited = self.spec.attempts.is_some() && now >= self.retry_at + RETRY_ELSEWHERE_TIMEOUT;
-        self.proven || self.failed_on.len() > 3 || waited
+        self.ran_well || self.failed_on.len() > 3 || waited
     }
     /// When that becomes true with time alone; `None` if it is true or does not depend on time.
     pub(super) fn retry_on_failed_machine_at(&self, now: Micros) -> Option<Micros> {
@@ -191,19 +191,19 @@
     }
     /// Number of tasks that may be assigned now.
     pub(super) fn startable_tasks(&self) -> u32 {
-        if self.mistaken() { self.bound.is_empty() as u32 } else { self.waiting() }
+        if self.is_faulty() { self.bound.is_empty() as u32 } else { self.pending_tasks() }
     }
     /// Whether no further task may be assigned while one is bound, because the job seems faulty.
     pub(super) fn is_throttled(&self) -> bool {
-        !self.bound.is_empty() && self.mistaken()
+        !self.bound.is_empty() && self.is_faulty()
     }
     /// The next task to start: first those to start again, then by index.
-    pub(super) fn peek(&mut self) -> Option<u32> {
-        while let Some(i) = self.again.iter().copied().find(|i| !self.unrecorded_failures.contains(i)) {
+    pub(super) fn next_pending(&mut self) -> Option<u32> {
+        while let Some(i) = self.requeued.iter().copied().find(|i| !self.unrecorded_failures.contains(i)) {
             if i < self.spec.tasks && !self.done.contains(i) && !self.bound.contains_key(&i) {
                 return Some(i);
             }
-            self.again.remove(&i);
+            self.requeued.remove(&i);
         }
         while self.next < self.spec.tasks {
             if !self.done.contains(self.next) && !self.bound.contains_key(&self.next) {
@@ -220,20 +220,20 @@
     pub(super) fn queue_key(&self, wall_ms: u64, slots: u64) -> (bool, u64, u64) {
         let Urgency { due_ms, last_ms, deadline, .. } = self.urgency;
         let span = last_ms.saturating_sub(self.ready_ms);
-        let waves = 1.0 + self.waiting() as f64 / slots.max(1) as f64;
+        let waves = 1.0 + self.pending_tasks() as f64 / slots.max(1) as f64;
         let end = wall_ms + (self.spec.estimate_s * waves * 1000.0) as u64;
         let late = end > last_ms && wall_ms < last_ms + 3 * span;
         // A large job delays many small ones that could still complete in time, so its due time
         // is moved back in proportion to the slots that it would take. A deadline set by its
         // owner is not moved.
         let share = match deadline {
-            false => (self.waiting() as f64 / slots.max(1) as f64).min(1.0),
+            false => (self.pending_tasks() as f64 / slots.max(1) as f64).min(1.0),
             true => 0.0,
         };
         (late, due_ms + (span as f64 * share) as u64, self.ready_ms)
     }
     /// Number of tasks that are neither done nor bound.
-    pub(super) fn waiting(&self) -> u32 {
+    pub(super) fn pending_tasks(&self) -> u32 {
         let n = self.spec.tasks;
         let bound = self.bound.keys().filter(|i| **i < n && !self.done.contains(**i)).count() as u32;
         n.saturating_sub(self.done.below(n)).saturating_sub(bound)
--- a/crates/core/src/leader/schedule.rs
+++ b/crates/core/src/leader/schedule.rs
@@ -5,7 +5,7 @@
 
 /// Sum of the resources that a machine's tasks take. A task whose job is not known counts as
 /// the whole machine.
-pub(super) fn used_resources(m: &Machine, jobs: &BTreeMap<JobId, Run>) -> Resources {
+pub(super) fn used_resources(m: &Machine, jobs: &BTreeMap<JobId, JobRun>) -> Resources {
     let mut sum = Resources::default();
     for t in m.tasks.keys() {
         match jobs.get(&t.job) {
@@ -116,22 +116,26 @@
     }
 
     /// Whether a machine without contact in this term may hold a task of the job.
-    pub(super) fn may_run_on_unconfirmed_machine(&self, run: &Run) -> bool {
+    pub(super) fn may_run_on_unconfirmed_machine(&self, run: &JobRun) -> bool {
         run.stamp <= self.began_stamp
             && self.waiting.has_unconfirmed_machines
             && self.machines.values().any(|m| m.unknown && m.suits(&run.spec))
     }
 
     /// Bound tasks by zone, for a job with a zone rule; empty for any other.
-    pub(super) fn tasks_per_zone(&self, run: &Run) -> BTreeMap<String, u32> {
+    pub(super) fn tasks_per_zone(&self, run: &JobRun) -> BTreeMap<String, u32> {
         let mut zones: BTreeMap<String, u32> = BTreeMap::new();
         if !run.spec.has_zone_rule() {
             return zones;
         }
         for b in run.bound.values() {
-            let mut at: BTreeSet<&str> =
-                b.on.iter().filter_map(|id| self.machines.get(id)).map(|m| m.zone.as_str()).collect();
-            if let Some(h) = &b.handed {
+            let mut at: BTreeSet<&str> = b
+                .reported_on
+                .iter()
+                .filter_map(|id| self.machines.get(id))
+                .map(|m| m.zone.as_str())
+                .collect();
+            if let Some(h) = &b.unresolved_assignment {
                 at.insert(&h.zone);
             }
             for z in at {
@@ -190,7 +194,7 @@
             BTreeMap::new();
         let mut ready: Vec<JobId> = Vec::new();
         let (mut starved, mut begun): (Vec<(u64, JobId)>, Vec<JobId>) = Default::default();
-        for (id, run) in self.jobs.iter_mut().filter(|(_, r)| !r.over && !r.held) {
+        for (id, run) in self.jobs.iter_mut().filter(|(_, r)| !r.ended && !r.held) {
             let later =
                 if run.retry_at > now { Some(run.retry_at) } else { run.retry_on_failed_machine_at(now) };
             if let Some(at) = later {
@@ -198,7 +202,7 @@
             }
             if run.retry_at <= now
                 && run.exhausted_task().is_none()
-                && run.peek().is_some()
+                && run.next_pending().is_some()
                 && !run.is_throttled()
             {
                 ready.push(*id);
@@ -209,7 +213,7 @@
             if waiting.has_unconfirmed_machines && self.may_run_on_unconfirmed_machine(run) {
                 continue;
             }
-            if !run.begun && wall_ms > run.ready_ms + overdue::STARVATION_TIMEOUT_MS {
+            if !run.started && wall_ms > run.ready_ms + overdue::STARVATION_TIMEOUT_MS {
                 match self.has_run_long_enough(id, run, now) {
                     true => begun.push(id),
                     false => starved.push((run.ready_ms, id)),
@@ -223,7 +227,7 @@
         }
         for id in begun {
             if let Some(run) = self.jobs.get_mut(&id) {
-                run.begun = true;
+                run.started = true;
             }
         }
         starved.sort();
@@ -286,8 +290,8 @@
     /// Assigns one task of a job; false if none can start now.
     fn serve_job(&mut self, id: JobId, pass: &mut Pass) -> bool {
         let now = pass.now;
-        let Some(run) = self.jobs.get_mut(&id).filter(|r| !r.over) else { return false };
-        let Some(index) = run.peek() else { return false };
+        let Some(run) = self.jobs.get_mut(&id).filter(|r| !r.ended) else { return false };
+        let Some(index) = run.next_pending() else { return false };
         let may_preempt =
             (pass.guaranteed || run.urgency.rank == Rank::Production) && now >= run.preempt_not_before;
         let need = run.spec.need;
@@ -382,12 +386,12 @@
         let fixed = run.spec.has_zone_rule();
         let out = HandOut { task, attempt, zone: fixed.then(|| zone.clone()), hint: hint.clone() };
         let need = run.spec.need;
-        run.again.remove(&task.index);
+        run.requeued.remove(&task.index);
         self.sums.bound(&run.spec);
         let watched = first_watched(&machines, &run.spec, attempt, &self.machines);
         self.handed.watch(task, watched.as_ref());
         let handed = Handed { incarnation, machines, hint: hint.clone(), zone, watched };
-        let binding = Binding { attempt, handed: Some(handed), on: BTreeSet::new() };
+        let binding = Binding { attempt, unresolved_assignment: Some(handed), reported_on: BTreeSet::new() };
         let bound_before = run.bound.insert(task.index, binding);
         if bound_before.is_some() {
             self.violations += 1;
@@ -459,7 +463,7 @@
             let first = |t: &TaskId| {
                 self.jobs
                     .get(&t.job)
-                    .is_some_and(|r| !r.begun && r.spec.kind == Kind::Array && r.bound.len() == 1)
+                    .is_some_and(|r| !r.started && r.spec.kind == Kind::Array && r.bound.len() == 1)
             };
             let mut victims: Vec<(bool, u64, TaskId, Attempt)> = m
                 .tasks
--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -497,7 +497,7 @@
     b.leader.jobs.clear();
     b.leader.job_changed(JobId(1), &b.ledger, b.now);
     // It ran long elsewhere: the failure is no reason to avoid the machine.
-    b.leader.jobs.get_mut(&JobId(1)).unwrap().proven = true;
+    b.leader.jobs.get_mut(&JobId(1)).unwrap().ran_well = true;
     b.tick(30);
     let first = b.fail(1, 0);
     assert_eq!(b.leader.attempts_of(JobId(1), 0), 1, "three reports of one attempt count once");
@@ -558,7 +558,7 @@
         b.tick(30);
         b.fail(1, 0);
         b.leader.machines.get_mut(&m("m0")).unwrap().failures = 1;
-        b.leader.jobs.get_mut(&JobId(1)).unwrap().proven = proven;
+        b.leader.jobs.get_mut(&JobId(1)).unwrap().ran_well = proven;
         b.save_failures(70);
         if machines == 2 {
             let v = json!({"t": "big", "z": "east", "s": false, "a": "addr1"});
@@ -572,7 +572,8 @@
         }
         b.pass(2 * seconds);
         let run = &b.leader.jobs[&JobId(1)];
-        let hint = run.bound.get(&0).and_then(|x| x.handed.as_ref()).map(|h| h.hint.to_string());
+        let hint =
+            run.bound.get(&0).and_then(|x| x.unresolved_assignment.as_ref()).map(|h| h.hint.to_string());
         assert_eq!(hint.as_deref(), want, "{machines} machines, proven {proven}, {seconds} s");
     }
 }
@@ -594,7 +595,7 @@
         b.edit(1, 70 + i as u64, |s| s.tasks = *tasks);
         b.tick(30);
         assert_eq!(handed(&b), *want, "{tasks}");
-        assert_eq!(b.leader.jobs[&JobId(1)].waiting(), 0, "{tasks}");
+        assert_eq!(b.leader.jobs[&JobId(1)].pending_tasks(), 0, "{tasks}");
         assert!(b.leader.check_sums().is_ok());
     }
     // The one above goes; nothing replaces it until it is asked for again.
@@ -823,7 +824,7 @@
     // A job that runs well elsewhere, and fails on m0: that machine is at fault.
     b.job(3, 90, "t", "array", "standard", 1, 1.0);
     if let Some(run) = b.leader.jobs.get_mut(&JobId(3)) {
-        run.proven = true;
+        run.ran_well = true;
     }
     for _ in 0..2 {
         let t = task(3, 0);
--- a/crates/core/src/leader/tests/hand_outs.rs
+++ b/crates/core/src/leader/tests/hand_outs.rs
@@ -8,7 +8,11 @@
 
 /// Names of machines that all hand-outs together keep; those that share a set count once.
 fn names_kept(leader: &Leader) -> usize {
-    let handed = leader.jobs.values().flat_map(|run| run.bound.values()).filter_map(|b| b.handed.as_ref());
+    let handed = leader
+        .jobs
+        .values()
+        .flat_map(|run| run.bound.values())
+        .filter_map(|b| b.unresolved_assignment.as_ref());
     let sets: BTreeMap<*const BTreeSet<MachineId>, usize> =
         handed.map(|h| (Rc::as_ptr(&h.machines), h.machines.len())).collect();
     sets.values().sum()
@@ -56,7 +60,8 @@
         b.job(1, 60, "t", "array", "standard", 1, 4.0);
         b.tick(30);
         let Some(attempt) = b.attempt(task(1, 0)) else { continue };
-        let block = b.leader.jobs[&JobId(1)].bound[&0].handed.as_ref().unwrap().machines.clone();
+        let block =
+            b.leader.jobs[&JobId(1)].bound[&0].unresolved_assignment.as_ref().unwrap().machines.clone();
         let mut left: Vec<String> = all.into_iter().filter(|id| block.contains(&m(id))).collect();
         let widens_at = rng.usize(0..left.len() * 2);
         rng.shuffle(&mut left);
--- a/crates/core/src/leader/tests/limits.rs
+++ b/crates/core/src/leader/tests/limits.rs
@@ -49,7 +49,7 @@
     }
     let failing = b.leader.jobs.get_mut(&FAILING).unwrap();
     for i in 0..FAILED_CHUNK {
-        failing.fails.insert(i, Failures { count: 8, last: (700 << 28) + u64::from(i) });
+        failing.failed_attempts.insert(i, Failures { count: 8, last: (700 << 28) + u64::from(i) });
     }
     b
 }
@@ -136,7 +136,7 @@
         assert!(!long.done.contains(CHUNK + 8) && long.done.contains(CHUNK + 7), "{limit:?}");
         assert_eq!((long.chunks[&0], long.chunks[&1]), (70, 63), "{limit:?}");
         let failing = &b.ledger.jobs[&FAILING];
-        assert_eq!(failing.failed, b.leader.jobs[&FAILING].fails, "{limit:?}");
+        assert_eq!(failing.failed, b.leader.jobs[&FAILING].failed_attempts, "{limit:?}");
         assert_eq!(failing.failed_stamps[&0], 71, "{limit:?}");
         // A further write is over what was read.
         let again = changes(&b, &listings[0], &limits).unwrap();
--- a/crates/core/src/leader/waits.rs
+++ b/crates/core/src/leader/waits.rs
@@ -49,7 +49,7 @@
 
 impl Leader {
     /// Why a job with a pending task does not start it.
-    fn pending_reason(&self, run: &Run, now: Micros) -> PendingReason {
+    fn pending_reason(&self, run: &JobRun, now: Micros) -> PendingReason {
         let spec = &run.spec;
         if run.held {
             return PendingReason::DependencyNotEnded;
@@ -93,7 +93,9 @@
     pub fn longest_pending(&self, now: Micros) -> Vec<(String, JobId, Micros, PendingReason)> {
         let wall_ms = self.wall_ms(now);
         let mut longest: BTreeMap<&str, (u64, JobId)> = BTreeMap::new();
-        for (id, r) in self.jobs.iter().filter(|(_, r)| !r.over && r.bound.is_empty() && r.waiting() > 0) {
+        for (id, r) in
+            self.jobs.iter().filter(|(_, r)| !r.ended && r.bound.is_empty() && r.pending_tasks() > 0)
+        {
             let first = longest.entry(&r.spec.class).or_insert((r.ready_ms, *id));
             *first = (*first).min((r.ready_ms, *id));
         }
@@ -112,8 +114,11 @@
         }
         self.waits_told = now;
         for (class, id, waited, reason) in self.longest_pending(now) {
-            let pending =
-                self.jobs.values().filter(|r| !r.over && r.spec.class == class && r.waiting() > 0).count();
+            let pending = self
+                .jobs
+                .values()
+                .filter(|r| !r.ended && r.spec.class == class && r.pending_tasks() > 0)
+                .count();
             warn!(
                 "{id} of class {class} has been pending for {:.0} s, the longest of {pending} pending jobs: {reason}",
                 waited.as_secs_f64()
