--- a/crates/core/src/leader/machines.rs
+++ b/crates/core/src/leader/machines.rs
@@ -20,7 +20,7 @@
 
 impl Leader {
     /// Decides which machines to rent and delete, and returns the calls to make to the cloud now.
-    pub fn fleet(&mut self, flavors: &[Flavor], now: Micros) -> Vec<CloudRequest> {
+    pub fn autoscale(&mut self, flavors: &[Flavor], now: Micros) -> Vec<CloudRequest> {
         let mut requests = Vec::new();
         if !self.granted {
             return requests;
@@ -50,7 +50,7 @@
                 keep
             });
         }
-        requests.extend(self.deletions(now));
+        requests.extend(self.due_deletions(now));
         for (req, stage, _) in self.hires.values() {
             if *stage == ScaleOutStage::Recorded {
                 requests.push(CloudRequest::Hire(req.clone()));
@@ -68,7 +68,7 @@
 
     /// The deletion call to send now, if machines are to be deleted. An unconfirmed deletion is
     /// sent again after 3 s.
-    pub fn deletions(&self, now: Micros) -> Option<CloudRequest> {
+    pub fn due_deletions(&self, now: Micros) -> Option<CloudRequest> {
         let ids: Vec<MachineId> = self
             .machines
             .iter()
@@ -102,7 +102,7 @@
     }
 
     /// Removes machines whose deletion the cloud confirmed.
-    pub fn deleted(&mut self, ids: &[MachineId], now: Micros) {
+    pub fn deletion_confirmed(&mut self, ids: &[MachineId], now: Micros) {
         for id in ids {
             self.machine_gone(id, now);
         }
@@ -120,7 +120,13 @@
 
     /// Applies the result of a rental request: the rented machines, a refusal (`Some` of an empty
     /// slice), or an unknown result (`None`).
-    pub fn hired(&mut self, req: &ScaleOutRequest, got: Option<&[String]>, sizes: &Sizes, now: Micros) {
+    pub fn rental_finished(
+        &mut self,
+        req: &ScaleOutRequest,
+        got: Option<&[String]>,
+        sizes: &Sizes,
+        now: Micros,
+    ) {
         let Some(hosts) = got else {
             // Sent again under the same name, for which the cloud returns the same machines.
             if let Some(h) = self.hires.get_mut(&req.name) {
@@ -160,7 +166,7 @@
     }
 
     /// Applies a page of the cloud's machine list; `None` if the call failed.
-    pub fn listed(&mut self, page: Option<&Rentals>, sizes: &Sizes, now: Micros) {
+    pub fn list_page_received(&mut self, page: Option<&Rentals>, sizes: &Sizes, now: Micros) {
         self.listing = false;
         self.listed = now;
         let Some(page) = page else { return };
@@ -496,13 +502,13 @@
         }
         wants.extend(fleet::plan(rooms, &demands, &offers, &policy));
         for (want, machines) in wants {
-            self.ask_for(&want, machines, open, now);
+            self.create_scale_out_requests(&want, machines, open, now);
         }
     }
 
     /// Creates rental requests for machines of one kind: as many as are needed and may be open,
     /// but at least one, so that no kind waits for the others.
-    pub(super) fn ask_for(&mut self, want: &Want, machines: u32, open: usize, now: Micros) {
+    pub(super) fn create_scale_out_requests(&mut self, want: &Want, machines: u32, open: usize, now: Micros) {
         let mut left = machines;
         loop {
             let count = left.min(growth::MAX_MACHINES_PER_RENTAL);
--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -252,7 +252,7 @@
             },
             false,
         ),
-        ("its machine is deleted", |b, _| b.leader.deleted(&[m("m0")], b.now), true),
+        ("its machine is deleted", |b, _| b.leader.deletion_confirmed(&[m("m0")], b.now), true),
         (
             "a deletion that nobody confirmed",
             |b, _| {
@@ -778,7 +778,7 @@
         b.leader.spot_had.push_back((at - Micros::secs(10), had));
         // Asked for just now, and refused.
         b.leader.refused.insert(("big".into(), "east".into(), true), at);
-        b.leader.fleet(&[flavor(Some(0.3))], at);
+        b.leader.autoscale(&[flavor(Some(0.3))], at);
         let rented: u32 = b.leader.hires.values().filter(|(r, ..)| !r.spot).map(|(r, ..)| r.count).sum();
         assert_eq!(rented, want, "{there} machines, {passed} s, {had} spot machines had, some: {spot}");
     }
@@ -1023,7 +1023,7 @@
         ("its machine is granted to another, whose token is not seen", moved, &nobody, None, Micros(0), true),
         (
             "its machine is deleted",
-            |b, _| b.leader.deleted(&[m("m0")], b.now),
+            |b, _| b.leader.deletion_confirmed(&[m("m0")], b.now),
             &nobody,
             None,
             Micros(0),
@@ -1063,9 +1063,9 @@
     ];
     let sizes = Sizes::default();
     for (i, (last, pause, from)) in steps.into_iter().enumerate() {
-        b.leader.listed(last.as_ref(), &sizes, b.now);
+        b.leader.list_page_received(last.as_ref(), &sizes, b.now);
         let lists = |b: &mut Bench, ms| {
-            let wishes = b.leader.fleet(&[], b.now + Micros::millis(ms));
+            let wishes = b.leader.autoscale(&[], b.now + Micros::millis(ms));
             wishes.into_iter().find(|w| matches!(w, CloudRequest::List(_)))
         };
         assert_eq!(lists(&mut b, pause - 50), None, "step {i}");
@@ -1081,7 +1081,7 @@
     let cases: [(u32, usize, &[u32]); 3] = [(7, 6, &[7]), (166, 6, &[50, 50, 50, 16]), (250, 2, &[50, 50])];
     for (machines, open, counts) in cases {
         let mut b = Bench::new(0);
-        b.leader.ask_for(&want, machines, open, b.now);
+        b.leader.create_scale_out_requests(&want, machines, open, b.now);
         let asked: Vec<u32> = b.leader.hires.values().map(|(r, ..)| r.count).collect();
         assert_eq!(asked, counts, "{machines} machines");
     }
--- a/crates/core/src/leader/tests/hand_outs.rs
+++ b/crates/core/src/leader/tests/hand_outs.rs
@@ -72,7 +72,7 @@
                 b.edit(1, 70, |spec| spec.spot = true);
             }
             match rng.u32(0..3) {
-                0 => b.leader.deleted(&[m(&id)], b.now),
+                0 => b.leader.deletion_confirmed(&[m(&id)], b.now),
                 _ => {
                     let to = b.leader.machines[&m(&id)].holder.unwrap();
                     b.leader.grant(&m(&id), to, "test", b.now);
--- a/crates/core/src/leader/tests/lateness.rs
+++ b/crates/core/src/leader/tests/lateness.rs
@@ -88,13 +88,13 @@
     for _ in 0..7 {
         b.late_tick(LATE_MS);
         east.iter().for_each(|id| b.confirm(id, &[]));
-        b.leader.fleet(&[], b.now);
+        b.leader.autoscale(&[], b.now);
     }
     assert!(!b.leader.health.is_closed("west"));
     for _ in 0..20 {
         b.tick(400);
         east.iter().for_each(|id| b.confirm(id, &[]));
-        b.leader.fleet(&[], b.now);
+        b.leader.autoscale(&[], b.now);
     }
     assert!(b.leader.health.is_closed("west"), "while it is on time");
 }
--- a/crates/core/src/node/duties.rs
+++ b/crates/core/src/node/duties.rs
@@ -482,9 +482,9 @@
         let Some(l) = self.leadership.leader.as_mut() else { return };
         let term = l.term;
         let wishes = if may {
-            l.fleet(&self.catalogue.flavors, self.now)
+            l.autoscale(&self.catalogue.flavors, self.now)
         } else {
-            l.deletions(self.now).into_iter().collect()
+            l.due_deletions(self.now).into_iter().collect()
         };
         for w in wishes {
             let keep = match w {
@@ -514,13 +514,13 @@
         };
         match wish {
             CloudRequest::Delete(ids) => match body {
-                Some(_) => l.deleted(&ids, self.now),
+                Some(_) => l.deletion_confirmed(&ids, self.now),
                 None => l.deletion_unconfirmed(&ids, self.now),
             },
             CloudRequest::Hire(req) => self.hired(req, result),
             CloudRequest::List(_) => {
                 let page: Option<Rentals> = body.and_then(|b| serde_json::from_slice(b).ok());
-                l.listed(page.as_ref(), &self.catalogue.sizes, self.now);
+                l.list_page_received(page.as_ref(), &self.catalogue.sizes, self.now);
             }
         }
         self.lead();
@@ -531,16 +531,16 @@
         match result {
             CallResult::Answer { status: 200, body } => {
                 let hosts = serde_json::from_slice::<Hosts>(body).map(|h| h.hosts).unwrap_or_default();
-                l.hired(&req, Some(&hosts), &self.catalogue.sizes, self.now);
+                l.rental_finished(&req, Some(&hosts), &self.catalogue.sizes, self.now);
             }
             CallResult::Answer { status: 503, body } if body.windows(11).any(|w| w == b"no capacity") => {
-                l.hired(&req, Some(&[]), &self.catalogue.sizes, self.now);
+                l.rental_finished(&req, Some(&[]), &self.catalogue.sizes, self.now);
             }
             CallResult::Answer { status: 400, body } => {
                 error!("rental refused: {}", String::from_utf8_lossy(body));
-                l.hired(&req, Some(&[]), &self.catalogue.sizes, self.now);
+                l.rental_finished(&req, Some(&[]), &self.catalogue.sizes, self.now);
             }
-            _ => l.hired(&req, None, &self.catalogue.sizes, self.now),
+            _ => l.rental_finished(&req, None, &self.catalogue.sizes, self.now),
         }
     }
 
