--- a/crates/core/src/leader/changes.rs
+++ b/crates/core/src/leader/changes.rs
@@ -73,22 +73,22 @@
         let Recording { ledger, limits, wall_ms, .. } = *recording;
         let changes = Changes::default();
         match write {
-            LeaderWrite::End(id) => Some(end_changes(*id, recording)),
+            LeaderWrite::JobDone(id) => Some(end_changes(*id, recording)),
             LeaderWrite::Machines(ids) => {
                 let key = keys::machines(ids.first()?);
                 let value = self.machines_record(ids, ledger)?;
                 // A late repetition must not undo what was written since.
                 Some(changes.given(key.clone(), 0).put(key, value))
             }
-            LeaderWrite::Hire(name) => Some(changes.put(keys::HIRE.into(), json!(name))),
-            LeaderWrite::Failures(id, chunk) => {
+            LeaderWrite::ScaleOutName(name) => Some(changes.put(keys::HIRE.into(), json!(name))),
+            LeaderWrite::FailureCounts(id, chunk) => {
                 let parts = split_failures(self.failures(*id, *chunk)?, limits.value_bytes);
                 let job = ledger.jobs.get(id);
                 let stamp = job.and_then(|j| j.failed_stamps.get(chunk).copied()).unwrap_or(0);
                 let key = |part| keys::failed_part(*id, *chunk, part);
                 Some(chunk_changes(*id, stamp, key, parts, limits))
             }
-            LeaderWrite::Fail(id, index) => {
+            LeaderWrite::JobFailed(id, index) => {
                 let job = ledger.jobs.get(id)?;
                 let why = self.failure_cause(*id, *index);
                 // The record as it was judged: a change of it since counts.
@@ -102,7 +102,7 @@
                 let key = |part| keys::progress_part(*id, *chunk, part);
                 Some(chunk_changes(*id, stamp, key, parts, limits))
             }
-            LeaderWrite::Settle(id) => {
+            LeaderWrite::CancellationComplete(id) => {
                 let job = ledger.jobs.get(id)?;
                 let end = cancelled_value(job.ended_ms, job.cause.as_deref(), true);
                 Some(changes.given(keys::end(*id), job.end_stamp).put(keys::end(*id), end))
@@ -113,7 +113,7 @@
                 let end = cancelled_value(job.ended_ms, None, true);
                 Some(changes.given(keys::end(*id), 0).put(keys::end(*id), end))
             }
-            LeaderWrite::Forget(key) => self.forget_changes(key, recording),
+            LeaderWrite::RemoveDeletedMachines(key) => self.forget_changes(key, recording),
         }
     }
 
--- a/crates/core/src/leader/machines.rs
+++ b/crates/core/src/leader/machines.rs
@@ -93,7 +93,7 @@
             }
             CloudRequest::Hire(r) => {
                 if let Some(h) = self.hires.get_mut(&r.name) {
-                    h.1 = ScaleOutStage::Called;
+                    h.1 = ScaleOutStage::Requested;
                     h.2 = now;
                 }
             }
--- a/crates/core/src/leader/records.rs
+++ b/crates/core/src/leader/records.rs
@@ -13,17 +13,17 @@
         let active = |id: &JobId| ledger.jobs.get(id).is_some_and(|j| j.phase == Phase::Active);
         for (id, r) in self.progressed.iter().filter_map(|id| Some((id, self.jobs.get(id)?))) {
             if r.spec.kind == Kind::Array && r.done.below(r.spec.tasks) >= r.spec.tasks && active(id) {
-                v.push(LeaderWrite::End(*id));
+                v.push(LeaderWrite::JobDone(*id));
             }
         }
         // A job is failed by what is recorded, never by what one leader saw.
         let bounded = self.jobs.iter().filter(|(id, r)| r.spec.attempts.is_some() && active(id));
         for (id, r) in bounded {
             if let Some(i) = r.exhausted_task().filter(|i| !r.unrecorded_failures.contains(i)) {
-                v.push(LeaderWrite::Fail(*id, i));
+                v.push(LeaderWrite::JobFailed(*id, i));
             }
             let chunks: BTreeSet<u32> = r.unrecorded_failures.iter().map(|i| i / FAILED_CHUNK).collect();
-            v.extend(chunks.into_iter().map(|c| LeaderWrite::Failures(*id, c)));
+            v.extend(chunks.into_iter().map(|c| LeaderWrite::FailureCounts(*id, c)));
         }
         v.sort();
         let mut kinds: BTreeMap<(&str, &str, bool), (usize, Vec<MachineId>)> = BTreeMap::new();
@@ -39,7 +39,7 @@
         v.extend(kinds.into_values().map(|(_, list)| LeaderWrite::Machines(list)));
         for (name, (_, stage, _)) in &self.hires {
             if *stage == ScaleOutStage::Unrecorded {
-                v.push(LeaderWrite::Hire(name.clone()));
+                v.push(LeaderWrite::ScaleOutName(name.clone()));
             }
         }
         for (id, r) in self.progressed.iter().filter_map(|id| Some((id, self.jobs.get(id)?))) {
@@ -61,14 +61,14 @@
             let job = ledger.jobs.get(id).filter(|j| !j.settled && j.end_stamp > 0);
             let known_for = (now + self.ctx.cancel).since(*by);
             if known_for > Micros::secs(1) && job.is_some_and(|j| self.nowhere(*id, j)) {
-                v.push(LeaderWrite::Settle(*id));
+                v.push(LeaderWrite::CancellationComplete(*id));
             }
         }
         let unrecorded = self.unrecorded_cancellations.iter().take(CANCELLATIONS_AT_ONCE);
         v.extend(unrecorded.map(|id| LeaderWrite::CancelDependent(*id)));
         for (key, (ids, _)) in &ledger.records {
             if ids.iter().any(|id| self.gone.contains_key(id)) {
-                v.push(LeaderWrite::Forget(key.clone()));
+                v.push(LeaderWrite::RemoveDeletedMachines(key.clone()));
             }
         }
         v
@@ -130,7 +130,7 @@
                 }
                 self.blocks_at = Micros(0);
             }
-            LeaderWrite::Hire(name) => {
+            LeaderWrite::ScaleOutName(name) => {
                 if let Some(h) = self.hires.get_mut(name)
                     && h.1 == ScaleOutStage::Unrecorded
                 {
@@ -143,12 +143,12 @@
                 }
             }
             // What the mirror shows of these is what counts.
-            LeaderWrite::End(_)
-            | LeaderWrite::Failures(..)
-            | LeaderWrite::Fail(..)
-            | LeaderWrite::Settle(_)
+            LeaderWrite::JobDone(_)
+            | LeaderWrite::FailureCounts(..)
+            | LeaderWrite::JobFailed(..)
+            | LeaderWrite::CancellationComplete(_)
             | LeaderWrite::CancelDependent(_)
-            | LeaderWrite::Forget(_) => {}
+            | LeaderWrite::RemoveDeletedMachines(_) => {}
         }
     }
 
--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -95,7 +95,7 @@
     /// What is written of failures goes into the records.
     fn save_failures(&mut self, stamp: u64) {
         for w in self.leader.writes(&self.ledger, 4000, self.now) {
-            if let LeaderWrite::Failures(id, chunk) = w {
+            if let LeaderWrite::FailureCounts(id, chunk) = w {
                 let v = json!(self.leader.failures(id, chunk).unwrap());
                 self.ledger.apply(&keys::failed(id, chunk), Some(&v), stamp);
                 self.leader.job_changed(id, &self.ledger, self.now);
@@ -507,7 +507,7 @@
     b.pass(4);
     let fails = |b: &Bench| {
         let w = b.leader.writes(&b.ledger, 4000, b.now);
-        w.iter().filter(|w| matches!(w, LeaderWrite::Fail(..))).count()
+        w.iter().filter(|w| matches!(w, LeaderWrite::JobFailed(..))).count()
     };
     assert_eq!(fails(&b), 0);
     // A new leader goes on from the record.
--- a/crates/core/src/leader/tests/limits.rs
+++ b/crates/core/src/leader/tests/limits.rs
@@ -92,19 +92,19 @@
         let machines = listed.into_iter().find(|w| matches!(w, LeaderWrite::Machines(_))).unwrap();
         b.leader.gone.insert(name(3), (b.now, 0));
         let writes = [
-            LeaderWrite::End(LONG),
+            LeaderWrite::JobDone(LONG),
             machines,
-            LeaderWrite::Hire("t0000000003-000000001".into()),
+            LeaderWrite::ScaleOutName("t0000000003-000000001".into()),
             LeaderWrite::Progress(LONG, 0),
             LeaderWrite::Progress(LONG, TASKS / CHUNK),
-            LeaderWrite::Failures(FAILING, 0),
-            LeaderWrite::Fail(FAILING, 7),
-            LeaderWrite::Settle(LONG),
-            LeaderWrite::Forget(RECORD.into()),
+            LeaderWrite::FailureCounts(FAILING, 0),
+            LeaderWrite::JobFailed(FAILING, 7),
+            LeaderWrite::CancellationComplete(LONG),
+            LeaderWrite::RemoveDeletedMachines(RECORD.into()),
         ];
         for write in &writes {
             let what = format!("{limit:?} {write:?}");
-            if limit.0 == 1000 && matches!(write, LeaderWrite::Forget(_)) {
+            if limit.0 == 1000 && matches!(write, LeaderWrite::RemoveDeletedMachines(_)) {
                 // 102 machines take more records than three: it stays as it is.
                 assert_eq!(changes(&b, write, &limits), None, "{what}");
                 continue;
@@ -119,7 +119,7 @@
     for limit in LIMITS {
         let limits = limits(limit);
         let mut b = bench();
-        let listings = [LeaderWrite::Progress(LONG, 0), LeaderWrite::Failures(FAILING, 0)];
+        let listings = [LeaderWrite::Progress(LONG, 0), LeaderWrite::FailureCounts(FAILING, 0)];
         for (stamp, write) in (70..).zip(&listings) {
             let changes = changes(&b, write, &limits).unwrap();
             // In the order of the transaction, and in that of the keys.
@@ -174,7 +174,7 @@
         let limits = limits(limit);
         let mut b = bench();
         b.leader.gone.insert(name(3), (b.now, 0));
-        let changes = changes(&b, &LeaderWrite::Forget(RECORD.into()), &limits).unwrap();
+        let changes = changes(&b, &LeaderWrite::RemoveDeletedMachines(RECORD.into()), &limits).unwrap();
         let records = if limit.0 == 4000 { 1 } else { 3 };
         assert_eq!((changes.writes.len(), changes.conditions.len()), (records, records), "{limit:?}");
         for write in &changes.writes {
@@ -186,17 +186,20 @@
         assert!(!b.ledger.machines.contains_key(&name(3)));
         assert_eq!(b.ledger.machines.len(), MACHINES - 1);
         let writes = b.leader.writes(&b.ledger, limits.value_bytes, b.now);
-        assert!(!writes.iter().any(|w| matches!(w, LeaderWrite::Forget(_))), "{limit:?}: {writes:?}");
+        assert!(
+            !writes.iter().any(|w| matches!(w, LeaderWrite::RemoveDeletedMachines(_))),
+            "{limit:?}: {writes:?}"
+        );
     }
     // A key that is there, or that can't be had, is passed over for another.
     let mut b = bench();
     b.leader.gone.insert(name(3), (b.now, 0));
     let small = limits((2000, 4));
-    let first = changes(&b, &LeaderWrite::Forget(RECORD.into()), &small).unwrap();
+    let first = changes(&b, &LeaderWrite::RemoveDeletedMachines(RECORD.into()), &small).unwrap();
     let taken = first.conditions[1].path.clone();
     let free = |key: &str| key != taken;
     let recording = Recording { ledger: &b.ledger, limits: &small, wall_ms: 0, may_create: &free };
-    let second = b.leader.changes(&LeaderWrite::Forget(RECORD.into()), &recording).unwrap();
+    let second = b.leader.changes(&LeaderWrite::RemoveDeletedMachines(RECORD.into()), &recording).unwrap();
     assert!(second.conditions.iter().all(|c| c.path != taken));
     assert_eq!(second.writes.len(), first.writes.len());
 }
@@ -210,7 +213,7 @@
     let write = LeaderWrite::Progress(LONG, 0);
     let progress = changes(&b, &write, &small).unwrap();
     apply(&mut b.ledger, &progress, 70);
-    let end = changes(&b, &LeaderWrite::End(LONG), &small).unwrap();
+    let end = changes(&b, &LeaderWrite::JobDone(LONG), &small).unwrap();
     assert_eq!(end.writes.len(), 4);
     apply(&mut b.ledger, &end, 71);
     apply(&mut b.ledger, &progress, 70);
--- a/crates/core/src/leader/tests/pipelines.rs
+++ b/crates/core/src/leader/tests/pipelines.rs
@@ -82,7 +82,7 @@
     let state = b.state("m0", b.token("m0"), &[(task(1, 0), attempt, TaskState::Done)]);
     b.sync(A, &[state], &[]);
     b.tick(100);
-    assert!(b.leader.writes(&b.ledger, 4000, b.now).contains(&LeaderWrite::End(JobId(1))));
+    assert!(b.leader.writes(&b.ledger, 4000, b.now).contains(&LeaderWrite::JobDone(JobId(1))));
     assert!(!b.handed(2), "its end is not on record");
     b.next_leader();
     assert!(b.leader.jobs[&JobId(2)].held);
--- a/crates/core/src/leader/wishes.rs
+++ b/crates/core/src/leader/wishes.rs
@@ -5,23 +5,23 @@
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum LeaderWrite {
     /// Records that a job is done.
-    End(JobId),
+    JobDone(JobId),
     /// Records machines of one kind, so that tasks may start on them.
     Machines(Vec<MachineId>),
     /// Records the name of a rental request.
-    Hire(String),
+    ScaleOutName(String),
     /// Records which tasks of a chunk are done.
     Progress(JobId, u32),
     /// Records how often the tasks of a chunk have failed.
-    Failures(JobId, u32),
+    FailureCounts(JobId, u32),
     /// Records that the job has failed because this task has used up its attempts.
-    Fail(JobId, u32),
+    JobFailed(JobId, u32),
     /// Records that no task of a cancelled job is left on any machine.
-    Settle(JobId),
+    CancellationComplete(JobId),
     /// Records that a job is cancelled together with one that it depends on.
     CancelDependent(JobId),
     /// Removes deleted machines from the machine record with this key.
-    Forget(String),
+    RemoveDeletedMachines(String),
 }
 
 /// A call to the cloud that the leader requests.
@@ -58,5 +58,5 @@
     /// Its name is recorded; the call to the cloud is due.
     Recorded,
     /// The call was made; its result is awaited.
-    Called,
+    Requested,
 }
--- a/crates/core/src/node/duties.rs
+++ b/crates/core/src/node/duties.rs
@@ -390,15 +390,15 @@
             }
             // Progress and clearing up leave room for what users wait for.
             let keep = match w {
-                LeaderWrite::End(_) | LeaderWrite::Machines(_) | LeaderWrite::Hire(_) => 0.0,
-                LeaderWrite::Failures(..) | LeaderWrite::Fail(..) => 0.0,
-                LeaderWrite::Progress(..) | LeaderWrite::Settle(_) => 1.0,
-                LeaderWrite::CancelDependent(_) | LeaderWrite::Forget(_) => 2.0,
+                LeaderWrite::JobDone(_) | LeaderWrite::Machines(_) | LeaderWrite::ScaleOutName(_) => 0.0,
+                LeaderWrite::FailureCounts(..) | LeaderWrite::JobFailed(..) => 0.0,
+                LeaderWrite::Progress(..) | LeaderWrite::CancellationComplete(_) => 1.0,
+                LeaderWrite::CancelDependent(_) | LeaderWrite::RemoveDeletedMachines(_) => 2.0,
             };
             if !self.leadership.bucket.take(self.now, changes.writes.len() as f64, keep) {
                 break;
             }
-            if let (LeaderWrite::Fail(id, index), Some(l)) = (&w, &self.leadership.leader) {
+            if let (LeaderWrite::JobFailed(id, index), Some(l)) = (&w, &self.leadership.leader) {
                 info!("{id}: {}", l.failure_cause(*id, *index));
             }
             size += changes.len();
@@ -406,8 +406,8 @@
             m.writes.extend(changes.writes);
             // One name a transaction: they share a key.
             let full = alone
-                || matches!(w, LeaderWrite::Hire(_))
-                    && taken.iter().any(|x| matches!(x, LeaderWrite::Hire(_)));
+                || matches!(w, LeaderWrite::ScaleOutName(_))
+                    && taken.iter().any(|x| matches!(x, LeaderWrite::ScaleOutName(_)));
             taken.push(w);
             if full {
                 break;
--- a/crates/core/src/node/leadership.rs
+++ b/crates/core/src/node/leadership.rs
@@ -96,14 +96,14 @@
                 let left: Vec<_> = ids.iter().filter(|id| free(keys::machines(id))).cloned().collect();
                 return (!left.is_empty()).then_some(LeaderWrite::Machines(left));
             }
-            LeaderWrite::End(id) | LeaderWrite::Settle(id) | LeaderWrite::CancelDependent(id) => {
-                free(keys::end(*id))
-            }
-            LeaderWrite::Fail(id, _) => free(keys::end(*id)) && free(keys::job(*id)),
+            LeaderWrite::JobDone(id)
+            | LeaderWrite::CancellationComplete(id)
+            | LeaderWrite::CancelDependent(id) => free(keys::end(*id)),
+            LeaderWrite::JobFailed(id, _) => free(keys::end(*id)) && free(keys::job(*id)),
             LeaderWrite::Progress(id, c) => free(keys::progress(*id, *c)) && free(keys::end(*id)),
-            LeaderWrite::Failures(id, c) => free(keys::failed(*id, *c)) && free(keys::end(*id)),
-            LeaderWrite::Forget(key) => free(key.clone()),
-            LeaderWrite::Hire(_) => true,
+            LeaderWrite::FailureCounts(id, c) => free(keys::failed(*id, *c)) && free(keys::end(*id)),
+            LeaderWrite::RemoveDeletedMachines(key) => free(key.clone()),
+            LeaderWrite::ScaleOutName(_) => true,
         };
         good.then_some(w)
     }
--- a/crates/core/src/node/refusals.rs
+++ b/crates/core/src/node/refusals.rs
@@ -72,15 +72,15 @@
 /// The key that tells a write from others: also when what it says has changed.
 fn key_of(write: &LeaderWrite) -> String {
     match write {
-        LeaderWrite::End(id)
-        | LeaderWrite::Settle(id)
+        LeaderWrite::JobDone(id)
+        | LeaderWrite::CancellationComplete(id)
         | LeaderWrite::CancelDependent(id)
-        | LeaderWrite::Fail(id, _) => keys::end(*id),
+        | LeaderWrite::JobFailed(id, _) => keys::end(*id),
         LeaderWrite::Machines(ids) => ids.first().map(keys::machines).unwrap_or_default(),
-        LeaderWrite::Hire(_) => keys::HIRE.into(),
+        LeaderWrite::ScaleOutName(_) => keys::HIRE.into(),
         LeaderWrite::Progress(id, chunk) => keys::progress(*id, *chunk),
-        LeaderWrite::Failures(id, chunk) => keys::failed(*id, *chunk),
-        LeaderWrite::Forget(key) => key.clone(),
+        LeaderWrite::FailureCounts(id, chunk) => keys::failed(*id, *chunk),
+        LeaderWrite::RemoveDeletedMachines(key) => key.clone(),
     }
 }
 
@@ -91,7 +91,7 @@
 
     #[test]
     fn a_refused_write_holds_up_no_other() {
-        let (bad, good) = (LeaderWrite::End(JobId(1)), LeaderWrite::End(JobId(2)));
+        let (bad, good) = (LeaderWrite::JobDone(JobId(1)), LeaderWrite::JobDone(JobId(2)));
         let mut refusals = Refusals::default();
         assert!(!refusals.goes_alone(&bad));
         // Together: nobody knows yet which of them it was.
