--- a/crates/core/src/leader/machines.rs
+++ b/crates/core/src/leader/machines.rs
@@ -53,7 +53,7 @@
         requests.extend(self.due_deletions(now));
         for (req, stage, _) in self.hires.values() {
             if *stage == ScaleOutStage::Recorded {
-                requests.push(CloudRequest::Hire(req.clone()));
+                requests.push(CloudRequest::Rent(req.clone()));
             }
         }
         let interval = match self.list_from {
@@ -91,7 +91,7 @@
                     }
                 }
             }
-            CloudRequest::Hire(r) => {
+            CloudRequest::Rent(r) => {
                 if let Some(h) = self.hires.get_mut(&r.name) {
                     h.1 = ScaleOutStage::Requested;
                     h.2 = now;
@@ -139,13 +139,13 @@
             self.spot_had.push_back((now, hosts.len()));
         }
         if hosts.len() < req.count as usize {
-            self.refused.insert((req.build.clone(), req.zone.clone(), req.spot), now);
+            self.refused.insert((req.machine_type.clone(), req.zone.clone(), req.spot), now);
         }
         info!(
             "rented {} of {} {} in {}{}",
             hosts.len(),
             req.count,
-            req.build,
+            req.machine_type,
             req.zone,
             if req.spot { ", spot" } else { "" }
         );
@@ -155,12 +155,12 @@
                 continue;
             }
             let rec = MachineRecord {
-                build: req.build.clone(),
+                build: req.machine_type.clone(),
                 zone: req.zone.clone(),
                 spot: req.spot,
                 addr: String::new(),
             };
-            let size = sizes.get(&req.build).copied().unwrap_or_default();
+            let size = sizes.get(&req.machine_type).copied().unwrap_or_default();
             self.machines.insert(id, Machine::new(&rec, size, Stage::Booting, now));
         }
     }
@@ -381,7 +381,11 @@
                     let Some(price) = price else { continue };
                     let key = (f.sku.clone(), z.clone(), spot);
                     let refused = self.refused.get(&key).is_some_and(|t| now.since(*t) < Micros::secs(8));
-                    if self.hires.values().any(|(r, ..)| (&r.build, &r.zone, r.spot) == (&f.sku, z, spot)) {
+                    if self
+                        .hires
+                        .values()
+                        .any(|(r, ..)| (&r.machine_type, &r.zone, r.spot) == (&f.sku, z, spot))
+                    {
                         continue;
                     }
                     offers.push(Offer {
@@ -417,11 +421,11 @@
             })
             .collect();
         for (r, ..) in self.hires.values().filter(|(r, ..)| !self.health.is_closed(&r.zone)) {
-            if let Some(f) = flavors.iter().find(|f| f.sku == r.build) {
+            if let Some(f) = flavors.iter().find(|f| f.sku == r.machine_type) {
                 let size = Resources::have(f.cpus, f.gpus, f.memory_gb);
                 for _ in 0..r.count {
                     rooms.push(Room {
-                        build: r.build.clone(),
+                        build: r.machine_type.clone(),
                         zone: r.zone.clone(),
                         spot: r.spot,
                         size,
@@ -516,7 +520,7 @@
             let name = format!("g-{}-{}", self.term, self.hire_count);
             let req = ScaleOutRequest {
                 name: name.clone(),
-                build: want.build.clone(),
+                machine_type: want.build.clone(),
                 zone: want.zone.clone(),
                 spot: want.spot,
                 count,
--- a/crates/core/src/leader/wishes.rs
+++ b/crates/core/src/leader/wishes.rs
@@ -28,7 +28,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudRequest {
     /// Rents machines; the name of the request is recorded.
-    Hire(ScaleOutRequest),
+    Rent(ScaleOutRequest),
     /// Deletes machines.
     Delete(Vec<MachineId>),
     /// Lists machines, from the start or after this name.
@@ -41,7 +41,7 @@
     /// Name of the request. The same name always yields the same machines.
     pub name: String,
     /// Machine type.
-    pub build: String,
+    pub machine_type: String,
     /// Zone.
     pub zone: String,
     /// Whether the machines are spot machines.
--- a/crates/core/src/node/catalogue.rs
+++ b/crates/core/src/node/catalogue.rs
@@ -60,7 +60,7 @@
 pub(super) fn rent_call(request: &ScaleOutRequest) -> Call {
     let body = Hire {
         hire: request.name.clone(),
-        build: request.build.clone(),
+        build: request.machine_type.clone(),
         yard: request.zone.clone(),
         loaners: request.spot,
         number: request.count,
--- a/crates/core/src/node/duties.rs
+++ b/crates/core/src/node/duties.rs
@@ -489,7 +489,7 @@
         for w in wishes {
             let keep = match w {
                 CloudRequest::Delete(_) => 0.0,
-                CloudRequest::Hire(_) => 0.5,
+                CloudRequest::Rent(_) => 0.5,
                 CloudRequest::List(_) => 1.0,
             };
             if !self.catalogue.bucket.take(self.now, 1.0, keep) {
@@ -498,7 +498,7 @@
             l.cloud_request_sent(&w, self.now);
             let call = match &w {
                 CloudRequest::Delete(ids) => delete_call(ids.iter().map(|i| i.to_string()).collect()),
-                CloudRequest::Hire(request) => rent_call(request),
+                CloudRequest::Rent(request) => rent_call(request),
                 CloudRequest::List(from) => list_call(from.as_deref()),
             };
             let id = self.out.call(call);
@@ -517,7 +517,7 @@
                 Some(_) => l.deletion_confirmed(&ids, self.now),
                 None => l.deletion_unconfirmed(&ids, self.now),
             },
-            CloudRequest::Hire(req) => self.hired(req, result),
+            CloudRequest::Rent(req) => self.hired(req, result),
             CloudRequest::List(_) => {
                 let page: Option<Rentals> = body.and_then(|b| serde_json::from_slice(b).ok());
                 l.list_page_received(page.as_ref(), &self.catalogue.sizes, self.now);
