--- a/crates/core/src/controller/placing.rs
+++ b/crates/core/src/controller/placing.rs
@@ -78,12 +78,12 @@
         let m = ledger.machines.get(id)?;
         let size = sizes.get(&m.build)?;
         let c = Candidate {
-            build: &m.build,
+            machine_type: &m.build,
             zone: &m.zone,
             spot: m.spot,
             size,
             free: size.minus(w.used(ledger)),
-            image: w.images.contains(&spec.image),
+            has_image: w.images.contains(&spec.image),
             zone_cpu: 0,
         };
         placement::score(spec, &c, h.zone.as_deref())
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -9,7 +9,7 @@
 #[derive(Debug, Clone)]
 pub struct Offer {
     /// Type.
-    pub build: String,
+    pub machine_type: String,
     /// Zone.
     pub zone: String,
     /// Spot.
@@ -26,9 +26,9 @@
 
 /// Room on a machine that is there or booting.
 #[derive(Debug, Clone)]
-pub struct Room {
+pub struct MachineCapacity {
     /// Type.
-    pub build: String,
+    pub machine_type: String,
     /// Zone.
     pub zone: String,
     /// Spot.
@@ -38,7 +38,7 @@
     /// Free room.
     pub free: Resources,
     /// CPUs that work of lower priority takes, which replicas may stop.
-    pub lent: u64,
+    pub preemptible_cpu: u64,
 }
 
 /// Waiting tasks of a job.
@@ -47,7 +47,7 @@
     /// Job.
     pub spec: Rc<JobSpec>,
     /// Tasks that wait.
-    pub waiting: u32,
+    pub pending_tasks: u32,
     /// Nothing of it runs, and it has waited for long: what others run on
     /// doesn't help it.
     pub starved: bool,
@@ -60,9 +60,9 @@
 
 /// Machines to rent.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Want {
+pub struct RentalKind {
     /// Type.
-    pub build: String,
+    pub machine_type: String,
     /// Zone.
     pub zone: String,
     /// Spot.
@@ -71,7 +71,7 @@
 
 /// What the plan goes by.
 #[derive(Debug, Clone)]
-pub struct Policy {
+pub struct ScalingPolicy {
     /// Array work that waits should be through in this time.
     pub drain_s: f64,
     /// Array tasks on machines now.
@@ -88,11 +88,11 @@
 
 /// Decides what to rent; `demands` come in the order in which they are served.
 pub fn plan(
-    mut rooms: Vec<Room>,
+    mut rooms: Vec<MachineCapacity>,
     demands: &[Demand],
     offers: &[Offer],
-    policy: &Policy,
-) -> BTreeMap<Want, u32> {
+    policy: &ScalingPolicy,
+) -> BTreeMap<RentalKind, u32> {
     let mut wants = BTreeMap::new();
     let mut added = 0;
     // Tasks that find room on what is there or booting.
@@ -102,16 +102,17 @@
     for r in rooms.iter().filter(|r| !r.spot) {
         *zone_cpu.entry(r.zone.clone()).or_default() += r.size.cpu;
     }
-    rooms.retain(|r| r.free.cpu > 0 || r.lent > 0 && !r.spot);
+    rooms.retain(|r| r.free.cpu > 0 || r.preemptible_cpu > 0 && !r.spot);
     let mut nowhere = UnplaceableNeeds::default();
     for d in demands {
         let mut zones = d.zones.clone();
-        let left = d.waiting - fill(&mut rooms, &zone_cpu, &mut nowhere, &d.spec, &mut zones, d.waiting);
+        let left =
+            d.pending_tasks - fill(&mut rooms, &zone_cpu, &mut nowhere, &d.spec, &mut zones, d.pending_tasks);
         if d.spec.kind == Kind::Array {
-            placed_arrays += (d.waiting - left) as f64;
+            placed_arrays += (d.pending_tasks - left) as f64;
         }
         if left > 0 {
-            let whole = left == d.waiting;
+            let whole = left == d.pending_tasks;
             unmet.push((d.spec.clone(), left, zones, d.starved && whole, d.on_demand_allowed && whole));
         }
     }
@@ -135,17 +136,19 @@
         // Work that may run on spot machines is not worth an ordinary one: it
         // waits for the next spot machine, or fills the room that replicas leave.
         let spot_only = spec.kind == Kind::Array
-            && offers.iter().any(|o| o.spot && spec.allows(&o.build, &o.zone, true, &o.size));
+            && offers.iter().any(|o| o.spot && spec.allows(&o.machine_type, &o.zone, true, &o.size));
         left -= fill(&mut rooms, &zone_cpu, &mut nowhere, &spec, &mut zones, left);
         // Unless it is starved: then a few.
         let dry = spot_only
             && on_demand_allowed
-            && offers.iter().all(|o| !o.spot || o.refused || !spec.allows(&o.build, &o.zone, true, &o.size));
+            && offers
+                .iter()
+                .all(|o| !o.spot || o.refused || !spec.allows(&o.machine_type, &o.zone, true, &o.size));
         while left > 0 && added < policy.max_new {
             let ordinary = !spot_only || dry && ordinary_left > 0;
             let best = offers
                 .iter()
-                .filter(|o| !o.refused && spec.allows(&o.build, &o.zone, o.spot, &o.size))
+                .filter(|o| !o.refused && spec.allows(&o.machine_type, &o.zone, o.spot, &o.size))
                 .filter(|o| o.spot || ordinary)
                 .filter(|o| zone_allows_task(&spec, &o.zone, &zones))
                 .map(|o| {
@@ -156,25 +159,30 @@
                 .min_by(|a, b| a.0.total_cmp(&b.0));
             let Some((_, o)) = best else { break };
             ordinary_left -= (dry && !o.spot) as usize;
-            let mut room = Room {
-                build: o.build.clone(),
+            let mut room = MachineCapacity {
+                machine_type: o.machine_type.clone(),
                 zone: o.zone.clone(),
                 spot: o.spot,
                 size: o.size,
                 free: o.size,
-                lent: 0,
+                preemptible_cpu: 0,
             };
             left -= put(&mut room, &spec, &mut zones, left);
             nowhere.forget();
             rooms.push(room);
-            *wants.entry(Want { build: o.build.clone(), zone: o.zone.clone(), spot: o.spot }).or_default() +=
-                1;
+            *wants
+                .entry(RentalKind {
+                    machine_type: o.machine_type.clone(),
+                    zone: o.zone.clone(),
+                    spot: o.spot,
+                })
+                .or_default() += 1;
             added += 1;
         }
     }
     for (zone, target) in &policy.spare {
         let ordinary = rooms.iter().filter(|r| !r.spot && r.zone == *zone);
-        let mut there: u64 = ordinary.map(|r| r.free.cpu + r.lent).sum();
+        let mut there: u64 = ordinary.map(|r| r.free.cpu + r.preemptible_cpu).sum();
         while there < *target && added < policy.max_new {
             let gap = (target - there) as f64;
             let cost = |o: &Offer| o.price * (1.0 + o.boot_s / 120.0) / gap.min(o.size.cpu as f64);
@@ -185,7 +193,9 @@
                 .filter(|o| !o.refused && !o.spot && o.zone == *zone && fair.contains(&o.size.cpu));
             let Some(o) = here.min_by(|a, b| cost(a).total_cmp(&cost(b))) else { break };
             there += o.size.cpu;
-            *wants.entry(Want { build: o.build.clone(), zone: zone.clone(), spot: false }).or_default() += 1;
+            *wants
+                .entry(RentalKind { machine_type: o.machine_type.clone(), zone: zone.clone(), spot: false })
+                .or_default() += 1;
             added += 1;
         }
     }
@@ -221,7 +231,7 @@
 /// Puts up to `left` tasks of the job where there is room, the best first; how
 /// many found some.
 fn fill(
-    rooms: &mut [Room],
+    rooms: &mut [MachineCapacity],
     zone_cpu: &BTreeMap<String, u64>,
     nowhere: &mut UnplaceableNeeds,
     spec: &JobSpec,
@@ -245,12 +255,12 @@
         .filter(|(_, r)| r.free.fits(&spec.need))
         .filter_map(|(i, r)| {
             let c = Candidate {
-                build: &r.build,
+                machine_type: &r.machine_type,
                 zone: &r.zone,
                 spot: r.spot,
                 size: &r.size,
                 free: r.free,
-                image: true,
+                has_image: true,
                 zone_cpu: zone_cpu(&r.zone),
             };
             Some((placement::score(spec, &c, None)?, i))
@@ -268,7 +278,7 @@
 }
 
 /// Puts up to `left` tasks of the job into one room.
-fn put(room: &mut Room, spec: &JobSpec, zones: &mut BTreeMap<String, u32>, left: u32) -> u32 {
+fn put(room: &mut MachineCapacity, spec: &JobSpec, zones: &mut BTreeMap<String, u32>, left: u32) -> u32 {
     if !zone_allows_task(spec, &room.zone, zones) {
         return 0;
     }
@@ -289,7 +299,15 @@
 
     fn offer(build: &str, zone: &str, spot: bool, cpus: f64, price: f64) -> Offer {
         let size = Resources::have(cpus, 0.0, cpus * 4.0);
-        Offer { build: build.into(), zone: zone.into(), spot, size, price, refused: false, boot_s: 30.0 }
+        Offer {
+            machine_type: build.into(),
+            zone: zone.into(),
+            spot,
+            size,
+            price,
+            refused: false,
+            boot_s: 30.0,
+        }
     }
 
     fn demand(kind: &str, n: u32, cpus: f64, spot: bool, spread: bool) -> Demand {
@@ -300,15 +318,15 @@
         let spec = gorseshore_protocol::users::parse_submission(v.to_string().as_bytes()).unwrap();
         Demand {
             spec: Rc::new(spec),
-            waiting: n,
+            pending_tasks: n,
             starved: false,
             on_demand_allowed: false,
             zones: BTreeMap::new(),
         }
     }
 
-    fn policy(running_arrays: f64, spare: BTreeMap<String, u64>) -> Policy {
-        Policy { drain_s: 30.0, running_arrays, max_new: 50, on_demand_for_arrays: 0, spare }
+    fn policy(running_arrays: f64, spare: BTreeMap<String, u64>) -> ScalingPolicy {
+        ScalingPolicy { drain_s: 30.0, running_arrays, max_new: 50, on_demand_for_arrays: 0, spare }
     }
 
     #[test]
@@ -324,7 +342,7 @@
         ];
         for (i, (offers, on_demand_allowed, allowed, want)) in cases.into_iter().enumerate() {
             let d = Demand { on_demand_allowed, ..demand("array", 8, 4.0, true, false) };
-            let p = Policy { on_demand_for_arrays: allowed, ..policy(0.0, BTreeMap::new()) };
+            let p = ScalingPolicy { on_demand_for_arrays: allowed, ..policy(0.0, BTreeMap::new()) };
             let got = plan(Vec::new(), &[d], &offers, &p);
             assert_eq!(got.values().sum::<u32>(), want, "case {i}: {got:?}");
         }
@@ -338,7 +356,8 @@
             offer("big", "a", true, 64.0, 0.6),
             offer("small", "b", false, 4.0, 0.17),
         ];
-        let want = |b: &str, z: &str, s, n| (Want { build: b.into(), zone: z.into(), spot: s }, n);
+        let want =
+            |b: &str, z: &str, s, n| (RentalKind { machine_type: b.into(), zone: z.into(), spot: s }, n);
         // (demands, array tasks running, rented)
         let cases = [
             (vec![], 0.0, vec![]),
@@ -388,16 +407,16 @@
             offer("small", "a", true, 4.0, 0.04),
             offer("small", "b", false, 4.0, 0.16),
         ];
-        let room = |free: f64, lent: u64, spot| Room {
-            build: "big".into(),
+        let room = |free: f64, lent: u64, spot| MachineCapacity {
+            machine_type: "big".into(),
             zone: "a".into(),
             spot,
             size: offers[1].size,
             free: Resources::have(free, 0.0, 64.0),
-            lent,
+            preemptible_cpu: lent,
         };
         // (room there, target in CPUs, machines rented in zone a by type)
-        let cases: [(Vec<Room>, u64, &[(&str, u32)]); 6] = [
+        let cases: [(Vec<MachineCapacity>, u64, &[(&str, u32)]); 6] = [
             (vec![], 0, &[]),
             (vec![], 6, &[("small", 2)]),
             (vec![room(6.0, 0, false)], 6, &[]),
@@ -410,7 +429,7 @@
             let spare = BTreeMap::from([("a".to_owned(), target * 1000)]);
             let policy = policy(0.0, spare);
             let got = plan(rooms, &[], &offers, &policy);
-            let got: Vec<(&str, u32)> = got.iter().map(|(w, n)| (w.build.as_str(), *n)).collect();
+            let got: Vec<(&str, u32)> = got.iter().map(|(w, n)| (w.machine_type.as_str(), *n)).collect();
             assert_eq!(got, want, "{target}");
         }
         // Nothing several times too big where the right size is refused.
@@ -423,13 +442,13 @@
     #[test]
     fn booting_room_counts() {
         let o = [offer("small", "a", true, 4.0, 0.04)];
-        let room = Room {
-            build: "small".into(),
+        let room = MachineCapacity {
+            machine_type: "small".into(),
             zone: "a".into(),
             spot: true,
             size: o[0].size,
             free: o[0].size,
-            lent: 0,
+            preemptible_cpu: 0,
         };
         let policy = policy(0.0, BTreeMap::new());
         let d = [demand("array", 1, 4.0, true, false)];
--- a/crates/core/src/leader/machines.rs
+++ b/crates/core/src/leader/machines.rs
@@ -389,7 +389,7 @@
                         continue;
                     }
                     offers.push(Offer {
-                        build: f.sku.clone(),
+                        machine_type: f.sku.clone(),
                         zone: z.clone(),
                         spot,
                         size,
@@ -400,7 +400,7 @@
                 }
             }
         }
-        let mut rooms: Vec<Room> = self
+        let mut rooms: Vec<MachineCapacity> = self
             .machines
             .values()
             .filter(|m| m.draining.is_none() && m.warning.is_none() && !self.health.is_closed(&m.zone))
@@ -411,26 +411,26 @@
                 let boot = flavors.iter().find(|f| f.sku == m.build).map_or(60.0, |f| f.boot_s);
                 m.stage == Stage::Up || now.since(m.since) < Micros::from_secs_f64(boot * 1.8 + 5.0)
             })
-            .map(|m| Room {
-                build: m.build.clone(),
+            .map(|m| MachineCapacity {
+                machine_type: m.build.clone(),
                 zone: m.zone.clone(),
                 spot: m.spot,
                 size: m.size,
                 free: m.free(),
-                lent: if m.spot { 0 } else { self.preemptible_cpu(m) },
+                preemptible_cpu: if m.spot { 0 } else { self.preemptible_cpu(m) },
             })
             .collect();
         for (r, ..) in self.hires.values().filter(|(r, ..)| !self.health.is_closed(&r.zone)) {
             if let Some(f) = flavors.iter().find(|f| f.sku == r.machine_type) {
                 let size = Resources::have(f.cpus, f.gpus, f.memory_gb);
                 for _ in 0..r.count {
-                    rooms.push(Room {
-                        build: r.machine_type.clone(),
+                    rooms.push(MachineCapacity {
+                        machine_type: r.machine_type.clone(),
                         zone: r.zone.clone(),
                         spot: r.spot,
                         size,
                         free: size,
-                        lent: 0,
+                        preemptible_cpu: 0,
                     });
                 }
             }
@@ -459,7 +459,7 @@
                 r.queue_key(wall_ms, slots),
                 Demand {
                     spec: r.spec.clone(),
-                    waiting,
+                    pending_tasks: waiting,
                     starved,
                     on_demand_allowed,
                     zones: self.tasks_per_zone(r),
@@ -469,7 +469,7 @@
         list.sort_by_key(|(rank, order, d)| (std::cmp::Reverse(*rank), *order, d.spec.id));
         let mut demands: Vec<Demand> = list.into_iter().map(|x| x.2).collect();
         self.cap_demand_to_team_limits(&mut demands);
-        let policy = Policy {
+        let policy = ScalingPolicy {
             spare: self.spare_cpu_targets(now),
             drain_s: 20.0,
             running_arrays: running,
@@ -512,7 +512,13 @@
 
     /// Creates rental requests for machines of one kind: as many as are needed and may be open,
     /// but at least one, so that no kind waits for the others.
-    pub(super) fn create_scale_out_requests(&mut self, want: &Want, machines: u32, open: usize, now: Micros) {
+    pub(super) fn create_scale_out_requests(
+        &mut self,
+        want: &RentalKind,
+        machines: u32,
+        open: usize,
+        now: Micros,
+    ) {
         let mut left = machines;
         loop {
             let count = left.min(growth::MAX_MACHINES_PER_RENTAL);
@@ -520,7 +526,7 @@
             let name = format!("g-{}-{}", self.term, self.hire_count);
             let req = ScaleOutRequest {
                 name: name.clone(),
-                machine_type: want.build.clone(),
+                machine_type: want.machine_type.clone(),
                 zone: want.zone.clone(),
                 spot: want.spot,
                 count,
@@ -590,11 +596,11 @@
         }
         demands.retain_mut(|d| {
             let Some(quota) = left.get_mut(d.spec.team.as_str()) else { return true };
-            d.waiting = quota.count(&d.spec.need, d.waiting as u64) as u32;
-            for _ in 0..d.waiting {
+            d.pending_tasks = quota.count(&d.spec.need, d.pending_tasks as u64) as u32;
+            for _ in 0..d.pending_tasks {
                 *quota = quota.minus(d.spec.need);
             }
-            d.waiting > 0
+            d.pending_tasks > 0
         });
     }
 }
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -35,7 +35,7 @@
 use crate::controller::{ASK_TIMEOUT, ASKED_AFTER, Sizes};
 use crate::dependencies::Urgency;
 use crate::fair_queue::FairQueue;
-use crate::fleet::{self, Demand, Offer, Policy, Room, Want};
+use crate::fleet::{self, Demand, MachineCapacity, Offer, RentalKind, ScalingPolicy};
 use crate::jobs::{Failures, Job, Ledger, MachineRecord, Phase, TaskSet};
 use crate::leader::health::{Health, Turn, ZoneObservation};
 use crate::leader::ways::NetworkPaths;
--- a/crates/core/src/leader/room.rs
+++ b/crates/core/src/leader/room.rs
@@ -157,12 +157,12 @@
                     let first = set.range(enough).find_map(|(_, _, id)| Some((fits(id)?, id)));
                     let Some((free, id)) = first else { continue };
                     let c = Candidate {
-                        build: &k.build,
+                        machine_type: &k.build,
                         zone: &k.zone,
                         spot: k.spot,
                         size: &k.size,
                         free,
-                        image,
+                        has_image: image,
                         zone_cpu,
                     };
                     let Some(score) = placement::score(spec, &c, None) else { continue };
@@ -258,12 +258,12 @@
                 Kind::Array => 0,
             };
             let c = Candidate {
-                build: &m.build,
+                machine_type: &m.build,
                 zone: &m.zone,
                 spot: m.spot,
                 size: &m.size,
                 free: m.free(),
-                image: m.images.contains(&a.spec.image),
+                has_image: m.images.contains(&a.spec.image),
                 zone_cpu,
             };
             Some((m.failures > 0, placement::score(a.spec, &c, None)?))
--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -468,14 +468,14 @@
             let spec = b.leader.jobs[&JobId(1 + i as u64)].spec.clone();
             demands.push(Demand {
                 spec,
-                waiting: *tasks,
+                pending_tasks: *tasks,
                 starved: false,
                 on_demand_allowed: false,
                 zones: BTreeMap::new(),
             });
         }
         b.leader.cap_demand_to_team_limits(&mut demands);
-        assert_eq!(demands.iter().map(|d| d.waiting).sum::<u32>(), want, "{jobs:?}");
+        assert_eq!(demands.iter().map(|d| d.pending_tasks).sum::<u32>(), want, "{jobs:?}");
     }
     // The same through what is rented: 40 CPUs wait, 4 may run.
     let mut b = Bench::new(0);
@@ -1076,7 +1076,7 @@
 
 #[test]
 fn many_machines_are_asked_for_in_several_rentals() {
-    let want = Want { build: "big".into(), zone: "east".into(), spot: false };
+    let want = RentalKind { machine_type: "big".into(), zone: "east".into(), spot: false };
     // (machines, rentals that may be open; machines in each)
     let cases: [(u32, usize, &[u32]); 3] = [(7, 6, &[7]), (166, 6, &[50, 50, 50, 16]), (250, 2, &[50, 50])];
     for (machines, open, counts) in cases {
--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -6,7 +6,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Candidate<'a> {
     /// Type.
-    pub build: &'a str,
+    pub machine_type: &'a str,
     /// Zone.
     pub zone: &'a str,
     /// Spot.
@@ -16,7 +16,7 @@
     /// Free room.
     pub free: Resources,
     /// It has the task's image.
-    pub image: bool,
+    pub has_image: bool,
     /// Ordinary CPUs in its zone, in thousandths.
     pub zone_cpu: u64,
 }
@@ -27,7 +27,7 @@
 /// How well a machine suits, smaller is better; `None` if it may not or can't
 /// hold the task.
 pub fn score(spec: &JobSpec, c: &Candidate<'_>, zone: Option<&str>) -> Option<Score> {
-    if !spec.allows(c.build, c.zone, c.spot, c.size) || !c.free.fits(&spec.need) {
+    if !spec.allows(c.machine_type, c.zone, c.spot, c.size) || !c.free.fits(&spec.need) {
         return None;
     }
     if zone.is_some_and(|z| z != c.zone) {
@@ -38,10 +38,10 @@
     // among equals the fullest one is filled up.
     let kind = (spec.spot && !c.spot) as u8;
     let left = c.free.minus(spec.need).cpu;
-    let fetch = !c.image as u8;
+    let fetch = !c.has_image as u8;
     // What the job prefers comes before the fetch, but no array takes room on
     // ordinary machines for it.
-    let dislike = spec.dislike(c.build, c.zone);
+    let dislike = spec.dislike(c.machine_type, c.zone);
     Some(match spec.kind {
         // Replicas keep to the zone with the most ordinary machines: those of
         // spread jobs need the room in the others.
@@ -72,12 +72,12 @@
     fn the_best_machine_is_taken() {
         let size = Resources::have(8.0, 0.0, 32.0);
         let c = |zone, spot, cpus: f64, image| Candidate {
-            build: "b",
+            machine_type: "b",
             zone,
             spot,
             size: &size,
             free: Resources::have(cpus, 0.0, 32.0),
-            image,
+            has_image: image,
             zone_cpu: 0,
         };
         // (changes to the job, zone asked for, machines, the one taken)
