--- a/crates/core/src/leader/health.rs
+++ b/crates/core/src/leader/health.rs
@@ -20,12 +20,12 @@
     /// Machines believed to be up.
     pub up: u32,
     /// Last contact with any of them, by any controller, in this term.
-    pub heard: Option<Micros>,
+    pub last_contact: Option<Micros>,
 }
 
 /// A change of a zone's state.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Turn {
+pub enum ZoneTransition {
     /// The zone closed: its name, its machines up, and how long none of them had contact.
     Closed(String, u32, Micros),
     /// The zone opened: its name, and how long it was closed.
@@ -34,12 +34,12 @@
 
 /// The closed zones.
 #[derive(Debug, Default)]
-pub struct Health {
+pub struct ZoneHealth {
     /// Closed zones, and since when.
     closed: BTreeMap<String, Micros>,
 }
 
-impl Health {
+impl ZoneHealth {
     /// Opens and closes zones by their observations. Silence counts from `began`, when this
     /// leader began to receive heartbeats; a healthy zone may be silent for `max_silence`.
     pub fn update(
@@ -48,14 +48,14 @@
         began: Micros,
         max_silence: Micros,
         now: Micros,
-    ) -> Vec<Turn> {
+    ) -> Vec<ZoneTransition> {
         let mut transitions = Vec::new();
         self.closed.retain(|zone, since| {
             let observation = observations.get(zone).copied().unwrap_or_default();
             // A zone without machines can have no further contact.
-            let open = observation.up == 0 || observation.heard.is_some_and(|t| t > *since);
+            let open = observation.up == 0 || observation.last_contact.is_some_and(|t| t > *since);
             if open {
-                transitions.push(Turn::Opened(zone.clone(), now.since(*since)));
+                transitions.push(ZoneTransition::Opened(zone.clone(), now.since(*since)));
             }
             !open
         });
@@ -63,14 +63,14 @@
             if observation.up < MIN_MACHINES_FOR_EVIDENCE || self.closed.contains_key(zone) {
                 continue;
             }
-            let silent = now.since(observation.heard.unwrap_or(began).max(began));
+            let silent = now.since(observation.last_contact.unwrap_or(began).max(began));
             // If no zone responds, the fault is the leader's: no zone is closed.
-            let others_respond = observations
-                .iter()
-                .any(|(z, s)| z != zone && s.heard.is_some_and(|t| t > began && now.since(t) < max_silence));
+            let others_respond = observations.iter().any(|(z, s)| {
+                z != zone && s.last_contact.is_some_and(|t| t > began && now.since(t) < max_silence)
+            });
             if silent > max_silence && others_respond {
                 self.closed.insert(zone.clone(), now);
-                transitions.push(Turn::Closed(zone.clone(), observation.up, silent));
+                transitions.push(ZoneTransition::Closed(zone.clone(), observation.up, silent));
             }
         }
         transitions
@@ -118,16 +118,16 @@
             (180, (50, Some(179)), (2, Some(149)), &[]),
             (181, (50, Some(180)), (3, Some(149)), &["close west"]),
         ];
-        let mut h = Health::default();
+        let mut h = ZoneHealth::default();
         for (at, east, west, want) in steps {
-            let sight = |(up, heard): Seen| ZoneObservation { up, heard: heard.map(Micros::secs) };
+            let sight = |(up, heard): Seen| ZoneObservation { up, last_contact: heard.map(Micros::secs) };
             let seen = BTreeMap::from([("east".to_owned(), sight(east)), ("west".to_owned(), sight(west))]);
             let got: Vec<String> = h
                 .update(&seen, Micros::secs(100), Micros::secs(6), Micros::secs(at))
                 .iter()
                 .map(|t| match t {
-                    Turn::Closed(z, ..) => format!("close {z}"),
-                    Turn::Opened(z, _) => format!("open {z}"),
+                    ZoneTransition::Closed(z, ..) => format!("close {z}"),
+                    ZoneTransition::Opened(z, _) => format!("open {z}"),
                 })
                 .collect();
             assert_eq!(got, want, "at {at} s");
--- a/crates/core/src/leader/machines.rs
+++ b/crates/core/src/leader/machines.rs
@@ -220,7 +220,7 @@
             observation.up += (m.stage == Stage::Up) as u32;
             // Contact with a machine that is being deleted counts too, because it shows that the
             // network path is open.
-            observation.heard = observation.heard.max(m.heard.max(seen));
+            observation.last_contact = observation.last_contact.max(m.heard.max(seen));
         }
         // All workers of a zone send a heartbeat within 1.25 times the report interval.
         let max_silence = self.ctx.report.max(Micros::secs(4)) + Micros::secs(2);
@@ -228,11 +228,11 @@
         for transition in self.health.update(&observations, silence_from, max_silence, now) {
             self.dirty = true;
             match transition {
-                Turn::Closed(zone, up, silent) => warn!(
+                ZoneTransition::Closed(zone, up, silent) => warn!(
                     "zone {zone} closed to renting: no contact with its {up} machines for {:.1} s, while other zones respond",
                     silent.as_secs_f64()
                 ),
-                Turn::Opened(zone, after) => {
+                ZoneTransition::Opened(zone, after) => {
                     info!("zone {zone} opened to renting again after {:.1} s", after.as_secs_f64())
                 }
             }
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -37,7 +37,7 @@
 use crate::fair_queue::FairQueue;
 use crate::fleet::{self, Demand, MachineCapacity, Offer, RentalKind, ScalingPolicy};
 use crate::jobs::{Failures, Job, Ledger, MachineRecord, Phase, TaskSet};
-use crate::leader::health::{Health, Turn, ZoneObservation};
+use crate::leader::health::{ZoneHealth, ZoneObservation, ZoneTransition};
 use crate::leader::ways::NetworkPaths;
 use crate::peer::pacing::Pacer;
 use crate::peer::{
@@ -219,7 +219,7 @@
     /// Spot machines that were rented of late: when, and how many.
     spot_had: VecDeque<(Micros, usize)>,
     /// Zones, as far as they are heard.
-    health: Health,
+    health: ZoneHealth,
     /// When the ways to the zones opened.
     ways: NetworkPaths,
     /// Arrays of which more is done than was recorded when last looked at.
@@ -302,7 +302,7 @@
             hires: BTreeMap::new(),
             refused: BTreeMap::new(),
             spot_had: VecDeque::new(),
-            health: Health::default(),
+            health: ZoneHealth::default(),
             ways: NetworkPaths::default(),
             progressed: BTreeSet::new(),
             rooms: room::CapacityIndex::default(),
