--- a/crates/core/src/leader/bindings.rs
+++ b/crates/core/src/leader/bindings.rs
@@ -118,7 +118,7 @@
         m.want_baton = s.want_baton;
         let confirmed = s.seen_baton >= m.baton;
         if let Some(ago) = s.heard_ago {
-            m.hearing.told(s.obeys, now - ago, now);
+            m.hearing.holder_reported(s.obeys, now - ago, now);
         }
         let fresh = confirmed && !m.confirmed;
         if fresh {
@@ -405,7 +405,7 @@
                     return;
                 }
                 self.last_seen.insert(id.clone(), (from, now));
-                m.hearing.seen(s.asked, m.holder != Some(from), now);
+                m.hearing.contacted_by_other(s.asked, m.holder != Some(from), now);
                 if m.stage == Stage::Booting {
                     m.stage = Stage::Up;
                     m.since = now;
--- a/crates/core/src/leader/blocks.rs
+++ b/crates/core/src/leader/blocks.rs
@@ -228,7 +228,7 @@
         let overdue = (self.ctx.report.scale(5, 4) + Micros::secs(1)).min(ASKED_AFTER + ASK_TIMEOUT);
         let heard_by = latest.iter().map(|((h, zone), (t, _))| (Some(*h), *zone, *t));
         for (by, zone, at) in heard_by.chain(zone_latest.iter().map(|(z, t)| (None, *z, *t))) {
-            self.ways.heard(by, zone, at, overdue);
+            self.ways.record_contact(by, zone, at, overdue);
         }
         for (id, m) in &self.machines {
             if m.stage != Stage::Up {
@@ -283,7 +283,7 @@
         for (_, id) in probes {
             let Some(m) = self.machines.get_mut(&id) else { continue };
             m.probed = Some(now);
-            m.hearing.ask(now);
+            m.hearing.record_probe(now);
             let (holder, addr) = (m.holder, m.addr.clone());
             for n in 0..self.nodes.len() {
                 let n = NodeId(n as u8);
--- a/crates/core/src/leader/deaf.rs
+++ b/crates/core/src/leader/deaf.rs
@@ -27,7 +27,7 @@
 #[derive(Debug)]
 pub(super) struct CommandReachability {
     /// Its last heartbeat to its holder shows that responses reach it.
-    pub obeys: bool,
+    pub acknowledges_commands: bool,
     /// When it last showed this, to any controller.
     last_acknowledged: Micros,
     /// Since when it has acknowledged nothing, and the probes sent since then.
@@ -42,7 +42,7 @@
 impl CommandReachability {
     pub(super) fn new(now: Micros) -> Self {
         CommandReachability {
-            obeys: true,
+            acknowledges_commands: true,
             last_acknowledged: now,
             unacknowledged_since: None,
             probes_sent: 0,
@@ -53,8 +53,8 @@
     }
 
     /// Its holder reports the heartbeat that it received at `at`.
-    pub(super) fn told(&mut self, obeys: bool, at: Micros, now: Micros) {
-        self.obeys = obeys;
+    pub(super) fn holder_reported(&mut self, obeys: bool, at: Micros, now: Micros) {
+        self.acknowledges_commands = obeys;
         if obeys {
             self.acknowledged(at, now);
         } else {
@@ -66,7 +66,7 @@
 
     /// A controller, the holder or another one (`elsewhere`), received the machine's heartbeat or
     /// probed it and had a response (`asked`).
-    pub(super) fn seen(&mut self, asked: bool, elsewhere: bool, now: Micros) {
+    pub(super) fn contacted_by_other(&mut self, asked: bool, elsewhere: bool, now: Micros) {
         if asked {
             self.acknowledged(now, now);
         } else if elsewhere {
@@ -93,7 +93,7 @@
     }
 
     /// Counts a probe by other controllers, if one is due.
-    pub(super) fn ask(&mut self, now: Micros) {
+    pub(super) fn record_probe(&mut self, now: Micros) {
         if self.probe_due(now) {
             self.probes_sent += 1;
             self.probed_at = now;
@@ -109,7 +109,7 @@
 impl Machine {
     /// Its holder reports a heartbeat that changed nothing.
     pub(super) fn holder_reported_unchanged(&mut self, from: NodeId, at: Micros, now: Micros) {
-        if self.holder == Some(from) && self.confirmed && self.hearing.obeys {
+        if self.holder == Some(from) && self.confirmed && self.hearing.acknowledges_commands {
             self.hearing.acknowledged(at, now);
         }
     }
@@ -180,16 +180,16 @@
         // (event, its time in seconds; unacknowledged after it, trusted again at second)
         type Step = (fn(&mut CommandReachability, Micros), u64, bool, u64);
         let steps: [Step; 9] = [
-            (|h, t| h.told(true, t, t), 1, false, 0),
-            (|h, t| h.seen(false, true, t), 5, true, 0),
+            (|h, t| h.holder_reported(true, t, t), 1, false, 0),
+            (|h, t| h.contacted_by_other(false, true, t), 5, true, 0),
             // The holder reports a heartbeat from before the episode.
-            (|h, t| h.told(true, Micros::secs(4), t), 6, true, 0),
-            (|h, t| h.told(true, t, t), 9, false, 0),
-            (|h, t| h.told(false, t, t), 20, true, 0),
-            (|h, t| h.seen(true, true, t), 30, false, 34),
-            (|h, t| h.told(false, t, t), 40, true, 34),
-            (|h, t| h.seen(false, false, t), 45, true, 34),
-            (|h, t| h.told(true, t, t), 50, false, 58),
+            (|h, t| h.holder_reported(true, Micros::secs(4), t), 6, true, 0),
+            (|h, t| h.holder_reported(true, t, t), 9, false, 0),
+            (|h, t| h.holder_reported(false, t, t), 20, true, 0),
+            (|h, t| h.contacted_by_other(true, true, t), 30, false, 34),
+            (|h, t| h.holder_reported(false, t, t), 40, true, 34),
+            (|h, t| h.contacted_by_other(false, false, t), 45, true, 34),
+            (|h, t| h.holder_reported(true, t, t), 50, false, 58),
         ];
         let mut h = CommandReachability::new(s(0));
         for (i, (step, at, unacknowledged_since, trusted)) in steps.into_iter().enumerate() {
--- a/crates/core/src/leader/machine.rs
+++ b/crates/core/src/leader/machine.rs
@@ -186,7 +186,7 @@
             && self.recorded
             && self.confirmed
             && self.draining.is_none()
-            && self.hearing.obeys
+            && self.hearing.acknowledges_commands
             && self.warning.is_none()
     }
 }
--- a/crates/core/src/leader/ways.rs
+++ b/crates/core/src/leader/ways.rs
@@ -21,7 +21,7 @@
 impl NetworkPaths {
     /// Records a contact at `at` between a machine of the zone and a controller, or any of them
     /// (`None`). If there was none for longer than `gap`, the path counts as restored at `at`.
-    pub fn heard(&mut self, by: Option<NodeId>, zone: &str, at: Micros, gap: Micros) {
+    pub fn record_contact(&mut self, by: Option<NodeId>, zone: &str, at: Micros, gap: Micros) {
         let zone = match self.zones.get_mut(zone) {
             Some(z) => z,
             None => self.zones.entry(zone.to_owned()).or_default(),
--- a/crates/core/src/node/duties.rs
+++ b/crates/core/src/node/duties.rs
@@ -342,7 +342,7 @@
         let Some((record, stamp)) = l.books_record(&self.mirror.ledger, &ended, self.now) else { return };
         let names: Vec<&str> = record.nodes.iter().map(|(n, _)| n.as_str()).collect();
         debug!("witnesses of term {term}: {}", names.join(", "));
-        self.leadership.bucket.force(self.now, 1.0);
+        self.leadership.bucket.take_unconditionally(self.now, 1.0);
         let when =
             vec![When { path: keys::LEADER.into(), stamp: mine }, When { path: keys::BOOKS.into(), stamp }];
         let put = Write::Put { put: keys::BOOKS.into(), v: json!(record), hold: None };
@@ -550,7 +550,7 @@
         }
         self.catalogue.open = true;
         self.catalogue.asked_at = self.now;
-        self.catalogue.bucket.force(self.now, 1.0);
+        self.catalogue.bucket.take_unconditionally(self.now, 1.0);
         let id = self.out.call(Call {
             target: Target::Cloud,
             method: "GET",
--- a/crates/core/src/node/requests.rs
+++ b/crates/core/src/node/requests.rs
@@ -352,7 +352,7 @@
                 self.wait(Waiter::Abort(id, job), Micros::millis(1500));
             }
             (UserWrite::Guest(t, m, as_leader), CallResult::Answer { status: 429, .. }) => {
-                self.users.bucket.force(self.now, 1.0);
+                self.users.bucket.take_unconditionally(self.now, 1.0);
                 self.users
                     .writes
                     .push_back((UserWrite::Guest(t, m, as_leader), self.now + Micros::millis(2000)));
@@ -360,7 +360,7 @@
             (UserWrite::Guest(t, ..), r) => self.ask_guest(GuestInput::Called(t, r.clone())),
             (w, CallResult::Answer { status: 429, .. }) => {
                 let pause = Micros::millis(100 + self.rng.u64(0..100));
-                self.users.bucket.force(self.now, 1.0);
+                self.users.bucket.take_unconditionally(self.now, 1.0);
                 self.users.writes.push_back((w, self.now + Micros::millis(2000) - pause));
             }
             (UserWrite::Submit(id, _) | UserWrite::Abort(id, ..), _) => {
--- a/crates/core/src/node/stand_in.rs
+++ b/crates/core/src/node/stand_in.rs
@@ -104,7 +104,7 @@
     fn delete_suspects(&mut self, ids: Vec<MachineId>) {
         let names: Vec<String> = ids.iter().map(|i| i.to_string()).collect();
         warn!("nobody leads: deleted for cancelled tasks that may be there: {}", names.join(" "));
-        self.catalogue.bucket.force(self.now, 1.0);
+        self.catalogue.bucket.take_unconditionally(self.now, 1.0);
         let call = self.out.call(delete_call(names));
         self.calls.insert(call, Purpose::DeputyDelete(ids));
     }
--- a/crates/core/src/rate.rs
+++ b/crates/core/src/rate.rs
@@ -34,7 +34,7 @@
         enough
     }
     /// Takes `n` whatever is there: for what must not wait.
-    pub fn force(&mut self, now: Micros, n: f64) {
+    pub fn take_unconditionally(&mut self, now: Micros, n: f64) {
         self.fill(now);
         self.level = (self.level - n).max(-self.burst);
     }
@@ -51,7 +51,7 @@
         assert!((18..=20).contains(&taken), "{taken}");
         let mut b = TokenBucket::new(10.0, 10.0, Micros(0));
         assert_eq!((0..20).filter(|_| b.take(Micros(0), 1.0, 4.0)).count(), 6);
-        b.force(Micros(0), 20.0);
+        b.take_unconditionally(Micros(0), 20.0);
         assert!(!b.take(Micros::secs(1), 1.0, 0.0));
         assert!(b.take(Micros::secs(2), 1.0, 0.0));
     }
