--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -13,11 +13,11 @@
 mod machine;
 mod machines;
 mod messages;
-mod overdue;
 mod records;
 mod room;
 mod run;
 mod schedule;
+mod starvation;
 #[cfg(test)]
 mod tests;
 pub mod waits;
--- a/crates/core/src/leader/run.rs
+++ b/crates/core/src/leader/run.rs
@@ -56,7 +56,7 @@
     pub(super) failed_on: BTreeSet<MachineId>,
     /// A task of it completed, or ran long enough to show that the job is not faulty itself.
     pub(super) ran_well: bool,
-    /// A task of it completed, or ran for longer than `overdue::MIN_RUN_TIME`.
+    /// A task of it completed, or ran for longer than `starvation::MIN_RUN_TIME`.
     pub(super) started: bool,
     /// When a task first completed that is not recorded as done yet.
     pub(super) unrecorded_since: Option<Micros>,
--- a/crates/core/src/leader/schedule.rs
+++ b/crates/core/src/leader/schedule.rs
@@ -213,7 +213,7 @@
             if waiting.has_unconfirmed_machines && self.may_run_on_unconfirmed_machine(run) {
                 continue;
             }
-            if !run.started && wall_ms > run.ready_ms + overdue::STARVATION_TIMEOUT_MS {
+            if !run.started && wall_ms > run.ready_ms + starvation::STARVATION_TIMEOUT_MS {
                 match self.has_run_long_enough(id, run, now) {
                     true => begun.push(id),
                     false => starved.push((run.ready_ms, id)),
