--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -13,6 +13,7 @@
 mod machine;
 mod machines;
 mod messages;
+pub mod pending_reasons;
 mod records;
 mod room;
 mod run;
@@ -20,7 +21,6 @@
 mod starvation;
 #[cfg(test)]
 mod tests;
-pub mod waits;
 pub mod ways;
 mod wishes;
 
--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -657,7 +657,7 @@
 
 #[test]
 fn the_log_says_who_waits_longest_and_why() {
-    use super::waits::PendingReason;
+    use super::pending_reasons::PendingReason;
     type Step = fn(&mut Bench);
     // A job that takes all of the machine's eight CPUs.
     let fill: Step = |b| {
