--- a/crates/core/src/leader/machine.rs
+++ b/crates/core/src/leader/machine.rs
@@ -60,7 +60,7 @@
     pub(super) stamp: u64,
     pub(super) idle_since: Option<Micros>,
     /// Its place among those with room.
-    pub(super) placed: Option<room::IndexEntry>,
+    pub(super) placed: Option<capacity_index::IndexEntry>,
     pub(super) draining: Option<&'static str>,
     /// Failures since something ran well on it, by job.
     pub(super) failed_jobs: BTreeMap<JobId, u32>,
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -5,6 +5,7 @@
 mod blocks;
 mod books;
 mod cancelled;
+mod capacity_index;
 pub mod changes;
 mod deaf;
 mod dependents;
@@ -15,7 +16,6 @@
 mod messages;
 pub mod pending_reasons;
 mod records;
-mod room;
 mod run;
 mod schedule;
 mod starvation;
@@ -225,7 +225,7 @@
     /// Arrays of which more is done than was recorded when last looked at.
     progressed: BTreeSet<JobId>,
     /// Machines with room, in order.
-    rooms: room::CapacityIndex,
+    rooms: capacity_index::CapacityIndex,
     /// Jobs that wait, in order; `requeue`: some began to wait since.
     waiting: schedule::PendingJobs,
     requeue: bool,
@@ -305,7 +305,7 @@
             health: ZoneHealth::default(),
             ways: NetworkPaths::default(),
             progressed: BTreeSet::new(),
-            rooms: room::CapacityIndex::default(),
+            rooms: capacity_index::CapacityIndex::default(),
             waiting: schedule::PendingJobs::new(),
             requeue: true,
             dirty: true,
