--- a/crates/core/src/leader/cancelled.rs
+++ b/crates/core/src/leader/cancelled.rs
@@ -3,7 +3,7 @@
 //! cancellation could, while its block's lease may run, and only a task that is bound:
 //! handed out to it, or not yet seen on the machine where it starts.
 use super::*;
-use run::Binding;
+use job_run::Binding;
 
 impl Leader {
     /// Whether a start of a cancelled job may still be ordered. `known_by` are the processes
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -11,12 +11,12 @@
 mod dependents;
 pub mod growth;
 pub mod health;
+mod job_run;
 mod machine;
 mod machines;
 mod messages;
 pub mod pending_reasons;
 mod records;
-mod run;
 mod schedule;
 mod starvation;
 #[cfg(test)]
@@ -26,8 +26,8 @@
 
 use crate::lateness::Lateness;
 use assignments::{AssignedTasks, Handed, may_hold};
+use job_run::{Binding, FAULTY_JOB_FAILURES, JobRun};
 pub use machine::{Machine, Stage};
-use run::{Binding, FAULTY_JOB_FAILURES, JobRun};
 use wishes::ScaleOutStage;
 pub use wishes::{CloudRequest, LeaderWrite, ScaleOutRequest};
 
