--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -1,6 +1,7 @@
 //! The leader: which machines there are, which controller holds them, where
 //! each task is bound, and what goes next.
 mod assignments;
+mod autoscaling;
 mod bindings;
 mod blocks;
 mod books;
@@ -13,7 +14,6 @@
 pub mod health;
 mod job_run;
 mod machine;
-mod machines;
 mod messages;
 pub mod pending_reasons;
 mod records;
