--- a/crates/core/src/leader/autoscaling.rs
+++ b/crates/core/src/leader/autoscaling.rs
@@ -57,8 +57,8 @@
             }
         }
         let interval = match self.list_from {
-            Some(_) => growth::list_page_interval(self.ctx.cloud_rps),
-            None => growth::LIST_INTERVAL,
+            Some(_) => scaling_limits::list_page_interval(self.ctx.cloud_rps),
+            None => scaling_limits::LIST_INTERVAL,
         };
         if !self.listing && now.since(self.listed) >= interval {
             requests.push(CloudRequest::List(self.list_from.clone()));
@@ -76,7 +76,7 @@
                 m.stage == Stage::Deleting && m.delete_sent.is_none_or(|t| now.since(t) > Micros::secs(3))
             })
             .map(|(id, _)| id.clone())
-            .take(growth::MAX_MACHINES_PER_DELETION)
+            .take(scaling_limits::MAX_MACHINES_PER_DELETION)
             .collect();
         (!ids.is_empty()).then_some(CloudRequest::Delete(ids))
     }
@@ -368,7 +368,7 @@
 
     /// Creates rental requests for the pending tasks.
     pub(super) fn plan_scale_out(&mut self, flavors: &[Flavor], now: Micros) {
-        let open = growth::max_open_rentals(self.ctx.cloud_rps);
+        let open = scaling_limits::max_open_rentals(self.ctx.cloud_rps);
         if self.hires.len() >= open {
             return;
         }
@@ -479,7 +479,7 @@
                 .operator
                 .max_machines
                 .saturating_sub(self.machines.len())
-                .min(growth::max_machines_added(self.machines.len())),
+                .min(scaling_limits::max_machines_added(self.machines.len())),
         };
         let full = policy.max_new == 0 && !demands.is_empty();
         if std::mem::replace(&mut self.fleet_full, full) != full && full {
@@ -521,7 +521,7 @@
     ) {
         let mut left = machines;
         loop {
-            let count = left.min(growth::MAX_MACHINES_PER_RENTAL);
+            let count = left.min(scaling_limits::MAX_MACHINES_PER_RENTAL);
             self.hire_count += 1;
             let name = format!("g-{}-{}", self.term, self.hire_count);
             let req = ScaleOutRequest {
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -10,13 +10,13 @@
 pub mod changes;
 mod deaf;
 mod dependents;
-pub mod growth;
 pub mod health;
 mod job_run;
 mod machine;
 mod messages;
 pub mod pending_reasons;
 mod records;
+pub mod scaling_limits;
 mod schedule;
 mod starvation;
 #[cfg(test)]
--- a/crates/core/src/node/catalogue.rs
+++ b/crates/core/src/node/catalogue.rs
@@ -1,7 +1,7 @@
 //! Machine types as the cloud sells them, its calls and their budget.
 use crate::controller::Sizes;
 use crate::leader::ScaleOutRequest;
-use crate::leader::growth::MAX_MACHINES_PER_LIST_PAGE;
+use crate::leader::scaling_limits::MAX_MACHINES_PER_LIST_PAGE;
 use crate::rate::TokenBucket;
 use crate::{Call, Target};
 use gorseshore_protocol::cloud::{Flavor, Flavors, Hire, Hosts};
