--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -11,6 +11,7 @@
 mod deaf;
 mod dependents;
 pub mod health;
+mod intents;
 mod job_run;
 mod machine;
 mod messages;
@@ -22,14 +23,13 @@
 #[cfg(test)]
 mod tests;
 pub mod ways;
-mod wishes;
 
 use crate::lateness::Lateness;
 use assignments::{AssignedTasks, Handed, may_hold};
+use intents::ScaleOutStage;
+pub use intents::{CloudRequest, LeaderWrite, ScaleOutRequest};
 use job_run::{Binding, FAULTY_JOB_FAILURES, JobRun};
 pub use machine::{Machine, Stage};
-use wishes::ScaleOutStage;
-pub use wishes::{CloudRequest, LeaderWrite, ScaleOutRequest};
 
 use crate::books::Ledgers;
 use crate::controller::{ASK_TIMEOUT, ASKED_AFTER, Sizes};
