--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -10,7 +10,6 @@
 pub mod changes;
 mod deaf;
 mod dependents;
-pub mod health;
 mod intents;
 mod job_run;
 mod machine;
@@ -23,6 +22,7 @@
 #[cfg(test)]
 mod tests;
 pub mod ways;
+pub mod zone_health;
 
 use crate::lateness::Lateness;
 use assignments::{AssignedTasks, Handed, may_hold};
@@ -37,8 +37,8 @@
 use crate::fair_queue::FairQueue;
 use crate::fleet::{self, Demand, MachineCapacity, Offer, RentalKind, ScalingPolicy};
 use crate::jobs::{Failures, Job, Ledger, MachineRecord, Phase, TaskSet};
-use crate::leader::health::{ZoneHealth, ZoneObservation, ZoneTransition};
 use crate::leader::ways::NetworkPaths;
+use crate::leader::zone_health::{ZoneHealth, ZoneObservation, ZoneTransition};
 use crate::peer::pacing::Pacer;
 use crate::peer::{
     GrantedMachine, HandOut, MachineState, Message, Outcome, Sighting, StopRequest, TaskState,
--- a/tests/world/fleet.rs
+++ b/tests/world/fleet.rs
@@ -3,7 +3,7 @@
 //! taken spot machines and one of sick ones, all controllers down with the state
 //! service away. Beside the rules it is checked that nothing else suffers.
 use super::*;
-use gorseshore_core::leader::health::MAX_PROBE_MACHINES;
+use gorseshore_core::leader::zone_health::MAX_PROBE_MACHINES;
 use std::collections::BTreeSet;
 
 /// Three controllers, one zone with a single one of them.
