--- a/crates/core/src/leader/bindings.rs
+++ b/crates/core/src/leader/bindings.rs
@@ -409,7 +409,7 @@
                 if m.stage == Stage::Booting {
                     m.stage = Stage::Up;
                     m.since = now;
-                    m.hearing = deaf::CommandReachability::new(now);
+                    m.hearing = command_reachability::CommandReachability::new(now);
                     self.dirty = true;
                 }
                 if !rec.addr.is_empty() && m.addr != rec.addr {
--- a/crates/core/src/leader/machine.rs
+++ b/crates/core/src/leader/machine.rs
@@ -51,7 +51,7 @@
     /// The newest report of its worker that anybody told of, and who.
     pub(super) newest: ReportNo,
     pub(super) newest_from: Option<NodeId>,
-    pub(super) hearing: deaf::CommandReachability,
+    pub(super) hearing: command_reachability::CommandReachability,
     pub(super) held_heard: Micros,
     pub(super) moved_at: Micros,
     pub(super) granted_at: Micros,
@@ -108,7 +108,7 @@
             heard: None,
             newest: ReportNo::default(),
             newest_from: None,
-            hearing: deaf::CommandReachability::new(now),
+            hearing: command_reachability::CommandReachability::new(now),
             held_heard: Micros(0),
             moved_at: Micros(0),
             granted_at: now,
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -8,7 +8,7 @@
 mod cancelled;
 mod capacity_index;
 pub mod changes;
-mod deaf;
+mod command_reachability;
 mod dependents;
 mod intents;
 mod job_run;
