--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -14,6 +14,7 @@
 mod job_run;
 mod machine;
 mod messages;
+pub mod network_paths;
 pub mod pending_reasons;
 mod records;
 pub mod scaling_limits;
@@ -21,7 +22,6 @@
 mod starvation;
 #[cfg(test)]
 mod tests;
-pub mod ways;
 pub mod zone_health;
 
 use crate::lateness::Lateness;
@@ -37,7 +37,7 @@
 use crate::fair_queue::FairQueue;
 use crate::fleet::{self, Demand, MachineCapacity, Offer, RentalKind, ScalingPolicy};
 use crate::jobs::{Failures, Job, Ledger, MachineRecord, Phase, TaskSet};
-use crate::leader::ways::NetworkPaths;
+use crate::leader::network_paths::NetworkPaths;
 use crate::leader::zone_health::{ZoneHealth, ZoneObservation, ZoneTransition};
 use crate::peer::pacing::Pacer;
 use crate::peer::{
