--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -17,7 +17,7 @@
 pub mod node;
 pub mod peer;
 pub mod placement;
-pub mod rate;
+pub mod token_bucket;
 
 use crate::peer::Message;
 use gorseshore_protocol::ids::{Micros, NodeId};
--- a/crates/core/src/node/catalogue.rs
+++ b/crates/core/src/node/catalogue.rs
@@ -2,7 +2,7 @@
 use crate::controller::Sizes;
 use crate::leader::ScaleOutRequest;
 use crate::leader::scaling_limits::MAX_MACHINES_PER_LIST_PAGE;
-use crate::rate::TokenBucket;
+use crate::token_bucket::TokenBucket;
 use crate::{Call, Target};
 use gorseshore_protocol::cloud::{Flavor, Flavors, Hire, Hosts};
 use gorseshore_protocol::ids::{Micros, Resources};
--- a/crates/core/src/node/leadership.rs
+++ b/crates/core/src/node/leadership.rs
@@ -4,7 +4,7 @@
 use crate::election::Election;
 use crate::jobs::keys;
 use crate::leader::{Leader, LeaderWrite};
-use crate::rate::TokenBucket;
+use crate::token_bucket::TokenBucket;
 use gorseshore_protocol::ids::Micros;
 use gorseshore_settings::Operator;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/core/src/node/waiting.rs
+++ b/crates/core/src/node/waiting.rs
@@ -3,7 +3,7 @@
 //! is up to date, and a change for its turn.
 use crate::RequestId;
 use crate::guest::Ticket;
-use crate::rate::TokenBucket;
+use crate::token_bucket::TokenBucket;
 use gorseshore_protocol::ids::{JobId, Micros};
 use gorseshore_protocol::job::JobSpec;
 use gorseshore_protocol::state::Multi;
