--- a/crates/core/src/fair_queue.rs
+++ b/crates/core/src/fair_queue.rs
@@ -9,14 +9,15 @@
 /// Virtual time, in millionths of a cost unit at weight one.
 pub type Tag = u64;
 
-const UNIT: f64 = 1e6;
+/// Tag units per cost unit.
+const TAGS_PER_COST_UNIT: f64 = 1e6;
 
 #[derive(Debug, Default, Clone)]
 struct Team {
     /// `cost / weight`, in tag units.
     step: Tag,
     finish: Tag,
-    /// Start tag of the head task while the team has work waiting.
+    /// Start tag of the head task while the team has pending tasks.
     head: Option<Tag>,
 }
 
@@ -28,15 +29,15 @@
 }
 
 impl FairQueue {
-    /// Marks whether a team has work waiting. A team that begins to wait
-    /// gets its head tag here; one that stops loses it, keeping its finish tag.
+    /// Sets whether a team has pending tasks. A team that becomes pending gets its head tag here;
+    /// one that no longer is loses it, keeping its finish tag.
     pub fn set_waiting(&mut self, team: &str, waiting: bool, cost: f64, weight: f64) {
         let v = self.virtual_time;
         let t = match self.teams.get_mut(team) {
             Some(t) => t,
             None => self.teams.entry(team.to_owned()).or_default(),
         };
-        t.step = (cost / weight * UNIT).max(1.0) as Tag;
+        t.step = (cost / weight * TAGS_PER_COST_UNIT).max(1.0) as Tag;
         match (waiting, t.head) {
             (true, None) => t.head = Some(v.max(t.finish)),
             (false, Some(_)) => t.head = None,
@@ -44,8 +45,8 @@
         }
     }
 
-    /// The waiting teams, smallest start tag first; ties go by name, so that
-    /// the order never depends on chance.
+    /// The pending teams, smallest start tag first; ties are broken by name, so that the order is
+    /// deterministic.
     pub fn order(&self) -> Vec<(Tag, String)> {
         let mut v: Vec<(Tag, String)> =
             self.teams.iter().filter_map(|(n, t)| t.head.map(|h| (h, n.clone()))).collect();
@@ -53,7 +54,7 @@
         v
     }
 
-    /// The head task of `team` was served.
+    /// Serves the head task of `team`: advances the virtual time and the team's tags.
     pub fn serve(&mut self, team: &str) {
         if let Some(t) = self.teams.get_mut(team)
             && let Some(head) = t.head
@@ -82,7 +83,7 @@
 
     #[test]
     fn serve_orders() {
-        // (weights of the waiting teams, teams at their limit, order served)
+        // (weights of the pending teams, teams at their limit; order served)
         let cases: [(&[(&str, f64)], &str, &str); 5] = [
             (&[("a", 1.0)], "", "aaaaaa"),
             (&[("a", 1.0), ("b", 1.0)], "", "ababab"),
@@ -100,13 +101,13 @@
     }
 
     #[test]
-    fn a_late_light_team_is_served_next_and_earns_no_arrears() {
+    fn a_late_light_team_is_served_next_without_credit_for_its_absence() {
         let mut q = FairQueue::default();
         q.set_waiting("heavy", true, 1.0, 1.0);
         run(&mut q, 100, |_| true);
         q.set_waiting("light", true, 1.0, 1.0);
         // The virtual time (99) lies below heavy's head (100): light goes first,
-        // then they alternate; light gets no credit for the time it was away.
+        // then they alternate; light gets no credit for the time before it was pending.
         assert_eq!(run(&mut q, 5, |_| true), "lightheavylightheavylight");
     }
 
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -1,11 +1,11 @@
-//! What to rent: the cheapest machines that fit what waits.
+//! The scale-out plan: the cheapest machines for the pending tasks.
 use super::placement::{self, Candidate};
 use gorseshore_protocol::ids::Resources;
 use gorseshore_protocol::job::{JobSpec, Kind};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// A machine that can be had.
+/// A kind of machine that the cloud offers.
 #[derive(Debug, Clone)]
 pub struct Offer {
     /// Type.
@@ -16,15 +16,15 @@
     pub spot: bool,
     /// Size.
     pub size: Resources,
-    /// Price an hour.
+    /// Price per hour.
     pub price: f64,
-    /// It was refused just now.
+    /// The cloud refused it recently.
     pub refused: bool,
-    /// Usual boot time in seconds.
+    /// Usual boot time, in seconds.
     pub boot_s: f64,
 }
 
-/// Room on a machine that is there or booting.
+/// Free capacity of a machine that is up or booting.
 #[derive(Debug, Clone)]
 pub struct MachineCapacity {
     /// Type.
@@ -35,30 +35,30 @@
     pub spot: bool,
     /// Size.
     pub size: Resources,
-    /// Free room.
+    /// Free resources.
     pub free: Resources,
-    /// CPUs that work of lower priority takes, which replicas may stop.
+    /// CPUs, in thousandths, of lower-priority tasks that replicas may preempt.
     pub preemptible_cpu: u64,
 }
 
-/// Waiting tasks of a job.
+/// Pending tasks of a job.
 #[derive(Debug, Clone)]
 pub struct Demand {
     /// Job.
     pub spec: Rc<JobSpec>,
-    /// Tasks that wait.
+    /// Number of pending tasks.
     pub pending_tasks: u32,
-    /// Nothing of it runs, and it has waited for long: what others run on
-    /// doesn't help it.
+    /// None of its tasks runs and it has waited for long, so that capacity taken by other jobs
+    /// does not help it: machines are rented for it even when the backlog needs none.
     pub starved: bool,
-    /// Nothing of it runs, and it has waited for a while: where no spot machine
-    /// can be had, it may get one of `Policy::on_demand_for_arrays`.
+    /// None of its tasks runs and it has waited for a while: if no spot machine is available, it
+    /// may get one of `ScalingPolicy::on_demand_for_arrays`.
     pub on_demand_allowed: bool,
     /// The job's tasks on machines, by zone.
     pub zones: BTreeMap<String, u32>,
 }
 
-/// Machines to rent.
+/// A kind of machine to rent.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RentalKind {
     /// Type.
@@ -69,45 +69,45 @@
     pub spot: bool,
 }
 
-/// What the plan goes by.
+/// Targets and bounds of a scale-out plan.
 #[derive(Debug, Clone)]
 pub struct ScalingPolicy {
-    /// Array work that waits should be through in this time.
+    /// Time, in seconds, in which the backlog of array tasks should complete.
     pub drain_s: f64,
-    /// Array tasks on machines now.
+    /// Number of array tasks on machines now.
     pub running_arrays: f64,
-    /// Most machines to add.
+    /// Maximum number of machines to add.
     pub max_new: usize,
-    /// Ordinary machines that may be added for arrays that could run on spot
-    /// ones, while there are none of these.
+    /// On-demand machines that may be added for arrays that could run on spot machines, while
+    /// none of those is available.
     pub on_demand_for_arrays: usize,
-    /// CPUs of room for replicas that should be there in each zone, in
-    /// thousandths: those that come don't wait for a machine to boot.
+    /// Spare CPUs for replicas by zone, in thousandths, so that new replicas do not wait for a
+    /// machine to boot.
     pub spare: BTreeMap<String, u64>,
 }
 
-/// Decides what to rent; `demands` come in the order in which they are served.
+/// Decides how many machines of each kind to rent; `demands` are in service order.
 pub fn plan(
-    mut rooms: Vec<MachineCapacity>,
+    mut machines: Vec<MachineCapacity>,
     demands: &[Demand],
     offers: &[Offer],
     policy: &ScalingPolicy,
 ) -> BTreeMap<RentalKind, u32> {
-    let mut wants = BTreeMap::new();
+    let mut rentals = BTreeMap::new();
     let mut added = 0;
-    // Tasks that find room on what is there or booting.
+    // Places tasks on machines that are up or booting; the rest are unmet.
     let mut unmet: Vec<(Rc<JobSpec>, u32, BTreeMap<String, u32>, bool, bool)> = Vec::new();
     let mut placed_arrays = 0.0;
     let mut zone_cpu: BTreeMap<String, u64> = BTreeMap::new();
-    for r in rooms.iter().filter(|r| !r.spot) {
-        *zone_cpu.entry(r.zone.clone()).or_default() += r.size.cpu;
+    for m in machines.iter().filter(|m| !m.spot) {
+        *zone_cpu.entry(m.zone.clone()).or_default() += m.size.cpu;
     }
-    rooms.retain(|r| r.free.cpu > 0 || r.preemptible_cpu > 0 && !r.spot);
-    let mut nowhere = UnplaceableNeeds::default();
+    machines.retain(|m| m.free.cpu > 0 || m.preemptible_cpu > 0 && !m.spot);
+    let mut unplaceable = UnplaceableNeeds::default();
     for d in demands {
         let mut zones = d.zones.clone();
-        let left =
-            d.pending_tasks - fill(&mut rooms, &zone_cpu, &mut nowhere, &d.spec, &mut zones, d.pending_tasks);
+        let left = d.pending_tasks
+            - place_tasks(&mut machines, &zone_cpu, &mut unplaceable, &d.spec, &mut zones, d.pending_tasks);
         if d.spec.kind == Kind::Array {
             placed_arrays += (d.pending_tasks - left) as f64;
         }
@@ -116,15 +116,15 @@
             unmet.push((d.spec.clone(), left, zones, d.starved && whole, d.on_demand_allowed && whole));
         }
     }
-    // Arrays share what is there: rent only what the backlog needs to be
-    // through in time.
+    // Arrays share the existing machines: only the slots that the backlog needs to complete
+    // within `drain_s` are rented.
     let work: f64 = unmet
         .iter()
         .filter(|(s, ..)| s.kind == Kind::Array)
         .map(|(s, n, ..)| *n as f64 * s.estimate_s.max(1.0))
         .sum();
     let mut slots = (work / policy.drain_s).ceil() - policy.running_arrays - placed_arrays;
-    let mut ordinary_left = policy.on_demand_for_arrays;
+    let mut on_demand_left = policy.on_demand_for_arrays;
     for (spec, mut left, mut zones, starved, on_demand_allowed) in unmet {
         if spec.kind == Kind::Array {
             if slots <= 0.0 && !starved {
@@ -133,33 +133,33 @@
             left = left.min(slots.ceil().max(1.0) as u32);
             slots -= left as f64;
         }
-        // Work that may run on spot machines is not worth an ordinary one: it
-        // waits for the next spot machine, or fills the room that replicas leave.
+        // An array that may run on spot machines does not justify an on-demand machine: it waits
+        // for the next spot machine, or uses capacity that replicas leave free.
         let spot_only = spec.kind == Kind::Array
             && offers.iter().any(|o| o.spot && spec.allows(&o.machine_type, &o.zone, true, &o.size));
-        left -= fill(&mut rooms, &zone_cpu, &mut nowhere, &spec, &mut zones, left);
-        // Unless it is starved: then a few.
-        let dry = spot_only
+        left -= place_tasks(&mut machines, &zone_cpu, &mut unplaceable, &spec, &mut zones, left);
+        // After a while, it may get a few if no spot machine is available.
+        let spot_unavailable = spot_only
             && on_demand_allowed
             && offers
                 .iter()
                 .all(|o| !o.spot || o.refused || !spec.allows(&o.machine_type, &o.zone, true, &o.size));
         while left > 0 && added < policy.max_new {
-            let ordinary = !spot_only || dry && ordinary_left > 0;
+            let on_demand = !spot_only || spot_unavailable && on_demand_left > 0;
             let best = offers
                 .iter()
                 .filter(|o| !o.refused && spec.allows(&o.machine_type, &o.zone, o.spot, &o.size))
-                .filter(|o| o.spot || ordinary)
+                .filter(|o| o.spot || on_demand)
                 .filter(|o| zone_allows_task(&spec, &o.zone, &zones))
                 .map(|o| {
-                    let k = o.size.count(&spec.need, 10_000).max(1);
-                    let used = k.min((left as u64).max(k.div_ceil(4)));
+                    let fitting = o.size.count(&spec.need, 10_000).max(1);
+                    let used = fitting.min((left as u64).max(fitting.div_ceil(4)));
                     (o.price * (1.0 + o.boot_s / 120.0) / used as f64, o)
                 })
                 .min_by(|a, b| a.0.total_cmp(&b.0));
             let Some((_, o)) = best else { break };
-            ordinary_left -= (dry && !o.spot) as usize;
-            let mut room = MachineCapacity {
+            on_demand_left -= (spot_unavailable && !o.spot) as usize;
+            let mut machine = MachineCapacity {
                 machine_type: o.machine_type.clone(),
                 zone: o.zone.clone(),
                 spot: o.spot,
@@ -167,10 +167,10 @@
                 free: o.size,
                 preemptible_cpu: 0,
             };
-            left -= put(&mut room, &spec, &mut zones, left);
-            nowhere.forget();
-            rooms.push(room);
-            *wants
+            left -= place_on(&mut machine, &spec, &mut zones, left);
+            unplaceable.clear();
+            machines.push(machine);
+            *rentals
                 .entry(RentalKind {
                     machine_type: o.machine_type.clone(),
                     zone: o.zone.clone(),
@@ -181,25 +181,25 @@
         }
     }
     for (zone, target) in &policy.spare {
-        let ordinary = rooms.iter().filter(|r| !r.spot && r.zone == *zone);
-        let mut there: u64 = ordinary.map(|r| r.free.cpu + r.preemptible_cpu).sum();
-        while there < *target && added < policy.max_new {
-            let gap = (target - there) as f64;
+        let on_demand = machines.iter().filter(|m| !m.spot && m.zone == *zone);
+        let mut spare: u64 = on_demand.map(|m| m.free.cpu + m.preemptible_cpu).sum();
+        while spare < *target && added < policy.max_new {
+            let gap = (target - spare) as f64;
             let cost = |o: &Offer| o.price * (1.0 + o.boot_s / 120.0) / gap.min(o.size.cpu as f64);
-            // A machine several times the target is no price for waiting less.
-            let fair = 1..=2 * target;
+            // A machine of more than twice the target costs more than the shorter wait is worth.
+            let allowed_cpu = 1..=2 * target;
             let here = offers
                 .iter()
-                .filter(|o| !o.refused && !o.spot && o.zone == *zone && fair.contains(&o.size.cpu));
+                .filter(|o| !o.refused && !o.spot && o.zone == *zone && allowed_cpu.contains(&o.size.cpu));
             let Some(o) = here.min_by(|a, b| cost(a).total_cmp(&cost(b))) else { break };
-            there += o.size.cpu;
-            *wants
+            spare += o.size.cpu;
+            *rentals
                 .entry(RentalKind { machine_type: o.machine_type.clone(), zone: zone.clone(), spot: false })
                 .or_default() += 1;
             added += 1;
         }
     }
-    wants
+    rentals
 }
 
 /// Whether another task of the job may go to `zone`.
@@ -209,8 +209,8 @@
     !(spec.one_zone && elsewhere) && here < spec.zone_cap()
 }
 
-/// Needs that no room fits: as rooms only get smaller, a task that takes as much
-/// or more need not be tried.
+/// Resource requests that no machine fits. Free capacity only shrinks until a machine is added, so
+/// a task that requests as much or more is not tried.
 #[derive(Debug, Default)]
 struct UnplaceableNeeds(Vec<Resources>);
 
@@ -222,34 +222,34 @@
         self.0.retain(|n| !n.fits(&need));
         self.0.push(need);
     }
-    /// Room was added.
-    fn forget(&mut self) {
+    /// A machine was added.
+    fn clear(&mut self) {
         self.0.clear();
     }
 }
 
-/// Puts up to `left` tasks of the job where there is room, the best first; how
-/// many found some.
-fn fill(
-    rooms: &mut [MachineCapacity],
+/// Places up to `left` tasks of the job on machines with free capacity, the best machine first;
+/// returns the number placed.
+fn place_tasks(
+    machines: &mut [MachineCapacity],
     zone_cpu: &BTreeMap<String, u64>,
-    nowhere: &mut UnplaceableNeeds,
+    unplaceable: &mut UnplaceableNeeds,
     spec: &JobSpec,
     zones: &mut BTreeMap<String, u32>,
     left: u32,
 ) -> u32 {
-    if nowhere.covers(&spec.need) {
+    if unplaceable.covers(&spec.need) {
         return 0;
     }
-    if !rooms.iter().any(|r| r.free.fits(&spec.need)) {
-        nowhere.add(spec.need);
+    if !machines.iter().any(|m| m.free.fits(&spec.need)) {
+        unplaceable.add(spec.need);
         return 0;
     }
     let zone_cpu = |z: &str| match spec.kind {
         Kind::Service => zone_cpu.get(z).copied().unwrap_or(0),
         Kind::Array => 0,
     };
-    let mut order: Vec<(placement::Score, usize)> = rooms
+    let mut order: Vec<(placement::Score, usize)> = machines
         .iter()
         .enumerate()
         .filter(|(_, r)| r.free.fits(&spec.need))
@@ -272,23 +272,28 @@
         if placed == left {
             break;
         }
-        placed += put(&mut rooms[i], spec, zones, left - placed);
+        placed += place_on(&mut machines[i], spec, zones, left - placed);
     }
     placed
 }
 
-/// Puts up to `left` tasks of the job into one room.
-fn put(room: &mut MachineCapacity, spec: &JobSpec, zones: &mut BTreeMap<String, u32>, left: u32) -> u32 {
-    if !zone_allows_task(spec, &room.zone, zones) {
+/// Places up to `left` tasks of the job on one machine; returns the number placed.
+fn place_on(
+    machine: &mut MachineCapacity,
+    spec: &JobSpec,
+    zones: &mut BTreeMap<String, u32>,
+    left: u32,
+) -> u32 {
+    if !zone_allows_task(spec, &machine.zone, zones) {
         return 0;
     }
-    let here = zones.get(&room.zone).copied().unwrap_or(0);
-    let n = (room.free.count(&spec.need, left as u64) as u32).min(spec.zone_cap().saturating_sub(here));
+    let here = zones.get(&machine.zone).copied().unwrap_or(0);
+    let n = (machine.free.count(&spec.need, left as u64) as u32).min(spec.zone_cap().saturating_sub(here));
     for _ in 0..n {
-        room.free = room.free.minus(spec.need);
+        machine.free = machine.free.minus(spec.need);
     }
     if n > 0 {
-        *zones.entry(room.zone.clone()).or_default() += n;
+        *zones.entry(machine.zone.clone()).or_default() += n;
     }
     n
 }
@@ -330,14 +335,14 @@
     }
 
     #[test]
-    fn a_few_ordinary_machines_where_spot_ones_are_sold_out() {
+    fn rents_a_few_on_demand_machines_while_spot_is_sold_out() {
         let offer = |zone, spot, refused| Offer { refused, ..offer("small", zone, spot, 4.0, 0.1) };
-        // (may be had, has waited, machines allowed; rented)
+        // (offers, has waited, on-demand machines allowed; machines rented)
         let cases = [
             (vec![offer("a", false, false), offer("a", true, true)], true, 2, 2),
             (vec![offer("a", false, false), offer("a", true, true)], true, 0, 0),
             (vec![offer("a", false, false), offer("a", true, true)], false, 2, 0),
-            // A spot machine may come elsewhere.
+            // A spot machine is available in another zone.
             (vec![offer("a", false, false), offer("a", true, true), offer("b", true, false)], true, 2, 8),
         ];
         for (i, (offers, on_demand_allowed, allowed, want)) in cases.into_iter().enumerate() {
@@ -358,15 +363,15 @@
         ];
         let want =
             |b: &str, z: &str, s, n| (RentalKind { machine_type: b.into(), zone: z.into(), spot: s }, n);
-        // (demands, array tasks running, rented)
+        // (demands, array tasks running; machines rented)
         let cases = [
             (vec![], 0.0, vec![]),
             (vec![demand("array", 2, 4.0, true, false)], 0.0, vec![want("small", "a", true, 2)]),
             (vec![demand("array", 64, 4.0, true, false)], 0.0, vec![want("big", "a", true, 4)]),
-            // Running tasks end soon: a small backlog waits for them.
+            // Running tasks complete soon: a small backlog waits for them.
             (vec![demand("array", 10, 4.0, true, false)], 20.0, vec![]),
             (vec![demand("standing", 1, 2.0, false, false)], 99.0, vec![want("small", "a", false, 1)]),
-            // Spread: one of two per zone.
+            // Spread: one of the two tasks in each zone.
             (
                 vec![demand("standing", 2, 2.0, false, true)],
                 0.0,
@@ -388,7 +393,7 @@
     }
 
     #[test]
-    fn a_job_that_nothing_there_fits_is_not_left_waiting() {
+    fn rents_for_a_starved_job_that_no_machine_fits() {
         let offers = [offer("small", "a", false, 4.0, 0.16)];
         let policy = policy(100.0, BTreeMap::new());
         for (starved, machines) in [(false, 0), (true, 1)] {
@@ -400,39 +405,39 @@
     }
 
     #[test]
-    fn room_for_replicas_that_come_is_rented_ahead() {
+    fn rents_spare_capacity_for_replicas_ahead() {
         let offers = [
             offer("small", "a", false, 4.0, 0.16),
             offer("big", "a", false, 64.0, 2.0),
             offer("small", "a", true, 4.0, 0.04),
             offer("small", "b", false, 4.0, 0.16),
         ];
-        let room = |free: f64, lent: u64, spot| MachineCapacity {
+        let machine = |free: f64, preemptible_cpu: u64, spot| MachineCapacity {
             machine_type: "big".into(),
             zone: "a".into(),
             spot,
             size: offers[1].size,
             free: Resources::have(free, 0.0, 64.0),
-            preemptible_cpu: lent,
+            preemptible_cpu,
         };
-        // (room there, target in CPUs, machines rented in zone a by type)
+        // (machines, target in CPUs; machines rented in zone a by type)
         let cases: [(Vec<MachineCapacity>, u64, &[(&str, u32)]); 6] = [
             (vec![], 0, &[]),
             (vec![], 6, &[("small", 2)]),
-            (vec![room(6.0, 0, false)], 6, &[]),
-            // Batch work gives way to replicas; spot machines don't hold them.
-            (vec![room(0.0, 6000, false)], 6, &[]),
-            (vec![room(6.0, 6000, true)], 6, &[("small", 2)]),
+            (vec![machine(6.0, 0, false)], 6, &[]),
+            // Replicas preempt batch tasks, but do not run on spot machines.
+            (vec![machine(0.0, 6000, false)], 6, &[]),
+            (vec![machine(6.0, 6000, true)], 6, &[("small", 2)]),
             (vec![], 60, &[("big", 1)]),
         ];
-        for (rooms, target, want) in cases {
+        for (machines, target, want) in cases {
             let spare = BTreeMap::from([("a".to_owned(), target * 1000)]);
             let policy = policy(0.0, spare);
-            let got = plan(rooms, &[], &offers, &policy);
+            let got = plan(machines, &[], &offers, &policy);
             let got: Vec<(&str, u32)> = got.iter().map(|(w, n)| (w.machine_type.as_str(), *n)).collect();
             assert_eq!(got, want, "{target}");
         }
-        // Nothing several times too big where the right size is refused.
+        // No machine several times the target is rented when the right size is refused.
         let refused = [Offer { refused: true, ..offers[0].clone() }, offers[1].clone()];
         let spare = BTreeMap::from([("a".to_owned(), 6000)]);
         let policy = policy(0.0, spare);
@@ -440,9 +445,9 @@
     }
 
     #[test]
-    fn booting_room_counts() {
+    fn capacity_of_booting_machines_counts() {
         let o = [offer("small", "a", true, 4.0, 0.04)];
-        let room = MachineCapacity {
+        let machine = MachineCapacity {
             machine_type: "small".into(),
             zone: "a".into(),
             spot: true,
@@ -452,6 +457,6 @@
         };
         let policy = policy(0.0, BTreeMap::new());
         let d = [demand("array", 1, 4.0, true, false)];
-        assert!(plan(vec![room], &d, &o, &policy).is_empty());
+        assert!(plan(vec![machine], &d, &o, &policy).is_empty());
     }
 }
--- a/crates/core/src/limits.rs
+++ b/crates/core/src/limits.rs
@@ -1,31 +1,31 @@
-//! Limits of the state service that every writer keeps to.
+//! Limits of the state service that all writers keep to.
 use gorseshore_settings::StateLimits;
 use serde_json::Value;
 
-/// Bytes of a value counted for one KiB of the settings. Fewer than 1,024, for
-/// what may be counted beside the text itself.
+/// Bytes of a value counted as one KiB of the settings. Fewer than 1,024, because the service may
+/// count more than the text itself.
 const BYTES_PER_KB: f64 = 1000.0;
 
-/// Conditions that a transaction may have for each change that it may have.
+/// Preconditions that a transaction may have for each change that it may have.
 const CONDITIONS_PER_CHANGE: usize = 4;
 
-/// What a single change, transaction and second may hold, now and after the
-/// limits that are announced: a writer that keeps to them need not know which
-/// of the two are in force.
+/// Bounds on a single change, on a transaction and on the requests and writes per second, for the
+/// present and the announced limits together: a writer that keeps to them need not know which of
+/// the two are in force.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StoreLimits {
-    /// Longest value, in bytes of its JSON text; see [`StoreLimits::fits`].
+    /// Maximum length of a value, in bytes of its JSON text; see [`StoreLimits::fits`].
     pub value_bytes: usize,
-    /// Most puts and removals in a transaction.
+    /// Maximum puts and removals in a transaction.
     pub txn_ops: usize,
-    /// Requests a second.
+    /// Requests per second.
     pub requests_per_s: f64,
-    /// Puts and removals a second.
+    /// Puts and removals per second.
     pub writes_per_s: f64,
 }
 
 impl StoreLimits {
-    /// From the platform's settings: the smaller of the limits now and next.
+    /// The smaller of the present and the announced limits in the platform's settings.
     pub fn new(settings: &StateLimits) -> Self {
         let effective = settings.effective();
         StoreLimits {
@@ -36,19 +36,19 @@
         }
     }
 
-    /// Most conditions in a transaction.
+    /// Maximum preconditions in a transaction.
     pub fn txn_conditions(&self) -> usize {
         self.txn_ops * CONDITIONS_PER_CHANGE
     }
 
-    /// Whether a value may be written.
+    /// Whether a value is short enough to be written.
     pub fn fits(&self, value: &Value) -> bool {
         value_len(value) <= self.value_bytes
     }
 }
 
-/// The length of a value's JSON text, with a space after each separator: the
-/// service may keep it so.
+/// Length of a value's JSON text, with a space after each separator, because the service may store
+/// it in that form.
 pub fn value_len(value: &Value) -> usize {
     match value {
         Value::Array(items) => 2 + items.iter().map(|item| value_len(item) + 2).sum::<usize>(),
@@ -57,7 +57,7 @@
     }
 }
 
-/// The same for a field of an object, with its name and separators.
+/// Length of an object's field with its name and separators.
 fn field_len((name, value): (&String, &Value)) -> usize {
     Value::from(name.as_str()).to_string().len() + 2 + value_len(value) + 2
 }
@@ -88,7 +88,7 @@
     }
 
     #[test]
-    fn the_smaller_limits_are_kept_to() {
+    fn the_smaller_of_present_and_announced_limits_apply() {
         let settings = |next: Value| {
             let block = json!({"rps": 100.0, "write_rps": 15.0, "value_kb": 4.0, "txn_ops": 8, "next": next});
             StoreLimits::new(&StateLimits::deserialize(block).unwrap())
--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -1,8 +1,8 @@
-//! Where a task goes.
+//! Scores machines for the placement of a task.
 use gorseshore_protocol::ids::Resources;
 use gorseshore_protocol::job::{JobSpec, Kind};
 
-/// A machine as placement sees it.
+/// The attributes of a machine that placement uses.
 #[derive(Debug, Clone, Copy)]
 pub struct Candidate<'a> {
     /// Type.
@@ -13,19 +13,19 @@
     pub spot: bool,
     /// Size.
     pub size: &'a Resources,
-    /// Free room.
+    /// Free resources.
     pub free: Resources,
-    /// It has the task's image.
+    /// Whether it has the task's image.
     pub has_image: bool,
-    /// Ordinary CPUs in its zone, in thousandths.
+    /// CPUs of on-demand machines in its zone, in thousandths.
     pub zone_cpu: u64,
 }
 
-/// Smaller is better.
+/// Score of a machine for a task; smaller is better.
 pub type Score = (u64, u8, u64, u8, u64);
 
-/// How well a machine suits, smaller is better; `None` if it may not or can't
-/// hold the task.
+/// Scores a machine for a task of the job; `None` if the job does not allow the machine, the task
+/// does not fit, or the machine is not in `zone`.
 pub fn score(spec: &JobSpec, c: &Candidate<'_>, zone: Option<&str>) -> Option<Score> {
     if !spec.allows(c.machine_type, c.zone, c.spot, c.size) || !c.free.fits(&spec.need) {
         return None;
@@ -33,20 +33,20 @@
     if zone.is_some_and(|z| z != c.zone) {
         return None;
     }
-    // Work that may be interrupted keeps off ordinary machines while spot ones
-    // have room: replicas need them. A machine with the image saves the fetch;
-    // among equals the fullest one is filled up.
-    let kind = (spec.spot && !c.spot) as u8;
+    // Interruptible tasks avoid on-demand machines while spot machines have free capacity, because
+    // replicas need those. A machine with the image saves the fetch. Among equals, the machine
+    // with the fewest CPUs left is filled first.
+    let on_demand = (spec.spot && !c.spot) as u8;
     let left = c.free.minus(spec.need).cpu;
     let fetch = !c.has_image as u8;
-    // What the job prefers comes before the fetch, but no array takes room on
-    // ordinary machines for it.
-    let dislike = spec.dislike(c.machine_type, c.zone);
+    // The job's preferences come before the fetch, but no array takes an on-demand machine because
+    // of them.
+    let penalty = spec.dislike(c.machine_type, c.zone);
     Some(match spec.kind {
-        // Replicas keep to the zone with the most ordinary machines: those of
-        // spread jobs need the room in the others.
-        Kind::Service => (dislike, fetch, u64::MAX - c.zone_cpu, kind, left),
-        Kind::Array => (0, kind, dislike, fetch, left),
+        // Replicas go to the zone with the most on-demand CPUs: the replicas of spread jobs need
+        // the capacity in the other zones.
+        Kind::Service => (penalty, fetch, u64::MAX - c.zone_cpu, on_demand, left),
+        Kind::Array => (0, on_demand, penalty, fetch, left),
     })
 }
 
@@ -69,7 +69,7 @@
     }
 
     #[test]
-    fn the_best_machine_is_taken() {
+    fn the_machine_with_the_smallest_score_is_taken() {
         let size = Resources::have(8.0, 0.0, 32.0);
         let c = |zone, spot, cpus: f64, image| Candidate {
             machine_type: "b",
@@ -80,7 +80,7 @@
             has_image: image,
             zone_cpu: 0,
         };
-        // (changes to the job, zone asked for, machines, the one taken)
+        // (changes to the job, required zone, machines; index of the best one)
         let cases = [
             ("{}", None, vec![c("a", true, 8.0, false), c("a", true, 2.0, false)], Some(1)),
             ("{}", None, vec![c("a", false, 2.0, true), c("a", true, 8.0, false)], Some(1)),
