--- a/crates/core/src/leader/autoscaling.rs
+++ b/crates/core/src/leader/autoscaling.rs
@@ -14,7 +14,7 @@
 /// rented within `SPOT_SOLD_OUT_WINDOW`.
 const PENDING_PER_SPOT_RENTAL: usize = 4;
 /// While spot machines have more than one CPU for this many CPUs of on-demand machines, they do
-/// not count as sold out: pending arrays get their turn on them. A small deployment has only a
+/// not count as sold out: pending arrays are served on them. A small deployment has only a
 /// few spot machines at any time.
 const ON_DEMAND_TO_SPOT_CPU_RATIO: u64 = 10;
 
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Applies the result of a rental request: the rented machines, a refusal (`Some` of an empty
+    /// Applies the result of a scale-out request: the rented machines, a refusal (`Some` of an empty
     /// slice), or an unknown result (`None`).
     pub fn rental_finished(
         &mut self,
@@ -366,7 +366,7 @@
         zones.into_iter().map(|z| (z.clone(), least.max(largest).max(expected))).collect()
     }
 
-    /// Creates rental requests for the pending tasks.
+    /// Creates scale-out requests for the pending tasks.
     pub(super) fn plan_scale_out(&mut self, flavors: &[Flavor], now: Micros) {
         let open = scaling_limits::max_open_rentals(self.ctx.cloud_rps);
         if self.hires.len() >= open {
@@ -400,7 +400,7 @@
                 }
             }
         }
-        let mut rooms: Vec<MachineCapacity> = self
+        let mut capacities: Vec<MachineCapacity> = self
             .machines
             .values()
             .filter(|m| m.draining.is_none() && m.warning.is_none() && !self.health.is_closed(&m.zone))
@@ -424,7 +424,7 @@
             if let Some(f) = flavors.iter().find(|f| f.sku == r.machine_type) {
                 let size = Resources::have(f.cpus, f.gpus, f.memory_gb);
                 for _ in 0..r.count {
-                    rooms.push(MachineCapacity {
+                    capacities.push(MachineCapacity {
                         machine_type: r.machine_type.clone(),
                         zone: r.zone.clone(),
                         spot: r.spot,
@@ -466,7 +466,7 @@
                 },
             ));
         }
-        list.sort_by_key(|(rank, order, d)| (std::cmp::Reverse(*rank), *order, d.spec.id));
+        list.sort_by_key(|(priority, order, d)| (std::cmp::Reverse(*priority), *order, d.spec.id));
         let mut demands: Vec<Demand> = list.into_iter().map(|x| x.2).collect();
         self.cap_demand_to_team_limits(&mut demands);
         let policy = ScalingPolicy {
@@ -487,7 +487,7 @@
         }
         // A closed zone is probed with a few machines, and only if the plan over all zones would
         // rent machines there.
-        let mut wants = BTreeMap::new();
+        let mut rentals = BTreeMap::new();
         if self.health.any_closed() {
             let (closed, open): (Vec<Offer>, Vec<Offer>) =
                 offers.iter().cloned().partition(|o| self.health.is_closed(&o.zone));
@@ -495,26 +495,26 @@
             let mut left: BTreeMap<String, u32> =
                 zones.into_iter().filter_map(|z| Some((z.clone(), self.probes_left(z, now)?))).collect();
             if left.values().any(|n| *n > 0) {
-                for (w, n) in fleet::plan(rooms.clone(), &demands, &offers, &policy) {
+                for (w, n) in fleet::plan(capacities.clone(), &demands, &offers, &policy) {
                     let Some(left) = left.get_mut(&w.zone).filter(|l| **l > 0) else { continue };
                     let n = n.min(*left);
                     *left -= n;
-                    wants.insert(w, n);
+                    rentals.insert(w, n);
                 }
             }
             offers = open;
         }
-        wants.extend(fleet::plan(rooms, &demands, &offers, &policy));
-        for (want, machines) in wants {
-            self.create_scale_out_requests(&want, machines, open, now);
+        rentals.extend(fleet::plan(capacities, &demands, &offers, &policy));
+        for (kind, machines) in rentals {
+            self.create_scale_out_requests(&kind, machines, open, now);
         }
     }
 
-    /// Creates rental requests for machines of one kind: as many as are needed and may be open,
+    /// Creates scale-out requests for machines of one kind: as many as are needed and may be open,
     /// but at least one, so that no kind waits for the others.
     pub(super) fn create_scale_out_requests(
         &mut self,
-        want: &RentalKind,
+        kind: &RentalKind,
         machines: u32,
         open: usize,
         now: Micros,
@@ -526,9 +526,9 @@
             let name = format!("g-{}-{}", self.term, self.hire_count);
             let req = ScaleOutRequest {
                 name: name.clone(),
-                machine_type: want.machine_type.clone(),
-                zone: want.zone.clone(),
-                spot: want.spot,
+                machine_type: kind.machine_type.clone(),
+                zone: kind.zone.clone(),
+                spot: kind.spot,
                 count,
             };
             self.hires.insert(name, (req, ScaleOutStage::Unrecorded, now));
--- a/crates/core/src/leader/capacity_index.rs
+++ b/crates/core/src/leader/capacity_index.rs
@@ -166,9 +166,9 @@
                         zone_cpu,
                     };
                     let Some(score) = placement::score(spec, &c, None) else { continue };
-                    let rank = ((failed, score), id);
-                    if best.as_ref().is_none_or(|b| rank < *b) {
-                        best = Some(rank);
+                    let key = ((failed, score), id);
+                    if best.as_ref().is_none_or(|b| key < *b) {
+                        best = Some(key);
                     }
                 }
             }
@@ -249,12 +249,12 @@
     /// The best machine by a scan of all machines.
     fn by_full_scan(
         machines: &BTreeMap<MachineId, Machine>,
-        rooms: &CapacityIndex,
+        index: &CapacityIndex,
         a: &PlacementQuery<'_>,
     ) -> Option<MachineId> {
         let score = |m: &Machine| {
             let zone_cpu = match a.spec.kind {
-                Kind::Service => rooms.zone_cpu.get(&m.zone).copied().unwrap_or(0),
+                Kind::Service => index.zone_cpu.get(&m.zone).copied().unwrap_or(0),
                 Kind::Array => 0,
             };
             let c = Candidate {
@@ -278,7 +278,7 @@
         let mut rng = fastrand::Rng::with_seed(7);
         let (zones, images) = (["a", "b", "c"], ["i", "j", "k", "l"]);
         let zone_cpu = BTreeMap::from([("a".into(), 9), ("b".into(), 5), ("c".into(), 7)]);
-        let mut rooms = CapacityIndex { zone_cpu, ..CapacityIndex::default() };
+        let mut index = CapacityIndex { zone_cpu, ..CapacityIndex::default() };
         let mut machines: BTreeMap<MachineId, Machine> = BTreeMap::new();
         for i in 0..60 {
             let cpus = [4.0, 8.0, 64.0][rng.usize(0..3)];
@@ -306,23 +306,23 @@
             m.failures = (rng.u32(0..9) == 0) as u32;
             m.images.insert(images[rng.usize(0..4)].into());
             let open = rng.u32(0..7) > 0;
-            rooms.update(id, m, open);
+            index.update(id, m, open);
             let kind = if rng.bool() { "standing" } else { "array" };
             let s = spec(kind, rng.u64(1..9), rng.u64(1..20), images[rng.usize(0..4)], rng.bool());
             let taken = BTreeMap::from([(zones[rng.usize(0..3)].to_owned(), rng.u32(0..6))]);
             let query = PlacementQuery { spec: &s, zones: &taken };
-            let got = rooms.best(&query, |id| Some(machines[id].free()).filter(|f| f.fits(&s.need)));
-            assert_eq!(got, by_full_scan(&machines, &rooms, &query), "step {step}: {s:?}");
-            assert!(got.is_none() || rooms.any_with_cpu(s.need.cpu), "step {step}");
+            let got = index.best(&query, |id| Some(machines[id].free()).filter(|f| f.fits(&s.need)));
+            assert_eq!(got, by_full_scan(&machines, &index, &query), "step {step}: {s:?}");
+            assert!(got.is_none() || index.any_with_cpu(s.need.cpu), "step {step}");
             found += got.is_some() as u32;
         }
         assert!(found > 1000, "{found} found a machine");
         for id in &ids {
-            rooms.remove(id, machines.get_mut(id).unwrap());
+            index.remove(id, machines.get_mut(id).unwrap());
         }
         assert!(
-            !rooms.any_with_cpu(0)
-                && rooms.kinds.iter().all(|k| k.by_cpu.is_empty() && k.by_image.is_empty())
+            !index.any_with_cpu(0)
+                && index.kinds.iter().all(|k| k.by_cpu.is_empty() && k.by_image.is_empty())
         );
     }
 }
--- a/crates/core/src/leader/command_reachability.rs
+++ b/crates/core/src/leader/command_reachability.rs
@@ -65,9 +65,9 @@
     }
 
     /// A controller, the holder or another one (`elsewhere`), received the machine's heartbeat or
-    /// probed it and had a response (`asked`).
-    pub(super) fn contacted_by_other(&mut self, asked: bool, elsewhere: bool, now: Micros) {
-        if asked {
+    /// probed it and had a response (`probed`).
+    pub(super) fn contacted_by_other(&mut self, probed: bool, elsewhere: bool, now: Micros) {
+        if probed {
             self.acknowledged(now, now);
         } else if elsewhere {
             self.unacknowledged_since.get_or_insert(now);
--- a/crates/core/src/leader/intents.rs
+++ b/crates/core/src/leader/intents.rs
@@ -8,7 +8,7 @@
     JobDone(JobId),
     /// Records machines of one kind, so that tasks may start on them.
     Machines(Vec<MachineId>),
-    /// Records the name of a rental request.
+    /// Records the name of a scale-out request.
     ScaleOutName(String),
     /// Records which tasks of a chunk are done.
     Progress(JobId, u32),
@@ -35,7 +35,7 @@
     List(Option<String>),
 }
 
-/// A rental request.
+/// A scale-out request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ScaleOutRequest {
     /// Name of the request. The same name always yields the same machines.
@@ -50,7 +50,7 @@
     pub count: u32,
 }
 
-/// Progress of a rental request.
+/// Progress of a scale-out request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum ScaleOutStage {
     /// Its name is not recorded yet.
--- a/crates/core/src/leader/scaling_limits.rs
+++ b/crates/core/src/leader/scaling_limits.rs
@@ -4,7 +4,7 @@
 
 /// Machines on a page of the cloud's list: the maximum that the cloud returns.
 pub const MAX_MACHINES_PER_LIST_PAGE: usize = 500;
-/// Machines in a rental request: the maximum that the cloud accepts.
+/// Machines in a scale-out request: the maximum that the cloud accepts.
 pub const MAX_MACHINES_PER_RENTAL: u32 = 50;
 /// Machines in a deletion: the maximum that the cloud accepts.
 pub const MAX_MACHINES_PER_DELETION: usize = 100;
@@ -17,7 +17,7 @@
 /// Least bound on the rentals open at a time, for a cloud with a low rate limit.
 const MIN_OPEN_RENTALS: usize = 6;
 /// One scale-out decision may add one machine for each this many existing machines, and always
-/// as many as a rental request holds.
+/// as many as a scale-out request holds.
 const MACHINES_PER_ADDED_MACHINE: usize = 24;
 
 /// Least time between two pages of the cloud's list.
--- a/crates/core/src/leader/schedule.rs
+++ b/crates/core/src/leader/schedule.rs
@@ -170,8 +170,8 @@
         let borrowing = self.ctx.teams.iter().any(|t| t.cpus > 0.0 || t.gpus > 0.0);
         for guaranteed in [true, false].into_iter().filter(|g| borrowing || !g) {
             let mut pass = Pass { guaranteed, preemption: PreemptionCandidates::default(), now };
-            for rank in RANKS {
-                self.serve_priority(rank, &mut pass);
+            for priority in RANKS {
+                self.serve_priority(priority, &mut pass);
             }
         }
     }
@@ -219,10 +219,10 @@
                     false => starved.push((run.ready_ms, id)),
                 }
             }
-            let (rank, cpu) = (run.urgency.rank, run.spec.need.cpu);
-            let least = waiting.min_cpu.entry(rank).or_insert(cpu);
+            let (priority, cpu) = (run.urgency.rank, run.spec.need.cpu);
+            let least = waiting.min_cpu.entry(priority).or_insert(cpu);
             *least = cpu.min(*least);
-            let teams = by_priority.entry(rank).or_default();
+            let teams = by_priority.entry(priority).or_default();
             teams.entry(run.spec.team.clone()).or_default().push((run.queue_key(wall_ms, slots), id));
         }
         for id in begun {
@@ -240,7 +240,8 @@
         let by_team = |teams: BTreeMap<String, Vec<_>>| {
             teams.into_iter().map(|(t, v)| (t, sorted(v))).collect::<BTreeMap<_, _>>()
         };
-        waiting.by_priority = by_priority.into_iter().map(|(rank, teams)| (rank, by_team(teams))).collect();
+        waiting.by_priority =
+            by_priority.into_iter().map(|(priority, teams)| (priority, by_team(teams))).collect();
         waiting
     }
 
@@ -250,10 +251,10 @@
     }
 
     /// Serves the pending jobs of one priority, the team with the smallest start tag first.
-    fn serve_priority(&mut self, rank: Rank, pass: &mut Pass) {
-        let teams = self.waiting.by_priority.get(&rank).cloned().unwrap_or_default();
-        let least = self.waiting.min_cpu.get(&rank).copied().unwrap_or(0);
-        let mut queue = self.queues.remove(&rank).unwrap_or_default();
+    fn serve_priority(&mut self, priority: Rank, pass: &mut Pass) {
+        let teams = self.waiting.by_priority.get(&priority).cloned().unwrap_or_default();
+        let least = self.waiting.min_cpu.get(&priority).copied().unwrap_or(0);
+        let mut queue = self.queues.remove(&priority).unwrap_or_default();
         let cost = self.ctx.operator.task_cost;
         for t in &self.ctx.teams {
             queue.set_waiting(&t.name, teams.contains_key(&t.name), cost, self.weight(&t.name));
@@ -261,8 +262,10 @@
         let mut next: BTreeMap<&str, usize> = BTreeMap::new();
         let mut unservable: BTreeSet<String> = BTreeSet::new();
         let need = Resources { cpu: least, gpu: 0, mem: 0 };
-        let preempts = pass.guaranteed || rank == Rank::Production;
-        'rank: while let Some((_, team)) = queue.order().into_iter().find(|(_, t)| !unservable.contains(t)) {
+        let preempts = pass.guaranteed || priority == Rank::Production;
+        'priority: while let Some((_, team)) =
+            queue.order().into_iter().find(|(_, t)| !unservable.contains(t))
+        {
             let Some((team, list)) = teams.get_key_value(&team) else { break };
             let at = next.entry(team).or_default();
             let mut served = false;
@@ -275,7 +278,7 @@
                 // If neither free CPUs nor preemption can fit the smallest pending task, the
                 // other jobs need no scan.
                 if !(self.rooms.any_with_cpu(least) || preempts && pass.preemption.may_fit(&need)) {
-                    break 'rank;
+                    break 'priority;
                 }
             }
             if served {
@@ -284,7 +287,7 @@
                 unservable.insert(team.clone());
             }
         }
-        self.queues.insert(rank, queue);
+        self.queues.insert(priority, queue);
     }
 
     /// Assigns one task of a job; false if none can start now.
@@ -390,8 +393,9 @@
         self.sums.bound(&run.spec);
         let watched = first_watched(&machines, &run.spec, attempt, &self.machines);
         self.handed.watch(task, watched.as_ref());
-        let handed = Handed { incarnation, machines, hint: hint.clone(), zone, watched };
-        let binding = Binding { attempt, unresolved_assignment: Some(handed), reported_on: BTreeSet::new() };
+        let assignment = Handed { incarnation, machines, hint: hint.clone(), zone, watched };
+        let binding =
+            Binding { attempt, unresolved_assignment: Some(assignment), reported_on: BTreeSet::new() };
         let bound_before = run.bound.insert(task.index, binding);
         if bound_before.is_some() {
             self.violations += 1;
@@ -434,7 +438,7 @@
     ) -> Option<(String, u32)> {
         let (guaranteed, now) = (pass.guaranteed, pass.now);
         let run = self.jobs.get(&id)?;
-        let (spec, rank) = (run.spec.clone(), run.urgency.rank);
+        let (spec, priority) = (run.spec.clone(), run.urgency.rank);
         if pass.preemption.machines.is_none() {
             pass.preemption = self.preemption_candidates(guaranteed, now);
         }
@@ -447,9 +451,9 @@
         }
         let borrowed = if guaranteed { self.borrowed() } else { BTreeMap::new() };
         let mut best: Option<(u64, MachineId, Vec<(TaskId, Attempt)>, u32)> = None;
-        for (mid, _) in candidates.iter().filter(|(_, capacity)| capacity.fits(&spec.need)) {
+        for (machine_id, _) in candidates.iter().filter(|(_, capacity)| capacity.fits(&spec.need)) {
             *scanned += 1;
-            let Some(m) = self.machines.get(mid) else { continue };
+            let Some(m) = self.machines.get(machine_id) else { continue };
             if image && !m.images.contains(&spec.image)
                 || !m.suits(&spec)
                 || !fleet::zone_allows_task(&spec, &m.zone, zones)
@@ -480,7 +484,7 @@
                     break;
                 }
                 let Some(r) = self.jobs.get(&t.job) else { continue };
-                let lower = r.urgency.rank < rank;
+                let lower = r.urgency.rank < priority;
                 let reclaims = r.spec.team != spec.team
                     && reclaimable
                         .get(&r.spec.team)
@@ -498,16 +502,16 @@
             }
             let fitting = free.count(&spec.need, 1000) as u32;
             if fitting > 0 && !chosen.is_empty() && best.as_ref().is_none_or(|(l, ..)| lost < *l) {
-                best = Some((lost, mid.clone(), chosen, fitting));
+                best = Some((lost, machine_id.clone(), chosen, fitting));
             }
         }
-        let (_, mid, chosen, fitting) = best?;
+        let (_, machine_id, chosen, fitting) = best?;
         for (task, attempt) in &chosen {
-            info!("{task}: preempted on {mid} for {id}");
-            self.request_stop(*task, *attempt, &mid, Micros(0), now);
+            info!("{task}: preempted on {machine_id} for {id}");
+            self.request_stop(*task, *attempt, &machine_id, Micros(0), now);
         }
-        let m = self.machines.get_mut(&mid)?;
-        m.kept_for = Some((rank, now + Micros::secs(2)));
+        let m = self.machines.get_mut(&machine_id)?;
+        m.kept_for = Some((priority, now + Micros::secs(2)));
         let here = zones.get(&m.zone).copied().unwrap_or(0);
         Some((m.zone.clone(), fitting.min(spec.zone_cap().saturating_sub(here)).max(1)))
     }
--- a/crates/core/src/leader/starvation.rs
+++ b/crates/core/src/leader/starvation.rs
@@ -49,11 +49,12 @@
             }
             let zones = self.tasks_per_zone(run);
             if let Some(machine) = self.find_machine(run, &zones, now) {
-                let (rank, team, class) = (run.urgency.rank, run.spec.team.clone(), run.spec.class.clone());
+                let (priority, team, class) =
+                    (run.urgency.rank, run.spec.team.clone(), run.spec.class.clone());
                 info!("{id} of class {class} is starved: its first task is assigned before other jobs");
                 self.assign(TaskId { job: *id, index }, machine);
                 let w = self.weight(&team);
-                let queue = self.queues.entry(rank).or_default();
+                let queue = self.queues.entry(priority).or_default();
                 queue.set_waiting(&team, true, self.ctx.operator.task_cost, w);
                 queue.serve(&team);
                 for m in self.machines.values_mut().filter(|m| m.gathers.is_some_and(|(j, _)| j == *id)) {
--- a/crates/core/src/leader/zone_health.rs
+++ b/crates/core/src/leader/zone_health.rs
@@ -120,8 +120,12 @@
         ];
         let mut h = ZoneHealth::default();
         for (at, east, west, want) in steps {
-            let sight = |(up, heard): Seen| ZoneObservation { up, last_contact: heard.map(Micros::secs) };
-            let seen = BTreeMap::from([("east".to_owned(), sight(east)), ("west".to_owned(), sight(west))]);
+            let observation =
+                |(up, heard): Seen| ZoneObservation { up, last_contact: heard.map(Micros::secs) };
+            let seen = BTreeMap::from([
+                ("east".to_owned(), observation(east)),
+                ("west".to_owned(), observation(west)),
+            ]);
             let got: Vec<String> = h
                 .update(&seen, Micros::secs(100), Micros::secs(6), Micros::secs(at))
                 .iter()
