--- a/crates/core/src/leader/autoscaling.rs
+++ b/crates/core/src/leader/autoscaling.rs
@@ -241,11 +241,11 @@
 
     /// Machines that may still be requested in a zone; `None` if it is open, which means no bound.
     fn probes_left(&self, zone: &str, now: Micros) -> Option<u32> {
-        let allowed = self.health.allowed(zone, now)?;
+        let allowance = self.health.probe_allowance(zone, now)?;
         let booting = self.machines.values().filter(|m| m.stage == Stage::Booting && m.zone == zone).count();
         let requested: u32 =
             self.hires.values().filter(|(r, ..)| r.zone == zone).map(|(r, ..)| r.count).sum();
-        Some(allowed.saturating_sub(booting as u32 + requested))
+        Some(allowance.saturating_sub(booting as u32 + requested))
     }
 
     /// Stops tasks that can save a checkpoint before the cloud reclaims their spot machine, and
--- a/crates/core/src/leader/capacity_index.rs
+++ b/crates/core/src/leader/capacity_index.rs
@@ -1,7 +1,7 @@
 //! Index of the machines that accept tasks, ordered by free capacity, so that placement scans
 //! a few machines instead of the whole fleet.
 //!
-//! Invariant: between `Leader::refresh_placement_index` and the end of the scheduling pass, the
+//! Invariant: between `Leader::refresh_capacity_index` and the end of the scheduling pass, the
 //! index contains exactly the machines that accept tasks, each under its current free capacity;
 //! `Leader::assign`, which takes capacity during the pass, updates the entry. Between passes
 //! entries may be stale, and the index is not read.
@@ -179,7 +179,7 @@
 
 impl Leader {
     /// Updates the index with all changes since the last pass.
-    pub(super) fn refresh_placement_index(&mut self, now: Micros) {
+    pub(super) fn refresh_capacity_index(&mut self, now: Micros) {
         let contact = self.contacts(now);
         self.rooms.zone_cpu.values_mut().for_each(|z| *z = 0);
         for (id, m) in self.machines.iter_mut() {
--- a/crates/core/src/leader/job_run.rs
+++ b/crates/core/src/leader/job_run.rs
@@ -1,5 +1,5 @@
 //! The leader's state of one job: progress, failures, and the machines on which its tasks may
-//! be. Invariant: `Run::peek` never returns a task that is bound or done.
+//! be. Invariant: `JobRun::next_pending` never returns a task that is bound or done.
 use super::*;
 
 /// Where an attempt of a task may be. The task is unbound only when no controller can still
@@ -48,8 +48,8 @@
     pub(super) bound: BTreeMap<u32, Binding>,
     /// Tasks to start again after their binding ended.
     pub(super) requeued: BTreeSet<u32>,
-    /// Tasks below this index are bound, done, or in `again`.
-    pub(super) next: u32,
+    /// Tasks below this index are bound, done, or in `requeued`.
+    pub(super) next_index: u32,
     /// No task is assigned before this, after a failure.
     pub(super) retry_at: Micros,
     pub(super) failures: u32,
@@ -67,7 +67,7 @@
     /// Tasks were preempted for the job; until then no more are.
     pub(super) preempt_not_before: Micros,
     /// Until then the job waits for free capacity on a machine that has its image.
-    pub(super) patience: Option<Micros>,
+    pub(super) image_wait_until: Option<Micros>,
     /// The job is done or cancelled: no task is started, but tasks still on machines count.
     pub(super) ended: bool,
     /// Failed attempts by task, for a job with bounded attempts.
@@ -105,7 +105,7 @@
             spec,
             bound: BTreeMap::new(),
             requeued: BTreeSet::new(),
-            next: 0,
+            next_index: 0,
             retry_at: Micros(0),
             failures: 0,
             failed_on: BTreeSet::new(),
@@ -114,7 +114,7 @@
             unrecorded_since: None,
             unrecorded: BTreeSet::new(),
             preempt_not_before: Micros(0),
-            patience: None,
+            image_wait_until: None,
             ended: job.phase != Phase::Active,
             failed_attempts: job.failed.clone(),
             unrecorded_failures: BTreeSet::new(),
@@ -150,7 +150,7 @@
         self.unrecorded.retain(|i| !job.done.contains(*i));
         if spec.tasks != self.spec.tasks {
             // Tasks from the smaller number on are checked again.
-            self.next = self.next.min(spec.tasks).min(self.spec.tasks);
+            self.next_index = self.next_index.min(spec.tasks).min(self.spec.tasks);
             let mut s = JobSpec::clone(&self.spec);
             s.tasks = spec.tasks;
             self.spec = Rc::new(s);
@@ -205,11 +205,11 @@
             }
             self.requeued.remove(&i);
         }
-        while self.next < self.spec.tasks {
-            if !self.done.contains(self.next) && !self.bound.contains_key(&self.next) {
-                return Some(self.next);
+        while self.next_index < self.spec.tasks {
+            if !self.done.contains(self.next_index) && !self.bound.contains_key(&self.next_index) {
+                return Some(self.next_index);
             }
-            self.next += 1;
+            self.next_index += 1;
         }
         None
     }
--- a/crates/core/src/leader/schedule.rs
+++ b/crates/core/src/leader/schedule.rs
@@ -165,7 +165,7 @@
         if self.waiting.by_priority.is_empty() {
             return;
         }
-        self.refresh_placement_index(now);
+        self.refresh_capacity_index(now);
         self.serve_starved(now);
         let borrowing = self.ctx.teams.iter().any(|t| t.cpus > 0.0 || t.gpus > 0.0);
         for guaranteed in [true, false].into_iter().filter(|g| borrowing || !g) {
@@ -267,14 +267,14 @@
             queue.order().into_iter().find(|(_, t)| !unservable.contains(t))
         {
             let Some((team, list)) = teams.get_key_value(&team) else { break };
-            let at = next.entry(team).or_default();
+            let position = next.entry(team).or_default();
             let mut served = false;
-            while let Some(id) = list.get(*at).copied() {
+            while let Some(id) = list.get(*position).copied() {
                 if self.serve_job(id, pass) {
                     served = true;
                     break;
                 }
-                *at += 1;
+                *position += 1;
                 // If neither free CPUs nor preemption can fit the smallest pending task, the
                 // other jobs need no scan.
                 if !(self.rooms.any_with_cpu(least) || preempts && pass.preemption.may_fit(&need)) {
@@ -317,7 +317,11 @@
                 // takes seconds.
                 let preempted = may_preempt && self.preempt_for(id, &zones, true, pass).is_some();
                 if let Some(run) = self.jobs.get_mut(&id) {
-                    run.patience.get_or_insert(if preempted { now + Micros::millis(700) } else { now });
+                    run.image_wait_until.get_or_insert(if preempted {
+                        now + Micros::millis(700)
+                    } else {
+                        now
+                    });
                 }
                 self.dirty = true;
                 false
@@ -420,7 +424,7 @@
         let Some(run) = self.jobs.get(&id) else { return false };
         run.spec.kind == Kind::Service
             && run.spec.rank == Rank::Production
-            && run.patience.is_none_or(|until| now < until)
+            && run.image_wait_until.is_none_or(|until| now < until)
             && self.machines.get(found).is_some_and(|m| !m.images.contains(&run.spec.image))
             && self.machines.values().any(|m| m.images.contains(&run.spec.image))
     }
--- a/crates/core/src/leader/zone_health.rs
+++ b/crates/core/src/leader/zone_health.rs
@@ -1,7 +1,7 @@
 //! Zone health. A zone whose machines have lost contact, while other zones respond, is closed to
 //! renting: a machine rented there would be unreachable too.
 //!
-//! Invariant: while a zone is closed, at most `allowed` machines of it are booting or requested,
+//! Invariant: while a zone is closed, at most `probe_allowance` machines of it are booting or requested,
 //! and never more than `MAX_PROBE_MACHINES`; the first contact with one of its machines opens it.
 use gorseshore_protocol::ids::Micros;
 use std::collections::BTreeMap;
@@ -87,7 +87,7 @@
     }
 
     /// Machines that may boot in a zone; `None` if it is open, which means no bound.
-    pub fn allowed(&self, zone: &str, now: Micros) -> Option<u32> {
+    pub fn probe_allowance(&self, zone: &str, now: Micros) -> Option<u32> {
         let since = self.closed.get(zone)?;
         let steps = now.since(*since).0 / PROBE_DOUBLING_INTERVAL.0;
         Some(1u32.checked_shl(steps.min(31) as u32).unwrap_or(u32::MAX).min(MAX_PROBE_MACHINES))
@@ -137,9 +137,9 @@
             assert_eq!(got, want, "at {at} s");
         }
         // The allowance doubles up to its bound.
-        let allowed: Vec<Option<u32>> =
-            [181, 192, 202, 212, 600].map(|s| h.allowed("west", Micros::secs(s))).to_vec();
-        assert_eq!(allowed, [Some(1), Some(2), Some(4), Some(8), Some(MAX_PROBE_MACHINES)]);
-        assert_eq!(h.allowed("east", Micros::secs(181)), None);
+        let allowances: Vec<Option<u32>> =
+            [181, 192, 202, 212, 600].map(|s| h.probe_allowance("west", Micros::secs(s))).to_vec();
+        assert_eq!(allowances, [Some(1), Some(2), Some(4), Some(8), Some(MAX_PROBE_MACHINES)]);
+        assert_eq!(h.probe_allowance("east", Micros::secs(181)), None);
     }
 }
