--- a/crates/core/src/leader/autoscaling.rs
+++ b/crates/core/src/leader/autoscaling.rs
@@ -10,8 +10,8 @@
 /// Spot machines count as sold out when few were rented within this time, compared with the
 /// pending tasks.
 const SPOT_SOLD_OUT_WINDOW: Micros = Micros::secs(60);
-/// Spot machines are sold out when there are more pending tasks than this for each spot machine
-/// rented within `SPOT_SOLD_OUT_WINDOW`.
+/// Spot machines are sold out when more than this many tasks of long-pending arrays wait for each
+/// spot machine rented within `SPOT_SOLD_OUT_WINDOW`.
 const PENDING_PER_SPOT_RENTAL: usize = 4;
 /// While spot machines have more than one CPU for this many CPUs of on-demand machines, they do
 /// not count as sold out: pending arrays are served on them. A small deployment has only a
@@ -123,11 +123,11 @@
     pub fn rental_finished(
         &mut self,
         req: &ScaleOutRequest,
-        got: Option<&[String]>,
+        result: Option<&[String]>,
         sizes: &Sizes,
         now: Micros,
     ) {
-        let Some(hosts) = got else {
+        let Some(hosts) = result else {
             // Sent again under the same name, for which the cloud returns the same machines.
             if let Some(h) = self.hires.get_mut(&req.name) {
                 h.1 = ScaleOutStage::Recorded;
@@ -283,7 +283,7 @@
     /// spare capacity to keep.
     pub(super) fn delete_idle(&mut self, flavors: &[Flavor], now: Micros) {
         let mut to_delete = Vec::new();
-        let waiting = self.jobs.values().any(|r| !r.ended && !r.held && r.pending_tasks() > 0);
+        let any_pending = self.jobs.values().any(|r| !r.ended && !r.held && r.pending_tasks() > 0);
         // Spare CPUs for new replicas by zone; only on-demand machines count.
         let mut spare: BTreeMap<String, u64> = BTreeMap::new();
         for m in self.machines.values().filter(|m| !m.spot && m.usable()) {
@@ -291,8 +291,8 @@
         }
         let targets = self.spare_cpu_targets(now);
         let least = (self.ctx.operator.spare_cpus * 1000.0) as u64;
-        let list: Vec<MachineId> = self.machines.keys().cloned().collect();
-        for id in list {
+        let ids: Vec<MachineId> = self.machines.keys().cloned().collect();
+        for id in ids {
             let Some(m) = self.machines.get_mut(&id) else { continue };
             match m.stage {
                 Stage::Booting => {
@@ -318,7 +318,7 @@
                         }
                         *s -= m.size.cpu;
                     }
-                    if waiting && idle < self.ctx.operator.idle_return.scale(3, 1) {
+                    if any_pending && idle < self.ctx.operator.idle_return.scale(3, 1) {
                         continue;
                     }
                     to_delete.push((id, "idle"));
@@ -338,11 +338,11 @@
         m.tasks.keys().filter(lower).map(|t| self.jobs[&t.job].spec.need.cpu).sum()
     }
 
-    /// Spare CPUs, in thousandths, to keep in each open zone for new production replicas: at
-    /// least the `spare_cpus` setting, the share of the largest service that one zone may hold,
-    /// and the replicas expected while a machine boots. These are estimated as half of the last
-    /// minute's new replicas, divided among the zones, and are capped at a tenth of the running
-    /// replicas: otherwise a start from nothing would count as the usual rate.
+    /// Spare CPUs, in thousandths, to keep in each open zone for new production replicas: the
+    /// largest of the `spare_cpus` setting, the part of the largest service that one zone may
+    /// hold, and the replicas expected while a machine boots. These are estimated as half of the
+    /// last minute's new replicas, divided among the zones. The estimate never exceeds a tenth of
+    /// the running replicas, because otherwise a start from nothing would count as the usual rate.
     fn spare_cpu_targets(&self, now: Micros) -> BTreeMap<String, u64> {
         let least = (self.ctx.operator.spare_cpus * 1000.0) as u64;
         let all = self.machines.values().map(|m| &m.zone);
@@ -443,23 +443,23 @@
             if r.spec.kind == Kind::Array {
                 running += self.tasks_expected_to_end(r) as f64;
             }
-            let waiting = r.startable_tasks();
+            let startable = r.startable_tasks();
             // A job that fails on every machine gets no more machines. A job with bounded
             // attempts does, and reaches its end sooner.
-            let hopeless = r.failures > 5 && !r.ran_well && r.spec.attempts.is_none();
-            if waiting == 0 || r.ended || r.held || self.may_run_on_unconfirmed_machine(r) || hopeless {
+            let excluded = r.failures > 5 && !r.ran_well && r.spec.attempts.is_none();
+            if startable == 0 || r.ended || r.held || self.may_run_on_unconfirmed_machine(r) || excluded {
                 continue;
             }
             let waited = |ms: u64| r.bound.is_empty() && wall_ms > r.ready_ms + ms;
             let (starved, on_demand_allowed) =
                 (waited(90_000), waited(ON_DEMAND_WAIT_MS) && r.spec.kind == Kind::Array);
-            long_pending_tasks += if on_demand_allowed { waiting as usize } else { 0 };
+            long_pending_tasks += if on_demand_allowed { startable as usize } else { 0 };
             list.push((
                 r.urgency.rank,
                 r.queue_key(wall_ms, slots),
                 Demand {
                     spec: r.spec.clone(),
-                    pending_tasks: waiting,
+                    pending_tasks: startable,
                     starved,
                     on_demand_allowed,
                     zones: self.tasks_per_zone(r),
@@ -495,11 +495,11 @@
             let mut left: BTreeMap<String, u32> =
                 zones.into_iter().filter_map(|z| Some((z.clone(), self.probes_left(z, now)?))).collect();
             if left.values().any(|n| *n > 0) {
-                for (w, n) in fleet::plan(capacities.clone(), &demands, &offers, &policy) {
-                    let Some(left) = left.get_mut(&w.zone).filter(|l| **l > 0) else { continue };
+                for (kind, n) in fleet::plan(capacities.clone(), &demands, &offers, &policy) {
+                    let Some(left) = left.get_mut(&kind.zone).filter(|l| **l > 0) else { continue };
                     let n = n.min(*left);
                     *left -= n;
-                    rentals.insert(w, n);
+                    rentals.insert(kind, n);
                 }
             }
             offers = open;
@@ -554,8 +554,8 @@
             return 0;
         }
         let cpus = |spot| {
-            let there = self.machines.values().filter(|m| m.spot == spot && m.stage == Stage::Up);
-            there.map(|m| m.size.cpu).sum::<u64>()
+            let up = self.machines.values().filter(|m| m.spot == spot && m.stage == Stage::Up);
+            up.map(|m| m.size.cpu).sum::<u64>()
         };
         if cpus(true) * ON_DEMAND_TO_SPOT_CPU_RATIO > cpus(false) {
             return 0;
@@ -588,10 +588,10 @@
             }
             let (cpu, gpu) = self.sums.teams.get(&team.name).copied().unwrap_or_default();
             // 0 means no limit.
-            let of = |max: u64, used: u64| if max == 0 { u64::MAX } else { max.saturating_sub(used) };
+            let remaining = |max: u64, used: u64| if max == 0 { u64::MAX } else { max.saturating_sub(used) };
             left.insert(
                 &team.name,
-                Resources { cpu: of(max.cpu, cpu), gpu: of(max.gpu, gpu), mem: u64::MAX },
+                Resources { cpu: remaining(max.cpu, cpu), gpu: remaining(max.gpu, gpu), mem: u64::MAX },
             );
         }
         demands.retain_mut(|d| {
