--- a/crates/core/src/leader/job_run.rs
+++ b/crates/core/src/leader/job_run.rs
@@ -175,9 +175,9 @@
     }
     /// Whether its tasks may be assigned to machines on which some of them failed: the job runs
     /// well elsewhere, so its failures are evidence against the machine together with those of
-    /// other jobs, or it failed on more than three machines. A job with bounded attempts also
-    /// waits `RETRY_ELSEWHERE_TIMEOUT`: without that, one faulty machine used up all attempts
-    /// within a second. The limit on this wait keeps the job's end from being delayed forever.
+    /// other jobs, or it failed on more than three machines. A job with bounded attempts stays
+    /// off these machines because a faulty machine once used up all attempts within a second,
+    /// but only for `RETRY_ELSEWHERE_TIMEOUT`, so that its end is not delayed forever.
     pub(super) fn may_retry_on_failed_machine(&self, now: Micros) -> bool {
         let waited = self.spec.attempts.is_some() && now >= self.retry_at + RETRY_ELSEWHERE_TIMEOUT;
         self.ran_well || self.failed_on.len() > 3 || waited
