--- a/crates/core/src/node/cancellations.rs
+++ b/crates/core/src/node/cancellations.rs
@@ -1,149 +1,167 @@
-//! Cancellations: who has been told of one, and who must be before a user is.
+//! Cancellations: which controllers have acknowledged one, and which must have before it is
+//! confirmed to the client.
 //!
-//! Invariant: a user hears that a job is cancelled only when
-//! - its cancellation is on record, or was told by a controller that saw it so;
-//! - the leader of the latest term that is known acts on it: it stops the job's tasks
-//!   through their holders and deletes the machines that can't be reached, for which
+//! Invariant: a cancellation is confirmed to a client only when
+//! - it is recorded in the state service, as read here or reported by a controller that read the
+//!   record;
+//! - the leader of the latest known term acts on it: it stops the job's tasks through the
+//!   controllers that hold their machines, and deletes the machines that are unreachable, for which
 //!   it needs neither the state service nor a confirmed lease;
-//! - every controller that is heard acts on it, with whatever workers report to it;
-//! - no other one can order a start of it, by the word of that leader, which knows what
-//!   was handed to whom and for how long (`leader/cancelled.rs`).
+//! - every controller within contact acts on it, for all workers that report to it;
+//! - no other controller can order a start of the job, which that leader guarantees: it knows what
+//!   was assigned to which controller and until when (`leader/cancelled.rs`).
 //!
-//! Who was told once stays told: an end never changes, and the leader of a later term
-//! has read it before it leads. A process that begins anew is told by all the others.
-//! Where one who must know can't be told, the user hears 503 at once or after
-//! `PATIENCE`, from any controller, and the telling goes on.
+//! An acknowledgement stays valid: a job's end never changes, and the leader of a later term has
+//! read the record before it leads. A restarted process is notified by all other controllers. Where
+//! a controller that must acknowledge is unreachable, the client gets 503, at once or after
+//! `CONFIRMATION_TIMEOUT`, from any controller, and the notifications go on.
 use super::*;
 use crate::peer::Cancellation;
 
-/// A user's answer waits for the word of the others for so long, a few times what
-/// their answers take; then it is 503, and the user comes back.
-const PATIENCE: Micros = Micros::millis(700);
-/// Who has not acknowledged a cancellation that a user waits for is told again after this.
-const AGAIN: Micros = Micros::millis(150);
-/// The same where nobody waits: for processes that have begun since.
-const AGAIN_LATER: Micros = Micros::secs(1);
-/// All are looked at so often.
-const LOOKED_AT: Micros = Micros::millis(100);
-/// Cancellations told in one message.
-const AT_ONCE: usize = 500;
+/// How long a client's response waits for acknowledgements, a few times their usual round trip;
+/// then the response is 503 and the client retries.
+const CONFIRMATION_TIMEOUT: Micros = Micros::millis(700);
+/// How long until a controller that has not acknowledged a cancellation is notified again, while a
+/// client waits for the confirmation.
+const RETRY_INTERVAL: Micros = Micros::millis(150);
+/// The same while no client waits: reaches processes that have restarted since.
+const IDLE_RETRY_INTERVAL: Micros = Micros::secs(1);
+/// How often all cancellations are scanned.
+const SCAN_INTERVAL: Micros = Micros::millis(100);
+/// Most cancellations in one message.
+const MAX_CANCELLATIONS_PER_MESSAGE: usize = 500;
 
-/// Who waits until everybody who must know does.
+/// A request that waits until every controller that must know of a cancellation has acknowledged
+/// it.
 #[derive(Debug)]
-enum Asker {
+enum Requester {
     User(RequestId),
-    /// The guest, whose transaction ended jobs; how that went.
-    Guest(Ticket, CallResult),
+    /// The extension, whose transaction ended jobs, and the result of that transaction.
+    Extension(OperationId, CallResult),
 }
 
-/// One cancellation.
+/// A cancellation and its acknowledgements.
 #[derive(Debug)]
-struct Known {
+struct TrackedCancellation {
     record: Cancellation,
     since: Micros,
-    /// The highest term whose leader acts on it, and vouches that no start follows.
-    led: u64,
-    /// Another controller waits for this leader's word.
-    word_owed: bool,
-    askers: Vec<(Asker, Micros)>,
-    /// When each controller was last told.
-    sent: Vec<Option<Micros>>,
-    /// It was told here that all know; the others hear of that once.
-    announce: bool,
+    /// The highest term whose leader acts on it and guarantees that no start follows.
+    guaranteed_term: u64,
+    /// This leader owes another controller that guarantee.
+    guarantee_owed: bool,
+    requesters: Vec<(Requester, Micros)>,
+    /// When each controller was last notified.
+    notified_at: Vec<Option<Micros>>,
+    /// It was confirmed complete here; the other controllers are notified of that once.
+    announce_confirmation: bool,
 }
 
-/// Cancellations that somebody may still have to hear of.
+/// Cancellations that some controller may not have acknowledged yet.
 #[derive(Debug, Default)]
 pub(super) struct Cancellations {
-    jobs: BTreeMap<JobId, Known>,
-    /// Somebody asks, or answered: to be looked at now. Otherwise as time goes on.
-    dirty: bool,
-    looked: Micros,
+    jobs: BTreeMap<JobId, TrackedCancellation>,
+    /// A request or an acknowledgement arrived: scan at the next call. Otherwise every
+    /// `SCAN_INTERVAL`.
+    scan_now: bool,
+    scanned_at: Micros,
 }
 
 impl Cancellations {
-    /// Takes a cancellation; whether it was not known here.
-    fn take(&mut self, c: &Cancellation, nodes: usize, now: Micros) -> bool {
-        if let Some(k) = self.jobs.get_mut(&c.job) {
-            k.record.told |= c.told;
-            for (mine, theirs) in k.record.known_by.iter_mut().zip(&c.known_by) {
+    /// Merges a cancellation; returns whether it was new here.
+    fn merge(&mut self, c: &Cancellation, nodes: usize, now: Micros) -> bool {
+        if let Some(tracked) = self.jobs.get_mut(&c.job) {
+            tracked.record.told |= c.told;
+            for (mine, theirs) in tracked.record.known_by.iter_mut().zip(&c.known_by) {
                 *mine = (*mine).max(*theirs);
             }
             return false;
         }
         let mut record = c.clone();
         record.known_by.resize(nodes, 0);
-        let sent = vec![None; nodes];
+        let notified_at = vec![None; nodes];
         self.jobs.insert(
             c.job,
-            Known { record, since: now, led: 0, word_owed: false, askers: Vec::new(), sent, announce: false },
+            TrackedCancellation {
+                record,
+                since: now,
+                guaranteed_term: 0,
+                guarantee_owed: false,
+                requesters: Vec::new(),
+                notified_at,
+                announce_confirmation: false,
+            },
         );
         true
     }
 }
 
 impl Node {
-    /// Jobs that a transaction ended, once it is known to be carried out: they are
-    /// over here from now on, whenever the state service tells of it.
-    pub(super) fn ended_by(&mut self, writes: &[Write], stamp: u64) -> Vec<JobId> {
+    /// Applies job ends of a transaction that the state service has confirmed, ahead of the watch's
+    /// events. Returns the jobs that ended.
+    pub(super) fn apply_confirmed_ends(&mut self, writes: &[Write], revision: u64) -> Vec<JobId> {
         let mut ended = Vec::new();
         for w in writes {
             let Write::Put { put, v, .. } = w else { continue };
             if v["end"] == "aborted"
-                && let change @ Change::Job { id, .. } = self.mirror.ledger.apply(put, Some(v), stamp)
+                && let change @ Change::Job { id, .. } =
+                    self.replica_sync.replica.apply(put, Some(v), revision)
             {
-                self.changed(change);
+                self.record_job_change(change);
                 ended.push(id);
             }
         }
         ended
     }
 
-    /// Answers for a cancelled job as soon as a user may be told.
-    pub(super) fn tell_user(&mut self, id: RequestId, job: JobId) {
-        self.tell(Asker::User(id), job);
+    /// Answers a request about a cancelled job as soon as the cancellation may be confirmed.
+    pub(super) fn confirm_to_client(&mut self, id: RequestId, job: JobId) {
+        self.request_confirmation(Requester::User(id), job);
     }
 
-    /// The guest hears of its transaction when users may hear of the ends in it.
-    pub(super) fn tell_guest(&mut self, t: Ticket, jobs: &[JobId], result: CallResult) {
-        // All are told of together, and the guest waits for the last of them.
+    /// Completes the extension's transaction when the job ends in it may be confirmed.
+    pub(super) fn confirm_to_extension(&mut self, t: OperationId, jobs: &[JobId], result: CallResult) {
+        // All controllers are notified of all jobs together; the extension waits for the last one.
         for job in jobs {
-            self.note_cancelled(*job);
+            self.track_cancellation(*job);
         }
         match jobs.last() {
-            Some(job) => self.tell(Asker::Guest(t, result), *job),
-            None => self.ask_guest(GuestInput::Called(t, result)),
+            Some(job) => self.request_confirmation(Requester::Extension(t, result), *job),
+            None => self.run_extension(ExtensionInput::OperationCompleted(t, result)),
         }
     }
 
-    fn tell(&mut self, asker: Asker, job: JobId) {
-        self.note_cancelled(job);
-        let until = self.now + PATIENCE;
-        let reachable = self.leader_node().is_some_and(|n| n == self.nodes.me || self.reaches(n));
-        let Some(k) = self.cancellations.jobs.get_mut(&job) else { return };
-        if !k.record.told && !reachable {
-            return self.not_told(asker);
+    fn request_confirmation(&mut self, requester: Requester, job: JobId) {
+        self.track_cancellation(job);
+        let until = self.now + CONFIRMATION_TIMEOUT;
+        let reachable = self.leader_node().is_some_and(|n| n == self.members.own_id || self.has_path(n));
+        let Some(tracked) = self.cancellations.jobs.get_mut(&job) else { return };
+        if !tracked.record.told && !reachable {
+            return self.fail_confirmation(requester);
         }
-        k.askers.push((asker, until));
-        self.cancellations.dirty = true;
-        self.spread_cancellations();
+        tracked.requesters.push((requester, until));
+        self.cancellations.scan_now = true;
+        self.propagate_cancellations();
     }
 
-    /// A way to a controller is known: direct, or by another one.
-    fn reaches(&self, n: NodeId) -> bool {
-        self.hears(n, HEARD) || self.peers.relay(n, self.now).is_some()
+    /// Whether a network path to a controller is known: direct, or through another controller.
+    fn has_path(&self, n: NodeId) -> bool {
+        self.in_contact(n, PEER_TIMEOUT) || self.peers.find_relay(n, self.now).is_some()
     }
 
-    fn not_told(&mut self, asker: Asker) {
-        match asker {
-            Asker::User(id) => self.refuse(id, RefusalReason::CancellationUnconfirmed),
-            Asker::Guest(t, _) => self.ask_guest(GuestInput::Called(t, CallResult::Unknown)),
+    fn fail_confirmation(&mut self, requester: Requester) {
+        match requester {
+            Requester::User(id) => self.refuse(id, RefusalReason::CancellationUnconfirmed),
+            Requester::Extension(t, _) => {
+                self.run_extension(ExtensionInput::OperationCompleted(t, CallResult::Unknown))
+            }
         }
     }
 
-    /// Takes a cancellation from the mirror.
-    fn note_cancelled(&mut self, job: JobId) {
-        let Some(j) = self.mirror.ledger.jobs.get(&job).filter(|j| j.phase == Phase::Aborted) else { return };
+    /// Records a cancellation from the state replica.
+    fn track_cancellation(&mut self, job: JobId) {
+        let Some(j) = self.replica_sync.replica.jobs.get(&job).filter(|j| j.phase == Phase::Aborted) else {
+            return;
+        };
         let record = Cancellation {
             job,
             at_ms: j.ended_ms,
@@ -152,177 +170,200 @@
             told: false,
             known_by: Vec::new(),
         };
-        self.cancellations.take(&record, self.nodes.names.len(), self.now);
+        self.cancellations.merge(&record, self.members.names.len(), self.now);
     }
 
-    /// Whether a user may be told that a job is cancelled.
-    pub(super) fn may_tell(&self, job: JobId) -> bool {
-        // Nothing of it is on any machine: there is nothing that anybody has to know.
-        if self.mirror.ledger.jobs.get(&job).is_some_and(|j| j.settled) {
+    /// Whether a cancellation may be confirmed to a client.
+    pub(super) fn is_confirmed(&self, job: JobId) -> bool {
+        // Nothing of the job is on any machine, so no controller needs to know.
+        if self.replica_sync.replica.jobs.get(&job).is_some_and(|j| j.settled) {
             return true;
         }
-        let Some(k) = self.cancellations.jobs.get(&job) else { return false };
-        k.record.told || self.all_know(k)
+        let Some(tracked) = self.cancellations.jobs.get(&job) else { return false };
+        tracked.record.told || self.is_acknowledged(tracked)
     }
 
-    /// Whether everybody who must know of a cancellation does.
-    fn all_know(&self, k: &Known) -> bool {
-        // A leader that took its key before the record has to be told; whether there is
-        // one, only a mirror that holds the record knows.
-        let applied = self.mirror.ledger.applied >= k.record.stamp;
-        let heard_know = self.peers.all().filter(|n| *n != self.nodes.me && self.hears(*n, HEARD)).all(|n| {
-            let process = self.peers.states[n.0 as usize].incarnation;
-            k.record.known_by[n.0 as usize] >= process
-        });
-        applied && heard_know && {
-            let vouched = k.led.max(self.vouched_term(k).unwrap_or(0));
-            vouched > 0 && vouched >= self.leader_term()
+    /// Whether every controller that must know of a cancellation has acknowledged it.
+    fn is_acknowledged(&self, tracked: &TrackedCancellation) -> bool {
+        // A leader that acquired its key before the record was written has to be notified. Only a
+        // state replica that holds the record shows whether there is such a leader.
+        let applied = self.replica_sync.replica.applied >= tracked.record.stamp;
+        let contacts_acknowledged =
+            self.peers.all().filter(|n| *n != self.members.own_id && self.in_contact(*n, PEER_TIMEOUT)).all(
+                |n| {
+                    let process = self.peers.states[n.0 as usize].incarnation;
+                    tracked.record.known_by[n.0 as usize] >= process
+                },
+            );
+        applied && contacts_acknowledged && {
+            let guaranteed = tracked.guaranteed_term.max(self.guaranteed_term(tracked).unwrap_or(0));
+            guaranteed > 0 && guaranteed >= self.leader_term()
         }
     }
 
     /// The term of this leader, if no start of the job can follow.
-    fn vouched_term(&self, k: &Known) -> Option<u64> {
+    fn guaranteed_term(&self, tracked: &TrackedCancellation) -> Option<u64> {
         let leader = self.leadership.leader.as_ref()?;
-        let ended: Vec<NodeId> = self.peers.all().filter(|n| self.peers.refuses(*n, self.now)).collect();
-        let open = leader.start_may_follow(k.record.job, &k.record.known_by, &ended, self.now);
-        (!open).then_some(leader.term)
+        let down: Vec<NodeId> =
+            self.peers.all().filter(|n| self.peers.is_process_down(*n, self.now)).collect();
+        let start_possible =
+            leader.start_may_follow(tracked.record.job, &tracked.record.known_by, &down, self.now);
+        (!start_possible).then_some(leader.term)
     }
 
-    /// Tells who has to know, and answers those for whom everybody does.
-    pub(super) fn spread_cancellations(&mut self) {
-        let (now, me) = (self.now, self.nodes.me);
-        let waits = now.since(self.cancellations.looked) < LOOKED_AT;
-        if waits && !std::mem::take(&mut self.cancellations.dirty) {
+    /// Notifies controllers that have to know, and answers requests whose cancellation is fully
+    /// acknowledged.
+    pub(super) fn propagate_cancellations(&mut self) {
+        let (now, me) = (self.now, self.members.own_id);
+        let recently_scanned = now.since(self.cancellations.scanned_at) < SCAN_INTERVAL;
+        if recently_scanned && !std::mem::take(&mut self.cancellations.scan_now) {
             return;
         }
-        self.cancellations.looked = now;
-        // What is settled on record is over; what nobody asks about any more was left
-        // by its machines long ago, or is the state service's to tell.
-        let (keep, ledger) = (self.ctx.cancel.scale(4, 1), &self.mirror.ledger);
-        self.cancellations.jobs.retain(|job, k| {
-            !k.askers.is_empty()
-                || now.since(k.since) < keep && ledger.jobs.get(job).is_none_or(|j| !j.settled)
+        self.cancellations.scanned_at = now;
+        // Drops cancellations whose completion is on record. Without a waiting request, one is kept
+        // for four times the cancellation time only: by then its tasks have left their machines, or
+        // the state service provides the record.
+        let (keep, replica) = (self.leader_config.cancel.scale(4, 1), &self.replica_sync.replica);
+        self.cancellations.jobs.retain(|job, tracked| {
+            !tracked.requesters.is_empty()
+                || now.since(tracked.since) < keep && replica.jobs.get(job).is_none_or(|j| !j.settled)
         });
         if self.cancellations.jobs.is_empty() {
             return;
         }
-        let asked = self.cancellations.jobs.iter().filter(|(_, k)| !k.askers.is_empty());
-        let told: Vec<JobId> = asked.map(|(job, _)| *job).filter(|job| self.may_tell(*job)).collect();
+        let awaited = self.cancellations.jobs.iter().filter(|(_, tracked)| !tracked.requesters.is_empty());
+        let confirmed: Vec<JobId> =
+            awaited.map(|(job, _)| *job).filter(|job| self.is_confirmed(*job)).collect();
         let mut done = Vec::new();
-        for job in told {
-            let Some(k) = self.cancellations.jobs.get_mut(&job) else { continue };
-            if !std::mem::replace(&mut k.record.told, true) {
-                // The others may tell users as well, and need not ask each other.
-                k.announce = true;
-                k.sent.fill(None);
+        for job in confirmed {
+            let Some(tracked) = self.cancellations.jobs.get_mut(&job) else { continue };
+            if !std::mem::replace(&mut tracked.record.told, true) {
+                // The other controllers may confirm it to clients as well, without querying each
+                // other.
+                tracked.announce_confirmation = true;
+                tracked.notified_at.fill(None);
             }
-            done.extend(k.askers.drain(..).map(|(a, _)| (a, job)));
+            done.extend(tracked.requesters.drain(..).map(|(a, _)| (a, job)));
         }
-        for (asker, job) in done {
-            match asker {
-                Asker::User(id) => self.aborted_answer(id, job),
-                Asker::Guest(t, result) => self.ask_guest(GuestInput::Called(t, result)),
+        for (requester, job) in done {
+            match requester {
+                Requester::User(id) => self.answer_cancelled(id, job),
+                Requester::Extension(t, result) => {
+                    self.run_extension(ExtensionInput::OperationCompleted(t, result))
+                }
             }
         }
-        let mut late = Vec::new();
-        for k in self.cancellations.jobs.values_mut() {
-            let (gone, left): (Vec<_>, Vec<_>) =
-                std::mem::take(&mut k.askers).into_iter().partition(|(_, until)| now >= *until);
-            k.askers = left;
-            late.extend(gone.into_iter().map(|(a, _)| a));
+        let mut expired = Vec::new();
+        for tracked in self.cancellations.jobs.values_mut() {
+            let (overdue, remaining): (Vec<_>, Vec<_>) =
+                std::mem::take(&mut tracked.requesters).into_iter().partition(|(_, until)| now >= *until);
+            tracked.requesters = remaining;
+            expired.extend(overdue.into_iter().map(|(a, _)| a));
         }
-        late.into_iter().for_each(|a| self.not_told(a));
+        expired.into_iter().for_each(|a| self.fail_confirmation(a));
         let leader = self.leader_node();
         let term = self.leader_term();
         for n in self.peers.all().filter(|n| *n != me) {
             let leads = Some(n) == leader;
-            if !self.reaches(n) {
+            if !self.has_path(n) {
                 continue;
             }
             let i = n.0 as usize;
             let process = self.peers.states[i].incarnation;
-            let due = |k: &&mut Known| {
-                let waited = !k.askers.is_empty() || k.word_owed && !k.record.told;
-                let again = if waited { AGAIN } else { AGAIN_LATER };
-                // Who is told the first time after the end learned of it in another
-                // way as a rule; then its acknowledgement comes with those of others.
-                let first = if waited || k.record.told { Micros(0) } else { AGAIN_LATER };
-                let knows = k.record.known_by[i] >= process && !(leads && waited && k.led < term);
-                let news = k.announce && k.sent[i].is_none();
-                (!knows || news)
-                    && now.since(k.since) >= first
-                    && k.sent[i].is_none_or(|t| now.since(t) >= again)
+            let due = |tracked: &&mut TrackedCancellation| {
+                let is_awaited =
+                    !tracked.requesters.is_empty() || tracked.guarantee_owed && !tracked.record.told;
+                let interval = if is_awaited { RETRY_INTERVAL } else { IDLE_RETRY_INTERVAL };
+                // Unless a client waits, the first notification is delayed: the controller usually
+                // learns of the end from the state service, and its acknowledgement is batched with
+                // others.
+                let initial_delay =
+                    if is_awaited || tracked.record.told { Micros(0) } else { IDLE_RETRY_INTERVAL };
+                let acknowledged = tracked.record.known_by[i] >= process
+                    && !(leads && is_awaited && tracked.guaranteed_term < term);
+                let to_announce = tracked.announce_confirmation && tracked.notified_at[i].is_none();
+                (!acknowledged || to_announce)
+                    && now.since(tracked.since) >= initial_delay
+                    && tracked.notified_at[i].is_none_or(|t| now.since(t) >= interval)
             };
-            let mut all = Vec::new();
-            for k in self.cancellations.jobs.values_mut().filter(due).take(AT_ONCE) {
-                k.sent[i] = Some(now);
-                all.push(k.record.clone());
+            let mut batch = Vec::new();
+            for tracked in
+                self.cancellations.jobs.values_mut().filter(due).take(MAX_CANCELLATIONS_PER_MESSAGE)
+            {
+                tracked.notified_at[i] = Some(now);
+                batch.push(tracked.record.clone());
             }
-            if !all.is_empty() {
-                self.send(n, Message::Cancelled(all));
+            if !batch.is_empty() {
+                self.send(n, Message::Cancelled(batch));
             }
         }
     }
 
-    /// Another controller tells of cancellations. A late or repeated one says nothing
-    /// new: an end never changes.
-    pub(super) fn cancellations_came(&mut self, from: NodeId, all: &[Cancellation]) {
-        let nodes = self.nodes.names.len();
-        for c in all {
-            self.cancellations.take(c, nodes, self.now);
-            self.mark_known(c.job, self.nodes.me, self.incarnation);
-            self.act_on(c);
+    /// Handles another controller's notification of cancellations. A late or repeated one changes
+    /// nothing: a job's end never changes.
+    pub(super) fn cancellations_received(&mut self, from: NodeId, batch: &[Cancellation]) {
+        let nodes = self.members.names.len();
+        for c in batch {
+            self.cancellations.merge(c, nodes, self.now);
+            self.record_acknowledgement(c.job, self.members.own_id, self.incarnation);
+            self.apply_cancellation(c);
         }
-        let (mut vouched, mut others) = (Vec::new(), Vec::new());
+        let (mut guaranteed, mut others) = (Vec::new(), Vec::new());
         let leads = self.leadership.leader.as_ref().map(|l| l.term);
-        for c in all {
-            let sure = self.cancellations.jobs.get(&c.job).is_some_and(|k| self.vouched_term(k).is_some());
-            if let Some(k) = self.cancellations.jobs.get_mut(&c.job) {
-                k.word_owed = leads.is_some() && !sure;
+        for c in batch {
+            let is_guaranteed = self
+                .cancellations
+                .jobs
+                .get(&c.job)
+                .is_some_and(|tracked| self.guaranteed_term(tracked).is_some());
+            if let Some(tracked) = self.cancellations.jobs.get_mut(&c.job) {
+                tracked.guarantee_owed = leads.is_some() && !is_guaranteed;
             }
-            if sure { vouched.push(c.job) } else { others.push(c.job) }
+            if is_guaranteed { guaranteed.push(c.job) } else { others.push(c.job) }
         }
-        for (jobs, leads) in [(vouched, leads), (others, None)] {
+        for (jobs, leads) in [(guaranteed, leads), (others, None)] {
             if !jobs.is_empty() {
                 self.send(from, Message::CancelledKnown { jobs, leads });
             }
         }
-        self.drive();
+        self.send_worker_calls();
     }
 
-    /// Ends a job in the mirror, ahead of the state service.
-    fn act_on(&mut self, c: &Cancellation) {
-        let phase = self.mirror.ledger.jobs.get(&c.job).map(|j| j.phase);
+    /// Ends a job in the state replica, ahead of the state service.
+    fn apply_cancellation(&mut self, c: &Cancellation) {
+        let phase = self.replica_sync.replica.jobs.get(&c.job).map(|j| j.phase);
         match phase {
-            Some(Phase::Done) => return warn!("{}: cancelled and done", c.job),
+            Some(Phase::Done) => return warn!("{}: notified of its cancellation after it was done", c.job),
             Some(Phase::Aborted) => {}
             Some(Phase::Active) | None => {
-                debug!("{}: told of its cancellation", c.job);
+                debug!("{}: notified of its cancellation", c.job);
                 let end = jobs::cancelled_value(c.at_ms, c.cause.as_deref(), false);
-                let change = self.mirror.ledger.apply(&keys::end(c.job), Some(&end), c.stamp);
-                self.changed(change);
+                let change = self.replica_sync.replica.apply(&keys::end(c.job), Some(&end), c.stamp);
+                self.record_job_change(change);
             }
         }
         if let Some(l) = self.leadership.leader.as_mut() {
-            l.told_cancelled(c.job, &self.mirror.ledger, self.now);
+            l.told_cancelled(c.job, &self.replica_sync.replica, self.now);
         }
     }
 
-    /// The state was read anew: what was told ahead of it still holds.
+    /// Applies the known cancellations again after the state was read from the start: they still
+    /// hold.
     pub(super) fn reapply_cancellations(&mut self) {
-        let all: Vec<Cancellation> = self.cancellations.jobs.values().map(|k| k.record.clone()).collect();
-        all.iter().for_each(|c| self.act_on(c));
+        let batch: Vec<Cancellation> =
+            self.cancellations.jobs.values().map(|tracked| tracked.record.clone()).collect();
+        batch.iter().for_each(|c| self.apply_cancellation(c));
     }
 
-    fn mark_known(&mut self, job: JobId, n: NodeId, process: u64) {
-        if let Some(k) = self.cancellations.jobs.get_mut(&job) {
-            let known = &mut k.record.known_by[n.0 as usize];
+    fn record_acknowledgement(&mut self, job: JobId, n: NodeId, process: u64) {
+        if let Some(tracked) = self.cancellations.jobs.get_mut(&job) {
+            let known = &mut tracked.record.known_by[n.0 as usize];
             *known = (*known).max(process);
         }
     }
 
-    /// Another controller acts on cancellations.
-    pub(super) fn cancellations_known(
+    /// Handles another controller's acknowledgement that it acts on cancellations.
+    pub(super) fn cancellations_acknowledged(
         &mut self,
         from: NodeId,
         process: u64,
@@ -330,46 +371,50 @@
         leads: Option<u64>,
     ) {
         let term = self.leader_term();
-        let leader = self.leader_node().filter(|n| *n != from && *n != self.nodes.me);
+        let leader = self.leader_node().filter(|n| *n != from && *n != self.members.own_id);
         for job in jobs {
-            self.mark_known(*job, from, process);
-            let Some(k) = self.cancellations.jobs.get_mut(job) else { continue };
-            k.led = k.led.max(leads.unwrap_or(0));
-            // A leader that didn't vouch for it may have waited for just this.
+            self.record_acknowledgement(*job, from, process);
+            let Some(tracked) = self.cancellations.jobs.get_mut(job) else { continue };
+            tracked.guaranteed_term = tracked.guaranteed_term.max(leads.unwrap_or(0));
+            // A leader that gave no guarantee may have been waiting for exactly this
+            // acknowledgement.
             if let Some(i) = leader.map(|n| n.0 as usize)
-                && k.led < term
-                && k.record.known_by[i] >= self.peers.states[i].incarnation.max(1)
+                && tracked.guaranteed_term < term
+                && tracked.record.known_by[i] >= self.peers.states[i].incarnation.max(1)
             {
-                k.sent[i] = None;
+                tracked.notified_at[i] = None;
             }
         }
-        self.cancellations.dirty = true;
-        self.spread_cancellations();
+        self.cancellations.scan_now = true;
+        self.propagate_cancellations();
     }
 
-    /// Notes that this process can know what was cancelled: it has read the state and
-    /// can ask for news; or, in an outage, it is in touch with most of the controllers, one
-    /// of whom has read it. Fewer may be what is cut off from a state service that goes on
-    /// serving the others, and nobody outside need be left to end what they keep alive.
-    pub(super) fn note_informed(&mut self) {
-        let heard = |n: &NodeId| *n != self.nodes.me && self.hears(*n, HEARD);
-        let heard: Vec<NodeId> = self.peers.all().filter(heard).collect();
-        let read = self.mirror.loaded || heard.iter().any(|n| self.peers.states[n.0 as usize].loaded);
-        let most = (heard.len() + 1) * 2 > self.nodes.names.len();
-        if self.mirror.loaded && self.mirror.state_ok(self.now) || read && most {
-            self.informed = Some(self.now);
+    /// Records that this process can know of new cancellations: it has read the state and reaches
+    /// the state service; or, in an outage, it is in contact with a majority of controllers, one of
+    /// which has read the state. A minority may be cut off from a state service that still serves
+    /// the other controllers, and no controller outside the minority may be left to stop the tasks
+    /// that it keeps alive.
+    pub(super) fn update_informed_at(&mut self) {
+        let in_contact = |n: &NodeId| *n != self.members.own_id && self.in_contact(*n, PEER_TIMEOUT);
+        let in_contact: Vec<NodeId> = self.peers.all().filter(in_contact).collect();
+        let read =
+            self.replica_sync.loaded || in_contact.iter().any(|n| self.peers.states[n.0 as usize].loaded);
+        let majority = (in_contact.len() + 1) * 2 > self.members.names.len();
+        if self.replica_sync.loaded && self.replica_sync.state_reachable(self.now) || read && majority {
+            self.informed_at = Some(self.now);
         }
     }
 
-    /// Whether workers may be kept alive by this process's word. Without news, it may
-    /// keep tasks alive that were cancelled since: a worker that nobody renews kills them
-    /// within its lease, and so within what is left of a cancellation. What was confirmed
-    /// before this process began may be any time ago; half is left for that.
-    pub(super) fn may_renew(&self) -> bool {
-        let spare = self.ctx.cancel - self.ctx.lease;
-        match self.informed {
+    /// Whether this process may renew workers' leases. Without new events, it may keep tasks alive
+    /// that were cancelled since: a worker whose lease is not renewed kills its tasks within the
+    /// lease, and so within what is left of the cancellation time. A cancellation from before this
+    /// process started may have been confirmed at any earlier time; half of the spare time is left
+    /// for that.
+    pub(super) fn may_renew_leases(&self) -> bool {
+        let spare = self.leader_config.cancel - self.leader_config.lease;
+        match self.informed_at {
             Some(t) => self.now.since(t) + Micros::secs(1) <= spare,
-            None => self.now.since(self.began) <= spare.scale(1, 2),
+            None => self.now.since(self.started_at) <= spare.scale(1, 2),
         }
     }
 }
--- a/crates/shell/src/lib.rs
+++ b/crates/shell/src/lib.rs
@@ -9,8 +9,8 @@
 pub mod server;
 
 use admission::Bounds;
-use gorseshore_core::guest::{Answer, Guest};
-use gorseshore_core::node::{Node, Nodes};
+use gorseshore_core::extension::{Answer, Extension};
+use gorseshore_core::node::{ClusterMembers, Node};
 use gorseshore_core::peer::{Envelope, Message, before_number, process_number};
 use gorseshore_core::{CallResult, Input, Output, RequestId};
 use gorseshore_protocol::ids::{Micros, NodeId};
@@ -154,7 +154,9 @@
         let http::RequestHead { method, path, token, .. } = head;
         let (room, input) = match door {
             server::Door::Users => (1, Input::Request { id, method, path, body }),
-            server::Door::Guest => (CHUNKS_WAITING, Input::GuestRequest { id, method, path, token, body }),
+            server::Door::Extension => {
+                (CHUNKS_WAITING, Input::GuestRequest { id, method, path, token, body })
+            }
         };
         let (tx, rx) = bounded(room);
         self.waiting.borrow_mut().insert(id, tx);
@@ -173,7 +175,7 @@
 /// A subsystem beside the scheduler, and the address that it is asked on.
 pub struct GuestDoor {
     /// The subsystem.
-    pub guest: Box<dyn Guest>,
+    pub guest: Box<dyn Extension>,
     /// Its address.
     pub listen: SocketAddr,
 }
@@ -221,12 +223,12 @@
     bound: Sockets,
     platform: Platform,
     operator: Operator,
-    guest: Option<Box<dyn Guest>>,
+    guest: Option<Box<dyn Extension>>,
 ) -> std::io::Result<()> {
     let executor = Rc::new(LocalExecutor::new());
     let ex = executor.clone();
     smol::block_on(ex.run(async move {
-        let nodes = Nodes::new(&platform);
+        let nodes = ClusterMembers::new(&platform);
         let started = Instant::now();
         let seed = fastrand::u64(..) >> 1;
         let clock_off = Micros::from_secs_f64(platform.deployment.clock_off_ms / 1000.0);
@@ -235,7 +237,7 @@
         let incarnation = process_number(wall, seed);
         let mut node = Node::new(&platform, operator, seed, incarnation, Micros(1_000_000));
         if let Some(guest) = guest {
-            node = node.with_guest(guest);
+            node = node.with_extension(guest);
         }
         let sockets = platform.deployment.machine_limits.sockets;
         let bounds = Bounds::new(sockets, nodes.names.len() - 1, bound.guest.is_some());
@@ -260,7 +262,7 @@
             client: client::Client::new(&platform.endpoints.state, &platform.endpoints.cloud, &bounds),
             peers,
             incarnation,
-            me: nodes.me,
+            me: nodes.own_id,
         });
         for (addr, name, rx) in receivers {
             let node = NodeId(nodes.names.iter().position(|n| *n == name).unwrap_or(0) as u8);
@@ -285,7 +287,7 @@
             let door = door(listener)?;
             let guests = Rc::new(RefCell::new(server::Entry::new(bounds.of_guest())));
             executor
-                .spawn(server::listen(shell.clone(), door, executor.clone(), server::Door::Guest, guests))
+                .spawn(server::listen(shell.clone(), door, executor.clone(), server::Door::Extension, guests))
                 .detach();
         }
         loop {
--- a/tests/world/desk.rs
+++ b/tests/world/desk.rs
@@ -1,7 +1,7 @@
 //! One interface over the stand-in of the state service, without a network:
 //! for attacks that need a certain order, and for requests of any kind.
 use super::*;
-use gorseshore_core::guest::{Answer, Guest, GuestInput, GuestOutput, Host};
+use gorseshore_core::extension::{Answer, Extension, ExtensionContext, ExtensionInput, ExtensionOutput};
 use gorseshore_core::jobs::{Ledger, keys};
 use gorseshore_nomad::service::Service;
 use gorseshore_protocol::state::{Listing, Multi, News, When};
@@ -48,7 +48,7 @@
             answers: Vec::new(),
             next: 1,
         };
-        d.service.begin(0);
+        d.service.reset(0);
         d.catch_up();
         d.pass(3);
         d
@@ -58,7 +58,7 @@
     fn restart(&mut self, seed: u64) {
         self.service = Service::new(nomad::operator().nomad.unwrap(), seed);
         self.ledger = Ledger::default();
-        self.service.begin(0);
+        self.service.reset(0);
         self.held.clear();
         self.catch_up();
         self.pass(3);
@@ -91,34 +91,34 @@
         CallResult::Answer { status, body }
     }
 
-    fn input(&mut self, input: GuestInput) {
+    fn input(&mut self, input: ExtensionInput) {
         let mut inputs = std::collections::VecDeque::from([input]);
         while let Some(i) = inputs.pop_front() {
-            let host = Host {
+            let host = ExtensionContext {
                 now: self.now,
                 wall_ms: self.wall_ms,
-                ledger: &self.ledger,
+                replica: &self.ledger,
                 running: &BTreeMap::new(),
                 flavors: &self.flavors,
                 teams: &self.teams,
-                loaded: true,
-                state_refuses: false,
+                state_loaded: true,
+                state_unavailable: false,
                 leads: self.leads,
                 leader: Some("n0"),
-                me: "n0",
-                value_limit: 4000,
-                changes_at_once: 24,
+                node_name: "n0",
+                max_value_bytes: 4000,
+                max_txn_writes: 24,
             };
             for o in self.service.handle(&host, i) {
                 match o {
-                    GuestOutput::Answer(id, a) => self.answers.push((id, a)),
-                    GuestOutput::Open(..) | GuestOutput::Chunk(..) | GuestOutput::Close(_) => {}
-                    GuestOutput::Prove(t) => {
+                    ExtensionOutput::Answer(id, a) => self.answers.push((id, a)),
+                    ExtensionOutput::Open(..) | ExtensionOutput::Chunk(..) | ExtensionOutput::Close(_) => {}
+                    ExtensionOutput::ReadBarrier(t) => {
                         self.catch_up();
-                        inputs.push_back(GuestInput::News);
-                        inputs.push_back(GuestInput::Proved(t, true));
+                        inputs.push_back(ExtensionInput::ReplicaUpdated);
+                        inputs.push_back(ExtensionInput::ReadBarrierDone(t, true));
                     }
-                    GuestOutput::Read(t, prefix) => {
+                    ExtensionOutput::Read(t, prefix) => {
                         let mut all = Listing { pairs: Vec::new(), truncated: true, ledger: 0 };
                         while all.truncated {
                             let from =
@@ -132,9 +132,12 @@
                             all.pairs.extend(page.pairs);
                         }
                         let body = serde_json::to_vec(&all).unwrap();
-                        inputs.push_back(GuestInput::Called(t, CallResult::Answer { status: 200, body }));
+                        inputs.push_back(ExtensionInput::OperationCompleted(
+                            t,
+                            CallResult::Answer { status: 200, body },
+                        ));
                     }
-                    GuestOutput::Write { ticket, mut multi, as_leader } => {
+                    ExtensionOutput::Write { ticket, mut multi, as_leader } => {
                         if as_leader {
                             multi.when.push(When { path: LEADER.into(), stamp: self.state.stamp(LEADER) });
                         }
@@ -144,8 +147,8 @@
                         }
                         let r = self.execute(&multi);
                         self.catch_up();
-                        inputs.push_back(GuestInput::News);
-                        inputs.push_back(GuestInput::Called(ticket, r));
+                        inputs.push_back(ExtensionInput::ReplicaUpdated);
+                        inputs.push_back(ExtensionInput::OperationCompleted(ticket, r));
                     }
                 }
             }
@@ -157,7 +160,7 @@
         for _ in 0..seconds * 2 {
             self.now = self.now + Micros::millis(500);
             self.wall_ms += 500;
-            self.input(GuestInput::Tick);
+            self.input(ExtensionInput::Tick);
         }
     }
 
@@ -166,7 +169,7 @@
         let id = RequestId(self.next);
         self.next += 1;
         let (method, path, body) = (method.to_owned(), path.to_owned(), body.as_bytes().to_vec());
-        self.input(GuestInput::Request { id, method, path, token: None, body });
+        self.input(ExtensionInput::Request { id, method, path, token: None, body });
         let at = self.answers.iter().position(|(i, _)| *i == id)?;
         let (_, a) = self.answers.remove(at);
         Some((a.status, String::from_utf8_lossy(&a.body).into_owned()))
--- a/tests/world/nomad.rs
+++ b/tests/world/nomad.rs
@@ -1,7 +1,7 @@
 //! Nomad jobs in the world, beside native ones: planners who register, scale,
 //! stop and poll at whatever controller, and the rules for what runs of them.
 use super::*;
-use gorseshore_core::guest::Answer;
+use gorseshore_core::extension::Answer;
 use gorseshore_core::jobs::description;
 use gorseshore_nomad::service::Service;
 use gorseshore_nomad::service::records::{Head, JobKey};
@@ -25,7 +25,7 @@
 /// A controller with the interface beside the scheduler.
 pub fn guest(node: Node, seed: u64) -> Node {
     let settings = operator().nomad.unwrap();
-    node.with_guest(Box::new(Service::new(settings, seed)))
+    node.with_extension(Box::new(Service::new(settings, seed)))
 }
 
 /// What a planner asked for.
