--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -38,7 +38,7 @@
 use crate::fleet::{self, Demand, MachineCapacity, Offer, RentalKind, ScalingPolicy};
 use crate::jobs::{Failures, Job, Ledger, MachineRecord, Phase, TaskSet};
 use crate::leader::network_paths::NetworkPaths;
-use crate::leader::zone_health::{Turn, ZoneHealth, ZoneObservation};
+use crate::leader::zone_health::{ZoneHealth, ZoneObservation, ZoneTransition};
 use crate::peer::pacing::Pacer;
 use crate::peer::{
     GrantedMachine, HandOut, MachineState, Message, Outcome, Sighting, StopRequest, TaskState,
