--- a/crates/core/src/controller/block.rs
+++ b/crates/core/src/controller/block.rs
@@ -1,31 +1,31 @@
-//! The block as the leader leases it. Invariant: what is here is a block that the
-//! leader had, since an update counts only over the one that it builds on.
+//! Applies the leader's updates of the block, the machines leased to this controller. Invariant: the
+//! block here is one that the leader had, since an update is applied only on top of its base.
 use super::*;
 
 impl Controller {
-    /// Takes what changed of the leader's block; `whole` if that is all of it.
-    /// Returns how many machines were granted.
-    pub fn take_block(
+    /// Applies changes of the block; with `full`, `block` is all of it. Returns the number of
+    /// machines granted.
+    pub fn apply_block(
         &mut self,
-        whole: bool,
+        full: bool,
         block: &[GrantedMachine],
-        elsewhere: &[(MachineId, Option<NodeId>)],
+        not_in_block: &[(MachineId, Option<NodeId>)],
     ) -> usize {
         let mut added = 0;
-        if whole {
+        if full {
             let keep: BTreeSet<&MachineId> = block.iter().map(|g| &g.id).collect();
             self.workers.retain(|id, _| keep.contains(id));
-            self.directory.clear();
+            self.holders.clear();
         }
-        for (id, holder) in elsewhere {
+        for (id, holder) in not_in_block {
             self.workers.remove(id);
             match holder {
-                Some(n) => self.directory.insert(id.clone(), *n),
-                None => self.directory.remove(id),
+                Some(n) => self.holders.insert(id.clone(), *n),
+                None => self.holders.remove(id),
             };
         }
         for g in block {
-            self.directory.remove(&g.id);
+            self.holders.remove(&g.id);
             let w = self.workers.entry(g.id.clone()).or_insert_with(|| {
                 added += 1;
                 Worker::new(g)
@@ -34,19 +34,18 @@
             if w.addr.is_empty() {
                 w.addr = g.addr.clone();
             }
-            if g.baton > w.baton {
-                w.baton = g.baton;
-                w.announce = true;
-                w.not_before = Micros(0);
+            if g.fencing_token > w.fencing_token {
+                w.fencing_token = g.fencing_token;
+                w.announce_token = true;
+                w.next_call_at = Micros(0);
                 added += 1;
             }
-            self.touch(&g.id);
+            self.mark_changed(&g.id);
         }
         added
     }
 
-    /// Whether an update is news, and not one that was held up on the way, and
-    /// the one that it builds on was taken.
+    /// Accepts an update unless it is outdated or a duplicate, or its base was not applied here.
     pub fn accept_update(&mut self, term: u64, seq: u64, base: u64) -> bool {
         if term < self.term || (term == self.term && seq <= self.update_seq) {
             return false;
@@ -55,14 +54,14 @@
             return false;
         }
         if term > self.term {
-            // Seqs and outcomes belong to a term's leader.
+            // Sequence numbers and outcomes belong to the leader of one term.
             self.outcomes.clear();
             self.acked = 0;
             self.base = 0;
             self.sync_sent.clear();
             self.pacer = Pacer::default();
             self.lease_until = Micros(0);
-            self.running.clear();
+            self.running_counts.clear();
             for w in self.workers.values_mut() {
                 w.exits.values_mut().for_each(|e| *e = None);
             }
@@ -72,26 +71,27 @@
         true
     }
 
-    /// Takes numbers of running tasks; `whole` if these are all.
-    pub fn take_running(&mut self, whole: bool, running: &[(JobId, u32)]) {
-        if whole {
-            self.running.clear();
+    /// Applies counts of running tasks; with `full`, they replace all earlier ones.
+    pub fn apply_running_counts(&mut self, full: bool, running: &[(JobId, u32)]) {
+        if full {
+            self.running_counts.clear();
         }
         for (id, n) in running {
             match n {
-                0 => self.running.remove(id),
-                n => self.running.insert(*id, *n),
+                0 => self.running_counts.remove(id),
+                n => self.running_counts.insert(*id, *n),
             };
         }
     }
 
-    /// The leader's acknowledgement of a view came.
-    pub fn view_acknowledged(&mut self, ack: u64, now: Micros) {
+    /// Records for the pacing of further messages that the leader has acknowledged a `Sync`.
+    pub fn record_sync_ack(&mut self, ack: u64, now: Micros) {
         self.pacer.acknowledged(ack, now);
     }
 
-    /// The leader took the `Sync` numbered `ack`.
-    pub fn take_ack(&mut self, ack: u64, lease: Micros) {
+    /// Makes the `Sync` numbered `ack`, which the leader has applied, the base of the next one, and
+    /// extends the block lease, which counts from when that `Sync` was sent.
+    pub fn apply_sync_ack(&mut self, ack: u64, lease: Micros) {
         self.base = ack;
         if let Some(sent) = self.sync_sent.get(&ack).copied() {
             // Less 0.1% for the drift between the clocks.
@@ -100,7 +100,7 @@
         self.sync_sent.retain(|s, _| *s >= ack);
         if ack > self.acked {
             self.acked = ack;
-            self.outcomes.retain(|_, p| p.told.is_none_or(|t| t > ack));
+            self.outcomes.retain(|_, p| p.first_sync.is_none_or(|s| s > ack));
         }
     }
 }
--- a/crates/core/src/leader/autoscaling.rs
+++ b/crates/core/src/leader/autoscaling.rs
@@ -124,7 +124,7 @@
         &mut self,
         req: &ScaleOutRequest,
         result: Option<&[String]>,
-        sizes: &Sizes,
+        sizes: &MachineSizes,
         now: Micros,
     ) {
         let Some(hosts) = result else {
@@ -166,7 +166,7 @@
     }
 
     /// Applies a page of the cloud's machine list; `None` if the call failed.
-    pub fn list_page_received(&mut self, page: Option<&Rentals>, sizes: &Sizes, now: Micros) {
+    pub fn list_page_received(&mut self, page: Option<&Rentals>, sizes: &MachineSizes, now: Micros) {
         self.listing = false;
         self.listed = now;
         let Some(page) = page else { return };
@@ -224,7 +224,7 @@
         }
         // All workers of a zone send a heartbeat within 1.25 times the report interval.
         let max_silence = self.ctx.report.max(Micros::secs(4)) + Micros::secs(2);
-        let silence_from = self.lateness.silent_from(self.began + Micros::secs(2));
+        let silence_from = self.lateness.silence_start(self.began + Micros::secs(2));
         for transition in self.health.update(&observations, silence_from, max_silence, now) {
             self.dirty = true;
             match transition {
--- a/crates/core/src/leader/command_reachability.rs
+++ b/crates/core/src/leader/command_reachability.rs
@@ -89,7 +89,7 @@
 
     /// Whether other controllers should probe it now: the last probe has timed out.
     pub(super) fn probe_due(&self, now: Micros) -> bool {
-        self.unacknowledged_for(DOUBT_BEFORE_PROBE, now) && now.since(self.probed_at) > ASK_TIMEOUT
+        self.unacknowledged_for(DOUBT_BEFORE_PROBE, now) && now.since(self.probed_at) > PROBE_TIMEOUT
     }
 
     /// Counts a probe by other controllers, if one is due.
@@ -151,7 +151,7 @@
                 continue;
             }
             let limit = if m.bound.is_empty() { lease.scale(2, 1) } else { lease.scale(7, 10) };
-            let span = now.since(self.lateness.silent_from(h.last_acknowledged));
+            let span = now.since(self.lateness.silence_start(h.last_acknowledged));
             // If most machines of a controller acknowledge nothing, its outbound network path is
             // cut: other controllers take the machines over.
             let of_holder = m.holder.and_then(|h| held.get(&h)).copied().unwrap_or_default();
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -32,7 +32,7 @@
 pub use machine::{Machine, Stage};
 
 use crate::books::Ledgers;
-use crate::controller::{ASK_TIMEOUT, ASKED_AFTER, Sizes};
+use crate::controller::{MachineSizes, PROBE_AFTER, PROBE_TIMEOUT};
 use crate::dependencies::Urgency;
 use crate::fair_queue::FairQueue;
 use crate::fleet::{self, Demand, MachineCapacity, Offer, RentalKind, ScalingPolicy};
@@ -41,7 +41,8 @@
 use crate::leader::zone_health::{ZoneHealth, ZoneObservation, ZoneTransition};
 use crate::peer::pacing::Pacer;
 use crate::peer::{
-    GrantedMachine, HandOut, MachineState, Message, Outcome, Sighting, StopRequest, TaskState,
+    Assignment, AssignmentOutcome, GrantedMachine, MachineState, Message, StopRequest, TaskState,
+    UnleasedReport,
 };
 use crate::placement::{self, Candidate};
 use gorseshore_protocol::cloud::{Flavor, Rentals};
@@ -102,7 +103,7 @@
 #[derive(Debug)]
 struct OnItsWay {
     to: NodeId,
-    out: HandOut,
+    out: Assignment,
     /// The change of the books that has to be at the witnesses before it goes.
     covered_by: u64,
     /// When it last went.
@@ -123,16 +124,26 @@
     /// Machines that were heard, and how long ago.
     pub heard: &'a [(MachineId, Micros, ReportNo)],
     /// Machines of others whose workers report to it.
-    pub strangers: &'a [Sighting],
+    pub strangers: &'a [UnleasedReport],
     /// Hand-outs that were decided on.
-    pub outcomes: &'a [Outcome],
+    pub outcomes: &'a [AssignmentOutcome],
 }
 
 impl<'a> View<'a> {
     /// What a `Sync` says, and to the leader of which term; `None` of any other
     /// message.
     pub fn of(m: &'a Message) -> Option<(u64, View<'a>)> {
-        let Message::Sync { term, seq, base, seen, machines, heard, strangers, outcomes } = m else {
+        let Message::Sync {
+            term,
+            seq,
+            base,
+            acked_update: seen,
+            machines,
+            contacts: heard,
+            unleased_reports: strangers,
+            outcomes,
+        } = m
+        else {
             return None;
         };
         let (seq, base, seen) = (*seq, *base, *seen);
@@ -227,7 +238,7 @@
     /// Machines with room, in order.
     rooms: capacity_index::CapacityIndex,
     /// Jobs that wait, in order; `requeue`: some began to wait since.
-    waiting: schedule::PendingJobs,
+    waiting: schedule::QueuedMessage,
     requeue: bool,
     /// Something changed: schedule.
     pub dirty: bool,
@@ -263,7 +274,7 @@
         term: u64,
         stamp: u64,
         ledger: &Ledger,
-        sizes: &Sizes,
+        sizes: &MachineSizes,
         now: Micros,
         wall_ms: u64,
     ) -> Self {
@@ -306,7 +317,7 @@
             ways: NetworkPaths::default(),
             progressed: BTreeSet::new(),
             rooms: capacity_index::CapacityIndex::default(),
-            waiting: schedule::PendingJobs::new(),
+            waiting: schedule::QueuedMessage::new(),
             requeue: true,
             dirty: true,
             fleet_at: now,
@@ -344,7 +355,12 @@
             match job.phase {
                 Phase::Aborted if job.settled => l.note_cancelled_by_another(*id, job),
                 Phase::Aborted => {
-                    let by = crate::deputy::gone_by(job.ended_ms, wall_ms, l.ctx.cancel, now);
+                    let by = crate::cancellation_enforcer::cancellation_deadline(
+                        job.ended_ms,
+                        wall_ms,
+                        l.ctx.cancel,
+                        now,
+                    );
                     l.aborted.insert(*id, by);
                 }
                 _ => l.job_changed(*id, ledger, now),
--- a/crates/core/src/leader/schedule.rs
+++ b/crates/core/src/leader/schedule.rs
@@ -391,7 +391,8 @@
         let image = if m.images.contains(&run.spec.image) { "has" } else { "fetches" };
         debug!("{task}: assigned to {hint}, which {image} its image, attempt {}", attempt.0);
         let fixed = run.spec.has_zone_rule();
-        let out = HandOut { task, attempt, zone: fixed.then(|| zone.clone()), hint: hint.clone() };
+        let out =
+            Assignment { task, attempt, zone: fixed.then(|| zone.clone()), preferred_machine: hint.clone() };
         let need = run.spec.need;
         run.requeued.remove(&task.index);
         self.sums.bound(&run.spec);
--- a/crates/core/src/node/cancellation_enforcement.rs
+++ b/crates/core/src/node/cancellation_enforcement.rs
@@ -2,10 +2,12 @@
 //! the placement logs kept here or, when no controller in contact knows the placements, by the
 //! machines' liveness.
 use super::*;
-use crate::deputy::{Act, Evidence, SILENT, Suspect, gone_by};
+use crate::cancellation_enforcer::{
+    EnforcementAction, Evidence, LEADER_SILENCE_TIMEOUT, Suspect, cancellation_deadline,
+};
 use crate::jobs::Job;
 use crate::liveness::LivenessSummary;
-use crate::peer::Held;
+use crate::peer::TaskStatus;
 
 /// How often a `liveness` line is logged while liveness is the only evidence.
 const LIVENESS_LOG_INTERVAL: Micros = Micros::secs(5);
@@ -14,7 +16,7 @@
 
 impl Node {
     pub(super) fn enforce_without_leader(&mut self) {
-        self.liveness.works(self.now);
+        self.liveness.record_tick(self.now);
         if let Some(deadline) = self.unknown_placements_deadline() {
             // An occasional good answer of the state service elects no leader, so what is known of
             // the machines is kept.
@@ -23,16 +25,17 @@
             }
         }
         if self.liveness.listed_count() > 0 {
-            self.enforcer.stand_down();
+            self.enforcer.reset();
         }
         // Drops also what was received before the state was read: it is not updated from then on.
         self.liveness.clear();
         let term = self.leader_term();
-        let established = self.enforcer.long_led(term, self.now);
-        if self.has_active_leader() && established || self.now.since(self.started_at) < SILENT {
-            return self.enforcer.stand_down();
+        let established = self.enforcer.leadership_established(term, self.now);
+        if self.has_active_leader() && established || self.now.since(self.started_at) < LEADER_SILENCE_TIMEOUT
+        {
+            return self.enforcer.reset();
         }
-        if !self.enforcer.due(self.now) {
+        if !self.enforcer.scan_due(self.now) {
             return;
         }
         let suspects = self.suspects();
@@ -45,12 +48,12 @@
     /// answer was good.
     fn enforce_by_liveness(&mut self, deadline: Micros) {
         self.list_machines();
-        if !self.enforcer.due(self.now) {
+        if !self.enforcer.scan_due(self.now) {
             return;
         }
         let mut suspects = self.liveness.suspects(deadline, self.now);
         if !self.state_is_unreachable() {
-            suspects.values_mut().for_each(Suspect::only_ask);
+            suspects.values_mut().for_each(Suspect::exclude_from_deletion);
         }
         let machines = self.liveness.listed_count();
         self.log_liveness();
@@ -63,7 +66,7 @@
             return;
         }
         self.liveness_logged_at = self.now;
-        let LivenessSummary { running, unanswering, silent, unproved_zones } =
+        let LivenessSummary { running, unanswered: unanswering, silent, unproved_zones } =
             self.liveness.summary(self.now);
         info!(
             "liveness: running={running} unanswering={unanswering} silent={silent} unproved_zones={unproved_zones}"
@@ -71,10 +74,10 @@
     }
 
     fn list_machines(&mut self) {
-        let Some(from) = self.liveness.list_due(self.now) else { return };
+        let Some(from) = self.liveness.list_page_due(self.now) else { return };
         let call = list_call(from);
         if self.catalogue.bucket.take(self.now, 1.0, 0.0) {
-            self.liveness.list_sent();
+            self.liveness.record_list_request();
             let id = self.out.call(call);
             self.calls.insert(id, CallPurpose::MachineList);
         }
@@ -83,17 +86,17 @@
     /// Handles a page of the cloud's list, or the failure to get one.
     pub(super) fn machine_list_received(&mut self, result: &CallResult) {
         let page: Option<Rentals> = match result {
-            CallResult::Answer { status: 200, body } => serde_json::from_slice(body).ok(),
+            CallResult::Response { status: 200, body } => serde_json::from_slice(body).ok(),
             _ => None,
         };
-        self.liveness.listed(page.as_ref().map(|p| (&p.hosts[..], p.truncated)), self.now);
+        self.liveness.record_list_page(page.as_ref().map(|p| (&p.hosts[..], p.truncated)), self.now);
     }
 
     fn enforce_cancellations(&mut self, suspects: &BTreeMap<MachineId, Suspect>, machines: usize) {
         for act in self.enforcer.tick(suspects, self.leader_config.cancel, machines, self.now) {
             match act {
-                Act::Ask(ids) => ids.into_iter().for_each(|id| self.probe_suspect(id)),
-                Act::Delete(ids) => self.delete_suspects(ids),
+                EnforcementAction::Probe(ids) => ids.into_iter().for_each(|id| self.probe_suspect(id)),
+                EnforcementAction::Delete(ids) => self.delete_suspects(ids),
             }
         }
     }
@@ -116,13 +119,13 @@
     /// Handles the result of a deletion.
     pub(super) fn suspect_deletion_completed(&mut self, ids: &[MachineId], result: &CallResult) {
         let done = match result {
-            CallResult::Answer { status, .. } => Some(*status == 200),
+            CallResult::Response { status, .. } => Some(*status == 200),
             CallResult::NotSent => Some(false),
             CallResult::Unknown => None,
         };
-        self.enforcer.deleted(ids, done, self.now);
+        self.enforcer.record_deletion_result(ids, done, self.now);
         if done == Some(true) {
-            ids.iter().for_each(|id| self.liveness.deleted(id));
+            ids.iter().for_each(|id| self.liveness.record_deletion(id));
         }
     }
 
@@ -130,8 +133,8 @@
     /// behind a network partition handles what it can reach, and the copy of its placement log here
     /// is stale.
     fn has_active_leader(&self) -> bool {
-        let recent_contact =
-            self.leadership.leader.is_some() || self.now.since(self.peers.leader_contact_at) < SILENT;
+        let recent_contact = self.leadership.leader.is_some()
+            || self.now.since(self.peers.leader_contact_at) < LEADER_SILENCE_TIMEOUT;
         recent_contact
             || self.replica_sync.state_reachable(self.now) && self.replica_sync.replica.leader.is_some()
     }
@@ -140,7 +143,9 @@
     fn unsettled_job(&self, id: JobId) -> Option<(Micros, &Job)> {
         let job = self.replica_sync.replica.jobs.get(&id)?;
         let is_unsettled = job.phase == Phase::Aborted && !job.settled;
-        is_unsettled.then(|| (gone_by(job.ended_ms, self.wall_ms, self.leader_config.cancel, self.now), job))
+        is_unsettled.then(|| {
+            (cancellation_deadline(job.ended_ms, self.wall_ms, self.leader_config.cancel, self.now), job)
+        })
     }
 
     /// Machines where cancelled tasks may be, according to every placement log kept here: the log
@@ -157,7 +162,7 @@
         let machines = &self.replica_sync.replica.machines;
         let holder = |id: &MachineId| match self.controller.holds(id) {
             true => Some(self.members.own_id),
-            false => self.controller.directory.get(id).copied(),
+            false => self.controller.holders.get(id).copied(),
         };
         let unsettled: Vec<(Micros, &Job)> = match self.log_replicas.all().any(|b| !b.unknown.is_empty()) {
             true => self.replica_sync.replica.jobs.keys().filter_map(|id| self.unsettled_job(*id)).collect(),
@@ -189,7 +194,7 @@
         suspects
             .into_iter()
             .map(|(id, (deadline, starts))| {
-                (id, Suspect { by: deadline, evidence: Evidence::Placement { starts } })
+                (id, Suspect { deadline, evidence: Evidence::Placement { starts } })
             })
             .collect()
     }
@@ -203,9 +208,9 @@
     /// Handles the result of a probe or a stop; a machine answers both with its report.
     pub(super) fn suspect_call_completed(&mut self, machine: &MachineId, sent: Micros, result: &CallResult) {
         if *result == CallResult::Unknown {
-            return self.liveness.unanswered(machine, sent, self.now);
+            return self.liveness.record_probe_timeout(machine, sent, self.now);
         }
-        let CallResult::Answer { status: 200 | 409, body } = result else { return };
+        let CallResult::Response { status: 200 | 409, body } = result else { return };
         let Some((r, tasks)) = parse_report(body) else {
             return self.log_ignored_answer(machine, "is not a valid report");
         };
@@ -214,13 +219,14 @@
         }
         if self.uses_liveness() {
             let has_tasks = has_tasks(&tasks);
-            let is_newest = self.liveness.answered(machine.clone(), r.number(), has_tasks, sent, self.now);
+            let is_newest =
+                self.liveness.record_probe_response(machine.clone(), r.number(), has_tasks, sent, self.now);
             if !is_newest {
                 debug!("{machine}: ignored a probe response that is older than another report");
             }
         }
-        let unwanted = Controller::stops_for_stranger(&tasks, &self.replica_sync.replica);
-        let Some(stops) = self.enforcer.answered(&r, unwanted) else { return };
+        let unwanted = Controller::stops_for_unleased(&tasks, &self.replica_sync.replica);
+        let Some(stops) = self.enforcer.record_probe_response(&r, unwanted) else { return };
         let call = self.out.call(Call {
             target: Target::Worker(r.addr),
             method: "POST",
@@ -233,16 +239,16 @@
 
     /// Logs a response that changes nothing, once per machine.
     fn log_ignored_answer(&mut self, machine: &MachineId, what: &str) {
-        if self.liveness.note_odd_answer(machine) {
+        if self.liveness.record_invalid_response(machine) {
             warn!("{machine}: ignored a probe response that {what}");
         }
     }
 
     /// Records a worker's heartbeat.
-    pub(super) fn record_heartbeat(&mut self, report: &Report, tasks: &[Held]) {
+    pub(super) fn record_heartbeat(&mut self, report: &Report, tasks: &[TaskStatus]) {
         if self.uses_liveness() {
             let machine = MachineId::from(&*report.host);
-            self.liveness.heartbeat(machine, report.number(), has_tasks(tasks), self.now);
+            self.liveness.record_heartbeat(machine, report.number(), has_tasks(tasks), self.now);
         }
     }
 
@@ -253,13 +259,13 @@
     }
 }
 
-fn parse_report(body: &[u8]) -> Option<(Report, Vec<Held>)> {
+fn parse_report(body: &[u8]) -> Option<(Report, Vec<TaskStatus>)> {
     let report: Report = serde_json::from_slice(body).ok()?;
-    let tasks = read_tasks(&report)?;
+    let tasks = parse_tasks(&report)?;
     Some((report, tasks))
 }
 
-fn has_tasks(tasks: &[Held]) -> bool {
+fn has_tasks(tasks: &[TaskStatus]) -> bool {
     tasks.iter().any(|task| !task.state.exited())
 }
 
--- a/crates/core/src/node/catalogue.rs
+++ b/crates/core/src/node/catalogue.rs
@@ -1,5 +1,5 @@
 //! Machine types that the cloud offers, calls to the cloud, and their budget.
-use crate::controller::Sizes;
+use crate::controller::MachineSizes;
 use crate::leader::ScaleOutRequest;
 use crate::leader::scaling_limits::MAX_MACHINES_PER_LIST_PAGE;
 use crate::token_bucket::TokenBucket;
@@ -11,7 +11,7 @@
 #[derive(Debug)]
 pub(super) struct Catalogue {
     pub flavors: Vec<Flavor>,
-    pub sizes: Sizes,
+    pub sizes: MachineSizes,
     pub requested_at: Micros,
     /// A request for the machine types is in flight.
     pub request_in_flight: bool,
@@ -23,7 +23,7 @@
     pub fn new(calls: f64, now: Micros) -> Self {
         Catalogue {
             flavors: Vec::new(),
-            sizes: Sizes::new(),
+            sizes: MachineSizes::new(),
             requested_at: Micros(0),
             request_in_flight: false,
             bucket: TokenBucket::new(calls * 0.85, calls, now),
--- a/crates/core/src/node/messaging.rs
+++ b/crates/core/src/node/messaging.rs
@@ -42,7 +42,7 @@
             Some(r) => {
                 let envelope =
                     Envelope { from: self.members.own_id, incarnation: self.incarnation, message: m.clone() };
-                self.out.send(r, Message::Forward { to, envelope: envelope.pack() });
+                self.out.send(r, Message::Forward { to, envelope: envelope.to_bytes() });
             }
             None => self.relay.enqueue(to, &m),
         }
@@ -102,7 +102,12 @@
 
     pub(super) fn receive_message(&mut self, from: NodeId, incarnation: u64, m: Message) {
         match m {
-            Message::Ping { state_ok, hears, queued, loaded } => {
+            Message::Ping {
+                state_reachable: state_ok,
+                receives_from: hears,
+                queued_writes: queued,
+                state_loaded: loaded,
+            } => {
                 if let Some(p) = self.peers.states.get_mut(from.0 as usize) {
                     p.loaded = loaded;
                     p.state_ok = state_ok;
@@ -110,14 +115,14 @@
                     p.queued = queued;
                 }
             }
-            Message::Cancelled(all) => self.cancellations_received(from, &all),
-            Message::CancelledKnown { jobs, leads } => {
+            Message::Cancellations(all) => self.cancellations_received(from, &all),
+            Message::CancellationsAck { jobs, leading_term: leads } => {
                 self.cancellations_acknowledged(from, incarnation, &jobs, leads);
             }
             Message::Forward { to, envelope } => {
                 if to != self.members.own_id {
                     self.out.send(to, Message::Forward { to, envelope });
-                } else if let Some(p) = Envelope::unpack(&envelope).filter(|p| p.from != to) {
+                } else if let Some(p) = Envelope::from_bytes(&envelope).filter(|p| p.from != to) {
                     // One hop: a forwarded envelope holds no other envelope to forward.
                     if !matches!(p.message, Message::Forward { .. }) {
                         self.receive_message(p.from, p.incarnation, p.message);
@@ -131,10 +136,10 @@
                     l.sync(from, incarnation, &view, &self.replica_sync.replica, self.now);
                 }
             }
-            Message::Seen { id, build, zone, spot, addr, report, asked } => {
+            Message::MachineDiscovered { id, build, zone, spot, addr, report, probed: asked } => {
                 if let Some(l) = self.leadership.leader.as_mut() {
                     let rec = MachineRecord { build, zone, spot, addr };
-                    let s = Sighting { id, report, asked };
+                    let s = UnleasedReport { id, report, probed: asked };
                     l.seen(from, &s, &rec, &self.catalogue.sizes, self.now);
                 }
             }
@@ -143,11 +148,11 @@
                 seq,
                 base,
                 incarnation: addressee,
-                ack,
+                acked_sync: ack,
                 lease,
                 block,
-                elsewhere,
-                handouts,
+                not_in_block: elsewhere,
+                assignments: handouts,
                 stops,
                 running,
             } => {
@@ -157,25 +162,25 @@
                     return;
                 }
                 self.peers.record_leader_contact(term, from, self.now);
-                let added = self.controller.take_block(base == 0, &block, &elsewhere);
+                let added = self.controller.apply_block(base == 0, &block, &elsewhere);
                 if added > 0 {
                     debug!("machine lease: {added} machines granted");
                 }
-                self.controller.view_acknowledged(ack, self.now);
-                self.controller.take_ack(ack, lease);
-                self.controller.take_running(base == 0, &running);
-                self.controller.take_handouts(
+                self.controller.record_sync_ack(ack, self.now);
+                self.controller.apply_sync_ack(ack, lease);
+                self.controller.apply_running_counts(base == 0, &running);
+                self.controller.apply_assignments(
                     &handouts,
                     &self.replica_sync.replica,
                     &self.catalogue.sizes,
                     self.now,
                 );
-                self.controller.take_stops(&stops);
+                self.controller.apply_stops(&stops);
                 self.answer_deferred();
                 self.send_worker_calls();
                 self.send_sync(false);
             }
-            Message::Books(page) => {
+            Message::PlacementLogUpdate(page) => {
                 let (on_record, _) = &self.replica_sync.replica.books;
                 self.log_replicas.drop_before(on_record.term);
                 // No placement log is kept for a leader that has a successor.
@@ -184,9 +189,9 @@
                 }
                 let term = page.term;
                 let seq = self.log_replicas.take(page);
-                self.out.send(from, Message::BooksTaken { term, seq });
+                self.out.send(from, Message::PlacementLogAck { term, seq });
             }
-            Message::BooksTaken { term, seq } => {
+            Message::PlacementLogAck { term, seq } => {
                 let lease_confirmed = self.leadership.election.may_lead(self.now);
                 if let Some(l) = self.leadership.leader.as_mut().filter(|l| l.term == term)
                     && l.books_taken(from, incarnation, seq, self.now)
@@ -195,12 +200,12 @@
                     messages.into_iter().for_each(|(to, m)| self.send(to, m));
                 }
             }
-            Message::BooksWanted { term } => {
+            Message::PlacementLogRequest { term } => {
                 if let Some(log_replica) = self.log_replicas.get(term) {
-                    self.out.send(from, Message::BooksOf(log_replica.page(term)));
+                    self.out.send(from, Message::PlacementLogSnapshot(log_replica.page(term)));
                 }
             }
-            Message::BooksOf(page) => {
+            Message::PlacementLogSnapshot(page) => {
                 self.placement_log_received(from, incarnation, page);
                 self.run_leader();
             }
@@ -228,7 +233,7 @@
         let term = self.leader_term();
         let first = std::mem::replace(&mut self.peers.sync_term, term) != term;
         // A leader that has acknowledged nothing gets the whole view, less often.
-        let pause = match (self.controller.dirty, self.controller.unknown_to(term)) {
+        let pause = match (self.controller.sync_pending, self.controller.needs_full_sync(term)) {
             (true, true) => FULL_VIEW_INTERVAL,
             (true, false) => VIEW_INTERVAL,
             (false, _) => IDLE_VIEW_INTERVAL,
@@ -238,11 +243,12 @@
         }
         let recent = self.now - Micros::millis(2500);
         self.deferred_heartbeats.unleased_reports.retain(|_, (t, ..)| *t > recent);
-        let unleased_reports = self
-            .deferred_heartbeats
-            .unleased_reports
-            .iter()
-            .map(|(id, (_, report, asked))| Sighting { id: id.clone(), report: *report, asked: *asked });
+        let unleased_reports =
+            self.deferred_heartbeats.unleased_reports.iter().map(|(id, (_, report, asked))| UnleasedReport {
+                id: id.clone(),
+                report: *report,
+                probed: *asked,
+            });
         let unleased_reports = unleased_reports.collect();
         let m = self.controller.sync(term, unleased_reports, &self.replica_sync.replica, self.now);
         self.send(to, m);
--- a/crates/core/src/node/placement_knowledge.rs
+++ b/crates/core/src/node/placement_knowledge.rs
@@ -5,7 +5,7 @@
 //! service, all processes that know may have ended; then the only evidence left is that a machine
 //! is silent (`crate::liveness`).
 use super::*;
-use crate::deputy::gone_by;
+use crate::cancellation_enforcer::cancellation_deadline;
 
 /// Where it is unknown since when there are cancellations, silent machines are deleted one by one
 /// until this part of the cancellation time has passed, in percent.
@@ -58,7 +58,7 @@
         let unsettled =
             self.replica_sync.replica.jobs.values().filter(|j| j.phase == Phase::Aborted && !j.settled);
         unsettled
-            .map(|job| gone_by(job.ended_ms, self.wall_ms, self.leader_config.cancel, self.now))
+            .map(|job| cancellation_deadline(job.ended_ms, self.wall_ms, self.leader_config.cancel, self.now))
             .filter(|by| *by > self.now)
             .min()
     }
--- a/crates/core/src/node/relay.rs
+++ b/crates/core/src/node/relay.rs
@@ -62,7 +62,7 @@
         envelope: &Envelope,
         limits: &StoreLimits,
     ) -> Option<usize> {
-        let text = BASE64.encode(&envelope.pack());
+        let text = BASE64.encode(&envelope.to_bytes());
         let in_txn = TXN_TEXT_BYTES / limits.txn_ops.max(1);
         let part_bytes =
             limits.value_bytes.saturating_sub(PART_OVERHEAD_BYTES).min(in_txn).max(PART_OVERHEAD_BYTES);
@@ -117,7 +117,7 @@
             return None;
         }
         let (_, text, _) = self.incomplete.remove(&sender)?;
-        Envelope::unpack(&BASE64.decode(text.as_bytes()).ok()?)
+        Envelope::from_bytes(&BASE64.decode(text.as_bytes()).ok()?)
     }
 }
 
@@ -177,8 +177,8 @@
                     assert!(limits.fits(v), "{what}");
                 }
             }
-            let received = receive(&mut to, &transactions).map(|e| e.pack());
-            assert_eq!(received, want.map(|_| sent.pack()), "{what}");
+            let received = receive(&mut to, &transactions).map(|e| e.to_bytes());
+            assert_eq!(received, want.map(|_| sent.to_bytes()), "{what}");
         }
     }
 
@@ -199,6 +199,6 @@
         assert!(from.is_posting());
         let second_transactions = transactions(&mut from);
         assert!(receive(&mut to, &[first]).is_none());
-        assert_eq!(receive(&mut to, &second_transactions).map(|e| e.pack()), Some(second.pack()));
+        assert_eq!(receive(&mut to, &second_transactions).map(|e| e.to_bytes()), Some(second.to_bytes()));
     }
 }
--- a/crates/core/src/node/requests.rs
+++ b/crates/core/src/node/requests.rs
@@ -8,7 +8,7 @@
         match (method, path, rest) {
             ("GET", "/ready", _) => {
                 if self.is_ready() {
-                    self.out.answer(id, 200, br#"{"ready":true}"#.to_vec());
+                    self.out.respond(id, 200, br#"{"ready":true}"#.to_vec());
                 } else {
                     self.refuse(id, RefusalReason::NotReady);
                 }
@@ -16,7 +16,7 @@
             ("POST", "/checkin", _) => self.receive_heartbeat(id, body),
             ("POST", "/submissions", _) => self.submit(id, body),
             (_, "/ready" | "/checkin" | "/submissions", _) => {
-                self.out.answer(id, 405, users::error("wrong method"))
+                self.out.respond(id, 405, users::error("wrong method"))
             }
             (m, _, Some(rest)) => {
                 let (job, abort) = match rest.strip_suffix("/abort") {
@@ -24,12 +24,12 @@
                     None => (rest, false),
                 };
                 if m != if abort { "POST" } else { "GET" } {
-                    return self.out.answer(id, 405, users::error("wrong method"));
+                    return self.out.respond(id, 405, users::error("wrong method"));
                 }
                 // Jobs with an id assigned by the service (from the extension) can be queried here,
                 // but are cancelled only through the interface that submitted them.
                 match JobId::parse(job).filter(|j| !(abort && j.own())) {
-                    None => self.out.answer(id, 404, users::error("no such job")),
+                    None => self.out.respond(id, 404, users::error("no such job")),
                     Some(j) if abort => self.await_read_barrier(Waiter::Abort(id, j), Micros::millis(3500)),
                     Some(j) => {
                         self.status.poll_received(id, self.now);
@@ -37,7 +37,7 @@
                     }
                 }
             }
-            _ => self.out.answer(id, 404, users::error("no such path")),
+            _ => self.out.respond(id, 404, users::error("no such path")),
         }
     }
 
@@ -65,7 +65,7 @@
             Phase::Active => return false,
             Phase::Done => {
                 let answer = users::job_answer(job, "done", j.tasks, 0);
-                self.out.answer(id, 200, answer);
+                self.out.respond(id, 200, answer);
             }
             Phase::Aborted if self.is_confirmed(job) => self.answer_cancelled(id, job),
             Phase::Aborted => self.confirm_to_client(id, job),
@@ -79,7 +79,7 @@
             Some(cause) => users::failed_answer(job, cause),
             None => users::job_answer(job, "aborted", 0, 0),
         };
-        self.out.answer(id, 200, answer);
+        self.out.respond(id, 200, answer);
     }
 
     pub(super) fn answer_current_state(&mut self, id: RequestId, job: JobId) {
@@ -87,11 +87,11 @@
             return;
         }
         let Some(j) = self.replica_sync.replica.jobs.get(&job) else {
-            return self.out.answer(id, 404, users::error("no such job"));
+            return self.out.respond(id, 404, users::error("no such job"));
         };
-        let running = self.controller.running.get(&job).copied().unwrap_or(0);
+        let running = self.controller.running_counts.get(&job).copied().unwrap_or(0);
         let stage = if running > 0 { "running" } else { "queued" };
-        self.out.answer(id, 200, users::job_answer(job, stage, j.done.below(j.tasks), running));
+        self.out.respond(id, 200, users::job_answer(job, stage, j.done.below(j.tasks), running));
     }
 
     pub(super) fn await_read_barrier(&mut self, w: Waiter, limit: Micros) {
@@ -123,7 +123,7 @@
     /// Answers 503 with `Retry-After`, and counts the reason.
     pub(super) fn refuse(&mut self, id: RequestId, reason: RefusalReason) {
         self.status.refused(reason);
-        self.out.later(id, reason.message());
+        self.out.respond_unavailable(id, reason.message());
     }
 
     pub(super) fn submit(&mut self, id: RequestId, body: &[u8]) {
@@ -134,7 +134,7 @@
         };
         let Some(job) = job else {
             let reason = parsed.err().unwrap_or_default();
-            return self.out.answer(id, 400, users::error(&reason));
+            return self.out.respond(id, 400, users::error(&reason));
         };
         let checked = parsed.map_err(|e| (400, e)).and_then(|s| self.validate_submission(s));
         let known = self.replica_sync.replica.jobs.contains_key(&job);
@@ -238,14 +238,14 @@
                     Ok(spec) => {
                         if let Some(dependency) = self.unknown_dependency(&spec) {
                             let reason = format!("awaits: {dependency} was never accepted");
-                            return self.out.answer(id, 422, users::error(&reason));
+                            return self.out.respond(id, 422, users::error(&reason));
                         }
                         let until = self.now + Micros::millis(3000);
                         self.pending.writes.push_back((PendingWrite::Submit(id, Box::new(spec)), until));
                         self.send_pending_writes();
                     }
                     Err((503, _)) => self.refuse(id, RefusalReason::MachineTypesUnknown),
-                    Err((status, reason)) => self.out.answer(id, status, users::error(&reason)),
+                    Err((status, reason)) => self.out.respond(id, status, users::error(&reason)),
                 }
             }
             Waiter::Abort(id, job) => {
@@ -253,7 +253,7 @@
                     return;
                 }
                 if !self.replica_sync.replica.jobs.contains_key(&job) {
-                    return self.out.answer(id, 404, users::error("no such job"));
+                    return self.out.respond(id, 404, users::error("no such job"));
                 }
                 let until = self.now + Micros::millis(3000);
                 let end = jobs::cancelled_value(self.wall_ms, None, false);
@@ -335,7 +335,7 @@
 
     pub(super) fn pending_write_completed(&mut self, w: PendingWrite, result: &CallResult) {
         match (w, result) {
-            (PendingWrite::Submit(id, spec), CallResult::Answer { status: 200, body }) => {
+            (PendingWrite::Submit(id, spec), CallResult::Response { status: 200, body }) => {
                 let job = spec.id;
                 let revision = serde_json::from_slice::<MultiAnswer>(body).map_or(0, |a| a.ledger);
                 debug!("{job}: accepted revision={revision}");
@@ -344,9 +344,9 @@
                 };
                 // Accepted, but cancelled together with its dependency.
                 let stage = if spec.dependencies.iter().any(cancelled) { "aborted" } else { "queued" };
-                self.out.answer(id, 201, users::job_answer(job, stage, 0, 0));
+                self.out.respond(id, 201, users::job_answer(job, stage, 0, 0));
             }
-            (PendingWrite::Abort(id, job, end), CallResult::Answer { status: 200, body }) => {
+            (PendingWrite::Abort(id, job, end), CallResult::Response { status: 200, body }) => {
                 info!("{job}: cancelled");
                 let revision = serde_json::from_slice::<MultiAnswer>(body).map_or(0, |a| a.ledger);
                 self.apply_confirmed_ends(
@@ -355,19 +355,19 @@
                 );
                 self.confirm_to_client(id, job);
             }
-            (PendingWrite::Extension(t, m, _), CallResult::Answer { status: 200, body }) => {
+            (PendingWrite::Extension(t, m, _), CallResult::Response { status: 200, body }) => {
                 let revision = serde_json::from_slice::<MultiAnswer>(body).map_or(0, |a| a.ledger);
                 let ended = self.apply_confirmed_ends(&m.writes, revision);
                 self.confirm_to_extension(t, &ended, result.clone());
             }
             // The key exists already: the response is the job's current state.
-            (PendingWrite::Submit(id, spec), CallResult::Answer { status: 409, .. }) => {
+            (PendingWrite::Submit(id, spec), CallResult::Response { status: 409, .. }) => {
                 self.await_read_barrier(Waiter::Poll(id, spec.id), Micros::millis(1500));
             }
-            (PendingWrite::Abort(id, job, _), CallResult::Answer { status: 409, .. }) => {
+            (PendingWrite::Abort(id, job, _), CallResult::Response { status: 409, .. }) => {
                 self.await_read_barrier(Waiter::Abort(id, job), Micros::millis(1500));
             }
-            (PendingWrite::Extension(t, m, as_leader), CallResult::Answer { status: 429, .. }) => {
+            (PendingWrite::Extension(t, m, as_leader), CallResult::Response { status: 429, .. }) => {
                 self.pending.write_bucket.take_unconditionally(self.now, 1.0);
                 self.pending
                     .writes
@@ -376,7 +376,7 @@
             (PendingWrite::Extension(t, ..), r) => {
                 self.run_extension(ExtensionInput::OperationCompleted(t, r.clone()))
             }
-            (w, CallResult::Answer { status: 429, .. }) => {
+            (w, CallResult::Response { status: 429, .. }) => {
                 let pause = Micros::millis(100 + self.rng.u64(0..100));
                 self.pending.write_bucket.take_unconditionally(self.now, 1.0);
                 self.pending.writes.push_back((w, self.now + Micros::millis(2000) - pause));
--- a/crates/core/src/node/status/tests.rs
+++ b/crates/core/src/node/status/tests.rs
@@ -3,7 +3,7 @@
 const GAUGES: Gauges = Gauges { revision: 7, ready: true, machines_held: 2, leader: Some(1), term: 4 };
 
 fn answer(id: u64, status: u16) -> Output {
-    Output::Answer { id: RequestId(id), status, body: Vec::new(), retry_after: None }
+    Output::Response { id: RequestId(id), status, body: Vec::new(), retry_after: None }
 }
 
 #[test]
@@ -21,7 +21,7 @@
     status.read_barrier_sent(ms(2000));
     status.read_barrier_completed(&CallResult::Unknown, ms(3200));
     status.read_barrier_sent(ms(3300));
-    status.read_barrier_completed(&CallResult::Answer { status: 200, body: Vec::new() }, ms(3310));
+    status.read_barrier_completed(&CallResult::Response { status: 200, body: Vec::new() }, ms(3310));
     status.caught_up(ms(3310));
     assert_eq!(status.line(GAUGES, ms(10_999)), None);
     let line = status.line(GAUGES, ms(11_000)).unwrap();
