--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -238,7 +238,7 @@
     /// Machines with room, in order.
     rooms: capacity_index::CapacityIndex,
     /// Jobs that wait, in order; `requeue`: some began to wait since.
-    waiting: schedule::QueuedMessage,
+    waiting: schedule::PendingJobs,
     requeue: bool,
     /// Something changed: schedule.
     pub dirty: bool,
@@ -317,7 +317,7 @@
             ways: NetworkPaths::default(),
             progressed: BTreeSet::new(),
             rooms: capacity_index::CapacityIndex::default(),
-            waiting: schedule::QueuedMessage::new(),
+            waiting: schedule::PendingJobs::new(),
             requeue: true,
             dirty: true,
             fleet_at: now,
--- a/crates/standins/src/scale.rs
+++ b/crates/standins/src/scale.rs
@@ -306,7 +306,7 @@
             // The pace of decisions; nothing that was decided on is rented.
             self.now = self.now + Micros::millis(410);
             let t = Instant::now();
-            self.leader.fleet(&flavors, self.now);
+            self.leader.autoscale(&flavors, self.now);
             spent += t.elapsed().as_secs_f64();
         }
         Ok(spent * 1e3 / ROUNDS as f64)
@@ -348,7 +348,7 @@
         passes += t.elapsed().as_secs_f64();
         if i % 20 == 0 {
             let t = Instant::now();
-            b.leader.fleet(&flavors, b.now);
+            b.leader.autoscale(&flavors, b.now);
             rentals += t.elapsed().as_secs_f64();
             b.exchange();
         }
