--- a/crates/core/src/leader/machines.rs
+++ b/crates/core/src/leader/autoscaling.rs
@@ -1,45 +1,47 @@
-//! Machines: what is asked of the cloud.
+//! Autoscaling: rents and deletes machines, and applies the cloud's responses.
 use super::*;
 
-/// An array of which nothing runs has waited for a while after this, in
-/// milliseconds.
-const THIRSTY_MS: u64 = 30_000;
-/// One in so many ordinary machines may hold nothing but arrays while spot ones
+/// An array that has run nothing for this long may get on-demand machines while spot machines
 /// are sold out.
-const ORDINARY_PART: usize = 2;
-/// Spot machines are sold out when in so long a time only a few could be had for
-/// what waits.
-const SOLD_OUT: Micros = Micros::secs(60);
-/// Waiting tasks for each spot machine that was had meanwhile.
-const FEW: usize = 4;
-/// While spot machines are more than one in so many of the CPUs of ordinary ones, work
-/// that waits for them gets its turn there: a small deployment has few at any time.
-const SPOT_THERE: u64 = 10;
+const ON_DEMAND_WAIT_MS: u64 = 30_000;
+/// One in this many on-demand machines may hold only array tasks while spot machines are sold
+/// out.
+const ON_DEMAND_PER_ARRAY_MACHINE: usize = 2;
+/// Spot machines count as sold out when few were rented within this time, compared with the
+/// pending tasks.
+const SPOT_SOLD_OUT_WINDOW: Micros = Micros::secs(60);
+/// Spot machines are sold out when more than this many tasks of long-pending arrays wait for each
+/// spot machine rented within `SPOT_SOLD_OUT_WINDOW`.
+const PENDING_PER_SPOT_RENTAL: usize = 4;
+/// While spot machines have more than one CPU for this many CPUs of on-demand machines, they do
+/// not count as sold out: pending arrays are served on them. A small deployment has only a
+/// few spot machines at any time.
+const ON_DEMAND_TO_SPOT_CPU_RATIO: u64 = 10;
 
 impl Leader {
-    /// Decides what to rent and return; what to ask the cloud now.
-    pub fn fleet(&mut self, flavors: &[Flavor], now: Micros) -> Vec<CloudWish> {
-        let mut wishes = Vec::new();
+    /// Decides which machines to rent and delete, and returns the calls to make to the cloud now.
+    pub fn autoscale(&mut self, flavors: &[Flavor], now: Micros) -> Vec<CloudRequest> {
+        let mut requests = Vec::new();
         if !self.grants_started {
-            return wishes;
+            return requests;
         }
         if now >= self.next_autoscale_at {
             let passed = now.since(self.usage_measured_at);
             self.usage_measured_at = now;
             self.next_autoscale_at = now + Micros::millis(400);
-            self.measure();
+            self.refresh_usage();
             for m in self.machines.values_mut() {
                 m.used_cpu_time += m.used.cpu as u128 * passed.0 as u128;
             }
-            self.drain_warned(now);
+            self.save_tasks_before_reclaim(now);
             let suspects = self.machines.iter().filter(|(_, m)| !m.failed_jobs.is_empty());
             let suspects: Vec<MachineId> = suspects.map(|(id, _)| id.clone()).collect();
             suspects.iter().for_each(|id| self.drain_if_faulty(id));
-            self.watch_zones(now);
-            self.return_idle(flavors, now);
-            self.tell_waits(now);
+            self.update_zone_health(now);
+            self.delete_idle(flavors, now);
+            self.log_longest_pending(now);
             if now >= self.rent_not_before {
-                self.plan_hires(flavors, now);
+                self.plan_scale_out(flavors, now);
             }
             let forgotten = &mut self.min_update_base;
             self.deleted_machines.retain(|_, (t, stamp)| {
@@ -48,79 +50,87 @@
                 keep
             });
         }
-        wishes.extend(self.deletions(now));
+        requests.extend(self.due_deletions(now));
         for (req, stage, _) in self.scale_out_requests.values() {
-            if *stage == HireStage::Recorded {
-                wishes.push(CloudWish::Hire(req.clone()));
+            if *stage == ScaleOutStage::Recorded {
+                requests.push(CloudRequest::Rent(req.clone()));
             }
         }
-        let pause = match self.list_cursor {
-            Some(_) => growth::list_page_pause(self.config.cloud_rps),
-            None => growth::LIST_PAUSE,
+        let interval = match self.list_cursor {
+            Some(_) => scaling_limits::list_page_interval(self.config.cloud_rps),
+            None => scaling_limits::LIST_INTERVAL,
         };
-        if !self.list_pending && now.since(self.listed_at) >= pause {
-            wishes.push(CloudWish::List(self.list_cursor.clone()));
+        if !self.list_pending && now.since(self.listed_at) >= interval {
+            requests.push(CloudRequest::List(self.list_cursor.clone()));
         }
-        wishes
+        requests
     }
 
-    /// Deletions that are due.
-    pub fn deletions(&self, now: Micros) -> Option<CloudWish> {
-        let doomed: Vec<MachineId> = self
+    /// The deletion call to send now, if machines are to be deleted. An unconfirmed deletion is
+    /// sent again after 3 s.
+    pub fn due_deletions(&self, now: Micros) -> Option<CloudRequest> {
+        let ids: Vec<MachineId> = self
             .machines
             .iter()
             .filter(|(_, m)| {
                 m.stage == Stage::Deleting && m.delete_sent_at.is_none_or(|t| now.since(t) > Micros::secs(3))
             })
             .map(|(id, _)| id.clone())
-            .take(growth::NAMES_A_DELETION)
+            .take(scaling_limits::MAX_MACHINES_PER_DELETION)
             .collect();
-        (!doomed.is_empty()).then_some(CloudWish::Delete(doomed))
+        (!ids.is_empty()).then_some(CloudRequest::Delete(ids))
     }
 
-    /// A wish went out.
-    pub fn wish_sent(&mut self, wish: &CloudWish, now: Micros) {
-        match wish {
-            CloudWish::Delete(ids) => {
+    /// Records that a call to the cloud was sent.
+    pub fn cloud_request_sent(&mut self, request: &CloudRequest, now: Micros) {
+        match request {
+            CloudRequest::Delete(ids) => {
                 for id in ids {
                     if let Some(m) = self.machines.get_mut(id) {
                         m.delete_sent_at = Some(now);
                     }
                 }
             }
-            CloudWish::Hire(r) => {
+            CloudRequest::Rent(r) => {
                 if let Some(h) = self.scale_out_requests.get_mut(&r.name) {
-                    h.1 = HireStage::Called;
+                    h.1 = ScaleOutStage::Requested;
                     h.2 = now;
                 }
             }
-            CloudWish::List(_) => self.list_pending = true,
+            CloudRequest::List(_) => self.list_pending = true,
         }
     }
 
-    /// The cloud deleted these.
-    pub fn deleted(&mut self, ids: &[MachineId], now: Micros) {
+    /// Removes machines whose deletion the cloud confirmed.
+    pub fn deletion_confirmed(&mut self, ids: &[MachineId], now: Micros) {
         for id in ids {
             self.remove_machine(id, now);
         }
     }
 
-    /// A deletion was not confirmed; it is sent again.
-    pub fn delete_failed(&mut self, ids: &[MachineId], now: Micros) {
+    /// Makes an unconfirmed deletion due again.
+    pub fn deletion_unconfirmed(&mut self, ids: &[MachineId], now: Micros) {
         for id in ids {
             if let Some(m) = self.machines.get_mut(id) {
-                // In half a second, whatever the usual pause.
+                // Due in 0.5 s instead of the usual 3 s.
                 m.delete_sent_at = Some(now - Micros::millis(2500));
             }
         }
     }
 
-    /// A rental ended: machines, a refusal (`Some(empty)`), or nobody knows.
-    pub fn hired(&mut self, req: &HireRequest, got: Option<&[String]>, sizes: &MachineSizes, now: Micros) {
-        let Some(hosts) = got else {
-            // The same name again gives the same machines.
+    /// Applies the result of a scale-out request: the rented machines, a refusal (`Some` of an empty
+    /// slice), or an unknown result (`None`).
+    pub fn rental_finished(
+        &mut self,
+        req: &ScaleOutRequest,
+        result: Option<&[String]>,
+        sizes: &MachineSizes,
+        now: Micros,
+    ) {
+        let Some(hosts) = result else {
+            // Sent again under the same name, for which the cloud returns the same machines.
             if let Some(h) = self.scale_out_requests.get_mut(&req.name) {
-                h.1 = HireStage::Recorded;
+                h.1 = ScaleOutStage::Recorded;
             }
             return;
         };
@@ -129,13 +139,13 @@
             self.recent_spot_rentals.push_back((now, hosts.len()));
         }
         if hosts.len() < req.count as usize {
-            self.refused_offers.insert((req.build.clone(), req.zone.clone(), req.spot), now);
+            self.refused_offers.insert((req.machine_type.clone(), req.zone.clone(), req.spot), now);
         }
         info!(
             "rented {} of {} {} in {}{}",
             hosts.len(),
             req.count,
-            req.build,
+            req.machine_type,
             req.zone,
             if req.spot { ", spot" } else { "" }
         );
@@ -145,18 +155,18 @@
                 continue;
             }
             let rec = MachineRecord {
-                build: req.build.clone(),
+                build: req.machine_type.clone(),
                 zone: req.zone.clone(),
                 spot: req.spot,
                 addr: String::new(),
             };
-            let size = sizes.get(&req.build).copied().unwrap_or_default();
+            let size = sizes.get(&req.machine_type).copied().unwrap_or_default();
             self.machines.insert(id, Machine::new(&rec, size, Stage::Booting, now));
         }
     }
 
-    /// A page of the list (or none, if the call failed).
-    pub fn listed(&mut self, page: Option<&Rentals>, sizes: &MachineSizes, now: Micros) {
+    /// Applies a page of the cloud's machine list; `None` if the call failed.
+    pub fn list_page_received(&mut self, page: Option<&Rentals>, sizes: &MachineSizes, now: Micros) {
         self.list_pending = false;
         self.listed_at = now;
         let Some(page) = page else { return };
@@ -175,7 +185,7 @@
                         self.mark_changed(&id);
                     }
                     if failed && !deleting {
-                        self.delete(&id, "it failed", now);
+                        self.delete(&id, "the cloud reports that it failed", now);
                     }
                 }
                 None => {
@@ -186,59 +196,61 @@
                         spot: r.loaners,
                         addr: r.addr.clone(),
                     };
-                    info!("{id}: found in the list ({} in {}, {})", r.build, rec.zone, r.stage);
+                    info!("{id}: adopted from the cloud's list ({} in {}, {})", r.build, rec.zone, r.stage);
                     let mut m = Machine::new(&rec, *size, Stage::Booting, now);
                     m.stage_since = now - Micros::from_secs_f64(r.held_s);
                     self.machines.insert(id.clone(), m);
                     if r.stage == "failed" {
-                        self.delete(&id, "it failed", now);
+                        self.delete(&id, "the cloud reports that it failed", now);
                     }
                 }
             }
         }
     }
 
-    /// Closes zones of which nothing is heard, and opens them again.
-    fn watch_zones(&mut self, now: Micros) {
-        let mut sights: BTreeMap<String, Sight> = BTreeMap::new();
+    /// Closes zones without contact to renting, and opens them again.
+    fn update_zone_health(&mut self, now: Micros) {
+        let mut observations: BTreeMap<String, ZoneObservation> = BTreeMap::new();
         for (id, m) in &self.machines {
             let seen = self.last_seen.get(id).map(|x| x.1);
-            let sight = match sights.get_mut(&m.zone) {
+            let observation = match observations.get_mut(&m.zone) {
                 Some(s) => s,
-                None => sights.entry(m.zone.clone()).or_default(),
+                None => observations.entry(m.zone.clone()).or_default(),
             };
-            sight.up += (m.stage == Stage::Up) as u32;
-            // Also of one that is being deleted: it is the way that counts.
-            sight.heard = sight.heard.max(m.last_contact.max(seen));
-        }
-        // All of a zone's workers report in a quarter more than this.
-        let patience = self.config.report_interval.max(Micros::secs(4)) + Micros::secs(2);
-        let listens_from = self.lateness.silence_start(self.term_start + Micros::secs(2));
-        for turn in self.zone_health.look(&sights, listens_from, patience, now) {
+            observation.up += (m.stage == Stage::Up) as u32;
+            // Contact with a machine that is being deleted counts too, because it shows that the
+            // network path is open.
+            observation.last_contact = observation.last_contact.max(m.last_contact.max(seen));
+        }
+        // All workers of a zone send a heartbeat within 1.25 times the report interval.
+        let max_silence = self.config.report_interval.max(Micros::secs(4)) + Micros::secs(2);
+        let silence_from = self.lateness.silence_start(self.term_start + Micros::secs(2));
+        for transition in self.zone_health.update(&observations, silence_from, max_silence, now) {
             self.needs_scheduling = true;
-            match turn {
-                Turn::Closed(zone, up, silent) => warn!(
-                    "zone {zone} is closed to renting: nothing of its {up} machines for {:.1} s, while others are heard",
+            match transition {
+                ZoneTransition::Closed(zone, up, silent) => warn!(
+                    "zone {zone} closed to renting: no contact with its {up} machines for {:.1} s, while other zones respond",
                     silent.as_secs_f64()
                 ),
-                Turn::Opened(zone, after) => {
-                    info!("zone {zone} is open to renting again after {:.1} s", after.as_secs_f64())
+                ZoneTransition::Opened(zone, after) => {
+                    info!("zone {zone} opened to renting again after {:.1} s", after.as_secs_f64())
                 }
             }
         }
     }
 
-    /// How many more machines may be asked for in a zone; no bound while it is open.
+    /// Machines that may still be requested in a zone; `None` if it is open, which means no bound.
     fn probes_left(&self, zone: &str, now: Micros) -> Option<u32> {
-        let allowed = self.zone_health.allowed(zone, now)?;
+        let allowance = self.zone_health.probe_allowance(zone, now)?;
         let booting = self.machines.values().filter(|m| m.stage == Stage::Booting && m.zone == zone).count();
-        let asked: u32 =
+        let requested: u32 =
             self.scale_out_requests.values().filter(|(r, ..)| r.zone == zone).map(|(r, ..)| r.count).sum();
-        Some(allowed.saturating_sub(booting as u32 + asked))
+        Some(allowance.saturating_sub(booting as u32 + requested))
     }
 
-    pub(super) fn drain_warned(&mut self, now: Micros) {
-        // Work that can be saved is saved before the cloud takes the machine.
+    /// Stops tasks that can save a checkpoint before the cloud reclaims their spot machine, and
+    /// drops stop orders whose attempt is no longer on its machine.
+    pub(super) fn save_tasks_before_reclaim(&mut self, now: Micros) {
         let mut stops = Vec::new();
         for (id, m) in &self.machines {
             let Some(until) = m.preemption_at else { continue };
@@ -246,7 +258,7 @@
                 let Some(r) = self.jobs.get(&t.job) else { continue };
                 let save = Micros::from_secs_f64(r.spec.save_s);
                 let left = until - now;
-                // The notice may be half as long as it says.
+                // The cloud may reclaim the machine after half of the announced time.
                 if r.spec.checkpoint_s > 0.0
                     && *s == TaskState::Running
                     && left.scale(1, 2) <= save + Micros::millis(2500)
@@ -258,8 +270,8 @@
             }
         }
         for (t, a, id, grace) in stops {
-            info!("{t}: saved and stopped, {id} is taken back");
-            self.stop(t, a, &id, grace, now);
+            info!("{t}: stopped to save a checkpoint, the cloud reclaims {id}");
+            self.request_stop(t, a, &id, grace, now);
         }
         let machines = &self.machines;
         self.pending_stops.retain(|(t, a), (r, _)| {
@@ -267,30 +279,32 @@
         });
     }
 
-    pub(super) fn return_idle(&mut self, flavors: &[Flavor], now: Micros) {
-        let mut back = Vec::new();
-        let waiting = self.jobs.values().any(|r| !r.over && !r.held && r.waiting() > 0);
-        // Room for replicas that come, by zone: ordinary machines only.
+    /// Deletes machines that did not boot in time, that are drained, or that are idle beyond the
+    /// spare capacity to keep.
+    pub(super) fn delete_idle(&mut self, flavors: &[Flavor], now: Micros) {
+        let mut to_delete = Vec::new();
+        let any_pending = self.jobs.values().any(|r| !r.ended && !r.held && r.pending_tasks() > 0);
+        // Spare CPUs for new replicas by zone; only on-demand machines count.
         let mut spare: BTreeMap<String, u64> = BTreeMap::new();
         for m in self.machines.values().filter(|m| !m.spot && m.is_usable()) {
             *spare.entry(m.zone.clone()).or_default() += m.free().cpu;
         }
-        let targets = self.spare_targets(now);
+        let targets = self.spare_cpu_targets(now);
         let least = (self.config.operator.spare_cpus * 1000.0) as u64;
-        let list: Vec<MachineId> = self.machines.keys().cloned().collect();
-        for id in list {
+        let ids: Vec<MachineId> = self.machines.keys().cloned().collect();
+        for id in ids {
             let Some(m) = self.machines.get_mut(&id) else { continue };
             match m.stage {
                 Stage::Booting => {
                     let boot = flavors.iter().find(|f| f.sku == m.machine_type).map_or(60.0, |f| f.boot_s);
                     if now.since(m.stage_since) > Micros::from_secs_f64(boot * 4.0 + 20.0) {
-                        back.push((id, "it never came up"));
+                        to_delete.push((id, "it did not boot in time"));
                     }
                 }
                 Stage::Up if m.confirmed && m.is_empty() => {
                     let idle = now.since(*m.idle_since.get_or_insert(now));
                     if m.draining.is_some() {
-                        back.push((id, "out of use and empty"));
+                        to_delete.push((id, "it is drained and empty"));
                         continue;
                     }
                     if idle < self.config.operator.idle_return || m.preemption_at.is_some() {
@@ -304,38 +318,40 @@
                         }
                         *s -= m.size.cpu;
                     }
-                    if waiting && idle < self.config.operator.idle_return.scale(3, 1) {
+                    if any_pending && idle < self.config.operator.idle_return.scale(3, 1) {
                         continue;
                     }
-                    back.push((id, "idle"));
+                    to_delete.push((id, "idle"));
                 }
                 Stage::Up => m.idle_since = None,
                 Stage::Deleting => {}
             }
         }
-        for (id, why) in back {
+        for (id, why) in to_delete {
             self.delete(&id, why, now);
         }
     }
 
-    /// CPUs of a machine that work below the highest priority takes.
-    fn lent(&self, m: &Machine) -> u64 {
+    /// CPUs, in thousandths, that tasks below the highest priority take on a machine.
+    fn preemptible_cpu(&self, m: &Machine) -> u64 {
         let lower = |t: &&TaskId| self.jobs.get(&t.job).is_some_and(|r| r.urgency.rank < Rank::Production);
         m.tasks.keys().filter(lower).map(|t| self.jobs[&t.job].spec.need.cpu).sum()
     }
 
-    /// Room that should be there for production replicas that come, by zone:
-    /// for the largest service there is, and for what comes while a machine
-    /// boots, as far as the last minute tells; never more than a tenth of what
-    /// runs, or a start from nothing would be taken for the usual flow.
-    fn spare_targets(&self, now: Micros) -> BTreeMap<String, u64> {
+    /// Spare CPUs, in thousandths, to keep in each open zone for new production replicas: the
+    /// largest of the `spare_cpus` setting, the part of the largest service that one zone may
+    /// hold, and the replicas expected while a machine boots. These are estimated as half of the
+    /// last minute's new replicas, divided among the zones. The estimate never exceeds a tenth of
+    /// the running replicas, because otherwise a start from nothing would count as the usual rate.
+    fn spare_cpu_targets(&self, now: Micros) -> BTreeMap<String, u64> {
         let least = (self.config.operator.spare_cpus * 1000.0) as u64;
         let all = self.machines.values().map(|m| &m.zone);
         let zones: BTreeSet<&String> = all.filter(|z| !self.zone_health.is_closed(z)).collect();
         let minute_ago = self.wall_ms(now).saturating_sub(60_000);
         let (mut largest, mut recent, mut running) = (0, 0, 0);
-        let services =
-            |r: &&Run| r.spec.kind == Kind::Service && r.spec.rank == Rank::Production && !r.over && !r.held;
+        let services = |r: &&JobRun| {
+            r.spec.kind == Kind::Service && r.spec.rank == Rank::Production && !r.ended && !r.held
+        };
         for r in self.jobs.values().filter(services) {
             largest = largest.max(r.spec.need.cpu * r.spec.zone_cap() as u64);
             running += r.spec.need.cpu * r.bound.len() as u64;
@@ -346,12 +362,13 @@
         if largest == 0 {
             return BTreeMap::new();
         }
-        let flow = (recent / 2).min(running / 10) / zones.len().max(1) as u64;
-        zones.into_iter().map(|z| (z.clone(), least.max(largest).max(flow))).collect()
+        let expected = (recent / 2).min(running / 10) / zones.len().max(1) as u64;
+        zones.into_iter().map(|z| (z.clone(), least.max(largest).max(expected))).collect()
     }
 
-    pub(super) fn plan_hires(&mut self, flavors: &[Flavor], now: Micros) {
-        let open = growth::open_rentals(self.config.cloud_rps);
+    /// Creates scale-out requests for the pending tasks.
+    pub(super) fn plan_scale_out(&mut self, flavors: &[Flavor], now: Micros) {
+        let open = scaling_limits::max_open_rentals(self.config.cloud_rps);
         if self.scale_out_requests.len() >= open {
             return;
         }
@@ -368,12 +385,12 @@
                     if self
                         .scale_out_requests
                         .values()
-                        .any(|(r, ..)| (&r.build, &r.zone, r.spot) == (&f.sku, z, spot))
+                        .any(|(r, ..)| (&r.machine_type, &r.zone, r.spot) == (&f.sku, z, spot))
                     {
                         continue;
                     }
                     offers.push(Offer {
-                        build: f.sku.clone(),
+                        machine_type: f.sku.clone(),
                         zone: z.clone(),
                         spot,
                         size,
@@ -384,7 +401,7 @@
                 }
             }
         }
-        let mut rooms: Vec<Room> = self
+        let mut capacities: Vec<MachineCapacity> = self
             .machines
             .values()
             .filter(|m| {
@@ -393,83 +410,90 @@
             .filter(|m| {
                 m.stage == Stage::Booting || (m.stage == Stage::Up && (m.confirmed || !m.tasks_unknown))
             })
-            .filter(|m| !m.command_reachability.doubted_for(Micros::secs(5), now))
+            .filter(|m| !m.command_reachability.unacknowledged_for(Micros::secs(5), now))
             .filter(|m| {
-                // One that is late may never come.
+                // A machine that is late to boot may never come up.
                 let boot = flavors.iter().find(|f| f.sku == m.machine_type).map_or(60.0, |f| f.boot_s);
                 m.stage == Stage::Up || now.since(m.stage_since) < Micros::from_secs_f64(boot * 1.8 + 5.0)
             })
-            .map(|m| Room {
-                build: m.machine_type.clone(),
+            .map(|m| MachineCapacity {
+                machine_type: m.machine_type.clone(),
                 zone: m.zone.clone(),
                 spot: m.spot,
                 size: m.size,
                 free: m.free(),
-                lent: if m.spot { 0 } else { self.lent(m) },
+                preemptible_cpu: if m.spot { 0 } else { self.preemptible_cpu(m) },
             })
             .collect();
         for (r, ..) in self.scale_out_requests.values().filter(|(r, ..)| !self.zone_health.is_closed(&r.zone))
         {
-            if let Some(f) = flavors.iter().find(|f| f.sku == r.build) {
+            if let Some(f) = flavors.iter().find(|f| f.sku == r.machine_type) {
                 let size = Resources::have(f.cpus, f.gpus, f.memory_gb);
                 for _ in 0..r.count {
-                    rooms.push(Room {
-                        build: r.build.clone(),
+                    capacities.push(MachineCapacity {
+                        machine_type: r.machine_type.clone(),
                         zone: r.zone.clone(),
                         spot: r.spot,
                         size,
                         free: size,
-                        lent: 0,
+                        preemptible_cpu: 0,
                     });
                 }
             }
         }
-        let (wall_ms, slots) = (self.wall_ms(now), self.array_slots());
+        let (wall_ms, slots) = (self.wall_ms(now), self.active_array_tasks());
         let mut list: Vec<(Rank, (bool, u64, u64), Demand)> = Vec::new();
-        let mut thirsty = 0;
+        let mut long_pending_tasks = 0;
         let mut running = 0.0;
         for r in self.jobs.values() {
             if r.spec.kind == Kind::Array {
-                running += self.ends_soon(r) as f64;
+                running += self.tasks_expected_to_end(r) as f64;
             }
-            let waiting = r.may_start();
-            // A job that fails wherever it is gets no more machines; one whose
-            // attempts are bounded comes to its end the sooner.
-            let hopeless = r.failures > 5 && !r.proven && r.spec.attempts.is_none();
-            if waiting == 0 || r.over || r.held || self.blocked(r) || hopeless {
+            let startable = r.startable_tasks();
+            // A job that fails on every machine gets no more machines. A job with bounded
+            // attempts does, and reaches its end sooner.
+            let excluded = r.failures > 5 && !r.ran_well && r.spec.attempts.is_none();
+            if startable == 0 || r.ended || r.held || self.may_run_on_unconfirmed_machine(r) || excluded {
                 continue;
             }
             let waited = |ms: u64| r.bound.is_empty() && wall_ms > r.ready_ms + ms;
-            let (starving, dry) = (waited(90_000), waited(THIRSTY_MS) && r.spec.kind == Kind::Array);
-            thirsty += if dry { waiting as usize } else { 0 };
+            let (starved, on_demand_allowed) =
+                (waited(90_000), waited(ON_DEMAND_WAIT_MS) && r.spec.kind == Kind::Array);
+            long_pending_tasks += if on_demand_allowed { startable as usize } else { 0 };
             list.push((
                 r.urgency.rank,
-                r.order(wall_ms, slots),
-                Demand { spec: r.spec.clone(), waiting, starving, thirsty: dry, zones: self.zones_of(r) },
+                r.queue_key(wall_ms, slots),
+                Demand {
+                    spec: r.spec.clone(),
+                    pending_tasks: startable,
+                    starved,
+                    on_demand_allowed,
+                    zones: self.tasks_per_zone(r),
+                },
             ));
         }
-        list.sort_by_key(|(rank, order, d)| (std::cmp::Reverse(*rank), *order, d.spec.id));
+        list.sort_by_key(|(priority, order, d)| (std::cmp::Reverse(*priority), *order, d.spec.id));
         let mut demands: Vec<Demand> = list.into_iter().map(|x| x.2).collect();
-        self.keep_to_limits(&mut demands);
-        let policy = Policy {
-            spare: self.spare_targets(now),
+        self.cap_demand_to_team_limits(&mut demands);
+        let policy = ScalingPolicy {
+            spare: self.spare_cpu_targets(now),
             drain_s: 20.0,
             running_arrays: running,
-            ordinary_for_arrays: self.ordinary_for_arrays(thirsty, now),
+            on_demand_for_arrays: self.on_demand_for_arrays(long_pending_tasks, now),
             max_new: self
                 .config
                 .operator
                 .max_machines
                 .saturating_sub(self.machines.len())
-                .min(growth::machines_added(self.machines.len())),
+                .min(scaling_limits::max_machines_added(self.machines.len())),
         };
         let full = policy.max_new == 0 && !demands.is_empty();
         if std::mem::replace(&mut self.fleet_full, full) != full && full {
-            warn!("max_machines is reached: work waits and nothing more is rented");
+            warn!("max_machines is reached: tasks are pending and no machine is rented");
         }
-        // A closed zone is tried with a few machines, and only where the work
-        // would want them there.
-        let mut wants = BTreeMap::new();
+        // A closed zone is probed with a few machines, and only if the plan over all zones would
+        // rent machines there.
+        let mut rentals = BTreeMap::new();
         if self.zone_health.any_closed() {
             let (closed, open): (Vec<Offer>, Vec<Offer>) =
                 offers.iter().cloned().partition(|o| self.zone_health.is_closed(&o.zone));
@@ -477,37 +501,43 @@
             let mut left: BTreeMap<String, u32> =
                 zones.into_iter().filter_map(|z| Some((z.clone(), self.probes_left(z, now)?))).collect();
             if left.values().any(|n| *n > 0) {
-                for (w, n) in fleet::plan(rooms.clone(), &demands, &offers, &policy) {
-                    let Some(left) = left.get_mut(&w.zone).filter(|l| **l > 0) else { continue };
+                for (kind, n) in fleet::plan(capacities.clone(), &demands, &offers, &policy) {
+                    let Some(left) = left.get_mut(&kind.zone).filter(|l| **l > 0) else { continue };
                     let n = n.min(*left);
                     *left -= n;
-                    wants.insert(w, n);
+                    rentals.insert(kind, n);
                 }
             }
             offers = open;
         }
-        wants.extend(fleet::plan(rooms, &demands, &offers, &policy));
-        for (want, machines) in wants {
-            self.ask_for(&want, machines, open, now);
+        rentals.extend(fleet::plan(capacities, &demands, &offers, &policy));
+        for (kind, machines) in rentals {
+            self.create_scale_out_requests(&kind, machines, open, now);
         }
     }
 
-    /// Asks for machines of one kind, in as many rentals as they take and may be open;
-    /// in one at least, so that no kind waits for the others.
-    pub(super) fn ask_for(&mut self, want: &Want, machines: u32, open: usize, now: Micros) {
+    /// Creates scale-out requests for machines of one kind: as many as are needed and may be open,
+    /// but at least one, so that no kind waits for the others.
+    pub(super) fn create_scale_out_requests(
+        &mut self,
+        kind: &RentalKind,
+        machines: u32,
+        open: usize,
+        now: Micros,
+    ) {
         let mut left = machines;
         loop {
-            let count = left.min(growth::MACHINES_A_RENTAL);
+            let count = left.min(scaling_limits::MAX_MACHINES_PER_RENTAL);
             self.scale_out_count += 1;
             let name = format!("g-{}-{}", self.term, self.scale_out_count);
-            let req = HireRequest {
+            let req = ScaleOutRequest {
                 name: name.clone(),
-                build: want.build.clone(),
-                zone: want.zone.clone(),
-                spot: want.spot,
+                machine_type: kind.machine_type.clone(),
+                zone: kind.zone.clone(),
+                spot: kind.spot,
                 count,
             };
-            self.scale_out_requests.insert(name, (req, HireStage::ToRecord, now));
+            self.scale_out_requests.insert(name, (req, ScaleOutStage::Unrecorded, now));
             left -= count;
             if left == 0 || self.scale_out_requests.len() >= open {
                 return;
@@ -515,45 +545,48 @@
         }
     }
 
-    /// Ordinary machines that may be added for arrays while spot ones are sold
-    /// out: with those that hold nothing but arrays now, a part of all that are
-    /// there. Replicas that come stop work on these, as on any.
-    fn ordinary_for_arrays(&mut self, thirsty: usize, now: Micros) -> usize {
-        while self.recent_spot_rentals.front().is_some_and(|(t, _)| now.since(*t) >= SOLD_OUT) {
+    /// On-demand machines that may be added for arrays while spot machines are sold out.
+    /// Together with the on-demand machines that are booting or hold only array tasks, they are
+    /// at most one in `ON_DEMAND_PER_ARRAY_MACHINE` of all on-demand machines. New replicas
+    /// preempt tasks on these machines as on any other.
+    fn on_demand_for_arrays(&mut self, long_pending_tasks: usize, now: Micros) -> usize {
+        while self.recent_spot_rentals.front().is_some_and(|(t, _)| now.since(*t) >= SPOT_SOLD_OUT_WINDOW) {
             self.recent_spot_rentals.pop_front();
         }
-        let had: usize = self.recent_spot_rentals.iter().map(|(_, n)| n).sum();
-        if thirsty <= had * FEW || now.since(self.term_start) < SOLD_OUT {
+        let rented: usize = self.recent_spot_rentals.iter().map(|(_, n)| n).sum();
+        if long_pending_tasks <= rented * PENDING_PER_SPOT_RENTAL
+            || now.since(self.term_start) < SPOT_SOLD_OUT_WINDOW
+        {
             return 0;
         }
         let cpus = |spot| {
-            let there = self.machines.values().filter(|m| m.spot == spot && m.stage == Stage::Up);
-            there.map(|m| m.size.cpu).sum::<u64>()
+            let up = self.machines.values().filter(|m| m.spot == spot && m.stage == Stage::Up);
+            up.map(|m| m.size.cpu).sum::<u64>()
         };
-        if cpus(true) * SPOT_THERE > cpus(false) {
+        if cpus(true) * ON_DEMAND_TO_SPOT_CPU_RATIO > cpus(false) {
             return 0;
         }
-        let ordinary = || self.machines.values().filter(|m| !m.spot && m.stage != Stage::Deleting);
+        let on_demand = || self.machines.values().filter(|m| !m.spot && m.stage != Stage::Deleting);
         let of_array = |t: &TaskId| self.jobs.get(&t.job).is_some_and(|r| r.spec.kind == Kind::Array);
-        let given = ordinary()
+        let taken = on_demand()
             .filter(|m| m.stage == Stage::Booting || !m.tasks.is_empty() && m.tasks.keys().all(of_array));
-        (ordinary().count() / ORDINARY_PART).saturating_sub(given.count())
+        (on_demand().count() / ON_DEMAND_PER_ARRAY_MACHINE).saturating_sub(taken.count())
     }
 
-    /// Tasks of an array whose ends will be heard: where nothing is heard,
-    /// nothing ends.
-    fn ends_soon(&self, r: &Run) -> usize {
+    /// Bound tasks of an array whose end can be reported. Tasks whose machines are all in closed
+    /// zones are left out.
+    fn tasks_expected_to_end(&self, r: &JobRun) -> usize {
         if !self.zone_health.any_closed() {
             return r.bound.len();
         }
         let lost =
             |id: &MachineId| self.machines.get(id).is_some_and(|m| self.zone_health.is_closed(&m.zone));
-        r.bound.values().filter(|b| b.on.is_empty() || !b.on.iter().all(lost)).count()
+        r.bound.values().filter(|b| b.reported_on.is_empty() || !b.reported_on.iter().all(lost)).count()
     }
 
-    /// Leaves of what waits, in the order in which it is served, only what the
-    /// teams' limits let start: a machine for the rest would stand idle.
-    pub(super) fn keep_to_limits(&self, demands: &mut Vec<Demand>) {
+    /// Reduces the demands, in the order in which they are served, to the tasks that the teams'
+    /// limits let start: machines rented for the rest would be idle.
+    pub(super) fn cap_demand_to_team_limits(&self, demands: &mut Vec<Demand>) {
         let mut left: BTreeMap<&str, Resources> = BTreeMap::new();
         for team in &self.config.teams {
             let max = Resources::have(team.cpus_max, team.gpus_max, 0.0);
@@ -561,20 +594,20 @@
                 continue;
             }
             let (cpu, gpu) = self.bound_totals.teams.get(&team.name).copied().unwrap_or_default();
-            // No limit is meant by 0.
-            let of = |max: u64, used: u64| if max == 0 { u64::MAX } else { max.saturating_sub(used) };
+            // 0 means no limit.
+            let remaining = |max: u64, used: u64| if max == 0 { u64::MAX } else { max.saturating_sub(used) };
             left.insert(
                 &team.name,
-                Resources { cpu: of(max.cpu, cpu), gpu: of(max.gpu, gpu), mem: u64::MAX },
+                Resources { cpu: remaining(max.cpu, cpu), gpu: remaining(max.gpu, gpu), mem: u64::MAX },
             );
         }
         demands.retain_mut(|d| {
-            let Some(room) = left.get_mut(d.spec.team.as_str()) else { return true };
-            d.waiting = room.count(&d.spec.need, d.waiting as u64) as u32;
-            for _ in 0..d.waiting {
-                *room = room.minus(d.spec.need);
+            let Some(quota) = left.get_mut(d.spec.team.as_str()) else { return true };
+            d.pending_tasks = quota.count(&d.spec.need, d.pending_tasks as u64) as u32;
+            for _ in 0..d.pending_tasks {
+                *quota = quota.minus(d.spec.need);
             }
-            d.waiting > 0
+            d.pending_tasks > 0
         });
     }
 }
--- a/crates/core/src/leader/bindings.rs
+++ b/crates/core/src/leader/bindings.rs
@@ -61,7 +61,7 @@
         for (id, ago, report) in sync.contacts {
             if let Some(m) = self.machines.get_mut(id) {
                 m.record_contact(now - *ago, from, *report);
-                m.goes_on(from, now - *ago, now);
+                m.holder_reported_unchanged(from, now - *ago, now);
             }
         }
         for s in sync.unleased_reports {
@@ -84,16 +84,18 @@
         }
         let Some(run) = self.jobs.get_mut(&h.task.job) else { return };
         let Some(b) = run.bound.get_mut(&h.task.index) else { return };
-        if b.attempt != o.attempt || b.handed.as_ref().is_none_or(|x| x.incarnation != incarnation) {
+        if b.attempt != o.attempt
+            || b.unresolved_assignment.as_ref().is_none_or(|x| x.incarnation != incarnation)
+        {
             return;
         }
-        let Some(unresolved) = b.handed.take() else { return };
+        let Some(unresolved) = b.unresolved_assignment.take() else { return };
         self.unresolved_tasks.remove(h.task, &unresolved);
         if let Some(id) = &o.machine
             && unresolved.candidates.contains(id)
             && let Some(m) = self.machines.get_mut(id).filter(|m| may_hold(m, o.attempt))
         {
-            b.on.insert(id.clone());
+            b.reported_on.insert(id.clone());
             m.bound.insert(h.task);
             m.tasks.insert(h.task, (o.attempt, TaskState::Starting));
             m.used_stale = true;
@@ -133,7 +135,7 @@
         m.needs_new_token = s.needs_new_fencing_token;
         let confirmed = s.seen_fencing_token >= m.fencing_token;
         if let Some(ago) = s.last_contact_age {
-            m.command_reachability.told(s.acknowledges_commands, now - ago, now);
+            m.command_reachability.holder_reported(s.acknowledges_commands, now - ago, now);
         }
         let newly_confirmed = confirmed && !m.confirmed;
         if newly_confirmed {
@@ -180,22 +182,22 @@
                 let run = self
                     .jobs
                     .entry(task.job)
-                    .or_insert_with(|| Run::new(job, spec.clone(), &self.config.objectives));
-                run.proven |= proven;
+                    .or_insert_with(|| JobRun::new(job, spec.clone(), &self.config.objectives));
+                run.ran_well |= proven;
                 let totals = &mut self.bound_totals;
                 let b = run.bound.entry(task.index).or_insert_with(|| {
                     totals.add(&spec);
-                    Binding { attempt: *attempt, handed: None, on: BTreeSet::new() }
+                    Binding { attempt: *attempt, unresolved_assignment: None, reported_on: BTreeSet::new() }
                 });
                 m.bound.insert(*task);
                 // The placement log also says that a start has arrived: the cancellation enforcer
                 // at a replica, in place of a leader, deletes machines where it may not have.
                 let arrived = *state != TaskState::Starting
                     && old.get(task).is_some_and(|(_, s)| *s == TaskState::Starting);
-                if b.on.insert(s.id.clone()) || arrived {
+                if b.reported_on.insert(s.id.clone()) || arrived {
                     self.placement_log.record_change(*task);
-                    if b.on.len() > 1 {
-                        warn!("{task} may be on several machines: {:?}", b.on);
+                    if b.reported_on.len() > 1 {
+                        warn!("{task} may be on several machines: {:?}", b.reported_on);
                     }
                 }
             }
@@ -235,10 +237,10 @@
         now: Micros,
     ) {
         let Some(run) = self.jobs.get_mut(&task.job) else { return };
-        let known = run.bound.get(&task.index).is_some_and(|b| b.on.contains(id));
+        let known = run.bound.get(&task.index).is_some_and(|b| b.reported_on.contains(id));
         match state {
             TaskState::Done if run.spec.kind == Kind::Array && task.index < run.spec.tasks => {
-                (run.proven, run.begun) = (true, true);
+                (run.ran_well, run.started) = (true, true);
                 self.arrays_with_progress.insert(task.job);
                 if run.done.insert(task.index)
                     && state_replica.jobs.get(&task.job).is_some_and(|j| !j.done.contains(task.index))
@@ -257,22 +259,22 @@
                 if run.spec.attempts.is_some()
                     && let Some(attempt) = run.bound.get(&task.index).map(|b| b.attempt.0)
                 {
-                    let f = run.fails.entry(task.index).or_default();
+                    let f = run.failed_attempts.entry(task.index).or_default();
                     if attempt > f.last {
                         *f = Failures { count: f.count + 1, last: attempt };
-                        run.unsaved.insert(task.index);
+                        run.unrecorded_failures.insert(task.index);
                     }
                     failures = f.count;
                 }
                 run.failures += 1;
                 run.failed_on.insert(id.clone());
-                if run.failed_on.len() > 1 && !run.proven {
+                if run.failed_on.len() > 1 && !run.ran_well {
                     // It fails on more than one machine: the delay doubles with each failure.
                     run.retry_at = now + Micros::millis(500 << failures.min(7));
                 } else {
                     run.retry_at = now + Micros::millis(200);
                 }
-                if run.mistaken() && run.failures == MISTAKEN + 1 {
+                if run.is_faulty() && run.failures == FAULTY_JOB_FAILURES + 1 {
                     info!("{}: fails on several machines; limited to one task at a time", task.job);
                 }
                 if let Some(m) = self.machines.get_mut(id) {
@@ -291,7 +293,7 @@
     pub(super) fn drain_if_faulty(&mut self, id: &MachineId) {
         let Some(m) = self.machines.get_mut(id).filter(|m| m.draining.is_none()) else { return };
         let jobs = &self.jobs;
-        let proven = |j: &JobId| jobs.get(j).is_some_and(|r| r.proven);
+        let proven = |j: &JobId| jobs.get(j).is_some_and(|r| r.ran_well);
         let failures: Vec<u32> = m.failed_jobs.iter().filter(|(j, _)| proven(j)).map(|(_, n)| *n).collect();
         if failures.iter().sum::<u32>() >= 2 {
             info!("{id}: cordoned: tasks failed on it of jobs that run elsewhere; jobs={}", failures.len());
@@ -304,7 +306,7 @@
         if let Some(run) = self.jobs.get_mut(&task.job)
             && let Some(b) = run.bound.get_mut(&task.index)
         {
-            b.on.remove(id);
+            b.reported_on.remove(id);
             self.placement_log.record_change(task);
         }
         if let Some(m) = self.machines.get_mut(id) {
@@ -316,15 +318,15 @@
     pub(super) fn release_if_unplaced(&mut self, task: TaskId) {
         if let Some(run) = self.jobs.get_mut(&task.job)
             && let Some(b) = run.bound.get(&task.index)
-            && b.on.is_empty()
-            && b.handed.is_none()
+            && b.reported_on.is_empty()
+            && b.unresolved_assignment.is_none()
         {
             let attempt = b.attempt;
             run.bound.remove(&task.index);
             self.placement_log.record_change(task);
             self.bound_totals.subtract(&run.spec);
             if !run.done.contains(task.index) {
-                run.again.insert(task.index);
+                run.requeued.insert(task.index);
                 self.queue_stale = true;
             }
             self.pending_stops.remove(&(task, attempt));
@@ -342,7 +344,7 @@
         for task in self.unresolved_tasks.take_watched(id) {
             let Some(run) = self.jobs.get_mut(&task.job) else { continue };
             let Some(b) = run.bound.get_mut(&task.index) else { continue };
-            let Some(h) = b.handed.as_mut() else { continue };
+            let Some(h) = b.unresolved_assignment.as_mut() else { continue };
             if token.is_none_or(|t| b.attempt.0 < t.0) {
                 let next = |after| next_candidate(&h.candidates, after, &run.spec, b.attempt, &self.machines);
                 // Release it only if no machine of the block may hold it: the machines that the job
@@ -351,7 +353,7 @@
             }
             if h.watched_at.is_some() {
                 self.unresolved_tasks.watch(task, h.watched_at.as_ref());
-            } else if let Some(unresolved) = b.handed.take() {
+            } else if let Some(unresolved) = b.unresolved_assignment.take() {
                 self.unresolved_tasks.remove(task, &unresolved);
                 self.placement_log.record_change(task);
                 released.push((task, b.attempt, unresolved.preferred_machine));
@@ -370,7 +372,7 @@
     pub(super) fn remove_machine(&mut self, id: &MachineId, now: Micros) {
         let tasks = match self.machines.remove(id) {
             Some(mut m) => {
-                self.capacity_index.take(id, &mut m);
+                self.capacity_index.remove(id, &mut m);
                 m.bound
             }
             None => BTreeSet::new(),
@@ -429,11 +431,11 @@
                     return;
                 }
                 self.last_seen.insert(id.clone(), (from, now));
-                m.command_reachability.seen(s.probed, m.holder != Some(from), now);
+                m.command_reachability.contacted_by_other(s.probed, m.holder != Some(from), now);
                 if m.stage == Stage::Booting {
                     m.stage = Stage::Up;
                     m.stage_since = now;
-                    m.command_reachability = deaf::Hearing::new(now);
+                    m.command_reachability = command_reachability::CommandReachability::new(now);
                     self.needs_scheduling = true;
                 }
                 if !rec.addr.is_empty() && m.addr != rec.addr {
--- a/crates/core/src/leader/blocks.rs
+++ b/crates/core/src/leader/blocks.rs
@@ -127,7 +127,7 @@
             self.blocks_checked_at = now;
             self.move_machines(now);
             self.delete_silent(now);
-            self.watch_deaf(now);
+            self.delete_unreachable_for_commands(now);
         }
         self.stop_cancelled(state_replica, now);
         if self.needs_scheduling && now.since(self.scheduled_at) >= Micros::millis(20) {
@@ -234,7 +234,7 @@
             (self.config.report_interval.scale(5, 4) + Micros::secs(1)).min(PROBE_AFTER + PROBE_TIMEOUT);
         let heard_by = latest.iter().map(|((h, zone), (t, _))| (Some(*h), *zone, *t));
         for (by, zone, at) in heard_by.chain(zone_latest.iter().map(|(z, t)| (None, *z, *t))) {
-            self.network_paths.heard(by, zone, at, overdue);
+            self.network_paths.record_contact(by, zone, at, overdue);
         }
         for (id, m) in &self.machines {
             if m.stage != Stage::Up {
@@ -262,7 +262,7 @@
             let seen = self.last_seen.get(id).is_some_and(|(_, t)| now.since(*t) < Micros::secs(5));
             let probe_due = silent > Micros::millis(3200)
                 && m.probed_at.is_none_or(|t| now.since(t) > Micros::millis(1500));
-            if probe_due || m.command_reachability.ask_due(now) {
+            if probe_due || m.command_reachability.probe_due(now) {
                 probes.push((m.probed_at, id.clone()));
             }
             let path_proven_from = base + overdue;
@@ -297,7 +297,7 @@
         for (_, id) in probes {
             let Some(m) = self.machines.get_mut(&id) else { continue };
             m.probed_at = Some(now);
-            m.command_reachability.ask(now);
+            m.command_reachability.record_probe(now);
             let (holder, addr) = (m.holder, m.addr.clone());
             for n in 0..self.nodes.len() {
                 let n = NodeId(n as u8);
@@ -339,7 +339,7 @@
             }
         }
         for (t, a, id) in stops {
-            self.stop(t, a, &id, Micros(0), now);
+            self.request_stop(t, a, &id, Micros(0), now);
         }
     }
 
@@ -360,13 +360,13 @@
             }
             if now >= self.deletion_due(*by, 95, Micros::millis(1500)) {
                 let bound = || run.iter().flat_map(|r| r.bound.values());
-                to_delete.extend(bound().flat_map(|b| b.on.iter()).map(|id| (id.clone(), *job)));
+                to_delete.extend(bound().flat_map(|b| b.reported_on.iter()).map(|id| (id.clone(), *job)));
                 // An assigned task may be on any machine of the block that its job allows.
                 let holds = |id: &MachineId, attempt: Attempt| {
                     let (Some(r), Some(m)) = (run, self.machines.get(id)) else { return false };
                     m.suits(&r.spec) && may_hold(m, attempt)
                 };
-                for (b, h) in bound().filter_map(|b| Some((b, b.handed.as_ref()?))) {
+                for (b, h) in bound().filter_map(|b| Some((b, b.unresolved_assignment.as_ref()?))) {
                     let machines = h.candidates.iter().filter(|id| holds(id, b.attempt));
                     to_delete.extend(machines.map(|id| (id.clone(), *job)));
                 }
--- a/crates/core/src/leader/cancelled.rs
+++ b/crates/core/src/leader/cancelled.rs
@@ -3,7 +3,7 @@
 //! on the cancellation could order one, only while its block's lease may still run, and only
 //! of a bound task that is assigned to it or not yet seen on the machine where it starts.
 use super::*;
-use run::Binding;
+use job_run::Binding;
 
 impl Leader {
     /// Whether a start of a cancelled job may still be ordered. `acknowledged_by` are the
@@ -46,10 +46,10 @@
     fn start_is_possible(&self, task: TaskId, b: &Binding, unaware: &[NodeId]) -> bool {
         // An assignment of an earlier term belongs to no controller in this one.
         let assigned_to = self.pending_assignments.get(&b.attempt).map(|h| h.to);
-        if b.handed.is_some() && assigned_to.is_none_or(|n| unaware.contains(&n)) {
+        if b.unresolved_assignment.is_some() && assigned_to.is_none_or(|n| unaware.contains(&n)) {
             return true;
         }
-        b.on.iter().filter_map(|id| self.machines.get(id)).any(|m| {
+        b.reported_on.iter().filter_map(|id| self.machines.get(id)).any(|m| {
             let seen = m.tasks.get(&task).is_some_and(|(_, state)| *state != TaskState::Starting);
             // A grant to another holder proves nothing before the worker's heartbeat shows its token.
             let arrived = m.started.contains_key(&task) || m.confirmed && seen;
--- a/crates/core/src/leader/changes.rs
+++ b/crates/core/src/leader/changes.rs
@@ -73,22 +73,22 @@
         let RecordContext { state_replica, limits, wall_ms, .. } = *context;
         let changes = Changes::default();
         match write {
-            LeaderWrite::End(id) => Some(end_changes(*id, context)),
+            LeaderWrite::JobDone(id) => Some(end_changes(*id, context)),
             LeaderWrite::Machines(ids) => {
                 let key = keys::machines(ids.first()?);
                 let value = self.machines_record(ids, state_replica)?;
                 // A delayed retry must not overwrite a later record.
                 Some(changes.on_condition(key.clone(), 0).put(key, value))
             }
-            LeaderWrite::Hire(name) => Some(changes.put(keys::HIRE.into(), json!(name))),
-            LeaderWrite::Failures(id, chunk) => {
+            LeaderWrite::ScaleOutName(name) => Some(changes.put(keys::HIRE.into(), json!(name))),
+            LeaderWrite::FailureCounts(id, chunk) => {
                 let parts = split_failures(self.failures(*id, *chunk)?, limits.value_bytes);
                 let job = state_replica.jobs.get(id);
                 let stamp = job.and_then(|j| j.failed_stamps.get(chunk).copied()).unwrap_or(0);
                 let key = |part| keys::failed_part(*id, *chunk, part);
                 Some(chunk_changes(*id, stamp, key, parts, limits))
             }
-            LeaderWrite::Fail(id, index) => {
+            LeaderWrite::JobFailed(id, index) => {
                 let job = state_replica.jobs.get(id)?;
                 let why = self.failure_cause(*id, *index);
                 // On the condition that the job record is still the one that was evaluated.
@@ -102,18 +102,18 @@
                 let key = |part| keys::progress_part(*id, *chunk, part);
                 Some(chunk_changes(*id, stamp, key, parts, limits))
             }
-            LeaderWrite::Settle(id) => {
+            LeaderWrite::CancellationComplete(id) => {
                 let job = state_replica.jobs.get(id)?;
                 let end = cancelled_value(job.ended_ms, job.cause.as_deref(), true);
                 Some(changes.on_condition(keys::end(*id), job.end_stamp).put(keys::end(*id), end))
             }
             // An end that is already recorded stays.
-            LeaderWrite::CancelledWith(id) => {
+            LeaderWrite::CancelDependent(id) => {
                 let job = state_replica.jobs.get(id)?;
                 let end = cancelled_value(job.ended_ms, None, true);
                 Some(changes.on_condition(keys::end(*id), 0).put(keys::end(*id), end))
             }
-            LeaderWrite::Forget(key) => self.forget_changes(key, context),
+            LeaderWrite::RemoveDeletedMachines(key) => self.forget_changes(key, context),
         }
     }
 
--- a/crates/core/src/leader/dependents.rs
+++ b/crates/core/src/leader/dependents.rs
@@ -21,11 +21,11 @@
 
     /// Recomputes the urgency of one job; whether it changed.
     fn join_urgency(&mut self, id: JobId, state_replica: &Ledger) -> bool {
-        let Some(run) = self.jobs.get(&id).filter(|r| !r.over) else { return false };
+        let Some(run) = self.jobs.get(&id).filter(|r| !r.ended) else { return false };
         let dependents = state_replica.dependencies.dependents(id).iter().filter_map(|d| self.jobs.get(d));
         let urgency = dependents
-            .filter(|r| !r.over)
-            .fold(run.own_urgency, |urgency, r| urgency.inherit(&r.urgency, r.span_ms()));
+            .filter(|r| !r.ended)
+            .fold(run.own_urgency, |urgency, r| urgency.inherit(&r.urgency, r.estimated_span_ms()));
         if urgency == run.urgency {
             return false;
         }
--- a/crates/core/src/leader/log_replication.rs
+++ b/crates/core/src/leader/log_replication.rs
@@ -44,17 +44,17 @@
                 };
                 return done.then_some(done_entry);
             };
-            let unresolved = b.handed.as_ref().map(|h| {
+            let unresolved = b.unresolved_assignment.as_ref().map(|h| {
                 let zone = run.spec.has_zone_rule().then(|| h.zone.clone());
                 (h.preferred_machine.clone(), zone)
             });
-            let starting = b.on.iter().any(|id| {
+            let starting = b.reported_on.iter().any(|id| {
                 let state = self.machines.get(id).and_then(|m| m.tasks.get(task)).map(|t| t.1);
                 state.is_none_or(|s| s == TaskState::Starting)
             });
             Some(PlacementEntry {
                 attempt: b.attempt,
-                machines: b.on.iter().cloned().collect(),
+                machines: b.reported_on.iter().cloned().collect(),
                 starting,
                 done,
                 unresolved_assignment: unresolved,
@@ -128,7 +128,7 @@
             if e.done && job.phase == Phase::Active && !job.done.contains(task.index) {
                 let objectives = &self.config.objectives;
                 let run =
-                    self.jobs.entry(task.job).or_insert_with(|| Run::new(job, spec.clone(), objectives));
+                    self.jobs.entry(task.job).or_insert_with(|| JobRun::new(job, spec.clone(), objectives));
                 run.done.insert(task.index);
                 run.unrecorded.insert(task.index);
                 self.arrays_with_progress.insert(task.job);
@@ -157,7 +157,7 @@
                 continue;
             }
             let objectives = &self.config.objectives;
-            let run = self.jobs.entry(task.job).or_insert_with(|| Run::new(job, spec.clone(), objectives));
+            let run = self.jobs.entry(task.job).or_insert_with(|| JobRun::new(job, spec.clone(), objectives));
             for id in &on {
                 if let Some(m) = self.machines.get_mut(id) {
                     m.bound.insert(*task);
@@ -170,7 +170,10 @@
                 self.unresolved_tasks.watch(*task, unresolved.watched_at.as_ref());
             }
             self.bound_totals.add(&run.spec);
-            run.bound.insert(task.index, Binding { attempt: e.attempt, handed: unresolved, on });
+            run.bound.insert(
+                task.index,
+                Binding { attempt: e.attempt, unresolved_assignment: unresolved, reported_on: on },
+            );
             self.placement_log.record_change(*task);
             adopted += 1;
         }
--- a/crates/core/src/leader/machine.rs
+++ b/crates/core/src/leader/machine.rs
@@ -52,7 +52,7 @@
     /// The newest heartbeat of its worker that any controller forwarded, and which controller.
     pub(super) newest_heartbeat: ReportNo,
     pub(super) newest_heartbeat_from: Option<NodeId>,
-    pub(super) command_reachability: deaf::Hearing,
+    pub(super) command_reachability: command_reachability::CommandReachability,
     pub(super) holder_contact: Micros,
     pub(super) holder_changed_at: Micros,
     pub(super) granted_at: Micros,
@@ -61,7 +61,7 @@
     pub(super) changed_in: u64,
     pub(super) idle_since: Option<Micros>,
     /// Its position in the index of machines with free capacity.
-    pub(super) index_entry: Option<room::Placed>,
+    pub(super) index_entry: Option<capacity_index::IndexEntry>,
     pub(super) draining: Option<&'static str>,
     /// Failures on it since a task last ran well there, by job.
     pub(super) failed_jobs: BTreeMap<JobId, u32>,
@@ -109,7 +109,7 @@
             last_contact: None,
             newest_heartbeat: ReportNo::default(),
             newest_heartbeat_from: None,
-            command_reachability: deaf::Hearing::new(now),
+            command_reachability: command_reachability::CommandReachability::new(now),
             holder_contact: Micros(0),
             holder_changed_at: Micros(0),
             granted_at: now,
@@ -187,7 +187,7 @@
             && self.recorded
             && self.confirmed
             && self.draining.is_none()
-            && self.command_reachability.obeys
+            && self.command_reachability.acknowledges_commands
             && self.preemption_at.is_none()
     }
 }
--- a/crates/core/src/leader/messages.rs
+++ b/crates/core/src/leader/messages.rs
@@ -96,7 +96,7 @@
         if let Some(at) = assignments.iter().map(|(_, at)| *at).max() {
             self.placement_log.mark_released(at);
         }
-        let running = self.jobs.iter().filter(|(_, r)| r.shown.1 > base);
+        let running = self.jobs.iter().filter(|(_, r)| r.reported_running.1 > base);
         Message::Update {
             term: self.term,
             seq,
@@ -113,7 +113,7 @@
                 .filter(|(r, _)| held(&r.machine))
                 .map(|(r, _)| r.clone())
                 .collect(),
-            running: running.map(|(id, r)| (*id, r.shown.0)).collect(),
+            running: running.map(|(id, r)| (*id, r.reported_running.0)).collect(),
         }
     }
 
@@ -121,8 +121,8 @@
     pub(super) fn count_running(&mut self) {
         for r in self.jobs.values_mut() {
             let n = r.bound.keys().filter(|i| !r.done.contains(**i)).count() as u32;
-            if n != r.shown.0 {
-                r.shown = (n, self.update_seq + 1);
+            if n != r.reported_running.0 {
+                r.reported_running = (n, self.update_seq + 1);
             }
         }
     }
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -1,43 +1,43 @@
 //! The leader: which machines exist, which controller holds each of them, where each task
 //! is bound, and which task is assigned next.
 mod assignments;
+mod autoscaling;
 mod bindings;
 mod blocks;
 mod cancelled;
+mod capacity_index;
 pub mod changes;
-mod deaf;
+mod command_reachability;
 mod dependents;
-pub mod growth;
-pub mod health;
+mod intents;
+mod job_run;
 mod log_replication;
 mod machine;
-mod machines;
 mod messages;
-mod overdue;
+pub mod network_paths;
+pub mod pending_reasons;
 mod records;
-mod room;
-mod run;
+pub mod scaling_limits;
 mod schedule;
+mod starvation;
 #[cfg(test)]
 mod tests;
-pub mod waits;
-pub mod ways;
-mod wishes;
+pub mod zone_health;
 
 use crate::lateness::Lateness;
 use assignments::{UnresolvedAssignment, UnresolvedTasks, may_hold};
+use intents::ScaleOutStage;
+pub use intents::{CloudRequest, LeaderWrite, ScaleOutRequest};
+use job_run::{Binding, FAULTY_JOB_FAILURES, JobRun};
 pub use machine::{Machine, Stage};
-use run::{Binding, MISTAKEN, Run};
-use wishes::HireStage;
-pub use wishes::{CloudWish, HireRequest, LeaderWrite};
 
 use crate::controller::{MachineSizes, PROBE_AFTER, PROBE_TIMEOUT};
 use crate::dependencies::Urgency;
 use crate::fair_queue::FairQueue;
-use crate::fleet::{self, Demand, Offer, Policy, Room, Want};
+use crate::fleet::{self, Demand, MachineCapacity, Offer, RentalKind, ScalingPolicy};
 use crate::jobs::{Failures, Job, Ledger, MachineRecord, Phase, TaskSet};
-use crate::leader::health::{Health, Sight, Turn};
-use crate::leader::ways::Ways;
+use crate::leader::network_paths::NetworkPaths;
+use crate::leader::zone_health::{ZoneHealth, ZoneObservation, ZoneTransition};
 use crate::peer::pacing::Pacer;
 use crate::peer::{
     Assignment, AssignmentOutcome, GrantedMachine, MachineState, Message, StopRequest, TaskState,
@@ -194,7 +194,7 @@
     /// An incremental update can't build on one before this: deletions reported before it
     /// are no longer stored.
     min_update_base: u64,
-    jobs: BTreeMap<JobId, Run>,
+    jobs: BTreeMap<JobId, JobRun>,
     /// Cancelled jobs that may still have tasks on machines, and by when those have to be
     /// terminated.
     cancelled_jobs: BTreeMap<JobId, Micros>,
@@ -219,20 +219,20 @@
     /// CPUs and GPUs that each team's bound tasks use, and the number of bound array tasks.
     bound_totals: BoundTotals,
     pending_stops: BTreeMap<(TaskId, Attempt), (StopRequest, Micros)>,
-    scale_out_requests: BTreeMap<String, (HireRequest, HireStage, Micros)>,
+    scale_out_requests: BTreeMap<String, (ScaleOutRequest, ScaleOutStage, Micros)>,
     refused_offers: BTreeMap<(String, String, bool), Micros>,
     /// Recent rentals of spot machines: when, and how many machines.
     recent_spot_rentals: VecDeque<(Micros, usize)>,
     /// Which zones are closed to renting because no machine in them sends heartbeats.
-    zone_health: Health,
+    zone_health: ZoneHealth,
     /// Since when the network path to each zone is open.
-    network_paths: Ways,
+    network_paths: NetworkPaths,
     /// Arrays that had more tasks done than recorded when they were last checked.
     arrays_with_progress: BTreeSet<JobId>,
     /// Machines with free capacity, in order.
-    capacity_index: room::Rooms,
-    /// Waiting jobs, in order; `queue_stale`: the order has to be computed again.
-    pending_jobs: schedule::Waiting,
+    capacity_index: capacity_index::CapacityIndex,
+    /// PendingJobs jobs, in order; `queue_stale`: the order has to be computed again.
+    pending_jobs: schedule::PendingJobs,
     queue_stale: bool,
     /// Something changed that the next scheduling pass has to consider.
     pub needs_scheduling: bool,
@@ -314,11 +314,11 @@
             scale_out_requests: BTreeMap::new(),
             refused_offers: BTreeMap::new(),
             recent_spot_rentals: VecDeque::new(),
-            zone_health: Health::default(),
-            network_paths: Ways::default(),
+            zone_health: ZoneHealth::default(),
+            network_paths: NetworkPaths::default(),
             arrays_with_progress: BTreeSet::new(),
-            capacity_index: room::Rooms::default(),
-            pending_jobs: schedule::Waiting::new(),
+            capacity_index: capacity_index::CapacityIndex::default(),
+            pending_jobs: schedule::PendingJobs::new(),
             queue_stale: true,
             needs_scheduling: true,
             next_autoscale_at: now,
@@ -380,11 +380,11 @@
             for (index, b) in &r.bound {
                 let task = TaskId { job: *job, index: *index };
                 sums.add(&r.spec);
-                if let Some(h) = &b.handed {
+                if let Some(h) = &b.unresolved_assignment {
                     unresolved.watch(task, h.watched_at.as_ref());
                     self.check_watched(task, b.attempt, h)?;
                 }
-                for id in &b.on {
+                for id in &b.reported_on {
                     on.entry(id).or_default().insert(task);
                 }
             }
@@ -395,7 +395,7 @@
         if sums != stored {
             return Err(format!("bound tasks: {stored:?} stored, {sums:?} counted"));
         }
-        self.check_rooms()?;
+        self.check_capacity_index()?;
         if unresolved != self.unresolved_tasks {
             return Err(format!(
                 "unresolved tasks: {:?} stored, {unresolved:?} counted",
@@ -407,7 +407,7 @@
             if m.bound != counted {
                 return Err(format!("bound to {id}: {:?} stored, {counted:?} counted", m.bound));
             }
-            if !m.used_stale && m.used != schedule::used(m, &self.jobs) {
+            if !m.used_stale && m.used != schedule::used_resources(m, &self.jobs) {
                 return Err(format!("used of {id}: {:?} stored", m.used));
             }
         }
@@ -459,18 +459,18 @@
                 let Some(spec) = &job.spec else { return };
                 match self.jobs.get_mut(&id) {
                     None => {
-                        let mut run = Run::new(job, spec.clone(), &self.config.objectives);
+                        let mut run = JobRun::new(job, spec.clone(), &self.config.objectives);
                         run.held = !spec.after.is_empty() || !state_replica.dependencies.released(id);
                         if run.held {
                             self.unreleased_jobs.insert(id);
                         } else {
-                            run.ready_at(state_replica.released_ms(id));
+                            run.set_ready_ms(state_replica.released_ms(id));
                         }
                         self.jobs.insert(id, run);
                         self.inherit_urgency(id, state_replica);
                     }
                     Some(run) => {
-                        for index in run.recorded(job, spec) {
+                        for index in run.apply_record(job, spec) {
                             self.placement_log.record_change(TaskId { job: id, index });
                         }
                     }
@@ -486,7 +486,7 @@
         if job.phase != Phase::Active
             && let Some(run) = self.jobs.get_mut(&id)
         {
-            run.over = true;
+            run.ended = true;
             for index in std::mem::take(&mut run.unrecorded) {
                 self.placement_log.record_change(TaskId { job: id, index });
             }
@@ -520,7 +520,7 @@
             self.queue_stale = true;
             if let Some(run) = self.jobs.get_mut(&id) {
                 run.held = false;
-                run.ready_at(state_replica.released_ms(id));
+                run.set_ready_ms(state_replica.released_ms(id));
             }
             self.inherit_urgency(id, state_replica);
         }
--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -95,7 +95,7 @@
     /// Applies the failure records that the leader wants to write.
     fn save_failures(&mut self, stamp: u64) {
         for w in self.leader.due_writes(&self.state_replica, 4000, self.now) {
-            if let LeaderWrite::Failures(id, chunk) = w {
+            if let LeaderWrite::FailureCounts(id, chunk) = w {
                 let v = json!(self.leader.failures(id, chunk).unwrap());
                 self.state_replica.apply(&keys::failed(id, chunk), Some(&v), stamp);
                 self.leader.job_changed(id, &self.state_replica, self.now);
@@ -260,12 +260,12 @@
             },
             false,
         ),
-        ("its machine is deleted", |b, _| b.leader.deleted(&[m("m0")], b.now), true),
+        ("its machine is deleted", |b, _| b.leader.deletion_confirmed(&[m("m0")], b.now), true),
         (
             "a deletion that the cloud did not confirm",
             |b, _| {
                 b.leader.delete(&m("m0"), "test", b.now);
-                b.leader.delete_failed(&[m("m0")], b.now);
+                b.leader.deletion_unconfirmed(&[m("m0")], b.now);
             },
             false,
         ),
@@ -479,19 +479,19 @@
             let spec = b.leader.jobs[&JobId(1 + i as u64)].spec.clone();
             demands.push(Demand {
                 spec,
-                waiting: *tasks,
-                starving: false,
-                thirsty: false,
+                pending_tasks: *tasks,
+                starved: false,
+                on_demand_allowed: false,
                 zones: BTreeMap::new(),
             });
         }
-        b.leader.keep_to_limits(&mut demands);
-        assert_eq!(demands.iter().map(|d| d.waiting).sum::<u32>(), want, "{jobs:?}");
+        b.leader.cap_demand_to_team_limits(&mut demands);
+        assert_eq!(demands.iter().map(|d| d.pending_tasks).sum::<u32>(), want, "{jobs:?}");
     }
     // The same by the rentals: tasks of 40 CPUs wait, 4 CPUs may be used.
     let mut b = Harness::new(0);
     b.add_job(1, 60, "tight", "array", "standard", 20, 2.0);
-    b.leader.plan_hires(&flavors, b.now);
+    b.leader.plan_scale_out(&flavors, b.now);
     let rented: u32 = b.leader.scale_out_requests.values().map(|(r, ..)| r.count).sum();
     assert_eq!(rented, 1);
 }
@@ -508,7 +508,7 @@
     b.leader.jobs.clear();
     b.leader.job_changed(JobId(1), &b.state_replica, b.now);
     // The job has run well elsewhere, so its failure is no reason to avoid the machine.
-    b.leader.jobs.get_mut(&JobId(1)).unwrap().proven = true;
+    b.leader.jobs.get_mut(&JobId(1)).unwrap().ran_well = true;
     b.tick(30);
     let first = b.fail_task(1, 0);
     assert_eq!(b.leader.attempts_of(JobId(1), 0), 1, "three reports of one attempt count once");
@@ -518,7 +518,7 @@
     b.pass_idle(4);
     let fails = |b: &Harness| {
         let w = b.leader.due_writes(&b.state_replica, 4000, b.now);
-        w.iter().filter(|w| matches!(w, LeaderWrite::Fail(..))).count()
+        w.iter().filter(|w| matches!(w, LeaderWrite::JobFailed(..))).count()
     };
     assert_eq!(fails(&b), 0);
     // A new leader continues from the record.
@@ -570,7 +570,7 @@
         b.tick(30);
         b.fail_task(1, 0);
         b.leader.machines.get_mut(&m("m0")).unwrap().failures = 1;
-        b.leader.jobs.get_mut(&JobId(1)).unwrap().proven = proven;
+        b.leader.jobs.get_mut(&JobId(1)).unwrap().ran_well = proven;
         b.save_failures(70);
         if machines == 2 {
             let v = json!({"t": "big", "z": "east", "s": false, "a": "addr1"});
@@ -584,8 +584,11 @@
         }
         b.pass_idle(2 * seconds);
         let run = &b.leader.jobs[&JobId(1)];
-        let preferred =
-            run.bound.get(&0).and_then(|x| x.handed.as_ref()).map(|h| h.preferred_machine.to_string());
+        let preferred = run
+            .bound
+            .get(&0)
+            .and_then(|x| x.unresolved_assignment.as_ref())
+            .map(|h| h.preferred_machine.to_string());
         assert_eq!(preferred.as_deref(), want, "{machines} machines, proven {proven}, {seconds} s");
     }
 }
@@ -607,7 +610,7 @@
         b.edit_job(1, 70 + i as u64, |s| s.tasks = *tasks);
         b.tick(30);
         assert_eq!(bound(&b), *want, "{tasks}");
-        assert_eq!(b.leader.jobs[&JobId(1)].waiting(), 0, "{tasks}");
+        assert_eq!(b.leader.jobs[&JobId(1)].pending_tasks(), 0, "{tasks}");
         assert!(b.leader.check_totals().is_ok());
     }
     // The task above the number ends; it is not replaced until it is requested again.
@@ -669,7 +672,7 @@
 
 #[test]
 fn the_longest_waiting_jobs_are_listed_with_the_reason() {
-    use super::waits::Why;
+    use super::pending_reasons::PendingReason;
     type Step = fn(&mut Harness);
     // A job that takes all of the machine's eight CPUs.
     let fill: Step = |b| {
@@ -678,9 +681,9 @@
         b.tick(30);
     };
     // (what happens before, the waiting job: team, tasks, CPUs; why it waits)
-    let cases: [(&str, Step, (&str, u32, f64), Why); 6] = [
-        ("no heartbeat of the machine", |b| b.seq[0] += 1, ("t", 1, 1.0), Why::Unheard),
-        ("the machine is full", fill, ("t", 1, 8.0), Why::NoRoom),
+    let cases: [(&str, Step, (&str, u32, f64), PendingReason); 6] = [
+        ("no heartbeat of the machine", |b| b.seq[0] += 1, ("t", 1, 1.0), PendingReason::UnconfirmedMachines),
+        ("the machine is full", fill, ("t", 1, 8.0), PendingReason::NoFreeCapacity),
         (
             "the machine is full, and the cloud has none",
             |b| {
@@ -692,7 +695,7 @@
                     .insert(("big".into(), "east".into(), false), b.now + Micros::secs(35));
             },
             ("t", 1, 8.0),
-            Why::SoldOut,
+            PendingReason::CloudSoldOut,
         ),
         (
             "its team is at its limit",
@@ -702,7 +705,7 @@
                 b.tick(30);
             },
             ("tight", 1, 4.0),
-            Why::Limit,
+            PendingReason::TeamLimit,
         ),
         (
             "it replaces one that runs",
@@ -712,22 +715,35 @@
                 b.tick(30);
             },
             ("t", 1, 1.0),
-            Why::Held,
+            PendingReason::DependencyNotEnded,
+        ),
+        (
+            "no scheduling pass has run yet",
+            |b| b.confirm("m0", &[]),
+            ("t", 1, 1.0),
+            PendingReason::QueuedBehindOthers,
         ),
-        ("no scheduling pass has run yet", |b| b.confirm("m0", &[]), ("t", 1, 1.0), Why::Turn),
     ];
     for (what, before, (team, tasks, cpus), want) in cases {
         let mut b = Harness::new(1);
         before(&mut b);
-        b.add_job(9, if want == Why::Unheard { 40 } else { 61 }, team, "array", "standard", tasks, cpus);
-        if want == Why::Held {
+        b.add_job(
+            9,
+            if want == PendingReason::UnconfirmedMachines { 40 } else { 61 },
+            team,
+            "array",
+            "standard",
+            tasks,
+            cpus,
+        );
+        if want == PendingReason::DependencyNotEnded {
             b.edit_job(9, 62, |s| s.after = vec![JobId(8)]);
             b.leader.jobs.remove(&JobId(9));
             b.leader.job_changed(JobId(9), &b.state_replica, b.now);
         }
-        assert!(b.leader.longest_waits(b.now).is_empty(), "{what}: too early");
-        let waits = b.leader.longest_waits(b.now + Micros::secs(40));
-        let got: Vec<(JobId, Why)> = waits.iter().map(|w| (w.1, w.3)).collect();
+        assert!(b.leader.longest_pending(b.now).is_empty(), "{what}: too early");
+        let waits = b.leader.longest_pending(b.now + Micros::secs(40));
+        let got: Vec<(JobId, PendingReason)> = waits.iter().map(|w| (w.1, w.3)).collect();
         assert_eq!(got, [(JobId(9), want)], "{what}");
     }
 }
@@ -779,7 +795,7 @@
         b.leader.recent_spot_rentals.push_back((at - Micros::secs(10), spot_rented));
         // A rental was just requested, and refused.
         b.leader.refused_offers.insert(("big".into(), "east".into(), true), at);
-        b.leader.fleet(&[flavor(Some(0.3))], at);
+        b.leader.autoscale(&[flavor(Some(0.3))], at);
         let rented: u32 =
             b.leader.scale_out_requests.values().filter(|(r, ..)| !r.spot).map(|(r, ..)| r.count).sum();
         assert_eq!(
@@ -831,7 +847,7 @@
     // A job that runs well elsewhere fails on m0, so that machine is faulty.
     b.add_job(3, 90, "t", "array", "standard", 1, 1.0);
     if let Some(run) = b.leader.jobs.get_mut(&JobId(3)) {
-        run.proven = true;
+        run.ran_well = true;
     }
     for _ in 0..2 {
         let t = task(3, 0);
@@ -1049,7 +1065,7 @@
         ),
         (
             "its machine is deleted",
-            |b, _| b.leader.deleted(&[m("m0")], b.now),
+            |b, _| b.leader.deletion_confirmed(&[m("m0")], b.now),
             &no_controller,
             None,
             Micros(0),
@@ -1089,25 +1105,25 @@
     ];
     let sizes = MachineSizes::default();
     for (i, (last, pause, from)) in steps.into_iter().enumerate() {
-        b.leader.listed(last.as_ref(), &sizes, b.now);
+        b.leader.listed_at(last.as_ref(), &sizes, b.now);
         let lists = |b: &mut Harness, ms| {
-            let wishes = b.leader.fleet(&[], b.now + Micros::millis(ms));
-            wishes.into_iter().find(|w| matches!(w, CloudWish::List(_)))
+            let wishes = b.leader.autoscale(&[], b.now + Micros::millis(ms));
+            wishes.into_iter().find(|w| matches!(w, CloudRequest::List(_)))
         };
         assert_eq!(lists(&mut b, pause - 50), None, "step {i}");
-        assert_eq!(lists(&mut b, pause), Some(CloudWish::List(from.map(str::to_owned))), "step {i}");
+        assert_eq!(lists(&mut b, pause), Some(CloudRequest::List(from.map(str::to_owned))), "step {i}");
         b.now = b.now + Micros::millis(pause);
     }
 }
 
 #[test]
 fn many_machines_are_requested_in_several_rentals() {
-    let want = Want { build: "big".into(), zone: "east".into(), spot: false };
+    let want = RentalKind { machine_type: "big".into(), zone: "east".into(), spot: false };
     // (machines, maximum of open rentals; machines in each)
     let cases: [(u32, usize, &[u32]); 3] = [(7, 6, &[7]), (166, 6, &[50, 50, 50, 16]), (250, 2, &[50, 50])];
     for (machines, open, counts) in cases {
         let mut b = Harness::new(0);
-        b.leader.ask_for(&want, machines, open, b.now);
+        b.leader.create_scale_out_requests(&want, machines, open, b.now);
         let requested: Vec<u32> = b.leader.scale_out_requests.values().map(|(r, ..)| r.count).collect();
         assert_eq!(requested, counts, "{machines} machines");
     }
--- a/crates/core/src/leader/tests/limits.rs
+++ b/crates/core/src/leader/tests/limits.rs
@@ -17,7 +17,7 @@
 const LIMITS: [(usize, usize); 5] = [(16_000, 24), (8000, 8), (4000, 8), (2000, 4), (1000, 3)];
 
 fn limits((value_bytes, txn_ops): (usize, usize)) -> StoreLimits {
-    StoreLimits { value_bytes, txn_ops, requests_per_s: 100.0, changes_per_s: 15.0 }
+    StoreLimits { value_bytes, txn_ops, requests_per_s: 100.0, writes_per_s: 15.0 }
 }
 
 fn name(i: usize) -> MachineId {
@@ -50,7 +50,7 @@
     }
     let failing = b.leader.jobs.get_mut(&FAILING).unwrap();
     for i in 0..FAILED_CHUNK {
-        failing.fails.insert(i, Failures { count: 8, last: (700 << 28) + u64::from(i) });
+        failing.failed_attempts.insert(i, Failures { count: 8, last: (700 << 28) + u64::from(i) });
     }
     b
 }
@@ -97,19 +97,19 @@
         let machines = listed.into_iter().find(|w| matches!(w, LeaderWrite::Machines(_))).unwrap();
         b.leader.deleted_machines.insert(name(3), (b.now, 0));
         let writes = [
-            LeaderWrite::End(LONG),
+            LeaderWrite::JobDone(LONG),
             machines,
-            LeaderWrite::Hire("t0000000003-000000001".into()),
+            LeaderWrite::ScaleOutName("t0000000003-000000001".into()),
             LeaderWrite::Progress(LONG, 0),
             LeaderWrite::Progress(LONG, TASKS / CHUNK),
-            LeaderWrite::Failures(FAILING, 0),
-            LeaderWrite::Fail(FAILING, 7),
-            LeaderWrite::Settle(LONG),
-            LeaderWrite::Forget(RECORD.into()),
+            LeaderWrite::FailureCounts(FAILING, 0),
+            LeaderWrite::JobFailed(FAILING, 7),
+            LeaderWrite::CancellationComplete(LONG),
+            LeaderWrite::RemoveDeletedMachines(RECORD.into()),
         ];
         for write in &writes {
             let what = format!("{limit:?} {write:?}");
-            if limit.0 == 1000 && matches!(write, LeaderWrite::Forget(_)) {
+            if limit.0 == 1000 && matches!(write, LeaderWrite::RemoveDeletedMachines(_)) {
                 // 102 machines need more than three records: the record stays unchanged.
                 assert_eq!(changes(&b, write, &limits), None, "{what}");
                 continue;
@@ -124,7 +124,7 @@
     for limit in LIMITS {
         let limits = limits(limit);
         let mut b = harness_with_long_records();
-        let listings = [LeaderWrite::Progress(LONG, 0), LeaderWrite::Failures(FAILING, 0)];
+        let listings = [LeaderWrite::Progress(LONG, 0), LeaderWrite::FailureCounts(FAILING, 0)];
         for (stamp, write) in (70..).zip(&listings) {
             let changes = changes(&b, write, &limits).unwrap();
             // Applied in the order of the keys, and in that of the transaction.
@@ -141,7 +141,7 @@
         assert!(!long.done.contains(CHUNK + 8) && long.done.contains(CHUNK + 7), "{limit:?}");
         assert_eq!((long.chunks[&0], long.chunks[&1]), (70, 63), "{limit:?}");
         let failing = &b.state_replica.jobs[&FAILING];
-        assert_eq!(failing.failed, b.leader.jobs[&FAILING].fails, "{limit:?}");
+        assert_eq!(failing.failed, b.leader.jobs[&FAILING].failed_attempts, "{limit:?}");
         assert_eq!(failing.failed_stamps[&0], 71, "{limit:?}");
         // The next write is on the condition of the version that was read.
         let again = changes(&b, &listings[0], &limits).unwrap();
@@ -179,7 +179,7 @@
         let limits = limits(limit);
         let mut b = harness_with_long_records();
         b.leader.deleted_machines.insert(name(3), (b.now, 0));
-        let changes = changes(&b, &LeaderWrite::Forget(RECORD.into()), &limits).unwrap();
+        let changes = changes(&b, &LeaderWrite::RemoveDeletedMachines(RECORD.into()), &limits).unwrap();
         let records = if limit.0 == 4000 { 1 } else { 3 };
         assert_eq!((changes.writes.len(), changes.conditions.len()), (records, records), "{limit:?}");
         for write in &changes.writes {
@@ -191,18 +191,21 @@
         assert!(!b.state_replica.machines.contains_key(&name(3)));
         assert_eq!(b.state_replica.machines.len(), MACHINES - 1);
         let writes = b.leader.due_writes(&b.state_replica, limits.value_bytes, b.now);
-        assert!(!writes.iter().any(|w| matches!(w, LeaderWrite::Forget(_))), "{limit:?}: {writes:?}");
+        assert!(
+            !writes.iter().any(|w| matches!(w, LeaderWrite::RemoveDeletedMachines(_))),
+            "{limit:?}: {writes:?}"
+        );
     }
     // A key that exists, or that may not be created, is skipped for another.
     let mut b = harness_with_long_records();
     b.leader.deleted_machines.insert(name(3), (b.now, 0));
     let small = limits((2000, 4));
-    let first = changes(&b, &LeaderWrite::Forget(RECORD.into()), &small).unwrap();
+    let first = changes(&b, &LeaderWrite::RemoveDeletedMachines(RECORD.into()), &small).unwrap();
     let unavailable = first.conditions[1].path.clone();
     let free = |key: &str| key != unavailable;
     let context =
         RecordContext { state_replica: &b.state_replica, limits: &small, wall_ms: 0, may_create: &free };
-    let second = b.leader.changes(&LeaderWrite::Forget(RECORD.into()), &context).unwrap();
+    let second = b.leader.changes(&LeaderWrite::RemoveDeletedMachines(RECORD.into()), &context).unwrap();
     assert!(second.conditions.iter().all(|c| c.path != unavailable));
     assert_eq!(second.writes.len(), first.writes.len());
 }
@@ -216,7 +219,7 @@
     let write = LeaderWrite::Progress(LONG, 0);
     let progress = changes(&b, &write, &small).unwrap();
     apply(&mut b.state_replica, &progress, 70);
-    let end = changes(&b, &LeaderWrite::End(LONG), &small).unwrap();
+    let end = changes(&b, &LeaderWrite::JobDone(LONG), &small).unwrap();
     assert_eq!(end.writes.len(), 4);
     apply(&mut b.state_replica, &end, 71);
     apply(&mut b.state_replica, &progress, 70);
--- a/crates/core/src/leader/tests/pipelines.rs
+++ b/crates/core/src/leader/tests/pipelines.rs
@@ -90,7 +90,7 @@
     let state = b.state("m0", b.token("m0"), &[(task(1, 0), attempt, TaskState::Done)]);
     b.sync(A, &[state], &[]);
     b.tick(100);
-    assert!(b.leader.due_writes(&b.state_replica, 4000, b.now).contains(&LeaderWrite::End(JobId(1))));
+    assert!(b.leader.due_writes(&b.state_replica, 4000, b.now).contains(&LeaderWrite::JobDone(JobId(1))));
     assert!(!b.is_assigned(2), "its end is not recorded");
     b.next_leader();
     assert!(b.leader.jobs[&JobId(2)].held);
@@ -169,10 +169,10 @@
     b.confirm("m0", &[]);
     b.add_dependent(1, "standard", 1, &[], None);
     b.tick(30);
-    let one_assigned = b.leader.team_use("t");
+    let one_assigned = b.leader.team_usage("t");
     b.add_dependent(2, "high", 50, &[1], None);
     b.tick(300);
-    assert_eq!(b.leader.team_use("t"), one_assigned);
+    assert_eq!(b.leader.team_usage("t"), one_assigned);
     assert!(b.leader.queues.get(&Rank::High).is_none_or(|q| q.order().is_empty()));
 }
 
@@ -187,10 +187,10 @@
     b.record_end(1, "aborted");
     let wanted = |b: &Harness| {
         let writes = b.leader.due_writes(&b.state_replica, 4000, b.now);
-        let with = |w: &LeaderWrite| matches!(w, LeaderWrite::CancelledWith(_));
+        let with = |w: &LeaderWrite| matches!(w, LeaderWrite::CancelDependent(_));
         writes.into_iter().filter(with).collect::<Vec<_>>()
     };
-    let all: Vec<LeaderWrite> = (2..5).map(|id| LeaderWrite::CancelledWith(JobId(id))).collect();
+    let all: Vec<LeaderWrite> = (2..5).map(|id| LeaderWrite::CancelDependent(JobId(id))).collect();
     assert_eq!(wanted(&b), all);
     // The next leader also wants to write them, until they are recorded.
     b.next_leader();
--- a/crates/core/src/node/leadership.rs
+++ b/crates/core/src/node/leadership.rs
@@ -3,7 +3,7 @@
 use crate::election::Election;
 use crate::jobs::keys;
 use crate::leader::{Leader, LeaderWrite};
-use crate::rate::Bucket;
+use crate::token_bucket::TokenBucket;
 use gorseshore_protocol::ids::Micros;
 use gorseshore_settings::Operator;
 use std::collections::{BTreeMap, BTreeSet};
@@ -24,7 +24,7 @@
     pub contested: BTreeMap<String, (u32, Micros)>,
     /// Records that the state service rejected as invalid.
     pub rejected: RejectedWrites,
-    pub bucket: Bucket,
+    pub bucket: TokenBucket,
     /// This node was in contact with another controller in this term of leadership.
     pub had_peers: bool,
     pub leaderless_since: Option<Micros>,
@@ -45,7 +45,7 @@
             last_scan_at: Micros(0),
             contested: BTreeMap::new(),
             rejected: RejectedWrites::default(),
-            bucket: Bucket::new(changes * 0.45, changes * 0.4, now),
+            bucket: TokenBucket::new(changes * 0.45, changes * 0.4, now),
             had_peers: false,
             leaderless_since: None,
             revoked_lease: None,
@@ -96,14 +96,14 @@
                     ids.iter().filter(|id| may_use(keys::machines(id))).cloned().collect();
                 return (!remaining.is_empty()).then_some(LeaderWrite::Machines(remaining));
             }
-            LeaderWrite::End(id) | LeaderWrite::Settle(id) | LeaderWrite::CancelledWith(id) => {
-                may_use(keys::end(*id))
-            }
-            LeaderWrite::Fail(id, _) => may_use(keys::end(*id)) && may_use(keys::job(*id)),
+            LeaderWrite::JobDone(id)
+            | LeaderWrite::CancellationComplete(id)
+            | LeaderWrite::CancelDependent(id) => may_use(keys::end(*id)),
+            LeaderWrite::JobFailed(id, _) => may_use(keys::end(*id)) && may_use(keys::job(*id)),
             LeaderWrite::Progress(id, c) => may_use(keys::progress(*id, *c)) && may_use(keys::end(*id)),
-            LeaderWrite::Failures(id, c) => may_use(keys::failed(*id, *c)) && may_use(keys::end(*id)),
-            LeaderWrite::Forget(key) => may_use(key.clone()),
-            LeaderWrite::Hire(_) => true,
+            LeaderWrite::FailureCounts(id, c) => may_use(keys::failed(*id, *c)) && may_use(keys::end(*id)),
+            LeaderWrite::RemoveDeletedMachines(key) => may_use(key.clone()),
+            LeaderWrite::ScaleOutName(_) => true,
         };
         is_uncontested.then_some(w)
     }
--- a/crates/core/src/node/rejected_writes.rs
+++ b/crates/core/src/node/rejected_writes.rs
@@ -71,15 +71,15 @@
 /// The key that identifies a record, also when its content has changed.
 fn write_key(write: &LeaderWrite) -> String {
     match write {
-        LeaderWrite::End(id)
-        | LeaderWrite::Settle(id)
-        | LeaderWrite::CancelledWith(id)
-        | LeaderWrite::Fail(id, _) => keys::end(*id),
+        LeaderWrite::JobDone(id)
+        | LeaderWrite::CancellationComplete(id)
+        | LeaderWrite::CancelDependent(id)
+        | LeaderWrite::JobFailed(id, _) => keys::end(*id),
         LeaderWrite::Machines(ids) => ids.first().map(keys::machines).unwrap_or_default(),
-        LeaderWrite::Hire(_) => keys::HIRE.into(),
+        LeaderWrite::ScaleOutName(_) => keys::HIRE.into(),
         LeaderWrite::Progress(id, chunk) => keys::progress(*id, *chunk),
-        LeaderWrite::Failures(id, chunk) => keys::failed(*id, *chunk),
-        LeaderWrite::Forget(key) => key.clone(),
+        LeaderWrite::FailureCounts(id, chunk) => keys::failed(*id, *chunk),
+        LeaderWrite::RemoveDeletedMachines(key) => key.clone(),
     }
 }
 
@@ -90,7 +90,7 @@
 
     #[test]
     fn a_rejected_write_does_not_block_others() {
-        let (bad, good) = (LeaderWrite::End(JobId(1)), LeaderWrite::End(JobId(2)));
+        let (bad, good) = (LeaderWrite::JobDone(JobId(1)), LeaderWrite::JobDone(JobId(2)));
         let mut writes = RejectedWrites::default();
         assert!(!writes.must_be_alone(&bad));
         // Rejected together: it is unknown which of them is invalid.
