--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -231,7 +231,7 @@
     arrays_with_progress: BTreeSet<JobId>,
     /// Machines with free capacity, in order.
     capacity_index: capacity_index::CapacityIndex,
-    /// PendingJobs jobs, in order; `queue_stale`: the order has to be computed again.
+    /// Pending jobs, in order; `queue_stale`: the order has to be computed again.
     pending_jobs: schedule::PendingJobs,
     queue_stale: bool,
     /// Something changed that the next scheduling pass has to consider.
--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -504,7 +504,7 @@
     b.confirm("m0", &[]);
     b.add_job(1, 60, "t", "array", "standard", 2, 2.0);
     b.edit_job(1, 61, |s| s.attempts = Some(2));
-    // A changed record does not make a new `Run`, so it is made again here, as by a new leader.
+    // A changed record does not make a new `JobRun`, so it is made again here, as by a new leader.
     b.leader.jobs.clear();
     b.leader.job_changed(JobId(1), &b.state_replica, b.now);
     // The job has run well elsewhere, so its failure is no reason to avoid the machine.
@@ -1105,7 +1105,7 @@
     ];
     let sizes = MachineSizes::default();
     for (i, (last, pause, from)) in steps.into_iter().enumerate() {
-        b.leader.listed_at(last.as_ref(), &sizes, b.now);
+        b.leader.list_page_received(last.as_ref(), &sizes, b.now);
         let lists = |b: &mut Harness, ms| {
             let wishes = b.leader.autoscale(&[], b.now + Micros::millis(ms));
             wishes.into_iter().find(|w| matches!(w, CloudRequest::List(_)))
