--- a/crates/nomad/src/lib.rs
+++ b/crates/nomad/src/lib.rs
@@ -75,7 +75,7 @@
 }
 
 /// Judges a file by its content: JSON if it begins with a brace.
-pub fn judge(source: &str, inputs: &Inputs, settings: &Nomad, site: &Site) -> Judgement {
+pub fn validate(source: &str, inputs: &Inputs, settings: &Nomad, site: &Site) -> Judgement {
     let mut faults = Faults::default();
     let job = read_unplaced(source, inputs, &mut faults);
     let mut class = None;
--- a/crates/nomad/src/service/api.rs
+++ b/crates/nomad/src/service/api.rs
@@ -531,7 +531,7 @@
     /// `POST /v1/validate/job`.
     fn validate(&mut self, r: &Request) {
         let Ok(text) = std::str::from_utf8(&r.body) else { return self.refuse(r.id, 400, "not UTF-8") };
-        let j = crate::judge(text, &r.inputs(), &self.settings, &self.site);
+        let j = crate::validate(text, &r.inputs(), &self.settings, &self.site);
         let (errors, warnings): (Vec<_>, Vec<_>) =
             j.faults.list.iter().partition(|f| f.severity != Severity::Warning);
         let show = |l: &[&crate::tree::Fault]| l.iter().map(|f| f.to_string()).collect::<Vec<_>>();
@@ -544,7 +544,7 @@
     /// `POST /v1/job/ID/plan`: what registering would do; nothing is written.
     fn plan(&mut self, host: &ExtensionContext<'_>, r: &Request) {
         let Ok(text) = std::str::from_utf8(&r.body) else { return self.refuse(r.id, 400, "not UTF-8") };
-        let j = crate::judge(text, &r.inputs(), &self.settings, &self.site);
+        let j = crate::validate(text, &r.inputs(), &self.settings, &self.site);
         let Some(job) = j.job.as_ref().filter(|_| j.accepted()) else {
             return self.refuse(r.id, 400, &told(&j.faults));
         };
--- a/crates/nomad/src/service/register.rs
+++ b/crates/nomad/src/service/register.rs
@@ -10,7 +10,7 @@
     cut, hashes, names, payload_word,
 };
 use super::{Known, Pending, Service, revision, views, write};
-use crate::judge;
+use crate::validate;
 use crate::model::Job;
 use crate::translate::{self, Planned};
 use crate::tree::{Faults, Severity};
@@ -98,7 +98,7 @@
         if self.site.machines.is_empty() {
             return self.refuse(r.id, 503, "the machine types are not known yet");
         }
-        let mut judged = judge(text, &r.inputs(), &self.settings, &self.site);
+        let mut judged = validate(text, &r.inputs(), &self.settings, &self.site);
         let Some(job) = judged.job.take().filter(|_| judged.faults.accepted()) else {
             return self.refuse(r.id, 400, &told(&judged.faults));
         };
--- a/crates/nomad/tests/samples.rs
+++ b/crates/nomad/tests/samples.rs
@@ -2,7 +2,7 @@
 use gorseshore_nomad::table::{ROWS, Row, Shape, Verdict, last, markdown};
 use gorseshore_nomad::translate::{Site, rank};
 use gorseshore_nomad::tree::Severity;
-use gorseshore_nomad::{Inputs, Judgement, judge};
+use gorseshore_nomad::{Inputs, Judgement, validate};
 use gorseshore_protocol::job::{Kind, Rank};
 use gorseshore_settings::{Nomad, Operator};
 use proptest::prelude::*;
@@ -20,7 +20,7 @@
 
 fn judged(source: &str, inputs: &Inputs) -> Judgement {
     let n = settings();
-    judge(source, inputs, &n, &site(&n))
+    validate(source, inputs, &n, &site(&n))
 }
 
 fn sample(name: &str) -> String {
@@ -282,7 +282,7 @@
     let source = sample("13-bare.json");
     for (namespace, want) in [(None, "a"), (Some("default"), "a"), (Some("other"), "b")] {
         let inputs = Inputs { namespace: namespace.map(str::to_owned), ..Inputs::default() };
-        let j = judge(&source, &inputs, &settings, &Site::default());
+        let j = validate(&source, &inputs, &settings, &Site::default());
         assert_eq!(j.class.as_deref(), Some(want), "{namespace:?}");
         assert!(j.groups.iter().all(|p| p.spec.team == want), "{namespace:?}");
         assert_eq!(j.job.unwrap().namespace, namespace.unwrap_or("default"));
--- a/src/nomad.rs
+++ b/src/nomad.rs
@@ -4,7 +4,7 @@
 use gorseshore_nomad::service::tokens;
 use gorseshore_nomad::translate::Site;
 use gorseshore_nomad::tree::Severity;
-use gorseshore_nomad::{Inputs, Judgement, judge, table};
+use gorseshore_nomad::{Inputs, Judgement, validate, table};
 use gorseshore_shell::http;
 use percent_encoding::{NON_ALPHANUMERIC, utf8_percent_encode};
 use serde_json::{Value, json};
@@ -351,7 +351,7 @@
                 continue;
             }
         };
-        let j = judge(&source, &inputs, &settings, &site);
+        let j = validate(&source, &inputs, &settings, &site);
         worst = worst.max(j.exit_code());
         if c.json {
             documents.push(document(&name, &j));
--- a/tests/nomad.rs
+++ b/tests/nomad.rs
@@ -371,7 +371,7 @@
     let (mut seen, mut number, mut pairs) = (0, 100, Vec::new());
     for f in files {
         let source = std::fs::read_to_string(&f).unwrap();
-        let j = gorseshore_nomad::judge(&source, &Default::default(), &operator, &known);
+        let j = gorseshore_nomad::validate(&source, &Default::default(), &operator, &known);
         let Some(job) = j.job.as_ref().filter(|_| j.accepted()) else { continue };
         let mut shown = gorseshore_nomad::service::records::api_job(job);
         // What launches others is tried by a launch.
