--- a/crates/nomad/src/lib.rs
+++ b/crates/nomad/src/lib.rs
@@ -25,7 +25,7 @@
 
 /// What became of a file.
 #[derive(Debug)]
-pub struct Judgement {
+pub struct ValidationReport {
     /// The job, if there is enough to read of it.
     pub job: Option<model::Job>,
     /// The class that takes it.
@@ -36,7 +36,7 @@
     pub faults: Faults,
 }
 
-impl Judgement {
+impl ValidationReport {
     /// Whether the file is accepted.
     pub fn accepted(&self) -> bool {
         self.job.is_some() && self.faults.accepted()
@@ -75,7 +75,7 @@
 }
 
 /// Judges a file by its content: JSON if it begins with a brace.
-pub fn validate(source: &str, inputs: &Inputs, settings: &Nomad, site: &Site) -> Judgement {
+pub fn validate(source: &str, inputs: &Inputs, settings: &Nomad, site: &Site) -> ValidationReport {
     let mut faults = Faults::default();
     let job = read_unplaced(source, inputs, &mut faults);
     let mut class = None;
@@ -85,5 +85,5 @@
         groups = translate::translate(j, settings, site, &mut faults);
     }
     faults.place(source);
-    Judgement { job, class, groups, faults }
+    ValidationReport { job, class, groups, faults }
 }
--- a/crates/nomad/tests/samples.rs
+++ b/crates/nomad/tests/samples.rs
@@ -2,7 +2,7 @@
 use gorseshore_nomad::table::{ROWS, Row, Shape, Verdict, last, markdown};
 use gorseshore_nomad::translate::{Site, rank};
 use gorseshore_nomad::tree::Severity;
-use gorseshore_nomad::{Inputs, Judgement, validate};
+use gorseshore_nomad::{Inputs, ValidationReport, validate};
 use gorseshore_protocol::job::{Kind, Rank};
 use gorseshore_settings::{Nomad, Operator};
 use proptest::prelude::*;
@@ -18,7 +18,7 @@
     Site { teams: vec!["default".into()], ..Site::described(n) }
 }
 
-fn judged(source: &str, inputs: &Inputs) -> Judgement {
+fn judged(source: &str, inputs: &Inputs) -> ValidationReport {
     let n = settings();
     validate(source, inputs, &n, &site(&n))
 }
--- a/src/nomad.rs
+++ b/src/nomad.rs
@@ -4,7 +4,7 @@
 use gorseshore_nomad::service::tokens;
 use gorseshore_nomad::translate::Site;
 use gorseshore_nomad::tree::Severity;
-use gorseshore_nomad::{Inputs, Judgement, validate, table};
+use gorseshore_nomad::{Inputs, ValidationReport, validate, table};
 use gorseshore_shell::http;
 use percent_encoding::{NON_ALPHANUMERIC, utf8_percent_encode};
 use serde_json::{Value, json};
@@ -365,7 +365,7 @@
     ExitCode::from(worst)
 }
 
-fn word(j: &Judgement) -> &'static str {
+fn word(j: &ValidationReport) -> &'static str {
     match j.exit_code() {
         0 => "accepted",
         1 => "refused",
@@ -373,7 +373,7 @@
     }
 }
 
-fn show(name: &str, j: &Judgement) {
+fn show(name: &str, j: &ValidationReport) {
     for f in &j.faults.list {
         eprintln!("{name}:{f}");
     }
@@ -398,7 +398,7 @@
     }
 }
 
-fn document(name: &str, j: &Judgement) -> serde_json::Value {
+fn document(name: &str, j: &ValidationReport) -> serde_json::Value {
     let groups: Vec<_> = j
         .groups
         .iter()
