--- a/crates/nomad/src/hcl.rs
+++ b/crates/nomad/src/hcl.rs
@@ -1,7 +1,7 @@
 //! Files in HCL2: variables, locals, dynamic blocks and expressions are worked
 //! out, what is left is a tree.
 use crate::eval::{EvalError, Scope};
-use crate::tree::{Attr, Block, Datum, Faults, MAX_FILE, Node, Tree};
+use crate::tree::{Attr, Block, Datum, Diagnostics, MAX_FILE, Node, Tree};
 use hcl_edit::Span;
 use hcl_edit::expr::{Expression, ObjectKey};
 use hcl_edit::structure::{Attribute, Body, Structure};
@@ -23,7 +23,7 @@
 }
 
 /// Reads a file. The tree holds its `job` block; `None` if it can't be read.
-pub fn read(source: &str, inputs: &Inputs, faults: &mut Faults) -> Option<Block> {
+pub fn read(source: &str, inputs: &Inputs, faults: &mut Diagnostics) -> Option<Block> {
     if source.len() > MAX_FILE {
         faults.unreadable(0, "", format!("the file is longer than {} KiB", MAX_FILE / 1024));
         return None;
@@ -80,7 +80,7 @@
 
 struct Reader<'a, 'f> {
     scope: Scope<'a>,
-    faults: &'f mut Faults,
+    faults: &'f mut Diagnostics,
     /// A bound was hit; the rest is not worked out.
     stopped: bool,
 }
--- a/crates/nomad/src/json.rs
+++ b/crates/nomad/src/json.rs
@@ -1,7 +1,7 @@
 //! Files and requests in JSON: as the interface has them (`{"Job": {"ID": …}}`),
 //! or as a file would be written (`{"job": {"name": {…}}}`).
 use crate::table::{self, Row, Shape, Verdict};
-use crate::tree::{Attr, Block, Datum, Faults, MAX_DEPTH, MAX_FILE, Node, Tree};
+use crate::tree::{Attr, Block, Datum, Diagnostics, MAX_DEPTH, MAX_FILE, Node, Tree};
 use jsonc_parser::ast::Value;
 use jsonc_parser::common::Ranged;
 use jsonc_parser::{CollectOptions, ParseOptions, parse_to_ast};
@@ -20,7 +20,7 @@
 };
 
 /// Reads a file; `None` if it can't be read.
-pub fn read(source: &str, faults: &mut Faults) -> Option<Block> {
+pub fn read(source: &str, faults: &mut Diagnostics) -> Option<Block> {
     if source.len() > MAX_FILE {
         faults.unreadable(0, "", format!("the file is longer than {} KiB", MAX_FILE / 1024));
         return None;
@@ -80,7 +80,7 @@
     o.properties.iter().any(|p| matches!(p.name.as_str(), "ID" | "Name" | "TaskGroups"))
 }
 
-fn api_job(v: &Value<'_>, faults: &mut Faults) -> Option<Block> {
+fn api_job(v: &Value<'_>, faults: &mut Diagnostics) -> Option<Block> {
     let at = v.range().start;
     let body = lower(v, "", "job", Form::Api, faults)?;
     let label =
@@ -97,7 +97,7 @@
 }
 
 /// An object as the stanza at `stanza` of the table.
-fn lower(v: &Value<'_>, stanza: &str, path: &str, form: Form, faults: &mut Faults) -> Option<Tree> {
+fn lower(v: &Value<'_>, stanza: &str, path: &str, form: Form, faults: &mut Diagnostics) -> Option<Tree> {
     let at = v.range().start;
     let Value::Object(o) = v else {
         faults.unreadable(at, path, "must be an object");
--- a/crates/nomad/src/lib.rs
+++ b/crates/nomad/src/lib.rs
@@ -19,7 +19,7 @@
 
 use gorseshore_settings::Nomad;
 use translate::{Planned, Site};
-use tree::{Faults, Severity};
+use tree::{Diagnostics, Severity};
 
 pub use hcl::Inputs;
 
@@ -33,7 +33,7 @@
     /// Its groups as native jobs; whole only if the file is accepted.
     pub groups: Vec<Planned>,
     /// Everything to say, by place.
-    pub faults: Faults,
+    pub faults: Diagnostics,
 }
 
 impl ValidationReport {
@@ -52,7 +52,7 @@
     }
 }
 
-fn read_unplaced(source: &str, inputs: &Inputs, faults: &mut Faults) -> Option<model::Job> {
+fn read_unplaced(source: &str, inputs: &Inputs, faults: &mut Diagnostics) -> Option<model::Job> {
     let block = if source.trim_start().starts_with('{') {
         json::read(source, faults)
     } else {
@@ -67,8 +67,8 @@
 
 /// Reads a file by its content, JSON if it begins with a brace, and checks it
 /// against the specification, not against classes and machines.
-pub fn read(source: &str, inputs: &Inputs) -> (Option<model::Job>, Faults) {
-    let mut faults = Faults::default();
+pub fn read(source: &str, inputs: &Inputs) -> (Option<model::Job>, Diagnostics) {
+    let mut faults = Diagnostics::default();
     let job = read_unplaced(source, inputs, &mut faults);
     faults.place(source);
     (job, faults)
@@ -76,7 +76,7 @@
 
 /// Judges a file by its content: JSON if it begins with a brace.
 pub fn validate(source: &str, inputs: &Inputs, settings: &Nomad, site: &Site) -> ValidationReport {
-    let mut faults = Faults::default();
+    let mut faults = Diagnostics::default();
     let job = read_unplaced(source, inputs, &mut faults);
     let mut class = None;
     let mut groups = Vec::new();
--- a/crates/nomad/src/model.rs
+++ b/crates/nomad/src/model.rs
@@ -1,7 +1,7 @@
 //! A job as its file means it: checked against the table, with the defaults of
 //! the specification.
 use crate::table::{self, Row, Shape, Verdict};
-use crate::tree::{Attr, Block, Datum, Faults, Node, Tree};
+use crate::tree::{Attr, Block, Datum, Diagnostics, Node, Tree};
 use gorseshore_protocol::ids::Micros;
 use gorseshore_protocol::job::Kind;
 use std::collections::BTreeMap;
@@ -160,7 +160,7 @@
 
 /// Reads a job's block; `None` if there is too little of it to go on. All
 /// faults are collected.
-pub fn read(block: &Block, faults: &mut Faults) -> Option<Job> {
+pub fn read(block: &Block, faults: &mut Diagnostics) -> Option<Job> {
     let label = match &block.labels[..] {
         [(l, _)] => Some(l.clone()),
         [] => None,
@@ -291,7 +291,7 @@
 }
 
 struct Reader<'f> {
-    faults: &'f mut Faults,
+    faults: &'f mut Diagnostics,
 }
 
 impl Reader<'_> {
--- a/crates/nomad/src/service/api.rs
+++ b/crates/nomad/src/service/api.rs
@@ -2,7 +2,7 @@
 use super::records::JobKey;
 use super::watch::Stream;
 use super::{MAX_PENDING, Pending, Service, tokens, views};
-use crate::tree::{Faults, Severity};
+use crate::tree::{Diagnostics, Severity};
 use crate::{Inputs, hcl, model, translate};
 use gorseshore_core::RequestId;
 use gorseshore_core::extension::{ExtensionContext, ExtensionOutput};
@@ -519,7 +519,7 @@
         if let Some(v) = body["Variables"].as_str() {
             inputs.files.push(("Variables".into(), v.to_owned()));
         }
-        let mut faults = Faults::default();
+        let mut faults = Diagnostics::default();
         let job = hcl::read(text, &inputs, &mut faults).and_then(|b| model::read(&b, &mut faults));
         faults.place(text);
         match job.filter(|_| faults.accepted()) {
@@ -559,7 +559,7 @@
 }
 
 /// All faults as a text.
-pub(crate) fn told(faults: &Faults) -> String {
+pub(crate) fn told(faults: &Diagnostics) -> String {
     let lines: Vec<String> = faults.list.iter().map(|f| f.to_string()).collect();
     lines.join("\n")
 }
--- a/crates/nomad/src/service/register.rs
+++ b/crates/nomad/src/service/register.rs
@@ -13,7 +13,7 @@
 use crate::validate;
 use crate::model::Job;
 use crate::translate::{self, Planned};
-use crate::tree::{Faults, Severity};
+use crate::tree::{Diagnostics, Severity};
 use gorseshore_core::CallResult;
 use gorseshore_core::extension::{ExtensionContext, ExtensionOutput};
 use gorseshore_core::jobs::{Phase, job_value, keys};
@@ -678,7 +678,7 @@
     Write::Remove { remove: format!("{}{name}", keys::GUEST) }
 }
 
-fn warnings(faults: &Faults) -> String {
+fn warnings(faults: &Diagnostics) -> String {
     let lines = faults.list.iter().filter(|f| f.severity == Severity::Warning).map(|f| f.to_string());
     lines.collect::<Vec<_>>().join("\n")
 }
--- a/crates/nomad/src/service/views.rs
+++ b/crates/nomad/src/service/views.rs
@@ -3,7 +3,7 @@
 use super::Known;
 use super::records::{Content, Head, JobKey};
 use crate::translate::Planned;
-use crate::tree::Faults;
+use crate::tree::Diagnostics;
 use gorseshore_core::extension::ExtensionContext;
 use gorseshore_core::jobs::{Job, MachineRecord, Phase};
 use gorseshore_protocol::ids::{JobId, MachineId, Resources};
@@ -251,7 +251,7 @@
     host: &ExtensionContext<'_>,
     known: Option<&Known>,
     groups: &[Planned],
-    faults: &Faults,
+    faults: &Diagnostics,
 ) -> Value {
     let (mut desired, mut failed) = (Map::new(), Map::new());
     for p in groups {
--- a/crates/nomad/src/translate.rs
+++ b/crates/nomad/src/translate.rs
@@ -5,7 +5,7 @@
 //! rank, and no class of batch jobs has the services' rank (the settings see to
 //! that): a batch file can never outrank or preempt a service.
 use crate::model::{Group, Job, Match};
-use crate::tree::{Datum, Faults};
+use crate::tree::{Datum, Diagnostics};
 use globset::Glob;
 use gorseshore_protocol::ids::{JobId, Resources};
 use gorseshore_protocol::job::{JobSpec, Kind, Preference, Rank};
@@ -73,7 +73,7 @@
 }
 
 /// Translates a job; what can't be served is among the faults.
-pub fn translate(job: &Job, settings: &Nomad, site: &Site, faults: &mut Faults) -> Vec<Planned> {
+pub fn translate(job: &Job, settings: &Nomad, site: &Site, faults: &mut Diagnostics) -> Vec<Planned> {
     if let Some((r, at)) = &job.region
         && r != "global"
         && *r != settings.region
@@ -133,7 +133,7 @@
     class: &NomadClass,
     settings: &Nomad,
     site: &Site,
-    faults: &mut Faults,
+    faults: &mut Diagnostics,
 ) -> Option<Planned> {
     let task = &g.task;
     let task_path = format!("{}.task.{}", g.path, task.name);
@@ -223,7 +223,7 @@
 }
 
 /// Attempts that a task of the group has before its job has failed.
-fn attempts(job: &Job, g: &Group, class: &NomadClass, faults: &mut Faults) -> Option<u32> {
+fn attempts(job: &Job, g: &Group, class: &NomadClass, faults: &mut Diagnostics) -> Option<u32> {
     let mut bounded = |n: Option<u32>, most: u32, what: &str, at: usize| {
         let text = match n {
             Some(n) if n <= most => return,
@@ -268,7 +268,7 @@
     constraints: &[&Match],
     settings: &Nomad,
     site: &'a Site,
-    faults: &mut Faults,
+    faults: &mut Diagnostics,
 ) -> Option<Allowed<'a>> {
     let all_types: BTreeSet<&str> = site.machines.iter().map(|k| k.name.as_str()).collect();
     let all_zones: BTreeSet<&str> = site.machines.iter().map(|k| k.zone.as_str()).collect();
@@ -304,7 +304,7 @@
                 }
             },
             Some(p) => {
-                // Faults of the comparison itself are found with any value.
+                // Diagnostics of the comparison itself are found with any value.
                 if let Err(text) = compare(c, &["1"]) {
                     faults.refused(c.at, &c.path, text);
                     good = false;
@@ -456,7 +456,7 @@
 }
 
 /// What affinities say of the kinds that are left.
-fn preferences(g: &Group, kinds: &[&MachineKind], settings: &Nomad, faults: &mut Faults) -> Vec<Preference> {
+fn preferences(g: &Group, kinds: &[&MachineKind], settings: &Nomad, faults: &mut Diagnostics) -> Vec<Preference> {
     let mut sums: BTreeMap<(&str, &str), i32> = BTreeMap::new();
     for (m, weight) in &g.affinities {
         let Some(p) = property(&m.attribute) else {
--- a/crates/nomad/src/tree.rs
+++ b/crates/nomad/src/tree.rs
@@ -195,14 +195,14 @@
 
 /// Collects faults.
 #[derive(Debug, Default)]
-pub struct Faults {
+pub struct Diagnostics {
     /// In the order in which they were found.
     pub list: Vec<Fault>,
     /// Found beyond those kept.
     pub more: usize,
 }
 
-impl Faults {
+impl Diagnostics {
     fn add(&mut self, severity: Severity, at: usize, path: &str, text: String) {
         let fault = Fault { severity, at, line: 0, column: 0, path: path.into(), text };
         if self.list.contains(&fault) {
