--- a/crates/nomad/src/eval.rs
+++ b/crates/nomad/src/eval.rs
@@ -171,7 +171,7 @@
                 if !f.name.namespace.is_empty() {
                     return fail(at, format!("the function {name} is not known"));
                 }
-                // These two want their arguments' faults.
+                // These two want their arguments' diagnostics.
                 if name == "try" || name == "can" {
                     for x in f.args.iter() {
                         match self.eval(x, at) {
--- a/crates/nomad/src/hcl.rs
+++ b/crates/nomad/src/hcl.rs
@@ -23,19 +23,19 @@
 }
 
 /// Reads a file. The tree holds its `job` block; `None` if it can't be read.
-pub fn read(source: &str, inputs: &Inputs, faults: &mut Diagnostics) -> Option<Block> {
+pub fn read(source: &str, inputs: &Inputs, diagnostics: &mut Diagnostics) -> Option<Block> {
     if source.len() > MAX_FILE {
-        faults.unreadable(0, "", format!("the file is longer than {} KiB", MAX_FILE / 1024));
+        diagnostics.unreadable(0, "", format!("the file is longer than {} KiB", MAX_FILE / 1024));
         return None;
     }
     let body = match hcl_edit::parser::parse_body(source) {
         Ok(b) => b,
         Err(e) => {
-            faults.unreadable(e.location().offset(), "", e.message().trim().replace('\n', "; "));
+            diagnostics.unreadable(e.location().offset(), "", e.message().trim().replace('\n', "; "));
             return None;
         }
     };
-    let mut r = Reader { scope: Scope::new(source), faults, stopped: false };
+    let mut r = Reader { scope: Scope::new(source), diagnostics, stopped: false };
     r.variables(&body, inputs);
     r.locals(&body);
     let mut jobs = Vec::new();
@@ -43,7 +43,7 @@
         match s {
             Structure::Attribute(a) => {
                 let (p, name) = (at(&a.key, 0), a.key.as_str());
-                r.faults.unreadable(p, name, "only job, variable and locals stand at the top of a file");
+                r.diagnostics.unreadable(p, name, "only job, variable and locals stand at the top of a file");
             }
             Structure::Block(b) => match b.ident.as_str() {
                 "variable" | "locals" => {}
@@ -51,9 +51,9 @@
                 "variables" => {
                     // The form of several at once.
                     let p = at(&b.ident, 0);
-                    r.faults.unreadable(p, "variables", "write a variable block for each variable");
+                    r.diagnostics.unreadable(p, "variables", "write a variable block for each variable");
                 }
-                name => r.faults.unreadable(
+                name => r.diagnostics.unreadable(
                     at(&b.ident, 0),
                     name,
                     "only job, variable and locals stand at the top of a file",
@@ -62,11 +62,11 @@
         }
     }
     let Some(job) = jobs.first() else {
-        r.faults.unreadable(0, "", "the file has no job");
+        r.diagnostics.unreadable(0, "", "the file has no job");
         return None;
     };
     if let Some(second) = jobs.get(1) {
-        r.faults.unreadable(at(&second.ident, 0), "job", "a file has one job");
+        r.diagnostics.unreadable(at(&second.ident, 0), "job", "a file has one job");
     }
     let labels = r.labels(job);
     let path = match labels.first() {
@@ -80,7 +80,7 @@
 
 struct Reader<'a, 'f> {
     scope: Scope<'a>,
-    faults: &'f mut Diagnostics,
+    diagnostics: &'f mut Diagnostics,
     /// A bound was hit; the rest is not worked out.
     stopped: bool,
 }
@@ -88,7 +88,7 @@
 impl Reader<'_, '_> {
     fn fault(&mut self, e: EvalError, path: &str) {
         self.stopped |= e.fatal;
-        self.faults.unreadable(e.at, path, e.text);
+        self.diagnostics.unreadable(e.at, path, e.text);
     }
 
     fn value(&mut self, e: &Expression, or: usize, path: &str) -> Option<Node> {
@@ -96,7 +96,7 @@
             return None;
         }
         // Entries of a map or a list are worked out one by one, so that the
-        // faults of all of them are told.
+        // diagnostics of all of them are told.
         let or = at(e, or);
         match e {
             Expression::Object(o) => {
@@ -136,7 +136,7 @@
                 let n = self.value(x, or, path)?;
                 let text = n.datum.text();
                 if text.is_none() {
-                    self.faults.unreadable(n.at, path, "a map's key must be text");
+                    self.diagnostics.unreadable(n.at, path, "a map's key must be text");
                 }
                 text
             }
@@ -147,24 +147,24 @@
         let mut given: BTreeMap<String, Given> = BTreeMap::new();
         for (file, text) in &inputs.files {
             // A value file is HCL of attributes; its places are its own, so
-            // faults name the file.
+            // diagnostics name the file.
             match hcl_edit::parser::parse_body(text) {
                 Ok(b) => {
                     for a in b.attributes() {
                         let mut scope = Scope::new(text);
                         match scope.eval(&a.value, 0) {
                             Ok(d) => drop(given.insert(a.key.to_string(), Given::Value(d))),
-                            Err(e) => self.faults.unreadable(0, "", format!("{file}: {}", e.text)),
+                            Err(e) => self.diagnostics.unreadable(0, "", format!("{file}: {}", e.text)),
                         }
                     }
                     if b.blocks().next().is_some() {
-                        self.faults.unreadable(0, "", format!("{file}: only name = value stands in it"));
+                        self.diagnostics.unreadable(0, "", format!("{file}: only name = value stands in it"));
                     }
                 }
                 Err(e) => {
                     let l = e.location();
                     let text = format!("{file}:{}:{}: {}", l.line(), l.column(), e.message().trim());
-                    self.faults.unreadable(0, "", text.replace('\n', "; "));
+                    self.diagnostics.unreadable(0, "", text.replace('\n', "; "));
                 }
             }
         }
@@ -175,12 +175,12 @@
         for b in body.get_blocks("variable") {
             let p = at(&b.ident, 0);
             let [(name, place)] = &self.labels(b)[..] else {
-                self.faults.unreadable(p, "variable", "a variable has one name");
+                self.diagnostics.unreadable(p, "variable", "a variable has one name");
                 continue;
             };
             let path = format!("variable.{name}");
             if vars.iter().any(|(k, _)| k == name) {
-                self.faults.unreadable(*place, &path, "declared twice");
+                self.diagnostics.unreadable(*place, &path, "declared twice");
                 continue;
             }
             let mut kind = Kind::Any;
@@ -190,7 +190,7 @@
                     Structure::Attribute(a) => match a.key.as_str() {
                         "type" => match Kind::read(&a.value) {
                             Some(k) => kind = k,
-                            None => self.faults.unreadable(
+                            None => self.diagnostics.unreadable(
                                 at(&a.value, p),
                                 &path,
                                 "the type must be string, number, bool, any, or list, set, map, tuple or object of types",
@@ -200,16 +200,16 @@
                         "description" | "sensitive" | "nullable" => {}
                         other => {
                             let text = format!("a variable has no {other}");
-                            self.faults.unreadable(at(&a.key, p), &path, text);
+                            self.diagnostics.unreadable(at(&a.key, p), &path, text);
                         }
                     },
                     Structure::Block(v) if v.ident.as_str() == "validation" => {
                         let text = "validations are not run: check the value in the file that gives it";
-                        self.faults.warning(at(&v.ident, p), &path, text);
+                        self.diagnostics.warning(at(&v.ident, p), &path, text);
                     }
                     Structure::Block(v) => {
                         let text = format!("a variable has no {}", v.ident.as_str());
-                        self.faults.unreadable(at(&v.ident, p), &path, text);
+                        self.diagnostics.unreadable(at(&v.ident, p), &path, text);
                     }
                 }
             }
@@ -222,18 +222,18 @@
                 None if self.stopped => {}
                 None => {
                     let text = "it has no value: give one with --var or --var-file, or set a default";
-                    self.faults.unreadable(*place, &path, text);
+                    self.diagnostics.unreadable(*place, &path, text);
                 }
                 Some(n) => match kind.convert(n.datum) {
                     Ok(datum) => vars.push((name.clone(), Node { at: n.at, datum })),
-                    Err(text) => self.faults.unreadable(n.at, &path, text),
+                    Err(text) => self.diagnostics.unreadable(n.at, &path, text),
                 },
             }
         }
         // A value for a variable that the file does not have is a slip.
         let unknown: Vec<&String> = given.keys().collect();
         for name in unknown {
-            self.faults.unreadable(0, &format!("variable.{name}"), "the file has no such variable");
+            self.diagnostics.unreadable(0, &format!("variable.{name}"), "the file has no such variable");
         }
         self.scope.set("var", Datum::Map(vars));
     }
@@ -246,7 +246,7 @@
             for a in b.body.attributes() {
                 if !names.insert(a.key.to_string()) {
                     let path = format!("local.{}", a.key.as_str());
-                    self.faults.unreadable(at(&a.key, 0), &path, "set twice");
+                    self.diagnostics.unreadable(at(&a.key, 0), &path, "set twice");
                 }
                 open.push(a);
             }
@@ -294,7 +294,7 @@
                     let (name, p) = (a.key.to_string(), at(&a.key, start));
                     let path = format!("{path}.{name}");
                     if tree.attr(&name).is_some() {
-                        self.faults.unreadable(p, &path, "set twice");
+                        self.diagnostics.unreadable(p, &path, "set twice");
                         continue;
                     }
                     if let Some(value) = self.value(&a.value, p, &path) {
@@ -325,19 +325,19 @@
     fn dynamic(&mut self, b: &hcl_edit::structure::Block, path: &str, tree: &mut Tree) {
         let p = at(&b.ident, 0);
         let [(name, _)] = &self.labels(b)[..] else {
-            return self.faults.unreadable(p, path, "dynamic has the name of the block that it makes");
+            return self.diagnostics.unreadable(p, path, "dynamic has the name of the block that it makes");
         };
         let path = format!("{path}.{name}");
         let (Some(each), Some(content)) =
             (b.body.get_attribute("for_each"), b.body.get_blocks("content").next())
         else {
-            return self.faults.unreadable(p, &path, "dynamic needs for_each and content");
+            return self.diagnostics.unreadable(p, &path, "dynamic needs for_each and content");
         };
         let iterator = match b.body.get_attribute("iterator").map(|a| &a.value) {
             None => name.clone(),
             Some(Expression::Variable(v)) => v.to_string(),
             Some(e) => {
-                return self.faults.unreadable(at(e, p), &path, "iterator must be a name");
+                return self.diagnostics.unreadable(at(e, p), &path, "iterator must be a name");
             }
         };
         let items = match self.scope.items(&each.value, p) {
@@ -357,7 +357,7 @@
             {
                 match n.datum {
                     Datum::List(l) => labels.extend(l.iter().filter_map(|x| Some((x.datum.text()?, x.at)))),
-                    _ => self.faults.unreadable(n.at, &path, "labels must be a list"),
+                    _ => self.diagnostics.unreadable(n.at, &path, "labels must be a list"),
                 }
             }
             if let Err(e) = self.scope.spend(p, 64) {
--- a/crates/nomad/src/json.rs
+++ b/crates/nomad/src/json.rs
@@ -20,50 +20,50 @@
 };
 
 /// Reads a file; `None` if it can't be read.
-pub fn read(source: &str, faults: &mut Diagnostics) -> Option<Block> {
+pub fn read(source: &str, diagnostics: &mut Diagnostics) -> Option<Block> {
     if source.len() > MAX_FILE {
-        faults.unreadable(0, "", format!("the file is longer than {} KiB", MAX_FILE / 1024));
+        diagnostics.unreadable(0, "", format!("the file is longer than {} KiB", MAX_FILE / 1024));
         return None;
     }
     let parsed = match parse_to_ast(source, &CollectOptions::default(), &STRICT) {
         Ok(p) => p,
         Err(e) => {
-            faults.unreadable(e.range().start, "", format!("not JSON: {}", e.kind()));
+            diagnostics.unreadable(e.range().start, "", format!("not JSON: {}", e.kind()));
             return None;
         }
     };
     let Some(root @ Value::Object(_)) = parsed.value else {
-        faults.unreadable(0, "", "not a JSON object");
+        diagnostics.unreadable(0, "", "not a JSON object");
         return None;
     };
     if depth(&root) > MAX_DEPTH {
-        faults.unreadable(0, "", format!("nested deeper than {MAX_DEPTH} levels"));
+        diagnostics.unreadable(0, "", format!("nested deeper than {MAX_DEPTH} levels"));
         return None;
     }
     let Value::Object(o) = &root else { return None };
     let find = |name: &str| o.properties.iter().find(|p| p.name.as_str() == name);
     if let Some(p) = find("Job").or_else(|| find("job").filter(|p| is_api(&p.value))) {
-        return api_job(&p.value, faults);
+        return api_job(&p.value, diagnostics);
     }
     if let Some(p) = find("job") {
         // {"job": {"name": {…}}}
         let Value::Object(names) = &p.value else {
-            faults.unreadable(p.range.start, "job", "must be an object");
+            diagnostics.unreadable(p.range.start, "job", "must be an object");
             return None;
         };
         let [one] = &names.properties[..] else {
-            faults.unreadable(p.range.start, "job", "must hold one job by its name");
+            diagnostics.unreadable(p.range.start, "job", "must hold one job by its name");
             return None;
         };
         let (name, at) = (one.name.as_str().to_owned(), one.range.start);
         let path = format!("job.{name}");
-        let body = lower(&one.value, "", &path, Form::File, faults)?;
+        let body = lower(&one.value, "", &path, Form::File, diagnostics)?;
         return Some(Block { name: "job".into(), at, labels: vec![(name, at)], body });
     }
     if is_api(&root) {
-        return api_job(&root, faults);
+        return api_job(&root, diagnostics);
     }
-    faults.unreadable(0, "", "the file has no job");
+    diagnostics.unreadable(0, "", "the file has no job");
     None
 }
 
@@ -80,9 +80,9 @@
     o.properties.iter().any(|p| matches!(p.name.as_str(), "ID" | "Name" | "TaskGroups"))
 }
 
-fn api_job(v: &Value<'_>, faults: &mut Diagnostics) -> Option<Block> {
+fn api_job(v: &Value<'_>, diagnostics: &mut Diagnostics) -> Option<Block> {
     let at = v.range().start;
-    let body = lower(v, "", "job", Form::Api, faults)?;
+    let body = lower(v, "", "job", Form::Api, diagnostics)?;
     let label =
         body.attr("id").or_else(|| body.attr("name")).and_then(|a| Some((a.value.datum.text()?, a.at)));
     Some(Block { name: "job".into(), at, labels: label.into_iter().collect(), body })
@@ -97,10 +97,10 @@
 }
 
 /// An object as the stanza at `stanza` of the table.
-fn lower(v: &Value<'_>, stanza: &str, path: &str, form: Form, faults: &mut Diagnostics) -> Option<Tree> {
+fn lower(v: &Value<'_>, stanza: &str, path: &str, form: Form, diagnostics: &mut Diagnostics) -> Option<Tree> {
     let at = v.range().start;
     let Value::Object(o) = v else {
-        faults.unreadable(at, path, "must be an object");
+        diagnostics.unreadable(at, path, "must be an object");
         return None;
     };
     let mut tree = Tree { at, ..Tree::default() };
@@ -118,7 +118,7 @@
         };
         let name = table::last(row.path);
         if tree.attr(name).is_some() {
-            faults.unreadable(at, &format!("{path}.{name}"), "set twice");
+            diagnostics.unreadable(at, &format!("{path}.{name}"), "set twice");
             continue;
         }
         let d = datum(&p.value);
@@ -152,7 +152,7 @@
         };
         for (label, v) in parts {
             let label_path = label.as_ref().map_or(inner.clone(), |l| format!("{inner}.{l}"));
-            let Some(body) = lower(v, &stanza, &label_path, form, faults) else { continue };
+            let Some(body) = lower(v, &stanza, &label_path, form, diagnostics) else { continue };
             let label = match (row.shape, label) {
                 (Shape::Named, None) => body.attr("name").and_then(|a| a.value.datum.text()),
                 (_, l) => l,
--- a/crates/nomad/src/lib.rs
+++ b/crates/nomad/src/lib.rs
@@ -33,17 +33,17 @@
     /// Its groups as native jobs; whole only if the file is accepted.
     pub groups: Vec<Planned>,
     /// Everything to say, by place.
-    pub faults: Diagnostics,
+    pub diagnostics: Diagnostics,
 }
 
 impl ValidationReport {
     /// Whether the file is accepted.
     pub fn accepted(&self) -> bool {
-        self.job.is_some() && self.faults.accepted()
+        self.job.is_some() && self.diagnostics.accepted()
     }
     /// What a script goes by: 0 accepted, 1 refused, 2 unreadable.
     pub fn exit_code(&self) -> u8 {
-        match self.faults.worst() {
+        match self.diagnostics.worst() {
             Some(Severity::Unreadable) => 2,
             Some(Severity::Refused) => 1,
             _ if self.job.is_none() => 2,
@@ -52,13 +52,13 @@
     }
 }
 
-fn read_unplaced(source: &str, inputs: &Inputs, faults: &mut Diagnostics) -> Option<model::Job> {
+fn read_unplaced(source: &str, inputs: &Inputs, diagnostics: &mut Diagnostics) -> Option<model::Job> {
     let block = if source.trim_start().starts_with('{') {
-        json::read(source, faults)
+        json::read(source, diagnostics)
     } else {
-        hcl::read(source, inputs, faults)
+        hcl::read(source, inputs, diagnostics)
     };
-    let mut job = block.and_then(|b| model::read(&b, faults))?;
+    let mut job = block.and_then(|b| model::read(&b, diagnostics))?;
     if let (Some(n), "default") = (&inputs.namespace, job.namespace.as_str()) {
         job.namespace = n.clone();
     }
@@ -68,22 +68,22 @@
 /// Reads a file by its content, JSON if it begins with a brace, and checks it
 /// against the specification, not against classes and machines.
 pub fn read(source: &str, inputs: &Inputs) -> (Option<model::Job>, Diagnostics) {
-    let mut faults = Diagnostics::default();
-    let job = read_unplaced(source, inputs, &mut faults);
-    faults.place(source);
-    (job, faults)
+    let mut diagnostics = Diagnostics::default();
+    let job = read_unplaced(source, inputs, &mut diagnostics);
+    diagnostics.place(source);
+    (job, diagnostics)
 }
 
 /// Judges a file by its content: JSON if it begins with a brace.
 pub fn validate(source: &str, inputs: &Inputs, settings: &Nomad, site: &Site) -> ValidationReport {
-    let mut faults = Diagnostics::default();
-    let job = read_unplaced(source, inputs, &mut faults);
+    let mut diagnostics = Diagnostics::default();
+    let job = read_unplaced(source, inputs, &mut diagnostics);
     let mut class = None;
     let mut groups = Vec::new();
     if let Some(j) = &job {
         class = translate::class(j, settings).map(|c| c.name.clone());
-        groups = translate::translate(j, settings, site, &mut faults);
+        groups = translate::translate(j, settings, site, &mut diagnostics);
     }
-    faults.place(source);
-    ValidationReport { job, class, groups, faults }
+    diagnostics.place(source);
+    ValidationReport { job, class, groups, diagnostics }
 }
--- a/crates/nomad/src/model.rs
+++ b/crates/nomad/src/model.rs
@@ -13,7 +13,7 @@
     pub id: String,
     /// Where the job begins.
     pub at: usize,
-    /// Path for faults, `job.ID`.
+    /// Path for diagnostics, `job.ID`.
     pub path: String,
     /// Shown name.
     pub name: String,
@@ -44,7 +44,7 @@
     pub name: String,
     /// Place.
     pub at: usize,
-    /// Path for faults.
+    /// Path for diagnostics.
     pub path: String,
     /// Repeats.
     pub count: u32,
@@ -110,7 +110,7 @@
     pub value: String,
     /// Place.
     pub at: usize,
-    /// Path for faults.
+    /// Path for diagnostics.
     pub path: String,
 }
 
@@ -159,23 +159,23 @@
 pub const MAX_COUNT: u64 = 100_000;
 
 /// Reads a job's block; `None` if there is too little of it to go on. All
-/// faults are collected.
-pub fn read(block: &Block, faults: &mut Diagnostics) -> Option<Job> {
+/// diagnostics are collected.
+pub fn read(block: &Block, diagnostics: &mut Diagnostics) -> Option<Job> {
     let label = match &block.labels[..] {
         [(l, _)] => Some(l.clone()),
         [] => None,
         _ => {
-            faults.refused(block.at, "job", "a job has one name");
+            diagnostics.refused(block.at, "job", "a job has one name");
             None
         }
     };
-    let mut r = Reader { faults };
+    let mut r = Reader { diagnostics };
     let path = label.as_ref().map_or("job".to_owned(), |l| format!("job.{l}"));
     r.check(&block.body, "", &path);
     let t = &block.body;
     let id = r.text(t, "id", &path).or(label);
     let Some(id) = id else {
-        r.faults.refused(block.at, &path, "the job has no id");
+        r.diagnostics.refused(block.at, &path, "the job has no id");
         return None;
     };
     let name = r.text(t, "name", &path).unwrap_or_else(|| id.clone());
@@ -196,7 +196,7 @@
                 }
                 _ => format!("\"{other}\" must be service or batch"),
             };
-            r.faults.refused(at, &format!("{path}.type"), text);
+            r.diagnostics.refused(at, &format!("{path}.type"), text);
             Kind::Service
         }
     };
@@ -205,7 +205,7 @@
         Some(p) if (1..=100).contains(&p) => p as u32,
         Some(p) => {
             let text = format!("{p} must be 1 to 100");
-            r.faults.refused(place(t, "priority"), &format!("{path}.priority"), text);
+            r.diagnostics.refused(place(t, "priority"), &format!("{path}.priority"), text);
             50
         }
     };
@@ -213,7 +213,7 @@
         && !matches!(pool.as_str(), "default" | "all")
     {
         let text = format!("there is no node pool {pool}: default and all are every machine");
-        r.faults.refused(place(t, "node_pool"), &format!("{path}.node_pool"), text);
+        r.diagnostics.refused(place(t, "node_pool"), &format!("{path}.node_pool"), text);
     }
     let constraints = r.matches(t, "constraint", &path);
     let affinities = r.affinities(t, &path);
@@ -222,12 +222,12 @@
     let mut groups = Vec::new();
     for b in t.all("group") {
         if groups.len() == MAX_GROUPS {
-            r.faults.refused(b.at, &path, format!("a job has at most {MAX_GROUPS} groups"));
+            r.diagnostics.refused(b.at, &path, format!("a job has at most {MAX_GROUPS} groups"));
             break;
         }
         let Some(mut g) = r.group(b, kind, reschedule, &path) else { continue };
         if groups.iter().any(|x: &Group| x.name == g.name) {
-            r.faults.refused(g.at, &g.path, "the job has this group twice");
+            r.diagnostics.refused(g.at, &g.path, "the job has this group twice");
         }
         g.constraints.splice(0..0, constraints.iter().cloned());
         g.affinities.splice(0..0, affinities.iter().cloned());
@@ -239,17 +239,17 @@
             Some(_) => "tasks stand in a group",
             None => "the job has no group",
         };
-        r.faults.refused(block.at, &path, text);
+        r.diagnostics.refused(block.at, &path, text);
     }
     let periodic = t.block("periodic").map(|b| r.periodic(b, &path));
     let parameterized = t.block("parameterized").map(|b| r.parameterized(b, &path));
     if let (Kind::Service, true) = (kind, periodic.is_some() || parameterized.is_some()) {
         let what = if periodic.is_some() { "periodic" } else { "parameterized" };
         let at = t.block(what).map_or(block.at, |b| b.at);
-        r.faults.refused(at, &format!("{path}.{what}"), "is for jobs of type batch: a service has no end");
+        r.diagnostics.refused(at, &format!("{path}.{what}"), "is for jobs of type batch: a service has no end");
     }
     if periodic.is_some() && parameterized.is_some() {
-        r.faults.refused(block.at, &path, "a job is periodic or parameterized, not both");
+        r.diagnostics.refused(block.at, &path, "a job is periodic or parameterized, not both");
     }
     Some(Job {
         at: block.at,
@@ -291,7 +291,7 @@
 }
 
 struct Reader<'f> {
-    faults: &'f mut Diagnostics,
+    diagnostics: &'f mut Diagnostics,
 }
 
 impl Reader<'_> {
@@ -322,13 +322,13 @@
             let labels = matches!(row.shape, Shape::Named) as usize;
             if b.labels.len() != labels {
                 let text = if labels == 1 { "needs one name" } else { "has no name" };
-                self.faults.refused(b.at, &here, text);
+                self.diagnostics.refused(b.at, &here, text);
                 continue;
             }
             let name = (b.name.as_str(), b.labels.first().map(|l| l.0.as_str()));
             match row.shape {
                 Shape::Block | Shape::Map | Shape::Any if seen.contains(&name) => {
-                    self.faults.refused(b.at, &here, "stands twice");
+                    self.diagnostics.refused(b.at, &here, "stands twice");
                 }
                 Shape::Block | Shape::Blocks | Shape::Named => {
                     let stanza =
@@ -336,7 +336,7 @@
                     self.check(&b.body, &stanza, &here);
                 }
                 Shape::Map | Shape::Any => {}
-                _ => self.faults.refused(b.at, &here, "is set with =, it is no block"),
+                _ => self.diagnostics.refused(b.at, &here, "is set with =, it is no block"),
             }
             seen.push(name);
         }
@@ -352,7 +352,7 @@
             Some((_, n)) => format!("is not in the job specification; did you mean {n}?"),
             None => "is not in the job specification".to_owned(),
         };
-        self.faults.refused(at, path, text);
+        self.diagnostics.refused(at, path, text);
     }
 
     /// Whether the field is to be read.
@@ -362,12 +362,12 @@
             Verdict::ReadOnly => false,
             _ if value.is_empty() => false,
             Verdict::NoEffect(why) => {
-                self.faults.warning(at, path, format!("has no effect: {why}"));
+                self.diagnostics.warning(at, path, format!("has no effect: {why}"));
                 // A stanza without effect is not looked into.
                 !matches!(row.shape, Shape::Block | Shape::Blocks | Shape::Named)
             }
             Verdict::Refused(why) => {
-                self.faults.refused(at, path, format!("is not served: {why}"));
+                self.diagnostics.refused(at, path, format!("is not served: {why}"));
                 false
             }
         }
@@ -385,7 +385,7 @@
             Shape::Bool => (!matches!(d, Datum::Bool(_))).then_some("must be true or false"),
             Shape::Span => {
                 if let Err(text) = span(d) {
-                    self.faults.refused(a.value.at, path, text);
+                    self.diagnostics.refused(a.value.at, path, text);
                 }
                 None
             }
@@ -405,7 +405,7 @@
                 Datum::Number(_) | Datum::Bool(_) => d.text().unwrap_or_default(),
                 _ => d.kind().to_owned(),
             };
-            self.faults.refused(a.value.at, path, format!("{text}, not {is}"));
+            self.diagnostics.refused(a.value.at, path, format!("{text}, not {is}"));
         }
     }
 
@@ -415,7 +415,7 @@
             || text.chars().any(|c| c.is_whitespace() || c.is_control());
         if bad {
             let text = format!("must have 1 to {MAX_NAME} bytes without white space");
-            self.faults.refused(at, &format!("{path}.{what}"), text);
+            self.diagnostics.refused(at, &format!("{path}.{what}"), text);
         }
     }
 
@@ -427,7 +427,7 @@
         match &a.value.datum {
             Datum::Runtime(s) => {
                 let text = format!("{s} is known only on the machine; here it is needed before");
-                self.faults.refused(a.value.at, &format!("{path}.{name}"), text);
+                self.diagnostics.refused(a.value.at, &format!("{path}.{name}"), text);
                 None
             }
             d => d.text(),
@@ -461,7 +461,7 @@
             (Some(Datum::Map(m)), _) => m.iter().map(|(k, n)| (k, n)).collect(),
             (_, Some(b)) => {
                 for inner in &b.body.blocks {
-                    self.faults.refused(inner.at, &format!("{path}.{name}"), "holds no blocks");
+                    self.diagnostics.refused(inner.at, &format!("{path}.{name}"), "holds no blocks");
                 }
                 b.body.attrs.iter().map(|a| (&a.name, &a.value)).collect()
             }
@@ -470,7 +470,7 @@
         for (k, n) in fields {
             match n.datum.text() {
                 Some(v) => drop(out.insert(k.clone(), v)),
-                None => self.faults.refused(n.at, &format!("{path}.{name}.{k}"), "must be text"),
+                None => self.diagnostics.refused(n.at, &format!("{path}.{name}.{k}"), "must be text"),
             }
         }
         out
@@ -495,10 +495,10 @@
             // `distinct_hosts` and alike have none, and are refused above.
             let told = t.attrs.iter().any(|a| a.name.starts_with("distinct"));
             if !told && !operator.starts_with("distinct") {
-                self.faults.refused(b.at, path, "attribute is missing");
+                self.diagnostics.refused(b.at, path, "attribute is missing");
             }
             if operator.starts_with("distinct") {
-                self.faults.refused(
+                self.diagnostics.refused(
                     b.at,
                     path,
                     format!("{operator} is not served: repeats share machines where there is room"),
@@ -517,7 +517,7 @@
                 None => 50.0,
                 Some(Datum::Number(n)) if *n != 0.0 && n.abs() <= 100.0 => *n,
                 Some(_) => {
-                    self.faults.refused(b.at, &format!("{here}.weight"), "must be -100 to 100, not 0");
+                    self.diagnostics.refused(b.at, &format!("{here}.weight"), "must be -100 to 100, not 0");
                     continue;
                 }
             };
@@ -535,12 +535,12 @@
                 let text = format!(
                     "\"{attribute}\" is not served: repeats are spread over ${{node.datacenter}} only"
                 );
-                self.faults.refused(b.at, &format!("{here}.attribute"), text);
+                self.diagnostics.refused(b.at, &format!("{here}.attribute"), text);
                 continue;
             }
             match self.whole(&b.body, "weight", &here) {
                 Some(w) if w > 100 => {
-                    self.faults.refused(b.at, &format!("{here}.weight"), "must be 0 to 100")
+                    self.diagnostics.refused(b.at, &format!("{here}.weight"), "must be 0 to 100")
                 }
                 w => spread |= w != Some(0),
             }
@@ -558,7 +558,7 @@
             self.whole(t, "attempts", &path).map(|n| Some(n.min(u32::MAX as u64) as u32)).unwrap_or(default);
         if self.flag(t, "unlimited") == Some(true) {
             if self.whole(t, "attempts", &path).is_some_and(|n| n > 0) {
-                self.faults.refused(at, &format!("{path}.attempts"), "stands beside unlimited: one of both");
+                self.diagnostics.refused(at, &format!("{path}.attempts"), "stands beside unlimited: one of both");
             }
             n = None;
         } else if self.flag(t, "unlimited") == Some(false) && n.is_none() {
@@ -569,7 +569,7 @@
             Some("delay") => n = None,
             Some(other) => {
                 let text = format!("\"{other}\" must be fail or delay");
-                self.faults.refused(place(t, "mode"), &format!("{path}.mode"), text);
+                self.diagnostics.refused(place(t, "mode"), &format!("{path}.mode"), text);
             }
         }
         (n, at)
@@ -582,11 +582,11 @@
         let t = &b.body;
         let tasks: Vec<&Block> = t.all("task").collect();
         let Some(first) = tasks.first() else {
-            self.faults.refused(b.at, &path, "the group has no task");
+            self.diagnostics.refused(b.at, &path, "the group has no task");
             return None;
         };
         for more in &tasks[1..] {
-            self.faults.refused(
+            self.diagnostics.refused(
                 more.at,
                 &format!("{path}.task"),
                 "a second task is not served: a worker runs one command for each repeat; make it a group of its own",
@@ -609,7 +609,7 @@
         let count = match self.whole(t, "count", &path) {
             Some(n) if n > MAX_COUNT => {
                 let text = format!("{n} is more than {MAX_COUNT}, the most that any job may have");
-                self.faults.refused(place(t, "count"), &format!("{path}.count"), text);
+                self.diagnostics.refused(place(t, "count"), &format!("{path}.count"), text);
                 1
             }
             n => n.unwrap_or(1) as u32,
@@ -645,7 +645,7 @@
         let t = &b.body;
         let driver = self.text(t, "driver", &path).unwrap_or_default();
         if driver.is_empty() {
-            self.faults.refused(b.at, &format!("{path}.driver"), "is missing");
+            self.diagnostics.refused(b.at, &format!("{path}.driver"), "is missing");
         }
         let none = Tree::default();
         let res = t.block("resources").map_or(&none, |r| &r.body);
@@ -654,7 +654,7 @@
         let cores = self.whole(res, "cores", &res_path).filter(|c| *c > 0);
         let cpu = self.whole(res, "cpu", &res_path).filter(|c| *c > 0);
         if cores.is_some() && cpu.is_some() {
-            self.faults.refused(
+            self.diagnostics.refused(
                 place(res, "cores"),
                 &format!("{res_path}.cores"),
                 "stands beside cpu: one of both",
@@ -690,15 +690,15 @@
         if let Some(kind) = self.text(t, "spec_type", &path)
             && kind != "cron"
         {
-            self.faults.refused(place(t, "spec_type"), &format!("{path}.spec_type"), "must be cron");
+            self.diagnostics.refused(place(t, "spec_type"), &format!("{path}.spec_type"), "must be cron");
         }
         let time_zone = self.text(t, "time_zone", &path).unwrap_or_else(|| "UTC".into());
         if crons.is_empty() {
-            self.faults.refused(b.at, &path, "cron is missing");
+            self.diagnostics.refused(b.at, &path, "cron is missing");
         }
         for c in &crons {
             if let Err(text) = crate::cron::Cron::read(c, &time_zone) {
-                self.faults.refused(place(t, "cron"), &format!("{path}.cron"), text);
+                self.diagnostics.refused(place(t, "cron"), &format!("{path}.cron"), text);
             }
         }
         Periodic {
@@ -719,7 +719,7 @@
             Some("forbidden") => Payload::Forbidden,
             Some(other) => {
                 let text = format!("\"{other}\" must be optional, required or forbidden");
-                self.faults.refused(place(t, "payload"), &format!("{path}.payload"), text);
+                self.diagnostics.refused(place(t, "payload"), &format!("{path}.payload"), text);
                 Payload::Optional
             }
         };
@@ -727,7 +727,7 @@
         let required = names(self.texts(t, "meta_required", &path));
         let optional = names(self.texts(t, "meta_optional", &path));
         if let Some(k) = required.iter().find(|k| optional.contains(k)) {
-            self.faults.refused(b.at, &path, format!("{k} is both required and optional"));
+            self.diagnostics.refused(b.at, &path, format!("{k} is both required and optional"));
         }
         Parameterized { payload, required, optional }
     }
--- a/crates/nomad/src/service/api.rs
+++ b/crates/nomad/src/service/api.rs
@@ -519,12 +519,12 @@
         if let Some(v) = body["Variables"].as_str() {
             inputs.files.push(("Variables".into(), v.to_owned()));
         }
-        let mut faults = Diagnostics::default();
-        let job = hcl::read(text, &inputs, &mut faults).and_then(|b| model::read(&b, &mut faults));
-        faults.place(text);
-        match job.filter(|_| faults.accepted()) {
+        let mut diagnostics = Diagnostics::default();
+        let job = hcl::read(text, &inputs, &mut diagnostics).and_then(|b| model::read(&b, &mut diagnostics));
+        diagnostics.place(text);
+        match job.filter(|_| diagnostics.accepted()) {
             Some(j) => self.answer(r.id, 200, 0, &super::records::api_job(&j)),
-            None => self.refuse(r.id, 400, &told(&faults)),
+            None => self.refuse(r.id, 400, &told(&diagnostics)),
         }
     }
 
@@ -533,7 +533,7 @@
         let Ok(text) = std::str::from_utf8(&r.body) else { return self.refuse(r.id, 400, "not UTF-8") };
         let j = crate::validate(text, &r.inputs(), &self.settings, &self.site);
         let (errors, warnings): (Vec<_>, Vec<_>) =
-            j.faults.list.iter().partition(|f| f.severity != Severity::Warning);
+            j.diagnostics.list.iter().partition(|f| f.severity != Severity::Warning);
         let show = |l: &[&crate::tree::Fault]| l.iter().map(|f| f.to_string()).collect::<Vec<_>>();
         let (errors, warnings) = (show(&errors), show(&warnings));
         let body = json!({"DriverConfigValidated": true, "ValidationErrors": errors,
@@ -546,21 +546,21 @@
         let Ok(text) = std::str::from_utf8(&r.body) else { return self.refuse(r.id, 400, "not UTF-8") };
         let j = crate::validate(text, &r.inputs(), &self.settings, &self.site);
         let Some(job) = j.job.as_ref().filter(|_| j.accepted()) else {
-            return self.refuse(r.id, 400, &told(&j.faults));
+            return self.refuse(r.id, 400, &told(&j.diagnostics));
         };
         let team = translate::class(job, &self.settings).map(|c| c.team.clone()).unwrap_or_default();
         if !r.may(&team) {
             return self.refuse(r.id, 403, "Permission denied");
         }
         let key = JobKey::of(&job.namespace, &job.id);
-        let body = views::plan(host, self.heads.get(&key), &j.groups, &j.faults);
+        let body = views::plan(host, self.heads.get(&key), &j.groups, &j.diagnostics);
         self.answer(r.id, 200, host.replica.applied, &body);
     }
 }
 
-/// All faults as a text.
-pub(crate) fn told(faults: &Diagnostics) -> String {
-    let lines: Vec<String> = faults.list.iter().map(|f| f.to_string()).collect();
+/// All diagnostics as a text.
+pub(crate) fn told(diagnostics: &Diagnostics) -> String {
+    let lines: Vec<String> = diagnostics.list.iter().map(|f| f.to_string()).collect();
     lines.join("\n")
 }
 
--- a/crates/nomad/src/service/register.rs
+++ b/crates/nomad/src/service/register.rs
@@ -99,8 +99,8 @@
             return self.refuse(r.id, 503, "the machine types are not known yet");
         }
         let mut judged = validate(text, &r.inputs(), &self.settings, &self.site);
-        let Some(job) = judged.job.take().filter(|_| judged.faults.accepted()) else {
-            return self.refuse(r.id, 400, &told(&judged.faults));
+        let Some(job) = judged.job.take().filter(|_| judged.diagnostics.accepted()) else {
+            return self.refuse(r.id, 400, &told(&judged.diagnostics));
         };
         let class = translate::class(&job, &self.settings);
         let Some((class, team)) = class.map(|c| (c.name.clone(), c.team.clone())) else {
@@ -112,7 +112,7 @@
         if let Err(text) = self.limits(host, &judged.groups) {
             return self.refuse(r.id, 400, &text);
         }
-        let warnings = warnings(&judged.faults);
+        let warnings = warnings(&judged.diagnostics);
         let content = Rc::new(content(&job, &judged.groups));
         let key = JobKey::of(&job.namespace, &job.id);
         let wish = Wish::Content { job: Box::new(job), class, team, content, warnings };
@@ -678,8 +678,8 @@
     Write::Remove { remove: format!("{}{name}", keys::GUEST) }
 }
 
-fn warnings(faults: &Diagnostics) -> String {
-    let lines = faults.list.iter().filter(|f| f.severity == Severity::Warning).map(|f| f.to_string());
+fn warnings(diagnostics: &Diagnostics) -> String {
+    let lines = diagnostics.list.iter().filter(|f| f.severity == Severity::Warning).map(|f| f.to_string());
     lines.collect::<Vec<_>>().join("\n")
 }
 
--- a/crates/nomad/src/service/views.rs
+++ b/crates/nomad/src/service/views.rs
@@ -251,7 +251,7 @@
     host: &ExtensionContext<'_>,
     known: Option<&Known>,
     groups: &[Planned],
-    faults: &Diagnostics,
+    diagnostics: &Diagnostics,
 ) -> Value {
     let (mut desired, mut failed) = (Map::new(), Map::new());
     for p in groups {
@@ -284,7 +284,7 @@
                 "NodesFiltered": host.flavors.len(), "ConstraintFiltered": {"size or constraints": host.flavors.len()}}));
         }
     }
-    let warnings: Vec<String> = faults.list.iter().map(|f| f.to_string()).collect();
+    let warnings: Vec<String> = diagnostics.list.iter().map(|f| f.to_string()).collect();
     json!({"Annotations": {"DesiredTGUpdates": desired}, "FailedTGAllocs": failed, "Diff": null,
         "JobModifyIndex": known.map_or(0, |k| k.stamp), "CreatedEvals": null, "Warnings": warnings.join("\n")})
 }
--- a/crates/nomad/src/translate.rs
+++ b/crates/nomad/src/translate.rs
@@ -72,14 +72,14 @@
     })
 }
 
-/// Translates a job; what can't be served is among the faults.
-pub fn translate(job: &Job, settings: &Nomad, site: &Site, faults: &mut Diagnostics) -> Vec<Planned> {
+/// Translates a job; what can't be served is among the diagnostics.
+pub fn translate(job: &Job, settings: &Nomad, site: &Site, diagnostics: &mut Diagnostics) -> Vec<Planned> {
     if let Some((r, at)) = &job.region
         && r != "global"
         && *r != settings.region
     {
         let text = format!("this is region {}, not {r}", settings.region);
-        faults.refused(*at, &format!("{}.region", job.path), text);
+        diagnostics.refused(*at, &format!("{}.region", job.path), text);
     }
     let Some(class) = class(job, settings) else {
         let kind = if job.kind == Kind::Service { "service" } else { "batch" };
@@ -87,26 +87,26 @@
             0 => "no classes are set: the operators' file says which jobs are taken (nomad.class)".to_owned(),
             _ => format!("no class takes a {kind} job of this id, namespace and datacenters"),
         };
-        faults.refused(job.at, &job.path, text);
+        diagnostics.refused(job.at, &job.path, text);
         return Vec::new();
     };
     if !site.teams.is_empty() && !site.teams.contains(&class.team) {
         let text =
             format!("class {} belongs to team {}, which this site does not have", class.name, class.team);
-        faults.refused(job.at, &job.path, text);
+        diagnostics.refused(job.at, &job.path, text);
     }
     let total: u64 = job.groups.iter().map(|g| g.count as u64).sum();
     if total > class.max_count as u64 {
         let at = job.groups.iter().max_by_key(|g| g.count).map_or(job.at, |g| g.count_at);
         let text =
             format!("{total} repeats over all groups, class {} allows {}", class.name, class.max_count);
-        faults.refused(at, &format!("{}.group.count", job.path), text);
+        diagnostics.refused(at, &format!("{}.group.count", job.path), text);
     }
     if job.groups.is_empty() || site.machines.is_empty() {
         let text = "constraints, datacenters and sizes are not judged: the machine types are not known here";
-        faults.warning(job.at, &job.path, text);
+        diagnostics.warning(job.at, &job.path, text);
     }
-    job.groups.iter().filter_map(|g| group(job, g, class, settings, site, faults)).collect()
+    job.groups.iter().filter_map(|g| group(job, g, class, settings, site, diagnostics)).collect()
 }
 
 /// The rank of a job of a class: the class's, or for low priorities one or two
@@ -133,7 +133,7 @@
     class: &NomadClass,
     settings: &Nomad,
     site: &Site,
-    faults: &mut Diagnostics,
+    diagnostics: &mut Diagnostics,
 ) -> Option<Planned> {
     let task = &g.task;
     let task_path = format!("{}.task.{}", g.path, task.name);
@@ -145,24 +145,24 @@
     let memory_gb = task.memory_mb as f64 / 1024.0;
     if cpus > class.max_cpus {
         let text = format!("{cpus:.3} CPUs, class {} allows {}", class.name, class.max_cpus);
-        faults.refused(task.resources_at, &format!("{res_path}.cpu"), text);
+        diagnostics.refused(task.resources_at, &format!("{res_path}.cpu"), text);
     }
     if memory_gb > class.max_memory_gb {
         let text = format!("{memory_gb:.3} GB, class {} allows {}", class.name, class.max_memory_gb);
-        faults.refused(task.resources_at, &format!("{res_path}.memory"), text);
+        diagnostics.refused(task.resources_at, &format!("{res_path}.memory"), text);
     }
     if g.disk_mb.0 > class.max_disk_mb as u64 {
         let text = format!("{} MB, class {} allows {}", g.disk_mb.0, class.name, class.max_disk_mb);
-        faults.refused(g.disk_mb.1, &format!("{}.ephemeral_disk.size", g.path), text);
+        diagnostics.refused(g.disk_mb.1, &format!("{}.ephemeral_disk.size", g.path), text);
     }
     let kill_s = task.kill_timeout.as_secs_f64();
     if kill_s > class.max_kill_timeout_s {
         let text = format!("{kill_s} s, class {} allows {}", class.name, class.max_kill_timeout_s);
-        faults.refused(task.kill_at, &format!("{task_path}.kill_timeout"), text);
+        diagnostics.refused(task.kill_at, &format!("{task_path}.kill_timeout"), text);
     }
-    let attempts = attempts(job, g, class, faults);
+    let attempts = attempts(job, g, class, diagnostics);
     let constraints: Vec<&Match> = g.constraints.iter().collect();
-    let allowed = allowed(job, g, &constraints, settings, site, faults)?;
+    let allowed = allowed(job, g, &constraints, settings, site, diagnostics)?;
     let need = Resources::need(cpus, 0.0, memory_gb);
     if !allowed.kinds.is_empty() {
         let fits = |k: &&MachineKind| Resources::have(k.cpus, 0.0, k.memory_gb).fits(&need);
@@ -176,7 +176,7 @@
                 "{cpus:.3} CPUs and {memory_gb:.3} GB fit no machine that is left: those have up to {} CPUs and {} GB",
                 most.0, most.1
             );
-            faults.refused(task.resources_at, &res_path, text);
+            diagnostics.refused(task.resources_at, &res_path, text);
         }
     }
     let image = match &task.config {
@@ -186,7 +186,7 @@
     let image = image.filter(|i| !i.is_empty()).unwrap_or_else(|| task.driver.clone());
     if image.len() > 256 {
         let text = "the image's name has more than 256 bytes";
-        faults.refused(task.at, &format!("{task_path}.config.image"), text);
+        diagnostics.refused(task.at, &format!("{task_path}.config.image"), text);
         return None;
     }
     let image_gb = class
@@ -194,7 +194,7 @@
         .iter()
         .find(|(p, _)| matches(p, &image) || matches(p, &task.driver))
         .map_or(class.image_gb, |(_, gb)| *gb);
-    let prefer = preferences(g, &allowed.kinds, settings, faults);
+    let prefer = preferences(g, &allowed.kinds, settings, diagnostics);
     let spec = JobSpec {
         id: JobId(0),
         class: class.lot.clone(),
@@ -223,14 +223,14 @@
 }
 
 /// Attempts that a task of the group has before its job has failed.
-fn attempts(job: &Job, g: &Group, class: &NomadClass, faults: &mut Diagnostics) -> Option<u32> {
+fn attempts(job: &Job, g: &Group, class: &NomadClass, diagnostics: &mut Diagnostics) -> Option<u32> {
     let mut bounded = |n: Option<u32>, most: u32, what: &str, at: usize| {
         let text = match n {
             Some(n) if n <= most => return,
             Some(n) => format!("{n} attempts, class {} allows {most}", class.name),
             None => format!("no end of attempts, class {} allows {most}", class.name),
         };
-        faults.refused(at, &format!("{}.{what}.attempts", g.path), text);
+        diagnostics.refused(at, &format!("{}.{what}.attempts", g.path), text);
     };
     match job.kind {
         // A service has no end of its own: it is started again until it is stopped.
@@ -241,7 +241,7 @@
             if let Some(n) = g.reschedules {
                 bounded(Some(n), class.max_reschedules, "reschedule", g.reschedules_at);
                 let text = "has no effect on a service: it is started again until it is stopped";
-                faults.warning(g.reschedules_at, &format!("{}.reschedule", g.path), text);
+                diagnostics.warning(g.reschedules_at, &format!("{}.reschedule", g.path), text);
             }
             None
         }
@@ -268,7 +268,7 @@
     constraints: &[&Match],
     settings: &Nomad,
     site: &'a Site,
-    faults: &mut Diagnostics,
+    diagnostics: &mut Diagnostics,
 ) -> Option<Allowed<'a>> {
     let all_types: BTreeSet<&str> = site.machines.iter().map(|k| k.name.as_str()).collect();
     let all_zones: BTreeSet<&str> = site.machines.iter().map(|k| k.zone.as_str()).collect();
@@ -280,7 +280,7 @@
         if zones.is_empty() {
             let names: Vec<&str> = all_zones.iter().copied().collect();
             let text = format!("none of them is here: there are {}", names.join(", "));
-            faults.refused(patterns[0].1, &format!("{}.datacenters", job.path), text);
+            diagnostics.refused(patterns[0].1, &format!("{}.datacenters", job.path), text);
             return None;
         }
     }
@@ -289,24 +289,24 @@
     for c in constraints {
         match property(&c.attribute) {
             None => {
-                faults.refused(c.at, &c.path, unknown_property(&c.attribute));
+                diagnostics.refused(c.at, &c.path, unknown_property(&c.attribute));
                 good = false;
             }
             Some(Property::Spot) => match compare(c, &["false"]) {
                 Ok(true) => spot = false,
                 Ok(false) => {
-                    faults.refused(c.at, &c.path, "tasks can be kept off spot machines, not on them");
+                    diagnostics.refused(c.at, &c.path, "tasks can be kept off spot machines, not on them");
                     good = false;
                 }
                 Err(text) => {
-                    faults.refused(c.at, &c.path, text);
+                    diagnostics.refused(c.at, &c.path, text);
                     good = false;
                 }
             },
             Some(p) => {
                 // Diagnostics of the comparison itself are found with any value.
                 if let Err(text) = compare(c, &["1"]) {
-                    faults.refused(c.at, &c.path, text);
+                    diagnostics.refused(c.at, &c.path, text);
                     good = false;
                     continue;
                 }
@@ -335,7 +335,7 @@
                         all_zones.iter().copied().collect::<Vec<_>>().join(", "),
                         settings.region,
                     );
-                    faults.refused(c.at, &c.path, text);
+                    diagnostics.refused(c.at, &c.path, text);
                     good = false;
                 }
             }
@@ -350,7 +350,7 @@
         .filter(|k| types.contains(k.name.as_str()) && zones.contains(k.zone.as_str()))
         .collect();
     if kinds.is_empty() && !site.machines.is_empty() {
-        faults.refused(g.at, &g.path, "no machine type is left in the zones that are left");
+        diagnostics.refused(g.at, &g.path, "no machine type is left in the zones that are left");
         return None;
     }
     let owned = |s: &BTreeSet<&str>| s.iter().map(|x| (*x).to_owned()).collect::<Vec<_>>();
@@ -456,20 +456,20 @@
 }
 
 /// What affinities say of the kinds that are left.
-fn preferences(g: &Group, kinds: &[&MachineKind], settings: &Nomad, faults: &mut Diagnostics) -> Vec<Preference> {
+fn preferences(g: &Group, kinds: &[&MachineKind], settings: &Nomad, diagnostics: &mut Diagnostics) -> Vec<Preference> {
     let mut sums: BTreeMap<(&str, &str), i32> = BTreeMap::new();
     for (m, weight) in &g.affinities {
         let Some(p) = property(&m.attribute) else {
-            faults.refused(m.at, &m.path, unknown_property(&m.attribute));
+            diagnostics.refused(m.at, &m.path, unknown_property(&m.attribute));
             continue;
         };
         if let Err(text) = compare(m, &["1"]) {
-            faults.refused(m.at, &m.path, text);
+            diagnostics.refused(m.at, &m.path, text);
             continue;
         }
         if matches!(p, Property::Spot | Property::Fixed(_) | Property::Region) {
             let text = "has no effect: it is the same for every machine, or the price decides";
-            faults.warning(m.at, &m.path, text);
+            diagnostics.warning(m.at, &m.path, text);
             continue;
         }
         for k in kinds {
--- a/crates/nomad/src/tree.rs
+++ b/crates/nomad/src/tree.rs
@@ -1,5 +1,5 @@
 //! A job file as a tree of attributes and blocks, whatever it was written in,
-//! with the place of every part, and the faults found in it.
+//! with the place of every part, and the diagnostics found in it.
 use serde::Serialize;
 use std::fmt;
 
@@ -29,7 +29,7 @@
 }
 
 impl Datum {
-    /// The word for its type in faults.
+    /// The word for its type in diagnostics.
     pub fn kind(&self) -> &'static str {
         match self {
             Datum::Null => "null",
@@ -190,10 +190,10 @@
     pub text: String,
 }
 
-/// Most faults kept of one file.
+/// Most diagnostics kept of one file.
 const MAX_FAULTS: usize = 200;
 
-/// Collects faults.
+/// Collects diagnostics.
 #[derive(Debug, Default)]
 pub struct Diagnostics {
     /// In the order in which they were found.
--- a/crates/nomad/tests/samples.rs
+++ b/crates/nomad/tests/samples.rs
@@ -64,7 +64,7 @@
     ];
     for (file, class, groups) in cases {
         let j = judged(&sample(file), &Inputs::default());
-        assert!(j.accepted() && j.exit_code() == 0, "{file}: {:?}", j.faults.list);
+        assert!(j.accepted() && j.exit_code() == 0, "{file}: {:?}", j.diagnostics.list);
         assert_eq!(j.class.as_deref(), Some(class), "{file}");
         let got: Vec<Group> = j
             .groups
@@ -104,7 +104,7 @@
         let first = judged(&sample(&name), &Inputs::default());
         let Some(job) = first.job.as_ref().filter(|_| first.accepted()) else { continue };
         let second = judged(&json!({ "Job": api_job(job) }).to_string(), &Inputs::default());
-        assert!(second.accepted(), "{name}: {:?}", second.faults.list);
+        assert!(second.accepted(), "{name}: {:?}", second.diagnostics.list);
         assert_eq!(second.groups, first.groups, "{name}");
         let other = second.job.unwrap();
         assert_eq!(
@@ -229,18 +229,18 @@
     ];
     for (file, code, want) in cases {
         let j = judged(&sample(file), &Inputs::default());
-        assert_eq!((j.exit_code(), j.accepted()), (code, false), "{file}: {:?}", j.faults.list);
+        assert_eq!((j.exit_code(), j.accepted()), (code, false), "{file}: {:?}", j.diagnostics.list);
         for (line, column, path, words) in want {
-            let found = j.faults.list.iter().any(|f| {
+            let found = j.diagnostics.list.iter().any(|f| {
                 (f.line, f.column, f.path.as_str()) == (*line, *column, *path)
                     && f.text.contains(words)
                     && f.severity != Severity::Warning
             });
-            assert!(found, "{file}: no {line}:{column} {path} {words} in {:#?}", j.faults.list);
+            assert!(found, "{file}: no {line}:{column} {path} {words} in {:#?}", j.diagnostics.list);
         }
-        // All faults are told at once, and no others.
-        let told = j.faults.list.iter().filter(|f| f.severity != Severity::Warning).count();
-        assert_eq!(told, want.len(), "{file}: {:#?}", j.faults.list);
+        // All diagnostics are told at once, and no others.
+        let told = j.diagnostics.list.iter().filter(|f| f.severity != Severity::Warning).count();
+        assert_eq!(told, want.len(), "{file}: {:#?}", j.diagnostics.list);
     }
 }
 
@@ -265,10 +265,10 @@
     for (vars, files, count, words) in cases {
         let j = judged(&source, &inputs(vars, files));
         if words.is_empty() {
-            assert_eq!(j.groups.first().map(|g| g.spec.tasks), Some(count), "{:?}", j.faults.list);
+            assert_eq!(j.groups.first().map(|g| g.spec.tasks), Some(count), "{:?}", j.diagnostics.list);
         } else {
             assert!(j.exit_code() == 2, "{vars:?} {files:?}");
-            assert!(j.faults.list.iter().any(|f| f.text.contains(words)), "{words}: {:?}", j.faults.list);
+            assert!(j.diagnostics.list.iter().any(|f| f.text.contains(words)), "{words}: {:?}", j.diagnostics.list);
         }
     }
 }
@@ -437,7 +437,7 @@
             let j = judged(&source, &Inputs::default());
             let field = last(row.path);
             let about: Vec<_> = j
-                .faults
+                .diagnostics
                 .list
                 .iter()
                 .filter(|f| f.path.ends_with(field) || f.path.contains(&format!(".{field}.")))
@@ -465,7 +465,7 @@
                 }
                 Verdict::ReadOnly => true,
             };
-            assert!(ok, "{} is {:?}, but: {:#?}\n{source}", row.path, row.verdict, j.faults.list);
+            assert!(ok, "{} is {:?}, but: {:#?}\n{source}", row.path, row.verdict, j.diagnostics.list);
         }
     }
 }
@@ -595,9 +595,9 @@
         let j = judged(&source, &Inputs::default());
         assert!(!j.accepted(), "{what}");
         assert!(
-            j.faults.list.iter().any(|f| f.text.contains(words)),
+            j.diagnostics.list.iter().any(|f| f.text.contains(words)),
             "{what}: {:?}",
-            j.faults.list.iter().take(3).collect::<Vec<_>>()
+            j.diagnostics.list.iter().take(3).collect::<Vec<_>>()
         );
         assert!(began.elapsed().as_secs() < 20, "{what}: {:?}", began.elapsed());
     }
@@ -623,10 +623,10 @@
         let (a, b) = (from.min(chars.len()), (from + len).min(chars.len()));
         let torn: String = chars[..a].iter().chain(with.chars().collect::<Vec<_>>().iter()).chain(&chars[b..]).collect();
         let j = judged(&torn, &Inputs::default());
-        for f in &j.faults.list {
+        for f in &j.diagnostics.list {
             prop_assert!(f.line >= 1 && f.column >= 1);
         }
-        prop_assert!(j.accepted() || !j.faults.list.is_empty());
+        prop_assert!(j.accepted() || !j.diagnostics.list.is_empty());
     }
 
     /// Expressions of every kind, well formed or not, end within their bounds.
--- a/src/nomad.rs
+++ b/src/nomad.rs
@@ -205,7 +205,7 @@
     Ok(inputs)
 }
 
-/// `plan` and `run`: the file is read here, so that faults have their places.
+/// `plan` and `run`: the file is read here, so that diagnostics have their places.
 fn remote(r: &Remote, plan: bool) -> ExitCode {
     let read = text(&r.file).and_then(|t| Ok((t, inputs(&r.vars, &r.var_files)?)));
     let (source, inputs) = match read {
@@ -215,12 +215,12 @@
             return ExitCode::from(2);
         }
     };
-    let (job, faults) = gorseshore_nomad::read(&source, &inputs);
-    for f in &faults.list {
+    let (job, diagnostics) = gorseshore_nomad::read(&source, &inputs);
+    for f in &diagnostics.list {
         eprintln!("{}:{f}", r.file.display());
     }
-    let Some(job) = job.filter(|_| faults.accepted()) else {
-        let code = if faults.worst() == Some(Severity::Unreadable) { 2 } else { 1 };
+    let Some(job) = job.filter(|_| diagnostics.accepted()) else {
+        let code = if diagnostics.worst() == Some(Severity::Unreadable) { 2 } else { 1 };
         return ExitCode::from(code);
     };
     let body = json!({ "Job": api_job(&job) }).to_string();
@@ -374,11 +374,11 @@
 }
 
 fn show(name: &str, j: &ValidationReport) {
-    for f in &j.faults.list {
+    for f in &j.diagnostics.list {
         eprintln!("{name}:{f}");
     }
-    if j.faults.more > 0 {
-        eprintln!("{name}: {} more are not shown", j.faults.more);
+    if j.diagnostics.more > 0 {
+        eprintln!("{name}: {} more are not shown", j.diagnostics.more);
     }
     let class = j.class.as_ref().map_or(String::new(), |c| format!(", class {c}"));
     println!("{name}: {}{class}", word(j));
@@ -418,7 +418,7 @@
         "job": j.job.as_ref().map(|x| &x.id),
         "class": j.class,
         "groups": if j.accepted() { groups } else { Vec::new() },
-        "faults": j.faults.list,
-        "faults_not_shown": j.faults.more,
+        "faults": j.diagnostics.list,
+        "faults_not_shown": j.diagnostics.more,
     })
 }
