--- a/crates/nomad/src/service/api.rs
+++ b/crates/nomad/src/service/api.rs
@@ -534,7 +534,7 @@
         let j = crate::validate(text, &r.inputs(), &self.settings, &self.site);
         let (errors, warnings): (Vec<_>, Vec<_>) =
             j.diagnostics.list.iter().partition(|f| f.severity != Severity::Warning);
-        let show = |l: &[&crate::tree::Fault]| l.iter().map(|f| f.to_string()).collect::<Vec<_>>();
+        let show = |l: &[&crate::tree::Diagnostic]| l.iter().map(|f| f.to_string()).collect::<Vec<_>>();
         let (errors, warnings) = (show(&errors), show(&warnings));
         let body = json!({"DriverConfigValidated": true, "ValidationErrors": errors,
             "Error": errors.join("\n"), "Warnings": warnings.join("\n")});
--- a/crates/nomad/src/tree.rs
+++ b/crates/nomad/src/tree.rs
@@ -174,7 +174,7 @@
 
 /// Something to say about a place in a file.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub struct Fault {
+pub struct Diagnostic {
     /// Severity.
     pub severity: Severity,
     /// Offset in the file.
@@ -197,14 +197,14 @@
 #[derive(Debug, Default)]
 pub struct Diagnostics {
     /// In the order in which they were found.
-    pub list: Vec<Fault>,
+    pub list: Vec<Diagnostic>,
     /// Found beyond those kept.
     pub more: usize,
 }
 
 impl Diagnostics {
     fn add(&mut self, severity: Severity, at: usize, path: &str, text: String) {
-        let fault = Fault { severity, at, line: 0, column: 0, path: path.into(), text };
+        let fault = Diagnostic { severity, at, line: 0, column: 0, path: path.into(), text };
         if self.list.contains(&fault) {
             return;
         }
@@ -251,7 +251,7 @@
     }
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for Diagnostic {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let word = match self.severity {
             Severity::Unreadable => "error",
