--- a/crates/nomad/src/translate.rs
+++ b/crates/nomad/src/translate.rs
@@ -36,7 +36,7 @@
 
 impl Site {
     /// The site as the operators' file describes it; its teams are not known.
-    pub fn described(settings: &Nomad) -> Self {
+    pub fn from_settings(settings: &Nomad) -> Self {
         let kind = |m: &NomadMachine| MachineKind {
             name: m.name.clone(),
             zone: m.zone.clone(),
--- a/crates/nomad/tests/samples.rs
+++ b/crates/nomad/tests/samples.rs
@@ -15,7 +15,7 @@
 }
 
 fn site(n: &Nomad) -> Site {
-    Site { teams: vec!["default".into()], ..Site::described(n) }
+    Site { teams: vec!["default".into()], ..Site::from_settings(n) }
 }
 
 fn judged(source: &str, inputs: &Inputs) -> ValidationReport {
--- a/src/nomad.rs
+++ b/src/nomad.rs
@@ -334,7 +334,7 @@
             return ExitCode::from(2);
         }
     };
-    let site = Site::described(&settings);
+    let site = Site::from_settings(&settings);
     let mut worst = 0;
     let mut documents = Vec::new();
     for path in &c.files {
--- a/tests/nomad.rs
+++ b/tests/nomad.rs
@@ -367,7 +367,7 @@
     let mut files: Vec<_> = std::fs::read_dir(dir).unwrap().map(|f| f.unwrap().path()).collect();
     files.sort();
     let operator = gorseshore_settings::Operator::parse(SETTINGS).unwrap().nomad.unwrap();
-    let known = gorseshore_nomad::translate::Site::described(&operator);
+    let known = gorseshore_nomad::translate::Site::from_settings(&operator);
     let (mut seen, mut number, mut pairs) = (0, 100, Vec::new());
     for f in files {
         let source = std::fs::read_to_string(&f).unwrap();
