--- a/crates/nomad/src/service/launches.rs
+++ b/crates/nomad/src/service/launches.rs
@@ -5,7 +5,7 @@
 //! that were missed only the last is made up.
 use super::Service;
 use super::api::{Request, Route};
-use super::records::{Head, JobKey};
+use super::records::{JobRecord, JobKey};
 use super::register::{Wish, child_content};
 use crate::cron;
 use gorseshore_core::RequestId;
@@ -19,7 +19,7 @@
 
 /// The launch that is due: the last time up to now after the last launch, or
 /// after the registration.
-pub(crate) fn due(head: &Head, last: Option<u64>, wall_ms: u64) -> Option<u64> {
+pub(crate) fn due(head: &JobRecord, last: Option<u64>, wall_ms: u64) -> Option<u64> {
     let p = head.periodic.as_ref().filter(|p| p.enabled && !head.stop)?;
     let base = last.unwrap_or(0).max(head.at);
     let mut at = cron::next(&p.crons, &p.time_zone, base).filter(|t| *t <= wall_ms)?;
--- a/crates/nomad/src/service/mod.rs
+++ b/crates/nomad/src/service/mod.rs
@@ -25,7 +25,7 @@
 use gorseshore_protocol::ids::{JobId, Micros};
 use gorseshore_protocol::state::{Multi, MultiAnswer};
 use gorseshore_settings::Nomad;
-use records::{Content, Head, JobKey};
+use records::{Content, JobRecord, JobKey};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
@@ -33,7 +33,7 @@
 /// A head with the revision of its record.
 #[derive(Debug, Clone)]
 pub(crate) struct Known {
-    pub head: Rc<Head>,
+    pub head: Rc<JobRecord>,
     /// The registration's version, `JobModifyIndex`.
     pub stamp: u64,
     /// The revision of its first registration, `CreateIndex`.
@@ -205,7 +205,7 @@
         self.dirty.entry(key.clone()).or_insert(Micros(0));
     }
 
-    fn take_head(&mut self, key: JobKey, head: Option<Head>, stamp: u64) {
+    fn take_head(&mut self, key: JobKey, head: Option<JobRecord>, stamp: u64) {
         let Some(head) = head else {
             if let Some(old) = self.heads.remove(&key) {
                 self.changed = self.changed.max(stamp);
@@ -313,7 +313,7 @@
         let key = || JobKey(rest.to_owned());
         match space {
             "j" => {
-                let head = value.and_then(|v| serde_json::from_value::<Head>(v.clone()).ok());
+                let head = value.and_then(|v| serde_json::from_value::<JobRecord>(v.clone()).ok());
                 self.take_head(key(), head, stamp);
             }
             "l" => {
--- a/crates/nomad/src/service/reconcile.rs
+++ b/crates/nomad/src/service/reconcile.rs
@@ -3,7 +3,7 @@
 //! Every write is conditioned on the leader's key, on the head that asks for
 //! it and on the record that it changes: whatever comes late, or from a leader
 //! that is none any more, fails.
-use super::records::{Head, JobKey, names};
+use super::records::{JobRecord, JobKey, names};
 use super::register::{put, remove, when};
 use super::{Known, Pending, Service, write};
 use gorseshore_core::extension::{ExtensionContext, ExtensionOutput};
@@ -27,7 +27,7 @@
 fn native_record(
     spec: &JobSpec,
     submitted_ms: u64,
-    head: &Head,
+    head: &JobRecord,
     group: &str,
     host: &ExtensionContext<'_>,
 ) -> Option<Value> {
@@ -163,7 +163,7 @@
         let named = |heads: &BTreeMap<JobKey, Known>, name: &str| {
             let mut s = name.split('/');
             let (Some(key), Some(nonce)) = (s.next(), s.next()) else { return false };
-            heads.get(&JobKey(key.to_owned())).is_some_and(|k: &Known| Head::refers(&k.head, nonce))
+            heads.get(&JobKey(key.to_owned())).is_some_and(|k: &Known| JobRecord::refers(&k.head, nonce))
         };
         let mut gone = Vec::new();
         for (name, since) in &mut self.parts {
--- a/crates/nomad/src/service/records.rs
+++ b/crates/nomad/src/service/records.rs
@@ -111,7 +111,7 @@
 
 /// A job's head.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Head {
+pub struct JobRecord {
     /// Namespace.
     #[serde(rename = "ns")]
     pub namespace: String,
@@ -183,7 +183,7 @@
 /// Most native jobs of earlier versions that may not be over.
 pub const OLD_KEPT: usize = 16;
 
-impl Head {
+impl JobRecord {
     /// Its key.
     pub fn key(&self) -> JobKey {
         JobKey::of(&self.namespace, &self.id)
@@ -335,12 +335,12 @@
     fn heads_of_this_version_are_read() {
         let text = r#"{"ns":"default","id":"desk","nm":"desk","v":3,"h":"aa","hc":"bb","w":"f00d","at":5,
             "k":"service","pr":50,"cl":"service","t":"florists","gr":[{"g":"api","j":1000000000000000007,"n":4}]}"#;
-        let h: Head = serde_json::from_str(text).unwrap();
+        let h: JobRecord = serde_json::from_str(text).unwrap();
         assert_eq!(
             (h.version, h.groups[0].job, h.stop, h.old.len()),
             (3, 1_000_000_000_000_000_007, false, 0)
         );
-        let again: Head = serde_json::from_value(json!(h)).unwrap();
+        let again: JobRecord = serde_json::from_value(json!(h)).unwrap();
         assert_eq!(again, h);
     }
 }
--- a/crates/nomad/src/service/register.rs
+++ b/crates/nomad/src/service/register.rs
@@ -6,7 +6,7 @@
 //! or, where its answer was lost, after the mirror has shown it.
 use super::api::{Request, Route, told};
 use super::records::{
-    Content, Earlier, GroupHead, Head, JobKey, OLD_KEPT, ParamHead, PeriodicHead, VERSIONS_KEPT, api_job,
+    Content, Earlier, GroupHead, JobRecord, JobKey, OLD_KEPT, ParamHead, PeriodicHead, VERSIONS_KEPT, api_job,
     cut, hashes, names, payload_word,
 };
 use super::{Known, Pending, Service, revision, views, write};
@@ -41,7 +41,7 @@
     /// Parts are being written.
     Parts,
     /// The head is being written.
-    Head,
+    JobRecord,
     /// Others changed the job: it is looked at again.
     Again,
     /// The answer to the head's writing was lost.
@@ -71,7 +71,7 @@
     pub wish: Wish,
     step: Step,
     /// The head to write and the version that it replaces.
-    head: Option<Head>,
+    head: Option<JobRecord>,
     seen: u64,
     parts: Vec<(String, String)>,
     written: Vec<(String, u64)>,
@@ -331,7 +331,7 @@
                 let Some(old) = self.contents.get(&k.head.nonce).cloned() else {
                     return self.give_up(&r, 503, "the job changed meanwhile: come back");
                 };
-                let mut h = Head::clone(&k.head);
+                let mut h = JobRecord::clone(&k.head);
                 let Some(at) = h.groups.iter().position(|g| g.name == *group) else {
                     return self.give_up(&r, 400, &format!("Target.Group: the job has no group {group}"));
                 };
@@ -374,7 +374,7 @@
                     let answer = registered(&r.key, &k.head, k.stamp, &r.wish);
                     return self.answer(r.request.id, 200, host.replica.applied, &answer);
                 }
-                let mut h = Head::clone(&k.head);
+                let mut h = JobRecord::clone(&k.head);
                 (h.stop, h.purge) = (true, h.purge || *purge);
                 h.created = Some(k.created);
                 (h, None)
@@ -386,7 +386,7 @@
                 let parent = &k.head;
                 let (hash, shape) = hashes(content);
                 let groups = parent.groups.iter().map(|g| (g.name.clone(), g.count)).collect::<Vec<_>>();
-                let h = Head {
+                let h = JobRecord {
                     id: id.clone(),
                     name: id.clone(),
                     version: 0,
@@ -404,7 +404,7 @@
                     param: None,
                     parent: Some(parent.id.clone()),
                     earlier: Vec::new(),
-                    ..Head::clone(parent)
+                    ..JobRecord::clone(parent)
                 };
                 (h, Some(content.clone()))
             }
@@ -421,8 +421,8 @@
         job: &Job,
         (class, team): (&str, &str),
         (hash, shape): (String, String),
-    ) -> Result<Head, String> {
-        let mut head = Head {
+    ) -> Result<JobRecord, String> {
+        let mut head = JobRecord {
             namespace: job.namespace.clone(),
             id: job.id.clone(),
             name: job.name.clone(),
@@ -492,7 +492,7 @@
         &mut self,
         host: &ExtensionContext<'_>,
         mut r: Registration,
-        mut head: Head,
+        mut head: JobRecord,
         content: Option<Rc<Content>>,
     ) {
         let target = head.key();
@@ -518,7 +518,7 @@
             self.keep_content(&head.nonce, c);
         }
         // A head of longer values than may be written now gives up its oldest versions.
-        let too_long = |head: &Head| value_len(&json!(head)) + HEAD_MARGIN > host.max_value_bytes;
+        let too_long = |head: &JobRecord| value_len(&json!(head)) + HEAD_MARGIN > host.max_value_bytes;
         while too_long(&head) && head.earlier.pop().is_some() {}
         if too_long(&head) {
             return self.give_up(&r, 400, "the job has too many groups for a record of the state service");
@@ -547,7 +547,7 @@
             let ticket = self.ticket(Pending::Register(Box::new(r)));
             return self.out.push(write(ticket, Multi { when: Vec::new(), writes }, false));
         }
-        r.step = Step::Head;
+        r.step = Step::JobRecord;
         let Some(head) = &r.head else { return };
         let target = head.key();
         let mut conditions = vec![when(names::head(&r.key), r.seen)];
@@ -617,7 +617,7 @@
             return self.decide(host, r);
         }
         // The answer was lost: is it there?
-        let target = r.head.as_ref().map(Head::key);
+        let target = r.head.as_ref().map(JobRecord::key);
         let there =
             target.as_ref().and_then(|k| self.heads.get(k)).filter(|k| Some(&*k.head) == r.head.as_ref());
         match there.map(|k| k.stamp) {
@@ -643,7 +643,7 @@
     }
 
     /// Whether a job that this one launched still runs.
-    pub(crate) fn child_runs(&self, host: &ExtensionContext<'_>, parent: &Head) -> bool {
+    pub(crate) fn child_runs(&self, host: &ExtensionContext<'_>, parent: &JobRecord) -> bool {
         self.heads.values().any(|k| {
             k.head.parent.as_ref() == Some(&parent.id)
                 && k.head.namespace == parent.namespace
@@ -653,7 +653,7 @@
 }
 
 /// A version more than the one known.
-fn advance(head: &mut Head, known: &Known, wall_ms: u64) {
+fn advance(head: &mut JobRecord, known: &Known, wall_ms: u64) {
     let k = &known.head;
     head.version = k.version + 1;
     head.created = Some(known.created);
@@ -707,7 +707,7 @@
     c
 }
 
-fn registered(key: &JobKey, head: &Head, stamp: u64, wish: &Wish) -> Value {
+fn registered(key: &JobKey, head: &JobRecord, stamp: u64, wish: &Wish) -> Value {
     let warnings = match wish {
         Wish::Content { warnings, .. } => warnings.as_str(),
         _ => "",
--- a/crates/nomad/src/service/views.rs
+++ b/crates/nomad/src/service/views.rs
@@ -1,7 +1,7 @@
 //! What the interface shows. Only what is known is told: a task of which this
 //! controller can't say whether it runs has the status `unknown`.
 use super::Known;
-use super::records::{Content, Head, JobKey};
+use super::records::{Content, JobRecord, JobKey};
 use crate::translate::Planned;
 use crate::tree::Diagnostics;
 use gorseshore_core::extension::ExtensionContext;
@@ -45,7 +45,7 @@
 }
 
 /// `pending`, `running` or `dead`.
-pub(crate) fn status(host: &ExtensionContext<'_>, head: &Head) -> &'static str {
+pub(crate) fn status(host: &ExtensionContext<'_>, head: &JobRecord) -> &'static str {
     if head.stop {
         return "dead";
     }
@@ -69,7 +69,7 @@
 }
 
 /// Why a job ended, if it failed.
-fn failure(host: &ExtensionContext<'_>, head: &Head) -> Option<String> {
+fn failure(host: &ExtensionContext<'_>, head: &JobRecord) -> Option<String> {
     head.groups.iter().find_map(|g| native(host, g.job)?.cause.clone())
 }
 
@@ -82,7 +82,7 @@
     lost: u32,
 }
 
-fn counts(host: &ExtensionContext<'_>, head: &Head, job: u64, count: u32) -> Counts {
+fn counts(host: &ExtensionContext<'_>, head: &JobRecord, job: u64, count: u32) -> Counts {
     let mut c = Counts { queued: 0, running: 0, complete: 0, failed: 0, lost: 0 };
     match native(host, job) {
         None => c.queued = if head.stop || head.template() { 0 } else { count },
@@ -127,7 +127,7 @@
 }
 
 /// A job in an event.
-pub(crate) fn event_job(h: &Head) -> Value {
+pub(crate) fn event_job(h: &JobRecord) -> Value {
     json!({"ID": h.id, "Name": h.name, "Namespace": h.namespace, "Type": h.kind, "Version": h.version, "Stop": h.stop})
 }
 
--- a/crates/nomad/src/service/watch.rs
+++ b/crates/nomad/src/service/watch.rs
@@ -5,7 +5,7 @@
 //! since is known here; otherwise it is answered at once. So no change is
 //! missed and no index goes backwards, whichever controller is asked next.
 use super::api::{Request, Scope};
-use super::records::Head;
+use super::records::JobRecord;
 use super::{Service, views};
 use gorseshore_core::RequestId;
 use gorseshore_core::extension::{Answer, ExtensionContext, ExtensionOutput};
@@ -102,7 +102,7 @@
     }
 
     /// Remembers an event and tells the streams.
-    pub(crate) fn event(&mut self, kind: &'static str, head: &Head, index: u64) {
+    pub(crate) fn event(&mut self, kind: &'static str, head: &JobRecord, index: u64) {
         if self.loading {
             return;
         }
--- a/crates/nomad/tests/record_compatibility.rs
+++ b/crates/nomad/tests/record_compatibility.rs
@@ -2,7 +2,7 @@
 //! them: read, and written just so. A literal here is never changed together with
 //! the code.
 use gorseshore_nomad::service::records::{
-    Content, Earlier, GroupHead, Head, JobKey, ParamHead, PeriodicHead, names,
+    Content, Earlier, GroupHead, JobRecord, JobKey, ParamHead, PeriodicHead, names,
 };
 use production::Record;
 use serde_json::{Value, json};
@@ -22,8 +22,8 @@
     serde_json::from_str(text).unwrap_or_else(|e| panic!("{e}: {text}"))
 }
 
-fn heads() -> [(&'static str, Head); 2] {
-    let least = Head {
+fn heads() -> [(&'static str, JobRecord); 2] {
+    let least = JobRecord {
         namespace: "default".into(),
         id: "desk".into(),
         name: "desk".into(),
@@ -47,7 +47,7 @@
         parent: None,
         earlier: vec![],
     };
-    let most = Head {
+    let most = JobRecord {
         namespace: "n".into(),
         id: "night/periodic-7".into(),
         name: "night".into(),
@@ -83,7 +83,7 @@
 fn heads_of_production_are_read_and_written_as_they_were() {
     for (text, head) in heads() {
         let value = parse(text);
-        assert_eq!(serde_json::from_value::<Head>(value.clone()).unwrap(), head, "{text}");
+        assert_eq!(serde_json::from_value::<JobRecord>(value.clone()).unwrap(), head, "{text}");
         assert_eq!(json!(head), value, "{text}");
         let Ok(Record::NomadHead(read)) = production::read("g/n/j/00ff", &json!(head)) else {
             panic!("{text}");
@@ -99,7 +99,7 @@
 fn unknown_fields_of_a_head_are_passed_over() {
     let mut later = parse(MOST);
     later["later"] = json!({"a": [1]});
-    assert_eq!(serde_json::from_value::<Head>(later.clone()).unwrap(), heads()[1].1);
+    assert_eq!(serde_json::from_value::<JobRecord>(later.clone()).unwrap(), heads()[1].1);
     assert!(matches!(production::read("g/n/j/00ff", &later), Ok(Record::NomadHead(_))));
 }
 
--- a/tests/world/nomad.rs
+++ b/tests/world/nomad.rs
@@ -4,7 +4,7 @@
 use gorseshore_core::extension::Answer;
 use gorseshore_core::jobs::description;
 use gorseshore_nomad::service::Service;
-use gorseshore_nomad::service::records::{Head, JobKey};
+use gorseshore_nomad::service::records::{JobRecord, JobKey};
 use gorseshore_protocol::ids::{JobId, TaskId};
 use gorseshore_protocol::job::Kind;
 use std::collections::BTreeSet;
@@ -99,7 +99,7 @@
         })
     }
 
-    fn heads(&self) -> Vec<(Head, u64)> {
+    fn heads(&self) -> Vec<(JobRecord, u64)> {
         let names = self.state.names("g/n/j/");
         names
             .iter()
@@ -107,7 +107,7 @@
             .collect()
     }
 
-    fn head(&self, job: &str) -> Option<(Head, u64)> {
+    fn head(&self, job: &str) -> Option<(JobRecord, u64)> {
         let name = format!("g/n/j/{}", JobKey::of("default", job).0);
         Some((serde_json::from_value(self.state.value(&name)?).ok()?, self.state.stamp(&name)))
     }
