--- a/crates/nomad/src/service/mod.rs
+++ b/crates/nomad/src/service/mod.rs
@@ -214,7 +214,7 @@
             }
             return;
         };
-        for id in head.natives() {
+        for id in head.native_jobs() {
             self.natives.insert(id, key.clone());
         }
         let created = head.created.unwrap_or(stamp);
--- a/crates/nomad/src/service/reconcile.rs
+++ b/crates/nomad/src/service/reconcile.rs
@@ -76,9 +76,9 @@
         // The leader's key is a condition more.
         let room =
             |m: &Multi| m.writes.len() < host.max_txn_writes && m.when.len() + 3 < host.max_txn_writes * 4;
-        let over: Vec<JobId> = match head.stop || head.template() {
-            true => head.natives().collect(),
-            false => head.old.iter().copied().map(JobId).collect(),
+        let over: Vec<JobId> = match head.stop || head.is_template() {
+            true => head.native_jobs().collect(),
+            false => head.superseded_jobs.iter().copied().map(JobId).collect(),
         };
         let mut left = false;
         for id in over {
@@ -91,7 +91,7 @@
                 m.writes.push(Write::Put { put: keys::end(id), v, hold: None });
             }
         }
-        if !head.stop && !head.template() {
+        if !head.stop && !head.is_template() {
             for g in &head.groups {
                 let id = JobId(g.job);
                 match host.replica.jobs.get(&id) {
@@ -112,7 +112,7 @@
                             continue;
                         };
                         spec.tasks = g.count;
-                        spec.after = head.old.iter().copied().map(JobId).collect();
+                        spec.after = head.superseded_jobs.iter().copied().map(JobId).collect();
                         let Some(v) = native_record(&spec, head.at, head, &g.name, host) else { continue };
                         if room(&m) {
                             m.when.push(When { path: keys::job(id), stamp: 0 });
--- a/crates/nomad/src/service/records.rs
+++ b/crates/nomad/src/service/records.rs
@@ -163,7 +163,7 @@
     pub groups: Vec<GroupHead>,
     /// Native jobs of earlier versions that may not be over.
     #[serde(rename = "o", default)]
-    pub old: Vec<u64>,
+    pub superseded_jobs: Vec<u64>,
     /// Launches by cron.
     #[serde(rename = "pe", default, skip_serializing_if = "Option::is_none")]
     pub periodic: Option<PeriodicHead>,
@@ -189,7 +189,7 @@
         JobKey::of(&self.namespace, &self.id)
     }
     /// It makes jobs and runs nothing itself.
-    pub fn template(&self) -> bool {
+    pub fn is_template(&self) -> bool {
         self.periodic.is_some() || self.param.is_some()
     }
     /// Whether a writing of parts is one of its versions.
@@ -197,8 +197,8 @@
         self.nonce == nonce || self.earlier.iter().any(|e| e.nonce == nonce)
     }
     /// Native jobs, those of earlier versions too.
-    pub fn natives(&self) -> impl Iterator<Item = JobId> + '_ {
-        self.groups.iter().map(|g| g.job).chain(self.old.iter().copied()).map(JobId)
+    pub fn native_jobs(&self) -> impl Iterator<Item = JobId> + '_ {
+        self.groups.iter().map(|g| g.job).chain(self.superseded_jobs.iter().copied()).map(JobId)
     }
 }
 
@@ -337,7 +337,7 @@
             "k":"service","pr":50,"cl":"service","t":"florists","gr":[{"g":"api","j":1000000000000000007,"n":4}]}"#;
         let h: JobRecord = serde_json::from_str(text).unwrap();
         assert_eq!(
-            (h.version, h.groups[0].job, h.stop, h.old.len()),
+            (h.version, h.groups[0].job, h.stop, h.superseded_jobs.len()),
             (3, 1_000_000_000_000_000_007, false, 0)
         );
         let again: JobRecord = serde_json::from_value(json!(h)).unwrap();
--- a/crates/nomad/src/service/register.rs
+++ b/crates/nomad/src/service/register.rs
@@ -321,7 +321,7 @@
                 }
             }
             Wish::Scale { group, count } => {
-                let Some(k) = known.filter(|k| !k.head.stop && !k.head.template()) else {
+                let Some(k) = known.filter(|k| !k.head.stop && !k.head.is_template()) else {
                     return self.give_up(
                         &r,
                         400,
@@ -399,7 +399,7 @@
                         .into_iter()
                         .map(|(name, count)| GroupHead { name, count, job: self.native() })
                         .collect(),
-                    old: Vec::new(),
+                    superseded_jobs: Vec::new(),
                     periodic: None,
                     param: None,
                     parent: Some(parent.id.clone()),
@@ -445,7 +445,7 @@
                 .iter()
                 .map(|g| GroupHead { name: g.name.clone(), count: g.count, job: self.native() })
                 .collect(),
-            old: Vec::new(),
+            superseded_jobs: Vec::new(),
             periodic: job.periodic.as_ref().map(|p| PeriodicHead {
                 crons: p.crons.clone(),
                 time_zone: p.time_zone.clone(),
@@ -468,7 +468,7 @@
                     g.job = old.job;
                 }
             }
-            head.old = k.head.old.clone();
+            head.superseded_jobs = k.head.superseded_jobs.clone();
         } else {
             // Of what is gone for good nothing has to be waited for.
             let gone = |id: &JobId| {
@@ -478,8 +478,8 @@
                     Phase::Aborted => j.settled,
                 })
             };
-            head.old = k.head.natives().filter(|id| !gone(id)).map(|id| id.0).collect();
-            if head.old.len() > OLD_KEPT {
+            head.superseded_jobs = k.head.native_jobs().filter(|id| !gone(id)).map(|id| id.0).collect();
+            if head.superseded_jobs.len() > OLD_KEPT {
                 return Err("earlier versions of the job are still ending".into());
             }
         }
--- a/crates/nomad/src/service/views.rs
+++ b/crates/nomad/src/service/views.rs
@@ -49,7 +49,7 @@
     if head.stop {
         return "dead";
     }
-    if head.template() {
+    if head.is_template() {
         return "running";
     }
     let mut all_over = true;
@@ -85,7 +85,7 @@
 fn counts(host: &ExtensionContext<'_>, head: &JobRecord, job: u64, count: u32) -> Counts {
     let mut c = Counts { queued: 0, running: 0, complete: 0, failed: 0, lost: 0 };
     match native(host, job) {
-        None => c.queued = if head.stop || head.template() { 0 } else { count },
+        None => c.queued = if head.stop || head.is_template() { 0 } else { count },
         Some(j) => match j.phase {
             Phase::Done => c.complete = j.tasks,
             Phase::Aborted if j.cause.is_some() => c.failed = j.tasks,
@@ -163,7 +163,7 @@
     }
     let waits = queued.values().any(|v| v.as_u64() > Some(0));
     let made =
-        h.template() || h.stop || h.groups.iter().all(|g| g.count == 0 || native(host, g.job).is_some());
+        h.is_template() || h.stop || h.groups.iter().all(|g| g.count == 0 || native(host, g.job).is_some());
     let status = match (made, waits) {
         (false, _) => "pending",
         (true, true) => "blocked",
@@ -185,7 +185,7 @@
             tasks(host, k, &g.name, g.job, j, &mut out);
         }
     }
-    for id in &h.old {
+    for id in &h.superseded_jobs {
         if let Some(j) = native(host, *id) {
             tasks(host, k, "", *id, j, &mut out);
         }
--- a/crates/nomad/tests/record_compatibility.rs
+++ b/crates/nomad/tests/record_compatibility.rs
@@ -41,7 +41,7 @@
         team: "florists".into(),
         datacenters: vec![],
         groups: vec![],
-        old: vec![],
+        superseded_jobs: vec![],
         periodic: None,
         param: None,
         parent: None,
@@ -60,7 +60,7 @@
         class: "night".into(),
         datacenters: vec!["east".into()],
         groups: vec![GroupHead { name: "api".into(), job: 1_000_000_000_000_000_007, count: 4 }],
-        old: vec![1_000_000_000_000_000_006],
+        superseded_jobs: vec![1_000_000_000_000_000_006],
         periodic: Some(PeriodicHead {
             crons: vec!["0 3 * * *".into()],
             time_zone: "UTC".into(),
@@ -89,7 +89,7 @@
             panic!("{text}");
         };
         assert_eq!((&read.id, read.version, &read.nonce), (&head.id, head.version, &head.nonce));
-        assert_eq!((read.stop, read.purge, &read.old), (head.stop, head.purge, &head.old));
+        assert_eq!((read.stop, read.purge, &read.old), (head.stop, head.purge, &head.superseded_jobs));
         assert_eq!((read.periodic, read.parameterized), (head.periodic.is_some(), head.param.is_some()));
         assert_eq!((read.groups.len(), read.earlier.len()), (head.groups.len(), head.earlier.len()));
     }
--- a/tests/world/nomad.rs
+++ b/tests/world/nomad.rs
@@ -223,14 +223,14 @@
         for (head, _) in self.heads() {
             if head.groups.iter().any(|g| g.job == task.job.0) {
                 let left: Vec<u64> =
-                    head.old.iter().copied().filter(|o| on.contains_key(&JobId(*o))).collect();
+                    head.superseded_jobs.iter().copied().filter(|o| on.contains_key(&JobId(*o))).collect();
                 if !left.is_empty() {
                     self.break_rule(
                         "both_versions",
                         format!("{piece} of {} starts beside {left:?}", head.id),
                     );
                 }
-                self.planners.replaced += !head.old.is_empty() as usize;
+                self.planners.replaced += !head.superseded_jobs.is_empty() as usize;
             }
         }
     }
@@ -244,7 +244,7 @@
         let mut tight = 0.0;
         let mut faults = Vec::new();
         for (head, stamp) in self.heads() {
-            let here: u32 = head.natives().filter_map(|j| on.get(&j)).sum();
+            let here: u32 = head.native_jobs().filter_map(|j| on.get(&j)).sum();
             if head.team == "tight" {
                 tight += here as f64;
             }
@@ -273,7 +273,7 @@
         }
         for (head, _) in self.heads() {
             let here = |j: u64| on.get(&JobId(j)).copied().unwrap_or(0);
-            let old: u32 = head.old.iter().map(|j| here(*j)).sum();
+            let old: u32 = head.superseded_jobs.iter().map(|j| here(*j)).sum();
             if old > 0 {
                 faults.push(format!("{}: {old} tasks of versions before", head.id));
             }
@@ -282,7 +282,7 @@
             }
             let end = |j: u64| self.state.value(&format!("g/x/{}", JobId(j)));
             for g in &head.groups {
-                if head.template() || head.stop {
+                if head.is_template() || head.stop {
                     if here(g.job) > 0 {
                         faults.push(format!("{} is stopped and has {} tasks", head.id, here(g.job)));
                     }
@@ -300,7 +300,7 @@
                             here(g.job),
                             self.state.value(&format!("g/r/{}/0", JobId(g.job))),
                             self.state.value(&format!("g/j/{}", JobId(g.job))),
-                            head.old
+                            head.superseded_jobs
                         )),
                         Some(e) if head.id == "fails" => {
                             if !e["why"].as_str().unwrap_or("").contains("attempts used up") {
