--- a/crates/nomad/src/cron.rs
+++ b/crates/nomad/src/cron.rs
@@ -32,7 +32,7 @@
         let mut options = ParseOptions::default();
         options.fallback_timezone_option = FallbackTimezoneOption::None;
         let tab = cronexpr::parse_crontab_with(&format!("{spec} {zone}"), options)
-            .map_err(|e| format!("\"{text}\" is not a cron expression: {}", first_line(&e.to_string())))?;
+            .map_err(|e| format!("\"{text}\" is not a cron expression: {}", last_line(&e.to_string())))?;
         let cron = Cron { tab };
         if cron.after(0).is_none() {
             return Err(format!("\"{text}\" never comes"));
@@ -58,7 +58,7 @@
     }
 }
 
-fn first_line(s: &str) -> &str {
+fn last_line(s: &str) -> &str {
     s.lines().last().unwrap_or("").trim_start_matches(['^', ' '])
 }
 
--- a/crates/nomad/src/eval.rs
+++ b/crates/nomad/src/eval.rs
@@ -12,7 +12,7 @@
 /// Most steps for one file.
 const MAX_STEPS: usize = 400_000;
 /// Most bytes and elements that expressions may make for one file.
-const MAX_MADE: usize = 4 << 20;
+const MAX_OUTPUT_SIZE: usize = 4 << 20;
 
 /// Why an expression has no value.
 #[derive(Debug, Clone, PartialEq)]
@@ -37,10 +37,10 @@
     steps: usize,
     made: usize,
     /// Spaces that an indented heredoc loses at the start of each line, and
-    /// whether the text at hand is inside one of its directives: the parser
+    /// whether the text at hand is in_directive one of its directives: the parser
     /// takes them off elsewhere only.
     indent: usize,
-    inside: bool,
+    in_directive: bool,
 }
 
 type Result<T> = std::result::Result<T, EvalError>;
@@ -56,7 +56,7 @@
 impl<'a> Scope<'a> {
     /// An empty scope over the text of a file.
     pub fn new(source: &'a str) -> Self {
-        Scope { source, names: BTreeMap::new(), steps: 0, made: 0, indent: 0, inside: false }
+        Scope { source, names: BTreeMap::new(), steps: 0, made: 0, indent: 0, in_directive: false }
     }
 
     /// Gives a name a value; what it had before.
@@ -85,8 +85,8 @@
             let text = format!("the expressions take more than {MAX_STEPS} steps");
             return Err(EvalError { at, text, fatal: true });
         }
-        if self.made > MAX_MADE {
-            let text = format!("the expressions make more than {} MiB", MAX_MADE >> 20);
+        if self.made > MAX_OUTPUT_SIZE {
+            let text = format!("the expressions make more than {} MiB", MAX_OUTPUT_SIZE >> 20);
             return Err(EvalError { at, text, fatal: true });
         }
         Ok(())
@@ -94,7 +94,7 @@
 
     /// Copies a value, which counts.
     fn copy(&mut self, at: usize, v: &Datum) -> Result<Datum> {
-        self.spend(at, weight(v))?;
+        self.spend(at, approximate_size(v))?;
         Ok(v.clone())
     }
 
@@ -138,18 +138,18 @@
                 Ok(Datum::Map(map))
             }
             Expression::StringTemplate(t) => {
-                let outer = (std::mem::take(&mut self.indent), std::mem::take(&mut self.inside));
-                let mut out = Pieces::default();
+                let outer = (std::mem::take(&mut self.indent), std::mem::take(&mut self.in_directive));
+                let mut out = TemplateOutput::default();
                 let done = self.elements(t.iter(), at, &mut out);
-                (self.indent, self.inside) = outer;
+                (self.indent, self.in_directive) = outer;
                 done.map(|()| out.whole())
             }
             Expression::HeredocTemplate(h) => {
-                let outer = (self.indent, self.inside);
-                (self.indent, self.inside) = (h.indent().unwrap_or(0), false);
-                let mut out = Pieces::default();
+                let outer = (self.indent, self.in_directive);
+                (self.indent, self.in_directive) = (h.indent().unwrap_or(0), false);
+                let mut out = TemplateOutput::default();
                 let done = self.template(&h.template, at, &mut out);
-                (self.indent, self.inside) = outer;
+                (self.indent, self.in_directive) = outer;
                 done.map(|()| out.whole())
             }
             Expression::Parenthesis(p) => self.eval(p.inner(), at),
@@ -201,7 +201,7 @@
                     return fail(at, format!("{name} can't work on {t}, which only the machine knows"));
                 }
                 let v = functions::call(name, &args, at).or_else(|text| fail(at, text))?;
-                self.spend(at, weight(&v))?;
+                self.spend(at, approximate_size(&v))?;
                 Ok(v)
             }
             Expression::Traversal(t) => self.traversal(t, at),
@@ -219,7 +219,7 @@
                     _ => {}
                 }
                 let r = self.eval(&b.rhs_expr, at)?;
-                operate(op, &l, &r).or_else(|text| fail(at, text))
+                apply_binary_operator(op, &l, &r).or_else(|text| fail(at, text))
             }
             Expression::ForExpr(f) => {
                 let items = self.items(&f.intro.collection_expr, at)?;
@@ -305,7 +305,7 @@
             && !self.names.contains_key(v.as_str())
             && runtime_root(v.as_str())
         {
-            // Left as it is written; what is inside must still be a name.
+            // Left as it is written; what is in_directive must still be a name.
             let text = t.span().and_then(|s| self.source.get(s)).unwrap_or("").trim().to_owned();
             return Ok(Datum::Runtime(format!("${{{text}}}")));
         }
@@ -326,7 +326,7 @@
                     used += 1;
                 }
                 let found = at_name.cloned().unwrap_or(Datum::Null);
-                self.spend(at, weight(&found))?;
+                self.spend(at, approximate_size(&found))?;
                 return self.steps(found, &t.operators[used..], at);
             }
             e => self.eval(e, at)?,
@@ -368,7 +368,7 @@
     }
 
     /// Works out a template into `out`.
-    pub fn template(&mut self, t: &Template, at: usize, out: &mut Pieces) -> Result<()> {
+    pub fn template(&mut self, t: &Template, at: usize, out: &mut TemplateOutput) -> Result<()> {
         self.elements(t.iter(), at, out)
     }
 
@@ -376,13 +376,13 @@
         &mut self,
         elements: impl Iterator<Item = &'e Element>,
         at: usize,
-        out: &mut Pieces,
+        out: &mut TemplateOutput,
     ) -> Result<()> {
         for e in elements {
             match e {
                 Element::Literal(s) => {
                     self.spend(at, s.len())?;
-                    match self.inside && self.indent > 0 {
+                    match self.in_directive && self.indent > 0 {
                         true => out.literal(&dedent(s, self.indent)),
                         false => out.literal(s),
                     }
@@ -406,14 +406,14 @@
         Ok(())
     }
 
-    fn directive(&mut self, d: &Directive, at: usize, out: &mut Pieces) -> Result<()> {
-        let outer = std::mem::replace(&mut self.inside, true);
+    fn directive(&mut self, d: &Directive, at: usize, out: &mut TemplateOutput) -> Result<()> {
+        let outer = std::mem::replace(&mut self.in_directive, true);
         let done = self.directive_inside(d, at, out);
-        self.inside = outer;
+        self.in_directive = outer;
         done
     }
 
-    fn directive_inside(&mut self, d: &Directive, at: usize, out: &mut Pieces) -> Result<()> {
+    fn directive_inside(&mut self, d: &Directive, at: usize, out: &mut TemplateOutput) -> Result<()> {
         match d {
             Directive::If(i) => {
                 let yes = match self.eval(&i.if_expr.cond_expr, at)? {
@@ -458,13 +458,13 @@
 
 /// Text under construction.
 #[derive(Debug, Default)]
-pub struct Pieces {
+pub struct TemplateOutput {
     text: String,
     runtime: bool,
     strip_next: bool,
 }
 
-impl Pieces {
+impl TemplateOutput {
     fn literal(&mut self, s: &str) {
         let s = if std::mem::take(&mut self.strip_next) { s.trim_start() } else { s };
         self.text.push_str(s);
@@ -502,11 +502,11 @@
 }
 
 /// Bytes and elements of a value, about.
-fn weight(d: &Datum) -> usize {
+fn approximate_size(d: &Datum) -> usize {
     match d {
         Datum::Text(s) | Datum::Runtime(s) => s.len() + 16,
-        Datum::List(l) => l.iter().map(|n| weight(&n.datum) + 16).sum::<usize>() + 16,
-        Datum::Map(m) => m.iter().map(|(k, n)| k.len() + weight(&n.datum) + 32).sum::<usize>() + 16,
+        Datum::List(l) => l.iter().map(|n| approximate_size(&n.datum) + 16).sum::<usize>() + 16,
+        Datum::Map(m) => m.iter().map(|(k, n)| k.len() + approximate_size(&n.datum) + 32).sum::<usize>() + 16,
         _ => 16,
     }
 }
@@ -553,7 +553,7 @@
     }
 }
 
-fn operate(op: BinaryOperator, l: &Datum, r: &Datum) -> std::result::Result<Datum, String> {
+fn apply_binary_operator(op: BinaryOperator, l: &Datum, r: &Datum) -> std::result::Result<Datum, String> {
     use BinaryOperator::*;
     if let Some(d) = [l, r].into_iter().find(|d| matches!(d, Datum::Runtime(_))) {
         let t = d.text().unwrap_or_default();
--- a/crates/nomad/src/functions.rs
+++ b/crates/nomad/src/functions.rs
@@ -112,7 +112,7 @@
                 Some(p) => regex_replace(&s, p, &y).map(Datum::Text),
                 None if x.is_empty() => Err("the text to replace is empty".into()),
                 None => {
-                    bounded(s.len() + s.matches(&x).count().saturating_mul(y.len()))?;
+                    check_result_size(s.len() + s.matches(&x).count().saturating_mul(y.len()))?;
                     t(s.replace(&x, &y))
                 }
             }
@@ -133,7 +133,7 @@
             need(2, 2)?;
             let pad = " ".repeat(whole(&a[0])?.clamp(0, 200) as usize);
             let s = text_of(1)?;
-            bounded(s.len() + s.matches('\n').count() * pad.len())?;
+            check_result_size(s.len() + s.matches('\n').count() * pad.len())?;
             t(s.replace('\n', &format!("\n{pad}")))
         }
         "join" => {
@@ -145,14 +145,16 @@
                     parts.push(text(&x.datum)?);
                 }
             }
-            bounded(parts.len().saturating_mul(sep.len()) + parts.iter().map(String::len).sum::<usize>())?;
+            check_result_size(
+                parts.len().saturating_mul(sep.len()) + parts.iter().map(String::len).sum::<usize>(),
+            )?;
             t(parts.join(&sep))
         }
         "split" => {
             need(2, 2)?;
             let (sep, s) = (text_of(0)?, text_of(1)?);
             if sep.is_empty() {
-                bounded(s.len() * 64)?;
+                check_result_size(s.len() * 64)?;
                 return Ok(list(s.chars().map(|c| Datum::Text(c.to_string())), at));
             }
             Ok(list(s.split(&*sep).map(|p| Datum::Text(p.to_owned())), at))
@@ -174,7 +176,7 @@
             need(2, usize::MAX)?;
             let rows = a[1..].iter().filter_map(|d| items(d).ok().map(<[Node]>::len)).max().unwrap_or(1);
             let form = text_of(0)?;
-            bounded(rows.saturating_mul(form.len()))?;
+            check_result_size(rows.saturating_mul(form.len()))?;
             let (mut out, mut made) = (Vec::new(), 0);
             for i in 0..rows {
                 let mut args = Vec::new();
@@ -186,7 +188,7 @@
                 }
                 let line = format_text(&form, &args)?;
                 made += line.len();
-                bounded(made)?;
+                check_result_size(made)?;
                 out.push(Datum::Text(line));
             }
             Ok(list(out, at))
@@ -429,7 +431,7 @@
 }
 
 /// Refuses what would take too much memory, before it is made.
-fn bounded(bytes: usize) -> Result<(), String> {
+fn check_result_size(bytes: usize) -> Result<(), String> {
     if bytes <= 4 << 20 { Ok(()) } else { Err("the result is longer than 4 MiB".into()) }
 }
 
@@ -437,7 +439,7 @@
     let r = regex(pattern)?;
     // Every `$` of the replacement stands for at most the whole text, once.
     let groups = with.matches('$').count().saturating_mul(s.len());
-    bounded(s.len() + r.find_iter(s).count().saturating_mul(with.len()) + groups)?;
+    check_result_size(s.len() + r.find_iter(s).count().saturating_mul(with.len()) + groups)?;
     Ok(r.replace_all(s, with).into_owned())
 }
 
--- a/crates/nomad/src/hcl.rs
+++ b/crates/nomad/src/hcl.rs
@@ -1,7 +1,7 @@
 //! Files in HCL2: variables, locals, dynamic blocks and expressions are worked
 //! out, what is left is a tree.
 use crate::eval::{EvalError, Scope};
-use crate::tree::{Attr, Block, Datum, Diagnostics, MAX_FILE, Node, Tree};
+use crate::tree::{Attr, Block, Datum, Diagnostics, MAX_FILE_BYTES, Node, Tree};
 use hcl_edit::Span;
 use hcl_edit::expr::{Expression, ObjectKey};
 use hcl_edit::structure::{Attribute, Body, Structure};
@@ -24,8 +24,8 @@
 
 /// Reads a file. The tree holds its `job` block; `None` if it can't be read.
 pub fn read(source: &str, inputs: &Inputs, diagnostics: &mut Diagnostics) -> Option<Block> {
-    if source.len() > MAX_FILE {
-        diagnostics.unreadable(0, "", format!("the file is longer than {} KiB", MAX_FILE / 1024));
+    if source.len() > MAX_FILE_BYTES {
+        diagnostics.unreadable(0, "", format!("the file is longer than {} KiB", MAX_FILE_BYTES / 1024));
         return None;
     }
     let body = match hcl_edit::parser::parse_body(source) {
@@ -144,7 +144,7 @@
     }
 
     fn variables(&mut self, body: &Body, inputs: &Inputs) {
-        let mut given: BTreeMap<String, Given> = BTreeMap::new();
+        let mut given: BTreeMap<String, InputValue> = BTreeMap::new();
         for (file, text) in &inputs.files {
             // A value file is HCL of attributes; its places are its own, so
             // diagnostics name the file.
@@ -153,7 +153,7 @@
                     for a in b.attributes() {
                         let mut scope = Scope::new(text);
                         match scope.eval(&a.value, 0) {
-                            Ok(d) => drop(given.insert(a.key.to_string(), Given::Value(d))),
+                            Ok(d) => drop(given.insert(a.key.to_string(), InputValue::Value(d))),
                             Err(e) => self.diagnostics.unreadable(0, "", format!("{file}: {}", e.text)),
                         }
                     }
@@ -169,7 +169,7 @@
             }
         }
         for (k, v) in &inputs.vars {
-            given.insert(k.clone(), Given::Text(v.clone()));
+            given.insert(k.clone(), InputValue::Text(v.clone()));
         }
         let mut vars: Vec<(String, Node)> = Vec::new();
         for b in body.get_blocks("variable") {
@@ -183,12 +183,12 @@
                 self.diagnostics.unreadable(*place, &path, "declared twice");
                 continue;
             }
-            let mut kind = Kind::Any;
+            let mut kind = VariableType::Any;
             let mut default = None;
             for s in b.body.iter() {
                 match s {
                     Structure::Attribute(a) => match a.key.as_str() {
-                        "type" => match Kind::read(&a.value) {
+                        "type" => match VariableType::read(&a.value) {
                             Some(k) => kind = k,
                             None => self.diagnostics.unreadable(
                                 at(&a.value, p),
@@ -214,8 +214,8 @@
                 }
             }
             let node = match (given.remove(name), default) {
-                (Some(Given::Value(datum)), _) => Some(Node { at: p, datum }),
-                (Some(Given::Text(t)), _) => Some(Node { at: p, datum: kind.given(&t) }),
+                (Some(InputValue::Value(datum)), _) => Some(Node { at: p, datum }),
+                (Some(InputValue::Text(t)), _) => Some(Node { at: p, datum: kind.given(&t) }),
                 (None, d) => d,
             };
             match node {
@@ -370,48 +370,48 @@
     }
 }
 
-enum Given {
+enum InputValue {
     Value(Datum),
     Text(String),
 }
 
 /// A variable's type.
 #[derive(Debug, Clone, PartialEq)]
-enum Kind {
+enum VariableType {
     Any,
     Text,
     Number,
     Bool,
-    List(Box<Kind>),
-    Map(Box<Kind>),
-    Object(Vec<(String, Kind, bool)>),
+    List(Box<VariableType>),
+    Map(Box<VariableType>),
+    Object(Vec<(String, VariableType, bool)>),
 }
 
-impl Kind {
-    fn read(e: &Expression) -> Option<Kind> {
+impl VariableType {
+    fn read(e: &Expression) -> Option<VariableType> {
         match e {
             Expression::Variable(v) => match v.as_str() {
-                "string" => Some(Kind::Text),
-                "number" => Some(Kind::Number),
-                "bool" => Some(Kind::Bool),
-                "any" => Some(Kind::Any),
-                "list" | "set" | "tuple" => Some(Kind::List(Box::new(Kind::Any))),
-                "map" | "object" => Some(Kind::Map(Box::new(Kind::Any))),
+                "string" => Some(VariableType::Text),
+                "number" => Some(VariableType::Number),
+                "bool" => Some(VariableType::Bool),
+                "any" => Some(VariableType::Any),
+                "list" | "set" | "tuple" => Some(VariableType::List(Box::new(VariableType::Any))),
+                "map" | "object" => Some(VariableType::Map(Box::new(VariableType::Any))),
                 _ => None,
             },
             Expression::String(s) => match s.as_str() {
-                "string" => Some(Kind::Text),
-                "list" => Some(Kind::List(Box::new(Kind::Any))),
-                "map" => Some(Kind::Map(Box::new(Kind::Any))),
+                "string" => Some(VariableType::Text),
+                "list" => Some(VariableType::List(Box::new(VariableType::Any))),
+                "map" => Some(VariableType::Map(Box::new(VariableType::Any))),
                 _ => None,
             },
             Expression::FuncCall(f) => {
                 let arg = f.args.iter().next()?;
                 match f.name.name.as_str() {
-                    "list" | "set" => Some(Kind::List(Box::new(Kind::read(arg)?))),
-                    "map" => Some(Kind::Map(Box::new(Kind::read(arg)?))),
-                    "tuple" => Some(Kind::List(Box::new(Kind::Any))),
-                    "optional" => Kind::read(arg),
+                    "list" | "set" => Some(VariableType::List(Box::new(VariableType::read(arg)?))),
+                    "map" => Some(VariableType::Map(Box::new(VariableType::read(arg)?))),
+                    "tuple" => Some(VariableType::List(Box::new(VariableType::Any))),
+                    "optional" => VariableType::read(arg),
                     "object" => {
                         let Expression::Object(o) = arg else { return None };
                         let mut fields = Vec::new();
@@ -423,9 +423,9 @@
                                 ObjectKey::Expression(Expression::String(s)) => s.to_string(),
                                 _ => return None,
                             };
-                            fields.push((name, Kind::read(v.expr())?, optional));
+                            fields.push((name, VariableType::read(v.expr())?, optional));
                         }
-                        Some(Kind::Object(fields))
+                        Some(VariableType::Object(fields))
                     }
                     _ => None,
                 }
@@ -436,7 +436,7 @@
 
     /// A value from the command line: text as it is, the others as HCL.
     fn given(&self, t: &str) -> Datum {
-        if *self == Kind::Text {
+        if *self == VariableType::Text {
             return Datum::Text(t.to_owned());
         }
         let parsed = hcl_edit::parser::parse_expr(t).ok();
@@ -447,24 +447,29 @@
     }
 
     fn convert(&self, d: Datum) -> Result<Datum, String> {
-        let each = |k: &Kind, n: Node| Ok::<Node, String>(Node { at: n.at, datum: k.convert(n.datum)? });
+        let each =
+            |k: &VariableType, n: Node| Ok::<Node, String>(Node { at: n.at, datum: k.convert(n.datum)? });
         match (self, d) {
-            (Kind::Any, d) | (_, d @ Datum::Null) => Ok(d),
-            (Kind::Text, d) => d.text().map(Datum::Text).ok_or(format!("{} is not a string", d.kind())),
-            (Kind::Number, d @ Datum::Number(_)) | (Kind::Bool, d @ Datum::Bool(_)) => Ok(d),
-            (Kind::Number, Datum::Text(s)) => match s.trim().parse::<f64>() {
+            (VariableType::Any, d) | (_, d @ Datum::Null) => Ok(d),
+            (VariableType::Text, d) => {
+                d.text().map(Datum::Text).ok_or(format!("{} is not a string", d.kind()))
+            }
+            (VariableType::Number, d @ Datum::Number(_)) | (VariableType::Bool, d @ Datum::Bool(_)) => Ok(d),
+            (VariableType::Number, Datum::Text(s)) => match s.trim().parse::<f64>() {
                 Ok(n) if n.is_finite() => Ok(Datum::Number(n)),
                 _ => Err(format!("\"{s}\" is not a number")),
             },
-            (Kind::Bool, Datum::Text(s)) if s == "true" || s == "false" => Ok(Datum::Bool(s == "true")),
-            (Kind::List(k), Datum::List(l)) => {
+            (VariableType::Bool, Datum::Text(s)) if s == "true" || s == "false" => {
+                Ok(Datum::Bool(s == "true"))
+            }
+            (VariableType::List(k), Datum::List(l)) => {
                 Ok(Datum::List(l.into_iter().map(|n| each(k, n)).collect::<Result<_, _>>()?))
             }
-            (Kind::Map(k), Datum::Map(m)) => {
+            (VariableType::Map(k), Datum::Map(m)) => {
                 let fields = m.into_iter().map(|(name, n)| Ok((name, each(k, n)?)));
                 Ok(Datum::Map(fields.collect::<Result<_, String>>()?))
             }
-            (Kind::Object(fields), Datum::Map(m)) => {
+            (VariableType::Object(fields), Datum::Map(m)) => {
                 let mut out = Vec::new();
                 for (name, k, optional) in fields {
                     match m.iter().find(|(x, _)| x == name) {
@@ -479,9 +484,9 @@
             }
             (k, d) => {
                 let want = match k {
-                    Kind::Number => "a number",
-                    Kind::Bool => "a bool",
-                    Kind::List(_) => "a list",
+                    VariableType::Number => "a number",
+                    VariableType::Bool => "a bool",
+                    VariableType::List(_) => "a list",
                     _ => "a map",
                 };
                 Err(format!("the type asks for {want}, not {}", d.kind()))
--- a/crates/nomad/src/json.rs
+++ b/crates/nomad/src/json.rs
@@ -1,7 +1,7 @@
 //! Files and requests in JSON: as the interface has them (`{"Job": {"ID": …}}`),
 //! or as a file would be written (`{"job": {"name": {…}}}`).
-use crate::table::{self, Row, Shape, Verdict};
-use crate::tree::{Attr, Block, Datum, Diagnostics, MAX_DEPTH, MAX_FILE, Node, Tree};
+use crate::table::{self, Row, Shape, Support};
+use crate::tree::{Attr, Block, Datum, Diagnostics, MAX_DEPTH, MAX_FILE_BYTES, Node, Tree};
 use jsonc_parser::ast::Value;
 use jsonc_parser::common::Ranged;
 use jsonc_parser::{CollectOptions, ParseOptions, parse_to_ast};
@@ -21,8 +21,8 @@
 
 /// Reads a file; `None` if it can't be read.
 pub fn read(source: &str, diagnostics: &mut Diagnostics) -> Option<Block> {
-    if source.len() > MAX_FILE {
-        diagnostics.unreadable(0, "", format!("the file is longer than {} KiB", MAX_FILE / 1024));
+    if source.len() > MAX_FILE_BYTES {
+        diagnostics.unreadable(0, "", format!("the file is longer than {} KiB", MAX_FILE_BYTES / 1024));
         return None;
     }
     let parsed = match parse_to_ast(source, &CollectOptions::default(), &STRICT) {
@@ -42,7 +42,7 @@
     }
     let Value::Object(o) = &root else { return None };
     let find = |name: &str| o.properties.iter().find(|p| p.name.as_str() == name);
-    if let Some(p) = find("Job").or_else(|| find("job").filter(|p| is_api(&p.value))) {
+    if let Some(p) = find("Job").or_else(|| find("job").filter(|p| has_api_fields(&p.value))) {
         return api_job(&p.value, diagnostics);
     }
     if let Some(p) = find("job") {
@@ -57,10 +57,10 @@
         };
         let (name, at) = (one.name.as_str().to_owned(), one.range.start);
         let path = format!("job.{name}");
-        let body = lower(&one.value, "", &path, Form::File, diagnostics)?;
+        let body = build_tree(&one.value, "", &path, Form::File, diagnostics)?;
         return Some(Block { name: "job".into(), at, labels: vec![(name, at)], body });
     }
-    if is_api(&root) {
+    if has_api_fields(&root) {
         return api_job(&root, diagnostics);
     }
     diagnostics.unreadable(0, "", "the file has no job");
@@ -75,14 +75,14 @@
     }
 }
 
-fn is_api(v: &Value<'_>) -> bool {
+fn has_api_fields(v: &Value<'_>) -> bool {
     let Value::Object(o) = v else { return false };
     o.properties.iter().any(|p| matches!(p.name.as_str(), "ID" | "Name" | "TaskGroups"))
 }
 
 fn api_job(v: &Value<'_>, diagnostics: &mut Diagnostics) -> Option<Block> {
     let at = v.range().start;
-    let body = lower(v, "", "job", Form::Api, diagnostics)?;
+    let body = build_tree(v, "", "job", Form::Api, diagnostics)?;
     let label =
         body.attr("id").or_else(|| body.attr("name")).and_then(|a| Some((a.value.datum.text()?, a.at)));
     Some(Block { name: "job".into(), at, labels: label.into_iter().collect(), body })
@@ -97,7 +97,13 @@
 }
 
 /// An object as the stanza at `stanza` of the table.
-fn lower(v: &Value<'_>, stanza: &str, path: &str, form: Form, diagnostics: &mut Diagnostics) -> Option<Tree> {
+fn build_tree(
+    v: &Value<'_>,
+    stanza: &str,
+    path: &str,
+    form: Form,
+    diagnostics: &mut Diagnostics,
+) -> Option<Tree> {
     let at = v.range().start;
     let Value::Object(o) = v else {
         diagnostics.unreadable(at, path, "must be an object");
@@ -123,11 +129,11 @@
         }
         let d = datum(&p.value);
         // The interface's clients send every field, most of them empty.
-        if form == Form::Api && (d == Datum::Null || d.is_empty() && row.verdict_skips_empty()) {
+        if form == Form::Api && (d == Datum::Null || d.is_empty() && row.empty_means_unset()) {
             continue;
         }
-        let blocks = matches!(row.shape, Shape::Block | Shape::Blocks | Shape::Named);
-        if !blocks || matches!(row.verdict, Verdict::Refused(_) | Verdict::NoEffect(_) | Verdict::ReadOnly) {
+        let blocks = matches!(row.shape, Shape::Block | Shape::Blocks | Shape::LabeledBlocks);
+        if !blocks || matches!(row.support, Support::Refused(_) | Support::NoEffect(_) | Support::ReadOnly) {
             let value = Node { at: p.value.range().start, datum: d };
             tree.attrs.push(Attr { name: name.to_owned(), at, value });
             continue;
@@ -136,7 +142,7 @@
         let inner = format!("{path}.{name}");
         let parts: Vec<(Option<String>, &Value<'_>)> = match (&p.value, row.shape, form) {
             (Value::Array(a), ..) => a.elements.iter().map(|e| (None, e)).collect(),
-            (Value::Object(o), Shape::Named, Form::File) => {
+            (Value::Object(o), Shape::LabeledBlocks, Form::File) => {
                 let named = o.properties.iter().flat_map(|p| {
                     match &p.value {
                         Value::Array(a) => a.elements.iter().collect::<Vec<_>>(),
@@ -152,9 +158,9 @@
         };
         for (label, v) in parts {
             let label_path = label.as_ref().map_or(inner.clone(), |l| format!("{inner}.{l}"));
-            let Some(body) = lower(v, &stanza, &label_path, form, diagnostics) else { continue };
+            let Some(body) = build_tree(v, &stanza, &label_path, form, diagnostics) else { continue };
             let label = match (row.shape, label) {
-                (Shape::Named, None) => body.attr("name").and_then(|a| a.value.datum.text()),
+                (Shape::LabeledBlocks, None) => body.attr("name").and_then(|a| a.value.datum.text()),
                 (_, l) => l,
             };
             let at = v.range().start;
@@ -168,9 +174,9 @@
 impl Row {
     /// Whether an empty value means that the field is not set. For served
     /// numbers and booleans it doesn't: `Count: 0` stops a group.
-    fn verdict_skips_empty(&self) -> bool {
-        !matches!(self.verdict, Verdict::Served(_))
-            || !matches!(self.shape, Shape::Whole | Shape::Number | Shape::Bool)
+    fn empty_means_unset(&self) -> bool {
+        !matches!(self.support, Support::Served(_))
+            || !matches!(self.shape, Shape::Integer | Shape::Number | Shape::Bool)
     }
 }
 
--- a/crates/nomad/src/lib.rs
+++ b/crates/nomad/src/lib.rs
@@ -18,7 +18,7 @@
 pub mod tree;
 
 use gorseshore_settings::Nomad;
-use translate::{Planned, Site};
+use translate::{PlannedGroup, Site};
 use tree::{Diagnostics, Severity};
 
 pub use hcl::Inputs;
@@ -31,7 +31,7 @@
     /// The class that takes it.
     pub class: Option<String>,
     /// Its groups as native jobs; whole only if the file is accepted.
-    pub groups: Vec<Planned>,
+    pub groups: Vec<PlannedGroup>,
     /// Everything to say, by place.
     pub diagnostics: Diagnostics,
 }
--- a/crates/nomad/src/model.rs
+++ b/crates/nomad/src/model.rs
@@ -1,6 +1,6 @@
 //! A job as its file means it: checked against the table, with the defaults of
 //! the specification.
-use crate::table::{self, Row, Shape, Verdict};
+use crate::table::{self, Row, Shape, Support};
 use crate::tree::{Attr, Block, Datum, Diagnostics, Node, Tree};
 use gorseshore_protocol::ids::Micros;
 use gorseshore_protocol::job::Kind;
@@ -87,7 +87,7 @@
     pub env: BTreeMap<String, String>,
     /// MHz, unless cores are asked for.
     pub cpu_mhz: u64,
-    /// Whole CPUs.
+    /// Integer CPUs.
     pub cores: Option<u64>,
     /// MiB.
     pub memory_mb: u64,
@@ -152,7 +152,7 @@
 }
 
 /// Longest id, name or key.
-pub const MAX_NAME: usize = 128;
+pub const MAX_NAME_BYTES: usize = 128;
 /// Most groups of a job.
 pub const MAX_GROUPS: usize = 64;
 /// Most repeats of a group, whatever the class: as natively.
@@ -246,7 +246,11 @@
     if let (Kind::Service, true) = (kind, periodic.is_some() || parameterized.is_some()) {
         let what = if periodic.is_some() { "periodic" } else { "parameterized" };
         let at = t.block(what).map_or(block.at, |b| b.at);
-        r.diagnostics.refused(at, &format!("{path}.{what}"), "is for jobs of type batch: a service has no end");
+        r.diagnostics.refused(
+            at,
+            &format!("{path}.{what}"),
+            "is for jobs of type batch: a service has no end",
+        );
     }
     if periodic.is_some() && parameterized.is_some() {
         r.diagnostics.refused(block.at, &path, "a job is periodic or parameterized, not both");
@@ -273,7 +277,7 @@
 }
 
 /// A length of time: nanoseconds, or text such as `1h30m`.
-pub fn span(d: &Datum) -> Result<Micros, String> {
+pub fn parse_duration(d: &Datum) -> Result<Micros, String> {
     match d {
         Datum::Number(n) if *n >= 0.0 && *n < 1e19 => Ok(Micros((*n / 1000.0) as u64)),
         Datum::Number(n) => Err(format!("{n} must not be negative")),
@@ -304,7 +308,7 @@
                 self.unknown(stanza, &a.name, a.at, &here);
                 continue;
             };
-            if self.verdict(row, a.at, &here, &a.value.datum) {
+            if self.support(row, a.at, &here, &a.value.datum) {
                 self.shape(row, a, &here);
             }
         }
@@ -315,11 +319,11 @@
                 self.unknown(stanza, &b.name, b.at, &here);
                 continue;
             };
-            if !self.verdict(row, b.at, &here, &Datum::Bool(true)) {
+            if !self.support(row, b.at, &here, &Datum::Bool(true)) {
                 continue;
             }
             b.labels.iter().for_each(|(l, _)| here.extend([".", l]));
-            let labels = matches!(row.shape, Shape::Named) as usize;
+            let labels = matches!(row.shape, Shape::LabeledBlocks) as usize;
             if b.labels.len() != labels {
                 let text = if labels == 1 { "needs one name" } else { "has no name" };
                 self.diagnostics.refused(b.at, &here, text);
@@ -330,7 +334,7 @@
                 Shape::Block | Shape::Map | Shape::Any if seen.contains(&name) => {
                     self.diagnostics.refused(b.at, &here, "stands twice");
                 }
-                Shape::Block | Shape::Blocks | Shape::Named => {
+                Shape::Block | Shape::Blocks | Shape::LabeledBlocks => {
                     let stanza =
                         if stanza.is_empty() { b.name.clone() } else { format!("{stanza}.{}", b.name) };
                     self.check(&b.body, &stanza, &here);
@@ -356,17 +360,17 @@
     }
 
     /// Whether the field is to be read.
-    fn verdict(&mut self, row: &Row, at: usize, path: &str, value: &Datum) -> bool {
-        match row.verdict {
-            Verdict::Served(_) => *value != Datum::Null,
-            Verdict::ReadOnly => false,
+    fn support(&mut self, row: &Row, at: usize, path: &str, value: &Datum) -> bool {
+        match row.support {
+            Support::Served(_) => *value != Datum::Null,
+            Support::ReadOnly => false,
             _ if value.is_empty() => false,
-            Verdict::NoEffect(why) => {
+            Support::NoEffect(why) => {
                 self.diagnostics.warning(at, path, format!("has no effect: {why}"));
                 // A stanza without effect is not looked into.
-                !matches!(row.shape, Shape::Block | Shape::Blocks | Shape::Named)
+                !matches!(row.shape, Shape::Block | Shape::Blocks | Shape::LabeledBlocks)
             }
-            Verdict::Refused(why) => {
+            Support::Refused(why) => {
                 self.diagnostics.refused(at, path, format!("is not served: {why}"));
                 false
             }
@@ -377,19 +381,19 @@
         let d = &a.value.datum;
         let fault = match row.shape {
             Shape::Text => d.text().is_none().then_some("must be text"),
-            Shape::Whole => match d {
+            Shape::Integer => match d {
                 Datum::Number(n) if *n >= 0.0 && n.fract() == 0.0 && *n <= 9e15 => None,
                 _ => Some("must be a whole number from 0"),
             },
             Shape::Number => (!matches!(d, Datum::Number(_))).then_some("must be a number"),
             Shape::Bool => (!matches!(d, Datum::Bool(_))).then_some("must be true or false"),
-            Shape::Span => {
-                if let Err(text) = span(d) {
+            Shape::Duration => {
+                if let Err(text) = parse_duration(d) {
                     self.diagnostics.refused(a.value.at, path, text);
                 }
                 None
             }
-            Shape::Texts => match d {
+            Shape::TextList => match d {
                 Datum::List(l) if l.iter().all(|n| matches!(n.datum, Datum::Text(_))) => None,
                 _ => Some("must be a list of texts"),
             },
@@ -398,7 +402,7 @@
                 _ => Some("must be a map of texts"),
             },
             Shape::Any => None,
-            Shape::Block | Shape::Blocks | Shape::Named => Some("is a block: write it without ="),
+            Shape::Block | Shape::Blocks | Shape::LabeledBlocks => Some("is a block: write it without ="),
         };
         if let Some(text) = fault {
             let is = match d {
@@ -411,10 +415,10 @@
 
     fn name(&mut self, what: &str, text: &str, at: usize, path: &str) {
         let bad = text.is_empty()
-            || text.len() > MAX_NAME
+            || text.len() > MAX_NAME_BYTES
             || text.chars().any(|c| c.is_whitespace() || c.is_control());
         if bad {
-            let text = format!("must have 1 to {MAX_NAME} bytes without white space");
+            let text = format!("must have 1 to {MAX_NAME_BYTES} bytes without white space");
             self.diagnostics.refused(at, &format!("{path}.{what}"), text);
         }
     }
@@ -477,10 +481,10 @@
     }
 
     fn matches(&mut self, t: &Tree, stanza: &str, path: &str) -> Vec<Match> {
-        t.all(stanza).filter_map(|b| self.one_match(b, &format!("{path}.{stanza}"))).collect()
+        t.all(stanza).filter_map(|b| self.parse_match(b, &format!("{path}.{stanza}"))).collect()
     }
 
-    fn one_match(&mut self, b: &Block, path: &str) -> Option<Match> {
+    fn parse_match(&mut self, b: &Block, path: &str) -> Option<Match> {
         let t = &b.body;
         let any = |name: &str| t.attr(name).and_then(|a| a.value.datum.text());
         let mut operator = any("operator").unwrap_or_else(|| "=".into());
@@ -521,7 +525,7 @@
                     continue;
                 }
             };
-            out.extend(self.one_match(b, &here).map(|m| (m, weight)));
+            out.extend(self.parse_match(b, &here).map(|m| (m, weight)));
         }
         out
     }
@@ -558,7 +562,11 @@
             self.whole(t, "attempts", &path).map(|n| Some(n.min(u32::MAX as u64) as u32)).unwrap_or(default);
         if self.flag(t, "unlimited") == Some(true) {
             if self.whole(t, "attempts", &path).is_some_and(|n| n > 0) {
-                self.diagnostics.refused(at, &format!("{path}.attempts"), "stands beside unlimited: one of both");
+                self.diagnostics.refused(
+                    at,
+                    &format!("{path}.attempts"),
+                    "stands beside unlimited: one of both",
+                );
             }
             n = None;
         } else if self.flag(t, "unlimited") == Some(false) && n.is_none() {
@@ -666,7 +674,7 @@
             driver,
             config: match (t.attr("config"), t.block("config")) {
                 (Some(a), _) => a.value.datum.clone(),
-                (None, Some(b)) => as_map(&b.body),
+                (None, Some(b)) => block_to_map(&b.body),
                 _ => Datum::Null,
             },
             env: self.map(t, "env", &path),
@@ -676,7 +684,7 @@
             resources_at,
             kill_timeout: t
                 .attr("kill_timeout")
-                .and_then(|a| span(&a.value.datum).ok())
+                .and_then(|a| parse_duration(&a.value.datum).ok())
                 .unwrap_or(Micros::secs(5)),
             kill_at: place(t, "kill_timeout"),
         })
@@ -734,10 +742,10 @@
 }
 
 /// A block of any content as a map; blocks of one name become a list.
-fn as_map(t: &Tree) -> Datum {
+fn block_to_map(t: &Tree) -> Datum {
     let mut out: Vec<(String, Node)> = t.attrs.iter().map(|a| (a.name.clone(), a.value.clone())).collect();
     for b in &t.blocks {
-        let mut inner = as_map(&b.body);
+        let mut inner = block_to_map(&b.body);
         for (l, at) in b.labels.iter().rev() {
             inner = Datum::Map(vec![(l.clone(), Node { at: *at, datum: inner })]);
         }
--- a/crates/nomad/src/service/api.rs
+++ b/crates/nomad/src/service/api.rs
@@ -1,7 +1,7 @@
 //! Requests: what is asked, by whom, and which answer it gets.
 use super::records::JobKey;
 use super::watch::Stream;
-use super::{MAX_PENDING, Pending, Service, tokens, views};
+use super::{MAX_PENDING, PendingOperation, Service, tokens, views};
 use crate::tree::{Diagnostics, Severity};
 use crate::{Inputs, hcl, model, translate};
 use gorseshore_core::RequestId;
@@ -12,10 +12,10 @@
 use std::collections::BTreeMap;
 
 /// Longest wait of a blocking query, and the one without a `wait`.
-const LONGEST_WAIT: Micros = Micros::secs(600);
-const USUAL_WAIT: Micros = Micros::secs(300);
+const MAX_BLOCKING_WAIT: Micros = Micros::secs(600);
+const DEFAULT_BLOCKING_WAIT: Micros = Micros::secs(300);
 /// Most rows of a page.
-const PAGE: usize = 1000;
+const MAX_ROWS_PER_PAGE: usize = 1000;
 
 /// What a blocking query watches.
 #[derive(Debug, Clone)]
@@ -84,14 +84,14 @@
 
 /// Why a path has no route.
 #[derive(Debug, PartialEq)]
-pub(crate) enum NoRoute {
+pub(crate) enum RouteError {
     Unknown,
     Method,
-    Unserved(&'static str),
+    Unsupported(&'static str),
 }
 
 /// Parts of the interface that are known and not served, and why.
-const UNSERVED: &[(&str, &str)] = &[
+const UNSUPPORTED_ENDPOINTS: &[(&str, &str)] = &[
     ("acl", "tokens are set in the operators' file"),
     ("client", "logs, files and commands of tasks are not kept yet"),
     ("deployments", "a new version replaces the old one as a whole"),
@@ -119,13 +119,13 @@
 ];
 
 /// The route of a request.
-pub(crate) fn route(method: &str, path: &str) -> Result<Route, NoRoute> {
-    let Some(rest) = path.strip_prefix("/v1/") else { return Err(NoRoute::Unknown) };
+pub(crate) fn route(method: &str, path: &str) -> Result<Route, RouteError> {
+    let Some(rest) = path.strip_prefix("/v1/") else { return Err(RouteError::Unknown) };
     let decode = |s: &str| percent_decode_str(s).decode_utf8_lossy().into_owned();
     let segments: Vec<&str> = rest.trim_end_matches('/').split('/').collect();
     let get = method == "GET";
     let put = method == "POST" || method == "PUT";
-    let only = |ok: bool, r: Route| if ok { Ok(r) } else { Err(NoRoute::Method) };
+    let only = |ok: bool, r: Route| if ok { Ok(r) } else { Err(RouteError::Method) };
     match &segments[..] {
         ["jobs"] if put => Ok(Route::Register),
         ["jobs"] => only(get, Route::Jobs),
@@ -160,14 +160,16 @@
                 "evaluate" => only(put, Route::Evaluate(id)),
                 "dispatch" => only(put, Route::Dispatch(id)),
                 "deployments" | "deployment" => {
-                    Err(NoRoute::Unserved("a new version replaces the old one as a whole"))
+                    Err(RouteError::Unsupported("a new version replaces the old one as a whole"))
+                }
+                "revert" | "stable" => {
+                    Err(RouteError::Unsupported("register the earlier version's file again"))
                 }
-                "revert" | "stable" => Err(NoRoute::Unserved("register the earlier version's file again")),
                 "submission" => {
-                    Err(NoRoute::Unserved("the file itself is not kept, only the job that it makes"))
+                    Err(RouteError::Unsupported("the file itself is not kept, only the job that it makes"))
                 }
                 "services" | "actions" | "action" => {
-                    Err(NoRoute::Unserved("tasks have no services and actions"))
+                    Err(RouteError::Unsupported("tasks have no services and actions"))
                 }
                 _ => {
                     let id = of(&segments[1..]);
@@ -181,16 +183,16 @@
         }
         ["allocations"] => only(get, Route::Allocations),
         ["allocation", id] => only(get, Route::Allocation(decode(id))),
-        ["allocation", _, "stop"] => {
-            Err(NoRoute::Unserved("one repeat can't be stopped by itself yet: scale the job, or stop it"))
-        }
-        ["allocation", ..] => Err(NoRoute::Unserved("tasks have no services and checks")),
+        ["allocation", _, "stop"] => Err(RouteError::Unsupported(
+            "one repeat can't be stopped by itself yet: scale the job, or stop it",
+        )),
+        ["allocation", ..] => Err(RouteError::Unsupported("tasks have no services and checks")),
         ["evaluations"] => only(get, Route::Evaluations),
         ["evaluation", id] => only(get, Route::Evaluation(decode(id))),
-        ["evaluation", ..] => Err(NoRoute::Unserved("a job's allocations tell the same")),
+        ["evaluation", ..] => Err(RouteError::Unsupported("a job's allocations tell the same")),
         ["nodes"] => only(get, Route::Nodes),
         ["node", id] => only(get, Route::Node(decode(id))),
-        ["node", ..] => Err(NoRoute::Unserved("machines are drained by the scheduler")),
+        ["node", ..] => Err(RouteError::Unsupported("machines are drained by the scheduler")),
         ["namespaces"] => only(get, Route::Namespaces),
         ["namespace", name] => only(get, Route::Namespace(decode(name))),
         ["regions"] => only(get, Route::Regions),
@@ -198,13 +200,13 @@
         ["status", "peers"] => only(get, Route::Peers),
         ["agent", "self"] => only(get, Route::Agent),
         ["agent", "health"] => only(get, Route::Health),
-        ["agent", ..] => Err(NoRoute::Unserved("a controller is run by its settings")),
+        ["agent", ..] => Err(RouteError::Unsupported("a controller is run by its settings")),
         ["event", "stream"] => only(get, Route::Events),
-        [first, ..] => match UNSERVED.iter().find(|(name, _)| name == first) {
-            Some((_, why)) => Err(NoRoute::Unserved(why)),
-            None => Err(NoRoute::Unknown),
+        [first, ..] => match UNSUPPORTED_ENDPOINTS.iter().find(|(name, _)| name == first) {
+            Some((_, why)) => Err(RouteError::Unsupported(why)),
+            None => Err(RouteError::Unknown),
         },
-        [] => Err(NoRoute::Unknown),
+        [] => Err(RouteError::Unknown),
     }
 }
 
@@ -250,9 +252,9 @@
         let bare = path.split('?').next().unwrap_or("");
         let route = match route(method, bare) {
             Ok(r) => r,
-            Err(NoRoute::Unknown) => return self.refuse(id, 404, "there is no such path"),
-            Err(NoRoute::Method) => return self.refuse(id, 405, "the path has another method"),
-            Err(NoRoute::Unserved(why)) => return self.refuse(id, 501, &format!("not served: {why}")),
+            Err(RouteError::Unknown) => return self.refuse(id, 404, "there is no such path"),
+            Err(RouteError::Method) => return self.refuse(id, 405, "the path has another method"),
+            Err(RouteError::Unsupported(why)) => return self.refuse(id, 501, &format!("not served: {why}")),
         };
         let open = matches!(route, Route::Leader | Route::Peers | Route::Health | Route::Regions);
         let team = match token {
@@ -268,11 +270,12 @@
             Some(Ok(i)) => Some(i),
             None => None,
         };
-        let wait = match query.get("wait").map(|v| model::span(&crate::tree::Datum::Text(v.clone()))) {
-            Some(Err(e)) => return self.refuse(id, 400, &format!("wait: {e}")),
-            Some(Ok(w)) => w.min(LONGEST_WAIT),
-            None => USUAL_WAIT,
-        };
+        let wait =
+            match query.get("wait").map(|v| model::parse_duration(&crate::tree::Datum::Text(v.clone()))) {
+                Some(Err(e)) => return self.refuse(id, 400, &format!("wait: {e}")),
+                Some(Ok(w)) => w.min(MAX_BLOCKING_WAIT),
+                None => DEFAULT_BLOCKING_WAIT,
+            };
         let r = Request { id, team, route, query, body, index, wait, waited: false };
         match r.route {
             Route::Health => {
@@ -289,7 +292,7 @@
             return self.refuse(id, 429, "too many requests are under way here");
         }
         // What isn't final needs the proof that nothing newer is missing.
-        let ticket = self.ticket(Pending::Request(r));
+        let ticket = self.ticket(PendingOperation::Request(r));
         self.out.push(ExtensionOutput::ReadBarrier(ticket));
     }
 
@@ -476,12 +479,12 @@
     }
 
     /// Jobs of the namespace that is asked for, as far as the token sees them.
-    fn seen<'a>(&'a self, r: &'a Request) -> impl Iterator<Item = &'a super::Known> + 'a {
+    fn seen<'a>(&'a self, r: &'a Request) -> impl Iterator<Item = &'a super::RegisteredJob> + 'a {
         let namespace = r.namespace();
         self.seen_all(r).filter(move |k| namespace == "*" || k.head.namespace == namespace)
     }
 
-    fn seen_all<'a>(&'a self, r: &'a Request) -> impl Iterator<Item = &'a super::Known> + 'a {
+    fn seen_all<'a>(&'a self, r: &'a Request) -> impl Iterator<Item = &'a super::RegisteredJob> + 'a {
         self.heads.values().filter(|k| r.may(&k.head.team))
     }
 
@@ -492,8 +495,8 @@
             rows.retain(|(k, _)| k.as_str() >= from);
         }
         let per = match r.q("per_page").map(str::parse::<usize>) {
-            None => PAGE,
-            Some(Ok(n)) if n > 0 => n.min(PAGE),
+            None => MAX_ROWS_PER_PAGE,
+            Some(Ok(n)) if n > 0 => n.min(MAX_ROWS_PER_PAGE),
             Some(_) => return self.refuse(r.id, 400, "per_page: must be a whole number from 1"),
         };
         let next = rows.get(per).map(|(k, _)| k.clone());
@@ -504,7 +507,7 @@
 
     pub(crate) fn read_content(&mut self, key: &JobKey, nonce: String, request: Request) {
         let prefix = super::records::names::parts(key, &nonce);
-        let ticket = self.ticket(Pending::Content { request, nonce });
+        let ticket = self.ticket(PendingOperation::Content { request, nonce });
         self.out.push(ExtensionOutput::Read(ticket, prefix));
     }
 
@@ -524,7 +527,7 @@
         diagnostics.place(text);
         match job.filter(|_| diagnostics.accepted()) {
             Some(j) => self.answer(r.id, 200, 0, &super::records::api_job(&j)),
-            None => self.refuse(r.id, 400, &told(&diagnostics)),
+            None => self.refuse(r.id, 400, &format_diagnostics(&diagnostics)),
         }
     }
 
@@ -546,7 +549,7 @@
         let Ok(text) = std::str::from_utf8(&r.body) else { return self.refuse(r.id, 400, "not UTF-8") };
         let j = crate::validate(text, &r.inputs(), &self.settings, &self.site);
         let Some(job) = j.job.as_ref().filter(|_| j.accepted()) else {
-            return self.refuse(r.id, 400, &told(&j.diagnostics));
+            return self.refuse(r.id, 400, &format_diagnostics(&j.diagnostics));
         };
         let team = translate::class(job, &self.settings).map(|c| c.team.clone()).unwrap_or_default();
         if !r.may(&team) {
@@ -559,7 +562,7 @@
 }
 
 /// All diagnostics as a text.
-pub(crate) fn told(diagnostics: &Diagnostics) -> String {
+pub(crate) fn format_diagnostics(diagnostics: &Diagnostics) -> String {
     let lines: Vec<String> = diagnostics.list.iter().map(|f| f.to_string()).collect();
     lines.join("\n")
 }
@@ -571,7 +574,7 @@
     #[test]
     fn paths_have_their_routes() {
         let job = |s: &str| s.to_owned();
-        let cases: [(&str, &str, Result<Route, NoRoute>); 22] = [
+        let cases: [(&str, &str, Result<Route, RouteError>); 22] = [
             ("GET", "/v1/jobs", Ok(Route::Jobs)),
             ("PUT", "/v1/jobs", Ok(Route::Register)),
             ("POST", "/v1/job/a", Ok(Route::Register)),
@@ -585,17 +588,17 @@
             ("GET", "/v1/job/a/scale", Ok(Route::JobPart(job("a"), Part::Scale))),
             ("PUT", "/v1/job/a/periodic/force", Ok(Route::Force(job("a")))),
             ("POST", "/v1/job/a/dispatch", Ok(Route::Dispatch(job("a")))),
-            ("GET", "/v1/job/a/dispatch", Err(NoRoute::Method)),
-            ("DELETE", "/v1/jobs", Err(NoRoute::Method)),
+            ("GET", "/v1/job/a/dispatch", Err(RouteError::Method)),
+            ("DELETE", "/v1/jobs", Err(RouteError::Method)),
             (
                 "GET",
                 "/v1/job/a/deployments",
-                Err(NoRoute::Unserved("a new version replaces the old one as a whole")),
+                Err(RouteError::Unsupported("a new version replaces the old one as a whole")),
             ),
-            ("GET", "/v1/acl/tokens", Err(NoRoute::Unserved("tokens are set in the operators' file"))),
-            ("GET", "/v1/nonsense", Err(NoRoute::Unknown)),
-            ("GET", "/v2/jobs", Err(NoRoute::Unknown)),
-            ("GET", "/", Err(NoRoute::Unknown)),
+            ("GET", "/v1/acl/tokens", Err(RouteError::Unsupported("tokens are set in the operators' file"))),
+            ("GET", "/v1/nonsense", Err(RouteError::Unknown)),
+            ("GET", "/v2/jobs", Err(RouteError::Unknown)),
+            ("GET", "/", Err(RouteError::Unknown)),
             ("GET", "/v1/event/stream", Ok(Route::Events)),
             ("GET", "/v1/status/leader", Ok(Route::Leader)),
         ];
--- a/crates/nomad/src/service/launches.rs
+++ b/crates/nomad/src/service/launches.rs
@@ -5,8 +5,8 @@
 //! that were missed only the last is made up.
 use super::Service;
 use super::api::{Request, Route};
-use super::records::{JobRecord, JobKey};
-use super::register::{Wish, child_content};
+use super::records::{JobKey, JobRecord};
+use super::register::{JobChange, child_content};
 use crate::cron;
 use gorseshore_core::RequestId;
 use gorseshore_core::extension::ExtensionContext;
@@ -15,7 +15,7 @@
 use std::rc::Rc;
 
 /// Most missed times that are gone through to find the last.
-const MISSED: usize = 2000;
+const MAX_MISSED_LAUNCHES: usize = 2000;
 
 /// The launch that is due: the last time up to now after the last launch, or
 /// after the registration.
@@ -23,7 +23,7 @@
     let p = head.periodic.as_ref().filter(|p| p.enabled && !head.stop)?;
     let base = last.unwrap_or(0).max(head.at);
     let mut at = cron::next(&p.crons, &p.time_zone, base).filter(|t| *t <= wall_ms)?;
-    for _ in 0..MISSED {
+    for _ in 0..MAX_MISSED_LAUNCHES {
         match cron::next(&p.crons, &p.time_zone, at).filter(|t| *t <= wall_ms) {
             Some(next) => at = next,
             None => break,
@@ -80,7 +80,7 @@
             let id = format!("{}/periodic-{}", known.head.id, at / 1000);
             let content = child_content(&content, &id, &known.head.id, &BTreeMap::new(), None);
             self.busy.insert(key.clone());
-            let wish = Wish::Child { id, content: Rc::new(content), launched: Some(at), token: None };
+            let wish = JobChange::Child { id, content: Rc::new(content), launched: Some(at), token: None };
             let request = Request {
                 id: RequestId(0),
                 team: None,
--- a/crates/nomad/src/service/mod.rs
+++ b/crates/nomad/src/service/mod.rs
@@ -17,7 +17,7 @@
 mod views;
 mod watch;
 
-use crate::translate::{MachineKind, Site};
+use crate::translate::{MachineType, Site};
 use gorseshore_core::extension::{
     Answer, Extension, ExtensionContext, ExtensionInput, ExtensionOutput, OperationId,
 };
@@ -25,14 +25,14 @@
 use gorseshore_protocol::ids::{JobId, Micros};
 use gorseshore_protocol::state::{Multi, MultiAnswer};
 use gorseshore_settings::Nomad;
-use records::{Content, JobRecord, JobKey};
+use records::{Content, JobKey, JobRecord};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
 
 /// A head with the revision of its record.
 #[derive(Debug, Clone)]
-pub(crate) struct Known {
+pub(crate) struct RegisteredJob {
     pub head: Rc<JobRecord>,
     /// The registration's version, `JobModifyIndex`.
     pub stamp: u64,
@@ -44,11 +44,11 @@
 
 /// What a ticket is for.
 #[derive(Debug)]
-pub(crate) enum Pending {
+pub(crate) enum PendingOperation {
     /// A request that waits for proof of being up to date.
     Request(api::Request),
     /// A registration under way.
-    Register(Box<register::Registration>),
+    Register(Box<register::PendingChange>),
     /// A job's stored content, for an answer.
     Content { request: api::Request, nonce: String },
     /// The leader's work on a job.
@@ -65,7 +65,7 @@
 pub struct Service {
     pub(crate) settings: Rc<Nomad>,
     pub(crate) rng: fastrand::Rng,
-    pub(crate) heads: BTreeMap<JobKey, Known>,
+    pub(crate) heads: BTreeMap<JobKey, RegisteredJob>,
     /// Which job a native job is behind.
     pub(crate) natives: HashMap<JobId, JobKey>,
     /// Last launches, with the versions of their records.
@@ -80,10 +80,10 @@
     pub(crate) floor: u64,
     /// The last revision at which anything changed.
     pub(crate) changed: u64,
-    pub(crate) pending: BTreeMap<OperationId, Pending>,
+    pub(crate) pending: BTreeMap<OperationId, PendingOperation>,
     pub(crate) next_ticket: u64,
     pub(crate) out: Vec<ExtensionOutput>,
-    pub(crate) waiting: Vec<watch::Blocked>,
+    pub(crate) waiting: Vec<watch::BlockedQuery>,
     pub(crate) streams: BTreeMap<RequestId, watch::Stream>,
     pub(crate) events: std::collections::VecDeque<watch::Event>,
     /// Jobs that the leader should look at, and when no earlier.
@@ -104,7 +104,7 @@
 }
 
 /// Contents kept in memory.
-const CONTENTS_KEPT: usize = 64;
+const MAX_CACHED_CONTENTS: usize = 64;
 /// Most requests and writes under way.
 pub(crate) const MAX_PENDING: usize = 1000;
 
@@ -140,7 +140,7 @@
         }
     }
 
-    pub(crate) fn ticket(&mut self, p: Pending) -> OperationId {
+    pub(crate) fn ticket(&mut self, p: PendingOperation) -> OperationId {
         let t = OperationId(self.next_ticket);
         self.next_ticket += 1;
         self.pending.insert(t, p);
@@ -179,7 +179,7 @@
     }
 
     pub(crate) fn keep_content(&mut self, nonce: &str, content: Rc<Content>) {
-        if self.contents.len() >= CONTENTS_KEPT {
+        if self.contents.len() >= MAX_CACHED_CONTENTS {
             let used = |n: &String| self.heads.values().any(|k| k.head.nonce == *n);
             let old = self.contents.keys().find(|n| !used(n)).or(self.contents.keys().next()).cloned();
             old.map(|n| self.contents.remove(&n));
@@ -218,7 +218,7 @@
             self.natives.insert(id, key.clone());
         }
         let created = head.created.unwrap_or(stamp);
-        let known = Known { head: Rc::new(head), stamp, created, changed: stamp };
+        let known = RegisteredJob { head: Rc::new(head), stamp, created, changed: stamp };
         let head = known.head.clone();
         self.heads.insert(key.clone(), known);
         let what = if head.stop { "JobDeregistered" } else { "JobRegistered" };
@@ -231,7 +231,7 @@
         let mut machines = Vec::new();
         for f in host.flavors {
             for z in &f.yards {
-                machines.push(MachineKind {
+                machines.push(MachineType {
                     name: f.sku.clone(),
                     zone: z.clone(),
                     cpus: f.cpus,
@@ -244,12 +244,12 @@
 
     fn called(&mut self, host: &ExtensionContext<'_>, ticket: OperationId, result: CallResult) {
         match self.pending.remove(&ticket) {
-            Some(Pending::Register(r)) => self.register_written(host, *r, &result),
-            Some(Pending::Content { request, nonce }) => match self.content_of(&nonce, &result) {
+            Some(PendingOperation::Register(r)) => self.register_written(host, *r, &result),
+            Some(PendingOperation::Content { request, nonce }) => match self.content_of(&nonce, &result) {
                 Some(_) => self.serve(host, request),
                 None => self.refuse(request.id, 503, "the job can't be read from the state service now"),
             },
-            Some(Pending::Reconcile(key)) => {
+            Some(PendingOperation::Reconcile(key)) => {
                 self.busy.remove(&key);
                 let again = match result {
                     CallResult::Response { status: 200, .. } => Micros(0),
@@ -259,17 +259,17 @@
                 };
                 self.dirty.insert(key, again);
             }
-            Some(Pending::Load(key, nonce)) => {
+            Some(PendingOperation::Load(key, nonce)) => {
                 self.busy.remove(&key);
                 let found = self.content_of(&nonce, &result).is_some();
                 let pause = if found { Micros(0) } else { Micros::millis(500 + self.rng.u64(0..500)) };
                 self.dirty.insert(key, host.now + pause);
             }
-            Some(Pending::Launch(key)) => {
+            Some(PendingOperation::Launch(key)) => {
                 self.busy.remove(&key);
                 self.dirty.insert(key, host.now + Micros::millis(200));
             }
-            Some(Pending::Sweep | Pending::Request(_)) | None => {}
+            Some(PendingOperation::Sweep | PendingOperation::Request(_)) | None => {}
         }
     }
 }
@@ -364,10 +364,12 @@
                 self.streams.remove(&id);
             }
             ExtensionInput::ReadBarrierDone(ticket, good) => match self.pending.remove(&ticket) {
-                Some(Pending::Request(r)) if good => self.serve(host, r),
-                Some(Pending::Request(r)) => self.refuse(r.id, 503, "the state service can't be asked now"),
-                Some(Pending::Register(r)) if good => self.register_proved(host, *r),
-                Some(Pending::Register(r)) => {
+                Some(PendingOperation::Request(r)) if good => self.serve(host, r),
+                Some(PendingOperation::Request(r)) => {
+                    self.refuse(r.id, 503, "the state service can't be asked now")
+                }
+                Some(PendingOperation::Register(r)) if good => self.register_proved(host, *r),
+                Some(PendingOperation::Register(r)) => {
                     self.give_up(&r, 503, "the state service can't be asked now");
                 }
                 _ => {}
--- a/crates/nomad/src/service/reconcile.rs
+++ b/crates/nomad/src/service/reconcile.rs
@@ -3,9 +3,9 @@
 //! Every write is conditioned on the leader's key, on the head that asks for
 //! it and on the record that it changes: whatever comes late, or from a leader
 //! that is none any more, fails.
-use super::records::{JobRecord, JobKey, names};
+use super::records::{JobKey, JobRecord, names};
 use super::register::{put, remove, when};
-use super::{Known, Pending, Service, write};
+use super::{PendingOperation, RegisteredJob, Service, write};
 use gorseshore_core::extension::{ExtensionContext, ExtensionOutput};
 use gorseshore_core::jobs::{Phase, cancelled_value, description, job_value, keys};
 use gorseshore_core::limits::value_len;
@@ -16,11 +16,11 @@
 use std::collections::BTreeMap;
 
 /// Writes of the leader under way.
-const MOST: usize = 8;
+const MAX_LEADER_WRITES: usize = 8;
 /// Parts that no head names are cleared up after this: longer than a
 /// registration may take.
-const ORPHANED: Micros = Micros::secs(120);
-const SWEEP: Micros = Micros::secs(30);
+const ORPHANED_CHUNK_TIMEOUT: Micros = Micros::secs(120);
+const SWEEP_INTERVAL: Micros = Micros::secs(30);
 
 /// The record of a group's native job; `None`, and a line in the log, if it is longer than
 /// the state service takes.
@@ -55,7 +55,7 @@
             .iter()
             .filter(|(k, at)| **at <= host.now && !self.busy.contains(*k))
             .map(|(k, _)| k.clone())
-            .take(MOST.saturating_sub(self.busy.len()))
+            .take(MAX_LEADER_WRITES.saturating_sub(self.busy.len()))
             .collect();
         for key in due {
             self.dirty.remove(&key);
@@ -64,13 +64,13 @@
             }
         }
         self.launch(host);
-        if host.now.since(self.swept) >= SWEEP {
+        if host.now.since(self.swept) >= SWEEP_INTERVAL {
             self.swept = host.now;
             self.sweep(host);
         }
     }
 
-    fn reconcile(&mut self, host: &ExtensionContext<'_>, key: &JobKey, known: &Known) {
+    fn reconcile(&mut self, host: &ExtensionContext<'_>, key: &JobKey, known: &RegisteredJob) {
         let head = &known.head;
         let mut m = Multi { when: vec![when(names::head(key), known.stamp)], writes: Vec::new() };
         // The leader's key is a condition more.
@@ -146,24 +146,26 @@
             return;
         }
         self.busy.insert(key.clone());
-        let ticket = self.ticket(Pending::Reconcile(key.clone()));
+        let ticket = self.ticket(PendingOperation::Reconcile(key.clone()));
         self.out.push(write(ticket, m, true));
     }
 
     /// Reads a job's content for the leader's work on it.
     pub(crate) fn load(&mut self, key: &JobKey, nonce: &str) {
         self.busy.insert(key.clone());
-        let ticket = self.ticket(Pending::Load(key.clone(), nonce.to_owned()));
+        let ticket = self.ticket(PendingOperation::Load(key.clone(), nonce.to_owned()));
         self.out.push(ExtensionOutput::Read(ticket, names::parts(key, nonce)));
     }
 
     /// Removes parts that no head names: of registrations that were not
     /// finished, of versions that are no longer kept, of jobs that are gone.
     fn sweep(&mut self, host: &ExtensionContext<'_>) {
-        let named = |heads: &BTreeMap<JobKey, Known>, name: &str| {
+        let named = |heads: &BTreeMap<JobKey, RegisteredJob>, name: &str| {
             let mut s = name.split('/');
             let (Some(key), Some(nonce)) = (s.next(), s.next()) else { return false };
-            heads.get(&JobKey(key.to_owned())).is_some_and(|k: &Known| JobRecord::refers(&k.head, nonce))
+            heads
+                .get(&JobKey(key.to_owned()))
+                .is_some_and(|k: &RegisteredJob| JobRecord::refers(&k.head, nonce))
         };
         let mut gone = Vec::new();
         for (name, since) in &mut self.parts {
@@ -171,7 +173,7 @@
                 *since = Micros(0);
             } else if *since == Micros(0) {
                 *since = host.now;
-            } else if host.now.since(*since) > ORPHANED {
+            } else if host.now.since(*since) > ORPHANED_CHUNK_TIMEOUT {
                 gone.push(name.clone());
             }
         }
@@ -180,19 +182,19 @@
             return;
         }
         let writes = gone.into_iter().map(|n| remove(&format!("p/{n}"))).collect();
-        let ticket = self.ticket(Pending::Sweep);
+        let ticket = self.ticket(PendingOperation::Sweep);
         self.out.push(write(ticket, Multi { when: Vec::new(), writes }, true));
     }
 
     /// Records that a launch was passed over.
-    pub(crate) fn pass_over(&mut self, key: &JobKey, known: &Known, ms: u64) {
+    pub(crate) fn pass_over(&mut self, key: &JobKey, known: &RegisteredJob, ms: u64) {
         let stamp = self.launches.get(key).map_or(0, |l| l.1);
         let m = Multi {
             when: vec![when(names::head(key), known.stamp), when(names::launch(key), stamp)],
             writes: vec![put(&names::launch(key), json!(ms))],
         };
         self.busy.insert(key.clone());
-        let ticket = self.ticket(Pending::Launch(key.clone()));
+        let ticket = self.ticket(PendingOperation::Launch(key.clone()));
         self.out.push(write(ticket, m, true));
     }
 }
--- a/crates/nomad/src/service/records.rs
+++ b/crates/nomad/src/service/records.rs
@@ -52,7 +52,7 @@
 
 /// A group of a job as its head has it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct GroupHead {
+pub struct GroupRecord {
     /// Name.
     #[serde(rename = "g")]
     pub name: String,
@@ -66,7 +66,7 @@
 
 /// An earlier version.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Earlier {
+pub struct PreviousVersion {
     /// Version.
     #[serde(rename = "v")]
     pub version: u64,
@@ -80,7 +80,7 @@
 
 /// Launches by cron.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct PeriodicHead {
+pub struct PeriodicRecord {
     /// Expressions.
     #[serde(rename = "c")]
     pub crons: Vec<String>,
@@ -97,7 +97,7 @@
 
 /// Runs by dispatch.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct ParamHead {
+pub struct ParameterizedRecord {
     /// `optional`, `required` or `forbidden`.
     #[serde(rename = "p")]
     pub payload: String,
@@ -160,28 +160,28 @@
     pub datacenters: Vec<String>,
     /// Groups.
     #[serde(rename = "gr")]
-    pub groups: Vec<GroupHead>,
+    pub groups: Vec<GroupRecord>,
     /// Native jobs of earlier versions that may not be over.
     #[serde(rename = "o", default)]
     pub superseded_jobs: Vec<u64>,
     /// Launches by cron.
     #[serde(rename = "pe", default, skip_serializing_if = "Option::is_none")]
-    pub periodic: Option<PeriodicHead>,
+    pub periodic: Option<PeriodicRecord>,
     /// Runs by dispatch.
     #[serde(rename = "pa", default, skip_serializing_if = "Option::is_none")]
-    pub param: Option<ParamHead>,
+    pub param: Option<ParameterizedRecord>,
     /// The job that launched or dispatched it.
     #[serde(rename = "up", default, skip_serializing_if = "Option::is_none")]
     pub parent: Option<String>,
     /// Versions before, the last one first.
     #[serde(rename = "vs", default)]
-    pub earlier: Vec<Earlier>,
+    pub earlier: Vec<PreviousVersion>,
 }
 
 /// Versions before the current one that are kept.
-pub const VERSIONS_KEPT: usize = 5;
+pub const MAX_PREVIOUS_VERSIONS: usize = 5;
 /// Most native jobs of earlier versions that may not be over.
-pub const OLD_KEPT: usize = 16;
+pub const MAX_SUPERSEDED_JOBS: usize = 16;
 
 impl JobRecord {
     /// Its key.
--- a/crates/nomad/src/service/register.rs
+++ b/crates/nomad/src/service/register.rs
@@ -4,16 +4,16 @@
 //! own, then the head, on condition that the head is as it was read and that
 //! all parts are as they were written. An answer comes only after that record,
 //! or, where its answer was lost, after the mirror has shown it.
-use super::api::{Request, Route, told};
+use super::api::{Request, Route, format_diagnostics};
 use super::records::{
-    Content, Earlier, GroupHead, JobRecord, JobKey, OLD_KEPT, ParamHead, PeriodicHead, VERSIONS_KEPT, api_job,
-    cut, hashes, names, payload_word,
+    Content, GroupRecord, JobKey, JobRecord, MAX_PREVIOUS_VERSIONS, MAX_SUPERSEDED_JOBS, ParameterizedRecord,
+    PeriodicRecord, PreviousVersion, api_job, cut, hashes, names, payload_word,
 };
-use super::{Known, Pending, Service, revision, views, write};
-use crate::validate;
+use super::{PendingOperation, RegisteredJob, Service, revision, views, write};
 use crate::model::Job;
-use crate::translate::{self, Planned};
+use crate::translate::{self, PlannedGroup};
 use crate::tree::{Diagnostics, Severity};
+use crate::validate;
 use gorseshore_core::CallResult;
 use gorseshore_core::extension::{ExtensionContext, ExtensionOutput};
 use gorseshore_core::jobs::{Phase, job_value, keys};
@@ -25,15 +25,15 @@
 use std::rc::Rc;
 
 /// Bytes that a head may grow by without being judged anew.
-const HEAD_MARGIN: usize = 64;
+const RECORD_SIZE_MARGIN_BYTES: usize = 64;
 /// The same for a group's description: jobs that it replaces, and a count.
-const DESCRIPTION_MARGIN: usize = 22 * OLD_KEPT;
+const DESCRIPTION_SIZE_MARGIN_BYTES: usize = 22 * MAX_SUPERSEDED_JOBS;
 /// Longest content of a job, in bytes as it is stored.
-const MAX_CONTENT: usize = 64 * 1024;
+const MAX_CONTENT_BYTES: usize = 64 * 1024;
 /// How often a change starts anew when others change the job meanwhile.
-const TRIES: u32 = 4;
+const MAX_ATTEMPTS: u32 = 4;
 /// A change that takes longer is given up; the request's user may repeat it.
-const TIME: Micros = Micros::secs(30);
+const CHANGE_TIMEOUT: Micros = Micros::secs(30);
 
 /// Where a change stands.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -50,7 +50,7 @@
 
 /// What is to become of a job.
 #[derive(Debug, Clone)]
-pub(crate) enum Wish {
+pub(crate) enum JobChange {
     /// This content.
     Content { job: Box<Job>, class: String, team: String, content: Rc<Content>, warnings: String },
     /// Other counts.
@@ -63,12 +63,12 @@
 
 /// A change under way.
 #[derive(Debug)]
-pub(crate) struct Registration {
+pub(crate) struct PendingChange {
     /// Who waits for it; nobody for launches by cron.
     pub request: Request,
     pub by_leader: bool,
     pub key: JobKey,
-    pub wish: Wish,
+    pub wish: JobChange,
     step: Step,
     /// The head to write and the version that it replaces.
     head: Option<JobRecord>,
@@ -82,7 +82,7 @@
 }
 
 /// A content put into the form that is stored.
-pub(crate) fn content(job: &Job, groups: &[Planned]) -> Content {
+pub(crate) fn content(job: &Job, groups: &[PlannedGroup]) -> Content {
     let specs = groups.iter().map(|p| (p.group.clone(), job_value(&p.spec, 0))).collect();
     Content { job: api_job(job), specs }
 }
@@ -100,7 +100,7 @@
         }
         let mut judged = validate(text, &r.inputs(), &self.settings, &self.site);
         let Some(job) = judged.job.take().filter(|_| judged.diagnostics.accepted()) else {
-            return self.refuse(r.id, 400, &told(&judged.diagnostics));
+            return self.refuse(r.id, 400, &format_diagnostics(&judged.diagnostics));
         };
         let class = translate::class(&job, &self.settings);
         let Some((class, team)) = class.map(|c| (c.name.clone(), c.team.clone())) else {
@@ -115,14 +115,16 @@
         let warnings = warnings(&judged.diagnostics);
         let content = Rc::new(content(&job, &judged.groups));
         let key = JobKey::of(&job.namespace, &job.id);
-        let wish = Wish::Content { job: Box::new(job), class, team, content, warnings };
+        let wish = JobChange::Content { job: Box::new(job), class, team, content, warnings };
         self.begin_change(host, r, key, wish, false);
     }
 
     /// What natively is a 422: a task that alone is over its team's limit.
-    fn limits(&self, host: &ExtensionContext<'_>, groups: &[Planned]) -> Result<(), String> {
+    fn limits(&self, host: &ExtensionContext<'_>, groups: &[PlannedGroup]) -> Result<(), String> {
         for p in groups {
-            if value_len(&job_value(&p.spec, host.wall_ms)) + DESCRIPTION_MARGIN > host.max_value_bytes {
+            if value_len(&job_value(&p.spec, host.wall_ms)) + DESCRIPTION_SIZE_MARGIN_BYTES
+                > host.max_value_bytes
+            {
                 return Err(format!("group {}: the description is too long", p.group));
             }
             let Some(team) = host.teams.iter().find(|t| t.name == p.spec.team) else {
@@ -146,7 +148,7 @@
         };
         if matches!(r.route, Route::Stop(_)) {
             let purge = r.q("purge") == Some("true");
-            return self.begin_change(host, r, key, Wish::Stop { purge }, false);
+            return self.begin_change(host, r, key, JobChange::Stop { purge }, false);
         }
         let Some(content) = self.contents.get(&known.head.nonce).cloned() else {
             return self.read_content(&key, known.head.nonce.clone(), r);
@@ -164,7 +166,7 @@
                 let Some(count) = body["Count"].as_u64().filter(|n| *n <= crate::model::MAX_COUNT) else {
                     return self.refuse(r.id, 400, "Count: must be a whole number from 0 to 100000");
                 };
-                let wish = Wish::Scale { group, count: count as u32 };
+                let wish = JobChange::Scale { group, count: count as u32 };
                 self.begin_change(host, r, key, wish, false);
             }
             Route::Force(_) => {
@@ -176,7 +178,7 @@
                 }
                 let id = format!("{}/periodic-{}", known.head.id, host.wall_ms / 1000);
                 let content = child_content(&content, &id, &known.head.id, &BTreeMap::new(), None);
-                let wish = Wish::Child { id, content: Rc::new(content), launched: None, token: None };
+                let wish = JobChange::Child { id, content: Rc::new(content), launched: None, token: None };
                 self.begin_change(host, r, key, wish, false);
             }
             _ => match self.dispatch(host, &r, &known, &content, &body) {
@@ -192,10 +194,10 @@
         &mut self,
         host: &ExtensionContext<'_>,
         r: &Request,
-        known: &Known,
+        known: &RegisteredJob,
         content: &Content,
         body: &Value,
-    ) -> Result<(Wish, Option<Value>), String> {
+    ) -> Result<(JobChange, Option<Value>), String> {
         let Some(rules) = known.head.param.as_ref().filter(|_| !known.head.stop) else {
             return Err("the job is not parameterized, or it is stopped".into());
         };
@@ -233,17 +235,17 @@
             let key = JobKey::of(&known.head.namespace, id);
             let stamp = self.heads.get(&key).map_or(0, |k| k.created);
             let done = dispatched(id, &key, stamp);
-            return Ok((Wish::Stop { purge: false }, Some(done)));
+            return Ok((JobChange::Stop { purge: false }, Some(done)));
         }
         let id = format!("{}/dispatch-{}-{:08x}", known.head.id, host.wall_ms / 1000, self.rng.u32(..));
-        if id.len() > crate::model::MAX_NAME {
+        if id.len() > crate::model::MAX_NAME_BYTES {
             return Err(format!(
                 "the dispatched job's id would have more than {} bytes",
-                crate::model::MAX_NAME
+                crate::model::MAX_NAME_BYTES
             ));
         }
         let content = child_content(content, &id, &known.head.id, &meta, payload);
-        Ok((Wish::Child { id, content: Rc::new(content), launched: None, token }, None))
+        Ok((JobChange::Child { id, content: Rc::new(content), launched: None, token }, None))
     }
 
     /// Starts a change; the mirror is up to date.
@@ -252,10 +254,10 @@
         host: &ExtensionContext<'_>,
         request: Request,
         key: JobKey,
-        wish: Wish,
+        wish: JobChange,
         by_leader: bool,
     ) {
-        let r = Registration {
+        let r = PendingChange {
             request,
             by_leader,
             key,
@@ -267,12 +269,12 @@
             written: Vec::new(),
             open: 0,
             tries: 0,
-            until: host.now + TIME,
+            until: host.now + CHANGE_TIMEOUT,
         };
         self.decide(host, r);
     }
 
-    pub(crate) fn give_up(&mut self, r: &Registration, status: u16, text: &str) {
+    pub(crate) fn give_up(&mut self, r: &PendingChange, status: u16, text: &str) {
         if r.by_leader {
             self.busy.remove(&r.key);
             return self.dirty_later(&r.key);
@@ -285,15 +287,15 @@
     }
 
     /// What is to be written, by the job as it is now.
-    fn decide(&mut self, host: &ExtensionContext<'_>, mut r: Registration) {
+    fn decide(&mut self, host: &ExtensionContext<'_>, mut r: PendingChange) {
         r.tries += 1;
-        if r.tries > TRIES || host.now > r.until {
+        if r.tries > MAX_ATTEMPTS || host.now > r.until {
             return self.give_up(&r, 503, "others change the job all the time, or the state service is slow");
         }
         let known = self.heads.get(&r.key).cloned();
         r.seen = known.as_ref().map_or(0, |k| k.stamp);
         let (head, content) = match &r.wish {
-            Wish::Content { job, class, team, content, .. } => {
+            JobChange::Content { job, class, team, content, .. } => {
                 let body: Value = serde_json::from_slice(&r.request.body).unwrap_or(Value::Null);
                 if body["EnforceIndex"] == true {
                     let want = body["JobModifyIndex"].as_u64().unwrap_or(0);
@@ -320,7 +322,7 @@
                     Err(text) => return self.give_up(&r, 503, &text),
                 }
             }
-            Wish::Scale { group, count } => {
+            JobChange::Scale { group, count } => {
                 let Some(k) = known.filter(|k| !k.head.stop && !k.head.is_template()) else {
                     return self.give_up(
                         &r,
@@ -368,7 +370,7 @@
                 advance(&mut h, &k, host.wall_ms);
                 (h, Some(Rc::new(content)))
             }
-            Wish::Stop { purge } => {
+            JobChange::Stop { purge } => {
                 let Some(k) = known else { return self.give_up(&r, 404, "job not found") };
                 if k.head.stop && (k.head.purge || !purge) {
                     let answer = registered(&r.key, &k.head, k.stamp, &r.wish);
@@ -379,7 +381,7 @@
                 h.created = Some(k.created);
                 (h, None)
             }
-            Wish::Child { id, content, .. } => {
+            JobChange::Child { id, content, .. } => {
                 let Some(k) = known.filter(|k| !k.head.stop) else {
                     return self.give_up(&r, 409, "the job was stopped meanwhile");
                 };
@@ -397,7 +399,7 @@
                     stop: false,
                     groups: groups
                         .into_iter()
-                        .map(|(name, count)| GroupHead { name, count, job: self.native() })
+                        .map(|(name, count)| GroupRecord { name, count, job: self.native() })
                         .collect(),
                     superseded_jobs: Vec::new(),
                     periodic: None,
@@ -417,7 +419,7 @@
     fn next_head(
         &mut self,
         host: &ExtensionContext<'_>,
-        known: Option<&Known>,
+        known: Option<&RegisteredJob>,
         job: &Job,
         (class, team): (&str, &str),
         (hash, shape): (String, String),
@@ -443,16 +445,16 @@
             groups: job
                 .groups
                 .iter()
-                .map(|g| GroupHead { name: g.name.clone(), count: g.count, job: self.native() })
+                .map(|g| GroupRecord { name: g.name.clone(), count: g.count, job: self.native() })
                 .collect(),
             superseded_jobs: Vec::new(),
-            periodic: job.periodic.as_ref().map(|p| PeriodicHead {
+            periodic: job.periodic.as_ref().map(|p| PeriodicRecord {
                 crons: p.crons.clone(),
                 time_zone: p.time_zone.clone(),
                 prohibit_overlap: p.prohibit_overlap,
                 enabled: p.enabled,
             }),
-            param: job.parameterized.as_ref().map(|p| ParamHead {
+            param: job.parameterized.as_ref().map(|p| ParameterizedRecord {
                 payload: payload_word(p.payload).into(),
                 required: p.required.clone(),
                 optional: p.optional.clone(),
@@ -479,7 +481,7 @@
                 })
             };
             head.superseded_jobs = k.head.native_jobs().filter(|id| !gone(id)).map(|id| id.0).collect();
-            if head.superseded_jobs.len() > OLD_KEPT {
+            if head.superseded_jobs.len() > MAX_SUPERSEDED_JOBS {
                 return Err("earlier versions of the job are still ending".into());
             }
         }
@@ -491,7 +493,7 @@
     fn prepare(
         &mut self,
         host: &ExtensionContext<'_>,
-        mut r: Registration,
+        mut r: PendingChange,
         mut head: JobRecord,
         content: Option<Rc<Content>>,
     ) {
@@ -503,9 +505,9 @@
             let parts = cut(&text, host.max_value_bytes.saturating_sub(64));
             // The head's conditions name every part.
             let most = (host.max_txn_writes * 4).saturating_sub(6);
-            if text.len() > MAX_CONTENT || parts.len() > most {
+            if text.len() > MAX_CONTENT_BYTES || parts.len() > most {
                 let text = format!(
-                    "the job takes {} bytes in {} parts, at most {MAX_CONTENT} in {most}",
+                    "the job takes {} bytes in {} parts, at most {MAX_CONTENT_BYTES} in {most}",
                     text.len(),
                     parts.len()
                 );
@@ -518,7 +520,8 @@
             self.keep_content(&head.nonce, c);
         }
         // A head of longer values than may be written now gives up its oldest versions.
-        let too_long = |head: &JobRecord| value_len(&json!(head)) + HEAD_MARGIN > host.max_value_bytes;
+        let too_long =
+            |head: &JobRecord| value_len(&json!(head)) + RECORD_SIZE_MARGIN_BYTES > host.max_value_bytes;
         while too_long(&head) && head.earlier.pop().is_some() {}
         if too_long(&head) {
             return self.give_up(&r, 400, "the job has too many groups for a record of the state service");
@@ -528,7 +531,7 @@
     }
 
     /// Writes the next parts, or the head.
-    fn go_on(&mut self, host: &ExtensionContext<'_>, mut r: Registration) {
+    fn go_on(&mut self, host: &ExtensionContext<'_>, mut r: PendingChange) {
         if host.now > r.until {
             return self.give_up(&r, 503, "the state service is slow");
         }
@@ -544,7 +547,7 @@
                 writes.push(put(name, json!(text)));
             }
             r.open = writes.len();
-            let ticket = self.ticket(Pending::Register(Box::new(r)));
+            let ticket = self.ticket(PendingOperation::Register(Box::new(r)));
             return self.out.push(write(ticket, Multi { when: Vec::new(), writes }, false));
         }
         r.step = Step::JobRecord;
@@ -553,7 +556,7 @@
         let mut conditions = vec![when(names::head(&r.key), r.seen)];
         let mut writes = vec![put(&names::head(&target), json!(head))];
         conditions.extend(r.written.iter().map(|(name, stamp)| when(name.clone(), *stamp)));
-        if let Wish::Child { launched, token, id, .. } = &r.wish {
+        if let JobChange::Child { launched, token, id, .. } = &r.wish {
             conditions.push(when(names::head(&target), 0));
             if let Some(ms) = launched {
                 let stamp = self.launches.get(&r.key).map_or(0, |l| l.1);
@@ -566,7 +569,7 @@
             }
         }
         let by_leader = r.by_leader;
-        let ticket = self.ticket(Pending::Register(Box::new(r)));
+        let ticket = self.ticket(PendingOperation::Register(Box::new(r)));
         self.out.push(write(ticket, Multi { when: conditions, writes }, by_leader));
     }
 
@@ -574,7 +577,7 @@
     pub(crate) fn register_written(
         &mut self,
         host: &ExtensionContext<'_>,
-        mut r: Registration,
+        mut r: PendingChange,
         result: &CallResult,
     ) {
         match (r.step, revision(result), result) {
@@ -597,22 +600,22 @@
         }
     }
 
-    fn retry_parts(&mut self, host: &ExtensionContext<'_>, mut r: Registration) {
+    fn retry_parts(&mut self, host: &ExtensionContext<'_>, mut r: PendingChange) {
         r.tries += 1;
-        if r.tries > TRIES {
+        if r.tries > MAX_ATTEMPTS {
             return self.give_up(&r, 503, "the state service did not confirm it");
         }
         self.go_on(host, r);
     }
 
-    fn look_again(&mut self, mut r: Registration, step: Step) {
+    fn look_again(&mut self, mut r: PendingChange, step: Step) {
         r.step = step;
-        let ticket = self.ticket(Pending::Register(Box::new(r)));
+        let ticket = self.ticket(PendingOperation::Register(Box::new(r)));
         self.out.push(ExtensionOutput::ReadBarrier(ticket));
     }
 
     /// The mirror is up to date again.
-    pub(crate) fn register_proved(&mut self, host: &ExtensionContext<'_>, r: Registration) {
+    pub(crate) fn register_proved(&mut self, host: &ExtensionContext<'_>, r: PendingChange) {
         if r.step == Step::Again {
             return self.decide(host, r);
         }
@@ -628,7 +631,7 @@
     }
 
     /// It is recorded.
-    fn finish(&mut self, host: &ExtensionContext<'_>, r: &Registration, stamp: u64) {
+    fn finish(&mut self, host: &ExtensionContext<'_>, r: &PendingChange, stamp: u64) {
         let Some(head) = &r.head else { return };
         log::info!("{} {}: version {} recorded at {stamp}", head.namespace, head.id, head.version);
         if r.by_leader {
@@ -636,7 +639,7 @@
             return self.dirty_later(&r.key);
         }
         let answer = match &r.wish {
-            Wish::Child { id, .. } => dispatched(id, &head.key(), stamp),
+            JobChange::Child { id, .. } => dispatched(id, &head.key(), stamp),
             w => registered(&r.key, head, stamp, w),
         };
         self.answer(r.request.id, 200, host.replica.applied.max(stamp), &answer);
@@ -653,14 +656,14 @@
 }
 
 /// A version more than the one known.
-fn advance(head: &mut JobRecord, known: &Known, wall_ms: u64) {
+fn advance(head: &mut JobRecord, known: &RegisteredJob, wall_ms: u64) {
     let k = &known.head;
     head.version = k.version + 1;
     head.created = Some(known.created);
     head.at = wall_ms;
     head.earlier = k.earlier.clone();
-    head.earlier.insert(0, Earlier { version: k.version, nonce: k.nonce.clone(), at: k.at });
-    head.earlier.truncate(VERSIONS_KEPT);
+    head.earlier.insert(0, PreviousVersion { version: k.version, nonce: k.nonce.clone(), at: k.at });
+    head.earlier.truncate(MAX_PREVIOUS_VERSIONS);
 }
 
 /// A condition on a name below the guest's space.
@@ -707,9 +710,9 @@
     c
 }
 
-fn registered(key: &JobKey, head: &JobRecord, stamp: u64, wish: &Wish) -> Value {
+fn registered(key: &JobKey, head: &JobRecord, stamp: u64, wish: &JobChange) -> Value {
     let warnings = match wish {
-        Wish::Content { warnings, .. } => warnings.as_str(),
+        JobChange::Content { warnings, .. } => warnings.as_str(),
         _ => "",
     };
     json!({"EvalID": views::evaluation_id(key, head.version), "EvalCreateIndex": stamp,
--- a/crates/nomad/src/service/views.rs
+++ b/crates/nomad/src/service/views.rs
@@ -1,8 +1,8 @@
-//! What the interface shows. Only what is known is told: a task of which this
+//! What the interface shows. Only what is known is format_diagnostics: a task of which this
 //! controller can't say whether it runs has the status `unknown`.
-use super::Known;
-use super::records::{Content, JobRecord, JobKey};
-use crate::translate::Planned;
+use super::RegisteredJob;
+use super::records::{Content, JobKey, JobRecord};
+use crate::translate::PlannedGroup;
 use crate::tree::Diagnostics;
 use gorseshore_core::extension::ExtensionContext;
 use gorseshore_core::jobs::{Job, MachineRecord, Phase};
@@ -11,7 +11,7 @@
 use uuid::Uuid;
 
 /// Allocations of one group that are listed.
-const LISTED: u32 = 5000;
+const MAX_LISTED_ALLOCATIONS: u32 = 5000;
 
 /// An allocation's id: the native job and the task, readable back, so that no
 /// list of ids has to be kept.
@@ -73,8 +73,8 @@
     head.groups.iter().find_map(|g| native(host, g.job)?.cause.clone())
 }
 
-/// Counts of a group's tasks by what became of them.
-struct Counts {
+/// TaskCounts of a group's tasks by what became of them.
+struct TaskCounts {
     queued: u32,
     running: u32,
     complete: u32,
@@ -82,8 +82,8 @@
     lost: u32,
 }
 
-fn counts(host: &ExtensionContext<'_>, head: &JobRecord, job: u64, count: u32) -> Counts {
-    let mut c = Counts { queued: 0, running: 0, complete: 0, failed: 0, lost: 0 };
+fn counts(host: &ExtensionContext<'_>, head: &JobRecord, job: u64, count: u32) -> TaskCounts {
+    let mut c = TaskCounts { queued: 0, running: 0, complete: 0, failed: 0, lost: 0 };
     match native(host, job) {
         None => c.queued = if head.stop || head.is_template() { 0 } else { count },
         Some(j) => match j.phase {
@@ -101,7 +101,7 @@
 }
 
 /// A job's summary.
-pub(crate) fn summary(host: &ExtensionContext<'_>, k: &Known) -> Value {
+pub(crate) fn summary(host: &ExtensionContext<'_>, k: &RegisteredJob) -> Value {
     let mut groups = Map::new();
     for g in &k.head.groups {
         let c = counts(host, &k.head, g.job, g.count);
@@ -116,7 +116,7 @@
 }
 
 /// A job in a list.
-pub(crate) fn job_stub(host: &ExtensionContext<'_>, k: &Known) -> Value {
+pub(crate) fn job_stub(host: &ExtensionContext<'_>, k: &RegisteredJob) -> Value {
     let h = &k.head;
     json!({"ID": h.id, "ParentID": h.parent.as_deref().unwrap_or(""), "Name": h.name, "Namespace": h.namespace,
         "Datacenters": h.datacenters, "Type": h.kind, "Priority": h.priority, "Periodic": h.periodic.is_some(),
@@ -132,7 +132,7 @@
 }
 
 /// A job as it was registered, with where it stands.
-pub(crate) fn job(host: &ExtensionContext<'_>, k: &Known, c: &Content) -> Value {
+pub(crate) fn job(host: &ExtensionContext<'_>, k: &RegisteredJob, c: &Content) -> Value {
     let mut v = c.job.clone();
     let h = &k.head;
     let set = json!({"Stop": h.stop, "Status": status(host, h), "Version": h.version, "Stable": false,
@@ -146,7 +146,7 @@
 }
 
 /// Versions: the current one whole, earlier ones by number and time.
-pub(crate) fn versions(host: &ExtensionContext<'_>, k: &Known, c: &Content) -> Value {
+pub(crate) fn versions(host: &ExtensionContext<'_>, k: &RegisteredJob, c: &Content) -> Value {
     let earlier = k.head.earlier.iter().map(|e| {
         json!({"ID": k.head.id, "Namespace": k.head.namespace, "Version": e.version, "SubmitTime": e.at * 1_000_000})
     });
@@ -155,7 +155,7 @@
 }
 
 /// The evaluation of a job's current version: what the scheduler makes of it.
-pub(crate) fn evaluation(host: &ExtensionContext<'_>, key: &JobKey, k: &Known) -> Value {
+pub(crate) fn evaluation(host: &ExtensionContext<'_>, key: &JobKey, k: &RegisteredJob) -> Value {
     let h = &k.head;
     let mut queued = Map::new();
     for g in &h.groups {
@@ -177,7 +177,7 @@
 }
 
 /// The tasks of a job, those of versions that it replaced too.
-pub(crate) fn allocations(host: &ExtensionContext<'_>, k: &Known) -> Vec<Value> {
+pub(crate) fn allocations(host: &ExtensionContext<'_>, k: &RegisteredJob) -> Vec<Value> {
     let h = &k.head;
     let mut out = Vec::new();
     for g in &h.groups {
@@ -193,12 +193,19 @@
     out
 }
 
-fn tasks(host: &ExtensionContext<'_>, k: &Known, group: &str, id: u64, j: &Job, out: &mut Vec<Value>) {
+fn tasks(
+    host: &ExtensionContext<'_>,
+    k: &RegisteredJob,
+    group: &str,
+    id: u64,
+    j: &Job,
+    out: &mut Vec<Value>,
+) {
     let h = &k.head;
     let running = host.running.get(&JobId(id)).copied().unwrap_or(0);
     let open = j.tasks - j.done.below(j.tasks);
     let most = j.spec.as_ref().and_then(|s| s.attempts);
-    for i in 0..j.tasks.min(LISTED) {
+    for i in 0..j.tasks.min(MAX_LISTED_ALLOCATIONS) {
         let (desired, client) = match j.phase {
             Phase::Done => ("run", "complete"),
             Phase::Aborted if j.cause.is_some() => ("stop", "failed"),
@@ -220,7 +227,7 @@
 }
 
 /// A job's counts, wanted and there.
-pub(crate) fn scale_status(host: &ExtensionContext<'_>, k: &Known) -> Value {
+pub(crate) fn scale_status(host: &ExtensionContext<'_>, k: &RegisteredJob) -> Value {
     let mut groups = Map::new();
     for g in &k.head.groups {
         let c = counts(host, &k.head, g.job, g.count);
@@ -249,8 +256,8 @@
 /// What registering would do, and why some of it would have to wait.
 pub(crate) fn plan(
     host: &ExtensionContext<'_>,
-    known: Option<&Known>,
-    groups: &[Planned],
+    known: Option<&RegisteredJob>,
+    groups: &[PlannedGroup],
     diagnostics: &Diagnostics,
 ) -> Value {
     let (mut desired, mut failed) = (Map::new(), Map::new());
--- a/crates/nomad/src/service/watch.rs
+++ b/crates/nomad/src/service/watch.rs
@@ -14,7 +14,7 @@
 
 /// A query that waits for a change.
 #[derive(Debug)]
-pub(crate) struct Blocked {
+pub(crate) struct BlockedQuery {
     pub request: Request,
     pub scope: Scope,
     pub index: u64,
@@ -42,9 +42,9 @@
 }
 
 /// Events kept for readers that come back.
-const EVENTS_KEPT: usize = 1000;
+const MAX_BUFFERED_EVENTS: usize = 1000;
 /// An idle stream hears so often that it is alive.
-const BEAT: Micros = Micros::secs(10);
+const STREAM_KEEPALIVE_INTERVAL: Micros = Micros::secs(10);
 
 impl Service {
     /// The last revision at which something in a scope changed.
@@ -69,7 +69,7 @@
         let until = host.now + request.wait;
         let mut request = request.clone();
         request.waited = true;
-        self.waiting.push(Blocked { request, scope: scope.clone(), index, until });
+        self.waiting.push(BlockedQuery { request, scope: scope.clone(), index, until });
         true
     }
 
@@ -79,7 +79,7 @@
             return;
         }
         let waiting = std::mem::take(&mut self.waiting);
-        let (ready, still): (Vec<Blocked>, Vec<Blocked>) = waiting.into_iter().partition(|b| {
+        let (ready, still): (Vec<BlockedQuery>, Vec<BlockedQuery>) = waiting.into_iter().partition(|b| {
             host.now >= b.until || b.index < self.floor || self.changed_in(&b.scope) > b.index
         });
         self.waiting = still;
@@ -94,7 +94,7 @@
             self.wake(host);
         }
         for (id, s) in &mut self.streams {
-            if host.now.since(s.beat) >= BEAT {
+            if host.now.since(s.beat) >= STREAM_KEEPALIVE_INTERVAL {
                 s.beat = host.now;
                 self.out.push(ExtensionOutput::Chunk(*id, b"{}\n".to_vec()));
             }
@@ -121,7 +121,7 @@
             }
         }
         self.events.push_back(e);
-        if self.events.len() > EVENTS_KEPT {
+        if self.events.len() > MAX_BUFFERED_EVENTS {
             self.events.pop_front();
         }
     }
--- a/crates/nomad/src/table.rs
+++ b/crates/nomad/src/table.rs
@@ -5,7 +5,7 @@
 
 /// What becomes of a field.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Support {
     /// It does what the specification says, or what the text says instead.
     Served(&'static str),
     /// It does nothing, and a warning says why. A field's type is checked; a
@@ -23,15 +23,15 @@
     /// Text.
     Text,
     /// A whole number from 0.
-    Whole,
+    Integer,
     /// A number.
     Number,
     /// True or false.
     Bool,
     /// A length of time: `"1h30m"`, or whole nanoseconds.
-    Span,
+    Duration,
     /// A list of texts.
-    Texts,
+    TextList,
     /// A map of texts, as a block or an attribute.
     Map,
     /// Anything.
@@ -41,10 +41,10 @@
     /// Any number of blocks.
     Blocks,
     /// Any number of blocks with a name.
-    Named,
+    LabeledBlocks,
 }
 
-/// A row: path in files, name in the interface's JSON, shape, verdict.
+/// A row: path in files, name in the interface's JSON, shape, support.
 #[derive(Debug, Clone, Copy)]
 pub struct Row {
     /// As in files, `group.task.resources.cpu`; a leading `*` stands for each
@@ -54,26 +54,26 @@
     pub json: &'static str,
     /// Shape.
     pub shape: Shape,
-    /// Verdict.
-    pub verdict: Verdict,
+    /// Support.
+    pub support: Support,
 }
 
-use Shape::{Any, Block, Blocks, Bool, Map, Named, Number, Span, Text, Texts, Whole};
-use Verdict::{NoEffect, ReadOnly, Refused, Served};
+use Shape::{Any, Block, Blocks, Bool, Duration, Integer, LabeledBlocks, Map, Number, Text, TextList};
+use Support::{NoEffect, ReadOnly, Refused, Served};
 
-const fn row(path: &'static str, json: &'static str, shape: Shape, verdict: Verdict) -> Row {
-    Row { path, json, shape, verdict }
+const fn row(path: &'static str, json: &'static str, shape: Shape, support: Support) -> Row {
+    Row { path, json, shape, support }
 }
 
-const MESH: &str = "there is no service mesh";
-const VOLUME: &str = "there are no volumes: machines come and go with all that is on them";
+const SERVICE_MESH: &str = "there is no service mesh";
+const VOLUMES: &str = "there are no volumes: machines come and go with all that is on them";
 const SECRETS: &str = "there is no secret store to ask";
-const RUNNER: &str = "the worker starts the task by itself; this needs a helper on the machine";
+const TASK_SETUP: &str = "the worker starts the task by itself; this needs a helper on the machine";
 const NETWORK: &str = "workers give tasks no networks or ports of their own";
-const FIND: &str = "there is no service registry to enter it into";
-const WHOLE: &str = "a new version replaces the old one as a whole";
-const ACROSS: &str = "a job runs at one site";
-const DEVICE: &str = "the machine types don't tell of devices";
+const SERVICE_DISCOVERY: &str = "there is no service registry to enter it into";
+const NO_ROLLING_UPDATE: &str = "a new version replaces the old one as a whole";
+const MULTI_REGION: &str = "a job runs at one site";
+const DEVICES: &str = "the machine types don't tell of devices";
 
 /// All stanzas and fields.
 pub const ROWS: &[Row] = &[
@@ -91,20 +91,20 @@
     row(
         "priority",
         "Priority",
-        Whole,
+        Integer,
         Served("1 to 100, 50 if not set: within the class's rank only, never above it"),
     ),
     row(
         "datacenters",
         "Datacenters",
-        Texts,
+        TextList,
         Served("zones, `*` for any part of a name; every zone if not set"),
     ),
     row("node_pool", "NodePool", Text, Served("`default` or `all`; there are no other pools")),
     row("all_at_once", "AllAtOnce", Bool, NoEffect("tasks are started as machines have room")),
     row("meta", "Meta", Map, Served("kept with the job, checked against `meta_required` at dispatch")),
     row("vault_token", "VaultToken", Text, Refused(SECRETS)),
-    row("consul_token", "ConsulToken", Text, Refused(FIND)),
+    row("consul_token", "ConsulToken", Text, Refused(SERVICE_DISCOVERY)),
     row("constraint", "Constraints", Blocks, Served("narrows machine types and zones at registration")),
     row("affinity", "Affinities", Blocks, Served("machines that match come first where there is a choice")),
     row(
@@ -116,7 +116,7 @@
     row("periodic", "Periodic", Block, Served("launches by cron, each exactly once")),
     row("periodic.enabled", "Enabled", Bool, Served("true if not set")),
     row("periodic.cron", "Spec", Text, Served("five fields, or a name such as `@daily`")),
-    row("periodic.crons", "Specs", Texts, Served("several of them; the earliest counts")),
+    row("periodic.crons", "Specs", TextList, Served("several of them; the earliest counts")),
     row("periodic.spec_type", "SpecType", Text, Served("`cron`")),
     row("periodic.prohibit_overlap", "ProhibitOverlap", Bool, Served("no launch while an earlier one runs")),
     row("periodic.time_zone", "TimeZone", Text, Served("a name of the time zone database, UTC if not set")),
@@ -127,10 +127,10 @@
         Text,
         Served("`optional` (the default), `required` or `forbidden`"),
     ),
-    row("parameterized.meta_required", "MetaRequired", Texts, Served("keys that a dispatch must give")),
-    row("parameterized.meta_optional", "MetaOptional", Texts, Served("keys that it may give")),
-    row("update", "Update", Block, NoEffect(WHOLE)),
-    row("multiregion", "Multiregion", Block, Refused(ACROSS)),
+    row("parameterized.meta_required", "MetaRequired", TextList, Served("keys that a dispatch must give")),
+    row("parameterized.meta_optional", "MetaOptional", TextList, Served("keys that it may give")),
+    row("update", "Update", Block, NoEffect(NO_ROLLING_UPDATE)),
+    row("multiregion", "Multiregion", Block, Refused(MULTI_REGION)),
     row(
         "migrate",
         "Migrate",
@@ -149,19 +149,19 @@
     row("status", "Status", Text, ReadOnly),
     row("status_description", "StatusDescription", Text, ReadOnly),
     row("stable", "Stable", Bool, ReadOnly),
-    row("version", "Version", Whole, ReadOnly),
+    row("version", "Version", Integer, ReadOnly),
     row("version_tag", "VersionTag", Any, ReadOnly),
     row("submit_time", "SubmitTime", Number, ReadOnly),
-    row("create_index", "CreateIndex", Whole, ReadOnly),
-    row("modify_index", "ModifyIndex", Whole, ReadOnly),
-    row("job_modify_index", "JobModifyIndex", Whole, ReadOnly),
+    row("create_index", "CreateIndex", Integer, ReadOnly),
+    row("modify_index", "ModifyIndex", Integer, ReadOnly),
+    row("job_modify_index", "JobModifyIndex", Integer, ReadOnly),
     row("nomad_token_id", "NomadTokenID", Text, ReadOnly),
     row("consul_namespace", "ConsulNamespace", Text, ReadOnly),
     row("vault_namespace", "VaultNamespace", Text, ReadOnly),
     // Group.
-    row("group", "TaskGroups", Named, Served("each becomes one array or service")),
+    row("group", "TaskGroups", LabeledBlocks, Served("each becomes one array or service")),
     row("group.name", "Name", Text, Served("in JSON; the label in files")),
-    row("group.count", "Count", Whole, Served("1 if not set; the class bounds the sum over all groups")),
+    row("group.count", "Count", Integer, Served("1 if not set; the class bounds the sum over all groups")),
     row("group.meta", "Meta", Map, Served("kept with the job")),
     row("group.constraint", "Constraints", Blocks, Served("with the job's")),
     row("group.affinity", "Affinities", Blocks, Served("with the job's")),
@@ -174,10 +174,10 @@
         Served("times that it moves on to another machine after that"),
     ),
     row("group.ephemeral_disk", "EphemeralDisk", Block, Served("its size")),
-    row("group.ephemeral_disk.size", "SizeMB", Whole, Served("in MB; the class bounds it")),
+    row("group.ephemeral_disk.size", "SizeMB", Integer, Served("in MB; the class bounds it")),
     row("group.ephemeral_disk.migrate", "Migrate", Bool, Refused("data on a machine goes with the machine")),
     row("group.ephemeral_disk.sticky", "Sticky", Bool, NoEffect("a task moves wherever there is room")),
-    row("group.update", "Update", Block, NoEffect(WHOLE)),
+    row("group.update", "Update", Block, NoEffect(NO_ROLLING_UPDATE)),
     row(
         "group.migrate",
         "Migrate",
@@ -185,9 +185,9 @@
         NoEffect("a machine that is drained has its tasks started elsewhere at once"),
     ),
     row("group.network", "Networks", Blocks, Refused(NETWORK)),
-    row("group.service", "Services", Blocks, Refused(FIND)),
-    row("group.volume", "Volumes", Named, Refused(VOLUME)),
-    row("group.consul", "Consul", Block, Refused(FIND)),
+    row("group.service", "Services", Blocks, Refused(SERVICE_DISCOVERY)),
+    row("group.volume", "Volumes", LabeledBlocks, Refused(VOLUMES)),
+    row("group.consul", "Consul", Block, Refused(SERVICE_DISCOVERY)),
     row("group.vault", "Vault", Block, Refused(SECRETS)),
     row("group.scaling", "Scaling", Block, NoEffect("there is no autoscaler; `scale` is served")),
     row(
@@ -199,19 +199,19 @@
     row(
         "group.shutdown_delay",
         "ShutdownDelay",
-        Span,
+        Duration,
         NoEffect("no service registry has to forget the task first"),
     ),
     row(
         "group.stop_after_client_disconnect",
         "StopAfterClientDisconnect",
-        Span,
+        Duration,
         Refused("the worker's lease decides that"),
     ),
     row(
         "group.max_client_disconnect",
         "MaxClientDisconnect",
-        Span,
+        Duration,
         Refused("the worker's lease decides that"),
     ),
     row(
@@ -222,7 +222,7 @@
     ),
     row("group.gang", "Gang", Block, Refused("tasks of a group start one by one")),
     // Task.
-    row("group.task", "Tasks", Named, Served("one a group")),
+    row("group.task", "Tasks", LabeledBlocks, Served("one a group")),
     row("group.task.name", "Name", Text, Served("in JSON; the label in files")),
     row(
         "group.task.driver",
@@ -243,14 +243,14 @@
     row(
         "group.task.kill_timeout",
         "KillTimeout",
-        Span,
+        Duration,
         Served("time to end when it is stopped, 5 s if not set"),
     ),
     row("group.task.kill_signal", "KillSignal", Text, NoEffect("the worker's own signal ends the task")),
     row(
         "group.task.shutdown_delay",
         "ShutdownDelay",
-        Span,
+        Duration,
         NoEffect("no service registry has to forget the task first"),
     ),
     row("group.task.constraint", "Constraints", Blocks, Served("with the group's")),
@@ -260,39 +260,44 @@
     row(
         "group.task.resources.cpu",
         "CPU",
-        Whole,
+        Integer,
         Served("in MHz; `mhz_per_cpu` of the operators' file turns it into CPUs; 100 if not set"),
     ),
-    row("group.task.resources.cores", "Cores", Whole, Served("whole CPUs, in place of `cpu`")),
-    row("group.task.resources.memory", "MemoryMB", Whole, Served("in MiB; 300 if not set")),
-    row("group.task.resources.memory_max", "MemoryMaxMB", Whole, NoEffect("a task has what `memory` says")),
-    row("group.task.resources.disk", "DiskMB", Whole, NoEffect("`ephemeral_disk` counts")),
-    row("group.task.resources.iops", "IOPS", Whole, NoEffect("it is no longer part of the specification")),
-    row("group.task.resources.device", "Devices", Blocks, Refused(DEVICE)),
+    row("group.task.resources.cores", "Cores", Integer, Served("whole CPUs, in place of `cpu`")),
+    row("group.task.resources.memory", "MemoryMB", Integer, Served("in MiB; 300 if not set")),
+    row("group.task.resources.memory_max", "MemoryMaxMB", Integer, NoEffect("a task has what `memory` says")),
+    row("group.task.resources.disk", "DiskMB", Integer, NoEffect("`ephemeral_disk` counts")),
+    row("group.task.resources.iops", "IOPS", Integer, NoEffect("it is no longer part of the specification")),
+    row("group.task.resources.device", "Devices", Blocks, Refused(DEVICES)),
     row("group.task.resources.network", "Networks", Blocks, Refused(NETWORK)),
-    row("group.task.resources.numa", "NUMA", Block, Refused(DEVICE)),
-    row("group.task.resources.secrets", "SecretsMB", Whole, Refused(SECRETS)),
-    row("group.task.resources.custom", "Custom", Blocks, Refused(DEVICE)),
+    row("group.task.resources.numa", "NUMA", Block, Refused(DEVICES)),
+    row("group.task.resources.secrets", "SecretsMB", Integer, Refused(SECRETS)),
+    row("group.task.resources.custom", "Custom", Blocks, Refused(DEVICES)),
     row("group.task.logs", "LogConfig", Block, NoEffect("logs are kept as the worker is set to")),
-    row("group.task.artifact", "Artifacts", Blocks, Refused(RUNNER)),
-    row("group.task.template", "Templates", Blocks, Refused(RUNNER)),
-    row("group.task.dispatch_payload", "DispatchPayload", Block, Refused(RUNNER)),
+    row("group.task.artifact", "Artifacts", Blocks, Refused(TASK_SETUP)),
+    row("group.task.template", "Templates", Blocks, Refused(TASK_SETUP)),
+    row("group.task.dispatch_payload", "DispatchPayload", Block, Refused(TASK_SETUP)),
     row(
         "group.task.lifecycle",
         "Lifecycle",
         Block,
         Refused("a group has one task, which starts and ends by itself"),
     ),
-    row("group.task.service", "Services", Blocks, Refused(FIND)),
-    row("group.task.volume_mount", "VolumeMounts", Blocks, Refused(VOLUME)),
-    row("group.task.csi_plugin", "CSIPluginConfig", Block, Refused(VOLUME)),
+    row("group.task.service", "Services", Blocks, Refused(SERVICE_DISCOVERY)),
+    row("group.task.volume_mount", "VolumeMounts", Blocks, Refused(VOLUMES)),
+    row("group.task.csi_plugin", "CSIPluginConfig", Block, Refused(VOLUMES)),
     row("group.task.vault", "Vault", Block, Refused(SECRETS)),
-    row("group.task.consul", "Consul", Block, Refused(FIND)),
+    row("group.task.consul", "Consul", Block, Refused(SERVICE_DISCOVERY)),
     row("group.task.identity", "Identities", Blocks, Refused(SECRETS)),
-    row("group.task.secret", "Secrets", Named, Refused(SECRETS)),
-    row("group.task.action", "Actions", Named, Refused("nothing can be run inside a task from outside")),
+    row("group.task.secret", "Secrets", LabeledBlocks, Refused(SECRETS)),
+    row(
+        "group.task.action",
+        "Actions",
+        LabeledBlocks,
+        Refused("nothing can be run inside a task from outside"),
+    ),
     row("group.task.schedule", "Schedule", Block, Refused("a task runs from its start to its end")),
-    row("group.task.kind", "Kind", Text, Refused(MESH)),
+    row("group.task.kind", "Kind", Text, Refused(SERVICE_MESH)),
     row("group.task.scaling", "ScalingPolicies", Blocks, NoEffect("there is no autoscaler")),
     // Stanzas that are in several places.
     row(
@@ -341,37 +346,42 @@
     row("*affinity.semver", "Semver", Text, Refused("the machine types tell of no versions")),
     row("*affinity.weight", "Weight", Number, Served("-100 to 100 without 0, 50 if not set")),
     row("*spread.attribute", "Attribute", Text, Served("`${node.datacenter}`; others are refused")),
-    row("*spread.weight", "Weight", Whole, Served("0 to 100; 0 switches it off")),
+    row("*spread.weight", "Weight", Integer, Served("0 to 100; 0 switches it off")),
     row(
         "*spread.target",
         "SpreadTarget",
-        Named,
+        LabeledBlocks,
         Refused("zones share evenly; shares of their own are not kept"),
     ),
     row("*spread.target.value", "Value", Text, ReadOnly),
-    row("*spread.target.percent", "Percent", Whole, ReadOnly),
+    row("*spread.target.percent", "Percent", Integer, ReadOnly),
     row(
         "*restart.attempts",
         "Attempts",
-        Whole,
+        Integer,
         Served("3 for batch and 2 for service if not set; the class bounds it"),
     ),
-    row("*restart.interval", "Interval", Span, NoEffect("attempts count over the task's whole life")),
-    row("*restart.delay", "Delay", Span, NoEffect("a task that fails waits longer each time, from 0.2 s on")),
+    row("*restart.interval", "Interval", Duration, NoEffect("attempts count over the task's whole life")),
+    row(
+        "*restart.delay",
+        "Delay",
+        Duration,
+        NoEffect("a task that fails waits longer each time, from 0.2 s on"),
+    ),
     row("*restart.mode", "Mode", Text, Served("`fail`, or `delay`: no end of attempts")),
     row("*restart.render_templates", "RenderTemplates", Bool, NoEffect("there are no templates")),
-    row("*reschedule.attempts", "Attempts", Whole, Served("1 for batch if not set; the class bounds it")),
+    row("*reschedule.attempts", "Attempts", Integer, Served("1 for batch if not set; the class bounds it")),
     row(
         "*reschedule.unlimited",
         "Unlimited",
         Bool,
         Served("no end of attempts; true for services if not set"),
     ),
-    row("*reschedule.interval", "Interval", Span, NoEffect("attempts count over the task's whole life")),
+    row("*reschedule.interval", "Interval", Duration, NoEffect("attempts count over the task's whole life")),
     row(
         "*reschedule.delay",
         "Delay",
-        Span,
+        Duration,
         NoEffect("a task that fails waits longer each time, from 0.2 s on"),
     ),
     row(
@@ -383,7 +393,7 @@
     row(
         "*reschedule.max_delay",
         "MaxDelay",
-        Span,
+        Duration,
         NoEffect("a task that fails waits longer each time, at most 64 s"),
     ),
 ];
@@ -406,8 +416,8 @@
         .find(|s| parent == *s || parent.ends_with(&format!(".{s}")));
     let parent = parent.to_owned();
     ROWS.iter().filter(move |r| match (r.path.strip_prefix('*'), shared) {
-        (Some(p), Some(s)) => upper(p) == s,
-        (None, None) => upper(r.path) == parent,
+        (Some(p), Some(s)) => parent_path(p) == s,
+        (None, None) => parent_path(r.path) == parent,
         _ => false,
     })
 }
@@ -418,7 +428,7 @@
     path.rsplit_once('.').map_or(path, |x| x.1)
 }
 
-fn upper(path: &str) -> &str {
+fn parent_path(path: &str) -> &str {
     path.rsplit_once('.').map_or("", |x| x.0)
 }
 
@@ -427,8 +437,8 @@
     let mut out = String::from(
         "| stanza or field | in JSON | verdict | what that means |\n| --- | --- | --- | --- |\n",
     );
-    for r in ROWS.iter().filter(|r| r.verdict != ReadOnly) {
-        let (verdict, text) = match r.verdict {
+    for r in ROWS.iter().filter(|r| r.support != ReadOnly) {
+        let (support, text) = match r.support {
             Served(t) => ("served", t),
             NoEffect(t) => ("without effect", t),
             Refused(t) => ("refused", t),
@@ -438,7 +448,7 @@
             Some(p) => format!("… {}", p.replace('.', " ")),
             None => r.path.replace('.', " "),
         };
-        let _ = writeln!(out, "| `{path}` | `{}` | {verdict} | {text} |", r.json);
+        let _ = writeln!(out, "| `{path}` | `{}` | {support} | {text} |", r.json);
     }
     out
 }
@@ -451,11 +461,11 @@
     fn rows_are_unique_and_have_a_stanza_to_be_in() {
         for (i, r) in ROWS.iter().enumerate() {
             assert!(!ROWS[..i].iter().any(|x| x.path == r.path), "{} stands twice", r.path);
-            let up = upper(r.path.strip_prefix('*').unwrap_or(r.path));
+            let up = parent_path(r.path.strip_prefix('*').unwrap_or(r.path));
             let known = up.is_empty()
                 || ROWS.iter().any(|x| {
                     let same = x.path.strip_prefix('*').unwrap_or(x.path) == up || last(x.path) == up;
-                    same && matches!(x.shape, Block | Blocks | Named)
+                    same && matches!(x.shape, Block | Blocks | LabeledBlocks)
                 });
             assert!(known, "{} is in no stanza", r.path);
         }
--- a/crates/nomad/src/translate.rs
+++ b/crates/nomad/src/translate.rs
@@ -14,7 +14,7 @@
 
 /// A machine type in a zone, as constraints see it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct MachineKind {
+pub struct MachineType {
     /// Type.
     pub name: String,
     /// Zone.
@@ -29,7 +29,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Site {
     /// Machine types in their zones; none if they are not known here.
-    pub machines: Vec<MachineKind>,
+    pub machines: Vec<MachineType>,
     /// Teams; empty if they are not known here.
     pub teams: Vec<String>,
 }
@@ -37,7 +37,7 @@
 impl Site {
     /// The site as the operators' file describes it; its teams are not known.
     pub fn from_settings(settings: &Nomad) -> Self {
-        let kind = |m: &NomadMachine| MachineKind {
+        let kind = |m: &NomadMachine| MachineType {
             name: m.name.clone(),
             zone: m.zone.clone(),
             cpus: m.cpus,
@@ -49,7 +49,7 @@
 
 /// A group as a native job; its id is given when it is recorded.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Planned {
+pub struct PlannedGroup {
     /// Group.
     pub group: String,
     /// Description.
@@ -73,7 +73,12 @@
 }
 
 /// Translates a job; what can't be served is among the diagnostics.
-pub fn translate(job: &Job, settings: &Nomad, site: &Site, diagnostics: &mut Diagnostics) -> Vec<Planned> {
+pub fn translate(
+    job: &Job,
+    settings: &Nomad,
+    site: &Site,
+    diagnostics: &mut Diagnostics,
+) -> Vec<PlannedGroup> {
     if let Some((r, at)) = &job.region
         && r != "global"
         && *r != settings.region
@@ -134,7 +139,7 @@
     settings: &Nomad,
     site: &Site,
     diagnostics: &mut Diagnostics,
-) -> Option<Planned> {
+) -> Option<PlannedGroup> {
     let task = &g.task;
     let task_path = format!("{}.task.{}", g.path, task.name);
     let res_path = format!("{task_path}.resources");
@@ -165,7 +170,7 @@
     let allowed = allowed(job, g, &constraints, settings, site, diagnostics)?;
     let need = Resources::need(cpus, 0.0, memory_gb);
     if !allowed.kinds.is_empty() {
-        let fits = |k: &&MachineKind| Resources::have(k.cpus, 0.0, k.memory_gb).fits(&need);
+        let fits = |k: &&MachineType| Resources::have(k.cpus, 0.0, k.memory_gb).fits(&need);
         if !allowed.kinds.iter().any(fits) {
             let most = allowed
                 .kinds
@@ -219,7 +224,7 @@
         after: Vec::new(),
         dependencies: Vec::new(),
     };
-    Some(Planned { group: g.name.clone(), spec })
+    Some(PlannedGroup { group: g.name.clone(), spec })
 }
 
 /// Attempts that a task of the group has before its job has failed.
@@ -253,8 +258,8 @@
     }
 }
 
-struct Allowed<'a> {
-    kinds: Vec<&'a MachineKind>,
+struct EligibleMachines<'a> {
+    kinds: Vec<&'a MachineType>,
     types: Option<Vec<String>>,
     zones: Option<Vec<String>>,
     spot: bool,
@@ -269,7 +274,7 @@
     settings: &Nomad,
     site: &'a Site,
     diagnostics: &mut Diagnostics,
-) -> Option<Allowed<'a>> {
+) -> Option<EligibleMachines<'a>> {
     let all_types: BTreeSet<&str> = site.machines.iter().map(|k| k.name.as_str()).collect();
     let all_zones: BTreeSet<&str> = site.machines.iter().map(|k| k.zone.as_str()).collect();
     let mut types = all_types.clone();
@@ -310,11 +315,11 @@
                     good = false;
                     continue;
                 }
-                let holds = |k: &MachineKind| {
+                let holds = |k: &MachineType| {
                     let v = value(p, k, settings);
                     compare(c, &[&v]).unwrap_or(false)
                 };
-                let of = |f: &dyn Fn(&MachineKind) -> &str| -> BTreeSet<String> {
+                let of = |f: &dyn Fn(&MachineType) -> &str| -> BTreeSet<String> {
                     site.machines.iter().filter(|k| holds(k)).map(|k| f(k).to_owned()).collect()
                 };
                 let all = match p {
@@ -322,8 +327,8 @@
                     Property::Region => {
                         ["global", &settings.region].iter().any(|r| compare(c, &[r]).unwrap_or(false))
                     }
-                    Property::Zone => narrow(&mut zones, &of(&|k| &k.zone)),
-                    _ => narrow(&mut types, &of(&|k| &k.name)),
+                    Property::Zone => retain_if_any(&mut zones, &of(&|k| &k.zone)),
+                    _ => retain_if_any(&mut types, &of(&|k| &k.name)),
                 };
                 if !all && !site.machines.is_empty() {
                     let text = format!(
@@ -344,7 +349,7 @@
     if !good {
         return None;
     }
-    let kinds: Vec<&MachineKind> = site
+    let kinds: Vec<&MachineType> = site
         .machines
         .iter()
         .filter(|k| types.contains(k.name.as_str()) && zones.contains(k.zone.as_str()))
@@ -354,7 +359,7 @@
         return None;
     }
     let owned = |s: &BTreeSet<&str>| s.iter().map(|x| (*x).to_owned()).collect::<Vec<_>>();
-    Some(Allowed {
+    Some(EligibleMachines {
         kinds,
         types: (types != all_types).then(|| owned(&types)),
         zones: (zones != all_zones).then(|| owned(&zones)),
@@ -364,7 +369,7 @@
 
 /// Keeps of a set what is in another; false, and nothing is taken away, if that
 /// is nothing: the constraints after it are judged by what was there.
-fn narrow(set: &mut BTreeSet<&str>, to: &BTreeSet<String>) -> bool {
+fn retain_if_any(set: &mut BTreeSet<&str>, to: &BTreeSet<String>) -> bool {
     let left: BTreeSet<&str> = set.iter().copied().filter(|x| to.contains(*x)).collect();
     if left.is_empty() {
         return false;
@@ -409,7 +414,7 @@
     )
 }
 
-fn value(p: Property, k: &MachineKind, settings: &Nomad) -> String {
+fn value(p: Property, k: &MachineType, settings: &Nomad) -> String {
     match p {
         Property::Zone => k.zone.clone(),
         Property::Type => k.name.clone(),
@@ -456,7 +461,12 @@
 }
 
 /// What affinities say of the kinds that are left.
-fn preferences(g: &Group, kinds: &[&MachineKind], settings: &Nomad, diagnostics: &mut Diagnostics) -> Vec<Preference> {
+fn preferences(
+    g: &Group,
+    kinds: &[&MachineType],
+    settings: &Nomad,
+    diagnostics: &mut Diagnostics,
+) -> Vec<Preference> {
     let mut sums: BTreeMap<(&str, &str), i32> = BTreeMap::new();
     for (m, weight) in &g.affinities {
         let Some(p) = property(&m.attribute) else {
--- a/crates/nomad/src/tree.rs
+++ b/crates/nomad/src/tree.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 
 /// Longest file taken, in bytes.
-pub const MAX_FILE: usize = 512 * 1024;
+pub const MAX_FILE_BYTES: usize = 512 * 1024;
 /// Deepest nesting of blocks, lists and maps.
 pub const MAX_DEPTH: usize = 64;
 
--- a/crates/nomad/tests/record_compatibility.rs
+++ b/crates/nomad/tests/record_compatibility.rs
@@ -2,7 +2,7 @@
 //! them: read, and written just so. A literal here is never changed together with
 //! the code.
 use gorseshore_nomad::service::records::{
-    Content, Earlier, GroupHead, JobRecord, JobKey, ParamHead, PeriodicHead, names,
+    Content, GroupRecord, JobKey, JobRecord, ParameterizedRecord, PeriodicRecord, PreviousVersion, names,
 };
 use production::Record;
 use serde_json::{Value, json};
@@ -59,21 +59,21 @@
         purge: true,
         class: "night".into(),
         datacenters: vec!["east".into()],
-        groups: vec![GroupHead { name: "api".into(), job: 1_000_000_000_000_000_007, count: 4 }],
+        groups: vec![GroupRecord { name: "api".into(), job: 1_000_000_000_000_000_007, count: 4 }],
         superseded_jobs: vec![1_000_000_000_000_000_006],
-        periodic: Some(PeriodicHead {
+        periodic: Some(PeriodicRecord {
             crons: vec!["0 3 * * *".into()],
             time_zone: "UTC".into(),
             prohibit_overlap: true,
             enabled: false,
         }),
-        param: Some(ParamHead {
+        param: Some(ParameterizedRecord {
             payload: "required".into(),
             required: vec!["a".into()],
             optional: vec!["b".into()],
         }),
         parent: Some("night".into()),
-        earlier: vec![Earlier { version: 2, nonce: "beef".into(), at: 4 }],
+        earlier: vec![PreviousVersion { version: 2, nonce: "beef".into(), at: 4 }],
         ..least.clone()
     };
     [(LEAST, least), (MOST, most)]
--- a/crates/nomad/tests/samples.rs
+++ b/crates/nomad/tests/samples.rs
@@ -1,5 +1,5 @@
 //! The project's own job files, and the table of the specification, walked.
-use gorseshore_nomad::table::{ROWS, Row, Shape, Verdict, last, markdown};
+use gorseshore_nomad::table::{ROWS, Row, Shape, Support, last, markdown};
 use gorseshore_nomad::translate::{Site, rank};
 use gorseshore_nomad::tree::Severity;
 use gorseshore_nomad::{Inputs, ValidationReport, validate};
@@ -18,7 +18,7 @@
     Site { teams: vec!["default".into()], ..Site::from_settings(n) }
 }
 
-fn judged(source: &str, inputs: &Inputs) -> ValidationReport {
+fn validated(source: &str, inputs: &Inputs) -> ValidationReport {
     let n = settings();
     validate(source, inputs, &n, &site(&n))
 }
@@ -63,7 +63,7 @@
         ("16-low.nomad.hcl", "batch", &[("sweep", 2, 100, Rank::Low, Some(8))]),
     ];
     for (file, class, groups) in cases {
-        let j = judged(&sample(file), &Inputs::default());
+        let j = validated(&sample(file), &Inputs::default());
         assert!(j.accepted() && j.exit_code() == 0, "{file}: {:?}", j.diagnostics.list);
         assert_eq!(j.class.as_deref(), Some(class), "{file}");
         let got: Vec<Group> = j
@@ -74,20 +74,20 @@
             .collect();
         assert_eq!(got, groups, "{file}");
     }
-    let j = judged(&sample("06-constraints.nomad.hcl"), &Inputs::default());
+    let j = validated(&sample("06-constraints.nomad.hcl"), &Inputs::default());
     let s = &j.groups[0].spec;
     assert_eq!((s.types.as_deref(), s.zones.as_deref()), (Some(&["big".to_owned()][..]), None));
     assert!(s.dislike("big", "west") < s.dislike("big", "east"));
-    let j = judged(&sample("02-batch.nomad.hcl"), &Inputs::default());
+    let j = validated(&sample("02-batch.nomad.hcl"), &Inputs::default());
     let s = &j.groups[0].spec;
     assert_eq!((s.kind, s.need.mem, s.save_s, s.spot), (Kind::Array, 5300, 12.0, true));
-    assert!(judged(&sample("03-variables.nomad.hcl"), &Inputs::default()).groups[0].spec.spread);
-    let meta = judged(&sample("14-expressions.nomad.hcl"), &Inputs::default()).job.unwrap().meta;
+    assert!(validated(&sample("03-variables.nomad.hcl"), &Inputs::default()).groups[0].spec.spread);
+    let meta = validated(&sample("14-expressions.nomad.hcl"), &Inputs::default()).job.unwrap().meta;
     let want = [("list", "[\"a\",\"b\"]"), ("net", "10.7.0.5"), ("parts", "B=2"), ("safe", "none")];
     for (k, v) in want {
         assert_eq!(meta[k], v, "{k}");
     }
-    let report = judged(&sample("05-heredoc.nomad.hcl"), &Inputs::default()).job.unwrap();
+    let report = validated(&sample("05-heredoc.nomad.hcl"), &Inputs::default()).job.unwrap();
     let script = report.groups[0].task.config.json()["args"][1].as_str().unwrap().to_owned();
     let want = "set -e\necho \"stock of ${NOMAD_ALLOC_ID}\"\nreport --shop howrah\nreport --shop saltlake\n";
     assert_eq!(script, want);
@@ -101,9 +101,9 @@
     let mut seen = 0;
     for f in std::fs::read_dir(dir).unwrap() {
         let name = f.unwrap().file_name().into_string().unwrap();
-        let first = judged(&sample(&name), &Inputs::default());
+        let first = validated(&sample(&name), &Inputs::default());
         let Some(job) = first.job.as_ref().filter(|_| first.accepted()) else { continue };
-        let second = judged(&json!({ "Job": api_job(job) }).to_string(), &Inputs::default());
+        let second = validated(&json!({ "Job": api_job(job) }).to_string(), &Inputs::default());
         assert!(second.accepted(), "{name}: {:?}", second.diagnostics.list);
         assert_eq!(second.groups, first.groups, "{name}");
         let other = second.job.unwrap();
@@ -228,7 +228,7 @@
         ("30-broken.json", 2, &[(1, 36, "", "not JSON")]),
     ];
     for (file, code, want) in cases {
-        let j = judged(&sample(file), &Inputs::default());
+        let j = validated(&sample(file), &Inputs::default());
         assert_eq!((j.exit_code(), j.accepted()), (code, false), "{file}: {:?}", j.diagnostics.list);
         for (line, column, path, words) in want {
             let found = j.diagnostics.list.iter().any(|f| {
@@ -263,12 +263,16 @@
         (&[], &["count = "], 0, "f.hcl:1"),
     ];
     for (vars, files, count, words) in cases {
-        let j = judged(&source, &inputs(vars, files));
+        let j = validated(&source, &inputs(vars, files));
         if words.is_empty() {
             assert_eq!(j.groups.first().map(|g| g.spec.tasks), Some(count), "{:?}", j.diagnostics.list);
         } else {
             assert!(j.exit_code() == 2, "{vars:?} {files:?}");
-            assert!(j.diagnostics.list.iter().any(|f| f.text.contains(words)), "{words}: {:?}", j.diagnostics.list);
+            assert!(
+                j.diagnostics.list.iter().any(|f| f.text.contains(words)),
+                "{words}: {:?}",
+                j.diagnostics.list
+            );
         }
     }
 }
@@ -317,13 +321,13 @@
     }
     match row.shape {
         Shape::Text => text("x"),
-        Shape::Whole | Shape::Number => Some(("1".into(), json!(1))),
+        Shape::Integer | Shape::Number => Some(("1".into(), json!(1))),
         Shape::Bool => Some(("true".into(), json!(true))),
-        Shape::Span => Some(("\"3s\"".into(), json!(3_000_000_000u64))),
-        Shape::Texts => Some(("[\"x\"]".into(), json!(["x"]))),
+        Shape::Duration => Some(("\"3s\"".into(), json!(3_000_000_000u64))),
+        Shape::TextList => Some(("[\"x\"]".into(), json!(["x"]))),
         Shape::Map => Some(("{ a = \"b\" }".into(), json!({"a": "b"}))),
         Shape::Any => Some(("{ a = 1 }".into(), json!({"a": 1}))),
-        Shape::Block | Shape::Blocks | Shape::Named => None,
+        Shape::Block | Shape::Blocks | Shape::LabeledBlocks => None,
     }
 }
 
@@ -338,16 +342,16 @@
     let (inner, field) = (&stanza[..stanza.len() - 1], stanza[stanza.len() - 1]);
     let mut hcl = match (value(row), row.shape) {
         (Some((v, _)), _) => format!("{field} = {v}\n"),
-        (None, Shape::Named) => format!("{field} \"n\" {{\n}}\n"),
+        (None, Shape::LabeledBlocks) => format!("{field} \"n\" {{\n}}\n"),
         (None, _) => format!("{field} {{\n}}\n"),
     };
     let mut json = match (value(row), row.shape) {
         (Some((_, v)), _) => json!({ row.json: v }),
-        (None, Shape::Named) => json!({ row.json: [{"Name": "n"}] }),
+        (None, Shape::LabeledBlocks) => json!({ row.json: [{"Name": "n"}] }),
         // Content, so that it counts as set; a served stanza is looked into.
         (None, shape) => {
-            let inner = match row.verdict {
-                Verdict::Served(_) => json!({}),
+            let inner = match row.support {
+                Support::Served(_) => json!({}),
                 _ => json!({"Any": 1}),
             };
             json!({ row.json: if shape == Shape::Blocks { json!([inner]) } else { inner } })
@@ -405,9 +409,9 @@
             _ => {
                 hcl = format!(
                     "{name} {}{{\n{hcl}}}\n",
-                    if json_name.shape == Shape::Named { "\"n\" " } else { "" }
+                    if json_name.shape == Shape::LabeledBlocks { "\"n\" " } else { "" }
                 );
-                let many = matches!(json_name.shape, Shape::Blocks | Shape::Named);
+                let many = matches!(json_name.shape, Shape::Blocks | Shape::LabeledBlocks);
                 json = json!({ json_name.json: if many { json!([json]) } else { json } });
             }
         }
@@ -427,14 +431,14 @@
 /// Every row of the table, in both forms: what it says is what happens.
 #[test]
 fn every_row_of_the_table_holds() {
-    for row in ROWS.iter().filter(|r| r.verdict != Verdict::ReadOnly) {
+    for row in ROWS.iter().filter(|r| r.support != Support::ReadOnly) {
         // The group and the task are in every file; the name is the label.
         if matches!(row.path, "group.name" | "group.task.name" | "id") {
             continue;
         }
         let (hcl, json) = job_with(row);
         for source in [hcl, json.to_string()] {
-            let j = judged(&source, &Inputs::default());
+            let j = validated(&source, &Inputs::default());
             let field = last(row.path);
             let about: Vec<_> = j
                 .diagnostics
@@ -442,15 +446,15 @@
                 .iter()
                 .filter(|f| f.path.ends_with(field) || f.path.contains(&format!(".{field}.")))
                 .collect();
-            let ok = match row.verdict {
+            let ok = match row.support {
                 // Stanzas that need more than an empty block may say so.
-                Verdict::Served(_) => {
-                    let whole = !matches!(row.shape, Shape::Block | Shape::Blocks | Shape::Named);
+                Support::Served(_) => {
+                    let whole = !matches!(row.shape, Shape::Block | Shape::Blocks | Shape::LabeledBlocks);
                     let unknown = about.iter().any(|f| f.text.contains("not in the job specification"));
                     let refused = about.iter().any(|f| f.severity != Severity::Warning);
                     !unknown && !(whole && (refused || !j.accepted()))
                 }
-                Verdict::NoEffect(why) => {
+                Support::NoEffect(why) => {
                     j.accepted()
                         && about.iter().any(|f| {
                             f.severity == Severity::Warning
@@ -459,13 +463,13 @@
                                 && f.column > 0
                         })
                 }
-                Verdict::Refused(why) => {
+                Support::Refused(why) => {
                     !j.accepted()
                         && about.iter().any(|f| f.severity == Severity::Refused && f.text.contains(why))
                 }
-                Verdict::ReadOnly => true,
+                Support::ReadOnly => true,
             };
-            assert!(ok, "{} is {:?}, but: {:#?}\n{source}", row.path, row.verdict, j.diagnostics.list);
+            assert!(ok, "{} is {:?}, but: {:#?}\n{source}", row.path, row.support, j.diagnostics.list);
         }
     }
 }
@@ -592,7 +596,7 @@
     ];
     for (what, source, words) in cases {
         let began = std::time::Instant::now();
-        let j = judged(&source, &Inputs::default());
+        let j = validated(&source, &Inputs::default());
         assert!(!j.accepted(), "{what}");
         assert!(
             j.diagnostics.list.iter().any(|f| f.text.contains(words)),
@@ -609,7 +613,7 @@
     /// Nothing panics, whatever comes.
     #[test]
     fn any_text_is_judged(s in "\\PC{0,200}") {
-        judged(&s, &Inputs::default());
+        validated(&s, &Inputs::default());
     }
 
     /// Samples with pieces cut out, doubled and replaced: every fault has a place.
@@ -621,8 +625,8 @@
         let source = std::fs::read_to_string(&files[i % files.len()]).unwrap();
         let chars: Vec<char> = source.chars().collect();
         let (a, b) = (from.min(chars.len()), (from + len).min(chars.len()));
-        let torn: String = chars[..a].iter().chain(with.chars().collect::<Vec<_>>().iter()).chain(&chars[b..]).collect();
-        let j = judged(&torn, &Inputs::default());
+        let mutated: String = chars[..a].iter().chain(with.chars().collect::<Vec<_>>().iter()).chain(&chars[b..]).collect();
+        let j = validated(&mutated, &Inputs::default());
         for f in &j.diagnostics.list {
             prop_assert!(f.line >= 1 && f.column >= 1);
         }
@@ -632,6 +636,6 @@
     /// Expressions of every kind, well formed or not, end within their bounds.
     #[test]
     fn any_expression_ends(e in "(upper|range|join|format|merge|try|flatten|lookup|slice)\\((\\[1, 2\\]|\"a%d\"|\\{a = 1\\}|-1|null|var\\.x|[a-z0-9, ]{0,8})(, (\"x\"|2|\\[\\])){0,3}\\)") {
-        judged(&format!("job \"j\" {{\nmeta = {{ a = {e} }}\n}}"), &Inputs::default());
+        validated(&format!("job \"j\" {{\nmeta = {{ a = {e} }}\n}}"), &Inputs::default());
     }
 }
