--- a/crates/nomad/src/cron.rs
+++ b/crates/nomad/src/cron.rs
@@ -34,7 +34,7 @@
         let tab = cronexpr::parse_crontab_with(&format!("{spec} {zone}"), options)
             .map_err(|e| format!("\"{text}\" is not a cron expression: {}", last_line(&e.to_string())))?;
         let cron = Cron { tab };
-        if cron.after(0).is_none() {
+        if cron.next_after(0).is_none() {
             return Err(format!("\"{text}\" never comes"));
         }
         Ok(cron)
@@ -43,7 +43,7 @@
     /// The next launch after a time of day, both in milliseconds since 1970.
     /// An hour that happens twice launches once for each minute that matches
     /// on the clock of its first run; one that never happens is passed over.
-    pub fn after(&self, ms: u64) -> Option<u64> {
+    pub fn next_after(&self, ms: u64) -> Option<u64> {
         let mut from = Timestamp::from_millisecond(i64::try_from(ms).ok()?).ok()?;
         loop {
             let next = self.tab.find_next(cronexpr::MakeTimestamp(from)).ok()?;
@@ -64,7 +64,7 @@
 
 /// The earliest launch of several expressions after a time.
 pub fn next(crons: &[String], zone: &str, ms: u64) -> Option<u64> {
-    crons.iter().filter_map(|c| Cron::read(c, zone).ok()?.after(ms)).min()
+    crons.iter().filter_map(|c| Cron::read(c, zone).ok()?.next_after(ms)).min()
 }
 
 #[cfg(test)]
@@ -109,7 +109,7 @@
             let c = Cron::read(cron, zone).unwrap();
             let mut at = ms(after);
             for w in want {
-                at = c.after(at).unwrap();
+                at = c.next_after(at).unwrap();
                 assert_eq!(at, ms(w), "{cron} {zone} after {after}");
             }
         }
--- a/crates/nomad/src/eval.rs
+++ b/crates/nomad/src/eval.rs
@@ -35,7 +35,7 @@
     source: &'a str,
     names: BTreeMap<String, Datum>,
     steps: usize,
-    made: usize,
+    output_size: usize,
     /// Spaces that an indented heredoc loses at the start of each line, and
     /// whether the text at hand is in_directive one of its directives: the parser
     /// takes them off elsewhere only.
@@ -56,7 +56,7 @@
 impl<'a> Scope<'a> {
     /// An empty scope over the text of a file.
     pub fn new(source: &'a str) -> Self {
-        Scope { source, names: BTreeMap::new(), steps: 0, made: 0, indent: 0, in_directive: false }
+        Scope { source, names: BTreeMap::new(), steps: 0, output_size: 0, indent: 0, in_directive: false }
     }
 
     /// Gives a name a value; what it had before.
@@ -78,14 +78,14 @@
     }
 
     /// Counts a step and what it makes.
-    pub fn spend(&mut self, at: usize, made: usize) -> Result<()> {
+    pub fn count_work(&mut self, at: usize, made: usize) -> Result<()> {
         self.steps += 1;
-        self.made += made;
+        self.output_size += made;
         if self.steps > MAX_STEPS {
             let text = format!("the expressions take more than {MAX_STEPS} steps");
             return Err(EvalError { at, text, fatal: true });
         }
-        if self.made > MAX_OUTPUT_SIZE {
+        if self.output_size > MAX_OUTPUT_SIZE {
             let text = format!("the expressions make more than {} MiB", MAX_OUTPUT_SIZE >> 20);
             return Err(EvalError { at, text, fatal: true });
         }
@@ -94,14 +94,14 @@
 
     /// Copies a value, which counts.
     fn copy(&mut self, at: usize, v: &Datum) -> Result<Datum> {
-        self.spend(at, approximate_size(v))?;
+        self.count_work(at, approximate_size(v))?;
         Ok(v.clone())
     }
 
     /// The value of an expression.
     pub fn eval(&mut self, e: &Expression, or: usize) -> Result<Datum> {
         let at = place(e, or);
-        self.spend(at, 1)?;
+        self.count_work(at, 1)?;
         match e {
             Expression::Null(_) => Ok(Datum::Null),
             Expression::Bool(b) => Ok(Datum::Bool(**b)),
@@ -110,7 +110,7 @@
                 _ => fail(at, "the number is out of range"),
             },
             Expression::String(s) => {
-                self.spend(at, s.len())?;
+                self.count_work(at, s.len())?;
                 Ok(Datum::Text(s.to_string()))
             }
             Expression::Array(a) => {
@@ -201,7 +201,7 @@
                     return fail(at, format!("{name} can't work on {t}, which only the machine knows"));
                 }
                 let v = functions::call(name, &args, at).or_else(|text| fail(at, text))?;
-                self.spend(at, approximate_size(&v))?;
+                self.count_work(at, approximate_size(&v))?;
                 Ok(v)
             }
             Expression::Traversal(t) => self.traversal(t, at),
@@ -326,7 +326,7 @@
                     used += 1;
                 }
                 let found = at_name.cloned().unwrap_or(Datum::Null);
-                self.spend(at, approximate_size(&found))?;
+                self.count_work(at, approximate_size(&found))?;
                 return self.steps(found, &t.operators[used..], at);
             }
             e => self.eval(e, at)?,
@@ -342,7 +342,7 @@
         at: usize,
     ) -> Result<Datum> {
         for (i, op) in ops.iter().enumerate() {
-            self.spend(at, 1)?;
+            self.count_work(at, 1)?;
             d = match op.value() {
                 TraversalOperator::GetAttr(name) => get(&d, &Datum::Text(name.to_string()), at)?,
                 TraversalOperator::Index(e) => {
@@ -381,7 +381,7 @@
         for e in elements {
             match e {
                 Element::Literal(s) => {
-                    self.spend(at, s.len())?;
+                    self.count_work(at, s.len())?;
                     match self.in_directive && self.indent > 0 {
                         true => out.literal(&dedent(s, self.indent)),
                         false => out.literal(s),
@@ -396,7 +396,7 @@
                     let Some(text) = v.text() else {
                         return fail(at, format!("{} can't be put into text", v.kind()));
                     };
-                    self.spend(at, text.len())?;
+                    self.count_work(at, text.len())?;
                     out.value(&text, matches!(v, Datum::Runtime(_)));
                     out.strip_next = i.strip.strip_end();
                 }
--- a/crates/nomad/src/hcl.rs
+++ b/crates/nomad/src/hcl.rs
@@ -307,7 +307,7 @@
                     let labels = self.labels(b);
                     let mut path = format!("{path}.{name}");
                     labels.iter().for_each(|(l, _)| path.extend([".", l]));
-                    if let Err(e) = self.scope.spend(p, 64) {
+                    if let Err(e) = self.scope.count_work(p, 64) {
                         return {
                             self.fault(e, &path);
                             tree
@@ -360,7 +360,7 @@
                     _ => self.diagnostics.unreadable(n.at, &path, "labels must be a list"),
                 }
             }
-            if let Err(e) = self.scope.spend(p, 64) {
+            if let Err(e) = self.scope.count_work(p, 64) {
                 self.fault(e, &path);
             }
             let body = self.body(&content.body, p, &path);
--- a/crates/nomad/src/json.rs
+++ b/crates/nomad/src/json.rs
@@ -122,7 +122,7 @@
             tree.attrs.push(Attr { name: name.to_owned(), at, value });
             continue;
         };
-        let name = table::last(row.path);
+        let name = table::last_segment(row.path);
         if tree.attr(name).is_some() {
             diagnostics.unreadable(at, &format!("{path}.{name}"), "set twice");
             continue;
--- a/crates/nomad/src/lib.rs
+++ b/crates/nomad/src/lib.rs
@@ -81,7 +81,7 @@
     let mut class = None;
     let mut groups = Vec::new();
     if let Some(j) = &job {
-        class = translate::class(j, settings).map(|c| c.name.clone());
+        class = translate::find_class(j, settings).map(|c| c.name.clone());
         groups = translate::translate(j, settings, site, &mut diagnostics);
     }
     diagnostics.place(source);
--- a/crates/nomad/src/model.rs
+++ b/crates/nomad/src/model.rs
@@ -200,7 +200,7 @@
             Kind::Service
         }
     };
-    let priority = match r.whole(t, "priority", &path) {
+    let priority = match r.integer(t, "priority", &path) {
         None => 50,
         Some(p) if (1..=100).contains(&p) => p as u32,
         Some(p) => {
@@ -220,7 +220,7 @@
     let spread = r.spread(t, &path);
     let reschedule = t.block("reschedule");
     let mut groups = Vec::new();
-    for b in t.all("group") {
+    for b in t.blocks_named("group") {
         if groups.len() == MAX_GROUPS {
             r.diagnostics.refused(b.at, &path, format!("a job has at most {MAX_GROUPS} groups"));
             break;
@@ -234,7 +234,7 @@
         g.spread |= spread;
         groups.push(g);
     }
-    if t.all("group").next().is_none() {
+    if t.blocks_named("group").next().is_none() {
         let text = match t.attr("task") {
             Some(_) => "tasks stand in a group",
             None => "the job has no group",
@@ -262,7 +262,7 @@
         region: r.text(t, "region", &path).map(|v| (v, place(t, "region"))),
         kind,
         priority,
-        datacenters: r.texts(t, "datacenters", &path),
+        datacenters: r.text_list(t, "datacenters", &path),
         meta: r.map(t, "meta", &path),
         groups,
         periodic,
@@ -305,10 +305,10 @@
         for a in &t.attrs {
             let here = format!("{path}.{}", a.name);
             let Some(row) = table::find(stanza, &a.name) else {
-                self.unknown(stanza, &a.name, a.at, &here);
+                self.report_unknown(stanza, &a.name, a.at, &here);
                 continue;
             };
-            if self.support(row, a.at, &here, &a.value.datum) {
+            if self.check_support(row, a.at, &here, &a.value.datum) {
                 self.shape(row, a, &here);
             }
         }
@@ -316,10 +316,10 @@
         for b in &t.blocks {
             let mut here = format!("{path}.{}", b.name);
             let Some(row) = table::find(stanza, &b.name) else {
-                self.unknown(stanza, &b.name, b.at, &here);
+                self.report_unknown(stanza, &b.name, b.at, &here);
                 continue;
             };
-            if !self.support(row, b.at, &here, &Datum::Bool(true)) {
+            if !self.check_support(row, b.at, &here, &Datum::Bool(true)) {
                 continue;
             }
             b.labels.iter().for_each(|(l, _)| here.extend([".", l]));
@@ -346,9 +346,9 @@
         }
     }
 
-    fn unknown(&mut self, stanza: &str, name: &str, at: usize, path: &str) {
-        let near = table::children(stanza)
-            .map(|r| table::last(r.path))
+    fn report_unknown(&mut self, stanza: &str, name: &str, at: usize, path: &str) {
+        let near = table::fields_of(stanza)
+            .map(|r| table::last_segment(r.path))
             .map(|n| (strsim::damerau_levenshtein(n, name), n))
             .min()
             .filter(|(d, _)| *d <= 2);
@@ -360,7 +360,7 @@
     }
 
     /// Whether the field is to be read.
-    fn support(&mut self, row: &Row, at: usize, path: &str, value: &Datum) -> bool {
+    fn check_support(&mut self, row: &Row, at: usize, path: &str, value: &Datum) -> bool {
         match row.support {
             Support::Served(_) => *value != Datum::Null,
             Support::ReadOnly => false,
@@ -438,21 +438,21 @@
         }
     }
 
-    fn whole(&self, t: &Tree, name: &str, _path: &str) -> Option<u64> {
+    fn integer(&self, t: &Tree, name: &str, _path: &str) -> Option<u64> {
         match t.attr(name)?.value.datum {
             Datum::Number(n) if n >= 0.0 && n.fract() == 0.0 && n <= 9e15 => Some(n as u64),
             _ => None,
         }
     }
 
-    fn flag(&self, t: &Tree, name: &str) -> Option<bool> {
+    fn boolean(&self, t: &Tree, name: &str) -> Option<bool> {
         match t.attr(name)?.value.datum {
             Datum::Bool(b) => Some(b),
             _ => None,
         }
     }
 
-    fn texts(&self, t: &Tree, name: &str, _path: &str) -> Vec<(String, usize)> {
+    fn text_list(&self, t: &Tree, name: &str, _path: &str) -> Vec<(String, usize)> {
         match t.attr(name).map(|a| &a.value.datum) {
             Some(Datum::List(l)) => l.iter().filter_map(|n| Some((n.datum.text()?, n.at))).collect(),
             _ => Vec::new(),
@@ -481,7 +481,7 @@
     }
 
     fn matches(&mut self, t: &Tree, stanza: &str, path: &str) -> Vec<Match> {
-        t.all(stanza).filter_map(|b| self.parse_match(b, &format!("{path}.{stanza}"))).collect()
+        t.blocks_named(stanza).filter_map(|b| self.parse_match(b, &format!("{path}.{stanza}"))).collect()
     }
 
     fn parse_match(&mut self, b: &Block, path: &str) -> Option<Match> {
@@ -515,7 +515,7 @@
 
     fn affinities(&mut self, t: &Tree, path: &str) -> Vec<(Match, f64)> {
         let mut out = Vec::new();
-        for b in t.all("affinity") {
+        for b in t.blocks_named("affinity") {
             let here = format!("{path}.affinity");
             let weight = match b.body.attr("weight").map(|a| &a.value.datum) {
                 None => 50.0,
@@ -532,7 +532,7 @@
 
     fn spread(&mut self, t: &Tree, path: &str) -> bool {
         let mut spread = false;
-        for b in t.all("spread") {
+        for b in t.blocks_named("spread") {
             let here = format!("{path}.spread");
             let attribute = b.body.attr("attribute").and_then(|a| a.value.datum.text()).unwrap_or_default();
             if attribute != "${node.datacenter}" {
@@ -542,7 +542,7 @@
                 self.diagnostics.refused(b.at, &format!("{here}.attribute"), text);
                 continue;
             }
-            match self.whole(&b.body, "weight", &here) {
+            match self.integer(&b.body, "weight", &here) {
                 Some(w) if w > 100 => {
                     self.diagnostics.refused(b.at, &format!("{here}.weight"), "must be 0 to 100")
                 }
@@ -558,10 +558,12 @@
         let path = format!("{path}.{}", b.name);
         let t = &b.body;
         let at = t.attr("attempts").map_or(b.at, |a| a.at);
-        let mut n =
-            self.whole(t, "attempts", &path).map(|n| Some(n.min(u32::MAX as u64) as u32)).unwrap_or(default);
-        if self.flag(t, "unlimited") == Some(true) {
-            if self.whole(t, "attempts", &path).is_some_and(|n| n > 0) {
+        let mut n = self
+            .integer(t, "attempts", &path)
+            .map(|n| Some(n.min(u32::MAX as u64) as u32))
+            .unwrap_or(default);
+        if self.boolean(t, "unlimited") == Some(true) {
+            if self.integer(t, "attempts", &path).is_some_and(|n| n > 0) {
                 self.diagnostics.refused(
                     at,
                     &format!("{path}.attempts"),
@@ -569,7 +571,7 @@
                 );
             }
             n = None;
-        } else if self.flag(t, "unlimited") == Some(false) && n.is_none() {
+        } else if self.boolean(t, "unlimited") == Some(false) && n.is_none() {
             n = Some(0);
         }
         match self.text(t, "mode", &path).as_deref() {
@@ -588,7 +590,7 @@
         let path = format!("{path}.group.{name}");
         self.name("name", name, b.at, &path);
         let t = &b.body;
-        let tasks: Vec<&Block> = t.all("task").collect();
+        let tasks: Vec<&Block> = t.blocks_named("task").collect();
         let Some(first) = tasks.first() else {
             self.diagnostics.refused(b.at, &path, "the group has no task");
             return None;
@@ -614,7 +616,7 @@
         let (restarts, restarts_at) = self.attempts(restart, restarts, &path);
         let (reschedules, reschedules_at) =
             self.attempts(t.block("reschedule").or(reschedule), reschedules, &path);
-        let count = match self.whole(t, "count", &path) {
+        let count = match self.integer(t, "count", &path) {
             Some(n) if n > MAX_COUNT => {
                 let text = format!("{n} is more than {MAX_COUNT}, the most that any job may have");
                 self.diagnostics.refused(place(t, "count"), &format!("{path}.count"), text);
@@ -638,7 +640,7 @@
             reschedules,
             reschedules_at,
             disk_mb: disk.map_or((300, b.at), |d| {
-                (self.whole(&d.body, "size", &path).unwrap_or(300), place(&d.body, "size"))
+                (self.integer(&d.body, "size", &path).unwrap_or(300), place(&d.body, "size"))
             }),
             meta,
             task,
@@ -659,8 +661,8 @@
         let res = t.block("resources").map_or(&none, |r| &r.body);
         let resources_at = t.block("resources").map_or(b.at, |r| r.at);
         let res_path = format!("{path}.resources");
-        let cores = self.whole(res, "cores", &res_path).filter(|c| *c > 0);
-        let cpu = self.whole(res, "cpu", &res_path).filter(|c| *c > 0);
+        let cores = self.integer(res, "cores", &res_path).filter(|c| *c > 0);
+        let cpu = self.integer(res, "cpu", &res_path).filter(|c| *c > 0);
         if cores.is_some() && cpu.is_some() {
             self.diagnostics.refused(
                 place(res, "cores"),
@@ -680,7 +682,7 @@
             env: self.map(t, "env", &path),
             cpu_mhz: cpu.unwrap_or(100),
             cores,
-            memory_mb: self.whole(res, "memory", &res_path).filter(|m| *m > 0).unwrap_or(300),
+            memory_mb: self.integer(res, "memory", &res_path).filter(|m| *m > 0).unwrap_or(300),
             resources_at,
             kill_timeout: t
                 .attr("kill_timeout")
@@ -693,7 +695,7 @@
     fn periodic(&mut self, b: &Block, path: &str) -> Periodic {
         let path = format!("{path}.periodic");
         let t = &b.body;
-        let mut crons: Vec<String> = self.texts(t, "crons", &path).into_iter().map(|c| c.0).collect();
+        let mut crons: Vec<String> = self.text_list(t, "crons", &path).into_iter().map(|c| c.0).collect();
         crons.extend(self.text(t, "cron", &path));
         if let Some(kind) = self.text(t, "spec_type", &path)
             && kind != "cron"
@@ -710,10 +712,10 @@
             }
         }
         Periodic {
-            enabled: self.flag(t, "enabled").unwrap_or(true),
+            enabled: self.boolean(t, "enabled").unwrap_or(true),
             crons,
             time_zone,
-            prohibit_overlap: self.flag(t, "prohibit_overlap").unwrap_or(false),
+            prohibit_overlap: self.boolean(t, "prohibit_overlap").unwrap_or(false),
             at: b.at,
         }
     }
@@ -732,8 +734,8 @@
             }
         };
         let names = |l: Vec<(String, usize)>| l.into_iter().map(|x| x.0).collect::<Vec<_>>();
-        let required = names(self.texts(t, "meta_required", &path));
-        let optional = names(self.texts(t, "meta_optional", &path));
+        let required = names(self.text_list(t, "meta_required", &path));
+        let optional = names(self.text_list(t, "meta_optional", &path));
         if let Some(k) = required.iter().find(|k| optional.contains(k)) {
             self.diagnostics.refused(b.at, &path, format!("{k} is both required and optional"));
         }
--- a/crates/nomad/src/service/api.rs
+++ b/crates/nomad/src/service/api.rs
@@ -252,9 +252,11 @@
         let bare = path.split('?').next().unwrap_or("");
         let route = match route(method, bare) {
             Ok(r) => r,
-            Err(RouteError::Unknown) => return self.refuse(id, 404, "there is no such path"),
-            Err(RouteError::Method) => return self.refuse(id, 405, "the path has another method"),
-            Err(RouteError::Unsupported(why)) => return self.refuse(id, 501, &format!("not served: {why}")),
+            Err(RouteError::Unknown) => return self.answer_error(id, 404, "there is no such path"),
+            Err(RouteError::Method) => return self.answer_error(id, 405, "the path has another method"),
+            Err(RouteError::Unsupported(why)) => {
+                return self.answer_error(id, 501, &format!("not served: {why}"));
+            }
         };
         let open = matches!(route, Route::Leader | Route::Peers | Route::Health | Route::Regions);
         let team = match token {
@@ -262,17 +264,17 @@
             None => None,
         };
         if !self.settings.tokens.is_empty() && team.is_none() && !open {
-            return self.refuse(id, 403, "Permission denied");
+            return self.answer_error(id, 403, "Permission denied");
         }
         let query = query_of(path);
         let index = match query.get("index").map(|v| v.parse::<u64>()) {
-            Some(Err(_)) => return self.refuse(id, 400, "index: must be a whole number"),
+            Some(Err(_)) => return self.answer_error(id, 400, "index: must be a whole number"),
             Some(Ok(i)) => Some(i),
             None => None,
         };
         let wait =
             match query.get("wait").map(|v| model::parse_duration(&crate::tree::Datum::Text(v.clone()))) {
-                Some(Err(e)) => return self.refuse(id, 400, &format!("wait: {e}")),
+                Some(Err(e)) => return self.answer_error(id, 400, &format!("wait: {e}")),
                 Some(Ok(w)) => w.min(MAX_BLOCKING_WAIT),
                 None => DEFAULT_BLOCKING_WAIT,
             };
@@ -289,11 +291,11 @@
             _ => {}
         }
         if self.pending.len() >= MAX_PENDING {
-            return self.refuse(id, 429, "too many requests are under way here");
+            return self.answer_error(id, 429, "too many requests are under way here");
         }
         // What isn't final needs the proof that nothing newer is missing.
-        let ticket = self.ticket(PendingOperation::Request(r));
-        self.out.push(ExtensionOutput::ReadBarrier(ticket));
+        let ticket = self.new_operation(PendingOperation::Request(r));
+        self.outputs.push(ExtensionOutput::ReadBarrier(ticket));
     }
 
     /// Answers a request; the mirror is up to date.
@@ -313,13 +315,13 @@
                 | Route::Stop(_)
                 | Route::Events
         );
-        if reads && self.block(host, &r, &scope) {
+        if reads && self.block_query(host, &r, &scope) {
             return;
         }
         let index = host.replica.applied;
         let known = |s: &Service, j: &str| {
             let key = JobKey::of(r.namespace(), j);
-            s.heads.get(&key).filter(|k| r.may(&k.head.team)).cloned().map(|k| (key, k))
+            s.jobs.get(&key).filter(|k| r.may(&k.head.team)).cloned().map(|k| (key, k))
         };
         match &r.route {
             Route::Register => self.register(host, r),
@@ -334,7 +336,7 @@
                 self.page(&r, index, rows);
             }
             Route::Job(j) => match known(self, j) {
-                None => self.refuse(r.id, 404, "job not found"),
+                None => self.answer_error(r.id, 404, "job not found"),
                 Some((key, k)) => {
                     let nonce = k.head.nonce.clone();
                     match self.contents.get(&nonce).cloned() {
@@ -344,7 +346,9 @@
                 }
             },
             Route::JobPart(j, part) => {
-                let Some((key, k)) = known(self, j) else { return self.refuse(r.id, 404, "job not found") };
+                let Some((key, k)) = known(self, j) else {
+                    return self.answer_error(r.id, 404, "job not found");
+                };
                 let body = match part {
                     Part::Versions => {
                         let nonce = k.head.nonce.clone();
@@ -361,7 +365,7 @@
                 self.answer(r.id, 200, index, &body);
             }
             Route::Evaluate(j) => match known(self, j) {
-                None => self.refuse(r.id, 404, "job not found"),
+                None => self.answer_error(r.id, 404, "job not found"),
                 // The scheduler looks at every job all the time.
                 Some((key, k)) => {
                     let eval = views::evaluation_id(&key, k.head.version);
@@ -369,8 +373,8 @@
                         r.id,
                         200,
                         index,
-                        &json!({"EvalID": eval, "EvalCreateIndex": k.stamp,
-                        "JobModifyIndex": k.stamp, "Index": index}),
+                        &json!({"EvalID": eval, "EvalCreateIndex": k.modify_revision,
+                        "JobModifyIndex": k.modify_revision, "Index": index}),
                     );
                 }
             },
@@ -386,13 +390,13 @@
             }
             Route::Allocation(id) => {
                 let found = views::allocation_of(id).and_then(|(job, i)| {
-                    let key = self.natives.get(&job)?;
-                    let k = self.heads.get(key).filter(|k| r.may(&k.head.team))?;
+                    let key = self.jobs_by_native_id.get(&job)?;
+                    let k = self.jobs.get(key).filter(|k| r.may(&k.head.team))?;
                     views::allocations(host, k).into_iter().find(|v| v["ID"] == **id).map(|v| (v, i))
                 });
                 match found {
                     Some((v, _)) => self.answer(r.id, 200, index, &v),
-                    None => self.refuse(r.id, 404, "alloc not found"),
+                    None => self.answer_error(r.id, 404, "alloc not found"),
                 }
             }
             Route::Evaluations => {
@@ -410,7 +414,7 @@
                     .find(|v| v["ID"] == **id);
                 match found {
                     Some(v) => self.answer(r.id, 200, index, &v),
-                    None => self.refuse(r.id, 404, "eval not found"),
+                    None => self.answer_error(r.id, 404, "eval not found"),
                 }
             }
             Route::Nodes => {
@@ -423,7 +427,7 @@
                 let found = host.replica.machines.iter().find(|(m, _)| m.as_str() == id);
                 match found.map(|(id, m)| views::node(id, m)) {
                     Some(v) => self.answer(r.id, 200, index, &v),
-                    None => self.refuse(r.id, 404, "node not found"),
+                    None => self.answer_error(r.id, 404, "node not found"),
                 }
             }
             Route::Namespaces => {
@@ -438,7 +442,7 @@
                 let there = n == "default" || self.seen_all(&r).any(|k| k.head.namespace == *n);
                 match there {
                     true => self.answer(r.id, 200, index, &views::namespace(n)),
-                    false => self.refuse(r.id, 404, "namespace not found"),
+                    false => self.answer_error(r.id, 404, "namespace not found"),
                 }
             }
             Route::Regions => {
@@ -455,7 +459,7 @@
                 let body = json!({"config": {"Region": region, "Version": {"Version": env!("CARGO_PKG_VERSION")}},
                     "member": {"Name": host.node_name, "Status": "alive",
                         "Tags": {"region": region, "role": "gorseshore"}},
-                    "stats": {"gorseshore": {"jobs": self.heads.len().to_string(),
+                    "stats": {"gorseshore": {"jobs": self.jobs.len().to_string(),
                         "leader": host.leads.to_string()}}});
                 self.answer(r.id, 200, index, &body);
             }
@@ -470,7 +474,7 @@
                     team: r.team.clone(),
                     namespace: r.namespace().to_owned(),
                     topics,
-                    beat: host.now,
+                    last_write_at: host.now,
                 };
                 self.open_stream(r.id, stream, r.index.unwrap_or(0));
             }
@@ -485,7 +489,7 @@
     }
 
     fn seen_all<'a>(&'a self, r: &'a Request) -> impl Iterator<Item = &'a super::RegisteredJob> + 'a {
-        self.heads.values().filter(|k| r.may(&k.head.team))
+        self.jobs.values().filter(|k| r.may(&k.head.team))
     }
 
     /// A page of rows by their keys; `next_token` is the key of the next row.
@@ -497,7 +501,7 @@
         let per = match r.q("per_page").map(str::parse::<usize>) {
             None => MAX_ROWS_PER_PAGE,
             Some(Ok(n)) if n > 0 => n.min(MAX_ROWS_PER_PAGE),
-            Some(_) => return self.refuse(r.id, 400, "per_page: must be a whole number from 1"),
+            Some(_) => return self.answer_error(r.id, 400, "per_page: must be a whole number from 1"),
         };
         let next = rows.get(per).map(|(k, _)| k.clone());
         let body: Vec<Value> = rows.into_iter().take(per).map(|(_, v)| v).collect();
@@ -507,17 +511,19 @@
 
     pub(crate) fn read_content(&mut self, key: &JobKey, nonce: String, request: Request) {
         let prefix = super::records::names::parts(key, &nonce);
-        let ticket = self.ticket(PendingOperation::Content { request, nonce });
-        self.out.push(ExtensionOutput::Read(ticket, prefix));
+        let ticket = self.new_operation(PendingOperation::Content { request, nonce });
+        self.outputs.push(ExtensionOutput::Read(ticket, prefix));
     }
 
     /// `POST /v1/jobs/parse`: a file as the interface has it.
     fn parse(&mut self, r: &Request) {
         let body: Value = match serde_json::from_slice(&r.body) {
             Ok(v) => v,
-            Err(e) => return self.refuse(r.id, 400, &format!("not JSON: {e}")),
+            Err(e) => return self.answer_error(r.id, 400, &format!("not JSON: {e}")),
+        };
+        let Some(text) = body["JobHCL"].as_str() else {
+            return self.answer_error(r.id, 400, "JobHCL: is missing");
         };
-        let Some(text) = body["JobHCL"].as_str() else { return self.refuse(r.id, 400, "JobHCL: is missing") };
         let mut inputs = Inputs::default();
         if let Some(v) = body["Variables"].as_str() {
             inputs.files.push(("Variables".into(), v.to_owned()));
@@ -527,13 +533,13 @@
         diagnostics.place(text);
         match job.filter(|_| diagnostics.accepted()) {
             Some(j) => self.answer(r.id, 200, 0, &super::records::api_job(&j)),
-            None => self.refuse(r.id, 400, &format_diagnostics(&diagnostics)),
+            None => self.answer_error(r.id, 400, &format_diagnostics(&diagnostics)),
         }
     }
 
     /// `POST /v1/validate/job`.
     fn validate(&mut self, r: &Request) {
-        let Ok(text) = std::str::from_utf8(&r.body) else { return self.refuse(r.id, 400, "not UTF-8") };
+        let Ok(text) = std::str::from_utf8(&r.body) else { return self.answer_error(r.id, 400, "not UTF-8") };
         let j = crate::validate(text, &r.inputs(), &self.settings, &self.site);
         let (errors, warnings): (Vec<_>, Vec<_>) =
             j.diagnostics.list.iter().partition(|f| f.severity != Severity::Warning);
@@ -546,17 +552,17 @@
 
     /// `POST /v1/job/ID/plan`: what registering would do; nothing is written.
     fn plan(&mut self, host: &ExtensionContext<'_>, r: &Request) {
-        let Ok(text) = std::str::from_utf8(&r.body) else { return self.refuse(r.id, 400, "not UTF-8") };
+        let Ok(text) = std::str::from_utf8(&r.body) else { return self.answer_error(r.id, 400, "not UTF-8") };
         let j = crate::validate(text, &r.inputs(), &self.settings, &self.site);
         let Some(job) = j.job.as_ref().filter(|_| j.accepted()) else {
-            return self.refuse(r.id, 400, &format_diagnostics(&j.diagnostics));
+            return self.answer_error(r.id, 400, &format_diagnostics(&j.diagnostics));
         };
-        let team = translate::class(job, &self.settings).map(|c| c.team.clone()).unwrap_or_default();
+        let team = translate::find_class(job, &self.settings).map(|c| c.team.clone()).unwrap_or_default();
         if !r.may(&team) {
-            return self.refuse(r.id, 403, "Permission denied");
+            return self.answer_error(r.id, 403, "Permission denied");
         }
         let key = JobKey::of(&job.namespace, &job.id);
-        let body = views::plan(host, self.heads.get(&key), &j.groups, &j.diagnostics);
+        let body = views::plan(host, self.jobs.get(&key), &j.groups, &j.diagnostics);
         self.answer(r.id, 200, host.replica.applied, &body);
     }
 }
--- a/crates/nomad/src/service/launches.rs
+++ b/crates/nomad/src/service/launches.rs
@@ -19,7 +19,7 @@
 
 /// The launch that is due: the last time up to now after the last launch, or
 /// after the registration.
-pub(crate) fn due(head: &JobRecord, last: Option<u64>, wall_ms: u64) -> Option<u64> {
+pub(crate) fn due_launch(head: &JobRecord, last: Option<u64>, wall_ms: u64) -> Option<u64> {
     let p = head.periodic.as_ref().filter(|p| p.enabled && !head.stop)?;
     let base = last.unwrap_or(0).max(head.at);
     let mut at = cron::next(&p.crons, &p.time_zone, base).filter(|t| *t <= wall_ms)?;
@@ -35,51 +35,53 @@
 impl Service {
     /// Launches what is due. Asked often; a job is looked at when its next
     /// time has come.
-    pub(crate) fn launch(&mut self, host: &ExtensionContext<'_>) {
+    pub(crate) fn launch_due_jobs(&mut self, host: &ExtensionContext<'_>) {
         let second = host.wall_ms / 1000;
         if second == self.launch_second {
             return;
         }
         self.launch_second = second;
         let periodic: Vec<JobKey> = self
-            .heads
+            .jobs
             .iter()
-            .filter(|(k, known)| known.head.periodic.is_some() && !known.head.stop && !self.busy.contains(*k))
+            .filter(|(k, known)| {
+                known.head.periodic.is_some() && !known.head.stop && !self.writes_in_flight.contains(*k)
+            })
             .map(|(k, _)| k.clone())
             .collect();
         for key in periodic {
-            let Some(known) = self.heads.get(&key).cloned() else { continue };
-            let last = self.launches.get(&key).map(|l| l.0);
+            let Some(known) = self.jobs.get(&key).cloned() else { continue };
+            let last = self.last_launches.get(&key).map(|l| l.0);
             let base = last.unwrap_or(0).max(known.head.at);
             // What comes next is worked out once, not every second.
             let next = match self.next_launch.get(&key) {
-                Some((b, stamp, next)) if (*b, *stamp) == (base, known.stamp) => *next,
+                Some((b, stamp, next)) if (*b, *stamp) == (base, known.modify_revision) => *next,
                 _ => {
                     let p = known.head.periodic.as_ref();
                     let next = p.and_then(|p| cron::next(&p.crons, &p.time_zone, base)).unwrap_or(u64::MAX);
-                    self.next_launch.insert(key.clone(), (base, known.stamp, next));
+                    self.next_launch.insert(key.clone(), (base, known.modify_revision, next));
                     next
                 }
             };
             if next > host.wall_ms {
                 continue;
             }
-            let Some(at) = due(&known.head, last, host.wall_ms) else { continue };
+            let Some(at) = due_launch(&known.head, last, host.wall_ms) else { continue };
             let overlap = known.head.periodic.as_ref().is_some_and(|p| p.prohibit_overlap);
-            if overlap && self.child_runs(host, &known.head) {
+            if overlap && self.has_running_child(host, &known.head) {
                 log::info!("{}: launch of {at} passed over, an earlier one runs", known.head.id);
-                self.pass_over(&key, &known, at);
+                self.skip_launch(&key, &known, at);
                 continue;
             }
             let Some(content) = self.contents.get(&known.head.nonce).cloned() else {
-                self.load(&key, &known.head.nonce);
+                self.load_content(&key, &known.head.nonce);
                 // Looked at again as soon as it is here.
                 self.launch_second = 0;
                 continue;
             };
             let id = format!("{}/periodic-{}", known.head.id, at / 1000);
             let content = child_content(&content, &id, &known.head.id, &BTreeMap::new(), None);
-            self.busy.insert(key.clone());
+            self.writes_in_flight.insert(key.clone());
             let wish = JobChange::Child { id, content: Rc::new(content), launched: Some(at), token: None };
             let request = Request {
                 id: RequestId(0),
--- a/crates/nomad/src/service/mod.rs
+++ b/crates/nomad/src/service/mod.rs
@@ -35,11 +35,11 @@
 pub(crate) struct RegisteredJob {
     pub head: Rc<JobRecord>,
     /// The registration's version, `JobModifyIndex`.
-    pub stamp: u64,
+    pub modify_revision: u64,
     /// The revision of its first registration, `CreateIndex`.
-    pub created: u64,
+    pub create_revision: u64,
     /// The last revision at which something of it changed.
-    pub changed: u64,
+    pub last_change_revision: u64,
 }
 
 /// What a ticket is for.
@@ -65,40 +65,40 @@
 pub struct Service {
     pub(crate) settings: Rc<Nomad>,
     pub(crate) rng: fastrand::Rng,
-    pub(crate) heads: BTreeMap<JobKey, RegisteredJob>,
+    pub(crate) jobs: BTreeMap<JobKey, RegisteredJob>,
     /// Which job a native job is behind.
-    pub(crate) natives: HashMap<JobId, JobKey>,
+    pub(crate) jobs_by_native_id: HashMap<JobId, JobKey>,
     /// Last launches, with the versions of their records.
-    pub(crate) launches: BTreeMap<JobKey, (u64, u64)>,
+    pub(crate) last_launches: BTreeMap<JobKey, (u64, u64)>,
     /// Dispatches by their tokens: the job that was made.
-    pub(crate) dispatches: BTreeMap<JobKey, String>,
+    pub(crate) jobs_by_dispatch_token: BTreeMap<JobKey, String>,
     /// Parts that are there, and since when they are known here.
-    pub(crate) parts: BTreeMap<String, Micros>,
+    pub(crate) chunks: BTreeMap<String, Micros>,
     /// Contents read or written here, by the name of their parts.
     pub(crate) contents: BTreeMap<String, Rc<Content>>,
     /// Of what was removed before this revision nothing is known.
-    pub(crate) floor: u64,
+    pub(crate) history_start: u64,
     /// The last revision at which anything changed.
-    pub(crate) changed: u64,
+    pub(crate) last_change_revision: u64,
     pub(crate) pending: BTreeMap<OperationId, PendingOperation>,
-    pub(crate) next_ticket: u64,
-    pub(crate) out: Vec<ExtensionOutput>,
-    pub(crate) waiting: Vec<watch::BlockedQuery>,
+    pub(crate) next_operation: u64,
+    pub(crate) outputs: Vec<ExtensionOutput>,
+    pub(crate) blocked_queries: Vec<watch::BlockedQuery>,
     pub(crate) streams: BTreeMap<RequestId, watch::Stream>,
     pub(crate) events: std::collections::VecDeque<watch::Event>,
     /// Jobs that the leader should look at, and when no earlier.
-    pub(crate) dirty: BTreeMap<JobKey, Micros>,
+    pub(crate) reconcile_queue: BTreeMap<JobKey, Micros>,
     /// Jobs that a write of the leader is under way for.
-    pub(crate) busy: BTreeSet<JobKey>,
-    pub(crate) led: bool,
+    pub(crate) writes_in_flight: BTreeSet<JobKey>,
+    pub(crate) was_leader: bool,
     /// The mirror is being read anew: what comes is no news.
     pub(crate) loading: bool,
-    pub(crate) swept: Micros,
+    pub(crate) swept_at: Micros,
     /// The second of the day at which launches were last looked at, and for
     /// each periodic job its next launch, by last launch and head.
     pub(crate) launch_second: u64,
     pub(crate) next_launch: BTreeMap<JobKey, (u64, u64, u64)>,
-    pub(crate) looked: Micros,
+    pub(crate) site_updated_at: Micros,
     /// Machine types as last seen.
     pub(crate) site: Site,
 }
@@ -114,35 +114,35 @@
         Service {
             settings: Rc::new(settings),
             rng: fastrand::Rng::with_seed(seed),
-            heads: BTreeMap::new(),
-            natives: HashMap::new(),
-            launches: BTreeMap::new(),
-            dispatches: BTreeMap::new(),
-            parts: BTreeMap::new(),
+            jobs: BTreeMap::new(),
+            jobs_by_native_id: HashMap::new(),
+            last_launches: BTreeMap::new(),
+            jobs_by_dispatch_token: BTreeMap::new(),
+            chunks: BTreeMap::new(),
             contents: BTreeMap::new(),
-            floor: 0,
-            changed: 0,
+            history_start: 0,
+            last_change_revision: 0,
             pending: BTreeMap::new(),
-            next_ticket: 1,
-            out: Vec::new(),
-            waiting: Vec::new(),
+            next_operation: 1,
+            outputs: Vec::new(),
+            blocked_queries: Vec::new(),
             streams: BTreeMap::new(),
             events: Default::default(),
-            dirty: BTreeMap::new(),
-            busy: BTreeSet::new(),
-            led: false,
+            reconcile_queue: BTreeMap::new(),
+            writes_in_flight: BTreeSet::new(),
+            was_leader: false,
             loading: false,
-            swept: Micros(0),
+            swept_at: Micros(0),
             launch_second: 0,
             next_launch: BTreeMap::new(),
-            looked: Micros(0),
+            site_updated_at: Micros(0),
             site: Site::default(),
         }
     }
 
-    pub(crate) fn ticket(&mut self, p: PendingOperation) -> OperationId {
-        let t = OperationId(self.next_ticket);
-        self.next_ticket += 1;
+    pub(crate) fn new_operation(&mut self, p: PendingOperation) -> OperationId {
+        let t = OperationId(self.next_operation);
+        self.next_operation += 1;
         self.pending.insert(t, p);
         t
     }
@@ -165,22 +165,22 @@
             headers.push(("X-Nomad-Index", index.to_string()));
         }
         let body = body.to_string().into_bytes();
-        self.out.push(ExtensionOutput::Answer(id, Answer { status, headers, body }));
+        self.outputs.push(ExtensionOutput::Answer(id, Answer { status, headers, body }));
     }
 
     /// An error in the interface's own form: text.
-    pub(crate) fn refuse(&mut self, id: RequestId, status: u16, text: &str) {
+    pub(crate) fn answer_error(&mut self, id: RequestId, status: u16, text: &str) {
         let mut headers = vec![("Content-Type", "text/plain; charset=utf-8".to_owned())];
         if matches!(status, 429 | 503) {
             headers.push(("Retry-After", "1".into()));
         }
-        self.out
+        self.outputs
             .push(ExtensionOutput::Answer(id, Answer { status, headers, body: text.as_bytes().to_vec() }));
     }
 
-    pub(crate) fn keep_content(&mut self, nonce: &str, content: Rc<Content>) {
+    pub(crate) fn cache_content(&mut self, nonce: &str, content: Rc<Content>) {
         if self.contents.len() >= MAX_CACHED_CONTENTS {
-            let used = |n: &String| self.heads.values().any(|k| k.head.nonce == *n);
+            let used = |n: &String| self.jobs.values().any(|k| k.head.nonce == *n);
             let old = self.contents.keys().find(|n| !used(n)).or(self.contents.keys().next()).cloned();
             old.map(|n| self.contents.remove(&n));
         }
@@ -188,46 +188,51 @@
     }
 
     /// A content that was read in parts.
-    pub(crate) fn content_of(&mut self, nonce: &str, result: &CallResult) -> Option<Rc<Content>> {
+    pub(crate) fn decode_content(&mut self, nonce: &str, result: &CallResult) -> Option<Rc<Content>> {
         let CallResult::Response { status: 200, body } = result else { return None };
         let page: gorseshore_protocol::state::Listing = serde_json::from_slice(body).ok()?;
         let text: String = page.pairs.iter().filter_map(|p| p.v.as_str()).collect();
         let content: Rc<Content> = Rc::new(serde_json::from_str(&text).ok()?);
-        self.keep_content(nonce, content.clone());
+        self.cache_content(nonce, content.clone());
         Some(content)
     }
 
-    fn note(&mut self, key: &JobKey, stamp: u64) {
-        self.changed = self.changed.max(stamp);
-        if let Some(k) = self.heads.get_mut(key) {
-            k.changed = k.changed.max(stamp);
+    fn mark_changed(&mut self, key: &JobKey, stamp: u64) {
+        self.last_change_revision = self.last_change_revision.max(stamp);
+        if let Some(k) = self.jobs.get_mut(key) {
+            k.last_change_revision = k.last_change_revision.max(stamp);
         }
-        self.dirty.entry(key.clone()).or_insert(Micros(0));
+        self.reconcile_queue.entry(key.clone()).or_insert(Micros(0));
     }
 
-    fn take_head(&mut self, key: JobKey, head: Option<JobRecord>, stamp: u64) {
+    fn apply_job_record(&mut self, key: JobKey, head: Option<JobRecord>, stamp: u64) {
         let Some(head) = head else {
-            if let Some(old) = self.heads.remove(&key) {
-                self.changed = self.changed.max(stamp);
+            if let Some(old) = self.jobs.remove(&key) {
+                self.last_change_revision = self.last_change_revision.max(stamp);
                 self.next_launch.remove(&key);
-                self.event("JobDeregistered", &old.head, stamp);
+                self.publish_event("JobDeregistered", &old.head, stamp);
             }
             return;
         };
         for id in head.native_jobs() {
-            self.natives.insert(id, key.clone());
+            self.jobs_by_native_id.insert(id, key.clone());
         }
-        let created = head.created.unwrap_or(stamp);
-        let known = RegisteredJob { head: Rc::new(head), stamp, created, changed: stamp };
+        let created = head.create_revision.unwrap_or(stamp);
+        let known = RegisteredJob {
+            head: Rc::new(head),
+            modify_revision: stamp,
+            create_revision: created,
+            last_change_revision: stamp,
+        };
         let head = known.head.clone();
-        self.heads.insert(key.clone(), known);
+        self.jobs.insert(key.clone(), known);
         let what = if head.stop { "JobDeregistered" } else { "JobRegistered" };
-        self.event(what, &head, stamp);
-        self.note(&key, stamp);
+        self.publish_event(what, &head, stamp);
+        self.mark_changed(&key, stamp);
     }
 
     /// The site as the cloud tells it.
-    fn look(&mut self, host: &ExtensionContext<'_>) {
+    fn update_site(&mut self, host: &ExtensionContext<'_>) {
         let mut machines = Vec::new();
         for f in host.flavors {
             for z in &f.yards {
@@ -242,32 +247,36 @@
         self.site = Site { machines, teams: host.teams.iter().map(|t| t.name.clone()).collect() };
     }
 
-    fn called(&mut self, host: &ExtensionContext<'_>, ticket: OperationId, result: CallResult) {
+    fn operation_completed(&mut self, host: &ExtensionContext<'_>, ticket: OperationId, result: CallResult) {
         match self.pending.remove(&ticket) {
-            Some(PendingOperation::Register(r)) => self.register_written(host, *r, &result),
-            Some(PendingOperation::Content { request, nonce }) => match self.content_of(&nonce, &result) {
-                Some(_) => self.serve(host, request),
-                None => self.refuse(request.id, 503, "the job can't be read from the state service now"),
-            },
+            Some(PendingOperation::Register(r)) => self.change_write_ended(host, *r, &result),
+            Some(PendingOperation::Content { request, nonce }) => {
+                match self.decode_content(&nonce, &result) {
+                    Some(_) => self.serve(host, request),
+                    None => {
+                        self.answer_error(request.id, 503, "the job can't be read from the state service now")
+                    }
+                }
+            }
             Some(PendingOperation::Reconcile(key)) => {
-                self.busy.remove(&key);
+                self.writes_in_flight.remove(&key);
                 let again = match result {
                     CallResult::Response { status: 200, .. } => Micros(0),
                     // The mirror is behind, or another leads: what holds will show.
                     CallResult::Response { status: 409, .. } => host.now + Micros::millis(100),
                     _ => host.now + Micros::millis(500 + self.rng.u64(0..500)),
                 };
-                self.dirty.insert(key, again);
+                self.reconcile_queue.insert(key, again);
             }
             Some(PendingOperation::Load(key, nonce)) => {
-                self.busy.remove(&key);
-                let found = self.content_of(&nonce, &result).is_some();
+                self.writes_in_flight.remove(&key);
+                let found = self.decode_content(&nonce, &result).is_some();
                 let pause = if found { Micros(0) } else { Micros::millis(500 + self.rng.u64(0..500)) };
-                self.dirty.insert(key, host.now + pause);
+                self.reconcile_queue.insert(key, host.now + pause);
             }
             Some(PendingOperation::Launch(key)) => {
-                self.busy.remove(&key);
-                self.dirty.insert(key, host.now + Micros::millis(200));
+                self.writes_in_flight.remove(&key);
+                self.reconcile_queue.insert(key, host.now + Micros::millis(200));
             }
             Some(PendingOperation::Sweep | PendingOperation::Request(_)) | None => {}
         }
@@ -275,7 +284,7 @@
 }
 
 /// The revision of a change that was answered with 200.
-pub(crate) fn revision(result: &CallResult) -> Option<u64> {
+pub(crate) fn committed_revision(result: &CallResult) -> Option<u64> {
     match result {
         CallResult::Response { status: 200, body } => {
             Some(serde_json::from_slice::<MultiAnswer>(body).ok()?.ledger)
@@ -295,17 +304,17 @@
         // Readers of events come back with their index; what they may have
         // missed meanwhile is not known here.
         for id in std::mem::take(&mut self.streams).into_keys() {
-            self.out.push(ExtensionOutput::Close(id));
+            self.outputs.push(ExtensionOutput::Close(id));
         }
         self.events.clear();
-        self.heads.clear();
-        self.natives.clear();
-        self.launches.clear();
-        self.dispatches.clear();
-        self.parts.clear();
-        self.dirty.clear();
-        self.floor = floor;
-        self.changed = self.changed.max(floor);
+        self.jobs.clear();
+        self.jobs_by_native_id.clear();
+        self.last_launches.clear();
+        self.jobs_by_dispatch_token.clear();
+        self.chunks.clear();
+        self.reconcile_queue.clear();
+        self.history_start = floor;
+        self.last_change_revision = self.last_change_revision.max(floor);
     }
 
     fn apply(&mut self, name: &str, value: Option<&Value>, stamp: u64) {
@@ -314,30 +323,30 @@
         match space {
             "j" => {
                 let head = value.and_then(|v| serde_json::from_value::<JobRecord>(v.clone()).ok());
-                self.take_head(key(), head, stamp);
+                self.apply_job_record(key(), head, stamp);
             }
             "l" => {
                 match value.and_then(Value::as_u64) {
-                    Some(ms) => drop(self.launches.insert(key(), (ms, stamp))),
-                    None => drop(self.launches.remove(&key())),
+                    Some(ms) => drop(self.last_launches.insert(key(), (ms, stamp))),
+                    None => drop(self.last_launches.remove(&key())),
                 }
-                self.note(&key(), stamp);
+                self.mark_changed(&key(), stamp);
             }
             "i" => match value.and_then(Value::as_str) {
-                Some(id) => drop(self.dispatches.insert(key(), id.to_owned())),
-                None => drop(self.dispatches.remove(&key())),
+                Some(id) => drop(self.jobs_by_dispatch_token.insert(key(), id.to_owned())),
+                None => drop(self.jobs_by_dispatch_token.remove(&key())),
             },
             "p" => match value {
-                Some(_) => drop(self.parts.insert(rest.to_owned(), Micros(0))),
-                None => drop(self.parts.remove(rest)),
+                Some(_) => drop(self.chunks.insert(rest.to_owned(), Micros(0))),
+                None => drop(self.chunks.remove(rest)),
             },
             _ => {}
         }
     }
 
     fn job_changed(&mut self, id: JobId, stamp: u64) {
-        if let Some(key) = self.natives.get(&id).cloned() {
-            self.note(&key, stamp);
+        if let Some(key) = self.jobs_by_native_id.get(&id).cloned() {
+            self.mark_changed(&key, stamp);
         }
     }
 
@@ -345,37 +354,39 @@
         self.loading = false;
         match input {
             ExtensionInput::Tick => {
-                if host.now.since(self.looked) >= Micros::secs(1) {
-                    self.looked = host.now;
-                    self.look(host);
+                if host.now.since(self.site_updated_at) >= Micros::secs(1) {
+                    self.site_updated_at = host.now;
+                    self.update_site(host);
                 }
-                self.expire(host);
-                self.lead(host);
+                self.expire_queries(host);
+                self.run_leader_work(host);
             }
             ExtensionInput::ReplicaUpdated => {
-                self.wake(host);
-                self.lead(host);
+                self.answer_ready_queries(host);
+                self.run_leader_work(host);
             }
             ExtensionInput::Request { id, method, path, token, body } => {
                 self.request(host, id, &method, &path, token.as_deref(), body);
             }
             ExtensionInput::ClientDisconnected(id) => {
-                self.waiting.retain(|b| b.request.id != id);
+                self.blocked_queries.retain(|b| b.request.id != id);
                 self.streams.remove(&id);
             }
             ExtensionInput::ReadBarrierDone(ticket, good) => match self.pending.remove(&ticket) {
                 Some(PendingOperation::Request(r)) if good => self.serve(host, r),
                 Some(PendingOperation::Request(r)) => {
-                    self.refuse(r.id, 503, "the state service can't be asked now")
+                    self.answer_error(r.id, 503, "the state service can't be asked now")
                 }
-                Some(PendingOperation::Register(r)) if good => self.register_proved(host, *r),
+                Some(PendingOperation::Register(r)) if good => self.resume_after_barrier(host, *r),
                 Some(PendingOperation::Register(r)) => {
-                    self.give_up(&r, 503, "the state service can't be asked now");
+                    self.fail_change(&r, 503, "the state service can't be asked now");
                 }
                 _ => {}
             },
-            ExtensionInput::OperationCompleted(ticket, result) => self.called(host, ticket, result),
+            ExtensionInput::OperationCompleted(ticket, result) => {
+                self.operation_completed(host, ticket, result)
+            }
         }
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.outputs)
     }
 }
--- a/crates/nomad/src/service/reconcile.rs
+++ b/crates/nomad/src/service/reconcile.rs
@@ -4,7 +4,7 @@
 //! it and on the record that it changes: whatever comes late, or from a leader
 //! that is none any more, fails.
 use super::records::{JobKey, JobRecord, names};
-use super::register::{put, remove, when};
+use super::register::{precondition, put, remove};
 use super::{PendingOperation, RegisteredJob, Service, write};
 use gorseshore_core::extension::{ExtensionContext, ExtensionOutput};
 use gorseshore_core::jobs::{Phase, cancelled_value, description, job_value, keys};
@@ -41,38 +41,39 @@
 
 impl Service {
     /// Looks at the jobs that changed, if this node leads.
-    pub(crate) fn lead(&mut self, host: &ExtensionContext<'_>) {
+    pub(crate) fn run_leader_work(&mut self, host: &ExtensionContext<'_>) {
         if !host.leads || !host.state_loaded {
-            self.led = false;
-            self.busy.clear();
+            self.was_leader = false;
+            self.writes_in_flight.clear();
             return;
         }
-        if !std::mem::replace(&mut self.led, true) {
-            self.dirty = self.heads.keys().map(|k| (k.clone(), Micros(0))).collect();
+        if !std::mem::replace(&mut self.was_leader, true) {
+            self.reconcile_queue = self.jobs.keys().map(|k| (k.clone(), Micros(0))).collect();
         }
         let due: Vec<JobKey> = self
-            .dirty
+            .reconcile_queue
             .iter()
-            .filter(|(k, at)| **at <= host.now && !self.busy.contains(*k))
+            .filter(|(k, at)| **at <= host.now && !self.writes_in_flight.contains(*k))
             .map(|(k, _)| k.clone())
-            .take(MAX_LEADER_WRITES.saturating_sub(self.busy.len()))
+            .take(MAX_LEADER_WRITES.saturating_sub(self.writes_in_flight.len()))
             .collect();
         for key in due {
-            self.dirty.remove(&key);
-            if let Some(k) = self.heads.get(&key).cloned() {
+            self.reconcile_queue.remove(&key);
+            if let Some(k) = self.jobs.get(&key).cloned() {
                 self.reconcile(host, &key, &k);
             }
         }
-        self.launch(host);
-        if host.now.since(self.swept) >= SWEEP_INTERVAL {
-            self.swept = host.now;
-            self.sweep(host);
+        self.launch_due_jobs(host);
+        if host.now.since(self.swept_at) >= SWEEP_INTERVAL {
+            self.swept_at = host.now;
+            self.remove_orphaned_chunks(host);
         }
     }
 
     fn reconcile(&mut self, host: &ExtensionContext<'_>, key: &JobKey, known: &RegisteredJob) {
         let head = &known.head;
-        let mut m = Multi { when: vec![when(names::head(key), known.stamp)], writes: Vec::new() };
+        let mut m =
+            Multi { when: vec![precondition(names::head(key), known.modify_revision)], writes: Vec::new() };
         // The leader's key is a condition more.
         let room =
             |m: &Multi| m.writes.len() < host.max_txn_writes && m.when.len() + 3 < host.max_txn_writes * 4;
@@ -99,7 +100,7 @@
                     None => {
                         let Some(content) = self.contents.get(&head.nonce).cloned() else {
                             // What it is made of has to be read first.
-                            return self.load(key, &head.nonce);
+                            return self.load_content(key, &head.nonce);
                         };
                         let spec = content.specs.get(&g.name).and_then(|r| description(id, r));
                         let Some(mut spec) = spec else {
@@ -138,38 +139,38 @@
         }
         if m.writes.is_empty() && head.purge && !left {
             m.writes.push(remove(&names::head(key)));
-            if self.launches.contains_key(key) {
+            if self.last_launches.contains_key(key) {
                 m.writes.push(remove(&names::launch(key)));
             }
         }
         if m.writes.is_empty() {
             return;
         }
-        self.busy.insert(key.clone());
-        let ticket = self.ticket(PendingOperation::Reconcile(key.clone()));
-        self.out.push(write(ticket, m, true));
+        self.writes_in_flight.insert(key.clone());
+        let ticket = self.new_operation(PendingOperation::Reconcile(key.clone()));
+        self.outputs.push(write(ticket, m, true));
     }
 
     /// Reads a job's content for the leader's work on it.
-    pub(crate) fn load(&mut self, key: &JobKey, nonce: &str) {
-        self.busy.insert(key.clone());
-        let ticket = self.ticket(PendingOperation::Load(key.clone(), nonce.to_owned()));
-        self.out.push(ExtensionOutput::Read(ticket, names::parts(key, nonce)));
+    pub(crate) fn load_content(&mut self, key: &JobKey, nonce: &str) {
+        self.writes_in_flight.insert(key.clone());
+        let ticket = self.new_operation(PendingOperation::Load(key.clone(), nonce.to_owned()));
+        self.outputs.push(ExtensionOutput::Read(ticket, names::parts(key, nonce)));
     }
 
     /// Removes parts that no head names: of registrations that were not
     /// finished, of versions that are no longer kept, of jobs that are gone.
-    fn sweep(&mut self, host: &ExtensionContext<'_>) {
+    fn remove_orphaned_chunks(&mut self, host: &ExtensionContext<'_>) {
         let named = |heads: &BTreeMap<JobKey, RegisteredJob>, name: &str| {
             let mut s = name.split('/');
             let (Some(key), Some(nonce)) = (s.next(), s.next()) else { return false };
             heads
                 .get(&JobKey(key.to_owned()))
-                .is_some_and(|k: &RegisteredJob| JobRecord::refers(&k.head, nonce))
+                .is_some_and(|k: &RegisteredJob| JobRecord::references(&k.head, nonce))
         };
         let mut gone = Vec::new();
-        for (name, since) in &mut self.parts {
-            if named(&self.heads, name) {
+        for (name, since) in &mut self.chunks {
+            if named(&self.jobs, name) {
                 *since = Micros(0);
             } else if *since == Micros(0) {
                 *since = host.now;
@@ -182,19 +183,22 @@
             return;
         }
         let writes = gone.into_iter().map(|n| remove(&format!("p/{n}"))).collect();
-        let ticket = self.ticket(PendingOperation::Sweep);
-        self.out.push(write(ticket, Multi { when: Vec::new(), writes }, true));
+        let ticket = self.new_operation(PendingOperation::Sweep);
+        self.outputs.push(write(ticket, Multi { when: Vec::new(), writes }, true));
     }
 
     /// Records that a launch was passed over.
-    pub(crate) fn pass_over(&mut self, key: &JobKey, known: &RegisteredJob, ms: u64) {
-        let stamp = self.launches.get(key).map_or(0, |l| l.1);
+    pub(crate) fn skip_launch(&mut self, key: &JobKey, known: &RegisteredJob, ms: u64) {
+        let stamp = self.last_launches.get(key).map_or(0, |l| l.1);
         let m = Multi {
-            when: vec![when(names::head(key), known.stamp), when(names::launch(key), stamp)],
+            when: vec![
+                precondition(names::head(key), known.modify_revision),
+                precondition(names::launch(key), stamp),
+            ],
             writes: vec![put(&names::launch(key), json!(ms))],
         };
-        self.busy.insert(key.clone());
-        let ticket = self.ticket(PendingOperation::Launch(key.clone()));
-        self.out.push(write(ticket, m, true));
+        self.writes_in_flight.insert(key.clone());
+        let ticket = self.new_operation(PendingOperation::Launch(key.clone()));
+        self.outputs.push(write(ticket, m, true));
     }
 }
--- a/crates/nomad/src/service/records.rs
+++ b/crates/nomad/src/service/records.rs
@@ -128,7 +128,7 @@
     pub hash: String,
     /// Hash of the content without counts.
     #[serde(rename = "hc")]
-    pub shape: String,
+    pub hash_without_counts: String,
     /// Name of the parts.
     #[serde(rename = "w")]
     pub nonce: String,
@@ -136,7 +136,7 @@
     pub at: u64,
     /// Revision of its first registration, once there is a second one.
     #[serde(rename = "ci", default, skip_serializing_if = "Option::is_none")]
-    pub created: Option<u64>,
+    pub create_revision: Option<u64>,
     /// `service` or `batch`.
     #[serde(rename = "k")]
     pub kind: String,
@@ -193,7 +193,7 @@
         self.periodic.is_some() || self.param.is_some()
     }
     /// Whether a writing of parts is one of its versions.
-    pub fn refers(&self, nonce: &str) -> bool {
+    pub fn references(&self, nonce: &str) -> bool {
         self.nonce == nonce || self.earlier.iter().any(|e| e.nonce == nonce)
     }
     /// Native jobs, those of earlier versions too.
@@ -212,7 +212,7 @@
 }
 
 /// Cuts a text into parts whose JSON has at most `room` bytes.
-pub fn cut(text: &str, room: usize) -> Vec<String> {
+pub fn split_into_chunks(text: &str, room: usize) -> Vec<String> {
     let (mut parts, mut part, mut size) = (Vec::new(), String::new(), 2);
     for c in text.chars() {
         // What the character takes as JSON.
@@ -315,7 +315,7 @@
     fn texts_are_cut_to_fit_and_come_together_again() {
         for text in ["", "abc", "\"\\\n\u{1}é€😀 and more of it", &"x\"".repeat(3000)] {
             for room in [20, 64, 3900] {
-                let parts = cut(text, room);
+                let parts = split_into_chunks(text, room);
                 assert_eq!(parts.concat(), text);
                 for p in &parts {
                     assert!(json!(p).to_string().len() <= room, "{room}: {p:?}");
--- a/crates/nomad/src/service/register.rs
+++ b/crates/nomad/src/service/register.rs
@@ -7,9 +7,9 @@
 use super::api::{Request, Route, format_diagnostics};
 use super::records::{
     Content, GroupRecord, JobKey, JobRecord, MAX_PREVIOUS_VERSIONS, MAX_SUPERSEDED_JOBS, ParameterizedRecord,
-    PeriodicRecord, PreviousVersion, api_job, cut, hashes, names, payload_word,
+    PeriodicRecord, PreviousVersion, api_job, hashes, names, payload_word, split_into_chunks,
 };
-use super::{PendingOperation, RegisteredJob, Service, revision, views, write};
+use super::{PendingOperation, RegisteredJob, Service, committed_revision, views, write};
 use crate::model::Job;
 use crate::translate::{self, PlannedGroup};
 use crate::tree::{Diagnostics, Severity};
@@ -39,11 +39,11 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum Step {
     /// Parts are being written.
-    Parts,
+    Chunks,
     /// The head is being written.
     JobRecord,
     /// Others changed the job: it is looked at again.
-    Again,
+    Rebuild,
     /// The answer to the head's writing was lost.
     Confirm,
 }
@@ -68,17 +68,17 @@
     pub request: Request,
     pub by_leader: bool,
     pub key: JobKey,
-    pub wish: JobChange,
+    pub change: JobChange,
     step: Step,
     /// The head to write and the version that it replaces.
     head: Option<JobRecord>,
-    seen: u64,
-    parts: Vec<(String, String)>,
-    written: Vec<(String, u64)>,
+    expected_revision: u64,
+    chunks: Vec<(String, String)>,
+    written_chunks: Vec<(String, u64)>,
     /// Parts of the transaction under way.
-    open: usize,
-    tries: u32,
-    until: Micros,
+    chunks_in_flight: usize,
+    attempts: u32,
+    deadline: Micros,
 }
 
 /// A content put into the form that is stored.
@@ -88,29 +88,29 @@
 }
 
 impl Service {
-    fn native(&mut self) -> u64 {
+    fn new_native_id(&mut self) -> u64 {
         OWN_IDS + self.rng.u64(0..8 * OWN_IDS)
     }
 
     /// `POST /v1/jobs`.
     pub(crate) fn register(&mut self, host: &ExtensionContext<'_>, r: Request) {
-        let Ok(text) = std::str::from_utf8(&r.body) else { return self.refuse(r.id, 400, "not UTF-8") };
+        let Ok(text) = std::str::from_utf8(&r.body) else { return self.answer_error(r.id, 400, "not UTF-8") };
         if self.site.machines.is_empty() {
-            return self.refuse(r.id, 503, "the machine types are not known yet");
+            return self.answer_error(r.id, 503, "the machine types are not known yet");
         }
         let mut judged = validate(text, &r.inputs(), &self.settings, &self.site);
         let Some(job) = judged.job.take().filter(|_| judged.diagnostics.accepted()) else {
-            return self.refuse(r.id, 400, &format_diagnostics(&judged.diagnostics));
+            return self.answer_error(r.id, 400, &format_diagnostics(&judged.diagnostics));
         };
-        let class = translate::class(&job, &self.settings);
+        let class = translate::find_class(&job, &self.settings);
         let Some((class, team)) = class.map(|c| (c.name.clone(), c.team.clone())) else {
-            return self.refuse(r.id, 400, "no class takes the job");
+            return self.answer_error(r.id, 400, "no class takes the job");
         };
         if !r.may(&team) {
-            return self.refuse(r.id, 403, "Permission denied");
+            return self.answer_error(r.id, 403, "Permission denied");
         }
-        if let Err(text) = self.limits(host, &judged.groups) {
-            return self.refuse(r.id, 400, &text);
+        if let Err(text) = self.check_team_limits(host, &judged.groups) {
+            return self.answer_error(r.id, 400, &text);
         }
         let warnings = warnings(&judged.diagnostics);
         let content = Rc::new(content(&job, &judged.groups));
@@ -120,7 +120,7 @@
     }
 
     /// What natively is a 422: a task that alone is over its team's limit.
-    fn limits(&self, host: &ExtensionContext<'_>, groups: &[PlannedGroup]) -> Result<(), String> {
+    fn check_team_limits(&self, host: &ExtensionContext<'_>, groups: &[PlannedGroup]) -> Result<(), String> {
         for p in groups {
             if value_len(&job_value(&p.spec, host.wall_ms)) + DESCRIPTION_SIZE_MARGIN_BYTES
                 > host.max_value_bytes
@@ -143,8 +143,8 @@
             return;
         };
         let key = JobKey::of(r.namespace(), id);
-        let Some(known) = self.heads.get(&key).filter(|k| r.may(&k.head.team)).cloned() else {
-            return self.refuse(r.id, 404, "job not found");
+        let Some(known) = self.jobs.get(&key).filter(|k| r.may(&k.head.team)).cloned() else {
+            return self.answer_error(r.id, 404, "job not found");
         };
         if matches!(r.route, Route::Stop(_)) {
             let purge = r.q("purge") == Some("true");
@@ -157,24 +157,28 @@
             true => json!({}),
             false => match serde_json::from_slice(&r.body) {
                 Ok(v) => v,
-                Err(e) => return self.refuse(r.id, 400, &format!("not JSON: {e}")),
+                Err(e) => return self.answer_error(r.id, 400, &format!("not JSON: {e}")),
             },
         };
         match &r.route {
             Route::Scale(_) => {
                 let group = body["Target"]["Group"].as_str().unwrap_or("").to_owned();
                 let Some(count) = body["Count"].as_u64().filter(|n| *n <= crate::model::MAX_COUNT) else {
-                    return self.refuse(r.id, 400, "Count: must be a whole number from 0 to 100000");
+                    return self.answer_error(r.id, 400, "Count: must be a whole number from 0 to 100000");
                 };
                 let wish = JobChange::Scale { group, count: count as u32 };
                 self.begin_change(host, r, key, wish, false);
             }
             Route::Force(_) => {
                 let Some(p) = known.head.periodic.as_ref().filter(|_| !known.head.stop) else {
-                    return self.refuse(r.id, 400, "the job is not periodic, or it is stopped");
+                    return self.answer_error(r.id, 400, "the job is not periodic, or it is stopped");
                 };
-                if p.prohibit_overlap && self.child_runs(host, &known.head) {
-                    return self.refuse(r.id, 409, "an earlier launch still runs, and overlap is prohibited");
+                if p.prohibit_overlap && self.has_running_child(host, &known.head) {
+                    return self.answer_error(
+                        r.id,
+                        409,
+                        "an earlier launch still runs, and overlap is prohibited",
+                    );
                 }
                 let id = format!("{}/periodic-{}", known.head.id, host.wall_ms / 1000);
                 let content = child_content(&content, &id, &known.head.id, &BTreeMap::new(), None);
@@ -184,7 +188,7 @@
             _ => match self.dispatch(host, &r, &known, &content, &body) {
                 Ok((wish, None)) => self.begin_change(host, r, key, wish, false),
                 Ok((_, Some(done))) => self.answer(r.id, 200, host.replica.applied, &done),
-                Err(text) => self.refuse(r.id, 400, &text),
+                Err(text) => self.answer_error(r.id, 400, &text),
             },
         }
     }
@@ -231,10 +235,10 @@
         let token =
             r.q("idempotency_token").or_else(|| body["IdempotencyToken"].as_str().filter(|t| !t.is_empty()));
         let token = token.map(|t| JobKey::of(&known.head.key().0, t));
-        if let Some(id) = token.as_ref().and_then(|t| self.dispatches.get(t)) {
+        if let Some(id) = token.as_ref().and_then(|t| self.jobs_by_dispatch_token.get(t)) {
             let key = JobKey::of(&known.head.namespace, id);
-            let stamp = self.heads.get(&key).map_or(0, |k| k.created);
-            let done = dispatched(id, &key, stamp);
+            let stamp = self.jobs.get(&key).map_or(0, |k| k.create_revision);
+            let done = dispatch_response(id, &key, stamp);
             return Ok((JobChange::Stop { purge: false }, Some(done)));
         }
         let id = format!("{}/dispatch-{}-{:08x}", known.head.id, host.wall_ms / 1000, self.rng.u32(..));
@@ -261,52 +265,56 @@
             request,
             by_leader,
             key,
-            wish,
-            step: Step::Again,
+            change: wish,
+            step: Step::Rebuild,
             head: None,
-            seen: 0,
-            parts: Vec::new(),
-            written: Vec::new(),
-            open: 0,
-            tries: 0,
-            until: host.now + CHANGE_TIMEOUT,
+            expected_revision: 0,
+            chunks: Vec::new(),
+            written_chunks: Vec::new(),
+            chunks_in_flight: 0,
+            attempts: 0,
+            deadline: host.now + CHANGE_TIMEOUT,
         };
-        self.decide(host, r);
+        self.build_job_record(host, r);
     }
 
-    pub(crate) fn give_up(&mut self, r: &PendingChange, status: u16, text: &str) {
+    pub(crate) fn fail_change(&mut self, r: &PendingChange, status: u16, text: &str) {
         if r.by_leader {
-            self.busy.remove(&r.key);
-            return self.dirty_later(&r.key);
+            self.writes_in_flight.remove(&r.key);
+            return self.queue_reconcile(&r.key);
         }
-        self.refuse(r.request.id, status, text);
+        self.answer_error(r.request.id, status, text);
     }
 
-    fn dirty_later(&mut self, key: &JobKey) {
-        self.dirty.insert(key.clone(), Micros(0));
+    fn queue_reconcile(&mut self, key: &JobKey) {
+        self.reconcile_queue.insert(key.clone(), Micros(0));
     }
 
     /// What is to be written, by the job as it is now.
-    fn decide(&mut self, host: &ExtensionContext<'_>, mut r: PendingChange) {
-        r.tries += 1;
-        if r.tries > MAX_ATTEMPTS || host.now > r.until {
-            return self.give_up(&r, 503, "others change the job all the time, or the state service is slow");
+    fn build_job_record(&mut self, host: &ExtensionContext<'_>, mut r: PendingChange) {
+        r.attempts += 1;
+        if r.attempts > MAX_ATTEMPTS || host.now > r.deadline {
+            return self.fail_change(
+                &r,
+                503,
+                "others change the job all the time, or the state service is slow",
+            );
         }
-        let known = self.heads.get(&r.key).cloned();
-        r.seen = known.as_ref().map_or(0, |k| k.stamp);
-        let (head, content) = match &r.wish {
+        let known = self.jobs.get(&r.key).cloned();
+        r.expected_revision = known.as_ref().map_or(0, |k| k.modify_revision);
+        let (head, content) = match &r.change {
             JobChange::Content { job, class, team, content, .. } => {
                 let body: Value = serde_json::from_slice(&r.request.body).unwrap_or(Value::Null);
                 if body["EnforceIndex"] == true {
                     let want = body["JobModifyIndex"].as_u64().unwrap_or(0);
-                    if want != r.seen {
-                        let text = match r.seen {
+                    if want != r.expected_revision {
+                        let text = match r.expected_revision {
                             0 => format!("Enforcing job modify index {want}: job does not exist"),
                             s => format!(
                                 "Enforcing job modify index {want}: job exists with conflicting job modify index: {s}"
                             ),
                         };
-                        return self.give_up(&r, 409, &text);
+                        return self.fail_change(&r, 409, &text);
                     }
                 }
                 let (hash, shape) = hashes(content);
@@ -314,31 +322,31 @@
                     && !k.head.stop
                     && k.head.hash == hash
                 {
-                    let answer = registered(&r.key, &k.head, k.stamp, &r.wish);
+                    let answer = registration_response(&r.key, &k.head, k.modify_revision, &r.change);
                     return self.answer(r.request.id, 200, host.replica.applied, &answer);
                 }
-                match self.next_head(host, known.as_ref(), job, (class, team), (hash, shape)) {
+                match self.next_job_record(host, known.as_ref(), job, (class, team), (hash, shape)) {
                     Ok(h) => (h, Some(content.clone())),
-                    Err(text) => return self.give_up(&r, 503, &text),
+                    Err(text) => return self.fail_change(&r, 503, &text),
                 }
             }
             JobChange::Scale { group, count } => {
                 let Some(k) = known.filter(|k| !k.head.stop && !k.head.is_template()) else {
-                    return self.give_up(
+                    return self.fail_change(
                         &r,
                         400,
                         "a job that is stopped, periodic or parameterized can't be scaled",
                     );
                 };
                 let Some(old) = self.contents.get(&k.head.nonce).cloned() else {
-                    return self.give_up(&r, 503, "the job changed meanwhile: come back");
+                    return self.fail_change(&r, 503, "the job changed meanwhile: come back");
                 };
                 let mut h = JobRecord::clone(&k.head);
                 let Some(at) = h.groups.iter().position(|g| g.name == *group) else {
-                    return self.give_up(&r, 400, &format!("Target.Group: the job has no group {group}"));
+                    return self.fail_change(&r, 400, &format!("Target.Group: the job has no group {group}"));
                 };
                 if h.groups[at].count == *count {
-                    let answer = registered(&r.key, &k.head, k.stamp, &r.wish);
+                    let answer = registration_response(&r.key, &k.head, k.modify_revision, &r.change);
                     return self.answer(r.request.id, 200, host.replica.applied, &answer);
                 }
                 let total: u64 = h.groups.iter().map(|g| g.count as u64).sum::<u64>()
@@ -348,12 +356,12 @@
                 if let Some(c) = class.filter(|c| total > c.max_count as u64) {
                     let text =
                         format!("{total} repeats over all groups, class {} allows {}", c.name, c.max_count);
-                    return self.give_up(&r, 400, &text);
+                    return self.fail_change(&r, 400, &text);
                 }
                 // One that is over can't be scaled: the group begins anew.
                 let job = host.replica.jobs.get(&JobId(h.groups[at].job));
                 if job.is_some_and(|j| j.phase != Phase::Active) {
-                    h.groups[at].job = self.native();
+                    h.groups[at].job = self.new_native_id();
                 }
                 h.groups[at].count = *count;
                 let mut content = Content::clone(&old);
@@ -366,24 +374,24 @@
                 if let Some(s) = content.specs.get_mut(group) {
                     s["d"]["n"] = json!(count);
                 }
-                (h.hash, h.shape) = hashes(&content);
-                advance(&mut h, &k, host.wall_ms);
+                (h.hash, h.hash_without_counts) = hashes(&content);
+                set_next_version(&mut h, &k, host.wall_ms);
                 (h, Some(Rc::new(content)))
             }
             JobChange::Stop { purge } => {
-                let Some(k) = known else { return self.give_up(&r, 404, "job not found") };
+                let Some(k) = known else { return self.fail_change(&r, 404, "job not found") };
                 if k.head.stop && (k.head.purge || !purge) {
-                    let answer = registered(&r.key, &k.head, k.stamp, &r.wish);
+                    let answer = registration_response(&r.key, &k.head, k.modify_revision, &r.change);
                     return self.answer(r.request.id, 200, host.replica.applied, &answer);
                 }
                 let mut h = JobRecord::clone(&k.head);
                 (h.stop, h.purge) = (true, h.purge || *purge);
-                h.created = Some(k.created);
+                h.create_revision = Some(k.create_revision);
                 (h, None)
             }
             JobChange::Child { id, content, .. } => {
                 let Some(k) = known.filter(|k| !k.head.stop) else {
-                    return self.give_up(&r, 409, "the job was stopped meanwhile");
+                    return self.fail_change(&r, 409, "the job was stopped meanwhile");
                 };
                 let parent = &k.head;
                 let (hash, shape) = hashes(content);
@@ -393,13 +401,13 @@
                     name: id.clone(),
                     version: 0,
                     hash,
-                    shape,
+                    hash_without_counts: shape,
                     at: host.wall_ms,
-                    created: None,
+                    create_revision: None,
                     stop: false,
                     groups: groups
                         .into_iter()
-                        .map(|(name, count)| GroupRecord { name, count, job: self.native() })
+                        .map(|(name, count)| GroupRecord { name, count, job: self.new_native_id() })
                         .collect(),
                     superseded_jobs: Vec::new(),
                     periodic: None,
@@ -416,7 +424,7 @@
 
     /// A job's next head: the same native jobs where only counts differ, new
     /// ones otherwise.
-    fn next_head(
+    fn next_job_record(
         &mut self,
         host: &ExtensionContext<'_>,
         known: Option<&RegisteredJob>,
@@ -430,10 +438,10 @@
             name: job.name.clone(),
             version: 0,
             hash,
-            shape,
+            hash_without_counts: shape,
             nonce: String::new(),
             at: host.wall_ms,
-            created: None,
+            create_revision: None,
             kind: if job.kind == gorseshore_protocol::job::Kind::Service { "service" } else { "batch" }
                 .into(),
             priority: job.priority,
@@ -445,7 +453,7 @@
             groups: job
                 .groups
                 .iter()
-                .map(|g| GroupRecord { name: g.name.clone(), count: g.count, job: self.native() })
+                .map(|g| GroupRecord { name: g.name.clone(), count: g.count, job: self.new_native_id() })
                 .collect(),
             superseded_jobs: Vec::new(),
             periodic: job.periodic.as_ref().map(|p| PeriodicRecord {
@@ -464,7 +472,10 @@
         };
         let Some(k) = known else { return Ok(head) };
         let active = |id: u64| host.replica.jobs.get(&JobId(id)).is_none_or(|j| j.phase == Phase::Active);
-        if !k.head.stop && k.head.shape == head.shape && k.head.groups.iter().all(|g| active(g.job)) {
+        if !k.head.stop
+            && k.head.hash_without_counts == head.hash_without_counts
+            && k.head.groups.iter().all(|g| active(g.job))
+        {
             for g in &mut head.groups {
                 if let Some(old) = k.head.groups.iter().find(|x| x.name == g.name) {
                     g.job = old.job;
@@ -485,7 +496,7 @@
                 return Err("earlier versions of the job are still ending".into());
             }
         }
-        advance(&mut head, k, host.wall_ms);
+        set_next_version(&mut head, k, host.wall_ms);
         Ok(head)
     }
 
@@ -498,11 +509,11 @@
         content: Option<Rc<Content>>,
     ) {
         let target = head.key();
-        r.parts.clear();
-        r.written.clear();
+        r.chunks.clear();
+        r.written_chunks.clear();
         if let Some(c) = content {
             let text = serde_json::to_string(&*c).unwrap_or_default();
-            let parts = cut(&text, host.max_value_bytes.saturating_sub(64));
+            let parts = split_into_chunks(&text, host.max_value_bytes.saturating_sub(64));
             // The head's conditions name every part.
             let most = (host.max_txn_writes * 4).saturating_sub(6);
             if text.len() > MAX_CONTENT_BYTES || parts.len() > most {
@@ -511,143 +522,151 @@
                     text.len(),
                     parts.len()
                 );
-                return self.give_up(&r, 400, &text);
+                return self.fail_change(&r, 400, &text);
             }
             head.nonce = format!("{:016x}", self.rng.u64(..));
             for (i, p) in parts.into_iter().enumerate() {
-                r.parts.push((names::part(&target, &head.nonce, i), p));
+                r.chunks.push((names::part(&target, &head.nonce, i), p));
             }
-            self.keep_content(&head.nonce, c);
+            self.cache_content(&head.nonce, c);
         }
         // A head of longer values than may be written now gives up its oldest versions.
         let too_long =
             |head: &JobRecord| value_len(&json!(head)) + RECORD_SIZE_MARGIN_BYTES > host.max_value_bytes;
         while too_long(&head) && head.earlier.pop().is_some() {}
         if too_long(&head) {
-            return self.give_up(&r, 400, "the job has too many groups for a record of the state service");
+            return self.fail_change(
+                &r,
+                400,
+                "the job has too many groups for a record of the state service",
+            );
         }
         r.head = Some(head);
-        self.go_on(host, r);
+        self.write_next(host, r);
     }
 
     /// Writes the next parts, or the head.
-    fn go_on(&mut self, host: &ExtensionContext<'_>, mut r: PendingChange) {
-        if host.now > r.until {
-            return self.give_up(&r, 503, "the state service is slow");
+    fn write_next(&mut self, host: &ExtensionContext<'_>, mut r: PendingChange) {
+        if host.now > r.deadline {
+            return self.fail_change(&r, 503, "the state service is slow");
         }
-        let done = r.written.len();
-        if done < r.parts.len() {
-            r.step = Step::Parts;
+        let done = r.written_chunks.len();
+        if done < r.chunks.len() {
+            r.step = Step::Chunks;
             let (mut size, mut writes) = (200, Vec::new());
-            for (name, text) in r.parts[done..].iter().take(host.max_txn_writes) {
+            for (name, text) in r.chunks[done..].iter().take(host.max_txn_writes) {
                 size += text.len() * 2 + 300;
                 if size > 50_000 && !writes.is_empty() {
                     break;
                 }
                 writes.push(put(name, json!(text)));
             }
-            r.open = writes.len();
-            let ticket = self.ticket(PendingOperation::Register(Box::new(r)));
-            return self.out.push(write(ticket, Multi { when: Vec::new(), writes }, false));
+            r.chunks_in_flight = writes.len();
+            let ticket = self.new_operation(PendingOperation::Register(Box::new(r)));
+            return self.outputs.push(write(ticket, Multi { when: Vec::new(), writes }, false));
         }
         r.step = Step::JobRecord;
         let Some(head) = &r.head else { return };
         let target = head.key();
-        let mut conditions = vec![when(names::head(&r.key), r.seen)];
+        let mut conditions = vec![precondition(names::head(&r.key), r.expected_revision)];
         let mut writes = vec![put(&names::head(&target), json!(head))];
-        conditions.extend(r.written.iter().map(|(name, stamp)| when(name.clone(), *stamp)));
-        if let JobChange::Child { launched, token, id, .. } = &r.wish {
-            conditions.push(when(names::head(&target), 0));
+        conditions.extend(r.written_chunks.iter().map(|(name, stamp)| precondition(name.clone(), *stamp)));
+        if let JobChange::Child { launched, token, id, .. } = &r.change {
+            conditions.push(precondition(names::head(&target), 0));
             if let Some(ms) = launched {
-                let stamp = self.launches.get(&r.key).map_or(0, |l| l.1);
-                conditions.push(when(names::launch(&r.key), stamp));
+                let stamp = self.last_launches.get(&r.key).map_or(0, |l| l.1);
+                conditions.push(precondition(names::launch(&r.key), stamp));
                 writes.push(put(&names::launch(&r.key), json!(ms)));
             }
             if let Some(t) = token {
-                conditions.push(when(names::token(t), 0));
+                conditions.push(precondition(names::token(t), 0));
                 writes.push(put(&names::token(t), json!(id)));
             }
         }
         let by_leader = r.by_leader;
-        let ticket = self.ticket(PendingOperation::Register(Box::new(r)));
-        self.out.push(write(ticket, Multi { when: conditions, writes }, by_leader));
+        let ticket = self.new_operation(PendingOperation::Register(Box::new(r)));
+        self.outputs.push(write(ticket, Multi { when: conditions, writes }, by_leader));
     }
 
     /// A write of a change ended.
-    pub(crate) fn register_written(
+    pub(crate) fn change_write_ended(
         &mut self,
         host: &ExtensionContext<'_>,
         mut r: PendingChange,
         result: &CallResult,
     ) {
-        match (r.step, revision(result), result) {
-            (Step::Parts, Some(stamp), _) => {
-                let done = r.written.len();
-                let open = r.open;
-                let names: Vec<String> = r.parts[done..done + open].iter().map(|p| p.0.clone()).collect();
-                r.written.extend(names.into_iter().map(|n| (n, stamp)));
-                self.go_on(host, r);
+        match (r.step, committed_revision(result), result) {
+            (Step::Chunks, Some(stamp), _) => {
+                let done = r.written_chunks.len();
+                let open = r.chunks_in_flight;
+                let names: Vec<String> = r.chunks[done..done + open].iter().map(|p| p.0.clone()).collect();
+                r.written_chunks.extend(names.into_iter().map(|n| (n, stamp)));
+                self.write_next(host, r);
             }
             // Written twice does no harm: the head's conditions see which.
-            (Step::Parts, None, _) => self.retry_parts(host, r),
-            (_, Some(stamp), _) => self.finish(host, &r, stamp),
-            (_, None, CallResult::NotSent) => self.give_up(&r, 503, "the state service can't be asked now"),
-            (_, None, CallResult::Response { status: 409, .. }) => self.look_again(r, Step::Again),
-            (_, None, CallResult::Unknown) => self.look_again(r, Step::Confirm),
+            (Step::Chunks, None, _) => self.retry_chunks(host, r),
+            (_, Some(stamp), _) => self.complete_change(host, &r, stamp),
+            (_, None, CallResult::NotSent) => {
+                self.fail_change(&r, 503, "the state service can't be asked now")
+            }
+            (_, None, CallResult::Response { status: 409, .. }) => {
+                self.request_read_barrier(r, Step::Rebuild)
+            }
+            (_, None, CallResult::Unknown) => self.request_read_barrier(r, Step::Confirm),
             (_, None, CallResult::Response { .. }) => {
-                self.give_up(&r, 503, "the state service does not take it now")
+                self.fail_change(&r, 503, "the state service does not take it now")
             }
         }
     }
 
-    fn retry_parts(&mut self, host: &ExtensionContext<'_>, mut r: PendingChange) {
-        r.tries += 1;
-        if r.tries > MAX_ATTEMPTS {
-            return self.give_up(&r, 503, "the state service did not confirm it");
+    fn retry_chunks(&mut self, host: &ExtensionContext<'_>, mut r: PendingChange) {
+        r.attempts += 1;
+        if r.attempts > MAX_ATTEMPTS {
+            return self.fail_change(&r, 503, "the state service did not confirm it");
         }
-        self.go_on(host, r);
+        self.write_next(host, r);
     }
 
-    fn look_again(&mut self, mut r: PendingChange, step: Step) {
+    fn request_read_barrier(&mut self, mut r: PendingChange, step: Step) {
         r.step = step;
-        let ticket = self.ticket(PendingOperation::Register(Box::new(r)));
-        self.out.push(ExtensionOutput::ReadBarrier(ticket));
+        let ticket = self.new_operation(PendingOperation::Register(Box::new(r)));
+        self.outputs.push(ExtensionOutput::ReadBarrier(ticket));
     }
 
     /// The mirror is up to date again.
-    pub(crate) fn register_proved(&mut self, host: &ExtensionContext<'_>, r: PendingChange) {
-        if r.step == Step::Again {
-            return self.decide(host, r);
+    pub(crate) fn resume_after_barrier(&mut self, host: &ExtensionContext<'_>, r: PendingChange) {
+        if r.step == Step::Rebuild {
+            return self.build_job_record(host, r);
         }
         // The answer was lost: is it there?
         let target = r.head.as_ref().map(JobRecord::key);
         let there =
-            target.as_ref().and_then(|k| self.heads.get(k)).filter(|k| Some(&*k.head) == r.head.as_ref());
-        match there.map(|k| k.stamp) {
-            Some(stamp) => self.finish(host, &r, stamp),
+            target.as_ref().and_then(|k| self.jobs.get(k)).filter(|k| Some(&*k.head) == r.head.as_ref());
+        match there.map(|k| k.modify_revision) {
+            Some(stamp) => self.complete_change(host, &r, stamp),
             // It may still come: only the state service could tell, later.
-            None => self.give_up(&r, 503, "the state service did not confirm it: ask again"),
+            None => self.fail_change(&r, 503, "the state service did not confirm it: ask again"),
         }
     }
 
     /// It is recorded.
-    fn finish(&mut self, host: &ExtensionContext<'_>, r: &PendingChange, stamp: u64) {
+    fn complete_change(&mut self, host: &ExtensionContext<'_>, r: &PendingChange, stamp: u64) {
         let Some(head) = &r.head else { return };
         log::info!("{} {}: version {} recorded at {stamp}", head.namespace, head.id, head.version);
         if r.by_leader {
-            self.busy.remove(&r.key);
-            return self.dirty_later(&r.key);
+            self.writes_in_flight.remove(&r.key);
+            return self.queue_reconcile(&r.key);
         }
-        let answer = match &r.wish {
-            JobChange::Child { id, .. } => dispatched(id, &head.key(), stamp),
-            w => registered(&r.key, head, stamp, w),
+        let answer = match &r.change {
+            JobChange::Child { id, .. } => dispatch_response(id, &head.key(), stamp),
+            w => registration_response(&r.key, head, stamp, w),
         };
         self.answer(r.request.id, 200, host.replica.applied.max(stamp), &answer);
     }
 
     /// Whether a job that this one launched still runs.
-    pub(crate) fn child_runs(&self, host: &ExtensionContext<'_>, parent: &JobRecord) -> bool {
-        self.heads.values().any(|k| {
+    pub(crate) fn has_running_child(&self, host: &ExtensionContext<'_>, parent: &JobRecord) -> bool {
+        self.jobs.values().any(|k| {
             k.head.parent.as_ref() == Some(&parent.id)
                 && k.head.namespace == parent.namespace
                 && views::status(host, &k.head) != "dead"
@@ -656,10 +675,10 @@
 }
 
 /// A version more than the one known.
-fn advance(head: &mut JobRecord, known: &RegisteredJob, wall_ms: u64) {
+fn set_next_version(head: &mut JobRecord, known: &RegisteredJob, wall_ms: u64) {
     let k = &known.head;
     head.version = k.version + 1;
-    head.created = Some(known.created);
+    head.create_revision = Some(known.create_revision);
     head.at = wall_ms;
     head.earlier = k.earlier.clone();
     head.earlier.insert(0, PreviousVersion { version: k.version, nonce: k.nonce.clone(), at: k.at });
@@ -667,7 +686,7 @@
 }
 
 /// A condition on a name below the guest's space.
-pub(crate) fn when(name: String, stamp: u64) -> When {
+pub(crate) fn precondition(name: String, stamp: u64) -> When {
     When { path: format!("{}{name}", keys::GUEST), stamp }
 }
 
@@ -710,7 +729,7 @@
     c
 }
 
-fn registered(key: &JobKey, head: &JobRecord, stamp: u64, wish: &JobChange) -> Value {
+fn registration_response(key: &JobKey, head: &JobRecord, stamp: u64, wish: &JobChange) -> Value {
     let warnings = match wish {
         JobChange::Content { warnings, .. } => warnings.as_str(),
         _ => "",
@@ -719,7 +738,7 @@
         "JobModifyIndex": stamp, "Warnings": warnings, "Index": stamp})
 }
 
-fn dispatched(id: &str, key: &JobKey, stamp: u64) -> Value {
+fn dispatch_response(id: &str, key: &JobKey, stamp: u64) -> Value {
     json!({"DispatchedJobID": id, "EvalID": views::evaluation_id(key, 0), "EvalCreateIndex": stamp,
         "JobCreateIndex": stamp, "Index": stamp})
 }
--- a/crates/nomad/src/service/views.rs
+++ b/crates/nomad/src/service/views.rs
@@ -112,7 +112,7 @@
         );
     }
     json!({"JobID": k.head.id, "Namespace": k.head.namespace, "Summary": groups,
-        "Children": null, "CreateIndex": k.created, "ModifyIndex": k.changed})
+        "Children": null, "CreateIndex": k.create_revision, "ModifyIndex": k.last_change_revision})
 }
 
 /// A job in a list.
@@ -122,7 +122,7 @@
         "Datacenters": h.datacenters, "Type": h.kind, "Priority": h.priority, "Periodic": h.periodic.is_some(),
         "ParameterizedJob": h.param.is_some(), "Stop": h.stop, "Status": status(host, h),
         "StatusDescription": failure(host, h).unwrap_or_default(), "JobSummary": summary(host, k),
-        "CreateIndex": k.created, "ModifyIndex": k.changed, "JobModifyIndex": k.stamp, "Version": h.version,
+        "CreateIndex": k.create_revision, "ModifyIndex": k.last_change_revision, "JobModifyIndex": k.modify_revision, "Version": h.version,
         "SubmitTime": h.at * 1_000_000})
 }
 
@@ -136,8 +136,8 @@
     let mut v = c.job.clone();
     let h = &k.head;
     let set = json!({"Stop": h.stop, "Status": status(host, h), "Version": h.version, "Stable": false,
-        "StatusDescription": failure(host, h).unwrap_or_default(), "CreateIndex": k.created,
-        "ModifyIndex": k.changed, "JobModifyIndex": k.stamp, "SubmitTime": h.at * 1_000_000,
+        "StatusDescription": failure(host, h).unwrap_or_default(), "CreateIndex": k.create_revision,
+        "ModifyIndex": k.last_change_revision, "JobModifyIndex": k.modify_revision, "SubmitTime": h.at * 1_000_000,
         "ParentID": h.parent.as_deref().unwrap_or("")});
     if let (Some(v), Value::Object(set)) = (v.as_object_mut(), set) {
         v.extend(set);
@@ -171,9 +171,9 @@
     };
     json!({"ID": evaluation_id(key, h.version), "Namespace": h.namespace, "JobID": h.id, "Type": h.kind,
         "Priority": h.priority, "TriggeredBy": if h.stop { "job-deregister" } else { "job-register" },
-        "JobModifyIndex": k.stamp, "Status": status, "QueuedAllocations": queued,
+        "JobModifyIndex": k.modify_revision, "Status": status, "QueuedAllocations": queued,
         "StatusDescription": failure(host, h).unwrap_or_default(),
-        "CreateIndex": k.stamp, "ModifyIndex": k.changed})
+        "CreateIndex": k.modify_revision, "ModifyIndex": k.last_change_revision})
 }
 
 /// The tasks of a job, those of versions that it replaced too.
@@ -237,8 +237,8 @@
             "Healthy": c.running, "Unhealthy": 0, "Events": null}),
         );
     }
-    json!({"JobID": k.head.id, "Namespace": k.head.namespace, "JobCreateIndex": k.created,
-        "JobModifyIndex": k.stamp, "JobStopped": k.head.stop, "TaskGroups": groups})
+    json!({"JobID": k.head.id, "Namespace": k.head.namespace, "JobCreateIndex": k.create_revision,
+        "JobModifyIndex": k.modify_revision, "JobStopped": k.head.stop, "TaskGroups": groups})
 }
 
 /// A machine.
@@ -293,7 +293,7 @@
     }
     let warnings: Vec<String> = diagnostics.list.iter().map(|f| f.to_string()).collect();
     json!({"Annotations": {"DesiredTGUpdates": desired}, "FailedTGAllocs": failed, "Diff": null,
-        "JobModifyIndex": known.map_or(0, |k| k.stamp), "CreatedEvals": null, "Warnings": warnings.join("\n")})
+        "JobModifyIndex": known.map_or(0, |k| k.modify_revision), "CreatedEvals": null, "Warnings": warnings.join("\n")})
 }
 
 #[cfg(test)]
--- a/crates/nomad/src/service/watch.rs
+++ b/crates/nomad/src/service/watch.rs
@@ -18,7 +18,7 @@
     pub request: Request,
     pub scope: Scope,
     pub index: u64,
-    pub until: Micros,
+    pub deadline: Micros,
 }
 
 /// A reader of events.
@@ -27,7 +27,7 @@
     pub team: Option<String>,
     pub namespace: String,
     pub topics: Vec<(String, String)>,
-    pub beat: Micros,
+    pub last_write_at: Micros,
 }
 
 /// Something that happened.
@@ -51,58 +51,69 @@
     fn changed_in(&self, scope: &Scope) -> u64 {
         match scope {
             // A job that is gone again, or not there yet, changes with all.
-            Scope::Job(key) => self.heads.get(key).map_or(self.changed, |k| k.changed),
-            Scope::All => self.changed,
+            Scope::Job(key) => {
+                self.jobs.get(key).map_or(self.last_change_revision, |k| k.last_change_revision)
+            }
+            Scope::All => self.last_change_revision,
         }
     }
 
     /// Lets a query wait if nothing changed since its index; true if it waits.
-    pub(crate) fn block(&mut self, host: &ExtensionContext<'_>, request: &Request, scope: &Scope) -> bool {
+    pub(crate) fn block_query(
+        &mut self,
+        host: &ExtensionContext<'_>,
+        request: &Request,
+        scope: &Scope,
+    ) -> bool {
         let Some(index) = request.index.filter(|i| *i > 0) else { return false };
-        if request.waited || index < self.floor || self.changed_in(scope) > index {
+        if request.waited || index < self.history_start || self.changed_in(scope) > index {
             return false;
         }
-        if self.waiting.len() >= self.settings.max_waiters {
-            self.refuse(request.id, 429, "too many queries wait here: come back, or ask another controller");
+        if self.blocked_queries.len() >= self.settings.max_waiters {
+            self.answer_error(
+                request.id,
+                429,
+                "too many queries wait here: come back, or ask another controller",
+            );
             return true;
         }
         let until = host.now + request.wait;
         let mut request = request.clone();
         request.waited = true;
-        self.waiting.push(BlockedQuery { request, scope: scope.clone(), index, until });
+        self.blocked_queries.push(BlockedQuery { request, scope: scope.clone(), index, deadline: until });
         true
     }
 
     /// Answers queries whose scope changed.
-    pub(crate) fn wake(&mut self, host: &ExtensionContext<'_>) {
-        if self.waiting.is_empty() {
+    pub(crate) fn answer_ready_queries(&mut self, host: &ExtensionContext<'_>) {
+        if self.blocked_queries.is_empty() {
             return;
         }
-        let waiting = std::mem::take(&mut self.waiting);
+        let waiting = std::mem::take(&mut self.blocked_queries);
         let (ready, still): (Vec<BlockedQuery>, Vec<BlockedQuery>) = waiting.into_iter().partition(|b| {
-            host.now >= b.until || b.index < self.floor || self.changed_in(&b.scope) > b.index
+            host.now >= b.deadline || b.index < self.history_start || self.changed_in(&b.scope) > b.index
         });
-        self.waiting = still;
+        self.blocked_queries = still;
         for b in ready {
             self.serve(host, b.request);
         }
     }
 
     /// Ends waits whose time is over, and keeps streams alive.
-    pub(crate) fn expire(&mut self, host: &ExtensionContext<'_>) {
-        if self.waiting.iter().any(|b| host.now >= b.until) {
-            self.wake(host);
+    pub(crate) fn expire_queries(&mut self, host: &ExtensionContext<'_>) {
+        if self.blocked_queries.iter().any(|b| host.now >= b.deadline) {
+            self.answer_ready_queries(host);
         }
         for (id, s) in &mut self.streams {
-            if host.now.since(s.beat) >= STREAM_KEEPALIVE_INTERVAL {
-                s.beat = host.now;
-                self.out.push(ExtensionOutput::Chunk(*id, b"{}\n".to_vec()));
+            if host.now.since(s.last_write_at) >= STREAM_KEEPALIVE_INTERVAL {
+                s.last_write_at = host.now;
+                self.outputs.push(ExtensionOutput::Chunk(*id, b"{}\n".to_vec()));
             }
         }
     }
 
     /// Remembers an event and tells the streams.
-    pub(crate) fn event(&mut self, kind: &'static str, head: &JobRecord, index: u64) {
+    pub(crate) fn publish_event(&mut self, kind: &'static str, head: &JobRecord, index: u64) {
         if self.loading {
             return;
         }
@@ -114,10 +125,10 @@
             team: head.team.clone(),
             payload: json!({"Job": views::event_job(head)}),
         };
-        let line = line(&e);
+        let line = event_line(&e);
         for (id, s) in &self.streams {
-            if s.wants(&e) {
-                self.out.push(ExtensionOutput::Chunk(*id, line.clone()));
+            if s.matches(&e) {
+                self.outputs.push(ExtensionOutput::Chunk(*id, line.clone()));
             }
         }
         self.events.push_back(e);
@@ -129,14 +140,14 @@
     /// Opens a stream from an index on.
     pub(crate) fn open_stream(&mut self, id: RequestId, stream: Stream, index: u64) {
         if self.streams.len() >= self.settings.max_streams {
-            return self.refuse(id, 429, "too many event streams are open here");
+            return self.answer_error(id, 429, "too many event streams are open here");
         }
-        self.out.push(ExtensionOutput::Open(id, Answer { status: 200, ..Answer::default() }));
+        self.outputs.push(ExtensionOutput::Open(id, Answer { status: 200, ..Answer::default() }));
         // The first line says that the stream stands.
-        self.out.push(ExtensionOutput::Chunk(id, b"{}\n".to_vec()));
+        self.outputs.push(ExtensionOutput::Chunk(id, b"{}\n".to_vec()));
         if index > 0 {
-            for e in self.events.iter().filter(|e| e.index > index && stream.wants(e)) {
-                self.out.push(ExtensionOutput::Chunk(id, line(e)));
+            for e in self.events.iter().filter(|e| e.index > index && stream.matches(e)) {
+                self.outputs.push(ExtensionOutput::Chunk(id, event_line(e)));
             }
         }
         self.streams.insert(id, stream);
@@ -144,7 +155,7 @@
 }
 
 impl Stream {
-    fn wants(&self, e: &Event) -> bool {
+    fn matches(&self, e: &Event) -> bool {
         let topic = |(t, k): &(String, String)| (t == "*" || t == "Job") && (k == "*" || *k == e.key);
         (self.namespace == "*" || self.namespace == e.namespace)
             && self.team.as_ref().is_none_or(|t| *t == e.team)
@@ -152,7 +163,7 @@
     }
 }
 
-fn line(e: &Event) -> Vec<u8> {
+fn event_line(e: &Event) -> Vec<u8> {
     let event = json!({"Topic": "Job", "Type": e.kind, "Key": e.key, "Namespace": e.namespace,
         "FilterKeys": [], "Index": e.index, "Payload": e.payload});
     format!("{}\n", json!({"Index": e.index, "Events": [event]})).into_bytes()
--- a/crates/nomad/src/table.rs
+++ b/crates/nomad/src/table.rs
@@ -400,16 +400,16 @@
 
 /// The row of a field: `parent` is the path of the stanza that it is in.
 pub fn find(parent: &str, name: &str) -> Option<&'static Row> {
-    children(parent).find(|r| last(r.path) == name)
+    fields_of(parent).find(|r| last_segment(r.path) == name)
 }
 
 /// The row of a field by its name in JSON.
 pub fn find_json(parent: &str, name: &str) -> Option<&'static Row> {
-    children(parent).find(|r| r.json == name)
+    fields_of(parent).find(|r| r.json == name)
 }
 
 /// All fields of a stanza.
-pub fn children(parent: &str) -> impl Iterator<Item = &'static Row> {
+pub fn fields_of(parent: &str) -> impl Iterator<Item = &'static Row> {
     // `group.task.constraint` has the fields of `*constraint`.
     let shared = ["constraint", "affinity", "spread.target", "spread", "restart", "reschedule"]
         .into_iter()
@@ -423,7 +423,7 @@
 }
 
 /// The last part of a path.
-pub fn last(path: &str) -> &str {
+pub fn last_segment(path: &str) -> &str {
     let path = path.strip_prefix('*').unwrap_or(path);
     path.rsplit_once('.').map_or(path, |x| x.1)
 }
@@ -464,7 +464,7 @@
             let up = parent_path(r.path.strip_prefix('*').unwrap_or(r.path));
             let known = up.is_empty()
                 || ROWS.iter().any(|x| {
-                    let same = x.path.strip_prefix('*').unwrap_or(x.path) == up || last(x.path) == up;
+                    let same = x.path.strip_prefix('*').unwrap_or(x.path) == up || last_segment(x.path) == up;
                     same && matches!(x.shape, Block | Blocks | LabeledBlocks)
                 });
             assert!(known, "{} is in no stanza", r.path);
--- a/crates/nomad/src/translate.rs
+++ b/crates/nomad/src/translate.rs
@@ -62,7 +62,7 @@
 }
 
 /// The first class that takes the job.
-pub fn class<'a>(job: &Job, settings: &'a Nomad) -> Option<&'a NomadClass> {
+pub fn find_class<'a>(job: &Job, settings: &'a Nomad) -> Option<&'a NomadClass> {
     settings.classes.iter().find(|c| {
         let zones = &job.datacenters;
         c.kind.is_none_or(|k| k == job.kind)
@@ -86,7 +86,7 @@
         let text = format!("this is region {}, not {r}", settings.region);
         diagnostics.refused(*at, &format!("{}.region", job.path), text);
     }
-    let Some(class) = class(job, settings) else {
+    let Some(class) = find_class(job, settings) else {
         let kind = if job.kind == Kind::Service { "service" } else { "batch" };
         let text = match settings.classes.len() {
             0 => "no classes are set: the operators' file says which jobs are taken (nomad.class)".to_owned(),
@@ -111,12 +111,12 @@
         let text = "constraints, datacenters and sizes are not judged: the machine types are not known here";
         diagnostics.warning(job.at, &job.path, text);
     }
-    job.groups.iter().filter_map(|g| group(job, g, class, settings, site, diagnostics)).collect()
+    job.groups.iter().filter_map(|g| plan_group(job, g, class, settings, site, diagnostics)).collect()
 }
 
 /// The rank of a job of a class: the class's, or for low priorities one or two
 /// below it, never above.
-pub fn rank(class: &NomadClass, kind: Kind, priority: u32) -> Rank {
+pub fn job_priority(class: &NomadClass, kind: Kind, priority: u32) -> Rank {
     if kind == Kind::Service {
         return class.rank;
     }
@@ -132,7 +132,7 @@
     order[top.saturating_sub(below)]
 }
 
-fn group(
+fn plan_group(
     job: &Job,
     g: &Group,
     class: &NomadClass,
@@ -167,7 +167,7 @@
     }
     let attempts = attempts(job, g, class, diagnostics);
     let constraints: Vec<&Match> = g.constraints.iter().collect();
-    let allowed = allowed(job, g, &constraints, settings, site, diagnostics)?;
+    let allowed = eligible_machines(job, g, &constraints, settings, site, diagnostics)?;
     let need = Resources::need(cpus, 0.0, memory_gb);
     if !allowed.kinds.is_empty() {
         let fits = |k: &&MachineType| Resources::have(k.cpus, 0.0, k.memory_gb).fits(&need);
@@ -205,7 +205,7 @@
         class: class.lot.clone(),
         team: class.team.clone(),
         kind: job.kind,
-        rank: rank(class, job.kind, job.priority),
+        rank: job_priority(class, job.kind, job.priority),
         tasks: g.count,
         need,
         types: allowed.types,
@@ -267,7 +267,7 @@
 
 /// What datacenters and constraints leave. Each constraint speaks of one
 /// property, of the type or of the zone, so what is left is types times zones.
-fn allowed<'a>(
+fn eligible_machines<'a>(
     job: &Job,
     g: &Group,
     constraints: &[&Match],
@@ -316,7 +316,7 @@
                     continue;
                 }
                 let holds = |k: &MachineType| {
-                    let v = value(p, k, settings);
+                    let v = property_value(p, k, settings);
                     compare(c, &[&v]).unwrap_or(false)
                 };
                 let of = |f: &dyn Fn(&MachineType) -> &str| -> BTreeSet<String> {
@@ -414,7 +414,7 @@
     )
 }
 
-fn value(p: Property, k: &MachineType, settings: &Nomad) -> String {
+fn property_value(p: Property, k: &MachineType, settings: &Nomad) -> String {
     match p {
         Property::Zone => k.zone.clone(),
         Property::Type => k.name.clone(),
@@ -483,7 +483,7 @@
             continue;
         }
         for k in kinds {
-            if compare(m, &[&value(p, k, settings)]).unwrap_or(false) {
+            if compare(m, &[&property_value(p, k, settings)]).unwrap_or(false) {
                 *sums.entry((&k.name, &k.zone)).or_default() += *weight as i32;
             }
         }
--- a/crates/nomad/src/tree.rs
+++ b/crates/nomad/src/tree.rs
@@ -151,12 +151,12 @@
         self.attrs.iter().find(|a| a.name == name)
     }
     /// All blocks of this name.
-    pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a Block> + 'a {
+    pub fn blocks_named<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a Block> + 'a {
         self.blocks.iter().filter(move |b| b.name == name)
     }
     /// The first block of this name.
     pub fn block<'a>(&'a self, name: &'a str) -> Option<&'a Block> {
-        self.all(name).next()
+        self.blocks_named(name).next()
     }
 }
 
@@ -199,7 +199,7 @@
     /// In the order in which they were found.
     pub list: Vec<Diagnostic>,
     /// Found beyond those kept.
-    pub more: usize,
+    pub omitted: usize,
 }
 
 impl Diagnostics {
@@ -211,7 +211,7 @@
         if self.list.len() < MAX_FAULTS {
             self.list.push(fault);
         } else {
-            self.more += 1;
+            self.omitted += 1;
         }
     }
     /// The file can't be read.
--- a/crates/nomad/tests/samples.rs
+++ b/crates/nomad/tests/samples.rs
@@ -1,6 +1,6 @@
 //! The project's own job files, and the table of the specification, walked.
-use gorseshore_nomad::table::{ROWS, Row, Shape, Support, last, markdown};
-use gorseshore_nomad::translate::{Site, rank};
+use gorseshore_nomad::table::{ROWS, Row, Shape, Support, last_segment, markdown};
+use gorseshore_nomad::translate::{Site, job_priority};
 use gorseshore_nomad::tree::Severity;
 use gorseshore_nomad::{Inputs, ValidationReport, validate};
 use gorseshore_protocol::job::{Kind, Rank};
@@ -439,7 +439,7 @@
         let (hcl, json) = job_with(row);
         for source in [hcl, json.to_string()] {
             let j = validated(&source, &Inputs::default());
-            let field = last(row.path);
+            let field = last_segment(row.path);
             let about: Vec<_> = j
                 .diagnostics
                 .list
@@ -489,7 +489,11 @@
     let n = settings();
     for class in &n.classes {
         for priority in 1..=100 {
-            assert!(rank(class, Kind::Array, priority) < Rank::Production, "{} {priority}", class.name);
+            assert!(
+                job_priority(class, Kind::Array, priority) < Rank::Production,
+                "{} {priority}",
+                class.name
+            );
         }
     }
     // Not even by the operators' file.
@@ -500,7 +504,7 @@
     }
     let mut wrong = n.classes[0].clone();
     wrong.rank = Rank::Production;
-    assert_eq!(rank(&wrong, Kind::Array, 100), Rank::High);
+    assert_eq!(job_priority(&wrong, Kind::Array, 100), Rank::High);
 }
 
 #[test]
--- a/src/nomad.rs
+++ b/src/nomad.rs
@@ -4,7 +4,7 @@
 use gorseshore_nomad::service::tokens;
 use gorseshore_nomad::translate::Site;
 use gorseshore_nomad::tree::Severity;
-use gorseshore_nomad::{Inputs, ValidationReport, validate, table};
+use gorseshore_nomad::{Inputs, ValidationReport, table, validate};
 use gorseshore_shell::http;
 use percent_encoding::{NON_ALPHANUMERIC, utf8_percent_encode};
 use serde_json::{Value, json};
@@ -377,8 +377,8 @@
     for f in &j.diagnostics.list {
         eprintln!("{name}:{f}");
     }
-    if j.diagnostics.more > 0 {
-        eprintln!("{name}: {} more are not shown", j.diagnostics.more);
+    if j.diagnostics.omitted > 0 {
+        eprintln!("{name}: {} more are not shown", j.diagnostics.omitted);
     }
     let class = j.class.as_ref().map_or(String::new(), |c| format!(", class {c}"));
     println!("{name}: {}{class}", word(j));
@@ -419,6 +419,6 @@
         "class": j.class,
         "groups": if j.accepted() { groups } else { Vec::new() },
         "faults": j.diagnostics.list,
-        "faults_not_shown": j.diagnostics.more,
+        "faults_not_shown": j.diagnostics.omitted,
     })
 }
--- a/tests/world/nomad.rs
+++ b/tests/world/nomad.rs
@@ -4,7 +4,7 @@
 use gorseshore_core::extension::Answer;
 use gorseshore_core::jobs::description;
 use gorseshore_nomad::service::Service;
-use gorseshore_nomad::service::records::{JobRecord, JobKey};
+use gorseshore_nomad::service::records::{JobKey, JobRecord};
 use gorseshore_protocol::ids::{JobId, TaskId};
 use gorseshore_protocol::job::Kind;
 use std::collections::BTreeSet;
