--- a/crates/nomad/src/eval.rs
+++ b/crates/nomad/src/eval.rs
@@ -142,7 +142,7 @@
                 let mut out = TemplateOutput::default();
                 let done = self.elements(t.iter(), at, &mut out);
                 (self.indent, self.in_directive) = outer;
-                done.map(|()| out.whole())
+                done.map(|()| out.into_datum())
             }
             Expression::HeredocTemplate(h) => {
                 let outer = (self.indent, self.in_directive);
@@ -150,7 +150,7 @@
                 let mut out = TemplateOutput::default();
                 let done = self.template(&h.template, at, &mut out);
                 (self.indent, self.in_directive) = outer;
-                done.map(|()| out.whole())
+                done.map(|()| out.into_datum())
             }
             Expression::Parenthesis(p) => self.eval(p.inner(), at),
             Expression::Variable(v) => {
@@ -420,17 +420,17 @@
                     Datum::Bool(b) => b,
                     d => return fail(at, format!("the condition is {}, not a boolean", d.kind())),
                 };
-                out.before(i.if_expr.strip);
+                out.strip_around(i.if_expr.strip);
                 if yes {
                     self.template(&i.if_expr.template, at, out)?;
                 }
                 if let Some(e) = &i.else_expr {
-                    out.before(e.strip);
+                    out.strip_around(e.strip);
                     if !yes {
                         self.template(&e.template, at, out)?;
                     }
                 }
-                out.before(i.endif_expr.strip);
+                out.strip_around(i.endif_expr.strip);
             }
             Directive::For(f) => {
                 let items = self.items(&f.for_expr.collection_expr, at)?;
@@ -477,14 +477,14 @@
     fn strip(&mut self) {
         self.text.truncate(self.text.trim_end().len());
     }
-    fn before(&mut self, s: hcl_edit::template::Strip) {
+    fn strip_around(&mut self, s: hcl_edit::template::Strip) {
         if s.strip_start() {
             self.strip();
         }
         self.strip_next = s.strip_end();
     }
     /// What was made.
-    pub fn whole(self) -> Datum {
+    pub fn into_datum(self) -> Datum {
         if self.runtime { Datum::Runtime(self.text) } else { Datum::Text(self.text) }
     }
 }
@@ -540,14 +540,14 @@
 }
 
 /// Equality as HCL has it: values only, without places.
-pub fn same(a: &Datum, b: &Datum) -> bool {
+pub fn values_equal(a: &Datum, b: &Datum) -> bool {
     match (a, b) {
         (Datum::List(x), Datum::List(y)) => {
-            x.len() == y.len() && x.iter().zip(y).all(|(p, q)| same(&p.datum, &q.datum))
+            x.len() == y.len() && x.iter().zip(y).all(|(p, q)| values_equal(&p.datum, &q.datum))
         }
         (Datum::Map(x), Datum::Map(y)) => {
             x.len() == y.len()
-                && x.iter().all(|(k, v)| y.iter().any(|(l, w)| k == l && same(&v.datum, &w.datum)))
+                && x.iter().all(|(k, v)| y.iter().any(|(l, w)| k == l && values_equal(&v.datum, &w.datum)))
         }
         _ => a == b,
     }
@@ -563,8 +563,8 @@
         if n.is_finite() { Ok(Datum::Number(n)) } else { Err("the result is not a number".to_owned()) }
     };
     match (op, l, r) {
-        (Eq, l, r) => Ok(Datum::Bool(same(l, r))),
-        (NotEq, l, r) => Ok(Datum::Bool(!same(l, r))),
+        (Eq, l, r) => Ok(Datum::Bool(values_equal(l, r))),
+        (NotEq, l, r) => Ok(Datum::Bool(!values_equal(l, r))),
         (And, Datum::Bool(a), Datum::Bool(b)) => Ok(Datum::Bool(*a && *b)),
         (Or, Datum::Bool(a), Datum::Bool(b)) => Ok(Datum::Bool(*a || *b)),
         (Plus, Datum::Number(a), Datum::Number(b)) => number(a + b),
--- a/crates/nomad/src/functions.rs
+++ b/crates/nomad/src/functions.rs
@@ -1,6 +1,6 @@
 //! The common functions of HCL2. Those that would read the planner's machine,
 //! its clock or chance are refused: a file means the same wherever it is read.
-use crate::eval::{insert, same};
+use crate::eval::{insert, values_equal};
 use crate::tree::{Datum, Node, number_text};
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
@@ -15,11 +15,11 @@
     Datum::List(items.into_iter().map(|datum| Node { at, datum }).collect())
 }
 
-fn text(d: &Datum) -> Result<String, String> {
+fn to_text(d: &Datum) -> Result<String, String> {
     d.text().ok_or_else(|| format!("text is wanted, not {}", d.kind()))
 }
 
-fn number(d: &Datum) -> Result<f64, String> {
+fn to_number(d: &Datum) -> Result<f64, String> {
     match d {
         Datum::Number(n) => Ok(*n),
         Datum::Text(s) => s.trim().parse().map_err(|_| format!("\"{s}\" is not a number")),
@@ -28,7 +28,7 @@
 }
 
 fn whole(d: &Datum) -> Result<i64, String> {
-    let n = number(d)?;
+    let n = to_number(d)?;
     if n.fract() == 0.0 && n.abs() < 9e15 { Ok(n as i64) } else { Err(format!("{n} is not a whole number")) }
 }
 
@@ -48,7 +48,7 @@
 
 /// Calls a function; the error is the reason without its place.
 pub fn call(name: &str, a: &[Datum], at: usize) -> Out {
-    let text_of = |i: usize| text(&a[i]);
+    let text_of = |i: usize| to_text(&a[i]);
     let need = |least: usize, most: usize| {
         if (least..=most).contains(&a.len()) {
             return Ok(());
@@ -142,7 +142,7 @@
             let mut parts = Vec::new();
             for l in &a[1..] {
                 for x in items(l)? {
-                    parts.push(text(&x.datum)?);
+                    parts.push(to_text(&x.datum)?);
                 }
             }
             check_result_size(
@@ -197,8 +197,8 @@
             need(1, 1)?;
             match (name, &a[0]) {
                 (_, Datum::Null) => Ok(Datum::Null),
-                ("tostring", d) => t(text(d)?),
-                ("tonumber", d) => n(number(d)?),
+                ("tostring", d) => t(to_text(d)?),
+                ("tonumber", d) => n(to_number(d)?),
                 (_, Datum::Bool(b)) => Ok(Datum::Bool(*b)),
                 (_, Datum::Text(s)) if s == "true" => Ok(Datum::Bool(true)),
                 (_, Datum::Text(s)) if s == "false" => Ok(Datum::Bool(false)),
@@ -215,7 +215,7 @@
         }
         "abs" | "ceil" | "floor" | "signum" => {
             need(1, 1)?;
-            let v = number(&a[0])?;
+            let v = to_number(&a[0])?;
             n(match name {
                 "abs" => v.abs(),
                 "ceil" => v.ceil(),
@@ -226,7 +226,7 @@
         }
         "pow" | "log" => {
             need(2, 2)?;
-            let (x, y) = (number(&a[0])?, number(&a[1])?);
+            let (x, y) = (to_number(&a[0])?, to_number(&a[1])?);
             n(if name == "pow" { x.powf(y) } else { x.log(y) })
         }
         "parseint" => {
@@ -241,9 +241,9 @@
         }
         "min" | "max" => {
             need(1, usize::MAX)?;
-            let mut best = number(&a[0])?;
+            let mut best = to_number(&a[0])?;
             for d in &a[1..] {
-                let v = number(d)?;
+                let v = to_number(d)?;
                 best = if name == "min" { best.min(v) } else { best.max(v) };
             }
             n(best)
@@ -252,7 +252,7 @@
             need(1, 1)?;
             let mut s = 0.0;
             for x in items(&a[0])? {
-                s += number(&x.datum)?;
+                s += to_number(&x.datum)?;
             }
             n(s)
         }
@@ -261,7 +261,7 @@
             n(match &a[0] {
                 Datum::List(l) => l.len(),
                 Datum::Map(m) => m.len(),
-                d => text(d)?.chars().count(),
+                d => to_text(d)?.chars().count(),
             } as f64)
         }
         "concat" | "setunion" => {
@@ -278,18 +278,18 @@
             let within = name == "setintersection";
             let kept: Vec<Node> = items(&a[0])?
                 .iter()
-                .filter(|x| other.iter().any(|y| same(&x.datum, &y.datum)) == within)
+                .filter(|x| other.iter().any(|y| values_equal(&x.datum, &y.datum)) == within)
                 .cloned()
                 .collect();
             Ok(distinct(&kept, at))
         }
         "contains" => {
             need(2, 2)?;
-            Ok(Datum::Bool(items(&a[0])?.iter().any(|x| same(&x.datum, &a[1]))))
+            Ok(Datum::Bool(items(&a[0])?.iter().any(|x| values_equal(&x.datum, &a[1]))))
         }
         "index" => {
             need(2, 2)?;
-            match items(&a[0])?.iter().position(|x| same(&x.datum, &a[1])) {
+            match items(&a[0])?.iter().position(|x| values_equal(&x.datum, &a[1])) {
                 Some(i) => n(i as f64),
                 None => Err("the list does not hold that".into()),
             }
@@ -310,7 +310,7 @@
             need(1, 1)?;
             let mut v = Vec::new();
             for x in items(&a[0])? {
-                v.push(text(&x.datum)?);
+                v.push(to_text(&x.datum)?);
             }
             v.sort();
             Ok(list(v.into_iter().map(Datum::Text), at))
@@ -353,7 +353,7 @@
         }
         "range" => {
             need(1, 3)?;
-            let v: Vec<f64> = a.iter().map(number).collect::<Result<_, _>>()?;
+            let v: Vec<f64> = a.iter().map(to_number).collect::<Result<_, _>>()?;
             let (from, to) = if v.len() == 1 { (0.0, v[0]) } else { (v[0], v[1]) };
             let step = v.get(2).copied().unwrap_or(if to >= from { 1.0 } else { -1.0 });
             if step == 0.0 {
@@ -402,7 +402,7 @@
             }
             let mut out = Vec::new();
             for (k, v) in k.iter().zip(v) {
-                insert(&mut out, text(&k.datum)?, v.clone());
+                insert(&mut out, to_text(&k.datum)?, v.clone());
             }
             Ok(Datum::Map(out))
         }
@@ -494,14 +494,14 @@
         };
         let s = match verb {
             's' | 'v' => arg.text().unwrap_or_else(|| arg.json().to_string()),
-            'q' => serde_json::Value::from(text(arg)?).to_string(),
+            'q' => serde_json::Value::from(to_text(arg)?).to_string(),
             't' => match arg {
                 Datum::Bool(b) => b.to_string(),
                 d => return Err(format!("%t wants a boolean, not {}", d.kind())),
             },
             'd' => whole(arg)?.to_string(),
             'x' => format!("{:x}", whole(arg)?),
-            'f' => format!("{:.*}", digits.unwrap_or(6), number(arg)?),
+            'f' => format!("{:.*}", digits.unwrap_or(6), to_number(arg)?),
             _ => return Err(format!("%{flags}{verb} is not known")),
         };
         let pad = width.saturating_sub(s.chars().count());
@@ -530,7 +530,7 @@
     if a.len() != want {
         return Err(format!("{name} takes {want} arguments, not {}", a.len()));
     }
-    let s = text(&a[0])?;
+    let s = to_text(&a[0])?;
     let net: ipnet::IpNet = s.parse().map_err(|_| format!("\"{s}\" is not a network such as 10.0.0.0/8"))?;
     let net = net.trunc();
     // Addresses as numbers, whatever their length.
--- a/crates/nomad/src/hcl.rs
+++ b/crates/nomad/src/hcl.rs
@@ -18,7 +18,7 @@
     pub namespace: Option<String>,
 }
 
-fn at(e: &impl Span, or: usize) -> usize {
+fn offset_of(e: &impl Span, or: usize) -> usize {
     e.span().map_or(or, |s| s.start)
 }
 
@@ -42,7 +42,7 @@
     for s in body.iter() {
         match s {
             Structure::Attribute(a) => {
-                let (p, name) = (at(&a.key, 0), a.key.as_str());
+                let (p, name) = (offset_of(&a.key, 0), a.key.as_str());
                 r.diagnostics.unreadable(p, name, "only job, variable and locals stand at the top of a file");
             }
             Structure::Block(b) => match b.ident.as_str() {
@@ -50,11 +50,11 @@
                 "job" => jobs.push(b),
                 "variables" => {
                     // The form of several at once.
-                    let p = at(&b.ident, 0);
+                    let p = offset_of(&b.ident, 0);
                     r.diagnostics.unreadable(p, "variables", "write a variable block for each variable");
                 }
                 name => r.diagnostics.unreadable(
-                    at(&b.ident, 0),
+                    offset_of(&b.ident, 0),
                     name,
                     "only job, variable and locals stand at the top of a file",
                 ),
@@ -66,7 +66,7 @@
         return None;
     };
     if let Some(second) = jobs.get(1) {
-        r.diagnostics.unreadable(at(&second.ident, 0), "job", "a file has one job");
+        r.diagnostics.unreadable(offset_of(&second.ident, 0), "job", "a file has one job");
     }
     let labels = r.labels(job);
     let path = match labels.first() {
@@ -74,7 +74,7 @@
         None => "job".into(),
     };
     let block =
-        Block { name: "job".into(), at: at(&job.ident, 0), labels, body: r.body(&job.body, 0, &path) };
+        Block { name: "job".into(), at: offset_of(&job.ident, 0), labels, body: r.body(&job.body, 0, &path) };
     (!r.stopped).then_some(block)
 }
 
@@ -97,7 +97,7 @@
         }
         // Entries of a map or a list are worked out one by one, so that the
         // diagnostics of all of them are told.
-        let or = at(e, or);
+        let or = offset_of(e, or);
         match e {
             Expression::Object(o) => {
                 let (mut map, mut good) = (Vec::new(), true);
@@ -120,7 +120,7 @@
             _ => {}
         }
         match self.scope.eval(e, or) {
-            Ok(datum) => Some(Node { at: at(e, or), datum }),
+            Ok(datum) => Some(Node { at: offset_of(e, or), datum }),
             Err(e) => {
                 self.fault(e, path);
                 None
@@ -173,7 +173,7 @@
         }
         let mut vars: Vec<(String, Node)> = Vec::new();
         for b in body.get_blocks("variable") {
-            let p = at(&b.ident, 0);
+            let p = offset_of(&b.ident, 0);
             let [(name, place)] = &self.labels(b)[..] else {
                 self.diagnostics.unreadable(p, "variable", "a variable has one name");
                 continue;
@@ -191,7 +191,7 @@
                         "type" => match VariableType::read(&a.value) {
                             Some(k) => kind = k,
                             None => self.diagnostics.unreadable(
-                                at(&a.value, p),
+                                offset_of(&a.value, p),
                                 &path,
                                 "the type must be string, number, bool, any, or list, set, map, tuple or object of types",
                             ),
@@ -200,16 +200,16 @@
                         "description" | "sensitive" | "nullable" => {}
                         other => {
                             let text = format!("a variable has no {other}");
-                            self.diagnostics.unreadable(at(&a.key, p), &path, text);
+                            self.diagnostics.unreadable(offset_of(&a.key, p), &path, text);
                         }
                     },
                     Structure::Block(v) if v.ident.as_str() == "validation" => {
                         let text = "validations are not run: check the value in the file that gives it";
-                        self.diagnostics.warning(at(&v.ident, p), &path, text);
+                        self.diagnostics.warning(offset_of(&v.ident, p), &path, text);
                     }
                     Structure::Block(v) => {
                         let text = format!("a variable has no {}", v.ident.as_str());
-                        self.diagnostics.unreadable(at(&v.ident, p), &path, text);
+                        self.diagnostics.unreadable(offset_of(&v.ident, p), &path, text);
                     }
                 }
             }
@@ -246,7 +246,7 @@
             for a in b.body.attributes() {
                 if !names.insert(a.key.to_string()) {
                     let path = format!("local.{}", a.key.as_str());
-                    self.diagnostics.unreadable(at(&a.key, 0), &path, "set twice");
+                    self.diagnostics.unreadable(offset_of(&a.key, 0), &path, "set twice");
                 }
                 open.push(a);
             }
@@ -258,7 +258,7 @@
             for a in std::mem::take(&mut open) {
                 match self.scope.eval(&a.value, 0) {
                     Ok(datum) => {
-                        let node = Node { at: at(&a.value, 0), datum };
+                        let node = Node { at: offset_of(&a.value, 0), datum };
                         if let Some(Datum::Map(m)) = self.scope.get("local") {
                             let mut m = m.clone();
                             m.push((a.key.to_string(), node));
@@ -291,7 +291,7 @@
             }
             match s {
                 Structure::Attribute(a) => {
-                    let (name, p) = (a.key.to_string(), at(&a.key, start));
+                    let (name, p) = (a.key.to_string(), offset_of(&a.key, start));
                     let path = format!("{path}.{name}");
                     if tree.attr(&name).is_some() {
                         self.diagnostics.unreadable(p, &path, "set twice");
@@ -303,7 +303,7 @@
                 }
                 Structure::Block(b) if b.ident.as_str() == "dynamic" => self.dynamic(b, path, &mut tree),
                 Structure::Block(b) => {
-                    let (name, p) = (b.ident.to_string(), at(&b.ident, start));
+                    let (name, p) = (b.ident.to_string(), offset_of(&b.ident, start));
                     let labels = self.labels(b);
                     let mut path = format!("{path}.{name}");
                     labels.iter().for_each(|(l, _)| path.extend([".", l]));
@@ -323,7 +323,7 @@
 
     /// `dynamic "name" { for_each = …  content { … } }`
     fn dynamic(&mut self, b: &hcl_edit::structure::Block, path: &str, tree: &mut Tree) {
-        let p = at(&b.ident, 0);
+        let p = offset_of(&b.ident, 0);
         let [(name, _)] = &self.labels(b)[..] else {
             return self.diagnostics.unreadable(p, path, "dynamic has the name of the block that it makes");
         };
@@ -337,7 +337,7 @@
             None => name.clone(),
             Some(Expression::Variable(v)) => v.to_string(),
             Some(e) => {
-                return self.diagnostics.unreadable(at(e, p), &path, "iterator must be a name");
+                return self.diagnostics.unreadable(offset_of(e, p), &path, "iterator must be a name");
             }
         };
         let items = match self.scope.items(&each.value, p) {
--- a/crates/nomad/src/lib.rs
+++ b/crates/nomad/src/lib.rs
@@ -70,7 +70,7 @@
 pub fn read(source: &str, inputs: &Inputs) -> (Option<model::Job>, Diagnostics) {
     let mut diagnostics = Diagnostics::default();
     let job = read_unplaced(source, inputs, &mut diagnostics);
-    diagnostics.place(source);
+    diagnostics.assign_positions(source);
     (job, diagnostics)
 }
 
@@ -84,6 +84,6 @@
         class = translate::find_class(j, settings).map(|c| c.name.clone());
         groups = translate::translate(j, settings, site, &mut diagnostics);
     }
-    diagnostics.place(source);
+    diagnostics.assign_positions(source);
     ValidationReport { job, class, groups, diagnostics }
 }
--- a/crates/nomad/src/model.rs
+++ b/crates/nomad/src/model.rs
@@ -181,7 +181,7 @@
     let name = r.text(t, "name", &path).unwrap_or_else(|| id.clone());
     let namespace = r.text(t, "namespace", &path).unwrap_or_else(|| "default".into());
     for (what, text) in [("id", &id), ("name", &name), ("namespace", &namespace)] {
-        r.name(what, text, block.at, &path);
+        r.check_name(what, text, block.at, &path);
     }
     let kind = match r.text(t, "type", &path).as_deref() {
         None | Some("service") => Kind::Service,
@@ -309,7 +309,7 @@
                 continue;
             };
             if self.check_support(row, a.at, &here, &a.value.datum) {
-                self.shape(row, a, &here);
+                self.check_shape(row, a, &here);
             }
         }
         let mut seen: Vec<(&str, Option<&str>)> = Vec::new();
@@ -377,7 +377,7 @@
         }
     }
 
-    fn shape(&mut self, row: &Row, a: &Attr, path: &str) {
+    fn check_shape(&mut self, row: &Row, a: &Attr, path: &str) {
         let d = &a.value.datum;
         let fault = match row.shape {
             Shape::Text => d.text().is_none().then_some("must be text"),
@@ -413,7 +413,7 @@
         }
     }
 
-    fn name(&mut self, what: &str, text: &str, at: usize, path: &str) {
+    fn check_name(&mut self, what: &str, text: &str, at: usize, path: &str) {
         let bad = text.is_empty()
             || text.len() > MAX_NAME_BYTES
             || text.chars().any(|c| c.is_whitespace() || c.is_control());
@@ -588,7 +588,7 @@
     fn group(&mut self, b: &Block, kind: Kind, reschedule: Option<&Block>, path: &str) -> Option<Group> {
         let (name, _) = b.labels.first()?;
         let path = format!("{path}.group.{name}");
-        self.name("name", name, b.at, &path);
+        self.check_name("name", name, b.at, &path);
         let t = &b.body;
         let tasks: Vec<&Block> = t.blocks_named("task").collect();
         let Some(first) = tasks.first() else {
@@ -651,7 +651,7 @@
     fn task(&mut self, b: &Block, path: &str) -> Option<Task> {
         let (name, _) = b.labels.first()?;
         let path = format!("{path}.task.{name}");
-        self.name("name", name, b.at, &path);
+        self.check_name("name", name, b.at, &path);
         let t = &b.body;
         let driver = self.text(t, "driver", &path).unwrap_or_default();
         if driver.is_empty() {
--- a/crates/nomad/src/service/api.rs
+++ b/crates/nomad/src/service/api.rs
@@ -222,19 +222,19 @@
 
 impl Request {
     /// A query's value.
-    pub fn q(&self, name: &str) -> Option<&str> {
+    pub fn query_value(&self, name: &str) -> Option<&str> {
         self.query.get(name).map(String::as_str).filter(|v| !v.is_empty())
     }
     /// The namespace that is asked for.
     pub fn namespace(&self) -> &str {
-        self.q("namespace").unwrap_or("default")
+        self.query_value("namespace").unwrap_or("default")
     }
     /// What the request says of a job in its body.
     pub fn inputs(&self) -> Inputs {
-        Inputs { namespace: self.q("namespace").map(str::to_owned), ..Inputs::default() }
+        Inputs { namespace: self.query_value("namespace").map(str::to_owned), ..Inputs::default() }
     }
     /// Whether a team's job may be seen.
-    pub fn may(&self, team: &str) -> bool {
+    pub fn can_access(&self, team: &str) -> bool {
         self.team.as_deref().is_none_or(|t| t == team)
     }
 }
@@ -321,7 +321,7 @@
         let index = host.replica.applied;
         let known = |s: &Service, j: &str| {
             let key = JobKey::of(r.namespace(), j);
-            s.jobs.get(&key).filter(|k| r.may(&k.head.team)).cloned().map(|k| (key, k))
+            s.jobs.get(&key).filter(|k| r.can_access(&k.head.team)).cloned().map(|k| (key, k))
         };
         match &r.route {
             Route::Register => self.register(host, r),
@@ -329,11 +329,11 @@
             Route::Plan(_) => self.plan(host, &r),
             Route::Jobs => {
                 let rows: Vec<(String, Value)> = self
-                    .seen(&r)
-                    .filter(|k| k.head.id.starts_with(r.q("prefix").unwrap_or("")))
+                    .visible_in_namespace(&r)
+                    .filter(|k| k.head.id.starts_with(r.query_value("prefix").unwrap_or("")))
                     .map(|k| (format!("{}.{}", k.head.namespace, k.head.id), views::job_stub(host, k)))
                     .collect();
-                self.page(&r, index, rows);
+                self.answer_page(&r, index, rows);
             }
             Route::Job(j) => match known(self, j) {
                 None => self.answer_error(r.id, 404, "job not found"),
@@ -379,19 +379,19 @@
                 }
             },
             Route::Allocations => {
-                let prefix = r.q("prefix").unwrap_or("").to_owned();
+                let prefix = r.query_value("prefix").unwrap_or("").to_owned();
                 let rows: Vec<(String, Value)> = self
-                    .seen(&r)
+                    .visible_in_namespace(&r)
                     .flat_map(|k| views::allocations(host, k))
                     .map(|v| (v["ID"].as_str().unwrap_or("").to_owned(), v))
                     .filter(|(id, _)| id.starts_with(&prefix))
                     .collect();
-                self.page(&r, index, rows);
+                self.answer_page(&r, index, rows);
             }
             Route::Allocation(id) => {
                 let found = views::allocation_of(id).and_then(|(job, i)| {
                     let key = self.jobs_by_native_id.get(&job)?;
-                    let k = self.jobs.get(key).filter(|k| r.may(&k.head.team))?;
+                    let k = self.jobs.get(key).filter(|k| r.can_access(&k.head.team))?;
                     views::allocations(host, k).into_iter().find(|v| v["ID"] == **id).map(|v| (v, i))
                 });
                 match found {
@@ -401,15 +401,15 @@
             }
             Route::Evaluations => {
                 let rows: Vec<(String, Value)> = self
-                    .seen(&r)
+                    .visible_in_namespace(&r)
                     .map(|k| views::evaluation(host, &k.head.key(), k))
                     .map(|v| (v["ID"].as_str().unwrap_or("").to_owned(), v))
                     .collect();
-                self.page(&r, index, rows);
+                self.answer_page(&r, index, rows);
             }
             Route::Evaluation(id) => {
                 let found = self
-                    .seen(&r)
+                    .visible_in_namespace(&r)
                     .map(|k| views::evaluation(host, &k.head.key(), k))
                     .find(|v| v["ID"] == **id);
                 match found {
@@ -418,10 +418,10 @@
                 }
             }
             Route::Nodes => {
-                let prefix = r.q("prefix").unwrap_or("").to_owned();
+                let prefix = r.query_value("prefix").unwrap_or("").to_owned();
                 let rows = host.replica.machines.iter().map(|(id, m)| (id.to_string(), views::node(id, m)));
                 let rows: Vec<_> = rows.filter(|(id, _)| id.starts_with(&prefix)).collect();
-                self.page(&r, index, rows);
+                self.answer_page(&r, index, rows);
             }
             Route::Node(id) => {
                 let found = host.replica.machines.iter().find(|(m, _)| m.as_str() == id);
@@ -431,15 +431,15 @@
                 }
             }
             Route::Namespaces => {
-                let mut names: Vec<String> = self.seen_all(&r).map(|k| k.head.namespace.clone()).collect();
+                let mut names: Vec<String> = self.visible_jobs(&r).map(|k| k.head.namespace.clone()).collect();
                 names.push("default".into());
                 names.sort();
                 names.dedup();
                 let rows = names.into_iter().map(|n| (n.clone(), views::namespace(&n))).collect();
-                self.page(&r, index, rows);
+                self.answer_page(&r, index, rows);
             }
             Route::Namespace(n) => {
-                let there = n == "default" || self.seen_all(&r).any(|k| k.head.namespace == *n);
+                let there = n == "default" || self.visible_jobs(&r).any(|k| k.head.namespace == *n);
                 match there {
                     true => self.answer(r.id, 200, index, &views::namespace(n)),
                     false => self.answer_error(r.id, 404, "namespace not found"),
@@ -483,22 +483,22 @@
     }
 
     /// Jobs of the namespace that is asked for, as far as the token sees them.
-    fn seen<'a>(&'a self, r: &'a Request) -> impl Iterator<Item = &'a super::RegisteredJob> + 'a {
+    fn visible_in_namespace<'a>(&'a self, r: &'a Request) -> impl Iterator<Item = &'a super::RegisteredJob> + 'a {
         let namespace = r.namespace();
-        self.seen_all(r).filter(move |k| namespace == "*" || k.head.namespace == namespace)
+        self.visible_jobs(r).filter(move |k| namespace == "*" || k.head.namespace == namespace)
     }
 
-    fn seen_all<'a>(&'a self, r: &'a Request) -> impl Iterator<Item = &'a super::RegisteredJob> + 'a {
-        self.jobs.values().filter(|k| r.may(&k.head.team))
+    fn visible_jobs<'a>(&'a self, r: &'a Request) -> impl Iterator<Item = &'a super::RegisteredJob> + 'a {
+        self.jobs.values().filter(|k| r.can_access(&k.head.team))
     }
 
     /// A page of rows by their keys; `next_token` is the key of the next row.
-    fn page(&mut self, r: &Request, index: u64, mut rows: Vec<(String, Value)>) {
+    fn answer_page(&mut self, r: &Request, index: u64, mut rows: Vec<(String, Value)>) {
         rows.sort_by(|a, b| a.0.cmp(&b.0));
-        if let Some(from) = r.q("next_token") {
+        if let Some(from) = r.query_value("next_token") {
             rows.retain(|(k, _)| k.as_str() >= from);
         }
-        let per = match r.q("per_page").map(str::parse::<usize>) {
+        let per = match r.query_value("per_page").map(str::parse::<usize>) {
             None => MAX_ROWS_PER_PAGE,
             Some(Ok(n)) if n > 0 => n.min(MAX_ROWS_PER_PAGE),
             Some(_) => return self.answer_error(r.id, 400, "per_page: must be a whole number from 1"),
@@ -510,7 +510,7 @@
     }
 
     pub(crate) fn read_content(&mut self, key: &JobKey, nonce: String, request: Request) {
-        let prefix = super::records::names::parts(key, &nonce);
+        let prefix = super::records::names::chunk_prefix(key, &nonce);
         let ticket = self.new_operation(PendingOperation::Content { request, nonce });
         self.outputs.push(ExtensionOutput::Read(ticket, prefix));
     }
@@ -530,7 +530,7 @@
         }
         let mut diagnostics = Diagnostics::default();
         let job = hcl::read(text, &inputs, &mut diagnostics).and_then(|b| model::read(&b, &mut diagnostics));
-        diagnostics.place(text);
+        diagnostics.assign_positions(text);
         match job.filter(|_| diagnostics.accepted()) {
             Some(j) => self.answer(r.id, 200, 0, &super::records::api_job(&j)),
             None => self.answer_error(r.id, 400, &format_diagnostics(&diagnostics)),
@@ -558,7 +558,7 @@
             return self.answer_error(r.id, 400, &format_diagnostics(&j.diagnostics));
         };
         let team = translate::find_class(job, &self.settings).map(|c| c.team.clone()).unwrap_or_default();
-        if !r.may(&team) {
+        if !r.can_access(&team) {
             return self.answer_error(r.id, 403, "Permission denied");
         }
         let key = JobKey::of(&job.namespace, &job.id);
--- a/crates/nomad/src/service/reconcile.rs
+++ b/crates/nomad/src/service/reconcile.rs
@@ -140,7 +140,7 @@
         if m.writes.is_empty() && head.purge && !left {
             m.writes.push(remove(&names::head(key)));
             if self.last_launches.contains_key(key) {
-                m.writes.push(remove(&names::launch(key)));
+                m.writes.push(remove(&names::last_launch(key)));
             }
         }
         if m.writes.is_empty() {
@@ -155,7 +155,7 @@
     pub(crate) fn load_content(&mut self, key: &JobKey, nonce: &str) {
         self.writes_in_flight.insert(key.clone());
         let ticket = self.new_operation(PendingOperation::Load(key.clone(), nonce.to_owned()));
-        self.outputs.push(ExtensionOutput::Read(ticket, names::parts(key, nonce)));
+        self.outputs.push(ExtensionOutput::Read(ticket, names::chunk_prefix(key, nonce)));
     }
 
     /// Removes parts that no head names: of registrations that were not
@@ -193,9 +193,9 @@
         let m = Multi {
             when: vec![
                 precondition(names::head(key), known.modify_revision),
-                precondition(names::launch(key), stamp),
+                precondition(names::last_launch(key), stamp),
             ],
-            writes: vec![put(&names::launch(key), json!(ms))],
+            writes: vec![put(&names::last_launch(key), json!(ms))],
         };
         self.writes_in_flight.insert(key.clone());
         let ticket = self.new_operation(PendingOperation::Launch(key.clone()));
--- a/crates/nomad/src/service/records.rs
+++ b/crates/nomad/src/service/records.rs
@@ -33,19 +33,19 @@
         format!("j/{}", k.0)
     }
     /// All parts of one writing of a job.
-    pub fn parts(k: &JobKey, nonce: &str) -> String {
+    pub fn chunk_prefix(k: &JobKey, nonce: &str) -> String {
         format!("p/{}/{nonce}/", k.0)
     }
     /// A part; parts sort in their order.
-    pub fn part(k: &JobKey, nonce: &str, i: usize) -> String {
+    pub fn chunk(k: &JobKey, nonce: &str, i: usize) -> String {
         format!("p/{}/{nonce}/{i:03}", k.0)
     }
     /// The last launch of a periodic job.
-    pub fn launch(k: &JobKey) -> String {
+    pub fn last_launch(k: &JobKey) -> String {
         format!("l/{}", k.0)
     }
     /// A dispatch by its idempotency token.
-    pub fn token(k: &JobKey) -> String {
+    pub fn dispatch_token(k: &JobKey) -> String {
         format!("i/{}", k.0)
     }
 }
@@ -327,7 +327,7 @@
     #[test]
     fn keys_tell_namespace_from_id() {
         assert_ne!(JobKey::of("a", "bc"), JobKey::of("ab", "c"));
-        assert_eq!(names::part(&JobKey::of("a", "b"), "n", 7).len(), 2 + 40 + 3 + 3);
+        assert_eq!(names::chunk(&JobKey::of("a", "b"), "n", 7).len(), 2 + 40 + 3 + 3);
     }
 
     /// As this version writes it: later ones must read it.
--- a/crates/nomad/src/service/register.rs
+++ b/crates/nomad/src/service/register.rs
@@ -106,7 +106,7 @@
         let Some((class, team)) = class.map(|c| (c.name.clone(), c.team.clone())) else {
             return self.answer_error(r.id, 400, "no class takes the job");
         };
-        if !r.may(&team) {
+        if !r.can_access(&team) {
             return self.answer_error(r.id, 403, "Permission denied");
         }
         if let Err(text) = self.check_team_limits(host, &judged.groups) {
@@ -143,11 +143,11 @@
             return;
         };
         let key = JobKey::of(r.namespace(), id);
-        let Some(known) = self.jobs.get(&key).filter(|k| r.may(&k.head.team)).cloned() else {
+        let Some(known) = self.jobs.get(&key).filter(|k| r.can_access(&k.head.team)).cloned() else {
             return self.answer_error(r.id, 404, "job not found");
         };
         if matches!(r.route, Route::Stop(_)) {
-            let purge = r.q("purge") == Some("true");
+            let purge = r.query_value("purge") == Some("true");
             return self.begin_change(host, r, key, JobChange::Stop { purge }, false);
         }
         let Some(content) = self.contents.get(&known.head.nonce).cloned() else {
@@ -233,7 +233,7 @@
         }
         // A dispatch that is asked for again under its token is the same one.
         let token =
-            r.q("idempotency_token").or_else(|| body["IdempotencyToken"].as_str().filter(|t| !t.is_empty()));
+            r.query_value("idempotency_token").or_else(|| body["IdempotencyToken"].as_str().filter(|t| !t.is_empty()));
         let token = token.map(|t| JobKey::of(&known.head.key().0, t));
         if let Some(id) = token.as_ref().and_then(|t| self.jobs_by_dispatch_token.get(t)) {
             let key = JobKey::of(&known.head.namespace, id);
@@ -526,7 +526,7 @@
             }
             head.nonce = format!("{:016x}", self.rng.u64(..));
             for (i, p) in parts.into_iter().enumerate() {
-                r.chunks.push((names::part(&target, &head.nonce, i), p));
+                r.chunks.push((names::chunk(&target, &head.nonce, i), p));
             }
             self.cache_content(&head.nonce, c);
         }
@@ -575,12 +575,12 @@
             conditions.push(precondition(names::head(&target), 0));
             if let Some(ms) = launched {
                 let stamp = self.last_launches.get(&r.key).map_or(0, |l| l.1);
-                conditions.push(precondition(names::launch(&r.key), stamp));
-                writes.push(put(&names::launch(&r.key), json!(ms)));
+                conditions.push(precondition(names::last_launch(&r.key), stamp));
+                writes.push(put(&names::last_launch(&r.key), json!(ms)));
             }
             if let Some(t) = token {
-                conditions.push(precondition(names::token(t), 0));
-                writes.push(put(&names::token(t), json!(id)));
+                conditions.push(precondition(names::dispatch_token(t), 0));
+                writes.push(put(&names::dispatch_token(t), json!(id)));
             }
         }
         let by_leader = r.by_leader;
--- a/crates/nomad/src/service/views.rs
+++ b/crates/nomad/src/service/views.rs
@@ -40,7 +40,7 @@
     Uuid::new_v8(b)
 }
 
-fn native<'a>(host: &'a ExtensionContext<'_>, id: u64) -> Option<&'a Job> {
+fn native_job<'a>(host: &'a ExtensionContext<'_>, id: u64) -> Option<&'a Job> {
     host.replica.jobs.get(&JobId(id))
 }
 
@@ -54,7 +54,7 @@
     }
     let mut all_over = true;
     for g in head.groups.iter().filter(|g| g.count > 0) {
-        match native(host, g.job) {
+        match native_job(host, g.job) {
             Some(j) if j.phase == Phase::Active => {
                 if host.running.get(&JobId(g.job)).copied().unwrap_or(0) > 0 || !j.done.is_empty() {
                     return "running";
@@ -70,7 +70,7 @@
 
 /// Why a job ended, if it failed.
 fn failure(host: &ExtensionContext<'_>, head: &JobRecord) -> Option<String> {
-    head.groups.iter().find_map(|g| native(host, g.job)?.cause.clone())
+    head.groups.iter().find_map(|g| native_job(host, g.job)?.cause.clone())
 }
 
 /// TaskCounts of a group's tasks by what became of them.
@@ -82,9 +82,9 @@
     lost: u32,
 }
 
-fn counts(host: &ExtensionContext<'_>, head: &JobRecord, job: u64, count: u32) -> TaskCounts {
+fn task_counts(host: &ExtensionContext<'_>, head: &JobRecord, job: u64, count: u32) -> TaskCounts {
     let mut c = TaskCounts { queued: 0, running: 0, complete: 0, failed: 0, lost: 0 };
-    match native(host, job) {
+    match native_job(host, job) {
         None => c.queued = if head.stop || head.is_template() { 0 } else { count },
         Some(j) => match j.phase {
             Phase::Done => c.complete = j.tasks,
@@ -104,7 +104,7 @@
 pub(crate) fn summary(host: &ExtensionContext<'_>, k: &RegisteredJob) -> Value {
     let mut groups = Map::new();
     for g in &k.head.groups {
-        let c = counts(host, &k.head, g.job, g.count);
+        let c = task_counts(host, &k.head, g.job, g.count);
         groups.insert(
             g.name.clone(),
             json!({"Queued": c.queued, "Complete": c.complete, "Failed": c.failed,
@@ -159,11 +159,11 @@
     let h = &k.head;
     let mut queued = Map::new();
     for g in &h.groups {
-        queued.insert(g.name.clone(), json!(counts(host, h, g.job, g.count).queued));
+        queued.insert(g.name.clone(), json!(task_counts(host, h, g.job, g.count).queued));
     }
     let waits = queued.values().any(|v| v.as_u64() > Some(0));
     let made =
-        h.is_template() || h.stop || h.groups.iter().all(|g| g.count == 0 || native(host, g.job).is_some());
+        h.is_template() || h.stop || h.groups.iter().all(|g| g.count == 0 || native_job(host, g.job).is_some());
     let status = match (made, waits) {
         (false, _) => "pending",
         (true, true) => "blocked",
@@ -181,19 +181,19 @@
     let h = &k.head;
     let mut out = Vec::new();
     for g in &h.groups {
-        if let Some(j) = native(host, g.job) {
-            tasks(host, k, &g.name, g.job, j, &mut out);
+        if let Some(j) = native_job(host, g.job) {
+            push_allocations(host, k, &g.name, g.job, j, &mut out);
         }
     }
     for id in &h.superseded_jobs {
-        if let Some(j) = native(host, *id) {
-            tasks(host, k, "", *id, j, &mut out);
+        if let Some(j) = native_job(host, *id) {
+            push_allocations(host, k, "", *id, j, &mut out);
         }
     }
     out
 }
 
-fn tasks(
+fn push_allocations(
     host: &ExtensionContext<'_>,
     k: &RegisteredJob,
     group: &str,
@@ -230,7 +230,7 @@
 pub(crate) fn scale_status(host: &ExtensionContext<'_>, k: &RegisteredJob) -> Value {
     let mut groups = Map::new();
     for g in &k.head.groups {
-        let c = counts(host, &k.head, g.job, g.count);
+        let c = task_counts(host, &k.head, g.job, g.count);
         groups.insert(
             g.name.clone(),
             json!({"Desired": g.count, "Running": c.running, "Placed": c.running,
--- a/crates/nomad/src/tree.rs
+++ b/crates/nomad/src/tree.rs
@@ -235,7 +235,7 @@
         self.worst().is_none_or(|s| s == Severity::Warning)
     }
     /// Gives every fault its line and column, and sorts them by place.
-    pub fn place(&mut self, source: &str) {
+    pub fn assign_positions(&mut self, source: &str) {
         self.list.sort_by_key(|f| (f.at, f.severity));
         let (mut line, mut start, mut seen) = (1, 0, 0);
         for f in &mut self.list {
--- a/crates/nomad/tests/record_compatibility.rs
+++ b/crates/nomad/tests/record_compatibility.rs
@@ -110,10 +110,10 @@
     // (name, as production writes it)
     let written = [
         (names::head(&key), "j/KEY"),
-        (names::parts(&key, "f00d"), "p/KEY/f00d/"),
-        (names::part(&key, "f00d", 7), "p/KEY/f00d/007"),
-        (names::launch(&key), "l/KEY"),
-        (names::token(&key), "i/KEY"),
+        (names::chunk_prefix(&key, "f00d"), "p/KEY/f00d/"),
+        (names::chunk(&key, "f00d", 7), "p/KEY/f00d/007"),
+        (names::last_launch(&key), "l/KEY"),
+        (names::dispatch_token(&key), "i/KEY"),
     ];
     for (name, want) in written {
         assert_eq!(name, want.replace("KEY", &key.0));
