--- a/crates/nomad/src/eval.rs
+++ b/crates/nomad/src/eval.rs
@@ -49,7 +49,7 @@
     Err(EvalError { at, text: text.into(), fatal: false })
 }
 
-fn place(e: &impl Span, or: usize) -> usize {
+fn offset_of(e: &impl Span, or: usize) -> usize {
     e.span().map_or(or, |s| s.start)
 }
 
@@ -100,7 +100,7 @@
 
     /// The value of an expression.
     pub fn eval(&mut self, e: &Expression, or: usize) -> Result<Datum> {
-        let at = place(e, or);
+        let at = offset_of(e, or);
         self.count_work(at, 1)?;
         match e {
             Expression::Null(_) => Ok(Datum::Null),
@@ -116,7 +116,7 @@
             Expression::Array(a) => {
                 let mut list = Vec::new();
                 for x in a.iter() {
-                    list.push(Node { at: place(x, at), datum: self.eval(x, at)? });
+                    list.push(Node { at: offset_of(x, at), datum: self.eval(x, at)? });
                 }
                 Ok(Datum::List(list))
             }
@@ -128,11 +128,11 @@
                         ObjectKey::Expression(Expression::Variable(v)) => v.to_string(),
                         ObjectKey::Expression(x) => match self.eval(x, at)?.text() {
                             Some(t) => t,
-                            None => return fail(place(x, at), "a map's key must be text"),
+                            None => return fail(offset_of(x, at), "a map's key must be text"),
                         },
                     };
                     let x = v.expr();
-                    let node = Node { at: place(x, at), datum: self.eval(x, at)? };
+                    let node = Node { at: offset_of(x, at), datum: self.eval(x, at)? };
                     insert(&mut map, key, node);
                 }
                 Ok(Datum::Map(map))
@@ -164,7 +164,7 @@
             Expression::Conditional(c) => match self.eval(&c.cond_expr, at)? {
                 Datum::Bool(true) => self.eval(&c.true_expr, at),
                 Datum::Bool(false) => self.eval(&c.false_expr, at),
-                d => fail(place(&c.cond_expr, at), format!("the condition is {}, not a boolean", d.kind())),
+                d => fail(offset_of(&c.cond_expr, at), format!("the condition is {}, not a boolean", d.kind())),
             },
             Expression::FuncCall(f) => {
                 let name = f.name.name.as_str();
@@ -270,7 +270,7 @@
 
     /// What a `for` goes through: keys and values.
     pub fn items(&mut self, e: &Expression, or: usize) -> Result<Vec<(Datum, Datum)>> {
-        let at = place(e, or);
+        let at = offset_of(e, or);
         match self.eval(e, at)? {
             Datum::List(l) => {
                 Ok(l.into_iter().enumerate().map(|(i, n)| (Datum::Number(i as f64), n.datum)).collect())
@@ -327,15 +327,15 @@
                 }
                 let found = at_name.cloned().unwrap_or(Datum::Null);
                 self.count_work(at, approximate_size(&found))?;
-                return self.steps(found, &t.operators[used..], at);
+                return self.apply_operators(found, &t.operators[used..], at);
             }
             e => self.eval(e, at)?,
         };
-        d = self.steps(d, &t.operators, at)?;
+        d = self.apply_operators(d, &t.operators, at)?;
         Ok(d)
     }
 
-    fn steps(
+    fn apply_operators(
         &mut self,
         mut d: Datum,
         ops: &[hcl_edit::Decorated<TraversalOperator>],
@@ -358,7 +358,7 @@
                     };
                     let mut out = Vec::new();
                     for n in list {
-                        out.push(Node { at: n.at, datum: self.steps(n.datum, &ops[i + 1..], at)? });
+                        out.push(Node { at: n.at, datum: self.apply_operators(n.datum, &ops[i + 1..], at)? });
                     }
                     return Ok(Datum::List(out));
                 }
@@ -391,7 +391,7 @@
                     if i.strip.strip_start() {
                         out.strip();
                     }
-                    let at = place(&i.expr, at);
+                    let at = offset_of(&i.expr, at);
                     let v = self.eval(&i.expr, at)?;
                     let Some(text) = v.text() else {
                         return fail(at, format!("{} can't be put into text", v.kind()));
--- a/crates/nomad/src/functions.rs
+++ b/crates/nomad/src/functions.rs
@@ -27,19 +27,19 @@
     }
 }
 
-fn whole(d: &Datum) -> Result<i64, String> {
+fn to_integer(d: &Datum) -> Result<i64, String> {
     let n = to_number(d)?;
     if n.fract() == 0.0 && n.abs() < 9e15 { Ok(n as i64) } else { Err(format!("{n} is not a whole number")) }
 }
 
-fn items(d: &Datum) -> Result<&[Node], String> {
+fn as_list(d: &Datum) -> Result<&[Node], String> {
     match d {
         Datum::List(l) => Ok(l),
         d => Err(format!("a list is wanted, not {}", d.kind())),
     }
 }
 
-fn map(d: &Datum) -> Result<&[(String, Node)], String> {
+fn as_map(d: &Datum) -> Result<&[(String, Node)], String> {
     match d {
         Datum::Map(m) => Ok(m),
         d => Err(format!("a map is wanted, not {}", d.kind())),
@@ -124,14 +124,14 @@
         "substr" => {
             need(3, 3)?;
             let chars: Vec<char> = text_of(0)?.chars().collect();
-            let (from, len) = (whole(&a[1])?, whole(&a[2])?);
+            let (from, len) = (to_integer(&a[1])?, to_integer(&a[2])?);
             let from = if from < 0 { chars.len() as i64 + from } else { from }.clamp(0, chars.len() as i64);
             let end = if len < 0 { chars.len() as i64 } else { (from + len).min(chars.len() as i64) };
             t(chars[from as usize..end as usize].iter().collect())
         }
         "indent" => {
             need(2, 2)?;
-            let pad = " ".repeat(whole(&a[0])?.clamp(0, 200) as usize);
+            let pad = " ".repeat(to_integer(&a[0])?.clamp(0, 200) as usize);
             let s = text_of(1)?;
             check_result_size(s.len() + s.matches('\n').count() * pad.len())?;
             t(s.replace('\n', &format!("\n{pad}")))
@@ -141,7 +141,7 @@
             let sep = text_of(0)?;
             let mut parts = Vec::new();
             for l in &a[1..] {
-                for x in items(l)? {
+                for x in as_list(l)? {
                     parts.push(to_text(&x.datum)?);
                 }
             }
@@ -174,7 +174,7 @@
         }
         "formatlist" => {
             need(2, usize::MAX)?;
-            let rows = a[1..].iter().filter_map(|d| items(d).ok().map(<[Node]>::len)).max().unwrap_or(1);
+            let rows = a[1..].iter().filter_map(|d| as_list(d).ok().map(<[Node]>::len)).max().unwrap_or(1);
             let form = text_of(0)?;
             check_result_size(rows.saturating_mul(form.len()))?;
             let (mut out, mut made) = (Vec::new(), 0);
@@ -231,7 +231,7 @@
         }
         "parseint" => {
             need(2, 2)?;
-            let base = whole(&a[1])?;
+            let base = to_integer(&a[1])?;
             if !(2..=36).contains(&base) {
                 return Err("the base must be 2 to 36".into());
             }
@@ -251,7 +251,7 @@
         "sum" => {
             need(1, 1)?;
             let mut s = 0.0;
-            for x in items(&a[0])? {
+            for x in as_list(&a[0])? {
                 s += to_number(&x.datum)?;
             }
             n(s)
@@ -268,15 +268,15 @@
             need(1, usize::MAX)?;
             let mut out = Vec::new();
             for d in a {
-                out.extend(items(d)?.iter().cloned());
+                out.extend(as_list(d)?.iter().cloned());
             }
             if name == "setunion" { Ok(distinct(&out, at)) } else { Ok(Datum::List(out)) }
         }
         "setintersection" | "setsubtract" => {
             need(2, 2)?;
-            let other = items(&a[1])?;
+            let other = as_list(&a[1])?;
             let within = name == "setintersection";
-            let kept: Vec<Node> = items(&a[0])?
+            let kept: Vec<Node> = as_list(&a[0])?
                 .iter()
                 .filter(|x| other.iter().any(|y| values_equal(&x.datum, &y.datum)) == within)
                 .cloned()
@@ -285,31 +285,31 @@
         }
         "contains" => {
             need(2, 2)?;
-            Ok(Datum::Bool(items(&a[0])?.iter().any(|x| values_equal(&x.datum, &a[1]))))
+            Ok(Datum::Bool(as_list(&a[0])?.iter().any(|x| values_equal(&x.datum, &a[1]))))
         }
         "index" => {
             need(2, 2)?;
-            match items(&a[0])?.iter().position(|x| values_equal(&x.datum, &a[1])) {
+            match as_list(&a[0])?.iter().position(|x| values_equal(&x.datum, &a[1])) {
                 Some(i) => n(i as f64),
                 None => Err("the list does not hold that".into()),
             }
         }
         "distinct" => {
             need(1, 1)?;
-            Ok(distinct(items(&a[0])?, at))
+            Ok(distinct(as_list(&a[0])?, at))
         }
         "compact" => {
             need(1, 1)?;
-            Ok(Datum::List(items(&a[0])?.iter().filter(|x| !x.datum.is_empty()).cloned().collect()))
+            Ok(Datum::List(as_list(&a[0])?.iter().filter(|x| !x.datum.is_empty()).cloned().collect()))
         }
         "reverse" => {
             need(1, 1)?;
-            Ok(Datum::List(items(&a[0])?.iter().rev().cloned().collect()))
+            Ok(Datum::List(as_list(&a[0])?.iter().rev().cloned().collect()))
         }
         "sort" => {
             need(1, 1)?;
             let mut v = Vec::new();
-            for x in items(&a[0])? {
+            for x in as_list(&a[0])? {
                 v.push(to_text(&x.datum)?);
             }
             v.sort();
@@ -326,21 +326,21 @@
                 }
             }
             let mut out = Vec::new();
-            flat(items(&a[0])?, &mut out);
+            flat(as_list(&a[0])?, &mut out);
             Ok(Datum::List(out))
         }
         "element" => {
             need(2, 2)?;
-            let l = items(&a[0])?;
+            let l = as_list(&a[0])?;
             if l.is_empty() {
                 return Err("the list is empty".into());
             }
-            Ok(l[whole(&a[1])?.rem_euclid(l.len() as i64) as usize].datum.clone())
+            Ok(l[to_integer(&a[1])?.rem_euclid(l.len() as i64) as usize].datum.clone())
         }
         "slice" => {
             need(3, 3)?;
-            let l = items(&a[0])?;
-            let (from, to) = (whole(&a[1])?, whole(&a[2])?);
+            let l = as_list(&a[0])?;
+            let (from, to) = (to_integer(&a[1])?, to_integer(&a[2])?);
             if from < 0 || to < from || to > l.len() as i64 {
                 return Err(format!("the list has {} elements, not {from} to {to}", l.len()));
             }
@@ -348,8 +348,8 @@
         }
         "chunklist" => {
             need(2, 2)?;
-            let size = whole(&a[1])?.max(1) as usize;
-            Ok(list(items(&a[0])?.chunks(size).map(|c| Datum::List(c.to_vec())), at))
+            let size = to_integer(&a[1])?.max(1) as usize;
+            Ok(list(as_list(&a[0])?.chunks(size).map(|c| Datum::List(c.to_vec())), at))
         }
         "range" => {
             need(1, 3)?;
@@ -367,7 +367,7 @@
         }
         "keys" | "values" => {
             need(1, 1)?;
-            let mut m: Vec<&(String, Node)> = map(&a[0])?.iter().collect();
+            let mut m: Vec<&(String, Node)> = as_map(&a[0])?.iter().collect();
             m.sort_by(|x, y| x.0.cmp(&y.0));
             Ok(list(
                 m.into_iter()
@@ -378,7 +378,7 @@
         "lookup" => {
             need(2, 3)?;
             let key = text_of(1)?;
-            match (map(&a[0])?.iter().find(|(k, _)| *k == key), a.get(2)) {
+            match (as_map(&a[0])?.iter().find(|(k, _)| *k == key), a.get(2)) {
                 (Some((_, v)), _) => Ok(v.datum.clone()),
                 (None, Some(d)) => Ok(d.clone()),
                 (None, None) => Err(format!("the map has no {key}")),
@@ -388,7 +388,7 @@
             need(1, usize::MAX)?;
             let mut out = Vec::new();
             for d in a {
-                for (k, v) in map(d)? {
+                for (k, v) in as_map(d)? {
                     insert(&mut out, k.clone(), v.clone());
                 }
             }
@@ -396,7 +396,7 @@
         }
         "zipmap" => {
             need(2, 2)?;
-            let (k, v) = (items(&a[0])?, items(&a[1])?);
+            let (k, v) = (as_list(&a[0])?, as_list(&a[1])?);
             if k.len() != v.len() {
                 return Err("the lists differ in length".into());
             }
@@ -499,8 +499,8 @@
                 Datum::Bool(b) => b.to_string(),
                 d => return Err(format!("%t wants a boolean, not {}", d.kind())),
             },
-            'd' => whole(arg)?.to_string(),
-            'x' => format!("{:x}", whole(arg)?),
+            'd' => to_integer(arg)?.to_string(),
+            'x' => format!("{:x}", to_integer(arg)?),
             'f' => format!("{:.*}", digits.unwrap_or(6), to_number(arg)?),
             _ => return Err(format!("%{flags}{verb} is not known")),
         };
@@ -549,7 +549,7 @@
     match name {
         "cidrnetmask" => Ok(Datum::Text(net.netmask().to_string())),
         "cidrhost" => {
-            let i = whole(&a[1])?;
+            let i = to_integer(&a[1])?;
             let size = if free >= 127 { u128::MAX } else { 1u128 << free };
             let at = if i < 0 { size.checked_sub(i.unsigned_abs() as u128) } else { Some(i as u128) };
             match at.filter(|x| *x < size) {
@@ -558,7 +558,7 @@
             }
         }
         _ => {
-            let (more, i) = (whole(&a[1])?, whole(&a[2])?);
+            let (more, i) = (to_integer(&a[1])?, to_integer(&a[2])?);
             if !(0..=free as i64).contains(&more) || i < 0 || more < 63 && i >= 1i64 << more {
                 return Err(format!("{net} has no such subnet"));
             }
