--- a/crates/nomad/src/eval.rs
+++ b/crates/nomad/src/eval.rs
@@ -164,7 +164,9 @@
             Expression::Conditional(c) => match self.eval(&c.cond_expr, at)? {
                 Datum::Bool(true) => self.eval(&c.true_expr, at),
                 Datum::Bool(false) => self.eval(&c.false_expr, at),
-                d => fail(offset_of(&c.cond_expr, at), format!("the condition is {}, not a boolean", d.kind())),
+                d => {
+                    fail(offset_of(&c.cond_expr, at), format!("the condition is {}, not a boolean", d.kind()))
+                }
             },
             Expression::FuncCall(f) => {
                 let name = f.name.name.as_str();
--- a/crates/nomad/src/model.rs
+++ b/crates/nomad/src/model.rs
@@ -187,7 +187,7 @@
         None | Some("service") => Kind::Service,
         Some("batch") => Kind::Array,
         Some(other) => {
-            let at = place(t, "type");
+            let at = position_of(t, "type");
             let text = match other {
                 "system" | "sysbatch" => {
                     format!(
@@ -205,7 +205,7 @@
         Some(p) if (1..=100).contains(&p) => p as u32,
         Some(p) => {
             let text = format!("{p} must be 1 to 100");
-            r.diagnostics.refused(place(t, "priority"), &format!("{path}.priority"), text);
+            r.diagnostics.refused(position_of(t, "priority"), &format!("{path}.priority"), text);
             50
         }
     };
@@ -213,7 +213,7 @@
         && !matches!(pool.as_str(), "default" | "all")
     {
         let text = format!("there is no node pool {pool}: default and all are every machine");
-        r.diagnostics.refused(place(t, "node_pool"), &format!("{path}.node_pool"), text);
+        r.diagnostics.refused(position_of(t, "node_pool"), &format!("{path}.node_pool"), text);
     }
     let constraints = r.matches(t, "constraint", &path);
     let affinities = r.affinities(t, &path);
@@ -259,7 +259,7 @@
         at: block.at,
         name,
         namespace,
-        region: r.text(t, "region", &path).map(|v| (v, place(t, "region"))),
+        region: r.text(t, "region", &path).map(|v| (v, position_of(t, "region"))),
         kind,
         priority,
         datacenters: r.text_list(t, "datacenters", &path),
@@ -272,7 +272,7 @@
     })
 }
 
-fn place(t: &Tree, name: &str) -> usize {
+fn position_of(t: &Tree, name: &str) -> usize {
     t.attr(name).map(|a| a.at).or_else(|| t.block(name).map(|b| b.at)).unwrap_or(t.at)
 }
 
@@ -579,7 +579,7 @@
             Some("delay") => n = None,
             Some(other) => {
                 let text = format!("\"{other}\" must be fail or delay");
-                self.diagnostics.refused(place(t, "mode"), &format!("{path}.mode"), text);
+                self.diagnostics.refused(position_of(t, "mode"), &format!("{path}.mode"), text);
             }
         }
         (n, at)
@@ -619,7 +619,7 @@
         let count = match self.integer(t, "count", &path) {
             Some(n) if n > MAX_COUNT => {
                 let text = format!("{n} is more than {MAX_COUNT}, the most that any job may have");
-                self.diagnostics.refused(place(t, "count"), &format!("{path}.count"), text);
+                self.diagnostics.refused(position_of(t, "count"), &format!("{path}.count"), text);
                 1
             }
             n => n.unwrap_or(1) as u32,
@@ -640,7 +640,7 @@
             reschedules,
             reschedules_at,
             disk_mb: disk.map_or((300, b.at), |d| {
-                (self.integer(&d.body, "size", &path).unwrap_or(300), place(&d.body, "size"))
+                (self.integer(&d.body, "size", &path).unwrap_or(300), position_of(&d.body, "size"))
             }),
             meta,
             task,
@@ -665,7 +665,7 @@
         let cpu = self.integer(res, "cpu", &res_path).filter(|c| *c > 0);
         if cores.is_some() && cpu.is_some() {
             self.diagnostics.refused(
-                place(res, "cores"),
+                position_of(res, "cores"),
                 &format!("{res_path}.cores"),
                 "stands beside cpu: one of both",
             );
@@ -688,7 +688,7 @@
                 .attr("kill_timeout")
                 .and_then(|a| parse_duration(&a.value.datum).ok())
                 .unwrap_or(Micros::secs(5)),
-            kill_at: place(t, "kill_timeout"),
+            kill_at: position_of(t, "kill_timeout"),
         })
     }
 
@@ -700,7 +700,11 @@
         if let Some(kind) = self.text(t, "spec_type", &path)
             && kind != "cron"
         {
-            self.diagnostics.refused(place(t, "spec_type"), &format!("{path}.spec_type"), "must be cron");
+            self.diagnostics.refused(
+                position_of(t, "spec_type"),
+                &format!("{path}.spec_type"),
+                "must be cron",
+            );
         }
         let time_zone = self.text(t, "time_zone", &path).unwrap_or_else(|| "UTC".into());
         if crons.is_empty() {
@@ -708,7 +712,7 @@
         }
         for c in &crons {
             if let Err(text) = crate::cron::Cron::read(c, &time_zone) {
-                self.diagnostics.refused(place(t, "cron"), &format!("{path}.cron"), text);
+                self.diagnostics.refused(position_of(t, "cron"), &format!("{path}.cron"), text);
             }
         }
         Periodic {
@@ -729,7 +733,7 @@
             Some("forbidden") => Payload::Forbidden,
             Some(other) => {
                 let text = format!("\"{other}\" must be optional, required or forbidden");
-                self.diagnostics.refused(place(t, "payload"), &format!("{path}.payload"), text);
+                self.diagnostics.refused(position_of(t, "payload"), &format!("{path}.payload"), text);
                 Payload::Optional
             }
         };
--- a/crates/nomad/src/service/api.rs
+++ b/crates/nomad/src/service/api.rs
@@ -431,7 +431,8 @@
                 }
             }
             Route::Namespaces => {
-                let mut names: Vec<String> = self.visible_jobs(&r).map(|k| k.head.namespace.clone()).collect();
+                let mut names: Vec<String> =
+                    self.visible_jobs(&r).map(|k| k.head.namespace.clone()).collect();
                 names.push("default".into());
                 names.sort();
                 names.dedup();
@@ -483,7 +484,10 @@
     }
 
     /// Jobs of the namespace that is asked for, as far as the token sees them.
-    fn visible_in_namespace<'a>(&'a self, r: &'a Request) -> impl Iterator<Item = &'a super::RegisteredJob> + 'a {
+    fn visible_in_namespace<'a>(
+        &'a self,
+        r: &'a Request,
+    ) -> impl Iterator<Item = &'a super::RegisteredJob> + 'a {
         let namespace = r.namespace();
         self.visible_jobs(r).filter(move |k| namespace == "*" || k.head.namespace == namespace)
     }
--- a/crates/nomad/src/service/register.rs
+++ b/crates/nomad/src/service/register.rs
@@ -232,8 +232,9 @@
             return Err(format!("Meta.{k}: is required"));
         }
         // A dispatch that is asked for again under its token is the same one.
-        let token =
-            r.query_value("idempotency_token").or_else(|| body["IdempotencyToken"].as_str().filter(|t| !t.is_empty()));
+        let token = r
+            .query_value("idempotency_token")
+            .or_else(|| body["IdempotencyToken"].as_str().filter(|t| !t.is_empty()));
         let token = token.map(|t| JobKey::of(&known.head.key().0, t));
         if let Some(id) = token.as_ref().and_then(|t| self.jobs_by_dispatch_token.get(t)) {
             let key = JobKey::of(&known.head.namespace, id);
--- a/crates/nomad/src/service/views.rs
+++ b/crates/nomad/src/service/views.rs
@@ -162,8 +162,9 @@
         queued.insert(g.name.clone(), json!(task_counts(host, h, g.job, g.count).queued));
     }
     let waits = queued.values().any(|v| v.as_u64() > Some(0));
-    let made =
-        h.is_template() || h.stop || h.groups.iter().all(|g| g.count == 0 || native_job(host, g.job).is_some());
+    let made = h.is_template()
+        || h.stop
+        || h.groups.iter().all(|g| g.count == 0 || native_job(host, g.job).is_some());
     let status = match (made, waits) {
         (false, _) => "pending",
         (true, true) => "blocked",
