--- a/crates/nomad/src/cron.rs
+++ b/crates/nomad/src/cron.rs
@@ -1,4 +1,4 @@
-//! When periodic jobs launch.
+//! Launch times of periodic jobs.
 use cronexpr::{Crontab, FallbackTimezoneOption, ParseOptions};
 use jiff::Timestamp;
 
@@ -9,8 +9,8 @@
 }
 
 impl Cron {
-    /// Reads an expression of five fields, or a name such as `@daily`; the
-    /// error is the reason for a refusal.
+    /// Parses an expression of five fields, or a name such as `@daily`; the error is the reason for
+    /// refusing it.
     pub fn read(text: &str, zone: &str) -> Result<Cron, String> {
         if jiff::tz::TimeZone::get(zone).is_err() {
             return Err(format!("\"{zone}\" is not a time zone such as Europe/Prague"));
@@ -40,15 +40,15 @@
         Ok(cron)
     }
 
-    /// The next launch after a time of day, both in milliseconds since 1970.
-    /// An hour that happens twice launches once for each minute that matches
-    /// on the clock of its first run; one that never happens is passed over.
+    /// The next launch after `ms`; both are in milliseconds since 1970. If the clocks are set back,
+    /// the repeated hour launches each matching minute only in its first pass; an hour skipped by
+    /// the clocks launches nothing.
     pub fn next_after(&self, ms: u64) -> Option<u64> {
         let mut from = Timestamp::from_millisecond(i64::try_from(ms).ok()?).ok()?;
         loop {
             let next = self.tab.find_next(cronexpr::MakeTimestamp(from)).ok()?;
-            // The second run of an hour has the same time on the clock as the
-            // first: a launch then would be the same one again.
+            // A time in the second pass of a repeated hour has the same local time as one in the
+            // first pass and would launch the same minute again.
             let first = next.datetime().to_zoned(next.time_zone().clone()).ok()?;
             if first.timestamp() == next.timestamp() {
                 return u64::try_from(next.timestamp().as_millisecond()).ok();
@@ -62,7 +62,7 @@
     s.lines().last().unwrap_or("").trim_start_matches(['^', ' '])
 }
 
-/// The earliest launch of several expressions after a time.
+/// The earliest next launch of several expressions.
 pub fn next(crons: &[String], zone: &str, ms: u64) -> Option<u64> {
     crons.iter().filter_map(|c| Cron::read(c, zone).ok()?.next_after(ms)).min()
 }
@@ -87,16 +87,16 @@
             ),
             ("@daily", "Asia/Kolkata", "2026-12-01T00:00:00Z", &["2026-12-01T18:30:00Z"]),
             ("30 3 * * 1-5", "Europe/Prague", "2026-12-04T12:00:00Z", &["2026-12-07T02:30:00Z"]),
-            // 2:30 does not happen on 2026-03-29 in Prague: passed over.
+            // 2:30 does not exist on 2026-03-29 in Prague, so it is skipped.
             ("30 2 * * *", "Europe/Prague", "2026-03-28T12:00:00Z", &["2026-03-30T00:30:00Z"]),
-            // 2:30 happens twice on 2026-10-25: launched once, at the first.
+            // 2:30 occurs twice on 2026-10-25; only the first one launches.
             (
                 "30 2 * * *",
                 "Europe/Prague",
                 "2026-10-24T12:00:00Z",
                 &["2026-10-25T00:30:00Z", "2026-10-26T01:30:00Z"],
             ),
-            // Every half hour through it.
+            // Every half hour across the repeated hour.
             (
                 "*/30 * * * *",
                 "Europe/Prague",
--- a/crates/nomad/src/eval.rs
+++ b/crates/nomad/src/eval.rs
@@ -1,7 +1,7 @@
-//! Expressions of HCL2, worked out within bounds.
+//! Evaluator of HCL2 expressions with bounded cost.
 //!
-//! Invariant: work and output are counted as they are made, so that a file
-//! that expands without end is refused before it takes memory or time.
+//! Invariant: steps and output are counted as they are produced, so a file that expands without end
+//! is refused before it exhausts memory or time.
 use crate::functions;
 use crate::tree::{Datum, Node};
 use hcl_edit::Span;
@@ -9,36 +9,36 @@
 use hcl_edit::template::{Directive, Element, Template};
 use std::collections::BTreeMap;
 
-/// Most steps for one file.
+/// Most evaluation steps for one file.
 const MAX_STEPS: usize = 400_000;
-/// Most bytes and elements that expressions may make for one file.
+/// Most bytes and elements that the expressions of one file may produce.
 const MAX_OUTPUT_SIZE: usize = 4 << 20;
 
-/// Why an expression has no value.
+/// Why an expression could not be evaluated.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EvalError {
-    /// Where.
+    /// Byte offset in the file.
     pub at: usize,
-    /// Why.
+    /// The reason.
     pub text: String,
-    /// A bound was hit: nothing else of the file is worked out.
+    /// Whether a limit was exceeded; the rest of the file is then not evaluated.
     pub fatal: bool,
 }
 
-/// References that only the machine can fill in.
+/// Whether a name is the root of a reference that only the machine can resolve at run time.
 pub fn runtime_root(name: &str) -> bool {
     matches!(name, "node" | "attr" | "meta" | "env" | "device" | "unique") || name.starts_with("NOMAD_")
 }
 
-/// Names in scope, and what was used of the bounds.
+/// Names in scope, and the part of the limits used so far.
 pub struct Scope<'a> {
     source: &'a str,
     names: BTreeMap<String, Datum>,
     steps: usize,
     output_size: usize,
-    /// Spaces that an indented heredoc loses at the start of each line, and
-    /// whether the text at hand is in_directive one of its directives: the parser
-    /// takes them off elsewhere only.
+    /// Indentation in spaces that an indented heredoc removes from each line, and whether
+    /// evaluation is inside one of its directives: the parser removes the indentation only outside
+    /// directives.
     indent: usize,
     in_directive: bool,
 }
@@ -54,17 +54,17 @@
 }
 
 impl<'a> Scope<'a> {
-    /// An empty scope over the text of a file.
+    /// An empty scope for the text of a file.
     pub fn new(source: &'a str) -> Self {
         Scope { source, names: BTreeMap::new(), steps: 0, output_size: 0, indent: 0, in_directive: false }
     }
 
-    /// Gives a name a value; what it had before.
+    /// Binds a name and returns its previous value.
     pub fn set(&mut self, name: &str, value: Datum) -> Option<Datum> {
         self.names.insert(name.to_owned(), value)
     }
 
-    /// Takes a name back to what it had before.
+    /// Restores the previous value of a name.
     pub fn restore(&mut self, name: &str, before: Option<Datum>) {
         match before {
             Some(v) => drop(self.names.insert(name.to_owned(), v)),
@@ -77,7 +77,7 @@
         self.names.get(name)
     }
 
-    /// Counts a step and what it makes.
+    /// Counts one step and the size of its output against the limits.
     pub fn count_work(&mut self, at: usize, made: usize) -> Result<()> {
         self.steps += 1;
         self.output_size += made;
@@ -92,13 +92,13 @@
         Ok(())
     }
 
-    /// Copies a value, which counts.
+    /// Copies a value and counts its size.
     fn copy(&mut self, at: usize, v: &Datum) -> Result<Datum> {
         self.count_work(at, approximate_size(v))?;
         Ok(v.clone())
     }
 
-    /// The value of an expression.
+    /// Evaluates an expression; `or` is the offset to report if the expression has none.
     pub fn eval(&mut self, e: &Expression, or: usize) -> Result<Datum> {
         let at = offset_of(e, or);
         self.count_work(at, 1)?;
@@ -173,7 +173,8 @@
                 if !f.name.namespace.is_empty() {
                     return fail(at, format!("the function {name} is not known"));
                 }
-                // These two want their arguments' diagnostics.
+                // `try` and `can` evaluate their arguments one by one and catch errors, except
+                // exceeded limits.
                 if name == "try" || name == "can" {
                     for x in f.args.iter() {
                         match self.eval(x, at) {
@@ -270,7 +271,7 @@
         Ok(())
     }
 
-    /// What a `for` goes through: keys and values.
+    /// Keys and values that a `for` iterates over.
     pub fn items(&mut self, e: &Expression, or: usize) -> Result<Vec<(Datum, Datum)>> {
         let at = offset_of(e, or);
         match self.eval(e, at)? {
@@ -282,7 +283,7 @@
         }
     }
 
-    /// Binds the names of a `for`; what they had before.
+    /// Binds the names of a `for` and returns their previous values.
     pub fn bind(
         &mut self,
         key: Option<&str>,
@@ -294,7 +295,7 @@
         (old_key, self.set(value, v))
     }
 
-    /// Takes that back.
+    /// Restores the values that `bind` returned.
     pub fn unbind(&mut self, key: Option<&str>, value: &str, before: (Option<Datum>, Option<Datum>)) {
         self.restore(value, before.1);
         if let Some(name) = key {
@@ -307,11 +308,11 @@
             && !self.names.contains_key(v.as_str())
             && runtime_root(v.as_str())
         {
-            // Left as it is written; what is in_directive must still be a name.
+            // A run-time reference keeps its source text.
             let text = t.span().and_then(|s| self.source.get(s)).unwrap_or("").trim().to_owned();
             return Ok(Datum::Runtime(format!("${{{text}}}")));
         }
-        // Only the part that is asked for is copied.
+        // Only the selected part of a value is copied.
         let mut d = match &t.expr {
             Expression::Variable(v) if self.names.contains_key(v.as_str()) => {
                 let mut at_name = self.names.get(v.as_str());
@@ -369,7 +370,7 @@
         Ok(d)
     }
 
-    /// Works out a template into `out`.
+    /// Evaluates a template into `out`.
     pub fn template(&mut self, t: &Template, at: usize, out: &mut TemplateOutput) -> Result<()> {
         self.elements(t.iter(), at, out)
     }
@@ -458,7 +459,7 @@
     }
 }
 
-/// Text under construction.
+/// Text of a template during evaluation.
 #[derive(Debug, Default)]
 pub struct TemplateOutput {
     text: String,
@@ -485,13 +486,13 @@
         }
         self.strip_next = s.strip_end();
     }
-    /// What was made.
+    /// The finished text.
     pub fn into_datum(self) -> Datum {
         if self.runtime { Datum::Runtime(self.text) } else { Datum::Text(self.text) }
     }
 }
 
-/// Takes up to `indent` spaces off the start of each line but the first.
+/// Removes up to `indent` spaces from the start of each line but the first.
 fn dedent(s: &str, indent: usize) -> String {
     let mut lines = s.split('\n');
     let mut out = lines.next().unwrap_or("").to_owned();
@@ -503,7 +504,7 @@
     out
 }
 
-/// Bytes and elements of a value, about.
+/// Approximate size of a value in bytes and elements.
 fn approximate_size(d: &Datum) -> usize {
     match d {
         Datum::Text(s) | Datum::Runtime(s) => s.len() + 16,
@@ -513,7 +514,7 @@
     }
 }
 
-/// Sets a key of a map; the last one counts.
+/// Sets a key of a map; a later value replaces an earlier one.
 pub fn insert(map: &mut Vec<(String, Node)>, key: String, node: Node) {
     match map.iter_mut().find(|(k, _)| *k == key) {
         Some((_, n)) => *n = node,
@@ -541,7 +542,7 @@
     }
 }
 
-/// Equality as HCL has it: values only, without places.
+/// Equality of HCL values, ignoring their offsets in the file.
 pub fn values_equal(a: &Datum, b: &Datum) -> bool {
     match (a, b) {
         (Datum::List(x), Datum::List(y)) => {
--- a/crates/nomad/src/functions.rs
+++ b/crates/nomad/src/functions.rs
@@ -1,5 +1,5 @@
-//! The common functions of HCL2. Those that would read the planner's machine,
-//! its clock or chance are refused: a file means the same wherever it is read.
+//! Common functions of HCL2. Functions that read the local machine or its clock, or that use
+//! randomness, are refused, so that a file means the same wherever it is read.
 use crate::eval::{insert, values_equal};
 use crate::tree::{Datum, Node, number_text};
 use base64::Engine;
@@ -8,7 +8,7 @@
 
 type Out = Result<Datum, String>;
 
-/// Longest list that `range` makes.
+/// Longest list that `range` returns.
 const MAX_RANGE: usize = 100_000;
 
 fn list(items: impl IntoIterator<Item = Datum>, at: usize) -> Datum {
@@ -46,7 +46,7 @@
     }
 }
 
-/// Calls a function; the error is the reason without its place.
+/// Calls a function; the error is the reason without its location.
 pub fn call(name: &str, a: &[Datum], at: usize) -> Out {
     let text_of = |i: usize| to_text(&a[i]);
     let need = |least: usize, most: usize| {
@@ -107,7 +107,7 @@
         "replace" => {
             need(3, 3)?;
             let (s, x, y) = (text_of(0)?, text_of(1)?, text_of(2)?);
-            // Between /s, the pattern is a regular expression.
+            // A pattern between slashes is a regular expression.
             match x.strip_prefix('/').and_then(|p| p.strip_suffix('/')).filter(|p| !p.is_empty()) {
                 Some(p) => regex_replace(&s, p, &y).map(Datum::Text),
                 None if x.is_empty() => Err("the text to replace is empty".into()),
@@ -430,14 +430,14 @@
     c.next().map_or(String::new(), |f| f.to_uppercase().chain(c).collect())
 }
 
-/// Refuses what would take too much memory, before it is made.
+/// Refuses a result that would take too much memory, before it is built.
 fn check_result_size(bytes: usize) -> Result<(), String> {
     if bytes <= 4 << 20 { Ok(()) } else { Err("the result is longer than 4 MiB".into()) }
 }
 
 fn regex_replace(s: &str, pattern: &str, with: &str) -> Result<String, String> {
     let r = regex(pattern)?;
-    // Every `$` of the replacement stands for at most the whole text, once.
+    // Every `$` in the replacement stands for at most the whole text, once.
     let groups = with.matches('$').count().saturating_mul(s.len());
     check_result_size(s.len() + r.find_iter(s).count().saturating_mul(with.len()) + groups)?;
     Ok(r.replace_all(s, with).into_owned())
@@ -454,8 +454,8 @@
     let mut out: Vec<Node> = Vec::new();
     let mut seen = std::collections::HashSet::new();
     for x in l {
-        // The JSON text of a value is the same for the same values but for the
-        // order of keys, which only makes two of one.
+        // Equal values have equal JSON text; maps that differ only in key order may not, which at
+        // worst leaves a duplicate.
         if seen.insert(x.datum.json().to_string()) {
             out.push(Node { at, datum: x.datum.clone() });
         }
@@ -463,8 +463,8 @@
     Datum::List(out)
 }
 
-/// `%s`, `%d`, `%f`, `%q`, `%v`, `%t`, `%x` and `%%`, with width, zeros and
-/// digits behind the point.
+/// Formats `%s`, `%d`, `%f`, `%q`, `%v`, `%t`, `%x` and `%%`, with width, zero padding and
+/// precision.
 fn format_text(f: &str, args: &[Datum]) -> Result<String, String> {
     let (mut out, mut next, mut rest) = (String::new(), 0, f);
     while let Some(i) = rest.find('%') {
@@ -533,7 +533,7 @@
     let s = to_text(&a[0])?;
     let net: ipnet::IpNet = s.parse().map_err(|_| format!("\"{s}\" is not a network such as 10.0.0.0/8"))?;
     let net = net.trunc();
-    // Addresses as numbers, whatever their length.
+    // Addresses as integers, for both IPv4 and IPv6.
     let (base, bits): (u128, u32) = match net.network() {
         std::net::IpAddr::V4(v) => (u32::from(v) as u128, 32),
         std::net::IpAddr::V6(v) => (u128::from(v), 128),
--- a/crates/nomad/src/hcl.rs
+++ b/crates/nomad/src/hcl.rs
@@ -1,5 +1,5 @@
-//! Files in HCL2: variables, locals, dynamic blocks and expressions are worked
-//! out, what is left is a tree.
+//! Reader of HCL2 files. It evaluates variables, locals, dynamic blocks and expressions and returns
+//! a plain tree.
 use crate::eval::{EvalError, Scope};
 use crate::tree::{Attr, Block, Datum, Diagnostics, MAX_FILE_BYTES, Node, Tree};
 use hcl_edit::Span;
@@ -7,14 +7,14 @@
 use hcl_edit::structure::{Attribute, Body, Structure};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Values for a file's `variable` blocks.
+/// Values from outside the file.
 #[derive(Debug, Clone, Default)]
 pub struct Inputs {
-    /// `--var name=value`; the value is read as the variable's type asks.
+    /// `--var name=value`; the value is parsed according to the variable's type.
     pub vars: BTreeMap<String, String>,
-    /// Files of values, name and text; later ones count.
+    /// Variable files as (name, text); later files take precedence.
     pub files: Vec<(String, String)>,
-    /// The namespace of a job whose file names none.
+    /// The namespace of a job whose file sets none.
     pub namespace: Option<String>,
 }
 
@@ -22,7 +22,7 @@
     e.span().map_or(or, |s| s.start)
 }
 
-/// Reads a file. The tree holds its `job` block; `None` if it can't be read.
+/// Reads a file and returns its `job` block; `None` if it can't be read.
 pub fn read(source: &str, inputs: &Inputs, diagnostics: &mut Diagnostics) -> Option<Block> {
     if source.len() > MAX_FILE_BYTES {
         diagnostics.unreadable(0, "", format!("the file is longer than {} KiB", MAX_FILE_BYTES / 1024));
@@ -49,7 +49,7 @@
                 "variable" | "locals" => {}
                 "job" => jobs.push(b),
                 "variables" => {
-                    // The form of several at once.
+                    // The older form that declares several variables in one block.
                     let p = offset_of(&b.ident, 0);
                     r.diagnostics.unreadable(p, "variables", "write a variable block for each variable");
                 }
@@ -81,7 +81,7 @@
 struct Reader<'a, 'f> {
     scope: Scope<'a>,
     diagnostics: &'f mut Diagnostics,
-    /// A bound was hit; the rest is not worked out.
+    /// A limit was exceeded; the rest is not evaluated.
     stopped: bool,
 }
 
@@ -95,8 +95,8 @@
         if self.stopped {
             return None;
         }
-        // Entries of a map or a list are worked out one by one, so that the
-        // diagnostics of all of them are told.
+        // Entries of a map or list are evaluated one by one, so that the errors of all of them are
+        // reported.
         let or = offset_of(e, or);
         match e {
             Expression::Object(o) => {
@@ -146,8 +146,8 @@
     fn variables(&mut self, body: &Body, inputs: &Inputs) {
         let mut given: BTreeMap<String, InputValue> = BTreeMap::new();
         for (file, text) in &inputs.files {
-            // A value file is HCL of attributes; its places are its own, so
-            // diagnostics name the file.
+            // A variable file consists of HCL attributes. Its offsets do not apply to the job file,
+            // so diagnostics name the file instead.
             match hcl_edit::parser::parse_body(text) {
                 Ok(b) => {
                     for a in b.attributes() {
@@ -230,7 +230,7 @@
                 },
             }
         }
-        // A value for a variable that the file does not have is a slip.
+        // A value for a variable that the file does not declare is treated as a typing error.
         let unknown: Vec<&String> = given.keys().collect();
         for name in unknown {
             self.diagnostics.unreadable(0, &format!("variable.{name}"), "the file has no such variable");
@@ -238,7 +238,7 @@
         self.scope.set("var", Datum::Map(vars));
     }
 
-    /// Locals may use each other in any order.
+    /// Evaluates locals, which may refer to each other in any order.
     fn locals(&mut self, body: &Body) {
         let mut open: Vec<&Attribute> = Vec::new();
         let mut names = BTreeSet::new();
@@ -375,7 +375,7 @@
     Text(String),
 }
 
-/// A variable's type.
+/// The type of a variable.
 #[derive(Debug, Clone, PartialEq)]
 enum VariableType {
     Any,
@@ -434,7 +434,7 @@
         }
     }
 
-    /// A value from the command line: text as it is, the others as HCL.
+    /// A value from the command line: text as is, other types parsed as HCL.
     fn given(&self, t: &str) -> Datum {
         if *self == VariableType::Text {
             return Datum::Text(t.to_owned());
--- a/crates/nomad/src/json.rs
+++ b/crates/nomad/src/json.rs
@@ -1,5 +1,5 @@
-//! Files and requests in JSON: as the interface has them (`{"Job": {"ID": …}}`),
-//! or as a file would be written (`{"job": {"name": {…}}}`).
+//! Reader of JSON files and requests, in the form of the interface (`{"Job": {"ID": …}}`) or in
+//! that of a job file (`{"job": {"name": {…}}}`).
 use crate::table::{self, Row, Shape, Support};
 use crate::tree::{Attr, Block, Datum, Diagnostics, MAX_DEPTH, MAX_FILE_BYTES, Node, Tree};
 use jsonc_parser::ast::Value;
@@ -90,13 +90,13 @@
 
 #[derive(Clone, Copy, PartialEq)]
 enum Form {
-    /// Names and types as the interface has them.
+    /// Names and types of the interface.
     Api,
-    /// Names as in files.
+    /// Names of job files.
     File,
 }
 
-/// An object as the stanza at `stanza` of the table.
+/// Converts an object to a tree; `stanza` is its path in the table.
 fn build_tree(
     v: &Value<'_>,
     stanza: &str,
@@ -117,7 +117,7 @@
             Form::File => table::find(stanza, name),
         };
         let Some(row) = row else {
-            // Left for the reader of the tree, which knows what to say.
+            // Kept for the model's check, which reports unknown fields.
             let value = Node { at: p.value.range().start, datum: datum(&p.value) };
             tree.attrs.push(Attr { name: name.to_owned(), at, value });
             continue;
@@ -128,7 +128,7 @@
             continue;
         }
         let d = datum(&p.value);
-        // The interface's clients send every field, most of them empty.
+        // Clients of the interface send every field, most of them empty.
         if form == Form::Api && (d == Datum::Null || d.is_empty() && row.empty_means_unset()) {
             continue;
         }
@@ -172,8 +172,8 @@
 }
 
 impl Row {
-    /// Whether an empty value means that the field is not set. For served
-    /// numbers and booleans it doesn't: `Count: 0` stops a group.
+    /// Whether an empty value means that the field is not set. It does not for served numbers and
+    /// booleans: `Count: 0` stops a group.
     fn empty_means_unset(&self) -> bool {
         !matches!(self.support, Support::Served(_))
             || !matches!(self.shape, Shape::Integer | Shape::Number | Shape::Bool)
--- a/crates/nomad/src/lib.rs
+++ b/crates/nomad/src/lib.rs
@@ -1,10 +1,9 @@
-//! Nomad's job files, translated to native jobs.
+//! Nomad job files and Nomad's HTTP interface, translated to native jobs.
 //!
-//! A file goes through [`hcl`] or [`json`] to a [`tree`], through [`model`],
-//! which checks it against the [`table`] of the specification, and through
-//! [`translate`], which finds its class and makes native jobs of it. Nothing
-//! here does input or output. [`service`] is the interface, a state machine
-//! beside the scheduler.
+//! A file is parsed by [`hcl`] or [`json`] to a [`tree`]. [`model`] checks the tree against the
+//! [`table`] of the specification, and [`translate`] selects the job's class and builds its native
+//! jobs. These modules do no I/O. [`service`] is the interface, a state machine that runs as an
+//! extension of the scheduler.
 #![warn(missing_docs)]
 pub mod cron;
 pub mod eval;
@@ -23,16 +22,16 @@
 
 pub use hcl::Inputs;
 
-/// What became of a file.
+/// The result of validating a job file.
 #[derive(Debug)]
 pub struct ValidationReport {
-    /// The job, if there is enough to read of it.
+    /// The job, if enough of it could be read.
     pub job: Option<model::Job>,
-    /// The class that takes it.
+    /// The class that accepts the job.
     pub class: Option<String>,
-    /// Its groups as native jobs; whole only if the file is accepted.
+    /// Its groups as native jobs; complete only if the file is accepted.
     pub groups: Vec<PlannedGroup>,
-    /// Everything to say, by place.
+    /// Errors and warnings, sorted by position.
     pub diagnostics: Diagnostics,
 }
 
@@ -41,7 +40,7 @@
     pub fn accepted(&self) -> bool {
         self.job.is_some() && self.diagnostics.accepted()
     }
-    /// What a script goes by: 0 accepted, 1 refused, 2 unreadable.
+    /// Exit code for scripts: 0 accepted, 1 refused, 2 unreadable.
     pub fn exit_code(&self) -> u8 {
         match self.diagnostics.worst() {
             Some(Severity::Unreadable) => 2,
@@ -65,8 +64,8 @@
     Some(job)
 }
 
-/// Reads a file by its content, JSON if it begins with a brace, and checks it
-/// against the specification, not against classes and machines.
+/// Reads a file, as JSON if it begins with a brace, and checks it against the specification, but
+/// not against classes and machine types.
 pub fn read(source: &str, inputs: &Inputs) -> (Option<model::Job>, Diagnostics) {
     let mut diagnostics = Diagnostics::default();
     let job = read_unplaced(source, inputs, &mut diagnostics);
@@ -74,7 +73,7 @@
     (job, diagnostics)
 }
 
-/// Judges a file by its content: JSON if it begins with a brace.
+/// Validates a file, read as JSON if it begins with a brace, and translates it to native jobs.
 pub fn validate(source: &str, inputs: &Inputs, settings: &Nomad, site: &Site) -> ValidationReport {
     let mut diagnostics = Diagnostics::default();
     let job = read_unplaced(source, inputs, &mut diagnostics);
--- a/crates/nomad/src/model.rs
+++ b/crates/nomad/src/model.rs
@@ -1,5 +1,5 @@
-//! A job as its file means it: checked against the table, with the defaults of
-//! the specification.
+//! The job that a file describes: checked against the table, with the specification's defaults
+//! filled in.
 use crate::table::{self, Row, Shape, Support};
 use crate::tree::{Attr, Block, Datum, Diagnostics, Node, Tree};
 use gorseshore_protocol::ids::Micros;
@@ -9,66 +9,66 @@
 /// A job.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Job {
-    /// Id, and its place in the file.
+    /// Job id.
     pub id: String,
-    /// Where the job begins.
+    /// Offset of the job block in the file.
     pub at: usize,
     /// Path for diagnostics, `job.ID`.
     pub path: String,
-    /// Shown name.
+    /// Display name.
     pub name: String,
     /// Namespace.
     pub namespace: String,
-    /// Region, if one is named, and where.
+    /// Region and its offset, if one is set.
     pub region: Option<(String, usize)>,
     /// Service or batch.
     pub kind: Kind,
-    /// 1 to 100.
+    /// Priority, 1 to 100.
     pub priority: u32,
-    /// Patterns of zones; empty for every zone.
+    /// Zone patterns with their offsets; empty for every zone.
     pub datacenters: Vec<(String, usize)>,
-    /// Meta.
+    /// User-defined metadata.
     pub meta: BTreeMap<String, String>,
     /// Groups.
     pub groups: Vec<Group>,
-    /// Launches by cron.
+    /// Cron launches, for a periodic job.
     pub periodic: Option<Periodic>,
-    /// Runs by dispatch.
+    /// Dispatch rules, for a parameterized job.
     pub parameterized: Option<Parameterized>,
 }
 
-/// A group.
+/// A task group.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Group {
     /// Name.
     pub name: String,
-    /// Place.
+    /// Offset in the file.
     pub at: usize,
     /// Path for diagnostics.
     pub path: String,
-    /// Repeats.
+    /// Number of tasks.
     pub count: u32,
-    /// Place of the count, or of the group.
+    /// Offset of the count, or of the group if it sets none.
     pub count_at: usize,
     /// Constraints of job, group and task.
     pub constraints: Vec<Match>,
-    /// Affinities of the three, with their weights.
+    /// Affinities of job, group and task, with their weights.
     pub affinities: Vec<(Match, f64)>,
-    /// Spread over zones.
+    /// Whether tasks are spread over zones.
     pub spread: bool,
-    /// Failed attempts on a machine; `None` without end.
+    /// Restarts of a failed task on the same machine; `None` for unlimited.
     pub restarts: Option<u32>,
-    /// Place of that.
+    /// Offset of the restart attempts.
     pub restarts_at: usize,
-    /// Moves to another machine; `None` without end.
+    /// Moves to another machine; `None` for unlimited.
     pub reschedules: Option<u32>,
-    /// Place of that.
+    /// Offset of the reschedule attempts.
     pub reschedules_at: usize,
-    /// Disk in MB, and its place.
+    /// Disk in MB and its offset.
     pub disk_mb: (u64, usize),
-    /// Meta of group and task.
+    /// Metadata of group and task.
     pub meta: BTreeMap<String, String>,
-    /// The task.
+    /// The group's only task.
     pub task: Task,
 }
 
@@ -77,89 +77,88 @@
 pub struct Task {
     /// Name.
     pub name: String,
-    /// Place.
+    /// Offset in the file.
     pub at: usize,
     /// Driver.
     pub driver: String,
-    /// Configuration for the driver.
+    /// Configuration of the driver.
     pub config: Datum,
-    /// Environment.
+    /// Environment variables.
     pub env: BTreeMap<String, String>,
-    /// MHz, unless cores are asked for.
+    /// CPU in MHz; not used if `cores` is set.
     pub cpu_mhz: u64,
-    /// Integer CPUs.
+    /// Number of whole CPUs.
     pub cores: Option<u64>,
-    /// MiB.
+    /// Memory in MiB.
     pub memory_mb: u64,
-    /// Place of the resources.
+    /// Offset of the resources.
     pub resources_at: usize,
-    /// Time to end when it is stopped.
+    /// Time that a stopped task has to exit.
     pub kill_timeout: Micros,
-    /// Place of that.
+    /// Offset of the kill timeout.
     pub kill_at: usize,
 }
 
-/// A constraint or an affinity.
+/// The condition of a constraint or an affinity.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Match {
-    /// Left side, as `${node.class}`.
+    /// Left operand, such as `${node.class}`.
     pub attribute: String,
-    /// How it is compared.
+    /// Comparison operator.
     pub operator: String,
-    /// Right side.
+    /// Right operand.
     pub value: String,
-    /// Place.
+    /// Offset in the file.
     pub at: usize,
     /// Path for diagnostics.
     pub path: String,
 }
 
-/// Launches by cron.
+/// Cron launches of a periodic job.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Periodic {
-    /// It launches.
+    /// Whether the job is launched by cron.
     pub enabled: bool,
     /// Cron expressions.
     pub crons: Vec<String>,
     /// Time zone.
     pub time_zone: String,
-    /// No launch while an earlier one runs.
+    /// Whether a launch is skipped while an earlier one runs.
     pub prohibit_overlap: bool,
-    /// Place.
+    /// Offset in the file.
     pub at: usize,
 }
 
 /// Whether a dispatch carries a payload.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Payload {
-    /// It may.
+    /// A payload is allowed.
     Optional,
-    /// It must.
+    /// A payload is required.
     Required,
-    /// It must not.
+    /// A payload is not allowed.
     Forbidden,
 }
 
-/// Runs by dispatch.
+/// Dispatch rules of a parameterized job.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Parameterized {
-    /// Payload.
+    /// Payload rule.
     pub payload: Payload,
-    /// Keys that a dispatch must give.
+    /// Meta keys that a dispatch must set.
     pub required: Vec<String>,
-    /// Keys that it may give.
+    /// Meta keys that a dispatch may set.
     pub optional: Vec<String>,
 }
 
-/// Longest id, name or key.
+/// Longest id, name or namespace in bytes.
 pub const MAX_NAME_BYTES: usize = 128;
 /// Most groups of a job.
 pub const MAX_GROUPS: usize = 64;
-/// Most repeats of a group, whatever the class: as natively.
+/// Most tasks of a group in any class, the limit of native jobs.
 pub const MAX_COUNT: u64 = 100_000;
 
-/// Reads a job's block; `None` if there is too little of it to go on. All
-/// diagnostics are collected.
+/// Reads a job block; `None` if it has no id. All diagnostics are collected.
 pub fn read(block: &Block, diagnostics: &mut Diagnostics) -> Option<Job> {
     let label = match &block.labels[..] {
         [(l, _)] => Some(l.clone()),
@@ -276,7 +275,7 @@
     t.attr(name).map(|a| a.at).or_else(|| t.block(name).map(|b| b.at)).unwrap_or(t.at)
 }
 
-/// A length of time: nanoseconds, or text such as `1h30m`.
+/// A duration: a number of nanoseconds, or text such as `1h30m`.
 pub fn parse_duration(d: &Datum) -> Result<Micros, String> {
     match d {
         Datum::Number(n) if *n >= 0.0 && *n < 1e19 => Ok(Micros((*n / 1000.0) as u64)),
@@ -299,8 +298,8 @@
 }
 
 impl Reader<'_> {
-    /// Walks the table: every field must be in it, of its shape, and served or
-    /// at least taken.
+    /// Checks a stanza against the table: each field must be listed, have the listed shape, and be
+    /// served or at least accepted.
     fn check(&mut self, t: &Tree, stanza: &str, path: &str) {
         for a in &t.attrs {
             let here = format!("{path}.{}", a.name);
@@ -359,7 +358,7 @@
         self.diagnostics.refused(at, path, text);
     }
 
-    /// Whether the field is to be read.
+    /// Reports a field by its support in the table; returns whether it is to be read.
     fn check_support(&mut self, row: &Row, at: usize, path: &str, value: &Datum) -> bool {
         match row.support {
             Support::Served(_) => *value != Datum::Null,
@@ -367,7 +366,7 @@
             _ if value.is_empty() => false,
             Support::NoEffect(why) => {
                 self.diagnostics.warning(at, path, format!("has no effect: {why}"));
-                // A stanza without effect is not looked into.
+                // The contents of a stanza without effect are not checked.
                 !matches!(row.shape, Shape::Block | Shape::Blocks | Shape::LabeledBlocks)
             }
             Support::Refused(why) => {
@@ -423,8 +422,8 @@
         }
     }
 
-    // What follows reads fields whose shape was checked: a fault there was told,
-    // and the field counts as not set.
+    // The functions below read fields whose shape was already checked. A field with an error there
+    // was reported and counts as not set.
 
     fn text(&mut self, t: &Tree, name: &str, path: &str) -> Option<String> {
         let a = t.attr(name)?;
@@ -496,7 +495,8 @@
         }
         let attribute = any("attribute").unwrap_or_default();
         if attribute.is_empty() {
-            // `distinct_hosts` and alike have none, and are refused above.
+            // `distinct_hosts` and similar fields come without an attribute and were already
+            // refused.
             let told = t.attrs.iter().any(|a| a.name.starts_with("distinct"));
             if !told && !operator.starts_with("distinct") {
                 self.diagnostics.refused(b.at, path, "attribute is missing");
@@ -552,7 +552,7 @@
         spread
     }
 
-    /// Attempts of a `restart` or `reschedule`; `None` without end.
+    /// Attempts of a `restart` or `reschedule` block and their offset; `None` for unlimited.
     fn attempts(&mut self, b: Option<&Block>, default: Option<u32>, path: &str) -> (Option<u32>, usize) {
         let Some(b) = b else { return (default, 0) };
         let path = format!("{path}.{}", b.name);
@@ -747,7 +747,7 @@
     }
 }
 
-/// A block of any content as a map; blocks of one name become a list.
+/// Converts a block of any content to a map; blocks of the same name become a list.
 fn block_to_map(t: &Tree) -> Datum {
     let mut out: Vec<(String, Node)> = t.attrs.iter().map(|a| (a.name.clone(), a.value.clone())).collect();
     for b in &t.blocks {
--- a/crates/nomad/src/service/api.rs
+++ b/crates/nomad/src/service/api.rs
@@ -1,4 +1,4 @@
-//! Requests: what is asked, by whom, and which answer it gets.
+//! Requests of Nomad's HTTP interface: routing, authorization and answers.
 use super::records::JobKey;
 use super::watch::Stream;
 use super::{MAX_PENDING, PendingOperation, Service, tokens, views};
@@ -11,10 +11,10 @@
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
-/// Longest wait of a blocking query, and the one without a `wait`.
+/// Longest wait of a blocking query. The second constant is the wait of a query without `wait`.
 const MAX_BLOCKING_WAIT: Micros = Micros::secs(600);
 const DEFAULT_BLOCKING_WAIT: Micros = Micros::secs(300);
-/// Most rows of a page.
+/// Most rows of one page.
 const MAX_ROWS_PER_PAGE: usize = 1000;
 
 /// What a blocking query watches.
@@ -22,26 +22,26 @@
 pub(crate) enum Scope {
     /// One job.
     Job(JobKey),
-    /// Everything.
+    /// All jobs.
     All,
 }
 
-/// A request that was read.
+/// A parsed request.
 #[derive(Debug, Clone)]
 pub(crate) struct Request {
     pub id: RequestId,
-    /// Team of its token; none if no tokens are set.
+    /// Team of the request's token; `None` if no tokens are configured.
     pub team: Option<String>,
     pub route: Route,
     pub query: BTreeMap<String, String>,
     pub body: Vec<u8>,
     pub index: Option<u64>,
     pub wait: Micros,
-    /// It waited for a change already.
+    /// Whether the request has already waited as a blocking query.
     pub waited: bool,
 }
 
-/// What is asked.
+/// The endpoint of a request.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum Route {
     Jobs,
@@ -72,7 +72,7 @@
     Events,
 }
 
-/// What is asked of a job.
+/// A sub-resource of a job.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum Part {
     Versions,
@@ -90,7 +90,7 @@
     Unsupported(&'static str),
 }
 
-/// Parts of the interface that are known and not served, and why.
+/// Endpoints of Nomad that are not served, and why.
 const UNSUPPORTED_ENDPOINTS: &[(&str, &str)] = &[
     ("acl", "tokens are set in the operators' file"),
     ("client", "logs, files and commands of tasks are not kept yet"),
@@ -132,7 +132,7 @@
         ["jobs", "parse"] => only(put, Route::Parse),
         ["validate", "job"] => only(put, Route::Validate),
         ["job", middle @ .., last] => {
-            // An id may hold slashes, written as they are or as %2F.
+            // A job id may contain slashes, plain or as %2F.
             let of = |parts: &[&str]| decode(&parts.join("/"));
             if middle.is_empty() {
                 return match method {
@@ -221,19 +221,19 @@
 }
 
 impl Request {
-    /// A query's value.
+    /// The value of a query parameter; `None` if it is absent or empty.
     pub fn query_value(&self, name: &str) -> Option<&str> {
         self.query.get(name).map(String::as_str).filter(|v| !v.is_empty())
     }
-    /// The namespace that is asked for.
+    /// The namespace parameter, or `default`.
     pub fn namespace(&self) -> &str {
         self.query_value("namespace").unwrap_or("default")
     }
-    /// What the request says of a job in its body.
+    /// What the request itself sets for the job in its body.
     pub fn inputs(&self) -> Inputs {
         Inputs { namespace: self.query_value("namespace").map(str::to_owned), ..Inputs::default() }
     }
-    /// Whether a team's job may be seen.
+    /// Whether the request's token gives access to jobs of `team`.
     pub fn can_access(&self, team: &str) -> bool {
         self.team.as_deref().is_none_or(|t| t == team)
     }
@@ -293,12 +293,13 @@
         if self.pending.len() >= MAX_PENDING {
             return self.answer_error(id, 429, "too many requests are under way here");
         }
-        // What isn't final needs the proof that nothing newer is missing.
+        // The remaining routes depend on state, so a read barrier confirms that the replica is up
+        // to date before they are answered.
         let ticket = self.new_operation(PendingOperation::Request(r));
         self.outputs.push(ExtensionOutput::ReadBarrier(ticket));
     }
 
-    /// Answers a request; the mirror is up to date.
+    /// Answers a request whose read barrier has passed.
     pub(crate) fn serve(&mut self, host: &ExtensionContext<'_>, r: Request) {
         let scope = match &r.route {
             Route::Job(j) | Route::JobPart(j, _) => Scope::Job(JobKey::of(r.namespace(), j)),
@@ -366,7 +367,7 @@
             }
             Route::Evaluate(j) => match known(self, j) {
                 None => self.answer_error(r.id, 404, "job not found"),
-                // The scheduler looks at every job all the time.
+                // The scheduler evaluates every job continuously, so there is nothing to trigger.
                 Some((key, k)) => {
                     let eval = views::evaluation_id(&key, k.head.version);
                     self.answer(
@@ -483,7 +484,7 @@
         }
     }
 
-    /// Jobs of the namespace that is asked for, as far as the token sees them.
+    /// Jobs of the requested namespace that the token gives access to.
     fn visible_in_namespace<'a>(
         &'a self,
         r: &'a Request,
@@ -496,7 +497,8 @@
         self.jobs.values().filter(|k| r.can_access(&k.head.team))
     }
 
-    /// A page of rows by their keys; `next_token` is the key of the next row.
+    /// Answers with one page of rows in the order of their keys; `next_token` is the key of the
+    /// first row of the next page.
     fn answer_page(&mut self, r: &Request, index: u64, mut rows: Vec<(String, Value)>) {
         rows.sort_by(|a, b| a.0.cmp(&b.0));
         if let Some(from) = r.query_value("next_token") {
@@ -519,7 +521,7 @@
         self.outputs.push(ExtensionOutput::Read(ticket, prefix));
     }
 
-    /// `POST /v1/jobs/parse`: a file as the interface has it.
+    /// `POST /v1/jobs/parse`: converts an HCL file to the JSON form of the interface.
     fn parse(&mut self, r: &Request) {
         let body: Value = match serde_json::from_slice(&r.body) {
             Ok(v) => v,
@@ -554,7 +556,7 @@
         self.answer(r.id, 200, 0, &body);
     }
 
-    /// `POST /v1/job/ID/plan`: what registering would do; nothing is written.
+    /// `POST /v1/job/ID/plan`: reports what a registration would change, and writes nothing.
     fn plan(&mut self, host: &ExtensionContext<'_>, r: &Request) {
         let Ok(text) = std::str::from_utf8(&r.body) else { return self.answer_error(r.id, 400, "not UTF-8") };
         let j = crate::validate(text, &r.inputs(), &self.settings, &self.site);
@@ -571,7 +573,7 @@
     }
 }
 
-/// All diagnostics as a text.
+/// All diagnostics, one a line.
 pub(crate) fn format_diagnostics(diagnostics: &Diagnostics) -> String {
     let lines: Vec<String> = diagnostics.list.iter().map(|f| f.to_string()).collect();
     lines.join("\n")
--- a/crates/nomad/src/service/launches.rs
+++ b/crates/nomad/src/service/launches.rs
@@ -1,8 +1,9 @@
-//! Launches of periodic jobs, each exactly once: the launched job's id holds
-//! the time of its launch, and the record of the last launch only goes forward,
-//! both conditions of one transaction under the leader's key. Whatever leaders
-//! come and go, and whatever the clock does, a time is launched once; of times
-//! that were missed only the last is made up.
+//! Launches periodic jobs, each launch time exactly once.
+//!
+//! Two preconditions of one transaction under the leader's key guarantee this: the id of the
+//! launched job contains the launch time and must not exist yet, and the record of the last launch
+//! must be unchanged and only moves forward. So a time is launched once, whatever leader changes
+//! and clock changes occur. Of several missed times only the last one is launched.
 use super::Service;
 use super::api::{Request, Route};
 use super::records::{JobKey, JobRecord};
@@ -14,11 +15,11 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Most missed times that are gone through to find the last.
+/// Most missed launch times that are scanned to find the last one.
 const MAX_MISSED_LAUNCHES: usize = 2000;
 
-/// The launch that is due: the last time up to now after the last launch, or
-/// after the registration.
+/// The launch time that is due: the last time up to now that is later than both the last launch and
+/// the registration.
 pub(crate) fn due_launch(head: &JobRecord, last: Option<u64>, wall_ms: u64) -> Option<u64> {
     let p = head.periodic.as_ref().filter(|p| p.enabled && !head.stop)?;
     let base = last.unwrap_or(0).max(head.at);
@@ -33,8 +34,8 @@
 }
 
 impl Service {
-    /// Launches what is due. Asked often; a job is looked at when its next
-    /// time has come.
+    /// Launches the periodic jobs that are due. Called often; does its work at most once a second,
+    /// and only for jobs whose next launch time has passed.
     pub(crate) fn launch_due_jobs(&mut self, host: &ExtensionContext<'_>) {
         let second = host.wall_ms / 1000;
         if second == self.launch_second {
@@ -53,7 +54,7 @@
             let Some(known) = self.jobs.get(&key).cloned() else { continue };
             let last = self.last_launches.get(&key).map(|l| l.0);
             let base = last.unwrap_or(0).max(known.head.at);
-            // What comes next is worked out once, not every second.
+            // The next launch time is cached until the last launch or the registration changes.
             let next = match self.next_launch.get(&key) {
                 Some((b, stamp, next)) if (*b, *stamp) == (base, known.modify_revision) => *next,
                 _ => {
@@ -75,7 +76,8 @@
             }
             let Some(content) = self.contents.get(&known.head.nonce).cloned() else {
                 self.load_content(&key, &known.head.nonce);
-                // Looked at again as soon as it is here.
+                // Clears the second so that the next call retries as soon as the content has been
+                // read.
                 self.launch_second = 0;
                 continue;
             };
--- a/crates/nomad/src/service/mod.rs
+++ b/crates/nomad/src/service/mod.rs
@@ -1,13 +1,12 @@
-//! Nomad's interface as a guest of the scheduler: a state machine that keeps
-//! jobs' heads, answers requests, and, where it leads, makes native jobs of
-//! what the heads say.
+//! Nomad's interface as an extension of the scheduler: a state machine that mirrors the records of
+//! Nomad jobs, answers requests and, on the leader, creates native jobs from the records.
 //!
 //! Invariants:
-//! - The head is written last and under its own version; before it nothing
-//!   counts, after it everything follows from it.
-//! - Native jobs are written by the leader only, under the leader's key and the
-//!   head that asks for them: what an older head asked for can't come late.
-//! - A native job, once recorded, is only scaled or ended, never written anew.
+//! - The job record is written last, conditioned on its own revision. Until it is written, the
+//!   registration has no effect; afterwards everything is derived from it.
+//! - Only the leader writes native jobs, conditioned on the leader's key and on the job record that
+//!   requests them, so a write for an older record cannot be applied late.
+//! - A native job, once recorded, is only scaled or ended; it is never recreated.
 mod api;
 mod launches;
 mod reconcile;
@@ -30,55 +29,56 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
 
-/// A head with the revision of its record.
+/// A job record with the revisions of its key.
 #[derive(Debug, Clone)]
 pub(crate) struct RegisteredJob {
     pub head: Rc<JobRecord>,
-    /// The registration's version, `JobModifyIndex`.
+    /// The revision of the current record, `JobModifyIndex`.
     pub modify_revision: u64,
-    /// The revision of its first registration, `CreateIndex`.
+    /// The revision of the first registration, `CreateIndex`.
     pub create_revision: u64,
-    /// The last revision at which something of it changed.
+    /// The last revision at which the job, its last launch or one of its native jobs changed.
     pub last_change_revision: u64,
 }
 
-/// What a ticket is for.
+/// What an outstanding operation is for.
 #[derive(Debug)]
 pub(crate) enum PendingOperation {
-    /// A request that waits for proof of being up to date.
+    /// A request that waits for its read barrier.
     Request(api::Request),
-    /// A registration under way.
+    /// A change of a job in progress.
     Register(Box<register::PendingChange>),
-    /// A job's stored content, for an answer.
+    /// A read of a job's content for an answer.
     Content { request: api::Request, nonce: String },
-    /// The leader's work on a job.
+    /// A write of the leader that reconciles a job.
     Reconcile(JobKey),
-    /// The leader reads a job's content for that.
+    /// A read of a job's content for reconciling or launching it.
     Load(JobKey, String),
-    /// A launch of a periodic job.
+    /// A write of the leader that skips a launch of a periodic job.
     Launch(JobKey),
-    /// Clearing up.
+    /// A removal of orphaned chunks.
     Sweep,
 }
 
-/// The interface.
+/// State of Nomad's interface.
 pub struct Service {
     pub(crate) settings: Rc<Nomad>,
     pub(crate) rng: fastrand::Rng,
     pub(crate) jobs: BTreeMap<JobKey, RegisteredJob>,
-    /// Which job a native job is behind.
+    /// The Nomad job that each native job belongs to.
     pub(crate) jobs_by_native_id: HashMap<JobId, JobKey>,
-    /// Last launches, with the versions of their records.
+    /// Last launch time in milliseconds since 1970 and the revision of its record, by periodic job.
     pub(crate) last_launches: BTreeMap<JobKey, (u64, u64)>,
-    /// Dispatches by their tokens: the job that was made.
+    /// Id of the dispatched job, by hashed idempotency token.
     pub(crate) jobs_by_dispatch_token: BTreeMap<JobKey, String>,
-    /// Parts that are there, and since when they are known here.
+    /// Stored chunks, and when each was first seen without a job record that references it; 0 if it
+    /// is referenced or not checked yet.
     pub(crate) chunks: BTreeMap<String, Micros>,
-    /// Contents read or written here, by the name of their parts.
+    /// Contents read or written by this controller, by nonce.
     pub(crate) contents: BTreeMap<String, Rc<Content>>,
-    /// Of what was removed before this revision nothing is known.
+    /// Removals before this revision are unknown to this controller.
     pub(crate) history_start: u64,
-    /// The last revision at which anything changed.
+    /// The last revision at which any job changed.
     pub(crate) last_change_revision: u64,
     pub(crate) pending: BTreeMap<OperationId, PendingOperation>,
     pub(crate) next_operation: u64,
@@ -86,30 +86,32 @@
     pub(crate) blocked_queries: Vec<watch::BlockedQuery>,
     pub(crate) streams: BTreeMap<RequestId, watch::Stream>,
     pub(crate) events: std::collections::VecDeque<watch::Event>,
-    /// Jobs that the leader should look at, and when no earlier.
+    /// Jobs that the leader has to reconcile, and the earliest time for it.
     pub(crate) reconcile_queue: BTreeMap<JobKey, Micros>,
-    /// Jobs that a write of the leader is under way for.
+    /// Jobs for which the leader has a read or write in flight.
     pub(crate) writes_in_flight: BTreeSet<JobKey>,
     pub(crate) was_leader: bool,
-    /// The mirror is being read anew: what comes is no news.
+    /// The replica is being reloaded, so changes are not published as events.
     pub(crate) loading: bool,
     pub(crate) swept_at: Micros,
-    /// The second of the day at which launches were last looked at, and for
-    /// each periodic job its next launch, by last launch and head.
+    /// The second since 1970 at which due launches were last scanned. `next_launch` caches for each
+    /// periodic job the time from which the next launch was computed, the revision of the job
+    /// record and the next launch, times in milliseconds.
     pub(crate) launch_second: u64,
     pub(crate) next_launch: BTreeMap<JobKey, (u64, u64, u64)>,
     pub(crate) site_updated_at: Micros,
-    /// Machine types as last seen.
+    /// Machine types and teams, refreshed once a second.
     pub(crate) site: Site,
 }
 
-/// Contents kept in memory.
+/// Most contents cached in memory.
 const MAX_CACHED_CONTENTS: usize = 64;
-/// Most requests and writes under way.
+/// Most outstanding operations at which new requests are still accepted.
 pub(crate) const MAX_PENDING: usize = 1000;
 
 impl Service {
-    /// An interface with these settings; `seed` for names that must not meet.
+    /// An interface with these settings; `seed` is for the generator of ids and nonces, which must
+    /// differ between controllers.
     pub fn new(settings: Nomad, seed: u64) -> Self {
         Service {
             settings: Rc::new(settings),
@@ -168,7 +170,7 @@
         self.outputs.push(ExtensionOutput::Answer(id, Answer { status, headers, body }));
     }
 
-    /// An error in the interface's own form: text.
+    /// Answers with an error as plain text, the form that Nomad's interface uses.
     pub(crate) fn answer_error(&mut self, id: RequestId, status: u16, text: &str) {
         let mut headers = vec![("Content-Type", "text/plain; charset=utf-8".to_owned())];
         if matches!(status, 429 | 503) {
@@ -187,7 +189,7 @@
         self.contents.insert(nonce.to_owned(), content);
     }
 
-    /// A content that was read in parts.
+    /// Joins and parses the chunks of a content that was read, and caches it.
     pub(crate) fn decode_content(&mut self, nonce: &str, result: &CallResult) -> Option<Rc<Content>> {
         let CallResult::Response { status: 200, body } = result else { return None };
         let page: gorseshore_protocol::state::Listing = serde_json::from_slice(body).ok()?;
@@ -231,7 +233,7 @@
         self.mark_changed(&key, stamp);
     }
 
-    /// The site as the cloud tells it.
+    /// Refreshes machine types and teams from the scheduler's context.
     fn update_site(&mut self, host: &ExtensionContext<'_>) {
         let mut machines = Vec::new();
         for f in host.flavors {
@@ -262,7 +264,8 @@
                 self.writes_in_flight.remove(&key);
                 let again = match result {
                     CallResult::Response { status: 200, .. } => Micros(0),
-                    // The mirror is behind, or another leads: what holds will show.
+                    // The replica is behind or another node leads; the next update of the replica
+                    // shows which.
                     CallResult::Response { status: 409, .. } => host.now + Micros::millis(100),
                     _ => host.now + Micros::millis(500 + self.rng.u64(0..500)),
                 };
@@ -283,7 +286,7 @@
     }
 }
 
-/// The revision of a change that was answered with 200.
+/// The revision of a transaction that was answered with 200.
 pub(crate) fn committed_revision(result: &CallResult) -> Option<u64> {
     match result {
         CallResult::Response { status: 200, body } => {
@@ -293,7 +296,7 @@
     }
 }
 
-/// A write, under the leader's key or not.
+/// A write, with or without the leader's key as a precondition.
 pub(crate) fn write(ticket: OperationId, multi: Multi, as_leader: bool) -> ExtensionOutput {
     ExtensionOutput::Write { ticket, multi, as_leader }
 }
@@ -301,8 +304,8 @@
 impl Extension for Service {
     fn reset(&mut self, floor: u64) {
         self.loading = true;
-        // Readers of events come back with their index; what they may have
-        // missed meanwhile is not known here.
+        // Closes the event streams: events missed during the reload are unknown here, and clients
+        // reconnect with their last index.
         for id in std::mem::take(&mut self.streams).into_keys() {
             self.outputs.push(ExtensionOutput::Close(id));
         }
--- a/crates/nomad/src/service/reconcile.rs
+++ b/crates/nomad/src/service/reconcile.rs
@@ -1,8 +1,7 @@
-//! The leader makes the native jobs be what the heads say.
+//! The leader reconciles native jobs with the job records.
 //!
-//! Every write is conditioned on the leader's key, on the head that asks for
-//! it and on the record that it changes: whatever comes late, or from a leader
-//! that is none any more, fails.
+//! Every write is conditioned on the leader's key, on the job record that requests it and on the
+//! native job's record that it changes, so a late write and a write of a former leader fail.
 use super::records::{JobKey, JobRecord, names};
 use super::register::{precondition, put, remove};
 use super::{PendingOperation, RegisteredJob, Service, write};
@@ -15,15 +14,15 @@
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
-/// Writes of the leader under way.
+/// Most reads and writes of the leader in flight.
 const MAX_LEADER_WRITES: usize = 8;
-/// Parts that no head names are cleared up after this: longer than a
+/// Chunks that no job record references are removed after this time, which is longer than a
 /// registration may take.
 const ORPHANED_CHUNK_TIMEOUT: Micros = Micros::secs(120);
 const SWEEP_INTERVAL: Micros = Micros::secs(30);
 
-/// The record of a group's native job; `None`, and a line in the log, if it is longer than
-/// the state service takes.
+/// The record of a group's native job. Logs an error and returns `None` if the record exceeds the
+/// value limit of the state service.
 fn native_record(
     spec: &JobSpec,
     submitted_ms: u64,
@@ -40,7 +39,7 @@
 }
 
 impl Service {
-    /// Looks at the jobs that changed, if this node leads.
+    /// Reconciles changed jobs, launches due ones and removes orphaned chunks, if this node leads.
     pub(crate) fn run_leader_work(&mut self, host: &ExtensionContext<'_>) {
         if !host.leads || !host.state_loaded {
             self.was_leader = false;
@@ -74,7 +73,7 @@
         let head = &known.head;
         let mut m =
             Multi { when: vec![precondition(names::head(key), known.modify_revision)], writes: Vec::new() };
-        // The leader's key is a condition more.
+        // The leader's key is one more precondition; it is added when the write is sent.
         let room =
             |m: &Multi| m.writes.len() < host.max_txn_writes && m.when.len() + 3 < host.max_txn_writes * 4;
         let over: Vec<JobId> = match head.stop || head.is_template() {
@@ -99,7 +98,7 @@
                     None if g.count == 0 => {}
                     None => {
                         let Some(content) = self.contents.get(&head.nonce).cloned() else {
-                            // What it is made of has to be read first.
+                            // The native job is created from the content, which is read first.
                             return self.load_content(key, &head.nonce);
                         };
                         let spec = content.specs.get(&g.name).and_then(|r| description(id, r));
@@ -151,15 +150,15 @@
         self.outputs.push(write(ticket, m, true));
     }
 
-    /// Reads a job's content for the leader's work on it.
+    /// Starts to read a job's content for the leader's work on the job.
     pub(crate) fn load_content(&mut self, key: &JobKey, nonce: &str) {
         self.writes_in_flight.insert(key.clone());
         let ticket = self.new_operation(PendingOperation::Load(key.clone(), nonce.to_owned()));
         self.outputs.push(ExtensionOutput::Read(ticket, names::chunk_prefix(key, nonce)));
     }
 
-    /// Removes parts that no head names: of registrations that were not
-    /// finished, of versions that are no longer kept, of jobs that are gone.
+    /// Removes chunks that no job record references: of unfinished registrations, of versions that
+    /// are no longer kept and of deleted jobs.
     fn remove_orphaned_chunks(&mut self, host: &ExtensionContext<'_>) {
         let named = |heads: &BTreeMap<JobKey, RegisteredJob>, name: &str| {
             let mut s = name.split('/');
@@ -187,7 +186,7 @@
         self.outputs.push(write(ticket, Multi { when: Vec::new(), writes }, true));
     }
 
-    /// Records that a launch was passed over.
+    /// Records a launch time as handled without launching the job.
     pub(crate) fn skip_launch(&mut self, key: &JobKey, known: &RegisteredJob, ms: u64) {
         let stamp = self.last_launches.get(key).map_or(0, |l| l.1);
         let m = Multi {
--- a/crates/nomad/src/service/records.rs
+++ b/crates/nomad/src/service/records.rs
@@ -1,10 +1,10 @@
-//! What is kept of jobs in the state service, and the one module that knows
-//! the names of its keys. All names are below the guest's space.
+//! Records of Nomad jobs in the state service. This module alone defines their key names, all of
+//! which are below the extension's prefix.
 //!
-//! A job is its **head**: one record, written last, whose writing is the
-//! registration. What is too long for it (the job as it was written, the
-//! native descriptions) is in **parts**, written before, under a name of their
-//! own that only the head makes count.
+//! A job has one **job record**, which is written last; writing it is the registration. What is too
+//! long for the record (the job as submitted and the native descriptions) is in **chunks**. They
+//! are written first, below a nonce of their own, and have no effect until a job record references
+//! the nonce.
 use crate::model::{Job, Payload};
 use gorseshore_protocol::ids::JobId;
 use gorseshore_protocol::job::Kind;
@@ -13,7 +13,7 @@
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
 
-/// A job, by a hash of its namespace and id.
+/// Key of a job: a hash of its namespace and id.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobKey(pub String);
 
@@ -25,18 +25,18 @@
     }
 }
 
-/// Names below the guest's space.
+/// Key names below the extension's prefix.
 pub mod names {
     use super::JobKey;
-    /// A job's head.
+    /// The record of a job.
     pub fn head(k: &JobKey) -> String {
         format!("j/{}", k.0)
     }
-    /// All parts of one writing of a job.
+    /// All chunks of one written content of a job.
     pub fn chunk_prefix(k: &JobKey, nonce: &str) -> String {
         format!("p/{}/{nonce}/", k.0)
     }
-    /// A part; parts sort in their order.
+    /// One chunk of a content; the keys sort in the order of the chunks.
     pub fn chunk(k: &JobKey, nonce: &str, i: usize) -> String {
         format!("p/{}/{nonce}/{i:03}", k.0)
     }
@@ -44,83 +44,83 @@
     pub fn last_launch(k: &JobKey) -> String {
         format!("l/{}", k.0)
     }
-    /// A dispatch by its idempotency token.
+    /// A dispatch, by its hashed idempotency token.
     pub fn dispatch_token(k: &JobKey) -> String {
         format!("i/{}", k.0)
     }
 }
 
-/// A group of a job as its head has it.
+/// A group in a job record.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct GroupRecord {
     /// Name.
     #[serde(rename = "g")]
     pub name: String,
-    /// The native job.
+    /// Id of the native job.
     #[serde(rename = "j")]
     pub job: u64,
-    /// Repeats.
+    /// Number of tasks.
     #[serde(rename = "n")]
     pub count: u32,
 }
 
-/// An earlier version.
+/// A previous version of a job.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PreviousVersion {
-    /// Version.
+    /// Version number.
     #[serde(rename = "v")]
     pub version: u64,
-    /// Name of its parts.
+    /// Nonce of its chunks.
     #[serde(rename = "w")]
     pub nonce: String,
-    /// Time of day of its registration in milliseconds.
+    /// Time of its registration in milliseconds since 1970.
     #[serde(rename = "at")]
     pub at: u64,
 }
 
-/// Launches by cron.
+/// Cron launches of a periodic job.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PeriodicRecord {
-    /// Expressions.
+    /// Cron expressions.
     #[serde(rename = "c")]
     pub crons: Vec<String>,
     /// Time zone.
     #[serde(rename = "z")]
     pub time_zone: String,
-    /// No launch while an earlier one runs.
+    /// Whether a launch is skipped while an earlier one runs.
     #[serde(rename = "o", default)]
     pub prohibit_overlap: bool,
-    /// It launches.
+    /// Whether the job is launched by cron.
     #[serde(rename = "e")]
     pub enabled: bool,
 }
 
-/// Runs by dispatch.
+/// Dispatch rules of a parameterized job.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ParameterizedRecord {
     /// `optional`, `required` or `forbidden`.
     #[serde(rename = "p")]
     pub payload: String,
-    /// Keys that a dispatch must give.
+    /// Meta keys that a dispatch must set.
     #[serde(rename = "r", default)]
     pub required: Vec<String>,
-    /// Keys that it may give.
+    /// Meta keys that a dispatch may set.
     #[serde(rename = "o", default)]
     pub optional: Vec<String>,
 }
 
-/// A job's head.
+/// The record of a job.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
     /// Namespace.
     #[serde(rename = "ns")]
     pub namespace: String,
-    /// Id.
+    /// Job id.
     pub id: String,
-    /// Shown name.
+    /// Display name.
     #[serde(rename = "nm")]
     pub name: String,
-    /// Counts up with every registration that changes something.
+    /// Version number; each registration that changes something increments it.
     #[serde(rename = "v")]
     pub version: u64,
     /// Hash of the content.
@@ -129,24 +129,24 @@
     /// Hash of the content without counts.
     #[serde(rename = "hc")]
     pub hash_without_counts: String,
-    /// Name of the parts.
+    /// Nonce of the chunks.
     #[serde(rename = "w")]
     pub nonce: String,
-    /// Time of day of this registration in milliseconds.
+    /// Time of this registration in milliseconds since 1970.
     pub at: u64,
-    /// Revision of its first registration, once there is a second one.
+    /// Revision of the first registration; set from the second registration on.
     #[serde(rename = "ci", default, skip_serializing_if = "Option::is_none")]
     pub create_revision: Option<u64>,
     /// `service` or `batch`.
     #[serde(rename = "k")]
     pub kind: String,
-    /// 1 to 100.
+    /// Priority, 1 to 100.
     #[serde(rename = "pr")]
     pub priority: u32,
-    /// Stopped by its users.
+    /// Whether a user stopped the job.
     #[serde(rename = "s", default)]
     pub stop: bool,
-    /// Its head goes once nothing of it is left.
+    /// Whether the record is deleted once none of the job's native jobs is active.
     #[serde(rename = "pg", default)]
     pub purge: bool,
     /// Class.
@@ -155,67 +155,67 @@
     /// Team.
     #[serde(rename = "t")]
     pub team: String,
-    /// Zones as the file names them.
+    /// Zone patterns as the file names them.
     #[serde(rename = "dc", default)]
     pub datacenters: Vec<String>,
     /// Groups.
     #[serde(rename = "gr")]
     pub groups: Vec<GroupRecord>,
-    /// Native jobs of earlier versions that may not be over.
+    /// Native jobs of earlier versions that may still be active.
     #[serde(rename = "o", default)]
     pub superseded_jobs: Vec<u64>,
-    /// Launches by cron.
+    /// Cron launches, for a periodic job.
     #[serde(rename = "pe", default, skip_serializing_if = "Option::is_none")]
     pub periodic: Option<PeriodicRecord>,
-    /// Runs by dispatch.
+    /// Dispatch rules, for a parameterized job.
     #[serde(rename = "pa", default, skip_serializing_if = "Option::is_none")]
     pub param: Option<ParameterizedRecord>,
-    /// The job that launched or dispatched it.
+    /// Id of the periodic or parameterized job that created this one.
     #[serde(rename = "up", default, skip_serializing_if = "Option::is_none")]
     pub parent: Option<String>,
-    /// Versions before, the last one first.
+    /// Previous versions, latest first.
     #[serde(rename = "vs", default)]
     pub earlier: Vec<PreviousVersion>,
 }
 
-/// Versions before the current one that are kept.
+/// Most previous versions that a record keeps.
 pub const MAX_PREVIOUS_VERSIONS: usize = 5;
-/// Most native jobs of earlier versions that may not be over.
+/// Most native jobs of earlier versions that may still be active.
 pub const MAX_SUPERSEDED_JOBS: usize = 16;
 
 impl JobRecord {
-    /// Its key.
+    /// The key of the job.
     pub fn key(&self) -> JobKey {
         JobKey::of(&self.namespace, &self.id)
     }
-    /// It makes jobs and runs nothing itself.
+    /// Whether the job only creates other jobs and runs no tasks itself.
     pub fn is_template(&self) -> bool {
         self.periodic.is_some() || self.param.is_some()
     }
-    /// Whether a writing of parts is one of its versions.
+    /// Whether the current or a kept previous version uses the chunks of `nonce`.
     pub fn references(&self, nonce: &str) -> bool {
         self.nonce == nonce || self.earlier.iter().any(|e| e.nonce == nonce)
     }
-    /// Native jobs, those of earlier versions too.
+    /// Native jobs of the current version and of earlier ones.
     pub fn native_jobs(&self) -> impl Iterator<Item = JobId> + '_ {
         self.groups.iter().map(|g| g.job).chain(self.superseded_jobs.iter().copied()).map(JobId)
     }
 }
 
-/// What is in a job's parts, put together.
+/// The content of a job, joined from its chunks.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Content {
-    /// The job as the interface shows it.
+    /// The job in the JSON form of the interface.
     pub job: Value,
-    /// Native descriptions by group, as records.
+    /// Native job descriptions by group, in the form of records.
     pub specs: BTreeMap<String, Value>,
 }
 
-/// Cuts a text into parts whose JSON has at most `room` bytes.
+/// Splits a text into chunks, each of at most `room` bytes when encoded as JSON.
 pub fn split_into_chunks(text: &str, room: usize) -> Vec<String> {
     let (mut parts, mut part, mut size) = (Vec::new(), String::new(), 2);
     for c in text.chars() {
-        // What the character takes as JSON.
+        // Bytes of the character in JSON.
         let n = match c {
             '"' | '\\' => 2,
             c if (c as u32) < 0x20 => 6,
@@ -232,7 +232,7 @@
     parts
 }
 
-/// The job as the interface shows it, with the defaults filled in.
+/// The job in the JSON form of the interface, with defaults filled in.
 pub fn api_job(j: &Job) -> Value {
     let kind = if j.kind == Kind::Service { "service" } else { "batch" };
     let groups: Vec<Value> = j
@@ -284,7 +284,7 @@
     })
 }
 
-/// The word for whether a dispatch carries a payload.
+/// The specification's word for a payload rule.
 pub fn payload_word(p: Payload) -> &'static str {
     match p {
         Payload::Optional => "optional",
@@ -293,7 +293,7 @@
     }
 }
 
-/// The hash of a job's content, with and without its counts.
+/// Hash of a job's content, and hash of the content without counts.
 pub fn hashes(content: &Content) -> (String, String) {
     let hash = |v: &Content| {
         let text = serde_json::to_string(v).unwrap_or_default();
@@ -330,7 +330,7 @@
         assert_eq!(names::chunk(&JobKey::of("a", "b"), "n", 7).len(), 2 + 40 + 3 + 3);
     }
 
-    /// As this version writes it: later ones must read it.
+    /// A record as this version writes it; later versions must be able to read it.
     #[test]
     fn heads_of_this_version_are_read() {
         let text = r#"{"ns":"default","id":"desk","nm":"desk","v":3,"h":"aa","hc":"bb","w":"f00d","at":5,
--- a/crates/nomad/src/service/register.rs
+++ b/crates/nomad/src/service/register.rs
@@ -1,9 +1,9 @@
-//! Registering, scaling, stopping, dispatching: every change of a job's head.
+//! Changes of a job record: registering, scaling, stopping, dispatching and launching.
 //!
-//! A change is one accepted-or-not step: parts first, under a name of their
-//! own, then the head, on condition that the head is as it was read and that
-//! all parts are as they were written. An answer comes only after that record,
-//! or, where its answer was lost, after the mirror has shown it.
+//! A change is atomic. It first writes the chunks below a nonce of their own, then the job record,
+//! conditioned on the record being unchanged since it was read and on every chunk being as it was
+//! written. The client is answered only after the record has been committed or, if the answer to
+//! that write was lost, after the replica has shown the record.
 use super::api::{Request, Route, format_diagnostics};
 use super::records::{
     Content, GroupRecord, JobKey, JobRecord, MAX_PREVIOUS_VERSIONS, MAX_SUPERSEDED_JOBS, ParameterizedRecord,
@@ -24,64 +24,65 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Bytes that a head may grow by without being judged anew.
+/// Bytes by which a job record may grow without another check of its size.
 const RECORD_SIZE_MARGIN_BYTES: usize = 64;
-/// The same for a group's description: jobs that it replaces, and a count.
+/// Bytes reserved in a native job's description for the ids of the jobs that it replaces and for a
+/// longer count.
 const DESCRIPTION_SIZE_MARGIN_BYTES: usize = 22 * MAX_SUPERSEDED_JOBS;
-/// Longest content of a job, in bytes as it is stored.
+/// Longest stored content of a job in bytes.
 const MAX_CONTENT_BYTES: usize = 64 * 1024;
-/// How often a change starts anew when others change the job meanwhile.
+/// How often a change is attempted when others change the job concurrently.
 const MAX_ATTEMPTS: u32 = 4;
-/// A change that takes longer is given up; the request's user may repeat it.
+/// A change that takes longer fails; the client may repeat it.
 const CHANGE_TIMEOUT: Micros = Micros::secs(30);
 
-/// Where a change stands.
+/// State of a change.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum Step {
-    /// Parts are being written.
+    /// Chunks are being written.
     Chunks,
-    /// The head is being written.
+    /// The job record is being written.
     JobRecord,
-    /// Others changed the job: it is looked at again.
+    /// The job was changed concurrently; the record is rebuilt from the current one.
     Rebuild,
-    /// The answer to the head's writing was lost.
+    /// The answer to the write of the job record was lost.
     Confirm,
 }
 
-/// What is to become of a job.
+/// A requested change of a job.
 #[derive(Debug, Clone)]
 pub(crate) enum JobChange {
-    /// This content.
+    /// Register this content.
     Content { job: Box<Job>, class: String, team: String, content: Rc<Content>, warnings: String },
-    /// Other counts.
+    /// Set the count of a group.
     Scale { group: String, count: u32 },
-    /// No more.
+    /// Stop the job; with `purge`, delete its record afterwards.
     Stop { purge: bool },
-    /// A child of it.
+    /// Create a child job by launch or dispatch.
     Child { id: String, content: Rc<Content>, launched: Option<u64>, token: Option<JobKey> },
 }
 
-/// A change under way.
+/// A change in progress.
 #[derive(Debug)]
 pub(crate) struct PendingChange {
-    /// Who waits for it; nobody for launches by cron.
+    /// The client's request; for cron launches a placeholder that is not answered.
     pub request: Request,
     pub by_leader: bool,
     pub key: JobKey,
     pub change: JobChange,
     step: Step,
-    /// The head to write and the version that it replaces.
+    /// The record to write, and the revision of the record that it replaces.
     head: Option<JobRecord>,
     expected_revision: u64,
     chunks: Vec<(String, String)>,
     written_chunks: Vec<(String, u64)>,
-    /// Parts of the transaction under way.
+    /// Number of chunks in the transaction in flight.
     chunks_in_flight: usize,
     attempts: u32,
     deadline: Micros,
 }
 
-/// A content put into the form that is stored.
+/// Converts a job and its native descriptions to the stored form.
 pub(crate) fn content(job: &Job, groups: &[PlannedGroup]) -> Content {
     let specs = groups.iter().map(|p| (p.group.clone(), job_value(&p.spec, 0))).collect();
     Content { job: api_job(job), specs }
@@ -119,7 +120,8 @@
         self.begin_change(host, r, key, wish, false);
     }
 
-    /// What natively is a 422: a task that alone is over its team's limit.
+    /// Rejects what native submission answers with 422: a description that is too long, an unknown
+    /// team, or a task that alone exceeds its team's limit.
     fn check_team_limits(&self, host: &ExtensionContext<'_>, groups: &[PlannedGroup]) -> Result<(), String> {
         for p in groups {
             if value_len(&job_value(&p.spec, host.wall_ms)) + DESCRIPTION_SIZE_MARGIN_BYTES
@@ -137,7 +139,7 @@
         Ok(())
     }
 
-    /// Scaling, stopping, dispatching, a launch by hand.
+    /// Scaling, stopping, dispatching and forced launches.
     pub(crate) fn change(&mut self, host: &ExtensionContext<'_>, r: Request) {
         let (Route::Scale(id) | Route::Stop(id) | Route::Dispatch(id) | Route::Force(id)) = &r.route else {
             return;
@@ -193,7 +195,8 @@
         }
     }
 
-    /// Checks a dispatch against the job's rules for payload and meta.
+    /// Checks a dispatch against the job's rules for payload and meta. Returns the change, or the
+    /// answer of an earlier dispatch with the same idempotency token.
     fn dispatch(
         &mut self,
         host: &ExtensionContext<'_>,
@@ -231,7 +234,7 @@
         if let Some(k) = rules.required.iter().find(|k| !meta.contains_key(*k)) {
             return Err(format!("Meta.{k}: is required"));
         }
-        // A dispatch that is asked for again under its token is the same one.
+        // A repeated dispatch with the same idempotency token returns the first one's job.
         let token = r
             .query_value("idempotency_token")
             .or_else(|| body["IdempotencyToken"].as_str().filter(|t| !t.is_empty()));
@@ -253,7 +256,7 @@
         Ok((JobChange::Child { id, content: Rc::new(content), launched: None, token }, None))
     }
 
-    /// Starts a change; the mirror is up to date.
+    /// Starts a change; the replica is up to date.
     pub(crate) fn begin_change(
         &mut self,
         host: &ExtensionContext<'_>,
@@ -291,7 +294,7 @@
         self.reconcile_queue.insert(key.clone(), Micros(0));
     }
 
-    /// What is to be written, by the job as it is now.
+    /// Builds the record to write from the current state of the job.
     fn build_job_record(&mut self, host: &ExtensionContext<'_>, mut r: PendingChange) {
         r.attempts += 1;
         if r.attempts > MAX_ATTEMPTS || host.now > r.deadline {
@@ -359,7 +362,7 @@
                         format!("{total} repeats over all groups, class {} allows {}", c.name, c.max_count);
                     return self.fail_change(&r, 400, &text);
                 }
-                // One that is over can't be scaled: the group begins anew.
+                // A native job that has ended cannot be scaled, so the group gets a new one.
                 let job = host.replica.jobs.get(&JobId(h.groups[at].job));
                 if job.is_some_and(|j| j.phase != Phase::Active) {
                     h.groups[at].job = self.new_native_id();
@@ -423,8 +426,8 @@
         self.prepare(host, r, head, content);
     }
 
-    /// A job's next head: the same native jobs where only counts differ, new
-    /// ones otherwise.
+    /// The next record of a job. It keeps the native jobs if only counts differ, and names new ones
+    /// otherwise.
     fn next_job_record(
         &mut self,
         host: &ExtensionContext<'_>,
@@ -484,7 +487,7 @@
             }
             head.superseded_jobs = k.head.superseded_jobs.clone();
         } else {
-            // Of what is gone for good nothing has to be waited for.
+            // Native jobs that have ended for good need not be waited for.
             let gone = |id: &JobId| {
                 host.replica.jobs.get(id).is_some_and(|j| match j.phase {
                     Phase::Active => false,
@@ -501,7 +504,7 @@
         Ok(head)
     }
 
-    /// Names the parts and begins to write.
+    /// Splits the content into chunks and starts to write them.
     fn prepare(
         &mut self,
         host: &ExtensionContext<'_>,
@@ -515,7 +518,8 @@
         if let Some(c) = content {
             let text = serde_json::to_string(&*c).unwrap_or_default();
             let parts = split_into_chunks(&text, host.max_value_bytes.saturating_sub(64));
-            // The head's conditions name every part.
+            // The transaction that writes the record has one precondition per chunk; 6 of the
+            // allowed preconditions are left for others.
             let most = (host.max_txn_writes * 4).saturating_sub(6);
             if text.len() > MAX_CONTENT_BYTES || parts.len() > most {
                 let text = format!(
@@ -531,7 +535,7 @@
             }
             self.cache_content(&head.nonce, c);
         }
-        // A head of longer values than may be written now gives up its oldest versions.
+        // A record that exceeds the value limit drops its oldest previous versions.
         let too_long =
             |head: &JobRecord| value_len(&json!(head)) + RECORD_SIZE_MARGIN_BYTES > host.max_value_bytes;
         while too_long(&head) && head.earlier.pop().is_some() {}
@@ -546,7 +550,7 @@
         self.write_next(host, r);
     }
 
-    /// Writes the next parts, or the head.
+    /// Writes the next chunks, or the job record once all chunks are written.
     fn write_next(&mut self, host: &ExtensionContext<'_>, mut r: PendingChange) {
         if host.now > r.deadline {
             return self.fail_change(&r, 503, "the state service is slow");
@@ -589,7 +593,7 @@
         self.outputs.push(write(ticket, Multi { when: conditions, writes }, by_leader));
     }
 
-    /// A write of a change ended.
+    /// Handles the end of a write of a change.
     pub(crate) fn change_write_ended(
         &mut self,
         host: &ExtensionContext<'_>,
@@ -604,7 +608,8 @@
                 r.written_chunks.extend(names.into_iter().map(|n| (n, stamp)));
                 self.write_next(host, r);
             }
-            // Written twice does no harm: the head's conditions see which.
+            // Writing chunks twice is harmless: the preconditions of the job record check which
+            // write is stored.
             (Step::Chunks, None, _) => self.retry_chunks(host, r),
             (_, Some(stamp), _) => self.complete_change(host, &r, stamp),
             (_, None, CallResult::NotSent) => {
@@ -634,23 +639,23 @@
         self.outputs.push(ExtensionOutput::ReadBarrier(ticket));
     }
 
-    /// The mirror is up to date again.
+    /// Continues a change after its read barrier; the replica is up to date.
     pub(crate) fn resume_after_barrier(&mut self, host: &ExtensionContext<'_>, r: PendingChange) {
         if r.step == Step::Rebuild {
             return self.build_job_record(host, r);
         }
-        // The answer was lost: is it there?
+        // The answer was lost: checks whether the record was written.
         let target = r.head.as_ref().map(JobRecord::key);
         let there =
             target.as_ref().and_then(|k| self.jobs.get(k)).filter(|k| Some(&*k.head) == r.head.as_ref());
         match there.map(|k| k.modify_revision) {
             Some(stamp) => self.complete_change(host, &r, stamp),
-            // It may still come: only the state service could tell, later.
+            // The write may still be applied later, so its outcome is unknown.
             None => self.fail_change(&r, 503, "the state service did not confirm it: ask again"),
         }
     }
 
-    /// It is recorded.
+    /// Answers the client of a committed change.
     fn complete_change(&mut self, host: &ExtensionContext<'_>, r: &PendingChange, stamp: u64) {
         let Some(head) = &r.head else { return };
         log::info!("{} {}: version {} recorded at {stamp}", head.namespace, head.id, head.version);
@@ -665,7 +670,7 @@
         self.answer(r.request.id, 200, host.replica.applied.max(stamp), &answer);
     }
 
-    /// Whether a job that this one launched still runs.
+    /// Whether a child job of `parent` is still alive.
     pub(crate) fn has_running_child(&self, host: &ExtensionContext<'_>, parent: &JobRecord) -> bool {
         self.jobs.values().any(|k| {
             k.head.parent.as_ref() == Some(&parent.id)
@@ -675,7 +680,7 @@
     }
 }
 
-/// A version more than the one known.
+/// Sets the next version number and the history of previous versions.
 fn set_next_version(head: &mut JobRecord, known: &RegisteredJob, wall_ms: u64) {
     let k = &known.head;
     head.version = k.version + 1;
@@ -686,17 +691,17 @@
     head.earlier.truncate(MAX_PREVIOUS_VERSIONS);
 }
 
-/// A condition on a name below the guest's space.
+/// A precondition on a key below the extension's prefix.
 pub(crate) fn precondition(name: String, stamp: u64) -> When {
     When { path: format!("{}{name}", keys::GUEST), stamp }
 }
 
-/// A put below the guest's space.
+/// A put of a key below the extension's prefix.
 pub(crate) fn put(name: &str, v: Value) -> Write {
     Write::Put { put: format!("{}{name}", keys::GUEST), v, hold: None }
 }
 
-/// A removal below the guest's space.
+/// A removal of a key below the extension's prefix.
 pub(crate) fn remove(name: &str) -> Write {
     Write::Remove { remove: format!("{}{name}", keys::GUEST) }
 }
@@ -706,7 +711,7 @@
     lines.collect::<Vec<_>>().join("\n")
 }
 
-/// The content of a job that another one makes.
+/// The content of a child job, created by launch or dispatch.
 pub(crate) fn child_content(
     parent: &Content,
     id: &str,
--- a/crates/nomad/src/service/tokens.rs
+++ b/crates/nomad/src/service/tokens.rs
@@ -1,17 +1,17 @@
-//! Tokens of teams, kept as salted hashes.
+//! Team tokens, stored as salted hashes.
 use gorseshore_settings::NomadToken;
 use sha2::{Digest, Sha256};
 use subtle::ConstantTimeEq;
 
-/// The hash of a token as the operators' file has it, `salt$hash`. Tokens are
-/// made of 128 random bits, so one round of hashing is enough.
+/// The hash of a token in the form of the operator file, `salt$hash`. Tokens have 128 random bits,
+/// so one round of hashing is sufficient.
 pub fn hash(salt: &[u8], token: &str) -> String {
     let digest = Sha256::new().chain_update(salt).chain_update(token).finalize();
     format!("{}${}", hex::encode(salt), hex::encode(digest))
 }
 
-/// The team that a token belongs to. Every hash is compared whole, so that the
-/// time taken tells nothing of any of them.
+/// The team of a token. Every configured hash is compared in full and in constant time, so the time
+/// taken reveals nothing about any of them.
 pub fn team<'a>(tokens: &'a [NomadToken], token: &str) -> Option<&'a str> {
     let mut found = None;
     for t in tokens {
--- a/crates/nomad/src/service/views.rs
+++ b/crates/nomad/src/service/views.rs
@@ -1,5 +1,5 @@
-//! What the interface shows. Only what is known is format_diagnostics: a task of which this
-//! controller can't say whether it runs has the status `unknown`.
+//! JSON views of jobs, allocations, evaluations and nodes. Only known state is reported: a task of
+//! which this controller cannot determine whether it runs has the status `unknown`.
 use super::RegisteredJob;
 use super::records::{Content, JobKey, JobRecord};
 use crate::translate::PlannedGroup;
@@ -10,19 +10,19 @@
 use serde_json::{Map, Value, json};
 use uuid::Uuid;
 
-/// Allocations of one group that are listed.
+/// Most allocations listed for one native job.
 const MAX_LISTED_ALLOCATIONS: u32 = 5000;
 
-/// An allocation's id: the native job and the task, readable back, so that no
-/// list of ids has to be kept.
+/// An allocation id encodes the native job and the task index, so no mapping from ids has to be
+/// stored.
 pub(crate) fn allocation_id(job: JobId, index: u32) -> Uuid {
     let j = job.0.to_be_bytes();
     let i = index.to_be_bytes();
-    // Bytes 6 and 8 hold the version and the variant.
+    // Bytes 6 and 8 hold the UUID version and variant.
     Uuid::new_v8([j[0], j[1], j[2], j[3], j[4], j[5], 0, j[6], 0, j[7], i[0], i[1], i[2], i[3], 0xa1, 0x0c])
 }
 
-/// The task behind an allocation's id.
+/// The native job and task index of an allocation id.
 pub(crate) fn allocation_of(id: &str) -> Option<(JobId, u32)> {
     let b = *Uuid::parse_str(id).ok()?.as_bytes();
     let job = JobId(u64::from_be_bytes([b[0], b[1], b[2], b[3], b[4], b[5], b[7], b[9]]));
@@ -30,7 +30,7 @@
     (allocation_id(job, index).as_bytes() == &b).then_some((job, index))
 }
 
-/// The id of the evaluation of a version.
+/// The evaluation id of a version of a job.
 pub(crate) fn evaluation_id(key: &JobKey, version: u64) -> Uuid {
     let k = hex::decode(&key.0).unwrap_or_default();
     let at = |i: usize| k.get(i).copied().unwrap_or(0);
@@ -44,7 +44,7 @@
     host.replica.jobs.get(&JobId(id))
 }
 
-/// `pending`, `running` or `dead`.
+/// Status of a job: `pending`, `running` or `dead`.
 pub(crate) fn status(host: &ExtensionContext<'_>, head: &JobRecord) -> &'static str {
     if head.stop {
         return "dead";
@@ -68,12 +68,12 @@
     if all_over && head.kind == "batch" { "dead" } else { "pending" }
 }
 
-/// Why a job ended, if it failed.
+/// The failure cause of the first failed group.
 fn failure(host: &ExtensionContext<'_>, head: &JobRecord) -> Option<String> {
     head.groups.iter().find_map(|g| native_job(host, g.job)?.cause.clone())
 }
 
-/// TaskCounts of a group's tasks by what became of them.
+/// Tasks of a group by state.
 struct TaskCounts {
     queued: u32,
     running: u32,
@@ -100,7 +100,7 @@
     c
 }
 
-/// A job's summary.
+/// Summary of a job: tasks by group and state.
 pub(crate) fn summary(host: &ExtensionContext<'_>, k: &RegisteredJob) -> Value {
     let mut groups = Map::new();
     for g in &k.head.groups {
@@ -131,7 +131,7 @@
     json!({"ID": h.id, "Name": h.name, "Namespace": h.namespace, "Type": h.kind, "Version": h.version, "Stop": h.stop})
 }
 
-/// A job as it was registered, with where it stands.
+/// A job as registered, with its current status.
 pub(crate) fn job(host: &ExtensionContext<'_>, k: &RegisteredJob, c: &Content) -> Value {
     let mut v = c.job.clone();
     let h = &k.head;
@@ -145,7 +145,7 @@
     v
 }
 
-/// Versions: the current one whole, earlier ones by number and time.
+/// Versions of a job: the current one in full, previous ones by number and time.
 pub(crate) fn versions(host: &ExtensionContext<'_>, k: &RegisteredJob, c: &Content) -> Value {
     let earlier = k.head.earlier.iter().map(|e| {
         json!({"ID": k.head.id, "Namespace": k.head.namespace, "Version": e.version, "SubmitTime": e.at * 1_000_000})
@@ -154,7 +154,7 @@
     json!({"Versions": all, "Diffs": null})
 }
 
-/// The evaluation of a job's current version: what the scheduler makes of it.
+/// The evaluation of a job's current version.
 pub(crate) fn evaluation(host: &ExtensionContext<'_>, key: &JobKey, k: &RegisteredJob) -> Value {
     let h = &k.head;
     let mut queued = Map::new();
@@ -177,7 +177,7 @@
         "CreateIndex": k.modify_revision, "ModifyIndex": k.last_change_revision})
 }
 
-/// The tasks of a job, those of versions that it replaced too.
+/// Allocations of a job, including those of superseded versions.
 pub(crate) fn allocations(host: &ExtensionContext<'_>, k: &RegisteredJob) -> Vec<Value> {
     let h = &k.head;
     let mut out = Vec::new();
@@ -227,7 +227,7 @@
     }
 }
 
-/// A job's counts, wanted and there.
+/// Requested and running counts of a job.
 pub(crate) fn scale_status(host: &ExtensionContext<'_>, k: &RegisteredJob) -> Value {
     let mut groups = Map::new();
     for g in &k.head.groups {
@@ -242,7 +242,7 @@
         "JobModifyIndex": k.modify_revision, "JobStopped": k.head.stop, "TaskGroups": groups})
 }
 
-/// A machine.
+/// A machine as a node.
 pub(crate) fn node(id: &MachineId, m: &MachineRecord) -> Value {
     json!({"ID": id.as_str(), "Name": id.as_str(), "Address": m.addr, "Datacenter": m.zone, "NodeClass": m.build,
         "NodePool": "default", "Status": "ready", "SchedulingEligibility": "eligible", "Drain": false,
@@ -254,7 +254,7 @@
     json!({"Name": name, "Description": "", "Quota": ""})
 }
 
-/// What registering would do, and why some of it would have to wait.
+/// What a registration would change, and which tasks could not run at once.
 pub(crate) fn plan(
     host: &ExtensionContext<'_>,
     known: Option<&RegisteredJob>,
@@ -271,7 +271,7 @@
             json!({"Place": n.saturating_sub(there), "Stop": there.saturating_sub(n),
             "InPlaceUpdate": n.min(there), "DestructiveUpdate": 0, "Ignore": 0}),
         );
-        // The limit of the team holds for all its jobs; alone it lets so many run.
+        // The team's limit covers all its jobs; computed as if the team had only this one.
         if let Some(team) = host.teams.iter().find(|t| t.name == p.spec.team) {
             let max = Resources::have(team.cpus_max, team.gpus_max, 0.0);
             let most = if max.cpu == 0 { n as u64 } else { max.cpu / p.spec.need.cpu.max(1) };
--- a/crates/nomad/src/service/watch.rs
+++ b/crates/nomad/src/service/watch.rs
@@ -1,9 +1,9 @@
 //! Blocking queries and the event stream.
 //!
-//! Invariant: the index of an answer is the revision up to which the mirror is
-//! whole. A query that names an index waits only if everything that changed
-//! since is known here; otherwise it is answered at once. So no change is
-//! missed and no index goes backwards, whichever controller is asked next.
+//! Invariant: the index of an answer is the revision up to which the replica is complete. A query
+//! with an index waits only if every change since that index is known to this controller; otherwise
+//! it is answered at once. So no change is missed and no index goes backwards, whichever controller
+//! serves the next query.
 use super::api::{Request, Scope};
 use super::records::JobRecord;
 use super::{Service, views};
@@ -21,7 +21,7 @@
     pub deadline: Micros,
 }
 
-/// A reader of events.
+/// An open event stream.
 #[derive(Debug)]
 pub(crate) struct Stream {
     pub team: Option<String>,
@@ -30,7 +30,7 @@
     pub last_write_at: Micros,
 }
 
-/// Something that happened.
+/// An event of a job.
 #[derive(Debug, Clone)]
 pub(crate) struct Event {
     pub index: u64,
@@ -41,16 +41,16 @@
     pub payload: Value,
 }
 
-/// Events kept for readers that come back.
+/// Most events kept for clients that reconnect.
 const MAX_BUFFERED_EVENTS: usize = 1000;
-/// An idle stream hears so often that it is alive.
+/// Interval of keep-alive lines on an idle stream.
 const STREAM_KEEPALIVE_INTERVAL: Micros = Micros::secs(10);
 
 impl Service {
     /// The last revision at which something in a scope changed.
     fn changed_in(&self, scope: &Scope) -> u64 {
         match scope {
-            // A job that is gone again, or not there yet, changes with all.
+            // For a job that is deleted or does not exist yet, any change counts.
             Scope::Job(key) => {
                 self.jobs.get(key).map_or(self.last_change_revision, |k| k.last_change_revision)
             }
@@ -58,7 +58,8 @@
         }
     }
 
-    /// Lets a query wait if nothing changed since its index; true if it waits.
+    /// Blocks a query if nothing in its scope changed since its index; returns whether it was
+    /// answered or blocked here.
     pub(crate) fn block_query(
         &mut self,
         host: &ExtensionContext<'_>,
@@ -84,7 +85,7 @@
         true
     }
 
-    /// Answers queries whose scope changed.
+    /// Answers blocked queries whose scope changed or whose wait is over.
     pub(crate) fn answer_ready_queries(&mut self, host: &ExtensionContext<'_>) {
         if self.blocked_queries.is_empty() {
             return;
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Ends waits whose time is over, and keeps streams alive.
+    /// Answers queries whose wait is over, and sends keep-alive lines on streams.
     pub(crate) fn expire_queries(&mut self, host: &ExtensionContext<'_>) {
         if self.blocked_queries.iter().any(|b| host.now >= b.deadline) {
             self.answer_ready_queries(host);
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Remembers an event and tells the streams.
+    /// Buffers an event and sends it to matching streams.
     pub(crate) fn publish_event(&mut self, kind: &'static str, head: &JobRecord, index: u64) {
         if self.loading {
             return;
@@ -137,13 +138,13 @@
         }
     }
 
-    /// Opens a stream from an index on.
+    /// Opens an event stream that starts after an index.
     pub(crate) fn open_stream(&mut self, id: RequestId, stream: Stream, index: u64) {
         if self.streams.len() >= self.settings.max_streams {
             return self.answer_error(id, 429, "too many event streams are open here");
         }
         self.outputs.push(ExtensionOutput::Open(id, Answer { status: 200, ..Answer::default() }));
-        // The first line says that the stream stands.
+        // An empty first line confirms that the stream is open.
         self.outputs.push(ExtensionOutput::Chunk(id, b"{}\n".to_vec()));
         if index > 0 {
             for e in self.events.iter().filter(|e| e.index > index && stream.matches(e)) {
--- a/crates/nomad/src/table.rs
+++ b/crates/nomad/src/table.rs
@@ -1,23 +1,23 @@
-//! The job specification as a table: what is served, what is accepted without
-//! effect, what is refused and why. The reader of files walks it, so a field
-//! that is not in it can't be taken, and `docs/nomad.md` is written from it.
+//! The job specification as a table: what is served, what is accepted without effect, and what is
+//! refused and why. The reader checks files against it, so a field that is not listed can't be
+//! accepted. `docs/nomad.md` contains the table as Markdown.
 use std::fmt::Write;
 
-/// What becomes of a field.
+/// How a field is supported.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Support {
-    /// It does what the specification says, or what the text says instead.
+    /// Works as the specification says, or as the text says instead.
     Served(&'static str),
-    /// It does nothing, and a warning says why. A field's type is checked; a
-    /// stanza is not looked into.
+    /// Accepted without effect, with a warning that gives this reason. The shape of a field is
+    /// checked; the contents of a stanza are not.
     NoEffect(&'static str),
-    /// A file that sets it is refused, for this reason.
+    /// A file that sets the field is refused for this reason.
     Refused(&'static str),
-    /// The interface sends it back to clients; what a client sends is ignored.
+    /// Sent to clients by the interface, and ignored when a client sends it.
     ReadOnly,
 }
 
-/// What a field holds.
+/// The kind of value that a field holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Shape {
     /// Text.
@@ -26,35 +26,35 @@
     Integer,
     /// A number.
     Number,
-    /// True or false.
+    /// A boolean.
     Bool,
-    /// A length of time: `"1h30m"`, or whole nanoseconds.
+    /// A duration: `"1h30m"`, or whole nanoseconds.
     Duration,
     /// A list of texts.
     TextList,
     /// A map of texts, as a block or an attribute.
     Map,
-    /// Anything.
+    /// Any value.
     Any,
     /// At most one block.
     Block,
-    /// Any number of blocks.
+    /// Any number of blocks without label.
     Blocks,
-    /// Any number of blocks with a name.
+    /// Any number of blocks with one label.
     LabeledBlocks,
 }
 
-/// A row: path in files, name in the interface's JSON, shape, support.
+/// A row of the table.
 #[derive(Debug, Clone, Copy)]
 pub struct Row {
-    /// As in files, `group.task.resources.cpu`; a leading `*` stands for each
-    /// place that the stanza may be in.
+    /// Path in files, such as `group.task.resources.cpu`; a leading `*` stands for every place
+    /// where the stanza may occur.
     pub path: &'static str,
-    /// Last part of the name in JSON.
+    /// Last part of the name in the interface's JSON.
     pub json: &'static str,
-    /// Shape.
+    /// Kind of value.
     pub shape: Shape,
-    /// Support.
+    /// How it is supported.
     pub support: Support,
 }
 
@@ -140,7 +140,7 @@
     row("reschedule", "Reschedule", Block, Served("as in a group, for all groups that have none")),
     row("vault", "Vault", Block, Refused(SECRETS)),
     row("ui", "UI", Block, NoEffect("there is no web interface")),
-    // What the interface sends along.
+    // Fields that the interface sends to clients.
     row("parent_id", "ParentID", Text, ReadOnly),
     row("dispatched", "Dispatched", Bool, ReadOnly),
     row("dispatch_idempotency_token", "DispatchIdempotencyToken", Text, ReadOnly),
@@ -299,7 +299,7 @@
     row("group.task.schedule", "Schedule", Block, Refused("a task runs from its start to its end")),
     row("group.task.kind", "Kind", Text, Refused(SERVICE_MESH)),
     row("group.task.scaling", "ScalingPolicies", Blocks, NoEffect("there is no autoscaler")),
-    // Stanzas that are in several places.
+    // Stanzas that occur in several places.
     row(
         "*constraint.attribute",
         "LTarget",
@@ -398,12 +398,12 @@
     ),
 ];
 
-/// The row of a field: `parent` is the path of the stanza that it is in.
+/// The row of a field; `parent` is the path of its stanza.
 pub fn find(parent: &str, name: &str) -> Option<&'static Row> {
     fields_of(parent).find(|r| last_segment(r.path) == name)
 }
 
-/// The row of a field by its name in JSON.
+/// The row of a field, by its name in JSON.
 pub fn find_json(parent: &str, name: &str) -> Option<&'static Row> {
     fields_of(parent).find(|r| r.json == name)
 }
@@ -422,7 +422,7 @@
     })
 }
 
-/// The last part of a path.
+/// The last segment of a path.
 pub fn last_segment(path: &str) -> &str {
     let path = path.strip_prefix('*').unwrap_or(path);
     path.rsplit_once('.').map_or(path, |x| x.1)
--- a/crates/nomad/src/translate.rs
+++ b/crates/nomad/src/translate.rs
@@ -1,9 +1,9 @@
-//! From a job file to native jobs: the class that takes it, its bounds, the
-//! machine types and zones that its constraints leave.
+//! Translation of a job to native jobs: its class, the class's limits, and the machine types and
+//! zones that satisfy its constraints.
 //!
-//! Invariant: a job's priority comes from its class alone, within the class's
-//! rank, and no class of batch jobs has the services' rank (the settings see to
-//! that): a batch file can never outrank or preempt a service.
+//! Invariant: the native priority of a job is bounded by its class, and no class of batch jobs has
+//! the priority of services (checked by the settings), so a batch file can never outrank or preempt
+//! a service.
 use crate::model::{Group, Job, Match};
 use crate::tree::{Datum, Diagnostics};
 use globset::Glob;
@@ -15,27 +15,27 @@
 /// A machine type in a zone, as constraints see it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MachineType {
-    /// Type.
+    /// Name of the type.
     pub name: String,
     /// Zone.
     pub zone: String,
     /// CPUs.
     pub cpus: f64,
-    /// Memory.
+    /// Memory in GiB.
     pub memory_gb: f64,
 }
 
-/// What is known of the site.
+/// Machine types and teams of the site.
 #[derive(Debug, Clone, Default)]
 pub struct Site {
-    /// Machine types in their zones; none if they are not known here.
+    /// Machine types by zone; empty if they are not known here.
     pub machines: Vec<MachineType>,
     /// Teams; empty if they are not known here.
     pub teams: Vec<String>,
 }
 
 impl Site {
-    /// The site as the operators' file describes it; its teams are not known.
+    /// The site as the operator file describes it, without teams.
     pub fn from_settings(settings: &Nomad) -> Self {
         let kind = |m: &NomadMachine| MachineType {
             name: m.name.clone(),
@@ -47,21 +47,21 @@
     }
 }
 
-/// A group as a native job; its id is given when it is recorded.
+/// A group as a native job; its id is assigned when the job is recorded.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlannedGroup {
-    /// Group.
+    /// Name of the group.
     pub group: String,
-    /// Description.
+    /// Description of the native job.
     pub spec: JobSpec,
 }
 
-/// Whether text matches a pattern with `*` and `?`.
+/// Whether a text matches a glob pattern.
 pub fn matches(pattern: &str, text: &str) -> bool {
     Glob::new(pattern).is_ok_and(|g| g.compile_matcher().is_match(text))
 }
 
-/// The first class that takes the job.
+/// The first class that accepts the job.
 pub fn find_class<'a>(job: &Job, settings: &'a Nomad) -> Option<&'a NomadClass> {
     settings.classes.iter().find(|c| {
         let zones = &job.datacenters;
@@ -72,7 +72,7 @@
     })
 }
 
-/// Translates a job; what can't be served is among the diagnostics.
+/// Translates a job; what can't be served is reported as a diagnostic.
 pub fn translate(
     job: &Job,
     settings: &Nomad,
@@ -114,15 +114,15 @@
     job.groups.iter().filter_map(|g| plan_group(job, g, class, settings, site, diagnostics)).collect()
 }
 
-/// The rank of a job of a class: the class's, or for low priorities one or two
-/// below it, never above.
+/// The native priority of a job: that of its class, or for batch jobs of low Nomad priority one or
+/// two levels below it, and never above it.
 pub fn job_priority(class: &NomadClass, kind: Kind, priority: u32) -> Rank {
     if kind == Kind::Service {
         return class.rank;
     }
     let order = [Rank::Low, Rank::Normal, Rank::High, Rank::Production];
     let top = order.iter().position(|r| *r == class.rank).unwrap_or(0);
-    // Beyond doubt, whatever the settings said.
+    // Caps batch jobs at High, even if the settings would allow more.
     let top = top.min(2);
     let below = match priority {
         50.. => 0,
@@ -227,7 +227,7 @@
     Some(PlannedGroup { group: g.name.clone(), spec })
 }
 
-/// Attempts that a task of the group has before its job has failed.
+/// Failed attempts of a task after which its job fails; `None` for unlimited.
 fn attempts(job: &Job, g: &Group, class: &NomadClass, diagnostics: &mut Diagnostics) -> Option<u32> {
     let mut bounded = |n: Option<u32>, most: u32, what: &str, at: usize| {
         let text = match n {
@@ -238,7 +238,7 @@
         diagnostics.refused(at, &format!("{}.{what}.attempts", g.path), text);
     };
     match job.kind {
-        // A service has no end of its own: it is started again until it is stopped.
+        // A service does not end by itself: its tasks are restarted until it is stopped.
         Kind::Service => {
             if let Some(n) = g.restarts {
                 bounded(Some(n), class.max_restarts, "restart", g.restarts_at);
@@ -265,8 +265,9 @@
     spot: bool,
 }
 
-/// What datacenters and constraints leave. Each constraint speaks of one
-/// property, of the type or of the zone, so what is left is types times zones.
+/// The machine types and zones that satisfy datacenters and constraints. Each constraint concerns
+/// one property, either of the type or of the zone, so the result is the product of types and
+/// zones.
 fn eligible_machines<'a>(
     job: &Job,
     g: &Group,
@@ -309,7 +310,7 @@
                 }
             },
             Some(p) => {
-                // Diagnostics of the comparison itself are found with any value.
+                // Any value reveals errors in the comparison itself.
                 if let Err(text) = compare(c, &["1"]) {
                     diagnostics.refused(c.at, &c.path, text);
                     good = false;
@@ -367,8 +368,8 @@
     })
 }
 
-/// Keeps of a set what is in another; false, and nothing is taken away, if that
-/// is nothing: the constraints after it are judged by what was there.
+/// Intersects `set` with `to`. If nothing would be left, returns false and leaves `set` unchanged,
+/// so that later constraints are checked against the previous set.
 fn retain_if_any(set: &mut BTreeSet<&str>, to: &BTreeSet<String>) -> bool {
     let left: BTreeSet<&str> = set.iter().copied().filter(|x| to.contains(*x)).collect();
     if left.is_empty() {
@@ -427,11 +428,11 @@
     }
 }
 
-/// Whether a value satisfies a match; the error is about the match itself.
+/// Whether a value satisfies a condition; the error concerns the condition itself.
 fn compare(m: &Match, values: &[&str]) -> Result<bool, String> {
     let value = values[0];
     let order = |want: fn(std::cmp::Ordering) -> bool| {
-        // As the specification has it: numbers as numbers, others as text.
+        // As in the specification, numbers are compared as numbers and anything else as text.
         let o = match (value.parse::<f64>(), m.value.parse::<f64>()) {
             (Ok(a), Ok(b)) => a.partial_cmp(&b).unwrap_or(std::cmp::Ordering::Equal),
             _ => value.cmp(m.value.as_str()),
@@ -460,7 +461,7 @@
     })
 }
 
-/// What affinities say of the kinds that are left.
+/// Placement preferences: the weights of the affinities, summed by machine type and zone.
 fn preferences(
     g: &Group,
     kinds: &[&MachineType],
--- a/crates/nomad/src/tree.rs
+++ b/crates/nomad/src/tree.rs
@@ -1,26 +1,26 @@
-//! A job file as a tree of attributes and blocks, whatever it was written in,
-//! with the place of every part, and the diagnostics found in it.
+//! A job file as a tree of attributes and blocks, independent of its syntax, with the offset of
+//! every element, and the diagnostics found in it.
 use serde::Serialize;
 use std::fmt;
 
-/// Longest file taken, in bytes.
+/// Longest accepted file in bytes.
 pub const MAX_FILE_BYTES: usize = 512 * 1024;
 /// Deepest nesting of blocks, lists and maps.
 pub const MAX_DEPTH: usize = 64;
 
-/// A value, after all expressions are worked out.
+/// A value, after evaluation of all expressions.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Datum {
-    /// Nothing.
+    /// Null.
     Null,
-    /// Yes or no.
+    /// A boolean.
     Bool(bool),
     /// A number; whole numbers are exact up to 2^53.
     Number(f64),
     /// Text.
     Text(String),
-    /// Text with references that only the machine can fill in, such as
-    /// `${node.class}`, left as they were written.
+    /// Text with references that only the machine can resolve, such as `${node.class}`, kept as
+    /// written.
     Runtime(String),
     /// A list.
     List(Vec<Node>),
@@ -29,7 +29,7 @@
 }
 
 impl Datum {
-    /// The word for its type in diagnostics.
+    /// The name of its type in diagnostics.
     pub fn kind(&self) -> &'static str {
         match self {
             Datum::Null => "null",
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The text of a scalar as templates show it.
+    /// The text of a scalar, as in a template.
     pub fn text(&self) -> Option<String> {
         Some(match self {
             Datum::Text(s) | Datum::Runtime(s) => s.clone(),
@@ -52,7 +52,7 @@
         })
     }
 
-    /// What a field that was not set would hold.
+    /// Whether the value equals that of an unset field.
     pub fn is_empty(&self) -> bool {
         match self {
             Datum::Null => true,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// As JSON, for outputs.
+    /// The value as JSON.
     pub fn json(&self) -> serde_json::Value {
         use serde_json::Value;
         match self {
@@ -78,7 +78,7 @@
         }
     }
 
-    /// From JSON; `at` is the place of all of it.
+    /// Converts JSON; every element gets the offset `at`.
     pub fn from_json(v: &serde_json::Value, at: usize) -> Datum {
         use serde_json::Value;
         match v {
@@ -96,15 +96,15 @@
     }
 }
 
-/// A number without a needless fraction.
+/// A number, without a fraction if it is whole.
 pub fn number_text(n: f64) -> String {
     if n.fract() == 0.0 && n.abs() < 1e15 { format!("{}", n as i64) } else { format!("{n}") }
 }
 
-/// A value with its place.
+/// A value with its offset.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Node {
-    /// Offset in the file, in bytes.
+    /// Offset in the file in bytes.
     pub at: usize,
     /// The value.
     pub datum: Datum,
@@ -130,14 +130,14 @@
     pub at: usize,
     /// Labels with their offsets.
     pub labels: Vec<(String, usize)>,
-    /// What is between the braces.
+    /// Content between the braces.
     pub body: Tree,
 }
 
-/// Attributes and blocks at one level.
+/// Attributes and blocks of one level.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Tree {
-    /// Offset where it begins.
+    /// Offset of the start.
     pub at: usize,
     /// Attributes.
     pub attrs: Vec<Attr>,
@@ -160,45 +160,46 @@
     }
 }
 
-/// How bad a fault is.
+/// Severity of a diagnostic; the most severe sorts first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Severity {
     /// The file can't be read.
     Unreadable,
-    /// It can be read, and can't be served.
+    /// The file is readable, but can't be served.
     Refused,
-    /// It is accepted, and this has no effect.
+    /// The file is accepted, but a part of it has no effect.
     Warning,
 }
 
-/// Something to say about a place in a file.
+/// An error or warning at a position of a file.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Diagnostic {
     /// Severity.
     pub severity: Severity,
-    /// Offset in the file.
+    /// Offset in the file in bytes.
     #[serde(skip)]
     pub at: usize,
     /// Line, from 1.
     pub line: usize,
     /// Column in characters, from 1.
     pub column: usize,
-    /// Where in the job, as `job.web.group.api.count`; empty for the file.
+    /// Path in the job, such as `job.web.group.api.count`; empty for the whole file.
     pub path: String,
     /// What is wrong and what is allowed.
     pub text: String,
 }
 
-/// Most diagnostics kept of one file.
+/// Most diagnostics kept for one file.
 const MAX_FAULTS: usize = 200;
 
-/// Collects diagnostics.
+/// Collects the diagnostics of a file.
 #[derive(Debug, Default)]
 pub struct Diagnostics {
-    /// In the order in which they were found.
+    /// Diagnostics in the order in which they were found, until they are sorted by
+    /// `assign_positions`.
     pub list: Vec<Diagnostic>,
-    /// Found beyond those kept.
+    /// Number of diagnostics found beyond the limit.
     pub omitted: usize,
 }
 
@@ -214,19 +215,19 @@
             self.omitted += 1;
         }
     }
-    /// The file can't be read.
+    /// Adds an error: the file can't be read.
     pub fn unreadable(&mut self, at: usize, path: &str, text: impl Into<String>) {
         self.add(Severity::Unreadable, at, path, text.into());
     }
-    /// The file asks for what can't be served.
+    /// Adds a refusal: the file requests what can't be served.
     pub fn refused(&mut self, at: usize, path: &str, text: impl Into<String>) {
         self.add(Severity::Refused, at, path, text.into());
     }
-    /// Something has no effect.
+    /// Adds a warning: something has no effect.
     pub fn warning(&mut self, at: usize, path: &str, text: impl Into<String>) {
         self.add(Severity::Warning, at, path, text.into());
     }
-    /// The worst of them.
+    /// The highest severity.
     pub fn worst(&self) -> Option<Severity> {
         self.list.iter().map(|f| f.severity).min()
     }
@@ -234,7 +235,7 @@
     pub fn accepted(&self) -> bool {
         self.worst().is_none_or(|s| s == Severity::Warning)
     }
-    /// Gives every fault its line and column, and sorts them by place.
+    /// Sets line and column of every diagnostic, and sorts them by position.
     pub fn assign_positions(&mut self, source: &str) {
         self.list.sort_by_key(|f| (f.at, f.severity));
         let (mut line, mut start, mut seen) = (1, 0, 0);
--- a/crates/nomad/tests/record_compatibility.rs
+++ b/crates/nomad/tests/record_compatibility.rs
@@ -1,6 +1,5 @@
-//! Records of Nomad's jobs, as the program in production (commit dc723f6) writes
-//! them: read, and written just so. A literal here is never changed together with
-//! the code.
+//! Nomad records as the release in production (commit dc723f6) writes them: this code must read
+//! them, and write the same. Never change a literal here together with the code.
 use gorseshore_nomad::service::records::{
     Content, GroupRecord, JobKey, JobRecord, ParameterizedRecord, PeriodicRecord, PreviousVersion, names,
 };
@@ -107,7 +106,7 @@
 fn keys_and_contents_are_those_of_production() {
     let key = JobKey::of("default", "desk");
     assert_eq!(key.0, "3005111cefd86f1d56f0357a340338ef769c8c07");
-    // (name, as production writes it)
+    // (key name, as production writes it)
     let written = [
         (names::head(&key), "j/KEY"),
         (names::chunk_prefix(&key, "f00d"), "p/KEY/f00d/"),
--- a/crates/nomad/tests/samples.rs
+++ b/crates/nomad/tests/samples.rs
@@ -1,4 +1,4 @@
-//! The project's own job files, and the table of the specification, walked.
+//! Tests of the sample job files and of every row of the specification table.
 use gorseshore_nomad::table::{ROWS, Row, Shape, Support, last_segment, markdown};
 use gorseshore_nomad::translate::{Site, job_priority};
 use gorseshore_nomad::tree::Severity;
@@ -30,7 +30,7 @@
 
 #[test]
 fn samples_are_accepted_as_they_are_meant() {
-    // (file, class, groups: name, count, thousandths of a CPU, rank, attempts)
+    // (file, class, groups: name, count, thousandths of a CPU, priority, attempts)
     type Group = (&'static str, u32, u64, Rank, Option<u32>);
     let cases: [(&str, &str, &[Group]); 16] = [
         ("01-service.nomad.hcl", "service", &[("api", 3, 2000, Rank::Production, None)]),
@@ -93,7 +93,7 @@
     assert_eq!(script, want);
 }
 
-/// What the interface shows of a job is the job: registered again, it means the same.
+/// Registering the JSON that the interface returns for a job yields the same native jobs.
 #[test]
 fn a_job_as_the_interface_shows_it_means_the_same() {
     use gorseshore_nomad::service::records::api_job;
@@ -238,7 +238,7 @@
             });
             assert!(found, "{file}: no {line}:{column} {path} {words} in {:#?}", j.diagnostics.list);
         }
-        // All diagnostics are told at once, and no others.
+        // All errors are reported at once, and no others.
         let told = j.diagnostics.list.iter().filter(|f| f.severity != Severity::Warning).count();
         assert_eq!(told, want.len(), "{file}: {:#?}", j.diagnostics.list);
     }
@@ -277,8 +277,8 @@
     }
 }
 
-/// A request's namespace counts before the class is found: a token's team is
-/// held against the class whose team the tasks run under.
+/// The namespace of a request must apply before the class is selected: a token's team is checked
+/// against the team of that class, under which the tasks run.
 #[test]
 fn a_namespace_from_outside_chooses_the_class() {
     let text = "nomad { class { name: \"a\" team: \"a\" namespace: \"default\" } class { name: \"b\" team: \"b\" } }";
@@ -293,7 +293,7 @@
     }
 }
 
-/// What a field of this row may hold, as HCL and as JSON.
+/// A valid value of the field of this row, as HCL and as JSON.
 fn value(row: &Row) -> Option<(String, Value)> {
     let text = |s: &str| Some((format!("\"{s}\"").replace("${", "$${").replace("$$$", "$"), json!(s)));
     match row.path {
@@ -331,11 +331,11 @@
     }
 }
 
-/// Puts `field` into the stanza of a small job; as HCL and as JSON.
+/// A small job that sets the field of this row, as HCL and as JSON.
 fn job_with(row: &Row) -> (String, Value) {
     let shared = row.path.strip_prefix('*');
     let stanza: Vec<&str> = match shared {
-        // `*spread.target` and alike hang on the group.
+        // `*spread.target` and similar rows are tested in the group.
         Some(p) => ["group"].into_iter().chain(p.split('.')).collect(),
         None => row.path.split('.').collect(),
     };
@@ -348,7 +348,7 @@
     let mut json = match (value(row), row.shape) {
         (Some((_, v)), _) => json!({ row.json: v }),
         (None, Shape::LabeledBlocks) => json!({ row.json: [{"Name": "n"}] }),
-        // Content, so that it counts as set; a served stanza is looked into.
+        // Non-empty, so that it counts as set; the contents of a served stanza are checked.
         (None, shape) => {
             let inner = match row.support {
                 Support::Served(_) => json!({}),
@@ -357,7 +357,7 @@
             json!({ row.json: if shape == Shape::Blocks { json!([inner]) } else { inner } })
         }
     };
-    // What the stanza needs beside the field.
+    // Other fields that the stanza requires.
     let beside: &[(&str, &str, Value)] = match inner.last().copied() {
         Some("constraint" | "affinity") => &[
             ("attribute", "\"${node.datacenter}\"", json!("${node.datacenter}")),
@@ -428,11 +428,11 @@
     (format!("job \"j\" {{\n{kind}{hcl}{group}}}\n"), json!({ "Job": json }))
 }
 
-/// Every row of the table, in both forms: what it says is what happens.
+/// Every row of the table has the documented effect, in HCL and in JSON.
 #[test]
 fn every_row_of_the_table_holds() {
     for row in ROWS.iter().filter(|r| r.support != Support::ReadOnly) {
-        // The group and the task are in every file; the name is the label.
+        // Group and task are in every file, and their name is the label.
         if matches!(row.path, "group.name" | "group.task.name" | "id") {
             continue;
         }
@@ -447,7 +447,7 @@
                 .filter(|f| f.path.ends_with(field) || f.path.contains(&format!(".{field}.")))
                 .collect();
             let ok = match row.support {
-                // Stanzas that need more than an empty block may say so.
+                // Stanzas that require content may be refused when empty.
                 Support::Served(_) => {
                     let whole = !matches!(row.shape, Shape::Block | Shape::Blocks | Shape::LabeledBlocks);
                     let unknown = about.iter().any(|f| f.text.contains("not in the job specification"));
@@ -483,7 +483,7 @@
     );
 }
 
-/// A batch file, whatever its priority, never has the services' rank.
+/// A batch file never gets the priority of services, whatever priority it sets.
 #[test]
 fn batch_never_outranks_services() {
     let n = settings();
@@ -496,7 +496,7 @@
             );
         }
     }
-    // Not even by the operators' file.
+    // Not even by the operator file.
     for class in ["rank: \"prod\"", "rank: \"prod\" type: \"batch\""] {
         let text = format!("nomad {{ class {{ name: \"c\" team: \"t\" {class} }} }}");
         let e = Operator::parse(&text).unwrap_err();
@@ -510,7 +510,7 @@
 #[test]
 fn settings_are_checked_field_by_field() {
     let class = "name: \"c\" team: \"t\"";
-    // (settings, word in the complaint)
+    // (settings, word in the error)
     let cases = [
         ("listen: \"here\"".to_owned(), "nomad.listen"),
         ("mhz_per_cpu: 1".to_owned(), "nomad.mhz_per_cpu: 1 must be from 100 to 100000"),
@@ -531,7 +531,7 @@
     }
 }
 
-/// Files made to hurt: refused within bounds, told why.
+/// Files that try to exhaust memory, time or the stack are refused with a reason.
 #[test]
 fn hostile_files_are_refused_within_bounds() {
     let job = |inner: &str| format!("job \"j\" {{\ntype = \"batch\"\n{inner}\n{GROUP}}}");
@@ -614,13 +614,13 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Nothing panics, whatever comes.
+    /// Validation does not panic on any text.
     #[test]
     fn any_text_is_judged(s in "\\PC{0,200}") {
         validated(&s, &Inputs::default());
     }
 
-    /// Samples with pieces cut out, doubled and replaced: every fault has a place.
+    /// Samples with characters removed, inserted and replaced: every diagnostic has a position.
     #[test]
     fn torn_samples_are_judged(i in 0usize..26, from in 0usize..1500, len in 0usize..40, with in "[\\[\\]{}\"$%=.,a1 \\n-]{0,12}") {
         let dir = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("samples");
@@ -637,7 +637,7 @@
         prop_assert!(j.accepted() || !j.diagnostics.list.is_empty());
     }
 
-    /// Expressions of every kind, well formed or not, end within their bounds.
+    /// Expressions of every kind, well formed or not, are evaluated within the limits.
     #[test]
     fn any_expression_ends(e in "(upper|range|join|format|merge|try|flatten|lookup|slice)\\((\\[1, 2\\]|\"a%d\"|\\{a = 1\\}|-1|null|var\\.x|[a-z0-9, ]{0,8})(, (\"x\"|2|\\[\\])){0,3}\\)") {
         validated(&format!("job \"j\" {{\nmeta = {{ a = {e} }}\n}}"), &Inputs::default());
