--- a/crates/nomad/src/hcl.rs
+++ b/crates/nomad/src/hcl.rs
@@ -86,7 +86,7 @@
 }
 
 impl Reader<'_, '_> {
-    fn fault(&mut self, e: EvalError, path: &str) {
+    fn report_error(&mut self, e: EvalError, path: &str) {
         self.stopped |= e.fatal;
         self.diagnostics.unreadable(e.at, path, e.text);
     }
@@ -122,7 +122,7 @@
         match self.scope.eval(e, or) {
             Ok(datum) => Some(Node { at: offset_of(e, or), datum }),
             Err(e) => {
-                self.fault(e, path);
+                self.report_error(e, path);
                 None
             }
         }
@@ -265,13 +265,13 @@
                             self.scope.set("local", Datum::Map(m));
                         }
                     }
-                    Err(e) if e.fatal => return self.fault(e, &format!("local.{}", a.key.as_str())),
+                    Err(e) if e.fatal => return self.report_error(e, &format!("local.{}", a.key.as_str())),
                     Err(e) => failed.push((a, e)),
                 }
             }
             if failed.len() == before {
                 for (a, e) in failed {
-                    self.fault(e, &format!("local.{}", a.key.as_str()));
+                    self.report_error(e, &format!("local.{}", a.key.as_str()));
                 }
                 return;
             }
@@ -309,7 +309,7 @@
                     labels.iter().for_each(|(l, _)| path.extend([".", l]));
                     if let Err(e) = self.scope.count_work(p, 64) {
                         return {
-                            self.fault(e, &path);
+                            self.report_error(e, &path);
                             tree
                         };
                     }
@@ -342,7 +342,7 @@
         };
         let items = match self.scope.items(&each.value, p) {
             Ok(i) => i,
-            Err(e) => return self.fault(e, &path),
+            Err(e) => return self.report_error(e, &path),
         };
         for (key, value) in items {
             if self.stopped {
@@ -361,7 +361,7 @@
                 }
             }
             if let Err(e) = self.scope.count_work(p, 64) {
-                self.fault(e, &path);
+                self.report_error(e, &path);
             }
             let body = self.body(&content.body, p, &path);
             self.scope.restore(&iterator, before);
--- a/crates/nomad/src/model.rs
+++ b/crates/nomad/src/model.rs
@@ -378,7 +378,7 @@
 
     fn check_shape(&mut self, row: &Row, a: &Attr, path: &str) {
         let d = &a.value.datum;
-        let fault = match row.shape {
+        let problem = match row.shape {
             Shape::Text => d.text().is_none().then_some("must be text"),
             Shape::Integer => match d {
                 Datum::Number(n) if *n >= 0.0 && n.fract() == 0.0 && *n <= 9e15 => None,
@@ -403,7 +403,7 @@
             Shape::Any => None,
             Shape::Block | Shape::Blocks | Shape::LabeledBlocks => Some("is a block: write it without ="),
         };
-        if let Some(text) = fault {
+        if let Some(text) = problem {
             let is = match d {
                 Datum::Number(_) | Datum::Bool(_) => d.text().unwrap_or_default(),
                 _ => d.kind().to_owned(),
--- a/crates/nomad/src/service/api.rs
+++ b/crates/nomad/src/service/api.rs
@@ -242,7 +242,7 @@
 impl Service {
     pub(crate) fn request(
         &mut self,
-        host: &ExtensionContext<'_>,
+        ctx: &ExtensionContext<'_>,
         id: RequestId,
         method: &str,
         path: &str,
@@ -281,7 +281,7 @@
         let r = Request { id, team, route, query, body, index, wait, waited: false };
         match r.route {
             Route::Health => {
-                let ok = host.state_loaded && !host.state_unavailable;
+                let ok = ctx.state_loaded && !ctx.state_unavailable;
                 let text = if ok { "ok" } else { "the state service can't be asked" };
                 let body = json!({"server": {"ok": ok, "message": text}});
                 return self.answer(id, if ok { 200 } else { 500 }, 0, &body);
@@ -300,7 +300,7 @@
     }
 
     /// Answers a request whose read barrier has passed.
-    pub(crate) fn serve(&mut self, host: &ExtensionContext<'_>, r: Request) {
+    pub(crate) fn serve(&mut self, ctx: &ExtensionContext<'_>, r: Request) {
         let scope = match &r.route {
             Route::Job(j) | Route::JobPart(j, _) => Scope::Job(JobKey::of(r.namespace(), j)),
             _ => Scope::All,
@@ -316,60 +316,60 @@
                 | Route::Stop(_)
                 | Route::Events
         );
-        if reads && self.block_query(host, &r, &scope) {
+        if reads && self.block_query(ctx, &r, &scope) {
             return;
         }
-        let index = host.replica.applied;
-        let known = |s: &Service, j: &str| {
+        let index = ctx.replica.applied;
+        let find_job = |s: &Service, j: &str| {
             let key = JobKey::of(r.namespace(), j);
-            s.jobs.get(&key).filter(|k| r.can_access(&k.head.team)).cloned().map(|k| (key, k))
+            s.jobs.get(&key).filter(|k| r.can_access(&k.record.team)).cloned().map(|k| (key, k))
         };
         match &r.route {
-            Route::Register => self.register(host, r),
-            Route::Stop(_) | Route::Scale(_) | Route::Dispatch(_) | Route::Force(_) => self.change(host, r),
-            Route::Plan(_) => self.plan(host, &r),
+            Route::Register => self.register(ctx, r),
+            Route::Stop(_) | Route::Scale(_) | Route::Dispatch(_) | Route::Force(_) => self.change(ctx, r),
+            Route::Plan(_) => self.plan(ctx, &r),
             Route::Jobs => {
                 let rows: Vec<(String, Value)> = self
                     .visible_in_namespace(&r)
-                    .filter(|k| k.head.id.starts_with(r.query_value("prefix").unwrap_or("")))
-                    .map(|k| (format!("{}.{}", k.head.namespace, k.head.id), views::job_stub(host, k)))
+                    .filter(|k| k.record.id.starts_with(r.query_value("prefix").unwrap_or("")))
+                    .map(|k| (format!("{}.{}", k.record.namespace, k.record.id), views::job_stub(ctx, k)))
                     .collect();
                 self.answer_page(&r, index, rows);
             }
-            Route::Job(j) => match known(self, j) {
+            Route::Job(j) => match find_job(self, j) {
                 None => self.answer_error(r.id, 404, "job not found"),
                 Some((key, k)) => {
-                    let nonce = k.head.nonce.clone();
+                    let nonce = k.record.nonce.clone();
                     match self.contents.get(&nonce).cloned() {
-                        Some(c) => self.answer(r.id, 200, index, &views::job(host, &k, &c)),
+                        Some(c) => self.answer(r.id, 200, index, &views::job(ctx, &k, &c)),
                         None => self.read_content(&key, nonce, r.clone()),
                     }
                 }
             },
             Route::JobPart(j, part) => {
-                let Some((key, k)) = known(self, j) else {
+                let Some((key, k)) = find_job(self, j) else {
                     return self.answer_error(r.id, 404, "job not found");
                 };
                 let body = match part {
                     Part::Versions => {
-                        let nonce = k.head.nonce.clone();
+                        let nonce = k.record.nonce.clone();
                         let Some(c) = self.contents.get(&nonce).cloned() else {
                             return self.read_content(&key, nonce, r.clone());
                         };
-                        views::versions(host, &k, &c)
+                        views::versions(ctx, &k, &c)
                     }
-                    Part::Allocations => Value::Array(views::allocations(host, &k)),
-                    Part::Evaluations => json!([views::evaluation(host, &key, &k)]),
-                    Part::Summary => views::summary(host, &k),
-                    Part::Scale => views::scale_status(host, &k),
+                    Part::Allocations => Value::Array(views::allocations(ctx, &k)),
+                    Part::Evaluations => json!([views::evaluation(ctx, &key, &k)]),
+                    Part::Summary => views::summary(ctx, &k),
+                    Part::Scale => views::scale_status(ctx, &k),
                 };
                 self.answer(r.id, 200, index, &body);
             }
-            Route::Evaluate(j) => match known(self, j) {
+            Route::Evaluate(j) => match find_job(self, j) {
                 None => self.answer_error(r.id, 404, "job not found"),
                 // The scheduler evaluates every job continuously, so there is nothing to trigger.
                 Some((key, k)) => {
-                    let eval = views::evaluation_id(&key, k.head.version);
+                    let eval = views::evaluation_id(&key, k.record.version);
                     self.answer(
                         r.id,
                         200,
@@ -383,7 +383,7 @@
                 let prefix = r.query_value("prefix").unwrap_or("").to_owned();
                 let rows: Vec<(String, Value)> = self
                     .visible_in_namespace(&r)
-                    .flat_map(|k| views::allocations(host, k))
+                    .flat_map(|k| views::allocations(ctx, k))
                     .map(|v| (v["ID"].as_str().unwrap_or("").to_owned(), v))
                     .filter(|(id, _)| id.starts_with(&prefix))
                     .collect();
@@ -392,8 +392,8 @@
             Route::Allocation(id) => {
                 let found = views::allocation_of(id).and_then(|(job, i)| {
                     let key = self.jobs_by_native_id.get(&job)?;
-                    let k = self.jobs.get(key).filter(|k| r.can_access(&k.head.team))?;
-                    views::allocations(host, k).into_iter().find(|v| v["ID"] == **id).map(|v| (v, i))
+                    let k = self.jobs.get(key).filter(|k| r.can_access(&k.record.team))?;
+                    views::allocations(ctx, k).into_iter().find(|v| v["ID"] == **id).map(|v| (v, i))
                 });
                 match found {
                     Some((v, _)) => self.answer(r.id, 200, index, &v),
@@ -403,7 +403,7 @@
             Route::Evaluations => {
                 let rows: Vec<(String, Value)> = self
                     .visible_in_namespace(&r)
-                    .map(|k| views::evaluation(host, &k.head.key(), k))
+                    .map(|k| views::evaluation(ctx, &k.record.key(), k))
                     .map(|v| (v["ID"].as_str().unwrap_or("").to_owned(), v))
                     .collect();
                 self.answer_page(&r, index, rows);
@@ -411,7 +411,7 @@
             Route::Evaluation(id) => {
                 let found = self
                     .visible_in_namespace(&r)
-                    .map(|k| views::evaluation(host, &k.head.key(), k))
+                    .map(|k| views::evaluation(ctx, &k.record.key(), k))
                     .find(|v| v["ID"] == **id);
                 match found {
                     Some(v) => self.answer(r.id, 200, index, &v),
@@ -420,12 +420,12 @@
             }
             Route::Nodes => {
                 let prefix = r.query_value("prefix").unwrap_or("").to_owned();
-                let rows = host.replica.machines.iter().map(|(id, m)| (id.to_string(), views::node(id, m)));
+                let rows = ctx.replica.machines.iter().map(|(id, m)| (id.to_string(), views::node(id, m)));
                 let rows: Vec<_> = rows.filter(|(id, _)| id.starts_with(&prefix)).collect();
                 self.answer_page(&r, index, rows);
             }
             Route::Node(id) => {
-                let found = host.replica.machines.iter().find(|(m, _)| m.as_str() == id);
+                let found = ctx.replica.machines.iter().find(|(m, _)| m.as_str() == id);
                 match found.map(|(id, m)| views::node(id, m)) {
                     Some(v) => self.answer(r.id, 200, index, &v),
                     None => self.answer_error(r.id, 404, "node not found"),
@@ -433,7 +433,7 @@
             }
             Route::Namespaces => {
                 let mut names: Vec<String> =
-                    self.visible_jobs(&r).map(|k| k.head.namespace.clone()).collect();
+                    self.visible_jobs(&r).map(|k| k.record.namespace.clone()).collect();
                 names.push("default".into());
                 names.sort();
                 names.dedup();
@@ -441,7 +441,7 @@
                 self.answer_page(&r, index, rows);
             }
             Route::Namespace(n) => {
-                let there = n == "default" || self.visible_jobs(&r).any(|k| k.head.namespace == *n);
+                let there = n == "default" || self.visible_jobs(&r).any(|k| k.record.namespace == *n);
                 match there {
                     true => self.answer(r.id, 200, index, &views::namespace(n)),
                     false => self.answer_error(r.id, 404, "namespace not found"),
@@ -452,17 +452,17 @@
                 self.answer(r.id, 200, index, &json!([region]));
             }
             Route::Leader => {
-                let leader = host.leader.unwrap_or("").to_owned();
+                let leader = ctx.leader.unwrap_or("").to_owned();
                 self.answer(r.id, 200, index, &json!(leader));
             }
-            Route::Peers => self.answer(r.id, 200, index, &json!([host.node_name])),
+            Route::Peers => self.answer(r.id, 200, index, &json!([ctx.node_name])),
             Route::Agent => {
                 let region = self.settings.region.clone();
                 let body = json!({"config": {"Region": region, "Version": {"Version": env!("CARGO_PKG_VERSION")}},
-                    "member": {"Name": host.node_name, "Status": "alive",
+                    "member": {"Name": ctx.node_name, "Status": "alive",
                         "Tags": {"region": region, "role": "gorseshore"}},
                     "stats": {"gorseshore": {"jobs": self.jobs.len().to_string(),
-                        "leader": host.leads.to_string()}}});
+                        "leader": ctx.leads.to_string()}}});
                 self.answer(r.id, 200, index, &body);
             }
             Route::Events => {
@@ -476,7 +476,7 @@
                     team: r.team.clone(),
                     namespace: r.namespace().to_owned(),
                     topics,
-                    last_write_at: host.now,
+                    last_write_at: ctx.now,
                 };
                 self.open_stream(r.id, stream, r.index.unwrap_or(0));
             }
@@ -490,11 +490,11 @@
         r: &'a Request,
     ) -> impl Iterator<Item = &'a super::RegisteredJob> + 'a {
         let namespace = r.namespace();
-        self.visible_jobs(r).filter(move |k| namespace == "*" || k.head.namespace == namespace)
+        self.visible_jobs(r).filter(move |k| namespace == "*" || k.record.namespace == namespace)
     }
 
     fn visible_jobs<'a>(&'a self, r: &'a Request) -> impl Iterator<Item = &'a super::RegisteredJob> + 'a {
-        self.jobs.values().filter(|k| r.can_access(&k.head.team))
+        self.jobs.values().filter(|k| r.can_access(&k.record.team))
     }
 
     /// Answers with one page of rows in the order of their keys; `next_token` is the key of the
@@ -557,7 +557,7 @@
     }
 
     /// `POST /v1/job/ID/plan`: reports what a registration would change, and writes nothing.
-    fn plan(&mut self, host: &ExtensionContext<'_>, r: &Request) {
+    fn plan(&mut self, ctx: &ExtensionContext<'_>, r: &Request) {
         let Ok(text) = std::str::from_utf8(&r.body) else { return self.answer_error(r.id, 400, "not UTF-8") };
         let j = crate::validate(text, &r.inputs(), &self.settings, &self.site);
         let Some(job) = j.job.as_ref().filter(|_| j.accepted()) else {
@@ -568,8 +568,8 @@
             return self.answer_error(r.id, 403, "Permission denied");
         }
         let key = JobKey::of(&job.namespace, &job.id);
-        let body = views::plan(host, self.jobs.get(&key), &j.groups, &j.diagnostics);
-        self.answer(r.id, 200, host.replica.applied, &body);
+        let body = views::plan(ctx, self.jobs.get(&key), &j.groups, &j.diagnostics);
+        self.answer(r.id, 200, ctx.replica.applied, &body);
     }
 }
 
--- a/crates/nomad/src/service/launches.rs
+++ b/crates/nomad/src/service/launches.rs
@@ -20,9 +20,9 @@
 
 /// The launch time that is due: the last time up to now that is later than both the last launch and
 /// the registration.
-pub(crate) fn due_launch(head: &JobRecord, last: Option<u64>, wall_ms: u64) -> Option<u64> {
-    let p = head.periodic.as_ref().filter(|p| p.enabled && !head.stop)?;
-    let base = last.unwrap_or(0).max(head.at);
+pub(crate) fn due_launch(record: &JobRecord, last: Option<u64>, wall_ms: u64) -> Option<u64> {
+    let p = record.periodic.as_ref().filter(|p| p.enabled && !record.stop)?;
+    let base = last.unwrap_or(0).max(record.at);
     let mut at = cron::next(&p.crons, &p.time_zone, base).filter(|t| *t <= wall_ms)?;
     for _ in 0..MAX_MISSED_LAUNCHES {
         match cron::next(&p.crons, &p.time_zone, at).filter(|t| *t <= wall_ms) {
@@ -36,8 +36,8 @@
 impl Service {
     /// Launches the periodic jobs that are due. Called often; does its work at most once a second,
     /// and only for jobs whose next launch time has passed.
-    pub(crate) fn launch_due_jobs(&mut self, host: &ExtensionContext<'_>) {
-        let second = host.wall_ms / 1000;
+    pub(crate) fn launch_due_jobs(&mut self, ctx: &ExtensionContext<'_>) {
+        let second = ctx.wall_ms / 1000;
         if second == self.launch_second {
             return;
         }
@@ -45,57 +45,59 @@
         let periodic: Vec<JobKey> = self
             .jobs
             .iter()
-            .filter(|(k, known)| {
-                known.head.periodic.is_some() && !known.head.stop && !self.writes_in_flight.contains(*k)
+            .filter(|(k, registered)| {
+                registered.record.periodic.is_some()
+                    && !registered.record.stop
+                    && !self.operations_in_flight.contains(*k)
             })
             .map(|(k, _)| k.clone())
             .collect();
         for key in periodic {
-            let Some(known) = self.jobs.get(&key).cloned() else { continue };
+            let Some(registered) = self.jobs.get(&key).cloned() else { continue };
             let last = self.last_launches.get(&key).map(|l| l.0);
-            let base = last.unwrap_or(0).max(known.head.at);
+            let base = last.unwrap_or(0).max(registered.record.at);
             // The next launch time is cached until the last launch or the registration changes.
             let next = match self.next_launch.get(&key) {
-                Some((b, stamp, next)) if (*b, *stamp) == (base, known.modify_revision) => *next,
+                Some((b, stamp, next)) if (*b, *stamp) == (base, registered.modify_revision) => *next,
                 _ => {
-                    let p = known.head.periodic.as_ref();
+                    let p = registered.record.periodic.as_ref();
                     let next = p.and_then(|p| cron::next(&p.crons, &p.time_zone, base)).unwrap_or(u64::MAX);
-                    self.next_launch.insert(key.clone(), (base, known.modify_revision, next));
+                    self.next_launch.insert(key.clone(), (base, registered.modify_revision, next));
                     next
                 }
             };
-            if next > host.wall_ms {
+            if next > ctx.wall_ms {
                 continue;
             }
-            let Some(at) = due_launch(&known.head, last, host.wall_ms) else { continue };
-            let overlap = known.head.periodic.as_ref().is_some_and(|p| p.prohibit_overlap);
-            if overlap && self.has_running_child(host, &known.head) {
-                log::info!("{}: launch of {at} passed over, an earlier one runs", known.head.id);
-                self.skip_launch(&key, &known, at);
+            let Some(at) = due_launch(&registered.record, last, ctx.wall_ms) else { continue };
+            let overlap = registered.record.periodic.as_ref().is_some_and(|p| p.prohibit_overlap);
+            if overlap && self.has_running_child(ctx, &registered.record) {
+                log::info!("{}: launch of {at} passed over, an earlier one runs", registered.record.id);
+                self.skip_launch(&key, &registered, at);
                 continue;
             }
-            let Some(content) = self.contents.get(&known.head.nonce).cloned() else {
-                self.load_content(&key, &known.head.nonce);
+            let Some(content) = self.contents.get(&registered.record.nonce).cloned() else {
+                self.load_content(&key, &registered.record.nonce);
                 // Clears the second so that the next call retries as soon as the content has been
                 // read.
                 self.launch_second = 0;
                 continue;
             };
-            let id = format!("{}/periodic-{}", known.head.id, at / 1000);
-            let content = child_content(&content, &id, &known.head.id, &BTreeMap::new(), None);
-            self.writes_in_flight.insert(key.clone());
-            let wish = JobChange::Child { id, content: Rc::new(content), launched: Some(at), token: None };
+            let id = format!("{}/periodic-{}", registered.record.id, at / 1000);
+            let content = child_content(&content, &id, &registered.record.id, &BTreeMap::new(), None);
+            self.operations_in_flight.insert(key.clone());
+            let change = JobChange::Child { id, content: Rc::new(content), launched: Some(at), token: None };
             let request = Request {
                 id: RequestId(0),
                 team: None,
-                route: Route::Force(known.head.id.clone()),
+                route: Route::Force(registered.record.id.clone()),
                 query: BTreeMap::new(),
                 body: Vec::new(),
                 index: None,
                 wait: Micros(0),
                 waited: true,
             };
-            self.begin_change(host, request, key, wish, true);
+            self.begin_change(ctx, request, key, change, true);
         }
     }
 }
--- a/crates/nomad/src/service/mod.rs
+++ b/crates/nomad/src/service/mod.rs
@@ -32,7 +32,7 @@
 /// A job record with the revisions of its key.
 #[derive(Debug, Clone)]
 pub(crate) struct RegisteredJob {
-    pub head: Rc<JobRecord>,
+    pub record: Rc<JobRecord>,
     /// The revision of the current record, `JobModifyIndex`.
     pub modify_revision: u64,
     /// The revision of the first registration, `CreateIndex`.
@@ -55,7 +55,7 @@
     /// A read of a job's content for reconciling or launching it.
     Load(JobKey, String),
     /// A write of the leader that skips a launch of a periodic job.
-    Launch(JobKey),
+    SkipLaunch(JobKey),
     /// A removal of orphaned chunks.
     Sweep,
 }
@@ -89,7 +89,7 @@
     /// Jobs that the leader has to reconcile, and the earliest time for it.
     pub(crate) reconcile_queue: BTreeMap<JobKey, Micros>,
     /// Jobs for which the leader has a read or write in flight.
-    pub(crate) writes_in_flight: BTreeSet<JobKey>,
+    pub(crate) operations_in_flight: BTreeSet<JobKey>,
     pub(crate) was_leader: bool,
     /// The replica is being reloaded, so changes are not published as events.
     pub(crate) loading: bool,
@@ -131,7 +131,7 @@
             streams: BTreeMap::new(),
             events: Default::default(),
             reconcile_queue: BTreeMap::new(),
-            writes_in_flight: BTreeSet::new(),
+            operations_in_flight: BTreeSet::new(),
             was_leader: false,
             loading: false,
             swept_at: Micros(0),
@@ -182,7 +182,7 @@
 
     pub(crate) fn cache_content(&mut self, nonce: &str, content: Rc<Content>) {
         if self.contents.len() >= MAX_CACHED_CONTENTS {
-            let used = |n: &String| self.jobs.values().any(|k| k.head.nonce == *n);
+            let used = |n: &String| self.jobs.values().any(|k| k.record.nonce == *n);
             let old = self.contents.keys().find(|n| !used(n)).or(self.contents.keys().next()).cloned();
             old.map(|n| self.contents.remove(&n));
         }
@@ -207,36 +207,36 @@
         self.reconcile_queue.entry(key.clone()).or_insert(Micros(0));
     }
 
-    fn apply_job_record(&mut self, key: JobKey, head: Option<JobRecord>, stamp: u64) {
-        let Some(head) = head else {
+    fn apply_job_record(&mut self, key: JobKey, record: Option<JobRecord>, stamp: u64) {
+        let Some(record) = record else {
             if let Some(old) = self.jobs.remove(&key) {
                 self.last_change_revision = self.last_change_revision.max(stamp);
                 self.next_launch.remove(&key);
-                self.publish_event("JobDeregistered", &old.head, stamp);
+                self.publish_event("JobDeregistered", &old.record, stamp);
             }
             return;
         };
-        for id in head.native_jobs() {
+        for id in record.native_jobs() {
             self.jobs_by_native_id.insert(id, key.clone());
         }
-        let created = head.create_revision.unwrap_or(stamp);
-        let known = RegisteredJob {
-            head: Rc::new(head),
+        let created = record.create_revision.unwrap_or(stamp);
+        let registered = RegisteredJob {
+            record: Rc::new(record),
             modify_revision: stamp,
             create_revision: created,
             last_change_revision: stamp,
         };
-        let head = known.head.clone();
-        self.jobs.insert(key.clone(), known);
-        let what = if head.stop { "JobDeregistered" } else { "JobRegistered" };
-        self.publish_event(what, &head, stamp);
+        let record = registered.record.clone();
+        self.jobs.insert(key.clone(), registered);
+        let what = if record.stop { "JobDeregistered" } else { "JobRegistered" };
+        self.publish_event(what, &record, stamp);
         self.mark_changed(&key, stamp);
     }
 
     /// Refreshes machine types and teams from the scheduler's context.
-    fn update_site(&mut self, host: &ExtensionContext<'_>) {
+    fn update_site(&mut self, ctx: &ExtensionContext<'_>) {
         let mut machines = Vec::new();
-        for f in host.flavors {
+        for f in ctx.flavors {
             for z in &f.yards {
                 machines.push(MachineType {
                     name: f.sku.clone(),
@@ -246,40 +246,40 @@
                 });
             }
         }
-        self.site = Site { machines, teams: host.teams.iter().map(|t| t.name.clone()).collect() };
+        self.site = Site { machines, teams: ctx.teams.iter().map(|t| t.name.clone()).collect() };
     }
 
-    fn operation_completed(&mut self, host: &ExtensionContext<'_>, ticket: OperationId, result: CallResult) {
+    fn operation_completed(&mut self, ctx: &ExtensionContext<'_>, ticket: OperationId, result: CallResult) {
         match self.pending.remove(&ticket) {
-            Some(PendingOperation::Register(r)) => self.change_write_ended(host, *r, &result),
+            Some(PendingOperation::Register(r)) => self.change_write_ended(ctx, *r, &result),
             Some(PendingOperation::Content { request, nonce }) => {
                 match self.decode_content(&nonce, &result) {
-                    Some(_) => self.serve(host, request),
+                    Some(_) => self.serve(ctx, request),
                     None => {
                         self.answer_error(request.id, 503, "the job can't be read from the state service now")
                     }
                 }
             }
             Some(PendingOperation::Reconcile(key)) => {
-                self.writes_in_flight.remove(&key);
+                self.operations_in_flight.remove(&key);
                 let again = match result {
                     CallResult::Response { status: 200, .. } => Micros(0),
                     // The replica is behind or another node leads; the next update of the replica
                     // shows which.
-                    CallResult::Response { status: 409, .. } => host.now + Micros::millis(100),
-                    _ => host.now + Micros::millis(500 + self.rng.u64(0..500)),
+                    CallResult::Response { status: 409, .. } => ctx.now + Micros::millis(100),
+                    _ => ctx.now + Micros::millis(500 + self.rng.u64(0..500)),
                 };
                 self.reconcile_queue.insert(key, again);
             }
             Some(PendingOperation::Load(key, nonce)) => {
-                self.writes_in_flight.remove(&key);
+                self.operations_in_flight.remove(&key);
                 let found = self.decode_content(&nonce, &result).is_some();
                 let pause = if found { Micros(0) } else { Micros::millis(500 + self.rng.u64(0..500)) };
-                self.reconcile_queue.insert(key, host.now + pause);
+                self.reconcile_queue.insert(key, ctx.now + pause);
             }
-            Some(PendingOperation::Launch(key)) => {
-                self.writes_in_flight.remove(&key);
-                self.reconcile_queue.insert(key, host.now + Micros::millis(200));
+            Some(PendingOperation::SkipLaunch(key)) => {
+                self.operations_in_flight.remove(&key);
+                self.reconcile_queue.insert(key, ctx.now + Micros::millis(200));
             }
             Some(PendingOperation::Sweep | PendingOperation::Request(_)) | None => {}
         }
@@ -325,8 +325,8 @@
         let key = || JobKey(rest.to_owned());
         match space {
             "j" => {
-                let head = value.and_then(|v| serde_json::from_value::<JobRecord>(v.clone()).ok());
-                self.apply_job_record(key(), head, stamp);
+                let record = value.and_then(|v| serde_json::from_value::<JobRecord>(v.clone()).ok());
+                self.apply_job_record(key(), record, stamp);
             }
             "l" => {
                 match value.and_then(Value::as_u64) {
@@ -353,41 +353,41 @@
         }
     }
 
-    fn handle(&mut self, host: &ExtensionContext<'_>, input: ExtensionInput) -> Vec<ExtensionOutput> {
+    fn handle(&mut self, ctx: &ExtensionContext<'_>, input: ExtensionInput) -> Vec<ExtensionOutput> {
         self.loading = false;
         match input {
             ExtensionInput::Tick => {
-                if host.now.since(self.site_updated_at) >= Micros::secs(1) {
-                    self.site_updated_at = host.now;
-                    self.update_site(host);
+                if ctx.now.since(self.site_updated_at) >= Micros::secs(1) {
+                    self.site_updated_at = ctx.now;
+                    self.update_site(ctx);
                 }
-                self.expire_queries(host);
-                self.run_leader_work(host);
+                self.expire_queries(ctx);
+                self.run_leader_work(ctx);
             }
             ExtensionInput::ReplicaUpdated => {
-                self.answer_ready_queries(host);
-                self.run_leader_work(host);
+                self.answer_ready_queries(ctx);
+                self.run_leader_work(ctx);
             }
             ExtensionInput::Request { id, method, path, token, body } => {
-                self.request(host, id, &method, &path, token.as_deref(), body);
+                self.request(ctx, id, &method, &path, token.as_deref(), body);
             }
             ExtensionInput::ClientDisconnected(id) => {
                 self.blocked_queries.retain(|b| b.request.id != id);
                 self.streams.remove(&id);
             }
             ExtensionInput::ReadBarrierDone(ticket, good) => match self.pending.remove(&ticket) {
-                Some(PendingOperation::Request(r)) if good => self.serve(host, r),
+                Some(PendingOperation::Request(r)) if good => self.serve(ctx, r),
                 Some(PendingOperation::Request(r)) => {
                     self.answer_error(r.id, 503, "the state service can't be asked now")
                 }
-                Some(PendingOperation::Register(r)) if good => self.resume_after_barrier(host, *r),
+                Some(PendingOperation::Register(r)) if good => self.resume_after_barrier(ctx, *r),
                 Some(PendingOperation::Register(r)) => {
                     self.fail_change(&r, 503, "the state service can't be asked now");
                 }
                 _ => {}
             },
             ExtensionInput::OperationCompleted(ticket, result) => {
-                self.operation_completed(host, ticket, result)
+                self.operation_completed(ctx, ticket, result)
             }
         }
         std::mem::take(&mut self.outputs)
--- a/crates/nomad/src/service/reconcile.rs
+++ b/crates/nomad/src/service/reconcile.rs
@@ -26,24 +26,24 @@
 fn native_record(
     spec: &JobSpec,
     submitted_ms: u64,
-    head: &JobRecord,
+    record: &JobRecord,
     group: &str,
-    host: &ExtensionContext<'_>,
+    ctx: &ExtensionContext<'_>,
 ) -> Option<Value> {
-    let record = job_value(spec, submitted_ms);
-    if value_len(&record) > host.max_value_bytes {
-        log::error!("record too long job={} group={group}", head.id);
+    let native = job_value(spec, submitted_ms);
+    if value_len(&native) > ctx.max_value_bytes {
+        log::error!("record too long job={} group={group}", record.id);
         return None;
     }
-    Some(record)
+    Some(native)
 }
 
 impl Service {
     /// Reconciles changed jobs, launches due ones and removes orphaned chunks, if this node leads.
-    pub(crate) fn run_leader_work(&mut self, host: &ExtensionContext<'_>) {
-        if !host.leads || !host.state_loaded {
+    pub(crate) fn run_leader_work(&mut self, ctx: &ExtensionContext<'_>) {
+        if !ctx.leads || !ctx.state_loaded {
             self.was_leader = false;
-            self.writes_in_flight.clear();
+            self.operations_in_flight.clear();
             return;
         }
         if !std::mem::replace(&mut self.was_leader, true) {
@@ -52,68 +52,70 @@
         let due: Vec<JobKey> = self
             .reconcile_queue
             .iter()
-            .filter(|(k, at)| **at <= host.now && !self.writes_in_flight.contains(*k))
+            .filter(|(k, at)| **at <= ctx.now && !self.operations_in_flight.contains(*k))
             .map(|(k, _)| k.clone())
-            .take(MAX_LEADER_WRITES.saturating_sub(self.writes_in_flight.len()))
+            .take(MAX_LEADER_WRITES.saturating_sub(self.operations_in_flight.len()))
             .collect();
         for key in due {
             self.reconcile_queue.remove(&key);
             if let Some(k) = self.jobs.get(&key).cloned() {
-                self.reconcile(host, &key, &k);
+                self.reconcile(ctx, &key, &k);
             }
         }
-        self.launch_due_jobs(host);
-        if host.now.since(self.swept_at) >= SWEEP_INTERVAL {
-            self.swept_at = host.now;
-            self.remove_orphaned_chunks(host);
+        self.launch_due_jobs(ctx);
+        if ctx.now.since(self.swept_at) >= SWEEP_INTERVAL {
+            self.swept_at = ctx.now;
+            self.remove_orphaned_chunks(ctx);
         }
     }
 
-    fn reconcile(&mut self, host: &ExtensionContext<'_>, key: &JobKey, known: &RegisteredJob) {
-        let head = &known.head;
-        let mut m =
-            Multi { when: vec![precondition(names::head(key), known.modify_revision)], writes: Vec::new() };
+    fn reconcile(&mut self, ctx: &ExtensionContext<'_>, key: &JobKey, registered: &RegisteredJob) {
+        let record = &registered.record;
+        let mut m = Multi {
+            when: vec![precondition(names::job_record(key), registered.modify_revision)],
+            writes: Vec::new(),
+        };
         // The leader's key is one more precondition; it is added when the write is sent.
         let room =
-            |m: &Multi| m.writes.len() < host.max_txn_writes && m.when.len() + 3 < host.max_txn_writes * 4;
-        let over: Vec<JobId> = match head.stop || head.is_template() {
-            true => head.native_jobs().collect(),
-            false => head.superseded_jobs.iter().copied().map(JobId).collect(),
+            |m: &Multi| m.writes.len() < ctx.max_txn_writes && m.when.len() + 3 < ctx.max_txn_writes * 4;
+        let over: Vec<JobId> = match record.stop || record.is_template() {
+            true => record.native_jobs().collect(),
+            false => record.superseded_jobs.iter().copied().map(JobId).collect(),
         };
         let mut left = false;
         for id in over {
-            let Some(job) = host.replica.jobs.get(&id) else { continue };
+            let Some(job) = ctx.replica.jobs.get(&id) else { continue };
             left |= job.phase == Phase::Active;
             if job.phase == Phase::Active && room(&m) {
                 m.when.push(When { path: keys::end(id), stamp: 0 });
                 m.when.push(When { path: keys::job(id), stamp: job.stamp });
-                let v = cancelled_value(host.wall_ms, None, false);
+                let v = cancelled_value(ctx.wall_ms, None, false);
                 m.writes.push(Write::Put { put: keys::end(id), v, hold: None });
             }
         }
-        if !head.stop && !head.is_template() {
-            for g in &head.groups {
+        if !record.stop && !record.is_template() {
+            for g in &record.groups {
                 let id = JobId(g.job);
-                match host.replica.jobs.get(&id) {
+                match ctx.replica.jobs.get(&id) {
                     None if g.count == 0 => {}
                     None => {
-                        let Some(content) = self.contents.get(&head.nonce).cloned() else {
+                        let Some(content) = self.contents.get(&record.nonce).cloned() else {
                             // The native job is created from the content, which is read first.
-                            return self.load_content(key, &head.nonce);
+                            return self.load_content(key, &record.nonce);
                         };
                         let spec = content.specs.get(&g.name).and_then(|r| description(id, r));
                         let Some(mut spec) = spec else {
                             log::error!(
                                 "{} {}: group {} has no description",
-                                head.namespace,
-                                head.id,
+                                record.namespace,
+                                record.id,
                                 g.name
                             );
                             continue;
                         };
                         spec.tasks = g.count;
-                        spec.after = head.superseded_jobs.iter().copied().map(JobId).collect();
-                        let Some(v) = native_record(&spec, head.at, head, &g.name, host) else { continue };
+                        spec.after = record.superseded_jobs.iter().copied().map(JobId).collect();
+                        let Some(v) = native_record(&spec, record.at, record, &g.name, ctx) else { continue };
                         if room(&m) {
                             m.when.push(When { path: keys::job(id), stamp: 0 });
                             m.when.push(When { path: keys::end(id), stamp: 0 });
@@ -124,7 +126,7 @@
                         if let (Some(spec), true) = (&job.spec, room(&m)) {
                             let mut spec = JobSpec::clone(spec);
                             spec.tasks = g.count;
-                            let Some(v) = native_record(&spec, job.submitted_ms, head, &g.name, host) else {
+                            let Some(v) = native_record(&spec, job.submitted_ms, record, &g.name, ctx) else {
                                 continue;
                             };
                             m.when.push(When { path: keys::job(id), stamp: job.stamp });
@@ -136,8 +138,8 @@
                 }
             }
         }
-        if m.writes.is_empty() && head.purge && !left {
-            m.writes.push(remove(&names::head(key)));
+        if m.writes.is_empty() && record.purge && !left {
+            m.writes.push(remove(&names::job_record(key)));
             if self.last_launches.contains_key(key) {
                 m.writes.push(remove(&names::last_launch(key)));
             }
@@ -145,39 +147,39 @@
         if m.writes.is_empty() {
             return;
         }
-        self.writes_in_flight.insert(key.clone());
+        self.operations_in_flight.insert(key.clone());
         let ticket = self.new_operation(PendingOperation::Reconcile(key.clone()));
         self.outputs.push(write(ticket, m, true));
     }
 
     /// Starts to read a job's content for the leader's work on the job.
     pub(crate) fn load_content(&mut self, key: &JobKey, nonce: &str) {
-        self.writes_in_flight.insert(key.clone());
+        self.operations_in_flight.insert(key.clone());
         let ticket = self.new_operation(PendingOperation::Load(key.clone(), nonce.to_owned()));
         self.outputs.push(ExtensionOutput::Read(ticket, names::chunk_prefix(key, nonce)));
     }
 
     /// Removes chunks that no job record references: of unfinished registrations, of versions that
     /// are no longer kept and of deleted jobs.
-    fn remove_orphaned_chunks(&mut self, host: &ExtensionContext<'_>) {
+    fn remove_orphaned_chunks(&mut self, ctx: &ExtensionContext<'_>) {
         let named = |heads: &BTreeMap<JobKey, RegisteredJob>, name: &str| {
             let mut s = name.split('/');
             let (Some(key), Some(nonce)) = (s.next(), s.next()) else { return false };
             heads
                 .get(&JobKey(key.to_owned()))
-                .is_some_and(|k: &RegisteredJob| JobRecord::references(&k.head, nonce))
+                .is_some_and(|k: &RegisteredJob| JobRecord::references(&k.record, nonce))
         };
         let mut gone = Vec::new();
         for (name, since) in &mut self.chunks {
             if named(&self.jobs, name) {
                 *since = Micros(0);
             } else if *since == Micros(0) {
-                *since = host.now;
-            } else if host.now.since(*since) > ORPHANED_CHUNK_TIMEOUT {
+                *since = ctx.now;
+            } else if ctx.now.since(*since) > ORPHANED_CHUNK_TIMEOUT {
                 gone.push(name.clone());
             }
         }
-        gone.truncate(host.max_txn_writes);
+        gone.truncate(ctx.max_txn_writes);
         if gone.is_empty() {
             return;
         }
@@ -187,17 +189,17 @@
     }
 
     /// Records a launch time as handled without launching the job.
-    pub(crate) fn skip_launch(&mut self, key: &JobKey, known: &RegisteredJob, ms: u64) {
+    pub(crate) fn skip_launch(&mut self, key: &JobKey, registered: &RegisteredJob, ms: u64) {
         let stamp = self.last_launches.get(key).map_or(0, |l| l.1);
         let m = Multi {
             when: vec![
-                precondition(names::head(key), known.modify_revision),
+                precondition(names::job_record(key), registered.modify_revision),
                 precondition(names::last_launch(key), stamp),
             ],
             writes: vec![put(&names::last_launch(key), json!(ms))],
         };
-        self.writes_in_flight.insert(key.clone());
-        let ticket = self.new_operation(PendingOperation::Launch(key.clone()));
+        self.operations_in_flight.insert(key.clone());
+        let ticket = self.new_operation(PendingOperation::SkipLaunch(key.clone()));
         self.outputs.push(write(ticket, m, true));
     }
 }
--- a/crates/nomad/src/service/records.rs
+++ b/crates/nomad/src/service/records.rs
@@ -29,7 +29,7 @@
 pub mod names {
     use super::JobKey;
     /// The record of a job.
-    pub fn head(k: &JobKey) -> String {
+    pub fn job_record(k: &JobKey) -> String {
         format!("j/{}", k.0)
     }
     /// All chunks of one written content of a job.
--- a/crates/nomad/src/service/register.rs
+++ b/crates/nomad/src/service/register.rs
@@ -72,7 +72,7 @@
     pub change: JobChange,
     step: Step,
     /// The record to write, and the revision of the record that it replaces.
-    head: Option<JobRecord>,
+    record: Option<JobRecord>,
     expected_revision: u64,
     chunks: Vec<(String, String)>,
     written_chunks: Vec<(String, u64)>,
@@ -94,7 +94,7 @@
     }
 
     /// `POST /v1/jobs`.
-    pub(crate) fn register(&mut self, host: &ExtensionContext<'_>, r: Request) {
+    pub(crate) fn register(&mut self, ctx: &ExtensionContext<'_>, r: Request) {
         let Ok(text) = std::str::from_utf8(&r.body) else { return self.answer_error(r.id, 400, "not UTF-8") };
         if self.site.machines.is_empty() {
             return self.answer_error(r.id, 503, "the machine types are not known yet");
@@ -110,26 +110,26 @@
         if !r.can_access(&team) {
             return self.answer_error(r.id, 403, "Permission denied");
         }
-        if let Err(text) = self.check_team_limits(host, &judged.groups) {
+        if let Err(text) = self.check_team_limits(ctx, &judged.groups) {
             return self.answer_error(r.id, 400, &text);
         }
         let warnings = warnings(&judged.diagnostics);
         let content = Rc::new(content(&job, &judged.groups));
         let key = JobKey::of(&job.namespace, &job.id);
-        let wish = JobChange::Content { job: Box::new(job), class, team, content, warnings };
-        self.begin_change(host, r, key, wish, false);
+        let change = JobChange::Content { job: Box::new(job), class, team, content, warnings };
+        self.begin_change(ctx, r, key, change, false);
     }
 
     /// Rejects what native submission answers with 422: a description that is too long, an unknown
     /// team, or a task that alone exceeds its team's limit.
-    fn check_team_limits(&self, host: &ExtensionContext<'_>, groups: &[PlannedGroup]) -> Result<(), String> {
+    fn check_team_limits(&self, ctx: &ExtensionContext<'_>, groups: &[PlannedGroup]) -> Result<(), String> {
         for p in groups {
-            if value_len(&job_value(&p.spec, host.wall_ms)) + DESCRIPTION_SIZE_MARGIN_BYTES
-                > host.max_value_bytes
+            if value_len(&job_value(&p.spec, ctx.wall_ms)) + DESCRIPTION_SIZE_MARGIN_BYTES
+                > ctx.max_value_bytes
             {
                 return Err(format!("group {}: the description is too long", p.group));
             }
-            let Some(team) = host.teams.iter().find(|t| t.name == p.spec.team) else {
+            let Some(team) = ctx.teams.iter().find(|t| t.name == p.spec.team) else {
                 return Err(format!("this site has no team {}", p.spec.team));
             };
             if !team.could_run(&p.spec) {
@@ -140,20 +140,20 @@
     }
 
     /// Scaling, stopping, dispatching and forced launches.
-    pub(crate) fn change(&mut self, host: &ExtensionContext<'_>, r: Request) {
+    pub(crate) fn change(&mut self, ctx: &ExtensionContext<'_>, r: Request) {
         let (Route::Scale(id) | Route::Stop(id) | Route::Dispatch(id) | Route::Force(id)) = &r.route else {
             return;
         };
         let key = JobKey::of(r.namespace(), id);
-        let Some(known) = self.jobs.get(&key).filter(|k| r.can_access(&k.head.team)).cloned() else {
+        let Some(registered) = self.jobs.get(&key).filter(|k| r.can_access(&k.record.team)).cloned() else {
             return self.answer_error(r.id, 404, "job not found");
         };
         if matches!(r.route, Route::Stop(_)) {
             let purge = r.query_value("purge") == Some("true");
-            return self.begin_change(host, r, key, JobChange::Stop { purge }, false);
+            return self.begin_change(ctx, r, key, JobChange::Stop { purge }, false);
         }
-        let Some(content) = self.contents.get(&known.head.nonce).cloned() else {
-            return self.read_content(&key, known.head.nonce.clone(), r);
+        let Some(content) = self.contents.get(&registered.record.nonce).cloned() else {
+            return self.read_content(&key, registered.record.nonce.clone(), r);
         };
         let body: Value = match r.body.is_empty() {
             true => json!({}),
@@ -168,28 +168,28 @@
                 let Some(count) = body["Count"].as_u64().filter(|n| *n <= crate::model::MAX_COUNT) else {
                     return self.answer_error(r.id, 400, "Count: must be a whole number from 0 to 100000");
                 };
-                let wish = JobChange::Scale { group, count: count as u32 };
-                self.begin_change(host, r, key, wish, false);
+                let change = JobChange::Scale { group, count: count as u32 };
+                self.begin_change(ctx, r, key, change, false);
             }
             Route::Force(_) => {
-                let Some(p) = known.head.periodic.as_ref().filter(|_| !known.head.stop) else {
+                let Some(p) = registered.record.periodic.as_ref().filter(|_| !registered.record.stop) else {
                     return self.answer_error(r.id, 400, "the job is not periodic, or it is stopped");
                 };
-                if p.prohibit_overlap && self.has_running_child(host, &known.head) {
+                if p.prohibit_overlap && self.has_running_child(ctx, &registered.record) {
                     return self.answer_error(
                         r.id,
                         409,
                         "an earlier launch still runs, and overlap is prohibited",
                     );
                 }
-                let id = format!("{}/periodic-{}", known.head.id, host.wall_ms / 1000);
-                let content = child_content(&content, &id, &known.head.id, &BTreeMap::new(), None);
-                let wish = JobChange::Child { id, content: Rc::new(content), launched: None, token: None };
-                self.begin_change(host, r, key, wish, false);
+                let id = format!("{}/periodic-{}", registered.record.id, ctx.wall_ms / 1000);
+                let content = child_content(&content, &id, &registered.record.id, &BTreeMap::new(), None);
+                let change = JobChange::Child { id, content: Rc::new(content), launched: None, token: None };
+                self.begin_change(ctx, r, key, change, false);
             }
-            _ => match self.dispatch(host, &r, &known, &content, &body) {
-                Ok((wish, None)) => self.begin_change(host, r, key, wish, false),
-                Ok((_, Some(done))) => self.answer(r.id, 200, host.replica.applied, &done),
+            _ => match self.dispatch(ctx, &r, &registered, &content, &body) {
+                Ok((change, None)) => self.begin_change(ctx, r, key, change, false),
+                Ok((_, Some(done))) => self.answer(r.id, 200, ctx.replica.applied, &done),
                 Err(text) => self.answer_error(r.id, 400, &text),
             },
         }
@@ -199,13 +199,13 @@
     /// answer of an earlier dispatch with the same idempotency token.
     fn dispatch(
         &mut self,
-        host: &ExtensionContext<'_>,
+        ctx: &ExtensionContext<'_>,
         r: &Request,
-        known: &RegisteredJob,
+        registered: &RegisteredJob,
         content: &Content,
         body: &Value,
     ) -> Result<(JobChange, Option<Value>), String> {
-        let Some(rules) = known.head.param.as_ref().filter(|_| !known.head.stop) else {
+        let Some(rules) = registered.record.param.as_ref().filter(|_| !registered.record.stop) else {
             return Err("the job is not parameterized, or it is stopped".into());
         };
         let payload = body["Payload"].as_str().filter(|p| !p.is_empty()).map(str::to_owned);
@@ -238,53 +238,53 @@
         let token = r
             .query_value("idempotency_token")
             .or_else(|| body["IdempotencyToken"].as_str().filter(|t| !t.is_empty()));
-        let token = token.map(|t| JobKey::of(&known.head.key().0, t));
+        let token = token.map(|t| JobKey::of(&registered.record.key().0, t));
         if let Some(id) = token.as_ref().and_then(|t| self.jobs_by_dispatch_token.get(t)) {
-            let key = JobKey::of(&known.head.namespace, id);
+            let key = JobKey::of(&registered.record.namespace, id);
             let stamp = self.jobs.get(&key).map_or(0, |k| k.create_revision);
             let done = dispatch_response(id, &key, stamp);
             return Ok((JobChange::Stop { purge: false }, Some(done)));
         }
-        let id = format!("{}/dispatch-{}-{:08x}", known.head.id, host.wall_ms / 1000, self.rng.u32(..));
+        let id = format!("{}/dispatch-{}-{:08x}", registered.record.id, ctx.wall_ms / 1000, self.rng.u32(..));
         if id.len() > crate::model::MAX_NAME_BYTES {
             return Err(format!(
                 "the dispatched job's id would have more than {} bytes",
                 crate::model::MAX_NAME_BYTES
             ));
         }
-        let content = child_content(content, &id, &known.head.id, &meta, payload);
+        let content = child_content(content, &id, &registered.record.id, &meta, payload);
         Ok((JobChange::Child { id, content: Rc::new(content), launched: None, token }, None))
     }
 
     /// Starts a change; the replica is up to date.
     pub(crate) fn begin_change(
         &mut self,
-        host: &ExtensionContext<'_>,
+        ctx: &ExtensionContext<'_>,
         request: Request,
         key: JobKey,
-        wish: JobChange,
+        change: JobChange,
         by_leader: bool,
     ) {
         let r = PendingChange {
             request,
             by_leader,
             key,
-            change: wish,
+            change: change,
             step: Step::Rebuild,
-            head: None,
+            record: None,
             expected_revision: 0,
             chunks: Vec::new(),
             written_chunks: Vec::new(),
             chunks_in_flight: 0,
             attempts: 0,
-            deadline: host.now + CHANGE_TIMEOUT,
+            deadline: ctx.now + CHANGE_TIMEOUT,
         };
-        self.build_job_record(host, r);
+        self.build_job_record(ctx, r);
     }
 
     pub(crate) fn fail_change(&mut self, r: &PendingChange, status: u16, text: &str) {
         if r.by_leader {
-            self.writes_in_flight.remove(&r.key);
+            self.operations_in_flight.remove(&r.key);
             return self.queue_reconcile(&r.key);
         }
         self.answer_error(r.request.id, status, text);
@@ -295,18 +295,18 @@
     }
 
     /// Builds the record to write from the current state of the job.
-    fn build_job_record(&mut self, host: &ExtensionContext<'_>, mut r: PendingChange) {
+    fn build_job_record(&mut self, ctx: &ExtensionContext<'_>, mut r: PendingChange) {
         r.attempts += 1;
-        if r.attempts > MAX_ATTEMPTS || host.now > r.deadline {
+        if r.attempts > MAX_ATTEMPTS || ctx.now > r.deadline {
             return self.fail_change(
                 &r,
                 503,
                 "others change the job all the time, or the state service is slow",
             );
         }
-        let known = self.jobs.get(&r.key).cloned();
-        r.expected_revision = known.as_ref().map_or(0, |k| k.modify_revision);
-        let (head, content) = match &r.change {
+        let registered = self.jobs.get(&r.key).cloned();
+        r.expected_revision = registered.as_ref().map_or(0, |k| k.modify_revision);
+        let (record, content) = match &r.change {
             JobChange::Content { job, class, team, content, .. } => {
                 let body: Value = serde_json::from_slice(&r.request.body).unwrap_or(Value::Null);
                 if body["EnforceIndex"] == true {
@@ -322,36 +322,36 @@
                     }
                 }
                 let (hash, shape) = hashes(content);
-                if let Some(k) = &known
-                    && !k.head.stop
-                    && k.head.hash == hash
+                if let Some(k) = &registered
+                    && !k.record.stop
+                    && k.record.hash == hash
                 {
-                    let answer = registration_response(&r.key, &k.head, k.modify_revision, &r.change);
-                    return self.answer(r.request.id, 200, host.replica.applied, &answer);
+                    let answer = registration_response(&r.key, &k.record, k.modify_revision, &r.change);
+                    return self.answer(r.request.id, 200, ctx.replica.applied, &answer);
                 }
-                match self.next_job_record(host, known.as_ref(), job, (class, team), (hash, shape)) {
+                match self.next_job_record(ctx, registered.as_ref(), job, (class, team), (hash, shape)) {
                     Ok(h) => (h, Some(content.clone())),
                     Err(text) => return self.fail_change(&r, 503, &text),
                 }
             }
             JobChange::Scale { group, count } => {
-                let Some(k) = known.filter(|k| !k.head.stop && !k.head.is_template()) else {
+                let Some(k) = registered.filter(|k| !k.record.stop && !k.record.is_template()) else {
                     return self.fail_change(
                         &r,
                         400,
                         "a job that is stopped, periodic or parameterized can't be scaled",
                     );
                 };
-                let Some(old) = self.contents.get(&k.head.nonce).cloned() else {
+                let Some(old) = self.contents.get(&k.record.nonce).cloned() else {
                     return self.fail_change(&r, 503, "the job changed meanwhile: come back");
                 };
-                let mut h = JobRecord::clone(&k.head);
+                let mut h = JobRecord::clone(&k.record);
                 let Some(at) = h.groups.iter().position(|g| g.name == *group) else {
                     return self.fail_change(&r, 400, &format!("Target.Group: the job has no group {group}"));
                 };
                 if h.groups[at].count == *count {
-                    let answer = registration_response(&r.key, &k.head, k.modify_revision, &r.change);
-                    return self.answer(r.request.id, 200, host.replica.applied, &answer);
+                    let answer = registration_response(&r.key, &k.record, k.modify_revision, &r.change);
+                    return self.answer(r.request.id, 200, ctx.replica.applied, &answer);
                 }
                 let total: u64 = h.groups.iter().map(|g| g.count as u64).sum::<u64>()
                     - h.groups[at].count as u64
@@ -363,7 +363,7 @@
                     return self.fail_change(&r, 400, &text);
                 }
                 // A native job that has ended cannot be scaled, so the group gets a new one.
-                let job = host.replica.jobs.get(&JobId(h.groups[at].job));
+                let job = ctx.replica.jobs.get(&JobId(h.groups[at].job));
                 if job.is_some_and(|j| j.phase != Phase::Active) {
                     h.groups[at].job = self.new_native_id();
                 }
@@ -379,25 +379,25 @@
                     s["d"]["n"] = json!(count);
                 }
                 (h.hash, h.hash_without_counts) = hashes(&content);
-                set_next_version(&mut h, &k, host.wall_ms);
+                set_next_version(&mut h, &k, ctx.wall_ms);
                 (h, Some(Rc::new(content)))
             }
             JobChange::Stop { purge } => {
-                let Some(k) = known else { return self.fail_change(&r, 404, "job not found") };
-                if k.head.stop && (k.head.purge || !purge) {
-                    let answer = registration_response(&r.key, &k.head, k.modify_revision, &r.change);
-                    return self.answer(r.request.id, 200, host.replica.applied, &answer);
+                let Some(k) = registered else { return self.fail_change(&r, 404, "job not found") };
+                if k.record.stop && (k.record.purge || !purge) {
+                    let answer = registration_response(&r.key, &k.record, k.modify_revision, &r.change);
+                    return self.answer(r.request.id, 200, ctx.replica.applied, &answer);
                 }
-                let mut h = JobRecord::clone(&k.head);
+                let mut h = JobRecord::clone(&k.record);
                 (h.stop, h.purge) = (true, h.purge || *purge);
                 h.create_revision = Some(k.create_revision);
                 (h, None)
             }
             JobChange::Child { id, content, .. } => {
-                let Some(k) = known.filter(|k| !k.head.stop) else {
+                let Some(k) = registered.filter(|k| !k.record.stop) else {
                     return self.fail_change(&r, 409, "the job was stopped meanwhile");
                 };
-                let parent = &k.head;
+                let parent = &k.record;
                 let (hash, shape) = hashes(content);
                 let groups = parent.groups.iter().map(|g| (g.name.clone(), g.count)).collect::<Vec<_>>();
                 let h = JobRecord {
@@ -406,7 +406,7 @@
                     version: 0,
                     hash,
                     hash_without_counts: shape,
-                    at: host.wall_ms,
+                    at: ctx.wall_ms,
                     create_revision: None,
                     stop: false,
                     groups: groups
@@ -423,20 +423,20 @@
                 (h, Some(content.clone()))
             }
         };
-        self.prepare(host, r, head, content);
+        self.prepare(ctx, r, record, content);
     }
 
     /// The next record of a job. It keeps the native jobs if only counts differ, and names new ones
     /// otherwise.
     fn next_job_record(
         &mut self,
-        host: &ExtensionContext<'_>,
-        known: Option<&RegisteredJob>,
+        ctx: &ExtensionContext<'_>,
+        registered: Option<&RegisteredJob>,
         job: &Job,
         (class, team): (&str, &str),
         (hash, shape): (String, String),
     ) -> Result<JobRecord, String> {
-        let mut head = JobRecord {
+        let mut record = JobRecord {
             namespace: job.namespace.clone(),
             id: job.id.clone(),
             name: job.name.clone(),
@@ -444,7 +444,7 @@
             hash,
             hash_without_counts: shape,
             nonce: String::new(),
-            at: host.wall_ms,
+            at: ctx.wall_ms,
             create_revision: None,
             kind: if job.kind == gorseshore_protocol::job::Kind::Service { "service" } else { "batch" }
                 .into(),
@@ -474,53 +474,53 @@
             parent: None,
             earlier: Vec::new(),
         };
-        let Some(k) = known else { return Ok(head) };
-        let active = |id: u64| host.replica.jobs.get(&JobId(id)).is_none_or(|j| j.phase == Phase::Active);
-        if !k.head.stop
-            && k.head.hash_without_counts == head.hash_without_counts
-            && k.head.groups.iter().all(|g| active(g.job))
+        let Some(k) = registered else { return Ok(record) };
+        let active = |id: u64| ctx.replica.jobs.get(&JobId(id)).is_none_or(|j| j.phase == Phase::Active);
+        if !k.record.stop
+            && k.record.hash_without_counts == record.hash_without_counts
+            && k.record.groups.iter().all(|g| active(g.job))
         {
-            for g in &mut head.groups {
-                if let Some(old) = k.head.groups.iter().find(|x| x.name == g.name) {
+            for g in &mut record.groups {
+                if let Some(old) = k.record.groups.iter().find(|x| x.name == g.name) {
                     g.job = old.job;
                 }
             }
-            head.superseded_jobs = k.head.superseded_jobs.clone();
+            record.superseded_jobs = k.record.superseded_jobs.clone();
         } else {
             // Native jobs that have ended for good need not be waited for.
             let gone = |id: &JobId| {
-                host.replica.jobs.get(id).is_some_and(|j| match j.phase {
+                ctx.replica.jobs.get(id).is_some_and(|j| match j.phase {
                     Phase::Active => false,
                     Phase::Done => true,
                     Phase::Aborted => j.settled,
                 })
             };
-            head.superseded_jobs = k.head.native_jobs().filter(|id| !gone(id)).map(|id| id.0).collect();
-            if head.superseded_jobs.len() > MAX_SUPERSEDED_JOBS {
+            record.superseded_jobs = k.record.native_jobs().filter(|id| !gone(id)).map(|id| id.0).collect();
+            if record.superseded_jobs.len() > MAX_SUPERSEDED_JOBS {
                 return Err("earlier versions of the job are still ending".into());
             }
         }
-        set_next_version(&mut head, k, host.wall_ms);
-        Ok(head)
+        set_next_version(&mut record, k, ctx.wall_ms);
+        Ok(record)
     }
 
     /// Splits the content into chunks and starts to write them.
     fn prepare(
         &mut self,
-        host: &ExtensionContext<'_>,
+        ctx: &ExtensionContext<'_>,
         mut r: PendingChange,
-        mut head: JobRecord,
+        mut record: JobRecord,
         content: Option<Rc<Content>>,
     ) {
-        let target = head.key();
+        let target = record.key();
         r.chunks.clear();
         r.written_chunks.clear();
         if let Some(c) = content {
             let text = serde_json::to_string(&*c).unwrap_or_default();
-            let parts = split_into_chunks(&text, host.max_value_bytes.saturating_sub(64));
+            let parts = split_into_chunks(&text, ctx.max_value_bytes.saturating_sub(64));
             // The transaction that writes the record has one precondition per chunk; 6 of the
             // allowed preconditions are left for others.
-            let most = (host.max_txn_writes * 4).saturating_sub(6);
+            let most = (ctx.max_txn_writes * 4).saturating_sub(6);
             if text.len() > MAX_CONTENT_BYTES || parts.len() > most {
                 let text = format!(
                     "the job takes {} bytes in {} parts, at most {MAX_CONTENT_BYTES} in {most}",
@@ -529,37 +529,37 @@
                 );
                 return self.fail_change(&r, 400, &text);
             }
-            head.nonce = format!("{:016x}", self.rng.u64(..));
+            record.nonce = format!("{:016x}", self.rng.u64(..));
             for (i, p) in parts.into_iter().enumerate() {
-                r.chunks.push((names::chunk(&target, &head.nonce, i), p));
+                r.chunks.push((names::chunk(&target, &record.nonce, i), p));
             }
-            self.cache_content(&head.nonce, c);
+            self.cache_content(&record.nonce, c);
         }
         // A record that exceeds the value limit drops its oldest previous versions.
         let too_long =
-            |head: &JobRecord| value_len(&json!(head)) + RECORD_SIZE_MARGIN_BYTES > host.max_value_bytes;
-        while too_long(&head) && head.earlier.pop().is_some() {}
-        if too_long(&head) {
+            |record: &JobRecord| value_len(&json!(record)) + RECORD_SIZE_MARGIN_BYTES > ctx.max_value_bytes;
+        while too_long(&record) && record.earlier.pop().is_some() {}
+        if too_long(&record) {
             return self.fail_change(
                 &r,
                 400,
                 "the job has too many groups for a record of the state service",
             );
         }
-        r.head = Some(head);
-        self.write_next(host, r);
+        r.record = Some(record);
+        self.write_next(ctx, r);
     }
 
     /// Writes the next chunks, or the job record once all chunks are written.
-    fn write_next(&mut self, host: &ExtensionContext<'_>, mut r: PendingChange) {
-        if host.now > r.deadline {
+    fn write_next(&mut self, ctx: &ExtensionContext<'_>, mut r: PendingChange) {
+        if ctx.now > r.deadline {
             return self.fail_change(&r, 503, "the state service is slow");
         }
         let done = r.written_chunks.len();
         if done < r.chunks.len() {
             r.step = Step::Chunks;
             let (mut size, mut writes) = (200, Vec::new());
-            for (name, text) in r.chunks[done..].iter().take(host.max_txn_writes) {
+            for (name, text) in r.chunks[done..].iter().take(ctx.max_txn_writes) {
                 size += text.len() * 2 + 300;
                 if size > 50_000 && !writes.is_empty() {
                     break;
@@ -571,13 +571,13 @@
             return self.outputs.push(write(ticket, Multi { when: Vec::new(), writes }, false));
         }
         r.step = Step::JobRecord;
-        let Some(head) = &r.head else { return };
-        let target = head.key();
-        let mut conditions = vec![precondition(names::head(&r.key), r.expected_revision)];
-        let mut writes = vec![put(&names::head(&target), json!(head))];
+        let Some(record) = &r.record else { return };
+        let target = record.key();
+        let mut conditions = vec![precondition(names::job_record(&r.key), r.expected_revision)];
+        let mut writes = vec![put(&names::job_record(&target), json!(record))];
         conditions.extend(r.written_chunks.iter().map(|(name, stamp)| precondition(name.clone(), *stamp)));
         if let JobChange::Child { launched, token, id, .. } = &r.change {
-            conditions.push(precondition(names::head(&target), 0));
+            conditions.push(precondition(names::job_record(&target), 0));
             if let Some(ms) = launched {
                 let stamp = self.last_launches.get(&r.key).map_or(0, |l| l.1);
                 conditions.push(precondition(names::last_launch(&r.key), stamp));
@@ -596,7 +596,7 @@
     /// Handles the end of a write of a change.
     pub(crate) fn change_write_ended(
         &mut self,
-        host: &ExtensionContext<'_>,
+        ctx: &ExtensionContext<'_>,
         mut r: PendingChange,
         result: &CallResult,
     ) {
@@ -606,12 +606,12 @@
                 let open = r.chunks_in_flight;
                 let names: Vec<String> = r.chunks[done..done + open].iter().map(|p| p.0.clone()).collect();
                 r.written_chunks.extend(names.into_iter().map(|n| (n, stamp)));
-                self.write_next(host, r);
+                self.write_next(ctx, r);
             }
             // Writing chunks twice is harmless: the preconditions of the job record check which
             // write is stored.
-            (Step::Chunks, None, _) => self.retry_chunks(host, r),
-            (_, Some(stamp), _) => self.complete_change(host, &r, stamp),
+            (Step::Chunks, None, _) => self.retry_chunks(ctx, r),
+            (_, Some(stamp), _) => self.complete_change(ctx, &r, stamp),
             (_, None, CallResult::NotSent) => {
                 self.fail_change(&r, 503, "the state service can't be asked now")
             }
@@ -625,12 +625,12 @@
         }
     }
 
-    fn retry_chunks(&mut self, host: &ExtensionContext<'_>, mut r: PendingChange) {
+    fn retry_chunks(&mut self, ctx: &ExtensionContext<'_>, mut r: PendingChange) {
         r.attempts += 1;
         if r.attempts > MAX_ATTEMPTS {
             return self.fail_change(&r, 503, "the state service did not confirm it");
         }
-        self.write_next(host, r);
+        self.write_next(ctx, r);
     }
 
     fn request_read_barrier(&mut self, mut r: PendingChange, step: Step) {
@@ -640,55 +640,55 @@
     }
 
     /// Continues a change after its read barrier; the replica is up to date.
-    pub(crate) fn resume_after_barrier(&mut self, host: &ExtensionContext<'_>, r: PendingChange) {
+    pub(crate) fn resume_after_barrier(&mut self, ctx: &ExtensionContext<'_>, r: PendingChange) {
         if r.step == Step::Rebuild {
-            return self.build_job_record(host, r);
+            return self.build_job_record(ctx, r);
         }
         // The answer was lost: checks whether the record was written.
-        let target = r.head.as_ref().map(JobRecord::key);
+        let target = r.record.as_ref().map(JobRecord::key);
         let there =
-            target.as_ref().and_then(|k| self.jobs.get(k)).filter(|k| Some(&*k.head) == r.head.as_ref());
+            target.as_ref().and_then(|k| self.jobs.get(k)).filter(|k| Some(&*k.record) == r.record.as_ref());
         match there.map(|k| k.modify_revision) {
-            Some(stamp) => self.complete_change(host, &r, stamp),
+            Some(stamp) => self.complete_change(ctx, &r, stamp),
             // The write may still be applied later, so its outcome is unknown.
             None => self.fail_change(&r, 503, "the state service did not confirm it: ask again"),
         }
     }
 
     /// Answers the client of a committed change.
-    fn complete_change(&mut self, host: &ExtensionContext<'_>, r: &PendingChange, stamp: u64) {
-        let Some(head) = &r.head else { return };
-        log::info!("{} {}: version {} recorded at {stamp}", head.namespace, head.id, head.version);
+    fn complete_change(&mut self, ctx: &ExtensionContext<'_>, r: &PendingChange, stamp: u64) {
+        let Some(record) = &r.record else { return };
+        log::info!("{} {}: version {} recorded at {stamp}", record.namespace, record.id, record.version);
         if r.by_leader {
-            self.writes_in_flight.remove(&r.key);
+            self.operations_in_flight.remove(&r.key);
             return self.queue_reconcile(&r.key);
         }
         let answer = match &r.change {
-            JobChange::Child { id, .. } => dispatch_response(id, &head.key(), stamp),
-            w => registration_response(&r.key, head, stamp, w),
+            JobChange::Child { id, .. } => dispatch_response(id, &record.key(), stamp),
+            w => registration_response(&r.key, record, stamp, w),
         };
-        self.answer(r.request.id, 200, host.replica.applied.max(stamp), &answer);
+        self.answer(r.request.id, 200, ctx.replica.applied.max(stamp), &answer);
     }
 
     /// Whether a child job of `parent` is still alive.
-    pub(crate) fn has_running_child(&self, host: &ExtensionContext<'_>, parent: &JobRecord) -> bool {
+    pub(crate) fn has_running_child(&self, ctx: &ExtensionContext<'_>, parent: &JobRecord) -> bool {
         self.jobs.values().any(|k| {
-            k.head.parent.as_ref() == Some(&parent.id)
-                && k.head.namespace == parent.namespace
-                && views::status(host, &k.head) != "dead"
+            k.record.parent.as_ref() == Some(&parent.id)
+                && k.record.namespace == parent.namespace
+                && views::status(ctx, &k.record) != "dead"
         })
     }
 }
 
 /// Sets the next version number and the history of previous versions.
-fn set_next_version(head: &mut JobRecord, known: &RegisteredJob, wall_ms: u64) {
-    let k = &known.head;
-    head.version = k.version + 1;
-    head.create_revision = Some(known.create_revision);
-    head.at = wall_ms;
-    head.earlier = k.earlier.clone();
-    head.earlier.insert(0, PreviousVersion { version: k.version, nonce: k.nonce.clone(), at: k.at });
-    head.earlier.truncate(MAX_PREVIOUS_VERSIONS);
+fn set_next_version(record: &mut JobRecord, registered: &RegisteredJob, wall_ms: u64) {
+    let k = &registered.record;
+    record.version = k.version + 1;
+    record.create_revision = Some(registered.create_revision);
+    record.at = wall_ms;
+    record.earlier = k.earlier.clone();
+    record.earlier.insert(0, PreviousVersion { version: k.version, nonce: k.nonce.clone(), at: k.at });
+    record.earlier.truncate(MAX_PREVIOUS_VERSIONS);
 }
 
 /// A precondition on a key below the extension's prefix.
@@ -735,12 +735,12 @@
     c
 }
 
-fn registration_response(key: &JobKey, head: &JobRecord, stamp: u64, wish: &JobChange) -> Value {
-    let warnings = match wish {
+fn registration_response(key: &JobKey, record: &JobRecord, stamp: u64, change: &JobChange) -> Value {
+    let warnings = match change {
         JobChange::Content { warnings, .. } => warnings.as_str(),
         _ => "",
     };
-    json!({"EvalID": views::evaluation_id(key, head.version), "EvalCreateIndex": stamp,
+    json!({"EvalID": views::evaluation_id(key, record.version), "EvalCreateIndex": stamp,
         "JobModifyIndex": stamp, "Warnings": warnings, "Index": stamp})
 }
 
--- a/crates/nomad/src/service/views.rs
+++ b/crates/nomad/src/service/views.rs
@@ -1,4 +1,4 @@
-//! JSON views of jobs, allocations, evaluations and nodes. Only known state is reported: a task of
+//! JSON views of jobs, allocations, evaluations and nodes. Only registered state is reported: a task of
 //! which this controller cannot determine whether it runs has the status `unknown`.
 use super::RegisteredJob;
 use super::records::{Content, JobKey, JobRecord};
@@ -40,23 +40,23 @@
     Uuid::new_v8(b)
 }
 
-fn native_job<'a>(host: &'a ExtensionContext<'_>, id: u64) -> Option<&'a Job> {
-    host.replica.jobs.get(&JobId(id))
+fn native_job<'a>(ctx: &'a ExtensionContext<'_>, id: u64) -> Option<&'a Job> {
+    ctx.replica.jobs.get(&JobId(id))
 }
 
 /// Status of a job: `pending`, `running` or `dead`.
-pub(crate) fn status(host: &ExtensionContext<'_>, head: &JobRecord) -> &'static str {
-    if head.stop {
+pub(crate) fn status(ctx: &ExtensionContext<'_>, record: &JobRecord) -> &'static str {
+    if record.stop {
         return "dead";
     }
-    if head.is_template() {
+    if record.is_template() {
         return "running";
     }
     let mut all_over = true;
-    for g in head.groups.iter().filter(|g| g.count > 0) {
-        match native_job(host, g.job) {
+    for g in record.groups.iter().filter(|g| g.count > 0) {
+        match native_job(ctx, g.job) {
             Some(j) if j.phase == Phase::Active => {
-                if host.running.get(&JobId(g.job)).copied().unwrap_or(0) > 0 || !j.done.is_empty() {
+                if ctx.running.get(&JobId(g.job)).copied().unwrap_or(0) > 0 || !j.done.is_empty() {
                     return "running";
                 }
                 all_over = false;
@@ -65,12 +65,12 @@
             None => all_over = false,
         }
     }
-    if all_over && head.kind == "batch" { "dead" } else { "pending" }
+    if all_over && record.kind == "batch" { "dead" } else { "pending" }
 }
 
 /// The failure cause of the first failed group.
-fn failure(host: &ExtensionContext<'_>, head: &JobRecord) -> Option<String> {
-    head.groups.iter().find_map(|g| native_job(host, g.job)?.cause.clone())
+fn failure(ctx: &ExtensionContext<'_>, record: &JobRecord) -> Option<String> {
+    record.groups.iter().find_map(|g| native_job(ctx, g.job)?.cause.clone())
 }
 
 /// Tasks of a group by state.
@@ -82,17 +82,17 @@
     lost: u32,
 }
 
-fn task_counts(host: &ExtensionContext<'_>, head: &JobRecord, job: u64, count: u32) -> TaskCounts {
+fn task_counts(ctx: &ExtensionContext<'_>, record: &JobRecord, job: u64, count: u32) -> TaskCounts {
     let mut c = TaskCounts { queued: 0, running: 0, complete: 0, failed: 0, lost: 0 };
-    match native_job(host, job) {
-        None => c.queued = if head.stop || head.is_template() { 0 } else { count },
+    match native_job(ctx, job) {
+        None => c.queued = if record.stop || record.is_template() { 0 } else { count },
         Some(j) => match j.phase {
             Phase::Done => c.complete = j.tasks,
             Phase::Aborted if j.cause.is_some() => c.failed = j.tasks,
             Phase::Aborted => c.complete = j.tasks,
             Phase::Active => {
                 c.complete = j.done.below(j.tasks);
-                c.running = host.running.get(&JobId(job)).copied().unwrap_or(0).min(j.tasks - c.complete);
+                c.running = ctx.running.get(&JobId(job)).copied().unwrap_or(0).min(j.tasks - c.complete);
                 c.queued = j.tasks - c.complete - c.running;
             }
         },
@@ -101,27 +101,27 @@
 }
 
 /// Summary of a job: tasks by group and state.
-pub(crate) fn summary(host: &ExtensionContext<'_>, k: &RegisteredJob) -> Value {
+pub(crate) fn summary(ctx: &ExtensionContext<'_>, k: &RegisteredJob) -> Value {
     let mut groups = Map::new();
-    for g in &k.head.groups {
-        let c = task_counts(host, &k.head, g.job, g.count);
+    for g in &k.record.groups {
+        let c = task_counts(ctx, &k.record, g.job, g.count);
         groups.insert(
             g.name.clone(),
             json!({"Queued": c.queued, "Complete": c.complete, "Failed": c.failed,
             "Running": c.running, "Starting": 0, "Lost": c.lost, "Unknown": 0}),
         );
     }
-    json!({"JobID": k.head.id, "Namespace": k.head.namespace, "Summary": groups,
+    json!({"JobID": k.record.id, "Namespace": k.record.namespace, "Summary": groups,
         "Children": null, "CreateIndex": k.create_revision, "ModifyIndex": k.last_change_revision})
 }
 
 /// A job in a list.
-pub(crate) fn job_stub(host: &ExtensionContext<'_>, k: &RegisteredJob) -> Value {
-    let h = &k.head;
+pub(crate) fn job_stub(ctx: &ExtensionContext<'_>, k: &RegisteredJob) -> Value {
+    let h = &k.record;
     json!({"ID": h.id, "ParentID": h.parent.as_deref().unwrap_or(""), "Name": h.name, "Namespace": h.namespace,
         "Datacenters": h.datacenters, "Type": h.kind, "Priority": h.priority, "Periodic": h.periodic.is_some(),
-        "ParameterizedJob": h.param.is_some(), "Stop": h.stop, "Status": status(host, h),
-        "StatusDescription": failure(host, h).unwrap_or_default(), "JobSummary": summary(host, k),
+        "ParameterizedJob": h.param.is_some(), "Stop": h.stop, "Status": status(ctx, h),
+        "StatusDescription": failure(ctx, h).unwrap_or_default(), "JobSummary": summary(ctx, k),
         "CreateIndex": k.create_revision, "ModifyIndex": k.last_change_revision, "JobModifyIndex": k.modify_revision, "Version": h.version,
         "SubmitTime": h.at * 1_000_000})
 }
@@ -132,11 +132,11 @@
 }
 
 /// A job as registered, with its current status.
-pub(crate) fn job(host: &ExtensionContext<'_>, k: &RegisteredJob, c: &Content) -> Value {
+pub(crate) fn job(ctx: &ExtensionContext<'_>, k: &RegisteredJob, c: &Content) -> Value {
     let mut v = c.job.clone();
-    let h = &k.head;
-    let set = json!({"Stop": h.stop, "Status": status(host, h), "Version": h.version, "Stable": false,
-        "StatusDescription": failure(host, h).unwrap_or_default(), "CreateIndex": k.create_revision,
+    let h = &k.record;
+    let set = json!({"Stop": h.stop, "Status": status(ctx, h), "Version": h.version, "Stable": false,
+        "StatusDescription": failure(ctx, h).unwrap_or_default(), "CreateIndex": k.create_revision,
         "ModifyIndex": k.last_change_revision, "JobModifyIndex": k.modify_revision, "SubmitTime": h.at * 1_000_000,
         "ParentID": h.parent.as_deref().unwrap_or("")});
     if let (Some(v), Value::Object(set)) = (v.as_object_mut(), set) {
@@ -146,25 +146,25 @@
 }
 
 /// Versions of a job: the current one in full, previous ones by number and time.
-pub(crate) fn versions(host: &ExtensionContext<'_>, k: &RegisteredJob, c: &Content) -> Value {
-    let earlier = k.head.earlier.iter().map(|e| {
-        json!({"ID": k.head.id, "Namespace": k.head.namespace, "Version": e.version, "SubmitTime": e.at * 1_000_000})
+pub(crate) fn versions(ctx: &ExtensionContext<'_>, k: &RegisteredJob, c: &Content) -> Value {
+    let earlier = k.record.earlier.iter().map(|e| {
+        json!({"ID": k.record.id, "Namespace": k.record.namespace, "Version": e.version, "SubmitTime": e.at * 1_000_000})
     });
-    let all: Vec<Value> = [job(host, k, c)].into_iter().chain(earlier).collect();
+    let all: Vec<Value> = [job(ctx, k, c)].into_iter().chain(earlier).collect();
     json!({"Versions": all, "Diffs": null})
 }
 
 /// The evaluation of a job's current version.
-pub(crate) fn evaluation(host: &ExtensionContext<'_>, key: &JobKey, k: &RegisteredJob) -> Value {
-    let h = &k.head;
+pub(crate) fn evaluation(ctx: &ExtensionContext<'_>, key: &JobKey, k: &RegisteredJob) -> Value {
+    let h = &k.record;
     let mut queued = Map::new();
     for g in &h.groups {
-        queued.insert(g.name.clone(), json!(task_counts(host, h, g.job, g.count).queued));
+        queued.insert(g.name.clone(), json!(task_counts(ctx, h, g.job, g.count).queued));
     }
     let waits = queued.values().any(|v| v.as_u64() > Some(0));
     let made = h.is_template()
         || h.stop
-        || h.groups.iter().all(|g| g.count == 0 || native_job(host, g.job).is_some());
+        || h.groups.iter().all(|g| g.count == 0 || native_job(ctx, g.job).is_some());
     let status = match (made, waits) {
         (false, _) => "pending",
         (true, true) => "blocked",
@@ -173,37 +173,37 @@
     json!({"ID": evaluation_id(key, h.version), "Namespace": h.namespace, "JobID": h.id, "Type": h.kind,
         "Priority": h.priority, "TriggeredBy": if h.stop { "job-deregister" } else { "job-register" },
         "JobModifyIndex": k.modify_revision, "Status": status, "QueuedAllocations": queued,
-        "StatusDescription": failure(host, h).unwrap_or_default(),
+        "StatusDescription": failure(ctx, h).unwrap_or_default(),
         "CreateIndex": k.modify_revision, "ModifyIndex": k.last_change_revision})
 }
 
 /// Allocations of a job, including those of superseded versions.
-pub(crate) fn allocations(host: &ExtensionContext<'_>, k: &RegisteredJob) -> Vec<Value> {
-    let h = &k.head;
+pub(crate) fn allocations(ctx: &ExtensionContext<'_>, k: &RegisteredJob) -> Vec<Value> {
+    let h = &k.record;
     let mut out = Vec::new();
     for g in &h.groups {
-        if let Some(j) = native_job(host, g.job) {
-            push_allocations(host, k, &g.name, g.job, j, &mut out);
+        if let Some(j) = native_job(ctx, g.job) {
+            push_allocations(ctx, k, &g.name, g.job, j, &mut out);
         }
     }
     for id in &h.superseded_jobs {
-        if let Some(j) = native_job(host, *id) {
-            push_allocations(host, k, "", *id, j, &mut out);
+        if let Some(j) = native_job(ctx, *id) {
+            push_allocations(ctx, k, "", *id, j, &mut out);
         }
     }
     out
 }
 
 fn push_allocations(
-    host: &ExtensionContext<'_>,
+    ctx: &ExtensionContext<'_>,
     k: &RegisteredJob,
     group: &str,
     id: u64,
     j: &Job,
     out: &mut Vec<Value>,
 ) {
-    let h = &k.head;
-    let running = host.running.get(&JobId(id)).copied().unwrap_or(0);
+    let h = &k.record;
+    let running = ctx.running.get(&JobId(id)).copied().unwrap_or(0);
     let open = j.tasks - j.done.below(j.tasks);
     let most = j.spec.as_ref().and_then(|s| s.attempts);
     for i in 0..j.tasks.min(MAX_LISTED_ALLOCATIONS) {
@@ -228,18 +228,18 @@
 }
 
 /// Requested and running counts of a job.
-pub(crate) fn scale_status(host: &ExtensionContext<'_>, k: &RegisteredJob) -> Value {
+pub(crate) fn scale_status(ctx: &ExtensionContext<'_>, k: &RegisteredJob) -> Value {
     let mut groups = Map::new();
-    for g in &k.head.groups {
-        let c = task_counts(host, &k.head, g.job, g.count);
+    for g in &k.record.groups {
+        let c = task_counts(ctx, &k.record, g.job, g.count);
         groups.insert(
             g.name.clone(),
             json!({"Desired": g.count, "Running": c.running, "Placed": c.running,
             "Healthy": c.running, "Unhealthy": 0, "Events": null}),
         );
     }
-    json!({"JobID": k.head.id, "Namespace": k.head.namespace, "JobCreateIndex": k.create_revision,
-        "JobModifyIndex": k.modify_revision, "JobStopped": k.head.stop, "TaskGroups": groups})
+    json!({"JobID": k.record.id, "Namespace": k.record.namespace, "JobCreateIndex": k.create_revision,
+        "JobModifyIndex": k.modify_revision, "JobStopped": k.record.stop, "TaskGroups": groups})
 }
 
 /// A machine as a node.
@@ -256,14 +256,15 @@
 
 /// What a registration would change, and which tasks could not run at once.
 pub(crate) fn plan(
-    host: &ExtensionContext<'_>,
-    known: Option<&RegisteredJob>,
+    ctx: &ExtensionContext<'_>,
+    registered: Option<&RegisteredJob>,
     groups: &[PlannedGroup],
     diagnostics: &Diagnostics,
 ) -> Value {
     let (mut desired, mut failed) = (Map::new(), Map::new());
     for p in groups {
-        let old = known.and_then(|k| k.head.groups.iter().find(|g| g.name == p.group && !k.head.stop));
+        let old =
+            registered.and_then(|k| k.record.groups.iter().find(|g| g.name == p.group && !k.record.stop));
         let there = old.map_or(0, |g| g.count);
         let n = p.spec.tasks;
         desired.insert(
@@ -272,7 +273,7 @@
             "InPlaceUpdate": n.min(there), "DestructiveUpdate": 0, "Ignore": 0}),
         );
         // The team's limit covers all its jobs; computed as if the team had only this one.
-        if let Some(team) = host.teams.iter().find(|t| t.name == p.spec.team) {
+        if let Some(team) = ctx.teams.iter().find(|t| t.name == p.spec.team) {
             let max = Resources::have(team.cpus_max, team.gpus_max, 0.0);
             let most = if max.cpu == 0 { n as u64 } else { max.cpu / p.spec.need.cpu.max(1) };
             if most < n as u64 {
@@ -287,14 +288,14 @@
             let size = Resources::have(f.cpus, f.gpus, f.memory_gb);
             f.yards.iter().any(|z| p.spec.allows(&f.sku, z, false, &size))
         };
-        if !host.flavors.iter().any(fits) {
-            failed.insert(p.group.clone(), json!({"NodesEvaluated": host.flavors.len(),
-                "NodesFiltered": host.flavors.len(), "ConstraintFiltered": {"size or constraints": host.flavors.len()}}));
+        if !ctx.flavors.iter().any(fits) {
+            failed.insert(p.group.clone(), json!({"NodesEvaluated": ctx.flavors.len(),
+                "NodesFiltered": ctx.flavors.len(), "ConstraintFiltered": {"size or constraints": ctx.flavors.len()}}));
         }
     }
     let warnings: Vec<String> = diagnostics.list.iter().map(|f| f.to_string()).collect();
     json!({"Annotations": {"DesiredTGUpdates": desired}, "FailedTGAllocs": failed, "Diff": null,
-        "JobModifyIndex": known.map_or(0, |k| k.modify_revision), "CreatedEvals": null, "Warnings": warnings.join("\n")})
+        "JobModifyIndex": registered.map_or(0, |k| k.modify_revision), "CreatedEvals": null, "Warnings": warnings.join("\n")})
 }
 
 #[cfg(test)]
--- a/crates/nomad/src/service/watch.rs
+++ b/crates/nomad/src/service/watch.rs
@@ -1,7 +1,7 @@
 //! Blocking queries and the event stream.
 //!
 //! Invariant: the index of an answer is the revision up to which the replica is complete. A query
-//! with an index waits only if every change since that index is known to this controller; otherwise
+//! with an index waits only if every change since that index is registered to this controller; otherwise
 //! it is answered at once. So no change is missed and no index goes backwards, whichever controller
 //! serves the next query.
 use super::api::{Request, Scope};
@@ -62,7 +62,7 @@
     /// answered or blocked here.
     pub(crate) fn block_query(
         &mut self,
-        host: &ExtensionContext<'_>,
+        ctx: &ExtensionContext<'_>,
         request: &Request,
         scope: &Scope,
     ) -> bool {
@@ -78,7 +78,7 @@
             );
             return true;
         }
-        let until = host.now + request.wait;
+        let until = ctx.now + request.wait;
         let mut request = request.clone();
         request.waited = true;
         self.blocked_queries.push(BlockedQuery { request, scope: scope.clone(), index, deadline: until });
@@ -86,45 +86,45 @@
     }
 
     /// Answers blocked queries whose scope changed or whose wait is over.
-    pub(crate) fn answer_ready_queries(&mut self, host: &ExtensionContext<'_>) {
+    pub(crate) fn answer_ready_queries(&mut self, ctx: &ExtensionContext<'_>) {
         if self.blocked_queries.is_empty() {
             return;
         }
         let waiting = std::mem::take(&mut self.blocked_queries);
         let (ready, still): (Vec<BlockedQuery>, Vec<BlockedQuery>) = waiting.into_iter().partition(|b| {
-            host.now >= b.deadline || b.index < self.history_start || self.changed_in(&b.scope) > b.index
+            ctx.now >= b.deadline || b.index < self.history_start || self.changed_in(&b.scope) > b.index
         });
         self.blocked_queries = still;
         for b in ready {
-            self.serve(host, b.request);
+            self.serve(ctx, b.request);
         }
     }
 
     /// Answers queries whose wait is over, and sends keep-alive lines on streams.
-    pub(crate) fn expire_queries(&mut self, host: &ExtensionContext<'_>) {
-        if self.blocked_queries.iter().any(|b| host.now >= b.deadline) {
-            self.answer_ready_queries(host);
+    pub(crate) fn expire_queries(&mut self, ctx: &ExtensionContext<'_>) {
+        if self.blocked_queries.iter().any(|b| ctx.now >= b.deadline) {
+            self.answer_ready_queries(ctx);
         }
         for (id, s) in &mut self.streams {
-            if host.now.since(s.last_write_at) >= STREAM_KEEPALIVE_INTERVAL {
-                s.last_write_at = host.now;
+            if ctx.now.since(s.last_write_at) >= STREAM_KEEPALIVE_INTERVAL {
+                s.last_write_at = ctx.now;
                 self.outputs.push(ExtensionOutput::Chunk(*id, b"{}\n".to_vec()));
             }
         }
     }
 
     /// Buffers an event and sends it to matching streams.
-    pub(crate) fn publish_event(&mut self, kind: &'static str, head: &JobRecord, index: u64) {
+    pub(crate) fn publish_event(&mut self, kind: &'static str, record: &JobRecord, index: u64) {
         if self.loading {
             return;
         }
         let e = Event {
             index,
             kind,
-            namespace: head.namespace.clone(),
-            key: head.id.clone(),
-            team: head.team.clone(),
-            payload: json!({"Job": views::event_job(head)}),
+            namespace: record.namespace.clone(),
+            key: record.id.clone(),
+            team: record.team.clone(),
+            payload: json!({"Job": views::event_job(record)}),
         };
         let line = event_line(&e);
         for (id, s) in &self.streams {
--- a/crates/nomad/src/tree.rs
+++ b/crates/nomad/src/tree.rs
@@ -191,7 +191,7 @@
 }
 
 /// Most diagnostics kept for one file.
-const MAX_FAULTS: usize = 200;
+const MAX_DIAGNOSTICS: usize = 200;
 
 /// Collects the diagnostics of a file.
 #[derive(Debug, Default)]
@@ -205,12 +205,12 @@
 
 impl Diagnostics {
     fn add(&mut self, severity: Severity, at: usize, path: &str, text: String) {
-        let fault = Diagnostic { severity, at, line: 0, column: 0, path: path.into(), text };
-        if self.list.contains(&fault) {
+        let diagnostic = Diagnostic { severity, at, line: 0, column: 0, path: path.into(), text };
+        if self.list.contains(&diagnostic) {
             return;
         }
-        if self.list.len() < MAX_FAULTS {
-            self.list.push(fault);
+        if self.list.len() < MAX_DIAGNOSTICS {
+            self.list.push(diagnostic);
         } else {
             self.omitted += 1;
         }
--- a/crates/nomad/tests/record_compatibility.rs
+++ b/crates/nomad/tests/record_compatibility.rs
@@ -21,7 +21,7 @@
     serde_json::from_str(text).unwrap_or_else(|e| panic!("{e}: {text}"))
 }
 
-fn heads() -> [(&'static str, JobRecord); 2] {
+fn records() -> [(&'static str, JobRecord); 2] {
     let least = JobRecord {
         namespace: "default".into(),
         id: "desk".into(),
@@ -80,17 +80,17 @@
 
 #[test]
 fn heads_of_production_are_read_and_written_as_they_were() {
-    for (text, head) in heads() {
+    for (text, record) in records() {
         let value = parse(text);
-        assert_eq!(serde_json::from_value::<JobRecord>(value.clone()).unwrap(), head, "{text}");
-        assert_eq!(json!(head), value, "{text}");
-        let Ok(Record::NomadHead(read)) = production::read("g/n/j/00ff", &json!(head)) else {
+        assert_eq!(serde_json::from_value::<JobRecord>(value.clone()).unwrap(), record, "{text}");
+        assert_eq!(json!(record), value, "{text}");
+        let Ok(Record::NomadHead(read)) = production::read("g/n/j/00ff", &json!(record)) else {
             panic!("{text}");
         };
-        assert_eq!((&read.id, read.version, &read.nonce), (&head.id, head.version, &head.nonce));
-        assert_eq!((read.stop, read.purge, &read.old), (head.stop, head.purge, &head.superseded_jobs));
-        assert_eq!((read.periodic, read.parameterized), (head.periodic.is_some(), head.param.is_some()));
-        assert_eq!((read.groups.len(), read.earlier.len()), (head.groups.len(), head.earlier.len()));
+        assert_eq!((&read.id, read.version, &read.nonce), (&record.id, record.version, &record.nonce));
+        assert_eq!((read.stop, read.purge, &read.old), (record.stop, record.purge, &record.superseded_jobs));
+        assert_eq!((read.periodic, read.parameterized), (record.periodic.is_some(), record.param.is_some()));
+        assert_eq!((read.groups.len(), read.earlier.len()), (record.groups.len(), record.earlier.len()));
     }
 }
 
@@ -98,7 +98,7 @@
 fn unknown_fields_of_a_head_are_passed_over() {
     let mut later = parse(MOST);
     later["later"] = json!({"a": [1]});
-    assert_eq!(serde_json::from_value::<JobRecord>(later.clone()).unwrap(), heads()[1].1);
+    assert_eq!(serde_json::from_value::<JobRecord>(later.clone()).unwrap(), records()[1].1);
     assert!(matches!(production::read("g/n/j/00ff", &later), Ok(Record::NomadHead(_))));
 }
 
@@ -108,7 +108,7 @@
     assert_eq!(key.0, "3005111cefd86f1d56f0357a340338ef769c8c07");
     // (key name, as production writes it)
     let written = [
-        (names::head(&key), "j/KEY"),
+        (names::job_record(&key), "j/KEY"),
         (names::chunk_prefix(&key, "f00d"), "p/KEY/f00d/"),
         (names::chunk(&key, "f00d", 7), "p/KEY/f00d/007"),
         (names::last_launch(&key), "l/KEY"),
