--- a/crates/nomad/src/cron.rs
+++ b/crates/nomad/src/cron.rs
@@ -76,7 +76,7 @@
     }
 
     #[test]
-    fn launches_follow_the_clock_on_the_wall() {
+    fn launches_follow_local_time_across_clock_changes() {
         // (expression, zone, after, next launches)
         let cases: [(&str, &str, &str, &[&str]); 7] = [
             (
@@ -116,7 +116,7 @@
     }
 
     #[test]
-    fn what_is_no_cron_expression_is_refused() {
+    fn invalid_cron_expressions_are_refused() {
         let cases = [
             ("", "UTC", "fields"),
             ("* * * *", "UTC", "4 fields"),
--- a/crates/nomad/src/eval.rs
+++ b/crates/nomad/src/eval.rs
@@ -138,18 +138,18 @@
                 Ok(Datum::Map(map))
             }
             Expression::StringTemplate(t) => {
-                let outer = (std::mem::take(&mut self.indent), std::mem::take(&mut self.in_directive));
+                let previous = (std::mem::take(&mut self.indent), std::mem::take(&mut self.in_directive));
                 let mut out = TemplateOutput::default();
                 let done = self.elements(t.iter(), at, &mut out);
-                (self.indent, self.in_directive) = outer;
+                (self.indent, self.in_directive) = previous;
                 done.map(|()| out.into_datum())
             }
             Expression::HeredocTemplate(h) => {
-                let outer = (self.indent, self.in_directive);
+                let previous = (self.indent, self.in_directive);
                 (self.indent, self.in_directive) = (h.indent().unwrap_or(0), false);
                 let mut out = TemplateOutput::default();
                 let done = self.template(&h.template, at, &mut out);
-                (self.indent, self.in_directive) = outer;
+                (self.indent, self.in_directive) = previous;
                 done.map(|()| out.into_datum())
             }
             Expression::Parenthesis(p) => self.eval(p.inner(), at),
@@ -230,10 +230,10 @@
                 let value_var = f.intro.value_var.as_str().to_owned();
                 let (mut list, mut map) = (Vec::new(), Vec::new());
                 for (k, v) in items {
-                    let kept = self.bind(key_var.as_deref(), &value_var, k, v);
-                    let one = self.for_item(f, at, &mut list, &mut map);
-                    self.unbind(key_var.as_deref(), &value_var, kept);
-                    one?;
+                    let previous = self.bind(key_var.as_deref(), &value_var, k, v);
+                    let result = self.for_item(f, at, &mut list, &mut map);
+                    self.unbind(key_var.as_deref(), &value_var, previous);
+                    result?;
                 }
                 Ok(if f.key_expr.is_some() { Datum::Map(map) } else { Datum::List(list) })
             }
@@ -315,22 +315,22 @@
         // Only the selected part of a value is copied.
         let mut d = match &t.expr {
             Expression::Variable(v) if self.names.contains_key(v.as_str()) => {
-                let mut at_name = self.names.get(v.as_str());
-                let mut used = 0;
+                let mut selected = self.names.get(v.as_str());
+                let mut consumed = 0;
                 for op in &t.operators {
-                    let (TraversalOperator::GetAttr(name), Some(Datum::Map(m))) = (op.value(), at_name)
+                    let (TraversalOperator::GetAttr(name), Some(Datum::Map(m))) = (op.value(), selected)
                     else {
                         break;
                     };
                     let Some((_, n)) = m.iter().find(|(k, _)| k == name.as_str()) else {
                         return fail(at, format!("{} has no {}", v.as_str(), name.as_str()));
                     };
-                    at_name = Some(&n.datum);
-                    used += 1;
+                    selected = Some(&n.datum);
+                    consumed += 1;
                 }
-                let found = at_name.cloned().unwrap_or(Datum::Null);
+                let found = selected.cloned().unwrap_or(Datum::Null);
                 self.count_work(at, approximate_size(&found))?;
-                return self.apply_operators(found, &t.operators[used..], at);
+                return self.apply_operators(found, &t.operators[consumed..], at);
             }
             e => self.eval(e, at)?,
         };
@@ -410,26 +410,26 @@
     }
 
     fn directive(&mut self, d: &Directive, at: usize, out: &mut TemplateOutput) -> Result<()> {
-        let outer = std::mem::replace(&mut self.in_directive, true);
+        let previous = std::mem::replace(&mut self.in_directive, true);
         let done = self.directive_inside(d, at, out);
-        self.in_directive = outer;
+        self.in_directive = previous;
         done
     }
 
     fn directive_inside(&mut self, d: &Directive, at: usize, out: &mut TemplateOutput) -> Result<()> {
         match d {
             Directive::If(i) => {
-                let yes = match self.eval(&i.if_expr.cond_expr, at)? {
+                let condition = match self.eval(&i.if_expr.cond_expr, at)? {
                     Datum::Bool(b) => b,
                     d => return fail(at, format!("the condition is {}, not a boolean", d.kind())),
                 };
                 out.strip_around(i.if_expr.strip);
-                if yes {
+                if condition {
                     self.template(&i.if_expr.template, at, out)?;
                 }
                 if let Some(e) = &i.else_expr {
                     out.strip_around(e.strip);
-                    if !yes {
+                    if !condition {
                         self.template(&e.template, at, out)?;
                     }
                 }
@@ -497,9 +497,9 @@
     let mut lines = s.split('\n');
     let mut out = lines.next().unwrap_or("").to_owned();
     for line in lines {
-        let blank = line.bytes().take(indent).take_while(|b| *b == b' ').count();
+        let spaces = line.bytes().take(indent).take_while(|b| *b == b' ').count();
         out.push('\n');
-        out.push_str(&line[blank..]);
+        out.push_str(&line[spaces..]);
     }
     out
 }
--- a/crates/nomad/src/functions.rs
+++ b/crates/nomad/src/functions.rs
@@ -49,11 +49,11 @@
 /// Calls a function; the error is the reason without its location.
 pub fn call(name: &str, a: &[Datum], at: usize) -> Out {
     let text_of = |i: usize| to_text(&a[i]);
-    let need = |least: usize, most: usize| {
-        if (least..=most).contains(&a.len()) {
+    let check_arg_count = |min: usize, max: usize| {
+        if (min..=max).contains(&a.len()) {
             return Ok(());
         }
-        let want = match (least, most) {
+        let want = match (min, max) {
             (l, m) if l == m => format!("{l}"),
             (l, usize::MAX) => format!("at least {l}"),
             (l, m) => format!("{l} to {m}"),
@@ -67,7 +67,7 @@
     match name {
         "upper" | "lower" | "title" | "trimspace" | "chomp" | "strrev" | "strlen" | "base64encode"
         | "base64decode" | "sha256" | "sha512" | "urlencode" | "jsondecode" => {
-            need(1, 1)?;
+            check_arg_count(1, 1)?;
             let s = text_of(0)?;
             match name {
                 "upper" => t(s.to_uppercase()),
@@ -96,7 +96,7 @@
             }
         }
         "trim" | "trimprefix" | "trimsuffix" => {
-            need(2, 2)?;
+            check_arg_count(2, 2)?;
             let (s, x) = (text_of(0)?, text_of(1)?);
             t(match name {
                 "trim" => s.trim_matches(|c| x.contains(c)).to_owned(),
@@ -105,7 +105,7 @@
             })
         }
         "replace" => {
-            need(3, 3)?;
+            check_arg_count(3, 3)?;
             let (s, x, y) = (text_of(0)?, text_of(1)?, text_of(2)?);
             // A pattern between slashes is a regular expression.
             match x.strip_prefix('/').and_then(|p| p.strip_suffix('/')).filter(|p| !p.is_empty()) {
@@ -118,11 +118,11 @@
             }
         }
         "regex_replace" => {
-            need(3, 3)?;
+            check_arg_count(3, 3)?;
             regex_replace(&text_of(0)?, &text_of(1)?, &text_of(2)?).map(Datum::Text)
         }
         "substr" => {
-            need(3, 3)?;
+            check_arg_count(3, 3)?;
             let chars: Vec<char> = text_of(0)?.chars().collect();
             let (from, len) = (to_integer(&a[1])?, to_integer(&a[2])?);
             let from = if from < 0 { chars.len() as i64 + from } else { from }.clamp(0, chars.len() as i64);
@@ -130,14 +130,14 @@
             t(chars[from as usize..end as usize].iter().collect())
         }
         "indent" => {
-            need(2, 2)?;
+            check_arg_count(2, 2)?;
             let pad = " ".repeat(to_integer(&a[0])?.clamp(0, 200) as usize);
             let s = text_of(1)?;
             check_result_size(s.len() + s.matches('\n').count() * pad.len())?;
             t(s.replace('\n', &format!("\n{pad}")))
         }
         "join" => {
-            need(2, usize::MAX)?;
+            check_arg_count(2, usize::MAX)?;
             let sep = text_of(0)?;
             let mut parts = Vec::new();
             for l in &a[1..] {
@@ -151,7 +151,7 @@
             t(parts.join(&sep))
         }
         "split" => {
-            need(2, 2)?;
+            check_arg_count(2, 2)?;
             let (sep, s) = (text_of(0)?, text_of(1)?);
             if sep.is_empty() {
                 check_result_size(s.len() * 64)?;
@@ -160,7 +160,7 @@
             Ok(list(s.split(&*sep).map(|p| Datum::Text(p.to_owned())), at))
         }
         "startswith" | "endswith" | "strcontains" => {
-            need(2, 2)?;
+            check_arg_count(2, 2)?;
             let (s, x) = (text_of(0)?, text_of(1)?);
             Ok(Datum::Bool(match name {
                 "startswith" => s.starts_with(&*x),
@@ -169,15 +169,15 @@
             }))
         }
         "format" => {
-            need(1, usize::MAX)?;
+            check_arg_count(1, usize::MAX)?;
             t(format_text(&text_of(0)?, &a[1..])?)
         }
         "formatlist" => {
-            need(2, usize::MAX)?;
+            check_arg_count(2, usize::MAX)?;
             let rows = a[1..].iter().filter_map(|d| as_list(d).ok().map(<[Node]>::len)).max().unwrap_or(1);
             let form = text_of(0)?;
             check_result_size(rows.saturating_mul(form.len()))?;
-            let (mut out, mut made) = (Vec::new(), 0);
+            let (mut out, mut total_bytes) = (Vec::new(), 0);
             for i in 0..rows {
                 let mut args = Vec::new();
                 for d in &a[1..] {
@@ -187,14 +187,14 @@
                     });
                 }
                 let line = format_text(&form, &args)?;
-                made += line.len();
-                check_result_size(made)?;
+                total_bytes += line.len();
+                check_result_size(total_bytes)?;
                 out.push(Datum::Text(line));
             }
             Ok(list(out, at))
         }
         "tostring" | "tonumber" | "tobool" => {
-            need(1, 1)?;
+            check_arg_count(1, 1)?;
             match (name, &a[0]) {
                 (_, Datum::Null) => Ok(Datum::Null),
                 ("tostring", d) => t(to_text(d)?),
@@ -206,7 +206,7 @@
             }
         }
         "tolist" | "toset" | "tomap" => {
-            need(1, 1)?;
+            check_arg_count(1, 1)?;
             match (name, &a[0]) {
                 ("tomap", Datum::Map(_)) | ("tolist", Datum::List(_)) => Ok(a[0].clone()),
                 ("toset", Datum::List(l)) => Ok(distinct(l, at)),
@@ -214,7 +214,7 @@
             }
         }
         "abs" | "ceil" | "floor" | "signum" => {
-            need(1, 1)?;
+            check_arg_count(1, 1)?;
             let v = to_number(&a[0])?;
             n(match name {
                 "abs" => v.abs(),
@@ -225,12 +225,12 @@
             })
         }
         "pow" | "log" => {
-            need(2, 2)?;
+            check_arg_count(2, 2)?;
             let (x, y) = (to_number(&a[0])?, to_number(&a[1])?);
             n(if name == "pow" { x.powf(y) } else { x.log(y) })
         }
         "parseint" => {
-            need(2, 2)?;
+            check_arg_count(2, 2)?;
             let base = to_integer(&a[1])?;
             if !(2..=36).contains(&base) {
                 return Err("the base must be 2 to 36".into());
@@ -240,7 +240,7 @@
             n(v as f64)
         }
         "min" | "max" => {
-            need(1, usize::MAX)?;
+            check_arg_count(1, usize::MAX)?;
             let mut best = to_number(&a[0])?;
             for d in &a[1..] {
                 let v = to_number(d)?;
@@ -249,7 +249,7 @@
             n(best)
         }
         "sum" => {
-            need(1, 1)?;
+            check_arg_count(1, 1)?;
             let mut s = 0.0;
             for x in as_list(&a[0])? {
                 s += to_number(&x.datum)?;
@@ -257,7 +257,7 @@
             n(s)
         }
         "length" => {
-            need(1, 1)?;
+            check_arg_count(1, 1)?;
             n(match &a[0] {
                 Datum::List(l) => l.len(),
                 Datum::Map(m) => m.len(),
@@ -265,7 +265,7 @@
             } as f64)
         }
         "concat" | "setunion" => {
-            need(1, usize::MAX)?;
+            check_arg_count(1, usize::MAX)?;
             let mut out = Vec::new();
             for d in a {
                 out.extend(as_list(d)?.iter().cloned());
@@ -273,41 +273,41 @@
             if name == "setunion" { Ok(distinct(&out, at)) } else { Ok(Datum::List(out)) }
         }
         "setintersection" | "setsubtract" => {
-            need(2, 2)?;
+            check_arg_count(2, 2)?;
             let other = as_list(&a[1])?;
-            let within = name == "setintersection";
+            let keep_common = name == "setintersection";
             let kept: Vec<Node> = as_list(&a[0])?
                 .iter()
-                .filter(|x| other.iter().any(|y| values_equal(&x.datum, &y.datum)) == within)
+                .filter(|x| other.iter().any(|y| values_equal(&x.datum, &y.datum)) == keep_common)
                 .cloned()
                 .collect();
             Ok(distinct(&kept, at))
         }
         "contains" => {
-            need(2, 2)?;
+            check_arg_count(2, 2)?;
             Ok(Datum::Bool(as_list(&a[0])?.iter().any(|x| values_equal(&x.datum, &a[1]))))
         }
         "index" => {
-            need(2, 2)?;
+            check_arg_count(2, 2)?;
             match as_list(&a[0])?.iter().position(|x| values_equal(&x.datum, &a[1])) {
                 Some(i) => n(i as f64),
                 None => Err("the list does not hold that".into()),
             }
         }
         "distinct" => {
-            need(1, 1)?;
+            check_arg_count(1, 1)?;
             Ok(distinct(as_list(&a[0])?, at))
         }
         "compact" => {
-            need(1, 1)?;
+            check_arg_count(1, 1)?;
             Ok(Datum::List(as_list(&a[0])?.iter().filter(|x| !x.datum.is_empty()).cloned().collect()))
         }
         "reverse" => {
-            need(1, 1)?;
+            check_arg_count(1, 1)?;
             Ok(Datum::List(as_list(&a[0])?.iter().rev().cloned().collect()))
         }
         "sort" => {
-            need(1, 1)?;
+            check_arg_count(1, 1)?;
             let mut v = Vec::new();
             for x in as_list(&a[0])? {
                 v.push(to_text(&x.datum)?);
@@ -316,7 +316,7 @@
             Ok(list(v.into_iter().map(Datum::Text), at))
         }
         "flatten" => {
-            need(1, 1)?;
+            check_arg_count(1, 1)?;
             fn flat(l: &[Node], out: &mut Vec<Node>) {
                 for x in l {
                     match &x.datum {
@@ -330,7 +330,7 @@
             Ok(Datum::List(out))
         }
         "element" => {
-            need(2, 2)?;
+            check_arg_count(2, 2)?;
             let l = as_list(&a[0])?;
             if l.is_empty() {
                 return Err("the list is empty".into());
@@ -338,7 +338,7 @@
             Ok(l[to_integer(&a[1])?.rem_euclid(l.len() as i64) as usize].datum.clone())
         }
         "slice" => {
-            need(3, 3)?;
+            check_arg_count(3, 3)?;
             let l = as_list(&a[0])?;
             let (from, to) = (to_integer(&a[1])?, to_integer(&a[2])?);
             if from < 0 || to < from || to > l.len() as i64 {
@@ -347,12 +347,12 @@
             Ok(Datum::List(l[from as usize..to as usize].to_vec()))
         }
         "chunklist" => {
-            need(2, 2)?;
+            check_arg_count(2, 2)?;
             let size = to_integer(&a[1])?.max(1) as usize;
             Ok(list(as_list(&a[0])?.chunks(size).map(|c| Datum::List(c.to_vec())), at))
         }
         "range" => {
-            need(1, 3)?;
+            check_arg_count(1, 3)?;
             let v: Vec<f64> = a.iter().map(to_number).collect::<Result<_, _>>()?;
             let (from, to) = if v.len() == 1 { (0.0, v[0]) } else { (v[0], v[1]) };
             let step = v.get(2).copied().unwrap_or(if to >= from { 1.0 } else { -1.0 });
@@ -366,7 +366,7 @@
             Ok(list((0..count as usize).map(|i| Datum::Number(from + i as f64 * step)), at))
         }
         "keys" | "values" => {
-            need(1, 1)?;
+            check_arg_count(1, 1)?;
             let mut m: Vec<&(String, Node)> = as_map(&a[0])?.iter().collect();
             m.sort_by(|x, y| x.0.cmp(&y.0));
             Ok(list(
@@ -376,7 +376,7 @@
             ))
         }
         "lookup" => {
-            need(2, 3)?;
+            check_arg_count(2, 3)?;
             let key = text_of(1)?;
             match (as_map(&a[0])?.iter().find(|(k, _)| *k == key), a.get(2)) {
                 (Some((_, v)), _) => Ok(v.datum.clone()),
@@ -385,7 +385,7 @@
             }
         }
         "merge" => {
-            need(1, usize::MAX)?;
+            check_arg_count(1, usize::MAX)?;
             let mut out = Vec::new();
             for d in a {
                 for (k, v) in as_map(d)? {
@@ -395,7 +395,7 @@
             Ok(Datum::Map(out))
         }
         "zipmap" => {
-            need(2, 2)?;
+            check_arg_count(2, 2)?;
             let (k, v) = (as_list(&a[0])?, as_list(&a[1])?);
             if k.len() != v.len() {
                 return Err("the lists differ in length".into());
@@ -407,11 +407,11 @@
             Ok(Datum::Map(out))
         }
         "coalesce" | "coalescelist" => {
-            need(1, usize::MAX)?;
+            check_arg_count(1, usize::MAX)?;
             a.iter().find(|d| !d.is_empty()).cloned().ok_or("all arguments are empty".into())
         }
         "jsonencode" => {
-            need(1, 1)?;
+            check_arg_count(1, 1)?;
             t(a[0].json().to_string())
         }
         "cidrhost" | "cidrnetmask" | "cidrsubnet" => cidr(name, a),
@@ -538,7 +538,7 @@
         std::net::IpAddr::V4(v) => (u32::from(v) as u128, 32),
         std::net::IpAddr::V6(v) => (u128::from(v), 128),
     };
-    let show = |v: u128| -> std::net::IpAddr {
+    let address = |v: u128| -> std::net::IpAddr {
         if bits == 32 {
             std::net::Ipv4Addr::from(v as u32).into()
         } else {
@@ -553,18 +553,18 @@
             let size = if free >= 127 { u128::MAX } else { 1u128 << free };
             let at = if i < 0 { size.checked_sub(i.unsigned_abs() as u128) } else { Some(i as u128) };
             match at.filter(|x| *x < size) {
-                Some(x) => Ok(Datum::Text(show(base + x).to_string())),
+                Some(x) => Ok(Datum::Text(address(base + x).to_string())),
                 None => Err(format!("{net} has no host {}", number_text(i as f64))),
             }
         }
         _ => {
-            let (more, i) = (to_integer(&a[1])?, to_integer(&a[2])?);
-            if !(0..=free as i64).contains(&more) || i < 0 || more < 63 && i >= 1i64 << more {
+            let (new_bits, i) = (to_integer(&a[1])?, to_integer(&a[2])?);
+            if !(0..=free as i64).contains(&new_bits) || i < 0 || new_bits < 63 && i >= 1i64 << new_bits {
                 return Err(format!("{net} has no such subnet"));
             }
-            let shift = free - more as u32;
+            let shift = free - new_bits as u32;
             let sub = base + if shift >= 128 { 0 } else { (i as u128) << shift };
-            Ok(Datum::Text(format!("{}/{}", show(sub), net.prefix_len() as i64 + more)))
+            Ok(Datum::Text(format!("{}/{}", address(sub), net.prefix_len() as i64 + new_bits)))
         }
     }
 }
--- a/crates/nomad/src/hcl.rs
+++ b/crates/nomad/src/hcl.rs
@@ -100,17 +100,17 @@
         let or = offset_of(e, or);
         match e {
             Expression::Object(o) => {
-                let (mut map, mut good) = (Vec::new(), true);
+                let (mut map, mut valid) = (Vec::new(), true);
                 for (k, v) in o.iter() {
                     let key = self.key(k, or, path);
                     let inner = format!("{path}.{}", key.as_deref().unwrap_or("?"));
                     let value = self.value(v.expr(), or, &inner);
                     match (key, value) {
                         (Some(k), Some(v)) => crate::eval::insert(&mut map, k, v),
-                        _ => good = false,
+                        _ => valid = false,
                     }
                 }
-                return good.then_some(Node { at: or, datum: Datum::Map(map) });
+                return valid.then_some(Node { at: or, datum: Datum::Map(map) });
             }
             Expression::Array(a) => {
                 let all: Vec<Option<Node>> = a.iter().map(|x| self.value(x, or, path)).collect();
@@ -144,7 +144,7 @@
     }
 
     fn variables(&mut self, body: &Body, inputs: &Inputs) {
-        let mut given: BTreeMap<String, InputValue> = BTreeMap::new();
+        let mut inputs_by_name: BTreeMap<String, InputValue> = BTreeMap::new();
         for (file, text) in &inputs.files {
             // A variable file consists of HCL attributes. Its offsets do not apply to the job file,
             // so diagnostics name the file instead.
@@ -153,7 +153,7 @@
                     for a in b.attributes() {
                         let mut scope = Scope::new(text);
                         match scope.eval(&a.value, 0) {
-                            Ok(d) => drop(given.insert(a.key.to_string(), InputValue::Value(d))),
+                            Ok(d) => drop(inputs_by_name.insert(a.key.to_string(), InputValue::Value(d))),
                             Err(e) => self.diagnostics.unreadable(0, "", format!("{file}: {}", e.text)),
                         }
                     }
@@ -169,7 +169,7 @@
             }
         }
         for (k, v) in &inputs.vars {
-            given.insert(k.clone(), InputValue::Text(v.clone()));
+            inputs_by_name.insert(k.clone(), InputValue::Text(v.clone()));
         }
         let mut vars: Vec<(String, Node)> = Vec::new();
         for b in body.get_blocks("variable") {
@@ -213,7 +213,7 @@
                     }
                 }
             }
-            let node = match (given.remove(name), default) {
+            let node = match (inputs_by_name.remove(name), default) {
                 (Some(InputValue::Value(datum)), _) => Some(Node { at: p, datum }),
                 (Some(InputValue::Text(t)), _) => Some(Node { at: p, datum: kind.given(&t) }),
                 (None, d) => d,
@@ -231,7 +231,7 @@
             }
         }
         // A value for a variable that the file does not declare is treated as a typing error.
-        let unknown: Vec<&String> = given.keys().collect();
+        let unknown: Vec<&String> = inputs_by_name.keys().collect();
         for name in unknown {
             self.diagnostics.unreadable(0, &format!("variable.{name}"), "the file has no such variable");
         }
@@ -240,7 +240,7 @@
 
     /// Evaluates locals, which may refer to each other in any order.
     fn locals(&mut self, body: &Body) {
-        let mut open: Vec<&Attribute> = Vec::new();
+        let mut pending: Vec<&Attribute> = Vec::new();
         let mut names = BTreeSet::new();
         for b in body.get_blocks("locals") {
             for a in b.body.attributes() {
@@ -248,14 +248,14 @@
                     let path = format!("local.{}", a.key.as_str());
                     self.diagnostics.unreadable(offset_of(&a.key, 0), &path, "set twice");
                 }
-                open.push(a);
+                pending.push(a);
             }
         }
         self.scope.set("local", Datum::Map(Vec::new()));
         loop {
-            let before = open.len();
+            let before = pending.len();
             let mut failed = Vec::new();
-            for a in std::mem::take(&mut open) {
+            for a in std::mem::take(&mut pending) {
                 match self.scope.eval(&a.value, 0) {
                     Ok(datum) => {
                         let node = Node { at: offset_of(&a.value, 0), datum };
@@ -275,7 +275,7 @@
                 }
                 return;
             }
-            open = failed.into_iter().map(|(a, _)| a).collect();
+            pending = failed.into_iter().map(|(a, _)| a).collect();
         }
     }
 
--- a/crates/nomad/src/json.rs
+++ b/crates/nomad/src/json.rs
@@ -51,13 +51,13 @@
             diagnostics.unreadable(p.range.start, "job", "must be an object");
             return None;
         };
-        let [one] = &names.properties[..] else {
+        let [entry] = &names.properties[..] else {
             diagnostics.unreadable(p.range.start, "job", "must hold one job by its name");
             return None;
         };
-        let (name, at) = (one.name.as_str().to_owned(), one.range.start);
+        let (name, at) = (entry.name.as_str().to_owned(), entry.range.start);
         let path = format!("job.{name}");
-        let body = build_tree(&one.value, "", &path, Form::File, diagnostics)?;
+        let body = build_tree(&entry.value, "", &path, Form::File, diagnostics)?;
         return Some(Block { name: "job".into(), at, labels: vec![(name, at)], body });
     }
     if has_api_fields(&root) {
--- a/crates/nomad/src/model.rs
+++ b/crates/nomad/src/model.rs
@@ -346,12 +346,12 @@
     }
 
     fn report_unknown(&mut self, stanza: &str, name: &str, at: usize, path: &str) {
-        let near = table::fields_of(stanza)
+        let closest = table::fields_of(stanza)
             .map(|r| table::last_segment(r.path))
             .map(|n| (strsim::damerau_levenshtein(n, name), n))
             .min()
             .filter(|(d, _)| *d <= 2);
-        let text = match near {
+        let text = match closest {
             Some((_, n)) => format!("is not in the job specification; did you mean {n}?"),
             None => "is not in the job specification".to_owned(),
         };
@@ -404,19 +404,19 @@
             Shape::Block | Shape::Blocks | Shape::LabeledBlocks => Some("is a block: write it without ="),
         };
         if let Some(text) = problem {
-            let is = match d {
+            let actual = match d {
                 Datum::Number(_) | Datum::Bool(_) => d.text().unwrap_or_default(),
                 _ => d.kind().to_owned(),
             };
-            self.diagnostics.refused(a.value.at, path, format!("{text}, not {is}"));
+            self.diagnostics.refused(a.value.at, path, format!("{text}, not {actual}"));
         }
     }
 
     fn check_name(&mut self, what: &str, text: &str, at: usize, path: &str) {
-        let bad = text.is_empty()
+        let invalid = text.is_empty()
             || text.len() > MAX_NAME_BYTES
             || text.chars().any(|c| c.is_whitespace() || c.is_control());
-        if bad {
+        if invalid {
             let text = format!("must have 1 to {MAX_NAME_BYTES} bytes without white space");
             self.diagnostics.refused(at, &format!("{path}.{what}"), text);
         }
@@ -488,17 +488,17 @@
         let any = |name: &str| t.attr(name).and_then(|a| a.value.datum.text());
         let mut operator = any("operator").unwrap_or_else(|| "=".into());
         let mut value = any("value").unwrap_or_default();
-        for short in ["regexp", "set_contains", "set_contains_all", "set_contains_any"] {
-            if let Some(v) = any(short) {
-                (operator, value) = (short.to_owned(), v);
+        for shorthand in ["regexp", "set_contains", "set_contains_all", "set_contains_any"] {
+            if let Some(v) = any(shorthand) {
+                (operator, value) = (shorthand.to_owned(), v);
             }
         }
         let attribute = any("attribute").unwrap_or_default();
         if attribute.is_empty() {
             // `distinct_hosts` and similar fields come without an attribute and were already
             // refused.
-            let told = t.attrs.iter().any(|a| a.name.starts_with("distinct"));
-            if !told && !operator.starts_with("distinct") {
+            let reported = t.attrs.iter().any(|a| a.name.starts_with("distinct"));
+            if !reported && !operator.starts_with("distinct") {
                 self.diagnostics.refused(b.at, path, "attribute is missing");
             }
             if operator.starts_with("distinct") {
--- a/crates/nomad/src/service/api.rs
+++ b/crates/nomad/src/service/api.rs
@@ -11,8 +11,9 @@
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
-/// Longest wait of a blocking query. The second constant is the wait of a query without `wait`.
+/// Longest wait of a blocking query.
 const MAX_BLOCKING_WAIT: Micros = Micros::secs(600);
+/// Wait of a blocking query that sets no `wait`.
 const DEFAULT_BLOCKING_WAIT: Micros = Micros::secs(300);
 /// Most rows of one page.
 const MAX_ROWS_PER_PAGE: usize = 1000;
@@ -249,8 +250,8 @@
         token: Option<&str>,
         body: Vec<u8>,
     ) {
-        let bare = path.split('?').next().unwrap_or("");
-        let route = match route(method, bare) {
+        let path_only = path.split('?').next().unwrap_or("");
+        let route = match route(method, path_only) {
             Ok(r) => r,
             Err(RouteError::Unknown) => return self.answer_error(id, 404, "there is no such path"),
             Err(RouteError::Method) => return self.answer_error(id, 405, "the path has another method"),
@@ -258,12 +259,12 @@
                 return self.answer_error(id, 501, &format!("not served: {why}"));
             }
         };
-        let open = matches!(route, Route::Leader | Route::Peers | Route::Health | Route::Regions);
+        let is_public = matches!(route, Route::Leader | Route::Peers | Route::Health | Route::Regions);
         let team = match token {
             Some(t) => tokens::team(&self.settings.tokens, t).map(str::to_owned),
             None => None,
         };
-        if !self.settings.tokens.is_empty() && team.is_none() && !open {
+        if !self.settings.tokens.is_empty() && team.is_none() && !is_public {
             return self.answer_error(id, 403, "Permission denied");
         }
         let query = query_of(path);
@@ -441,8 +442,8 @@
                 self.answer_page(&r, index, rows);
             }
             Route::Namespace(n) => {
-                let there = n == "default" || self.visible_jobs(&r).any(|k| k.record.namespace == *n);
-                match there {
+                let exists = n == "default" || self.visible_jobs(&r).any(|k| k.record.namespace == *n);
+                match exists {
                     true => self.answer(r.id, 200, index, &views::namespace(n)),
                     false => self.answer_error(r.id, 404, "namespace not found"),
                 }
@@ -504,13 +505,13 @@
         if let Some(from) = r.query_value("next_token") {
             rows.retain(|(k, _)| k.as_str() >= from);
         }
-        let per = match r.query_value("per_page").map(str::parse::<usize>) {
+        let per_page = match r.query_value("per_page").map(str::parse::<usize>) {
             None => MAX_ROWS_PER_PAGE,
             Some(Ok(n)) if n > 0 => n.min(MAX_ROWS_PER_PAGE),
             Some(_) => return self.answer_error(r.id, 400, "per_page: must be a whole number from 1"),
         };
-        let next = rows.get(per).map(|(k, _)| k.clone());
-        let body: Vec<Value> = rows.into_iter().take(per).map(|(_, v)| v).collect();
+        let next = rows.get(per_page).map(|(k, _)| k.clone());
+        let body: Vec<Value> = rows.into_iter().take(per_page).map(|(_, v)| v).collect();
         let headers = next.map(|n| ("X-Nomad-NextToken", n)).into_iter().collect();
         self.answer_with(r.id, 200, index, headers, &Value::Array(body));
     }
@@ -584,7 +585,7 @@
     use super::*;
 
     #[test]
-    fn paths_have_their_routes() {
+    fn paths_and_methods_select_routes() {
         let job = |s: &str| s.to_owned();
         let cases: [(&str, &str, Result<Route, RouteError>); 22] = [
             ("GET", "/v1/jobs", Ok(Route::Jobs)),
--- a/crates/nomad/src/service/launches.rs
+++ b/crates/nomad/src/service/launches.rs
@@ -72,7 +72,10 @@
             let Some(at) = due_launch(&registered.record, last, ctx.wall_ms) else { continue };
             let overlap = registered.record.periodic.as_ref().is_some_and(|p| p.prohibit_overlap);
             if overlap && self.has_running_child(ctx, &registered.record) {
-                log::info!("{}: launch of {at} passed over, an earlier one runs", registered.record.id);
+                log::info!(
+                    "launch skipped, an earlier launch is still running job={} at_ms={at}",
+                    registered.record.id
+                );
                 self.skip_launch(&key, &registered, at);
                 continue;
             }
--- a/crates/nomad/src/service/mod.rs
+++ b/crates/nomad/src/service/mod.rs
@@ -94,10 +94,10 @@
     /// The replica is being reloaded, so changes are not published as events.
     pub(crate) loading: bool,
     pub(crate) swept_at: Micros,
-    /// The second since 1970 at which due launches were last scanned. `next_launch` caches for each
-    /// periodic job the time from which the next launch was computed, the revision of the job
-    /// record and the next launch, times in milliseconds.
+    /// The second since 1970 at which due launches were last scanned.
     pub(crate) launch_second: u64,
+    /// For each periodic job the time from which its next launch was computed, the revision of the
+    /// job record and the next launch; times in milliseconds since 1970.
     pub(crate) next_launch: BTreeMap<JobKey, (u64, u64, u64)>,
     pub(crate) site_updated_at: Micros,
     /// Machine types and teams, refreshed once a second.
--- a/crates/nomad/src/service/reconcile.rs
+++ b/crates/nomad/src/service/reconcile.rs
@@ -32,7 +32,7 @@
 ) -> Option<Value> {
     let native = job_value(spec, submitted_ms);
     if value_len(&native) > ctx.max_value_bytes {
-        log::error!("record too long job={} group={group}", record.id);
+        log::error!("native job record exceeds the value limit job={} group={group}", record.id);
         return None;
     }
     Some(native)
@@ -76,17 +76,17 @@
             writes: Vec::new(),
         };
         // The leader's key is one more precondition; it is added when the write is sent.
-        let room =
+        let has_capacity =
             |m: &Multi| m.writes.len() < ctx.max_txn_writes && m.when.len() + 3 < ctx.max_txn_writes * 4;
-        let over: Vec<JobId> = match record.stop || record.is_template() {
+        let jobs_to_end: Vec<JobId> = match record.stop || record.is_template() {
             true => record.native_jobs().collect(),
             false => record.superseded_jobs.iter().copied().map(JobId).collect(),
         };
-        let mut left = false;
-        for id in over {
+        let mut any_active = false;
+        for id in jobs_to_end {
             let Some(job) = ctx.replica.jobs.get(&id) else { continue };
-            left |= job.phase == Phase::Active;
-            if job.phase == Phase::Active && room(&m) {
+            any_active |= job.phase == Phase::Active;
+            if job.phase == Phase::Active && has_capacity(&m) {
                 m.when.push(When { path: keys::end(id), stamp: 0 });
                 m.when.push(When { path: keys::job(id), stamp: job.stamp });
                 let v = cancelled_value(ctx.wall_ms, None, false);
@@ -106,7 +106,7 @@
                         let spec = content.specs.get(&g.name).and_then(|r| description(id, r));
                         let Some(mut spec) = spec else {
                             log::error!(
-                                "{} {}: group {} has no description",
+                                "group has no native description namespace={} job={} group={}",
                                 record.namespace,
                                 record.id,
                                 g.name
@@ -116,14 +116,14 @@
                         spec.tasks = g.count;
                         spec.after = record.superseded_jobs.iter().copied().map(JobId).collect();
                         let Some(v) = native_record(&spec, record.at, record, &g.name, ctx) else { continue };
-                        if room(&m) {
+                        if has_capacity(&m) {
                             m.when.push(When { path: keys::job(id), stamp: 0 });
                             m.when.push(When { path: keys::end(id), stamp: 0 });
                             m.writes.push(Write::Put { put: keys::job(id), v, hold: None });
                         }
                     }
                     Some(job) if job.phase == Phase::Active && job.tasks != g.count => {
-                        if let (Some(spec), true) = (&job.spec, room(&m)) {
+                        if let (Some(spec), true) = (&job.spec, has_capacity(&m)) {
                             let mut spec = JobSpec::clone(spec);
                             spec.tasks = g.count;
                             let Some(v) = native_record(&spec, job.submitted_ms, record, &g.name, ctx) else {
@@ -138,7 +138,7 @@
                 }
             }
         }
-        if m.writes.is_empty() && record.purge && !left {
+        if m.writes.is_empty() && record.purge && !any_active {
             m.writes.push(remove(&names::job_record(key)));
             if self.last_launches.contains_key(key) {
                 m.writes.push(remove(&names::last_launch(key)));
@@ -162,28 +162,28 @@
     /// Removes chunks that no job record references: of unfinished registrations, of versions that
     /// are no longer kept and of deleted jobs.
     fn remove_orphaned_chunks(&mut self, ctx: &ExtensionContext<'_>) {
-        let named = |heads: &BTreeMap<JobKey, RegisteredJob>, name: &str| {
+        let is_referenced = |heads: &BTreeMap<JobKey, RegisteredJob>, name: &str| {
             let mut s = name.split('/');
             let (Some(key), Some(nonce)) = (s.next(), s.next()) else { return false };
             heads
                 .get(&JobKey(key.to_owned()))
                 .is_some_and(|k: &RegisteredJob| JobRecord::references(&k.record, nonce))
         };
-        let mut gone = Vec::new();
-        for (name, since) in &mut self.chunks {
-            if named(&self.jobs, name) {
-                *since = Micros(0);
-            } else if *since == Micros(0) {
-                *since = ctx.now;
-            } else if ctx.now.since(*since) > ORPHANED_CHUNK_TIMEOUT {
-                gone.push(name.clone());
+        let mut orphaned = Vec::new();
+        for (name, unreferenced_since) in &mut self.chunks {
+            if is_referenced(&self.jobs, name) {
+                *unreferenced_since = Micros(0);
+            } else if *unreferenced_since == Micros(0) {
+                *unreferenced_since = ctx.now;
+            } else if ctx.now.since(*unreferenced_since) > ORPHANED_CHUNK_TIMEOUT {
+                orphaned.push(name.clone());
             }
         }
-        gone.truncate(ctx.max_txn_writes);
-        if gone.is_empty() {
+        orphaned.truncate(ctx.max_txn_writes);
+        if orphaned.is_empty() {
             return;
         }
-        let writes = gone.into_iter().map(|n| remove(&format!("p/{n}"))).collect();
+        let writes = orphaned.into_iter().map(|n| remove(&format!("p/{n}"))).collect();
         let ticket = self.new_operation(PendingOperation::Sweep);
         self.outputs.push(write(ticket, Multi { when: Vec::new(), writes }, true));
     }
--- a/crates/nomad/src/service/records.rs
+++ b/crates/nomad/src/service/records.rs
@@ -212,8 +212,8 @@
 }
 
 /// Splits a text into chunks, each of at most `room` bytes when encoded as JSON.
-pub fn split_into_chunks(text: &str, room: usize) -> Vec<String> {
-    let (mut parts, mut part, mut size) = (Vec::new(), String::new(), 2);
+pub fn split_into_chunks(text: &str, max_bytes: usize) -> Vec<String> {
+    let (mut chunks, mut chunk, mut chunk_bytes) = (Vec::new(), String::new(), 2);
     for c in text.chars() {
         // Bytes of the character in JSON.
         let n = match c {
@@ -221,15 +221,15 @@
             c if (c as u32) < 0x20 => 6,
             c => c.len_utf8(),
         };
-        if size + n > room && !part.is_empty() {
-            parts.push(std::mem::take(&mut part));
-            size = 2;
+        if chunk_bytes + n > max_bytes && !chunk.is_empty() {
+            chunks.push(std::mem::take(&mut chunk));
+            chunk_bytes = 2;
         }
-        part.push(c);
-        size += n;
+        chunk.push(c);
+        chunk_bytes += n;
     }
-    parts.push(part);
-    parts
+    chunks.push(chunk);
+    chunks
 }
 
 /// The job in the JSON form of the interface, with defaults filled in.
@@ -312,27 +312,27 @@
     use super::*;
 
     #[test]
-    fn texts_are_cut_to_fit_and_come_together_again() {
+    fn chunks_fit_the_limit_and_join_to_the_text() {
         for text in ["", "abc", "\"\\\n\u{1}é€😀 and more of it", &"x\"".repeat(3000)] {
-            for room in [20, 64, 3900] {
-                let parts = split_into_chunks(text, room);
-                assert_eq!(parts.concat(), text);
-                for p in &parts {
-                    assert!(json!(p).to_string().len() <= room, "{room}: {p:?}");
+            for max_bytes in [20, 64, 3900] {
+                let chunks = split_into_chunks(text, max_bytes);
+                assert_eq!(chunks.concat(), text);
+                for p in &chunks {
+                    assert!(json!(p).to_string().len() <= max_bytes, "{max_bytes}: {p:?}");
                 }
             }
         }
     }
 
     #[test]
-    fn keys_tell_namespace_from_id() {
+    fn keys_separate_namespace_and_id() {
         assert_ne!(JobKey::of("a", "bc"), JobKey::of("ab", "c"));
         assert_eq!(names::chunk(&JobKey::of("a", "b"), "n", 7).len(), 2 + 40 + 3 + 3);
     }
 
     /// A record as this version writes it; later versions must be able to read it.
     #[test]
-    fn heads_of_this_version_are_read() {
+    fn records_of_this_version_are_read() {
         let text = r#"{"ns":"default","id":"desk","nm":"desk","v":3,"h":"aa","hc":"bb","w":"f00d","at":5,
             "k":"service","pr":50,"cl":"service","t":"florists","gr":[{"g":"api","j":1000000000000000007,"n":4}]}"#;
         let h: JobRecord = serde_json::from_str(text).unwrap();
--- a/crates/nomad/src/service/register.rs
+++ b/crates/nomad/src/service/register.rs
@@ -99,9 +99,9 @@
         if self.site.machines.is_empty() {
             return self.answer_error(r.id, 503, "the machine types are not known yet");
         }
-        let mut judged = validate(text, &r.inputs(), &self.settings, &self.site);
-        let Some(job) = judged.job.take().filter(|_| judged.diagnostics.accepted()) else {
-            return self.answer_error(r.id, 400, &format_diagnostics(&judged.diagnostics));
+        let mut report = validate(text, &r.inputs(), &self.settings, &self.site);
+        let Some(job) = report.job.take().filter(|_| report.diagnostics.accepted()) else {
+            return self.answer_error(r.id, 400, &format_diagnostics(&report.diagnostics));
         };
         let class = translate::find_class(&job, &self.settings);
         let Some((class, team)) = class.map(|c| (c.name.clone(), c.team.clone())) else {
@@ -110,11 +110,11 @@
         if !r.can_access(&team) {
             return self.answer_error(r.id, 403, "Permission denied");
         }
-        if let Err(text) = self.check_team_limits(ctx, &judged.groups) {
+        if let Err(text) = self.check_team_limits(ctx, &report.groups) {
             return self.answer_error(r.id, 400, &text);
         }
-        let warnings = warnings(&judged.diagnostics);
-        let content = Rc::new(content(&job, &judged.groups));
+        let warnings = warnings(&report.diagnostics);
+        let content = Rc::new(content(&job, &report.groups));
         let key = JobKey::of(&job.namespace, &job.id);
         let change = JobChange::Content { job: Box::new(job), class, team, content, warnings };
         self.begin_change(ctx, r, key, change, false);
@@ -310,12 +310,12 @@
             JobChange::Content { job, class, team, content, .. } => {
                 let body: Value = serde_json::from_slice(&r.request.body).unwrap_or(Value::Null);
                 if body["EnforceIndex"] == true {
-                    let want = body["JobModifyIndex"].as_u64().unwrap_or(0);
-                    if want != r.expected_revision {
+                    let expected = body["JobModifyIndex"].as_u64().unwrap_or(0);
+                    if expected != r.expected_revision {
                         let text = match r.expected_revision {
-                            0 => format!("Enforcing job modify index {want}: job does not exist"),
+                            0 => format!("Enforcing job modify index {expected}: job does not exist"),
                             s => format!(
-                                "Enforcing job modify index {want}: job exists with conflicting job modify index: {s}"
+                                "Enforcing job modify index {expected}: job exists with conflicting job modify index: {s}"
                             ),
                         };
                         return self.fail_change(&r, 409, &text);
@@ -488,14 +488,15 @@
             record.superseded_jobs = k.record.superseded_jobs.clone();
         } else {
             // Native jobs that have ended for good need not be waited for.
-            let gone = |id: &JobId| {
+            let ended_for_good = |id: &JobId| {
                 ctx.replica.jobs.get(id).is_some_and(|j| match j.phase {
                     Phase::Active => false,
                     Phase::Done => true,
                     Phase::Aborted => j.settled,
                 })
             };
-            record.superseded_jobs = k.record.native_jobs().filter(|id| !gone(id)).map(|id| id.0).collect();
+            record.superseded_jobs =
+                k.record.native_jobs().filter(|id| !ended_for_good(id)).map(|id| id.0).collect();
             if record.superseded_jobs.len() > MAX_SUPERSEDED_JOBS {
                 return Err("earlier versions of the job are still ending".into());
             }
@@ -517,20 +518,20 @@
         r.written_chunks.clear();
         if let Some(c) = content {
             let text = serde_json::to_string(&*c).unwrap_or_default();
-            let parts = split_into_chunks(&text, ctx.max_value_bytes.saturating_sub(64));
+            let chunks = split_into_chunks(&text, ctx.max_value_bytes.saturating_sub(64));
             // The transaction that writes the record has one precondition per chunk; 6 of the
             // allowed preconditions are left for others.
-            let most = (ctx.max_txn_writes * 4).saturating_sub(6);
-            if text.len() > MAX_CONTENT_BYTES || parts.len() > most {
+            let max_chunks = (ctx.max_txn_writes * 4).saturating_sub(6);
+            if text.len() > MAX_CONTENT_BYTES || chunks.len() > max_chunks {
                 let text = format!(
-                    "the job takes {} bytes in {} parts, at most {MAX_CONTENT_BYTES} in {most}",
+                    "the job takes {} bytes in {} parts, at most {MAX_CONTENT_BYTES} in {max_chunks}",
                     text.len(),
-                    parts.len()
+                    chunks.len()
                 );
                 return self.fail_change(&r, 400, &text);
             }
             record.nonce = format!("{:016x}", self.rng.u64(..));
-            for (i, p) in parts.into_iter().enumerate() {
+            for (i, p) in chunks.into_iter().enumerate() {
                 r.chunks.push((names::chunk(&target, &record.nonce, i), p));
             }
             self.cache_content(&record.nonce, c);
@@ -603,8 +604,9 @@
         match (r.step, committed_revision(result), result) {
             (Step::Chunks, Some(stamp), _) => {
                 let done = r.written_chunks.len();
-                let open = r.chunks_in_flight;
-                let names: Vec<String> = r.chunks[done..done + open].iter().map(|p| p.0.clone()).collect();
+                let in_flight = r.chunks_in_flight;
+                let names: Vec<String> =
+                    r.chunks[done..done + in_flight].iter().map(|p| p.0.clone()).collect();
                 r.written_chunks.extend(names.into_iter().map(|n| (n, stamp)));
                 self.write_next(ctx, r);
             }
@@ -646,9 +648,9 @@
         }
         // The answer was lost: checks whether the record was written.
         let target = r.record.as_ref().map(JobRecord::key);
-        let there =
+        let committed =
             target.as_ref().and_then(|k| self.jobs.get(k)).filter(|k| Some(&*k.record) == r.record.as_ref());
-        match there.map(|k| k.modify_revision) {
+        match committed.map(|k| k.modify_revision) {
             Some(stamp) => self.complete_change(ctx, &r, stamp),
             // The write may still be applied later, so its outcome is unknown.
             None => self.fail_change(&r, 503, "the state service did not confirm it: ask again"),
@@ -658,7 +660,12 @@
     /// Answers the client of a committed change.
     fn complete_change(&mut self, ctx: &ExtensionContext<'_>, r: &PendingChange, stamp: u64) {
         let Some(record) = &r.record else { return };
-        log::info!("{} {}: version {} recorded at {stamp}", record.namespace, record.id, record.version);
+        log::info!(
+            "job version recorded namespace={} job={} version={} revision={stamp}",
+            record.namespace,
+            record.id,
+            record.version
+        );
         if r.by_leader {
             self.operations_in_flight.remove(&r.key);
             return self.queue_reconcile(&r.key);
--- a/crates/nomad/src/service/tokens.rs
+++ b/crates/nomad/src/service/tokens.rs
@@ -30,7 +30,7 @@
     use super::*;
 
     #[test]
-    fn only_the_token_itself_opens() {
+    fn only_the_exact_token_is_accepted() {
         let tokens = vec![
             NomadToken { team: "a".into(), hash: hash(&[1; 16], "one") },
             NomadToken { team: "b".into(), hash: hash(&[2; 16], "two") },
--- a/crates/nomad/src/service/views.rs
+++ b/crates/nomad/src/service/views.rs
@@ -52,20 +52,20 @@
     if record.is_template() {
         return "running";
     }
-    let mut all_over = true;
+    let mut all_ended = true;
     for g in record.groups.iter().filter(|g| g.count > 0) {
         match native_job(ctx, g.job) {
             Some(j) if j.phase == Phase::Active => {
                 if ctx.running.get(&JobId(g.job)).copied().unwrap_or(0) > 0 || !j.done.is_empty() {
                     return "running";
                 }
-                all_over = false;
+                all_ended = false;
             }
             Some(_) => {}
-            None => all_over = false,
+            None => all_ended = false,
         }
     }
-    if all_over && record.kind == "batch" { "dead" } else { "pending" }
+    if all_ended && record.kind == "batch" { "dead" } else { "pending" }
 }
 
 /// The failure cause of the first failed group.
@@ -161,11 +161,11 @@
     for g in &h.groups {
         queued.insert(g.name.clone(), json!(task_counts(ctx, h, g.job, g.count).queued));
     }
-    let waits = queued.values().any(|v| v.as_u64() > Some(0));
-    let made = h.is_template()
+    let has_queued = queued.values().any(|v| v.as_u64() > Some(0));
+    let all_recorded = h.is_template()
         || h.stop
         || h.groups.iter().all(|g| g.count == 0 || native_job(ctx, g.job).is_some());
-    let status = match (made, waits) {
+    let status = match (all_recorded, has_queued) {
         (false, _) => "pending",
         (true, true) => "blocked",
         (true, false) => "complete",
@@ -204,8 +204,8 @@
 ) {
     let h = &k.record;
     let running = ctx.running.get(&JobId(id)).copied().unwrap_or(0);
-    let open = j.tasks - j.done.below(j.tasks);
-    let most = j.spec.as_ref().and_then(|s| s.attempts);
+    let unfinished = j.tasks - j.done.below(j.tasks);
+    let max_attempts = j.spec.as_ref().and_then(|s| s.attempts);
     for i in 0..j.tasks.min(MAX_LISTED_ALLOCATIONS) {
         let (desired, client) = match j.phase {
             Phase::Done => ("run", "complete"),
@@ -214,7 +214,7 @@
             Phase::Aborted => ("stop", "unknown"),
             Phase::Active if j.done.contains(i) => ("run", "complete"),
             Phase::Active if running == 0 => ("run", "pending"),
-            Phase::Active if running >= open => ("run", "running"),
+            Phase::Active if running >= unfinished => ("run", "running"),
             Phase::Active => ("run", "unknown"),
         };
         let failed = j.failed.get(&i).map_or(0, |f| f.count);
@@ -222,7 +222,7 @@
             "Name": format!("{}.{group}[{i}]", h.id), "TaskGroup": group, "JobType": h.kind,
             "JobVersion": h.version, "DesiredStatus": desired, "ClientStatus": client,
             "ClientDescription": j.cause.as_deref().unwrap_or(""),
-            "FailedAttempts": failed, "MostAttempts": most,
+            "FailedAttempts": failed, "MostAttempts": max_attempts,
             "CreateIndex": j.stamp, "ModifyIndex": j.stamp.max(j.end_stamp)}));
     }
 }
@@ -265,22 +265,22 @@
     for p in groups {
         let old =
             registered.and_then(|k| k.record.groups.iter().find(|g| g.name == p.group && !k.record.stop));
-        let there = old.map_or(0, |g| g.count);
+        let current_count = old.map_or(0, |g| g.count);
         let n = p.spec.tasks;
         desired.insert(
             p.group.clone(),
-            json!({"Place": n.saturating_sub(there), "Stop": there.saturating_sub(n),
-            "InPlaceUpdate": n.min(there), "DestructiveUpdate": 0, "Ignore": 0}),
+            json!({"Place": n.saturating_sub(current_count), "Stop": current_count.saturating_sub(n),
+            "InPlaceUpdate": n.min(current_count), "DestructiveUpdate": 0, "Ignore": 0}),
         );
         // The team's limit covers all its jobs; computed as if the team had only this one.
         if let Some(team) = ctx.teams.iter().find(|t| t.name == p.spec.team) {
             let max = Resources::have(team.cpus_max, team.gpus_max, 0.0);
-            let most = if max.cpu == 0 { n as u64 } else { max.cpu / p.spec.need.cpu.max(1) };
-            if most < n as u64 {
+            let max_running = if max.cpu == 0 { n as u64 } else { max.cpu / p.spec.need.cpu.max(1) };
+            if max_running < n as u64 {
                 failed.insert(
                     p.group.clone(),
-                    json!({"CoalescedFailures": n as u64 - most - 1,
-                    "QuotaExhausted": [format!("cpu of team {}: {most} of {n} at a time", team.name)]}),
+                    json!({"CoalescedFailures": n as u64 - max_running - 1,
+                    "QuotaExhausted": [format!("cpu of team {}: {max_running} of {n} at a time", team.name)]}),
                 );
             }
         }
@@ -303,7 +303,7 @@
     use super::*;
 
     #[test]
-    fn ids_lead_back_to_their_tasks() {
+    fn allocation_ids_decode_to_their_tasks() {
         for (job, index) in [(0, 0), (1_000_000_000_000_000_007, 3), (u64::MAX, u32::MAX)] {
             let id = allocation_id(JobId(job), index).to_string();
             assert_eq!(allocation_of(&id), Some((JobId(job), index)), "{id}");
--- a/crates/nomad/src/table.rs
+++ b/crates/nomad/src/table.rs
@@ -458,7 +458,7 @@
     use super::*;
 
     #[test]
-    fn rows_are_unique_and_have_a_stanza_to_be_in() {
+    fn rows_are_unique_and_belong_to_a_stanza() {
         for (i, r) in ROWS.iter().enumerate() {
             assert!(!ROWS[..i].iter().any(|x| x.path == r.path), "{} stands twice", r.path);
             let up = parent_path(r.path.strip_prefix('*').unwrap_or(r.path));
--- a/crates/nomad/src/translate.rs
+++ b/crates/nomad/src/translate.rs
@@ -124,12 +124,12 @@
     let top = order.iter().position(|r| *r == class.rank).unwrap_or(0);
     // Caps batch jobs at High, even if the settings would allow more.
     let top = top.min(2);
-    let below = match priority {
+    let levels_below = match priority {
         50.. => 0,
         20..50 => 1,
         _ => 2,
     };
-    order[top.saturating_sub(below)]
+    order[top.saturating_sub(levels_below)]
 }
 
 fn plan_group(
@@ -172,14 +172,14 @@
     if !allowed.kinds.is_empty() {
         let fits = |k: &&MachineType| Resources::have(k.cpus, 0.0, k.memory_gb).fits(&need);
         if !allowed.kinds.iter().any(fits) {
-            let most = allowed
+            let max_machine = allowed
                 .kinds
                 .iter()
                 .map(|k| (k.cpus, k.memory_gb))
                 .fold((0.0, 0.0), |a: (f64, f64), b| (a.0.max(b.0), a.1.max(b.1)));
             let text = format!(
                 "{cpus:.3} CPUs and {memory_gb:.3} GB fit no machine that is left: those have up to {} CPUs and {} GB",
-                most.0, most.1
+                max_machine.0, max_machine.1
             );
             diagnostics.refused(task.resources_at, &res_path, text);
         }
@@ -229,11 +229,11 @@
 
 /// Failed attempts of a task after which its job fails; `None` for unlimited.
 fn attempts(job: &Job, g: &Group, class: &NomadClass, diagnostics: &mut Diagnostics) -> Option<u32> {
-    let mut bounded = |n: Option<u32>, most: u32, what: &str, at: usize| {
+    let mut check_limit = |n: Option<u32>, limit: u32, what: &str, at: usize| {
         let text = match n {
-            Some(n) if n <= most => return,
-            Some(n) => format!("{n} attempts, class {} allows {most}", class.name),
-            None => format!("no end of attempts, class {} allows {most}", class.name),
+            Some(n) if n <= limit => return,
+            Some(n) => format!("{n} attempts, class {} allows {limit}", class.name),
+            None => format!("no end of attempts, class {} allows {limit}", class.name),
         };
         diagnostics.refused(at, &format!("{}.{what}.attempts", g.path), text);
     };
@@ -241,18 +241,18 @@
         // A service does not end by itself: its tasks are restarted until it is stopped.
         Kind::Service => {
             if let Some(n) = g.restarts {
-                bounded(Some(n), class.max_restarts, "restart", g.restarts_at);
+                check_limit(Some(n), class.max_restarts, "restart", g.restarts_at);
             }
             if let Some(n) = g.reschedules {
-                bounded(Some(n), class.max_reschedules, "reschedule", g.reschedules_at);
+                check_limit(Some(n), class.max_reschedules, "reschedule", g.reschedules_at);
                 let text = "has no effect on a service: it is started again until it is stopped";
                 diagnostics.warning(g.reschedules_at, &format!("{}.reschedule", g.path), text);
             }
             None
         }
         Kind::Array => {
-            bounded(g.restarts, class.max_restarts, "restart", g.restarts_at);
-            bounded(g.reschedules, class.max_reschedules, "reschedule", g.reschedules_at);
+            check_limit(g.restarts, class.max_restarts, "restart", g.restarts_at);
+            check_limit(g.reschedules, class.max_reschedules, "reschedule", g.reschedules_at);
             Some((g.restarts? + 1).saturating_mul(g.reschedules? + 1))
         }
     }
@@ -291,47 +291,47 @@
         }
     }
     let mut spot = true;
-    let mut good = true;
+    let mut valid = true;
     for c in constraints {
         match property(&c.attribute) {
             None => {
                 diagnostics.refused(c.at, &c.path, unknown_property(&c.attribute));
-                good = false;
+                valid = false;
             }
             Some(Property::Spot) => match compare(c, &["false"]) {
                 Ok(true) => spot = false,
                 Ok(false) => {
                     diagnostics.refused(c.at, &c.path, "tasks can be kept off spot machines, not on them");
-                    good = false;
+                    valid = false;
                 }
                 Err(text) => {
                     diagnostics.refused(c.at, &c.path, text);
-                    good = false;
+                    valid = false;
                 }
             },
             Some(p) => {
                 // Any value reveals errors in the comparison itself.
                 if let Err(text) = compare(c, &["1"]) {
                     diagnostics.refused(c.at, &c.path, text);
-                    good = false;
+                    valid = false;
                     continue;
                 }
                 let holds = |k: &MachineType| {
                     let v = property_value(p, k, settings);
                     compare(c, &[&v]).unwrap_or(false)
                 };
-                let of = |f: &dyn Fn(&MachineType) -> &str| -> BTreeSet<String> {
+                let matching = |f: &dyn Fn(&MachineType) -> &str| -> BTreeSet<String> {
                     site.machines.iter().filter(|k| holds(k)).map(|k| f(k).to_owned()).collect()
                 };
-                let all = match p {
+                let satisfiable = match p {
                     Property::Fixed(v) => compare(c, &[v]).unwrap_or(false),
                     Property::Region => {
                         ["global", &settings.region].iter().any(|r| compare(c, &[r]).unwrap_or(false))
                     }
-                    Property::Zone => retain_if_any(&mut zones, &of(&|k| &k.zone)),
-                    _ => retain_if_any(&mut types, &of(&|k| &k.name)),
+                    Property::Zone => retain_if_any(&mut zones, &matching(&|k| &k.zone)),
+                    _ => retain_if_any(&mut types, &matching(&|k| &k.name)),
                 };
-                if !all && !site.machines.is_empty() {
+                if !satisfiable && !site.machines.is_empty() {
                     let text = format!(
                         "{} {} {} leaves no machine: there are {} in {}, region {}",
                         c.attribute,
@@ -342,12 +342,12 @@
                         settings.region,
                     );
                     diagnostics.refused(c.at, &c.path, text);
-                    good = false;
+                    valid = false;
                 }
             }
         }
     }
-    if !good {
+    if !valid {
         return None;
     }
     let kinds: Vec<&MachineType> = site
@@ -359,11 +359,11 @@
         diagnostics.refused(g.at, &g.path, "no machine type is left in the zones that are left");
         return None;
     }
-    let owned = |s: &BTreeSet<&str>| s.iter().map(|x| (*x).to_owned()).collect::<Vec<_>>();
+    let to_vec = |s: &BTreeSet<&str>| s.iter().map(|x| (*x).to_owned()).collect::<Vec<_>>();
     Some(EligibleMachines {
         kinds,
-        types: (types != all_types).then(|| owned(&types)),
-        zones: (zones != all_zones).then(|| owned(&zones)),
+        types: (types != all_types).then(|| to_vec(&types)),
+        zones: (zones != all_zones).then(|| to_vec(&zones)),
         spot,
     })
 }
--- a/crates/nomad/src/tree.rs
+++ b/crates/nomad/src/tree.rs
@@ -238,14 +238,14 @@
     /// Sets line and column of every diagnostic, and sorts them by position.
     pub fn assign_positions(&mut self, source: &str) {
         self.list.sort_by_key(|f| (f.at, f.severity));
-        let (mut line, mut start, mut seen) = (1, 0, 0);
+        let (mut line, mut start, mut scanned) = (1, 0, 0);
         for f in &mut self.list {
             let at = (0..=f.at.min(source.len())).rev().find(|i| source.is_char_boundary(*i)).unwrap_or(0);
-            for (i, _) in source[seen..at].match_indices('\n') {
+            for (i, _) in source[scanned..at].match_indices('\n') {
                 line += 1;
-                start = seen + i + 1;
+                start = scanned + i + 1;
             }
-            seen = seen.max(at);
+            scanned = scanned.max(at);
             f.line = line;
             f.column = source[start.min(at)..at].chars().count() + 1;
         }
--- a/crates/nomad/tests/record_compatibility.rs
+++ b/crates/nomad/tests/record_compatibility.rs
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn heads_of_production_are_read_and_written_as_they_were() {
+fn production_records_are_read_and_written_unchanged() {
     for (text, record) in records() {
         let value = parse(text);
         assert_eq!(serde_json::from_value::<JobRecord>(value.clone()).unwrap(), record, "{text}");
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn unknown_fields_of_a_head_are_passed_over() {
+fn unknown_fields_of_a_record_are_ignored() {
     let mut later = parse(MOST);
     later["later"] = json!({"a": [1]});
     assert_eq!(serde_json::from_value::<JobRecord>(later.clone()).unwrap(), records()[1].1);
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn keys_and_contents_are_those_of_production() {
+fn keys_and_contents_match_production() {
     let key = JobKey::of("default", "desk");
     assert_eq!(key.0, "3005111cefd86f1d56f0357a340338ef769c8c07");
     // (key name, as production writes it)
--- a/crates/nomad/tests/samples.rs
+++ b/crates/nomad/tests/samples.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn samples_are_accepted_as_they_are_meant() {
+fn valid_samples_translate_to_the_expected_groups() {
     // (file, class, groups: name, count, thousandths of a CPU, priority, attempts)
     type Group = (&'static str, u32, u64, Rank, Option<u32>);
     let cases: [(&str, &str, &[Group]); 16] = [
@@ -83,19 +83,20 @@
     assert_eq!((s.kind, s.need.mem, s.save_s, s.spot), (Kind::Array, 5300, 12.0, true));
     assert!(validated(&sample("03-variables.nomad.hcl"), &Inputs::default()).groups[0].spec.spread);
     let meta = validated(&sample("14-expressions.nomad.hcl"), &Inputs::default()).job.unwrap().meta;
-    let want = [("list", "[\"a\",\"b\"]"), ("net", "10.7.0.5"), ("parts", "B=2"), ("safe", "none")];
-    for (k, v) in want {
+    let expected = [("list", "[\"a\",\"b\"]"), ("net", "10.7.0.5"), ("parts", "B=2"), ("safe", "none")];
+    for (k, v) in expected {
         assert_eq!(meta[k], v, "{k}");
     }
     let report = validated(&sample("05-heredoc.nomad.hcl"), &Inputs::default()).job.unwrap();
     let script = report.groups[0].task.config.json()["args"][1].as_str().unwrap().to_owned();
-    let want = "set -e\necho \"stock of ${NOMAD_ALLOC_ID}\"\nreport --shop howrah\nreport --shop saltlake\n";
-    assert_eq!(script, want);
+    let expected =
+        "set -e\necho \"stock of ${NOMAD_ALLOC_ID}\"\nreport --shop howrah\nreport --shop saltlake\n";
+    assert_eq!(script, expected);
 }
 
 /// Registering the JSON that the interface returns for a job yields the same native jobs.
 #[test]
-fn a_job_as_the_interface_shows_it_means_the_same() {
+fn registering_a_returned_job_yields_the_same_groups() {
     use gorseshore_nomad::service::records::api_job;
     let dir = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("samples");
     let mut seen = 0;
@@ -118,7 +119,7 @@
 }
 
 #[test]
-fn samples_are_refused_with_place_and_reason() {
+fn invalid_samples_are_refused_with_position_and_reason() {
     // (file, exit code, (line, column, path, words of the reason))
     let cases: [(&str, u8, &[(usize, usize, &str, &str)]); 11] = [
         (
@@ -227,25 +228,25 @@
         ),
         ("30-broken.json", 2, &[(1, 36, "", "not JSON")]),
     ];
-    for (file, code, want) in cases {
+    for (file, code, expected) in cases {
         let j = validated(&sample(file), &Inputs::default());
         assert_eq!((j.exit_code(), j.accepted()), (code, false), "{file}: {:?}", j.diagnostics.list);
-        for (line, column, path, words) in want {
+        for (line, column, path, expected_text) in expected {
             let found = j.diagnostics.list.iter().any(|f| {
                 (f.line, f.column, f.path.as_str()) == (*line, *column, *path)
-                    && f.text.contains(words)
+                    && f.text.contains(expected_text)
                     && f.severity != Severity::Warning
             });
-            assert!(found, "{file}: no {line}:{column} {path} {words} in {:#?}", j.diagnostics.list);
+            assert!(found, "{file}: no {line}:{column} {path} {expected_text} in {:#?}", j.diagnostics.list);
         }
         // All errors are reported at once, and no others.
-        let told = j.diagnostics.list.iter().filter(|f| f.severity != Severity::Warning).count();
-        assert_eq!(told, want.len(), "{file}: {:#?}", j.diagnostics.list);
+        let reported = j.diagnostics.list.iter().filter(|f| f.severity != Severity::Warning).count();
+        assert_eq!(reported, expected.len(), "{file}: {:#?}", j.diagnostics.list);
     }
 }
 
 #[test]
-fn variables_come_from_the_command_line_and_files() {
+fn variables_are_set_by_command_line_and_files() {
     let source = sample("03-variables.nomad.hcl");
     let inputs = |vars: &[(&str, &str)], files: &[&str]| Inputs {
         vars: vars.iter().map(|(k, v)| (k.to_string(), v.to_string())).collect(),
@@ -262,15 +263,15 @@
         (&[("cuont", "7")], &[], 0, "no such variable"),
         (&[], &["count = "], 0, "f.hcl:1"),
     ];
-    for (vars, files, count, words) in cases {
+    for (vars, files, count, expected_text) in cases {
         let j = validated(&source, &inputs(vars, files));
-        if words.is_empty() {
+        if expected_text.is_empty() {
             assert_eq!(j.groups.first().map(|g| g.spec.tasks), Some(count), "{:?}", j.diagnostics.list);
         } else {
             assert!(j.exit_code() == 2, "{vars:?} {files:?}");
             assert!(
-                j.diagnostics.list.iter().any(|f| f.text.contains(words)),
-                "{words}: {:?}",
+                j.diagnostics.list.iter().any(|f| f.text.contains(expected_text)),
+                "{expected_text}: {:?}",
                 j.diagnostics.list
             );
         }
@@ -280,15 +281,15 @@
 /// The namespace of a request must apply before the class is selected: a token's team is checked
 /// against the team of that class, under which the tasks run.
 #[test]
-fn a_namespace_from_outside_chooses_the_class() {
+fn namespace_of_a_request_selects_the_class() {
     let text = "nomad { class { name: \"a\" team: \"a\" namespace: \"default\" } class { name: \"b\" team: \"b\" } }";
     let settings = Operator::parse(text).unwrap().nomad.unwrap();
     let source = sample("13-bare.json");
-    for (namespace, want) in [(None, "a"), (Some("default"), "a"), (Some("other"), "b")] {
+    for (namespace, expected) in [(None, "a"), (Some("default"), "a"), (Some("other"), "b")] {
         let inputs = Inputs { namespace: namespace.map(str::to_owned), ..Inputs::default() };
         let j = validate(&source, &inputs, &settings, &Site::default());
-        assert_eq!(j.class.as_deref(), Some(want), "{namespace:?}");
-        assert!(j.groups.iter().all(|p| p.spec.team == want), "{namespace:?}");
+        assert_eq!(j.class.as_deref(), Some(expected), "{namespace:?}");
+        assert!(j.groups.iter().all(|p| p.spec.team == expected), "{namespace:?}");
         assert_eq!(j.job.unwrap().namespace, namespace.unwrap_or("default"));
     }
 }
@@ -430,7 +431,7 @@
 
 /// Every row of the table has the documented effect, in HCL and in JSON.
 #[test]
-fn every_row_of_the_table_holds() {
+fn every_row_of_the_table_has_its_effect() {
     for row in ROWS.iter().filter(|r| r.support != Support::ReadOnly) {
         // Group and task are in every file, and their name is the label.
         if matches!(row.path, "group.name" | "group.task.name" | "id") {
@@ -475,7 +476,7 @@
 }
 
 #[test]
-fn the_page_holds_the_table() {
+fn docs_contain_the_table() {
     let page = include_str!("../../../docs/nomad.md");
     assert!(
         page.contains(&markdown()),
@@ -508,7 +509,7 @@
 }
 
 #[test]
-fn settings_are_checked_field_by_field() {
+fn invalid_settings_are_reported_by_field() {
     let class = "name: \"c\" team: \"t\"";
     // (settings, word in the error)
     let cases = [
@@ -533,7 +534,7 @@
 
 /// Files that try to exhaust memory, time or the stack are refused with a reason.
 #[test]
-fn hostile_files_are_refused_within_bounds() {
+fn hostile_files_are_refused_within_limits() {
     let job = |inner: &str| format!("job \"j\" {{\ntype = \"batch\"\n{inner}\n{GROUP}}}");
     const GROUP: &str = "group \"g\" {\ntask \"t\" {\ndriver = \"exec\"\n}\n}\n";
     let counted = |n: u64| {
@@ -598,12 +599,12 @@
         ),
         ("a long file", format!("# {}", "x".repeat(600 * 1024)), "512 KiB"),
     ];
-    for (what, source, words) in cases {
+    for (what, source, expected_text) in cases {
         let began = std::time::Instant::now();
         let j = validated(&source, &Inputs::default());
         assert!(!j.accepted(), "{what}");
         assert!(
-            j.diagnostics.list.iter().any(|f| f.text.contains(words)),
+            j.diagnostics.list.iter().any(|f| f.text.contains(expected_text)),
             "{what}: {:?}",
             j.diagnostics.list.iter().take(3).collect::<Vec<_>>()
         );
@@ -616,13 +617,13 @@
 
     /// Validation does not panic on any text.
     #[test]
-    fn any_text_is_judged(s in "\\PC{0,200}") {
+    fn any_text_is_validated(s in "\\PC{0,200}") {
         validated(&s, &Inputs::default());
     }
 
     /// Samples with characters removed, inserted and replaced: every diagnostic has a position.
     #[test]
-    fn torn_samples_are_judged(i in 0usize..26, from in 0usize..1500, len in 0usize..40, with in "[\\[\\]{}\"$%=.,a1 \\n-]{0,12}") {
+    fn mutated_samples_are_validated(i in 0usize..26, from in 0usize..1500, len in 0usize..40, with in "[\\[\\]{}\"$%=.,a1 \\n-]{0,12}") {
         let dir = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("samples");
         let mut files: Vec<PathBuf> = std::fs::read_dir(dir).unwrap().map(|f| f.unwrap().path()).collect();
         files.sort();
@@ -639,7 +640,7 @@
 
     /// Expressions of every kind, well formed or not, are evaluated within the limits.
     #[test]
-    fn any_expression_ends(e in "(upper|range|join|format|merge|try|flatten|lookup|slice)\\((\\[1, 2\\]|\"a%d\"|\\{a = 1\\}|-1|null|var\\.x|[a-z0-9, ]{0,8})(, (\"x\"|2|\\[\\])){0,3}\\)") {
+    fn any_expression_terminates(e in "(upper|range|join|format|merge|try|flatten|lookup|slice)\\((\\[1, 2\\]|\"a%d\"|\\{a = 1\\}|-1|null|var\\.x|[a-z0-9, ]{0,8})(, (\"x\"|2|\\[\\])){0,3}\\)") {
         validated(&format!("job \"j\" {{\nmeta = {{ a = {e} }}\n}}"), &Inputs::default());
     }
 }
