--- a/crates/nomad/src/eval.rs
+++ b/crates/nomad/src/eval.rs
@@ -36,10 +36,10 @@
     names: BTreeMap<String, Datum>,
     steps: usize,
     output_size: usize,
-    /// Indentation in spaces that an indented heredoc removes from each line, and whether
-    /// evaluation is inside one of its directives: the parser removes the indentation only outside
-    /// directives.
+    /// Spaces that an indented heredoc removes from the start of each line.
     indent: usize,
+    /// Whether evaluation is inside a directive of a template. The parser removes the indentation
+    /// only outside directives, so here it is removed during evaluation.
     in_directive: bool,
 }
 
--- a/crates/nomad/src/service/api.rs
+++ b/crates/nomad/src/service/api.rs
@@ -50,7 +50,7 @@
     Parse,
     Validate,
     Job(String),
-    JobPart(String, Part),
+    JobResource(String, JobResource),
     Scale(String),
     Plan(String),
     Evaluate(String),
@@ -75,7 +75,7 @@
 
 /// A sub-resource of a job.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) enum Part {
+pub(crate) enum JobResource {
     Versions,
     Allocations,
     Evaluations,
@@ -149,14 +149,14 @@
                 return only(put, Route::Force(of(id)));
             }
             let id = of(middle);
-            let part = |p| Route::JobPart(id.clone(), p);
+            let part = |p| Route::JobResource(id.clone(), p);
             match *last {
-                "versions" => only(get, part(Part::Versions)),
-                "allocations" => only(get, part(Part::Allocations)),
-                "evaluations" => only(get, part(Part::Evaluations)),
-                "summary" => only(get, part(Part::Summary)),
+                "versions" => only(get, part(JobResource::Versions)),
+                "allocations" => only(get, part(JobResource::Allocations)),
+                "evaluations" => only(get, part(JobResource::Evaluations)),
+                "summary" => only(get, part(JobResource::Summary)),
                 "scale" if put => Ok(Route::Scale(id)),
-                "scale" => only(get, part(Part::Scale)),
+                "scale" => only(get, part(JobResource::Scale)),
                 "plan" => only(put, Route::Plan(id)),
                 "evaluate" => only(put, Route::Evaluate(id)),
                 "dispatch" => only(put, Route::Dispatch(id)),
@@ -303,7 +303,7 @@
     /// Answers a request whose read barrier has passed.
     pub(crate) fn serve(&mut self, ctx: &ExtensionContext<'_>, r: Request) {
         let scope = match &r.route {
-            Route::Job(j) | Route::JobPart(j, _) => Scope::Job(JobKey::of(r.namespace(), j)),
+            Route::Job(j) | Route::JobResource(j, _) => Scope::Job(JobKey::of(r.namespace(), j)),
             _ => Scope::All,
         };
         let reads = !matches!(
@@ -347,22 +347,22 @@
                     }
                 }
             },
-            Route::JobPart(j, part) => {
+            Route::JobResource(j, part) => {
                 let Some((key, k)) = find_job(self, j) else {
                     return self.answer_error(r.id, 404, "job not found");
                 };
                 let body = match part {
-                    Part::Versions => {
+                    JobResource::Versions => {
                         let nonce = k.record.nonce.clone();
                         let Some(c) = self.contents.get(&nonce).cloned() else {
                             return self.read_content(&key, nonce, r.clone());
                         };
                         views::versions(ctx, &k, &c)
                     }
-                    Part::Allocations => Value::Array(views::allocations(ctx, &k)),
-                    Part::Evaluations => json!([views::evaluation(ctx, &key, &k)]),
-                    Part::Summary => views::summary(ctx, &k),
-                    Part::Scale => views::scale_status(ctx, &k),
+                    JobResource::Allocations => Value::Array(views::allocations(ctx, &k)),
+                    JobResource::Evaluations => json!([views::evaluation(ctx, &key, &k)]),
+                    JobResource::Summary => views::summary(ctx, &k),
+                    JobResource::Scale => views::scale_status(ctx, &k),
                 };
                 self.answer(r.id, 200, index, &body);
             }
@@ -594,11 +594,15 @@
             ("GET", "/v1/job/a", Ok(Route::Job(job("a")))),
             ("GET", "/v1/job/a%2Fdispatch-1", Ok(Route::Job(job("a/dispatch-1")))),
             ("GET", "/v1/job/a/dispatch-1", Ok(Route::Job(job("a/dispatch-1")))),
-            ("GET", "/v1/job/a/dispatch-1/summary", Ok(Route::JobPart(job("a/dispatch-1"), Part::Summary))),
+            (
+                "GET",
+                "/v1/job/a/dispatch-1/summary",
+                Ok(Route::JobResource(job("a/dispatch-1"), JobResource::Summary)),
+            ),
             ("GET", "/v1/job/summary", Ok(Route::Job(job("summary")))),
             ("DELETE", "/v1/job/a", Ok(Route::Stop(job("a")))),
             ("POST", "/v1/job/a/scale", Ok(Route::Scale(job("a")))),
-            ("GET", "/v1/job/a/scale", Ok(Route::JobPart(job("a"), Part::Scale))),
+            ("GET", "/v1/job/a/scale", Ok(Route::JobResource(job("a"), JobResource::Scale))),
             ("PUT", "/v1/job/a/periodic/force", Ok(Route::Force(job("a")))),
             ("POST", "/v1/job/a/dispatch", Ok(Route::Dispatch(job("a")))),
             ("GET", "/v1/job/a/dispatch", Err(RouteError::Method)),
