--- a/crates/shell/src/lib.rs
+++ b/crates/shell/src/lib.rs
@@ -173,7 +173,7 @@
 }
 
 /// A subsystem beside the scheduler, and the address that it is asked on.
-pub struct GuestDoor {
+pub struct ExtensionEndpoint {
     /// The subsystem.
     pub guest: Box<dyn Extension>,
     /// Its address.
@@ -191,7 +191,7 @@
 }
 
 /// Binds the settings' addresses and runs the service until the process is killed.
-pub fn run(platform: Platform, operator: Operator, guest: Option<GuestDoor>) -> std::io::Result<()> {
+pub fn run(platform: Platform, operator: Operator, guest: Option<ExtensionEndpoint>) -> std::io::Result<()> {
     let sockets = Sockets {
         public: bind(&platform.public_addr)?,
         cluster: bind(&platform.cluster_listen)?,
