--- a/crates/shell/src/http.rs
+++ b/crates/shell/src/http.rs
@@ -194,7 +194,7 @@
 
 /// An answer's head.
 #[derive(Debug, PartialEq)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     /// Status.
     pub status: u16,
     /// Bytes of the head.
@@ -206,7 +206,7 @@
 }
 
 /// Reads an answer's head; `Err` if it is not HTTP.
-pub fn answer_head(buf: &[u8]) -> Result<Option<AnswerHead>, BadRequest> {
+pub fn answer_head(buf: &[u8]) -> Result<Option<ResponseHead>, BadRequest> {
     let mut headers = [httparse::EMPTY_HEADER; 64];
     let mut res = httparse::Response::new(&mut headers);
     let head = match res.parse(buf) {
@@ -232,7 +232,7 @@
         }
     }
     keep &= body != BodyEnd::Close;
-    Ok(Some(AnswerHead { status, head, body, keep }))
+    Ok(Some(ResponseHead { status, head, body, keep }))
 }
 
 /// Takes a chunked body apart; `None` if more is needed, else the body and
