--- a/crates/shell/src/client.rs
+++ b/crates/shell/src/client.rs
@@ -1,6 +1,6 @@
 //! Calls to the state service, the cloud and the workers.
 use super::admission::Bounds;
-use super::http::{self, BodyEnd};
+use super::http::{self, BodyFraming};
 use super::server::within;
 use gorseshore_core::{Call, CallResult, Target};
 use smol::future;
@@ -200,9 +200,9 @@
         if let Some(h) = &head {
             let body = &buf[h.head..];
             let whole = match h.body {
-                BodyEnd::Length(len) if body.len() >= len => Some(body[..len].to_vec()),
-                BodyEnd::Chunked => http::chunked(body)?.map(|(b, _)| b),
-                BodyEnd::Close if n == 0 => Some(body.to_vec()),
+                BodyFraming::Length(len) if body.len() >= len => Some(body[..len].to_vec()),
+                BodyFraming::Chunked => http::chunked(body)?.map(|(b, _)| b),
+                BodyFraming::Close if n == 0 => Some(body.to_vec()),
                 _ => None,
             };
             if let Some(body) = whole {
--- a/crates/shell/src/http.rs
+++ b/crates/shell/src/http.rs
@@ -183,7 +183,7 @@
 
 /// How an answer's body ends.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum BodyEnd {
+pub enum BodyFraming {
     /// After so many bytes.
     Length(usize),
     /// Chunked.
@@ -200,7 +200,7 @@
     /// Bytes of the head.
     pub head: usize,
     /// The body.
-    pub body: BodyEnd,
+    pub body: BodyFraming,
     /// The connection stays open.
     pub keep: bool,
 }
@@ -215,7 +215,7 @@
         _ => return Err(BadRequest::Broken),
     };
     let status = res.code.unwrap_or(0);
-    let mut body = if status == 204 || status < 200 { BodyEnd::Length(0) } else { BodyEnd::Close };
+    let mut body = if status == 204 || status < 200 { BodyFraming::Length(0) } else { BodyFraming::Close };
     let mut keep = res.version == Some(1);
     for h in res.headers.iter() {
         let value = std::str::from_utf8(h.value).unwrap_or("").trim();
@@ -224,14 +224,14 @@
             if n > MAX_ANSWER {
                 return Err(BadRequest::TooLong);
             }
-            body = BodyEnd::Length(n);
+            body = BodyFraming::Length(n);
         } else if h.name.eq_ignore_ascii_case("transfer-encoding") && value.eq_ignore_ascii_case("chunked") {
-            body = BodyEnd::Chunked;
+            body = BodyFraming::Chunked;
         } else if h.name.eq_ignore_ascii_case("connection") && value.eq_ignore_ascii_case("close") {
             keep = false;
         }
     }
-    keep &= body != BodyEnd::Close;
+    keep &= body != BodyFraming::Close;
     Ok(Some(ResponseHead { status, head, body, keep }))
 }
 
@@ -321,7 +321,7 @@
     fn answers() {
         let a = answer(503, b"{}", Some(1), false);
         let h = answer_head(&a).unwrap().unwrap();
-        assert_eq!((h.status, h.body, h.keep, a.len() - h.head), (503, BodyEnd::Length(2), false, 2));
+        assert_eq!((h.status, h.body, h.keep, a.len() - h.head), (503, BodyFraming::Length(2), false, 2));
         let c = b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n";
         assert_eq!(chunked(c).unwrap(), Some((b"abcde".to_vec(), c.len())));
         assert_eq!(chunked(&c[..12]).unwrap(), None);
--- a/crates/standins/src/net.rs
+++ b/crates/standins/src/net.rs
@@ -82,7 +82,7 @@
     let mut part = [0u8; 4096];
     loop {
         if let Ok(Some(h)) = http::answer_head(&buf)
-            && let http::BodyEnd::Length(n) = h.body
+            && let http::BodyFraming::Length(n) = h.body
             && buf.len() >= h.head + n
         {
             let head = String::from_utf8_lossy(&buf[..h.head]).to_ascii_lowercase();
--- a/src/nomad.rs
+++ b/src/nomad.rs
@@ -176,7 +176,7 @@
             match http::answer_head(&buf) {
                 Err(_) => return Err(lost("the answer is not HTTP".into())),
                 Ok(Some(h)) => {
-                    if let http::BodyEnd::Length(n) = h.body
+                    if let http::BodyFraming::Length(n) = h.body
                         && buf.len() >= h.head + n
                     {
                         let body = &buf[h.head..h.head + n];
