--- a/crates/shell/src/http.rs
+++ b/crates/shell/src/http.rs
@@ -56,7 +56,7 @@
 
 /// Reads a request's head; `None` if more is needed. `longest` is the longest
 /// body that is taken.
-pub fn request_head(buf: &[u8], longest: usize) -> Result<Option<RequestHead>, BadRequest> {
+pub fn parse_request_head(buf: &[u8], longest: usize) -> Result<Option<RequestHead>, BadRequest> {
     let mut headers = [httparse::EMPTY_HEADER; 64];
     let mut req = httparse::Request::new(&mut headers);
     let head = match req.parse(buf) {
@@ -283,12 +283,12 @@
             ("POST /x HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", Some(411), None),
         ];
         for (text, status, want) in cases {
-            match request_head(text.as_bytes(), MAX_BODY) {
+            match parse_request_head(text.as_bytes(), MAX_BODY) {
                 Ok(h) => assert_eq!((None, h.map(|h| (h.body, h.keep))), (status, want), "{text:?}"),
                 Err(e) => assert_eq!(Some(e.status()), status, "{text:?}"),
             }
         }
-        assert_eq!(request_head(&vec![b'a'; MAX_HEAD], MAX_BODY), Err(BadRequest::Broken));
+        assert_eq!(parse_request_head(&vec![b'a'; MAX_HEAD], MAX_BODY), Err(BadRequest::Broken));
     }
 
     #[test]
@@ -303,7 +303,7 @@
         ];
         for (line, want) in cases {
             let text = format!("GET / HTTP/1.1\r\n{line}\r\n\r\n");
-            let h = request_head(text.as_bytes(), 0).unwrap().unwrap();
+            let h = parse_request_head(text.as_bytes(), 0).unwrap().unwrap();
             assert_eq!(h.token.as_deref(), want, "{line}");
         }
         let a = answer_with(200, &[("X-A", "b\r\nX-Evil: c".into())], b"", true);
--- a/crates/shell/src/server.rs
+++ b/crates/shell/src/server.rs
@@ -294,7 +294,7 @@
     door: Door,
 ) -> Result<Option<Request>, http::BadRequest> {
     let head = loop {
-        if let Some(h) = http::request_head(buf, door.longest())? {
+        if let Some(h) = http::parse_request_head(buf, door.longest())? {
             break h;
         }
         if !more(stream, buf).await {
