--- a/crates/shell/src/client.rs
+++ b/crates/shell/src/client.rs
@@ -195,7 +195,7 @@
         let n = stream.read(&mut part).await.map_err(broken)?;
         buf.extend_from_slice(&part[..n]);
         if head.is_none() {
-            head = http::answer_head(&buf)?;
+            head = http::parse_response_head(&buf)?;
         }
         if let Some(h) = &head {
             let body = &buf[h.head..];
--- a/crates/shell/src/http.rs
+++ b/crates/shell/src/http.rs
@@ -206,7 +206,7 @@
 }
 
 /// Reads an answer's head; `Err` if it is not HTTP.
-pub fn answer_head(buf: &[u8]) -> Result<Option<ResponseHead>, BadRequest> {
+pub fn parse_response_head(buf: &[u8]) -> Result<Option<ResponseHead>, BadRequest> {
     let mut headers = [httparse::EMPTY_HEADER; 64];
     let mut res = httparse::Response::new(&mut headers);
     let head = match res.parse(buf) {
@@ -320,7 +320,7 @@
     #[test]
     fn answers() {
         let a = answer(503, b"{}", Some(1), false);
-        let h = answer_head(&a).unwrap().unwrap();
+        let h = parse_response_head(&a).unwrap().unwrap();
         assert_eq!((h.status, h.body, h.keep, a.len() - h.head), (503, BodyFraming::Length(2), false, 2));
         let c = b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n";
         assert_eq!(chunked(c).unwrap(), Some((b"abcde".to_vec(), c.len())));
--- a/crates/standins/src/net.rs
+++ b/crates/standins/src/net.rs
@@ -81,7 +81,7 @@
     let mut buf = Vec::new();
     let mut part = [0u8; 4096];
     loop {
-        if let Ok(Some(h)) = http::answer_head(&buf)
+        if let Ok(Some(h)) = http::parse_response_head(&buf)
             && let http::BodyFraming::Length(n) = h.body
             && buf.len() >= h.head + n
         {
--- a/src/nomad.rs
+++ b/src/nomad.rs
@@ -173,7 +173,7 @@
             .map_err(|e| lost(e.to_string()))?;
         let (mut buf, mut part) = (Vec::new(), [0u8; 8192]);
         loop {
-            match http::answer_head(&buf) {
+            match http::parse_response_head(&buf) {
                 Err(_) => return Err(lost("the answer is not HTTP".into())),
                 Ok(Some(h)) => {
                     if let http::BodyFraming::Length(n) = h.body
