--- a/crates/shell/src/http.rs
+++ b/crates/shell/src/http.rs
@@ -4,7 +4,7 @@
 /// Longest request body.
 pub const MAX_BODY: usize = 64 * 1024;
 /// Longest request body on the guest's address: a job file as JSON text.
-pub const MAX_GUEST_BODY: usize = 1 << 20;
+pub const MAX_EXTENSION_BODY_BYTES: usize = 1 << 20;
 /// Longest head of a message.
 pub const MAX_HEAD: usize = 16 * 1024;
 /// Longest body of an answer that this node reads.
--- a/crates/shell/src/server.rs
+++ b/crates/shell/src/server.rs
@@ -50,7 +50,7 @@
     fn longest(self) -> usize {
         match self {
             Door::Users => http::MAX_BODY,
-            Door::Extension => http::MAX_GUEST_BODY,
+            Door::Extension => http::MAX_EXTENSION_BODY_BYTES,
         }
     }
 }
--- a/crates/standins/src/net.rs
+++ b/crates/standins/src/net.rs
@@ -28,7 +28,7 @@
     let mut buf = Vec::new();
     let mut part = [0u8; 4096];
     loop {
-        if let Ok(Some(h)) = http::parse_request_head(&buf, http::MAX_GUEST_BODY)
+        if let Ok(Some(h)) = http::parse_request_head(&buf, http::MAX_EXTENSION_BODY_BYTES)
             && buf.len() >= h.head + h.body
         {
             let body = buf[h.head..h.head + h.body].to_vec();
