--- a/crates/shell/src/lib.rs
+++ b/crates/shell/src/lib.rs
@@ -197,7 +197,7 @@
         cluster: bind(&platform.cluster_listen)?,
         guest: guest.as_ref().map(|g| bind(&g.listen.to_string())).transpose()?,
     };
-    run_on(sockets, platform, operator, guest.map(|g| g.guest))
+    run_with_listeners(sockets, platform, operator, guest.map(|g| g.guest))
 }
 
 /// An earlier process of this controller may still hold its address while it
@@ -219,7 +219,7 @@
 }
 
 /// Runs the service on sockets that are bound already.
-pub fn run_on(
+pub fn run_with_listeners(
     bound: Sockets,
     platform: Platform,
     operator: Operator,
--- a/crates/standins/src/site.rs
+++ b/crates/standins/src/site.rs
@@ -326,7 +326,7 @@
                 let sockets = Sockets { public, cluster, guest: guest_settings.is_some().then_some(guest) };
                 let guest = guest_settings
                     .map(|s| Box::new(Service::new(s, fastrand::u64(..))) as Box<dyn Extension>);
-                if let Err(e) = gorseshore_shell::run_on(sockets, platform, operator, guest) {
+                if let Err(e) = gorseshore_shell::run_with_listeners(sockets, platform, operator, guest) {
                     log::error!("controller {i}: {e}");
                 }
             });
