--- a/crates/shell/src/client.rs
+++ b/crates/shell/src/client.rs
@@ -198,15 +198,15 @@
             head = http::parse_response_head(&buf)?;
         }
         if let Some(h) = &head {
-            let body = &buf[h.head..];
-            let whole = match h.body {
+            let body = &buf[h.head_len..];
+            let whole = match h.framing {
                 BodyFraming::Length(len) if body.len() >= len => Some(body[..len].to_vec()),
                 BodyFraming::Chunked => http::chunked(body)?.map(|(b, _)| b),
-                BodyFraming::Close if n == 0 => Some(body.to_vec()),
+                BodyFraming::UntilClose if n == 0 => Some(body.to_vec()),
                 _ => None,
             };
             if let Some(body) = whole {
-                return Ok((h.status, body, h.keep.then_some(stream)));
+                return Ok((h.status, body, h.keep_alive.then_some(stream)));
             }
         }
         if n == 0 {
--- a/crates/shell/src/http.rs
+++ b/crates/shell/src/http.rs
@@ -18,13 +18,13 @@
     /// Path with query.
     pub path: String,
     /// Bytes of the head.
-    pub head: usize,
+    pub head_len: usize,
     /// Bytes of the body.
-    pub body: usize,
+    pub body_len: usize,
     /// The connection stays open.
-    pub keep: bool,
+    pub keep_alive: bool,
     /// The client waits for `100 Continue`.
-    pub expects: bool,
+    pub expects_continue: bool,
     /// `X-Nomad-Token`, or the token of `Authorization: Bearer`.
     pub token: Option<String>,
 }
@@ -106,10 +106,10 @@
     Ok(Some(RequestHead {
         method: req.method.unwrap_or("").to_owned(),
         path: req.path.unwrap_or("").to_owned(),
-        head,
-        body,
-        keep,
-        expects,
+        head_len: head,
+        body_len: body,
+        keep_alive: keep,
+        expects_continue: expects,
         token,
     }))
 }
@@ -137,7 +137,7 @@
 }
 
 /// Writes an answer.
-pub fn answer(status: u16, body: &[u8], retry_after: Option<u32>, keep: bool) -> Vec<u8> {
+pub fn encode_response(status: u16, body: &[u8], retry_after: Option<u32>, keep: bool) -> Vec<u8> {
     let retry = retry_after.map(|s| ("Retry-After", s.to_string()));
     answer_with(status, retry.as_slice(), body, keep)
 }
@@ -189,7 +189,7 @@
     /// Chunked.
     Chunked,
     /// With the connection.
-    Close,
+    UntilClose,
 }
 
 /// An answer's head.
@@ -198,11 +198,11 @@
     /// Status.
     pub status: u16,
     /// Bytes of the head.
-    pub head: usize,
+    pub head_len: usize,
     /// The body.
-    pub body: BodyFraming,
+    pub framing: BodyFraming,
     /// The connection stays open.
-    pub keep: bool,
+    pub keep_alive: bool,
 }
 
 /// Reads an answer's head; `Err` if it is not HTTP.
@@ -215,7 +215,8 @@
         _ => return Err(BadRequest::Broken),
     };
     let status = res.code.unwrap_or(0);
-    let mut body = if status == 204 || status < 200 { BodyFraming::Length(0) } else { BodyFraming::Close };
+    let mut body =
+        if status == 204 || status < 200 { BodyFraming::Length(0) } else { BodyFraming::UntilClose };
     let mut keep = res.version == Some(1);
     for h in res.headers.iter() {
         let value = std::str::from_utf8(h.value).unwrap_or("").trim();
@@ -231,8 +232,8 @@
             keep = false;
         }
     }
-    keep &= body != BodyFraming::Close;
-    Ok(Some(ResponseHead { status, head, body, keep }))
+    keep &= body != BodyFraming::UntilClose;
+    Ok(Some(ResponseHead { status, head_len: head, framing: body, keep_alive: keep }))
 }
 
 /// Takes a chunked body apart; `None` if more is needed, else the body and
@@ -284,7 +285,9 @@
         ];
         for (text, status, want) in cases {
             match parse_request_head(text.as_bytes(), MAX_BODY) {
-                Ok(h) => assert_eq!((None, h.map(|h| (h.body, h.keep))), (status, want), "{text:?}"),
+                Ok(h) => {
+                    assert_eq!((None, h.map(|h| (h.body_len, h.keep_alive))), (status, want), "{text:?}")
+                }
                 Err(e) => assert_eq!(Some(e.status()), status, "{text:?}"),
             }
         }
@@ -319,9 +322,12 @@
 
     #[test]
     fn answers() {
-        let a = answer(503, b"{}", Some(1), false);
+        let a = encode_response(503, b"{}", Some(1), false);
         let h = parse_response_head(&a).unwrap().unwrap();
-        assert_eq!((h.status, h.body, h.keep, a.len() - h.head), (503, BodyFraming::Length(2), false, 2));
+        assert_eq!(
+            (h.status, h.framing, h.keep_alive, a.len() - h.head_len),
+            (503, BodyFraming::Length(2), false, 2)
+        );
         let c = b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n";
         assert_eq!(chunked(c).unwrap(), Some((b"abcde".to_vec(), c.len())));
         assert_eq!(chunked(&c[..12]).unwrap(), None);
--- a/crates/shell/src/lib.rs
+++ b/crates/shell/src/lib.rs
@@ -175,29 +175,29 @@
 /// A subsystem beside the scheduler, and the address that it is asked on.
 pub struct ExtensionEndpoint {
     /// The subsystem.
-    pub guest: Box<dyn Extension>,
+    pub extension: Box<dyn Extension>,
     /// Its address.
     pub listen: SocketAddr,
 }
 
 /// The sockets that a controller listens on, bound.
-pub struct Sockets {
+pub struct Listeners {
     /// Users and workers.
     pub public: TcpListener,
     /// The other controllers.
     pub cluster: TcpListener,
     /// The guest's interface.
-    pub guest: Option<TcpListener>,
+    pub extension: Option<TcpListener>,
 }
 
 /// Binds the settings' addresses and runs the service until the process is killed.
 pub fn run(platform: Platform, operator: Operator, guest: Option<ExtensionEndpoint>) -> std::io::Result<()> {
-    let sockets = Sockets {
+    let sockets = Listeners {
         public: bind(&platform.public_addr)?,
         cluster: bind(&platform.cluster_listen)?,
-        guest: guest.as_ref().map(|g| bind(&g.listen.to_string())).transpose()?,
+        extension: guest.as_ref().map(|g| bind(&g.listen.to_string())).transpose()?,
     };
-    run_with_listeners(sockets, platform, operator, guest.map(|g| g.guest))
+    run_with_listeners(sockets, platform, operator, guest.map(|g| g.extension))
 }
 
 /// An earlier process of this controller may still hold its address while it
@@ -220,7 +220,7 @@
 
 /// Runs the service on sockets that are bound already.
 pub fn run_with_listeners(
-    bound: Sockets,
+    bound: Listeners,
     platform: Platform,
     operator: Operator,
     guest: Option<Box<dyn Extension>>,
@@ -240,7 +240,7 @@
             node = node.with_extension(guest);
         }
         let sockets = platform.deployment.machine_limits.sockets;
-        let bounds = Bounds::new(sockets, nodes.names.len() - 1, bound.guest.is_some());
+        let bounds = Bounds::new(sockets, nodes.names.len() - 1, bound.extension.is_some());
         let mut receivers = Vec::new();
         let peers = nodes
             .names
@@ -282,7 +282,7 @@
                 entry.clone(),
             ))
             .detach();
-        if let Some(listener) = bound.guest {
+        if let Some(listener) = bound.extension {
             info!("the guest's interface listens on {}", listener.local_addr()?);
             let door = door(listener)?;
             let guests = Rc::new(RefCell::new(server::Entry::new(bounds.of_guest())));
--- a/crates/shell/src/server.rs
+++ b/crates/shell/src/server.rs
@@ -180,12 +180,12 @@
             Some(Ok(Some(r))) => r,
             Some(Ok(None)) => return,
             None => {
-                let a = http::answer(408, &users::error("the request took too long"), None, false);
+                let a = http::encode_response(408, &users::error("the request took too long"), None, false);
                 let _ = within(SLOW, stream.write_all(&a)).await;
                 return;
             }
             Some(Err(e)) => {
-                let a = http::answer(e.status(), &users::error(&e.to_string()), None, false);
+                let a = http::encode_response(e.status(), &users::error(&e.to_string()), None, false);
                 let _ = within(SLOW, stream.write_all(&a)).await;
                 // What is still on its way is read, so that the answer is not
                 // lost to a reset.
@@ -212,11 +212,11 @@
         };
         if manner == Manner::Refuse {
             let error = users::error("too many connections");
-            let a = http::answer(503, &error, Some(COME_BACK), false);
+            let a = http::encode_response(503, &error, Some(COME_BACK), false);
             let _ = within(SLOW, stream.write_all(&a)).await;
             return;
         }
-        let keep = head.keep && manner == Manner::Keep;
+        let keep = head.keep_alive && manner == Manner::Keep;
         let (id, reply) = shell.request(door, head, body);
         // A requester that goes away meanwhile is noticed.
         let mut probe = [0u8; 1];
@@ -301,16 +301,16 @@
             return Ok(None);
         }
     };
-    if head.expects && buf.len() < head.head + head.body {
+    if head.expects_continue && buf.len() < head.head_len + head.body_len {
         let _ = stream.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await;
     }
-    while buf.len() < head.head + head.body {
+    while buf.len() < head.head_len + head.body_len {
         if !more(stream, buf).await {
             return Ok(None);
         }
     }
-    let body = buf[head.head..head.head + head.body].to_vec();
-    buf.drain(..head.head + head.body);
+    let body = buf[head.head_len..head.head_len + head.body_len].to_vec();
+    buf.drain(..head.head_len + head.body_len);
     if buf.is_empty() {
         buf.shrink_to(4096);
     }
--- a/crates/standins/src/net.rs
+++ b/crates/standins/src/net.rs
@@ -29,12 +29,12 @@
     let mut part = [0u8; 4096];
     loop {
         if let Ok(Some(h)) = http::parse_request_head(&buf, http::MAX_EXTENSION_BODY_BYTES)
-            && buf.len() >= h.head + h.body
+            && buf.len() >= h.head_len + h.body_len
         {
-            let body = buf[h.head..h.head + h.body].to_vec();
-            buf.drain(..h.head + h.body);
+            let body = buf[h.head_len..h.head_len + h.body_len].to_vec();
+            buf.drain(..h.head_len + h.body_len);
             let (status, answer) = handler(&h.method, &h.path, &body);
-            if s.write_all(&http::answer(status, &answer, None, true)).is_err() {
+            if s.write_all(&http::encode_response(status, &answer, None, true)).is_err() {
                 return;
             }
             continue;
@@ -82,13 +82,13 @@
     let mut part = [0u8; 4096];
     loop {
         if let Ok(Some(h)) = http::parse_response_head(&buf)
-            && let http::BodyFraming::Length(n) = h.body
-            && buf.len() >= h.head + n
+            && let http::BodyFraming::Length(n) = h.framing
+            && buf.len() >= h.head_len + n
         {
-            let head = String::from_utf8_lossy(&buf[..h.head]).to_ascii_lowercase();
+            let head = String::from_utf8_lossy(&buf[..h.head_len]).to_ascii_lowercase();
             let index = head.lines().find_map(|l| l.strip_prefix("x-nomad-index:")?.trim().parse().ok());
-            let body = buf[h.head..h.head + n].to_vec();
-            return Some((Told { status: h.status, index: index.unwrap_or(0), body }, h.keep));
+            let body = buf[h.head_len..h.head_len + n].to_vec();
+            return Some((Told { status: h.status, index: index.unwrap_or(0), body }, h.keep_alive));
         }
         match s.read(&mut part) {
             Ok(n) if n > 0 => buf.extend_from_slice(&part[..n]),
--- a/crates/standins/src/site.rs
+++ b/crates/standins/src/site.rs
@@ -15,7 +15,7 @@
 use gorseshore_protocol::job::Kind;
 use gorseshore_protocol::workers::{CheckinAnswer, Direct};
 use gorseshore_settings::{Operator, Platform};
-use gorseshore_shell::Sockets;
+use gorseshore_shell::Listeners;
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
@@ -323,7 +323,8 @@
                 s.clone()
             });
             std::thread::spawn(move || {
-                let sockets = Sockets { public, cluster, guest: guest_settings.is_some().then_some(guest) };
+                let sockets =
+                    Listeners { public, cluster, extension: guest_settings.is_some().then_some(guest) };
                 let guest = guest_settings
                     .map(|s| Box::new(Service::new(s, fastrand::u64(..))) as Box<dyn Extension>);
                 if let Err(e) = gorseshore_shell::run_with_listeners(sockets, platform, operator, guest) {
--- a/src/main.rs
+++ b/src/main.rs
@@ -74,7 +74,7 @@
     let guest = operator.nomad.clone().and_then(|n| {
         let listen = n.listen?;
         let guest = Box::new(gorseshore_nomad::service::Service::new(n, fastrand::u64(..)));
-        Some(gorseshore_shell::ExtensionEndpoint { guest, listen })
+        Some(gorseshore_shell::ExtensionEndpoint { extension: guest, listen })
     });
     match gorseshore_shell::run(platform, operator, guest) {
         Ok(()) => ExitCode::SUCCESS,
--- a/src/nomad.rs
+++ b/src/nomad.rs
@@ -176,10 +176,10 @@
             match http::parse_response_head(&buf) {
                 Err(_) => return Err(lost("the answer is not HTTP".into())),
                 Ok(Some(h)) => {
-                    if let http::BodyFraming::Length(n) = h.body
-                        && buf.len() >= h.head + n
+                    if let http::BodyFraming::Length(n) = h.framing
+                        && buf.len() >= h.head_len + n
                     {
-                        let body = &buf[h.head..h.head + n];
+                        let body = &buf[h.head_len..h.head_len + n];
                         return match h.status {
                             200 => serde_json::from_slice(body).map_err(|e| lost(format!("not JSON: {e}"))),
                             s => Err(Failure(1, format!("{s}: {}", String::from_utf8_lossy(body)))),
