--- a/crates/shell/src/admission.rs
+++ b/crates/shell/src/admission.rs
@@ -1,121 +1,129 @@
-//! Who may keep a connection when they run short: a state machine, without
-//! sockets.
+//! Connection admission: decides which inbound connections stay open when the
+//! process runs out of sockets. A state machine that does no I/O.
 //!
-//! Of a process's sockets, some are set aside for its own calls and for the
-//! other controllers ([`Bounds::new`]); the rest are for whoever connects. Nobody
-//! is known before the first request, so that everybody gets in and is asked:
-//! a few more than may stay (the lobby) can be open. Then workers come first,
-//! whose tasks die without an answer in time; then the load balancer's probe,
-//! submissions, and polls. What can't be kept is answered at once and closed, and
-//! whoever has been idle for longest makes room, users before workers.
+//! A process reserves some of its sockets for its own calls and for the other
+//! controllers ([`ConnectionLimits::new`]); the rest serve inbound connections.
+//! A client's class is unknown until its first request, so connections are accepted
+//! before they are classified: for that time, up to `headroom` connections beyond
+//! `max_persistent` may be open. Workers have the highest priority, because their tasks are terminated
+//! without a timely response; then the load balancer's health check, submissions and
+//! cancellations, and polls. A connection over the limit gets a response at once and
+//! is closed. The connection that has been idle for longest is evicted, those of
+//! users before those of workers.
 //!
-//! Invariant: no more than `most` + `lobby` connections are open, and none in
-//! the middle of a request is closed for another.
+//! Invariant: at most `max_persistent` + `headroom` connections are open, and no
+//! connection is evicted while a request is in progress.
 use gorseshore_protocol::ids::Micros;
 use std::collections::{BTreeSet, HashMap};
 
-/// A connection.
+/// Identifies an inbound connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ConnId(pub u64);
 
-/// How a process's sockets are divided.
+/// How many of a process's sockets each use may take.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Bounds {
-    /// Connections from outside that may stay open.
-    pub most: usize,
-    /// How many more may be open until they have said who they are.
-    pub lobby: usize,
-    /// Calls to workers under way at a time.
-    pub calls: usize,
-    /// Connections to workers that are kept for the next call.
-    pub kept: usize,
-    /// Connections of the guest's clients.
-    pub guest: usize,
+pub struct ConnectionLimits {
+    /// Inbound connections that may stay open.
+    pub max_persistent: usize,
+    /// Further inbound connections that may be open until their first request shows
+    /// the client's class.
+    pub headroom: usize,
+    /// Concurrent calls to workers.
+    pub max_worker_calls: usize,
+    /// Idle connections to workers that may always be kept for the next call.
+    pub reserved_idle_to_workers: usize,
+    /// Connections of the extension's clients.
+    pub extension: usize,
 }
 
-impl Bounds {
-    /// Divides `sockets` of a process that has `others` controllers beside it:
-    /// listeners, calls to state service and cloud, and three connections with
-    /// each other controller (one either way, one that is being replaced) come
-    /// off first.
-    pub fn new(sockets: usize, others: usize, guest: bool) -> Self {
-        let own = 48 + 3 * others;
-        let left = sockets.saturating_sub(own).max(16);
-        let lobby = left / 16;
-        let calls = (left / 8).max(4);
-        let kept = left / 32;
-        let guest = if guest { left / 5 } else { 0 };
-        Bounds { most: left - lobby - calls - kept - guest, lobby, calls, kept, guest }
+impl ConnectionLimits {
+    /// Divides the `sockets` of a process among their uses. Listeners, calls to the
+    /// state service and the cloud, and three connections with each of
+    /// `other_controllers` (one in each direction, one being replaced) are reserved first.
+    pub fn new(sockets: usize, other_controllers: usize, extension: bool) -> Self {
+        let reserved = 48 + 3 * other_controllers;
+        let available = sockets.saturating_sub(reserved).max(16);
+        let headroom = available / 16;
+        let max_worker_calls = (available / 8).max(4);
+        let reserved_idle_to_workers = available / 32;
+        let extension = if extension { available / 5 } else { 0 };
+        ConnectionLimits {
+            max_persistent: available - headroom - max_worker_calls - reserved_idle_to_workers - extension,
+            headroom,
+            max_worker_calls,
+            reserved_idle_to_workers,
+            extension,
+        }
     }
 
-    /// The same for the guest's own address.
-    pub fn of_guest(self) -> Self {
-        let lobby = self.guest / 16;
-        Bounds { most: self.guest - lobby, lobby, ..self }
+    /// The limits of the extension's listener.
+    pub fn for_extension(self) -> Self {
+        let headroom = self.extension / 16;
+        ConnectionLimits { max_persistent: self.extension - headroom, headroom, ..self }
     }
 }
 
-/// Who is at the other end, by what they last asked for.
+/// Class of a client, determined by its last request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Who {
-    /// Has not said anything yet.
+pub enum ClientClass {
+    /// Has sent no request yet.
     Unknown,
-    /// Asks about a job.
+    /// Queries a job's status.
     Poll,
     /// Submits or cancels a job.
-    Change,
-    /// The load balancer.
-    Probe,
-    /// A worker's report.
+    JobChange,
+    /// The load balancer's health check.
+    HealthCheck,
+    /// A worker's heartbeat.
     Worker,
 }
 
-impl Who {
-    /// By a request's method and path.
-    pub fn of(method: &str, path: &str) -> Who {
+impl ClientClass {
+    /// Classifies a client by its request's method and path.
+    pub fn from_request(method: &str, path: &str) -> ClientClass {
         match (method, path.split('?').next().unwrap_or("")) {
-            ("POST", "/checkin") => Who::Worker,
-            ("GET", "/ready") => Who::Probe,
-            ("POST", _) => Who::Change,
-            _ => Who::Poll,
+            ("POST", "/checkin") => ClientClass::Worker,
+            ("GET", "/ready") => ClientClass::HealthCheck,
+            ("POST", _) => ClientClass::JobChange,
+            _ => ClientClass::Poll,
         }
     }
 }
 
-/// What becomes of a request and its connection.
+/// What to do with a request and its connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Manner {
-    /// Served, and the connection stays.
-    Keep,
-    /// Served, then closed.
-    Close,
-    /// Told to come back, then closed.
-    Refuse,
+pub enum AdmissionDecision {
+    /// Serve the request and keep the connection open.
+    KeepAlive,
+    /// Serve the request, then close the connection.
+    CloseAfterResponse,
+    /// Respond that the client may retry later, then close the connection.
+    Reject,
 }
 
-/// A newcomer that says nothing for so long may be let go for another.
-const SAYS_NOTHING: Micros = Micros::secs(1);
+/// A new connection without a request may be evicted for another one after this time.
+const FIRST_REQUEST_TIMEOUT: Micros = Micros::secs(1);
 
-/// Connections by who is at the other end, and what became of those there was no
-/// room for since the counts were last taken.
+/// Open connections by client class, and the rejected, closed and evicted ones since the
+/// counts were last taken.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct ConnectionCounts {
     /// Workers.
     pub workers: usize,
     /// Users and the load balancer.
     pub users: usize,
-    /// Those that have not asked for anything yet.
+    /// Connections without a request so far.
     pub unidentified: usize,
-    /// Questions, submissions and cancellations refused for want of a connection.
-    pub requests_refused: u64,
-    /// Connections closed unasked.
-    pub closed_unasked: u64,
-    /// Idle connections closed for others: users' and workers'.
+    /// Polls, submissions and cancellations rejected at the connection limit.
+    pub requests_rejected: u64,
+    /// Connections closed before their first request.
+    pub closed_before_request: u64,
+    /// Idle connections of users evicted for others.
     pub users_evicted: u64,
-    /// Idle workers' connections closed for others.
+    /// Idle connections of workers evicted for others.
     pub workers_evicted: u64,
-    /// Workers' reports that were answered on a connection that could not stay.
-    pub workers_not_kept: u64,
+    /// Heartbeats answered on a connection that was then closed at the limit.
+    pub workers_closed_at_limit: u64,
 }
 
 impl std::fmt::Display for ConnectionCounts {
@@ -127,181 +135,197 @@
             self.workers,
             self.users,
             self.unidentified,
-            self.requests_refused,
-            self.closed_unasked,
+            self.requests_rejected,
+            self.closed_before_request,
             self.users_evicted,
             self.workers_evicted,
-            self.workers_not_kept
+            self.workers_closed_at_limit
         )
     }
 }
 
 #[derive(Debug)]
-struct Conn {
-    who: Who,
-    /// Since when it waits for a request; `None` while one is served.
-    idle: Option<Micros>,
+struct Connection {
+    class: ClientClass,
+    /// Start of its wait for a request; `None` while a request is served.
+    idle_since: Option<Micros>,
 }
 
-/// The connections that are open, and who is let go for whom.
+/// The open connections and the choice of those to evict.
 #[derive(Debug)]
 pub struct Admission {
-    bounds: Bounds,
-    next: u64,
-    open: HashMap<ConnId, Conn>,
-    /// Those that wait for a request: users' and newcomers', and workers', by
-    /// when they began to.
-    users: BTreeSet<(Micros, ConnId)>,
-    workers: BTreeSet<(Micros, ConnId)>,
-    /// Let go, and not closed yet.
-    leaving: BTreeSet<ConnId>,
-    turned_away: u64,
+    limits: ConnectionLimits,
+    last_id: u64,
+    connections: HashMap<ConnId, Connection>,
+    /// Idle connections of users and of unidentified clients, by the start of their wait.
+    idle_users: BTreeSet<(Micros, ConnId)>,
+    /// Idle connections of workers, by the start of their wait.
+    idle_workers: BTreeSet<(Micros, ConnId)>,
+    /// Evicted connections that are not closed yet.
+    closing: BTreeSet<ConnId>,
+    /// Connections evicted or closed unidentified, and requests rejected, since the start.
+    closed_or_rejected: u64,
     counts: ConnectionCounts,
 }
 
 impl Admission {
-    /// Nobody is connected.
-    pub fn new(bounds: Bounds) -> Self {
+    /// Starts without connections.
+    pub fn new(limits: ConnectionLimits) -> Self {
         Admission {
-            bounds,
-            next: 0,
-            open: HashMap::new(),
-            users: BTreeSet::new(),
-            workers: BTreeSet::new(),
-            leaving: BTreeSet::new(),
-            turned_away: 0,
+            limits,
+            last_id: 0,
+            connections: HashMap::new(),
+            idle_users: BTreeSet::new(),
+            idle_workers: BTreeSet::new(),
+            closing: BTreeSet::new(),
+            closed_or_rejected: 0,
             counts: ConnectionCounts::default(),
         }
     }
 
-    /// Connections open, and how many may stay.
-    pub fn load(&self) -> (usize, usize) {
-        (self.open.len(), self.bounds.most)
+    /// Number of open connections, and how many may stay open.
+    pub fn open_and_limit(&self) -> (usize, usize) {
+        (self.connections.len(), self.limits.max_persistent)
     }
 
-    /// Requests refused and connections let go so far.
-    pub fn turned_away(&self) -> u64 {
-        self.turned_away
+    /// Connections evicted or closed before a request, and requests rejected, since the start.
+    pub fn closed_or_rejected(&self) -> u64 {
+        self.closed_or_rejected
     }
 
-    /// Connections by class, and what became of others since this was last asked.
+    /// Open connections by class, and the counters since the last call, which are reset.
     pub fn take_counts(&mut self) -> ConnectionCounts {
         let mut counts = std::mem::take(&mut self.counts);
-        for connection in self.open.values() {
-            match connection.who {
-                Who::Worker => counts.workers += 1,
-                Who::Unknown => counts.unidentified += 1,
-                Who::Poll | Who::Change | Who::Probe => counts.users += 1,
+        for connection in self.connections.values() {
+            match connection.class {
+                ClientClass::Worker => counts.workers += 1,
+                ClientClass::Unknown => counts.unidentified += 1,
+                ClientClass::Poll | ClientClass::JobChange | ClientClass::HealthCheck => counts.users += 1,
             }
         }
         counts
     }
 
-    /// How many are open beyond those that may stay, without those on their
-    /// way out.
-    fn over(&self) -> usize {
-        (self.open.len() - self.leaving.len()).saturating_sub(self.bounds.most)
+    /// Number of open connections over `max_persistent`, without those being closed.
+    fn excess(&self) -> usize {
+        (self.connections.len() - self.closing.len()).saturating_sub(self.limits.max_persistent)
     }
 
-    /// Somebody connected. The connection's name, unless there is no room even
-    /// to ask who it is; and who is let go.
-    pub fn opened(&mut self, now: Micros) -> (Option<ConnId>, Option<ConnId>) {
-        let gone = self.let_go(1, Who::Unknown, now);
-        if self.open.len() >= self.bounds.most + self.bounds.lobby {
-            return (None, gone);
+    /// A client connected. Returns the connection's id, or `None` if the headroom for
+    /// unidentified connections is used up too; and the connection to evict.
+    pub fn on_connect(&mut self, now: Micros) -> (Option<ConnId>, Option<ConnId>) {
+        let evicted = self.evict_idle(1, ClientClass::Unknown, now);
+        if self.connections.len() >= self.limits.max_persistent + self.limits.headroom {
+            return (None, evicted);
         }
-        self.next += 1;
-        let id = ConnId(self.next);
-        self.open.insert(id, Conn { who: Who::Unknown, idle: Some(now) });
-        self.users.insert((now, id));
-        (Some(id), gone)
+        self.last_id += 1;
+        let id = ConnId(self.last_id);
+        self.connections.insert(id, Connection { class: ClientClass::Unknown, idle_since: Some(now) });
+        self.idle_users.insert((now, id));
+        (Some(id), evicted)
     }
 
-    /// Nobody made room for a newcomer in time: it is closed unasked.
-    pub fn turn_away(&mut self) {
-        self.counts.closed_unasked += 1;
-        self.turned_away += 1;
+    /// Counts a new connection that is closed before its first request, because no
+    /// other one closed in time.
+    pub fn record_closed_before_request(&mut self) {
+        self.counts.closed_before_request += 1;
+        self.closed_or_rejected += 1;
     }
 
-    /// A request came. What becomes of it, and who is let go for it.
-    pub fn asks(&mut self, id: ConnId, who: Who, now: Micros) -> (Manner, Option<ConnId>) {
-        self.busy(id);
-        let Some(c) = self.open.get_mut(&id) else { return (Manner::Close, None) };
-        c.who = who;
-        if self.leaving.contains(&id) {
-            // Let go in the moment in which it asked: it is answered first.
-            return (Manner::Close, None);
+    /// A request arrived. Returns what to do with it, and the connection to evict for it.
+    pub fn on_request(
+        &mut self,
+        id: ConnId,
+        class: ClientClass,
+        now: Micros,
+    ) -> (AdmissionDecision, Option<ConnId>) {
+        self.mark_busy(id);
+        let Some(connection) = self.connections.get_mut(&id) else {
+            return (AdmissionDecision::CloseAfterResponse, None);
+        };
+        connection.class = class;
+        if self.closing.contains(&id) {
+            // Evicted at the moment of its request: it gets its response first.
+            return (AdmissionDecision::CloseAfterResponse, None);
         }
-        let over = self.over();
-        if over == 0 {
-            return (Manner::Keep, None);
+        let excess = self.excess();
+        if excess == 0 {
+            return (AdmissionDecision::KeepAlive, None);
         }
-        let lobby = self.bounds.lobby;
-        match who {
-            Who::Worker => match self.let_go(0, who, now) {
-                Some(gone) => (Manner::Keep, Some(gone)),
+        let headroom = self.limits.headroom;
+        match class {
+            ClientClass::Worker => match self.evict_idle(0, class, now) {
+                Some(evicted) => (AdmissionDecision::KeepAlive, Some(evicted)),
                 None => {
-                    self.counts.workers_not_kept += 1;
-                    (Manner::Close, None)
+                    self.counts.workers_closed_at_limit += 1;
+                    (AdmissionDecision::CloseAfterResponse, None)
                 }
             },
-            Who::Poll | Who::Unknown if over * 2 > lobby => self.refuse(),
-            Who::Change if over * 4 > lobby * 3 => self.refuse(),
-            _ => (Manner::Close, None),
+            ClientClass::Poll | ClientClass::Unknown if excess * 2 > headroom => self.reject(),
+            ClientClass::JobChange if excess * 4 > headroom * 3 => self.reject(),
+            _ => (AdmissionDecision::CloseAfterResponse, None),
         }
     }
 
-    fn refuse(&mut self) -> (Manner, Option<ConnId>) {
-        self.counts.requests_refused += 1;
-        self.turned_away += 1;
-        (Manner::Refuse, None)
+    fn reject(&mut self) -> (AdmissionDecision, Option<ConnId>) {
+        self.counts.requests_rejected += 1;
+        self.closed_or_rejected += 1;
+        (AdmissionDecision::Reject, None)
     }
 
-    fn busy(&mut self, id: ConnId) {
-        let Some(c) = self.open.get_mut(&id) else { return };
-        if let Some(since) = c.idle.take() {
-            self.users.remove(&(since, id));
-            self.workers.remove(&(since, id));
+    fn mark_busy(&mut self, id: ConnId) {
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        if let Some(since) = connection.idle_since.take() {
+            self.idle_users.remove(&(since, id));
+            self.idle_workers.remove(&(since, id));
         }
     }
 
-    /// It was answered and waits for its next request.
-    pub fn idle(&mut self, id: ConnId, now: Micros) {
-        self.busy(id);
-        let Some(c) = self.open.get_mut(&id) else { return };
-        c.idle = Some(now);
-        let list = if c.who == Who::Worker { &mut self.workers } else { &mut self.users };
+    /// The connection got its response and waits for the next request.
+    pub fn on_response(&mut self, id: ConnId, now: Micros) {
+        self.mark_busy(id);
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        connection.idle_since = Some(now);
+        let list = if connection.class == ClientClass::Worker {
+            &mut self.idle_workers
+        } else {
+            &mut self.idle_users
+        };
         list.insert((now, id));
     }
 
-    /// It is closed.
-    pub fn closed(&mut self, id: ConnId) {
-        self.busy(id);
-        self.open.remove(&id);
-        self.leaving.remove(&id);
+    /// The connection is closed.
+    pub fn on_close(&mut self, id: ConnId) {
+        self.mark_busy(id);
+        self.connections.remove(&id);
+        self.closing.remove(&id);
     }
 
-    /// Who has been idle for longest makes room, if `more` are to come and there
-    /// is none: users and silent newcomers, then, for a worker, another worker,
-    /// which connects anew for its next report.
-    fn let_go(&mut self, more: usize, who: Who, now: Micros) -> Option<ConnId> {
-        if self.open.len() - self.leaving.len() + more <= self.bounds.most {
+    /// Evicts the connection that has been idle for longest if `additional` connections
+    /// don't fit under the limit: of a user, or of a client that sent no request within
+    /// [`FIRST_REQUEST_TIMEOUT`]; for a worker also of another worker, which reconnects
+    /// for its next heartbeat.
+    fn evict_idle(&mut self, additional: usize, class: ClientClass, now: Micros) -> Option<ConnId> {
+        if self.connections.len() - self.closing.len() + additional <= self.limits.max_persistent {
             return None;
         }
-        let fresh = |(since, id): &&(Micros, ConnId)| {
-            self.open[id].who == Who::Unknown && now.since(*since) < SAYS_NOTHING
+        let is_new = |(since, id): &&(Micros, ConnId)| {
+            self.connections[id].class == ClientClass::Unknown && now.since(*since) < FIRST_REQUEST_TIMEOUT
         };
-        let user = self.users.iter().find(|x| !fresh(x)).copied();
-        let any = user.or_else(|| self.workers.first().copied().filter(|_| who == Who::Worker));
+        let user = self.idle_users.iter().find(|x| !is_new(x)).copied();
+        let any =
+            user.or_else(|| self.idle_workers.first().copied().filter(|_| class == ClientClass::Worker));
         let (_, id) = any?;
-        self.busy(id);
-        match self.open[&id].who {
-            Who::Worker => self.counts.workers_evicted += 1,
-            Who::Unknown => self.counts.closed_unasked += 1,
-            Who::Poll | Who::Change | Who::Probe => self.counts.users_evicted += 1,
+        self.mark_busy(id);
+        match self.connections[&id].class {
+            ClientClass::Worker => self.counts.workers_evicted += 1,
+            ClientClass::Unknown => self.counts.closed_before_request += 1,
+            ClientClass::Poll | ClientClass::JobChange | ClientClass::HealthCheck => {
+                self.counts.users_evicted += 1
+            }
         }
-        self.leaving.insert(id);
-        self.turned_away += 1;
+        self.closing.insert(id);
+        self.closed_or_rejected += 1;
         Some(id)
     }
 }
@@ -310,93 +334,107 @@
 mod tests {
     use super::*;
 
-    const B: Bounds = Bounds { most: 4, lobby: 4, calls: 1, kept: 1, guest: 0 };
+    const LIMITS: ConnectionLimits = ConnectionLimits {
+        max_persistent: 4,
+        headroom: 4,
+        max_worker_calls: 1,
+        reserved_idle_to_workers: 1,
+        extension: 0,
+    };
 
     fn ms(t: u64) -> Micros {
         Micros::millis(t)
     }
 
-    /// Opens a connection that asks and is answered.
-    fn come(a: &mut Admission, who: Who, t: u64) -> Option<ConnId> {
-        let (id, gone) = a.opened(ms(t));
-        gone.into_iter().for_each(|g| a.closed(g));
+    /// Opens a connection, sends a request and answers it. Returns the connection if it stays.
+    fn serve_request(a: &mut Admission, class: ClientClass, t: u64) -> Option<ConnId> {
+        let (id, evicted) = a.on_connect(ms(t));
+        evicted.into_iter().for_each(|id| a.on_close(id));
         let id = id?;
-        let (manner, gone) = a.asks(id, who, ms(t));
-        gone.into_iter().for_each(|g| a.closed(g));
-        match manner {
-            Manner::Keep => a.idle(id, ms(t)),
-            _ => a.closed(id),
+        let (decision, evicted) = a.on_request(id, class, ms(t));
+        evicted.into_iter().for_each(|id| a.on_close(id));
+        match decision {
+            AdmissionDecision::KeepAlive => a.on_response(id, ms(t)),
+            _ => a.on_close(id),
         }
-        (manner == Manner::Keep).then_some(id)
+        (decision == AdmissionDecision::KeepAlive).then_some(id)
     }
 
     #[test]
-    fn workers_come_before_users_and_the_idlest_goes_first() {
-        let mut a = Admission::new(B);
-        let users: Vec<_> = (0..4).map(|i| come(&mut a, Who::Poll, i).unwrap()).collect();
-        // A fifth takes the place of the one that was idle for longest.
-        let fifth = come(&mut a, Who::Change, 10).unwrap();
-        assert!(!a.open.contains_key(&users[0]) && a.open.len() == 4);
-        let workers: Vec<_> = (0..4).map(|i| come(&mut a, Who::Worker, 20 + i).unwrap()).collect();
-        assert!(!a.open.contains_key(&fifth) && a.open.len() == 4);
-        // Now there are only workers: a user is served and closed, a worker
-        // takes the place of the one that reported longest ago.
-        assert_eq!(come(&mut a, Who::Change, 30), None);
-        assert_eq!(a.open.len(), 4);
-        assert!(come(&mut a, Who::Worker, 31).is_some());
-        assert!(!a.open.contains_key(&workers[0]) && a.open.contains_key(&workers[1]));
+    fn longest_idle_is_evicted_and_users_before_workers() {
+        let mut a = Admission::new(LIMITS);
+        let users: Vec<_> = (0..4).map(|i| serve_request(&mut a, ClientClass::Poll, i).unwrap()).collect();
+        // A fifth user evicts the one that was idle for longest.
+        let fifth = serve_request(&mut a, ClientClass::JobChange, 10).unwrap();
+        assert!(!a.connections.contains_key(&users[0]) && a.connections.len() == 4);
+        let workers: Vec<_> =
+            (0..4).map(|i| serve_request(&mut a, ClientClass::Worker, 20 + i).unwrap()).collect();
+        assert!(!a.connections.contains_key(&fifth) && a.connections.len() == 4);
+        // Only workers are connected: a user is served and closed, a worker evicts
+        // the one whose last heartbeat is oldest.
+        assert_eq!(serve_request(&mut a, ClientClass::JobChange, 30), None);
+        assert_eq!(a.connections.len(), 4);
+        assert!(serve_request(&mut a, ClientClass::Worker, 31).is_some());
+        assert!(!a.connections.contains_key(&workers[0]) && a.connections.contains_key(&workers[1]));
     }
 
     #[test]
-    fn what_asks_is_never_let_go_and_the_lobby_has_an_end() {
-        let mut a = Admission::new(B);
-        // All are in the middle of a request.
+    fn connections_with_a_request_are_not_evicted_and_headroom_is_bounded() {
+        let mut a = Admission::new(LIMITS);
+        // All connections have a request in progress.
         let busy: Vec<_> = (0..4)
             .map(|i| {
-                let id = a.opened(ms(i)).0.unwrap();
-                assert_eq!(a.asks(id, Who::Poll, ms(i)).0, Manner::Keep);
+                let id = a.on_connect(ms(i)).0.unwrap();
+                assert_eq!(a.on_request(id, ClientClass::Poll, ms(i)).0, AdmissionDecision::KeepAlive);
                 id
             })
             .collect();
-        // (who comes, what becomes of it); nobody is let go for any of them
+        // (client class, decision); no connection is evicted for any of them
         let steps = [
-            (Who::Worker, Manner::Close),
-            (Who::Poll, Manner::Close),
-            (Who::Poll, Manner::Refuse),
-            (Who::Change, Manner::Refuse),
+            (ClientClass::Worker, AdmissionDecision::CloseAfterResponse),
+            (ClientClass::Poll, AdmissionDecision::CloseAfterResponse),
+            (ClientClass::Poll, AdmissionDecision::Reject),
+            (ClientClass::JobChange, AdmissionDecision::Reject),
         ];
-        for (who, want) in steps {
-            let (id, gone) = a.opened(ms(10));
-            assert_eq!(gone, None);
-            assert_eq!(a.asks(id.unwrap(), who, ms(10)), (want, None), "{who:?}");
+        for (class, expected) in steps {
+            let (id, evicted) = a.on_connect(ms(10));
+            assert_eq!(evicted, None);
+            assert_eq!(a.on_request(id.unwrap(), class, ms(10)), (expected, None), "{class:?}");
         }
-        assert_eq!(a.opened(ms(11)), (None, None));
-        assert_eq!(a.open.len(), 8);
-        assert!(busy.iter().all(|id| a.open.contains_key(id)));
-        // One that is let go in the moment in which it asks is answered first.
-        let mut a = Admission::new(B);
-        let first = a.opened(ms(0)).0.unwrap();
-        assert_eq!(a.asks(first, Who::Poll, ms(0)).0, Manner::Keep);
-        a.idle(first, ms(0));
-        let others: Vec<_> = (0..3).map(|i| a.opened(ms(i)).0.unwrap()).collect();
-        assert_eq!(a.opened(ms(5)).1, Some(first));
-        assert!(a.leaving.contains(&first));
-        assert_eq!(a.asks(first, Who::Poll, ms(6)), (Manner::Close, None));
-        // Newcomers get a second to speak, and then go.
-        assert_eq!(a.opened(ms(7)).1, None);
-        assert_eq!(a.opened(ms(1500)).1, Some(others[0]));
+        assert_eq!(a.on_connect(ms(11)), (None, None));
+        assert_eq!(a.connections.len(), 8);
+        assert!(busy.iter().all(|id| a.connections.contains_key(id)));
+        // A connection that is evicted at the moment of its request gets its response first.
+        let mut a = Admission::new(LIMITS);
+        let first = a.on_connect(ms(0)).0.unwrap();
+        assert_eq!(a.on_request(first, ClientClass::Poll, ms(0)).0, AdmissionDecision::KeepAlive);
+        a.on_response(first, ms(0));
+        let others: Vec<_> = (0..3).map(|i| a.on_connect(ms(i)).0.unwrap()).collect();
+        assert_eq!(a.on_connect(ms(5)).1, Some(first));
+        assert!(a.closing.contains(&first));
+        assert_eq!(
+            a.on_request(first, ClientClass::Poll, ms(6)),
+            (AdmissionDecision::CloseAfterResponse, None)
+        );
+        // New connections have a second to send a request, then they are evicted.
+        assert_eq!(a.on_connect(ms(7)).1, None);
+        assert_eq!(a.on_connect(ms(1500)).1, Some(others[0]));
     }
 
     #[test]
-    fn the_parts_never_exceed_the_whole() {
+    fn limits_sum_to_at_most_the_sockets() {
         for sockets in [64, 200, 1024, 1500, 3208, 3742, 60_000] {
             for others in [0, 2, 6, 30] {
-                for guest in [false, true] {
-                    let b = Bounds::new(sockets, others, guest);
-                    let own = 48 + 3 * others;
-                    let sum = b.most + b.lobby + b.calls + b.kept + b.guest;
-                    assert!(sum + own <= sockets.max(own + 16), "{sockets} {others}: {b:?}");
-                    assert!(b.most >= 8 && b.calls >= 2, "{sockets} {others}: {b:?}");
+                for extension in [false, true] {
+                    let b = ConnectionLimits::new(sockets, others, extension);
+                    let reserved = 48 + 3 * others;
+                    let sum = b.max_persistent
+                        + b.headroom
+                        + b.max_worker_calls
+                        + b.reserved_idle_to_workers
+                        + b.extension;
+                    assert!(sum + reserved <= sockets.max(reserved + 16), "{sockets} {others}: {b:?}");
+                    assert!(b.max_persistent >= 8 && b.max_worker_calls >= 2, "{sockets} {others}: {b:?}");
                 }
             }
         }
--- a/crates/shell/src/client.rs
+++ b/crates/shell/src/client.rs
@@ -1,7 +1,7 @@
-//! Calls to the state service, the cloud and the workers.
-use super::admission::Bounds;
+//! HTTP client for calls to the state service, the cloud and the workers.
+use super::admission::ConnectionLimits;
 use super::http::{self, BodyFraming};
-use super::server::within;
+use super::server::with_timeout;
 use gorseshore_core::{Call, CallResult, Target};
 use smol::future;
 use smol::io::{AsyncReadExt, AsyncWriteExt};
@@ -12,102 +12,105 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Open connections kept to one address.
-const KEPT: usize = 8;
-/// A connection that nobody used for so long is not used again.
-const STALE: Duration = Duration::from_secs(20);
-/// Such connections are looked for no more often than this.
-const SWEEP: Duration = Duration::from_secs(2);
+/// Idle connections kept to one address.
+const MAX_IDLE_PER_ADDRESS: usize = 8;
+/// A connection that has been idle for this time is not used again.
+const MAX_IDLE_TIME: Duration = Duration::from_secs(20);
+/// Minimum interval between scans for connections that have been idle for `MAX_IDLE_TIME`.
+const MIN_SCAN_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Keeps connections. Those with workers, who are many, are bounded: so many
-/// calls at a time, and so many connections kept for the next one.
+/// Makes calls and keeps idle connections for the next ones. As there are many workers,
+/// the number of concurrent calls to them and of idle connections to them is bounded.
 pub struct Client {
-    state: String,
-    cloud: String,
+    state_addr: String,
+    cloud_addr: String,
     idle: RefCell<HashMap<String, Vec<(TcpStream, Instant)>>>,
-    /// Connections kept with workers, and when stale ones were looked for.
-    kept: Cell<usize>,
-    most_kept: usize,
-    /// Connections from outside that could still be open.
-    spare: Cell<usize>,
-    swept: Cell<Instant>,
-    calls: Semaphore,
+    /// Number of idle connections to workers.
+    idle_to_workers: Cell<usize>,
+    /// Idle connections to workers that may be kept at any load.
+    reserved_idle_to_workers: usize,
+    /// Inbound connections that could still be opened.
+    free_inbound: Cell<usize>,
+    /// Time of the last scan for connections idle for `MAX_IDLE_TIME`.
+    last_scan: Cell<Instant>,
+    worker_call_permits: Semaphore,
 }
 
 impl Client {
-    /// A client of these services.
-    pub fn new(state: &str, cloud: &str, bounds: &Bounds) -> Self {
+    /// Creates a client for the addresses of the state service and of the cloud.
+    pub fn new(state: &str, cloud: &str, limits: &ConnectionLimits) -> Self {
         Client {
-            state: state.into(),
-            cloud: cloud.into(),
+            state_addr: state.into(),
+            cloud_addr: cloud.into(),
             idle: RefCell::default(),
-            kept: Cell::new(0),
-            most_kept: bounds.kept,
-            spare: Cell::new(bounds.most),
-            swept: Cell::new(Instant::now()),
-            calls: Semaphore::new(bounds.calls),
+            idle_to_workers: Cell::new(0),
+            reserved_idle_to_workers: limits.reserved_idle_to_workers,
+            free_inbound: Cell::new(limits.max_persistent),
+            last_scan: Cell::new(Instant::now()),
+            worker_call_permits: Semaphore::new(limits.max_worker_calls),
         }
     }
 
-    /// How many connections with workers may be kept: a part of their own, and
-    /// half of what those from outside leave.
-    fn may_keep(&self) -> usize {
-        self.most_kept + self.spare.get() / 2
+    /// Limit of idle connections to workers: the reserved ones, and half of the free inbound
+    /// connections.
+    fn max_idle_to_workers(&self) -> usize {
+        self.reserved_idle_to_workers + self.free_inbound.get() / 2
     }
 
-    /// So many more connections from outside could be open. Kept ones make room
-    /// for them, some more than needed, so that not each newcomer counts them.
-    pub fn leave_room(&self, spare: usize) {
-        self.spare.set(spare);
-        if self.kept.get() <= self.may_keep() {
+    /// Sets the number of inbound connections that could still be opened, and closes idle
+    /// connections to workers over the new limit. They are cut to 7/8 of the limit, so that
+    /// they are not counted again for each new inbound connection.
+    pub fn set_free_inbound(&self, free_inbound: usize) {
+        self.free_inbound.set(free_inbound);
+        if self.idle_to_workers.get() <= self.max_idle_to_workers() {
             return;
         }
-        let mut left = self.may_keep() * 7 / 8;
+        let mut remaining = self.max_idle_to_workers() * 7 / 8;
         let mut idle = self.idle.borrow_mut();
         idle.retain(|addr, v| {
             if !self.is_worker(addr) {
                 return true;
             }
-            v.truncate(left);
-            left -= v.len();
+            v.truncate(remaining);
+            remaining -= v.len();
             !v.is_empty()
         });
-        self.count(&idle);
+        self.recount_idle_to_workers(&idle);
     }
 
-    /// Counts the connections kept with workers anew.
-    fn count(&self, idle: &HashMap<String, Vec<(TcpStream, Instant)>>) {
-        self.kept.set(idle.iter().filter(|(a, _)| self.is_worker(a)).map(|(_, v)| v.len()).sum());
+    /// Recounts the idle connections to workers.
+    fn recount_idle_to_workers(&self, idle: &HashMap<String, Vec<(TcpStream, Instant)>>) {
+        self.idle_to_workers.set(idle.iter().filter(|(a, _)| self.is_worker(a)).map(|(_, v)| v.len()).sum());
     }
 
     fn is_worker(&self, addr: &str) -> bool {
-        addr != self.state && addr != self.cloud
+        addr != self.state_addr && addr != self.cloud_addr
     }
 
-    /// Makes a call. `NotSent` only if nothing of it left this process.
+    /// Makes a call. The result is `NotSent` only if no byte of it left this process.
     pub async fn call(&self, call: &Call) -> CallResult {
         let addr = match &call.target {
-            Target::State => &self.state,
-            Target::Cloud => &self.cloud,
+            Target::State => &self.state_addr,
+            Target::Cloud => &self.cloud_addr,
             Target::Worker(a) => a,
         };
-        let limit = Duration::from_micros(call.timeout.0);
-        let began = Instant::now();
-        // A call that waits its turn for too long was not sent.
-        let _turn = match call.target {
-            Target::Worker(_) => match within(limit, self.calls.acquire()).await {
-                Some(turn) => Some(turn),
+        let timeout = Duration::from_micros(call.timeout.0);
+        let started = Instant::now();
+        // A call that gets no permit within its timeout is not sent.
+        let _permit = match call.target {
+            Target::Worker(_) => match with_timeout(timeout, self.worker_call_permits.acquire()).await {
+                Some(permit) => Some(permit),
                 None => return CallResult::NotSent,
             },
             _ => None,
         };
-        let limit = limit.saturating_sub(began.elapsed());
-        let began = Instant::now();
-        let stream = match self.kept(addr).await {
+        let timeout = timeout.saturating_sub(started.elapsed());
+        let started = Instant::now();
+        let stream = match self.take_idle(addr).await {
             Some(s) => s,
             None => {
                 let Ok(sock) = addr.parse::<SocketAddr>() else { return CallResult::NotSent };
-                match within(limit, TcpStream::connect(sock)).await {
+                match with_timeout(timeout, TcpStream::connect(sock)).await {
                     Some(Ok(s)) => {
                         let _ = s.set_nodelay(true);
                         s
@@ -116,11 +119,11 @@
                 }
             }
         };
-        let left = limit.saturating_sub(began.elapsed());
-        match within(left, exchange(stream, addr, call)).await {
-            Some(Ok((status, body, kept))) => {
-                if let Some(s) = kept {
-                    self.keep(addr, s);
+        let remaining = timeout.saturating_sub(started.elapsed());
+        match with_timeout(remaining, exchange(stream, addr, call)).await {
+            Some(Ok((status, body, connection))) => {
+                if let Some(s) = connection {
+                    self.put_idle(addr, s);
                 }
                 CallResult::Answer { status, body }
             }
@@ -128,8 +131,8 @@
         }
     }
 
-    /// A kept connection that the other side has not closed.
-    async fn kept(&self, addr: &str) -> Option<TcpStream> {
+    /// Takes an idle connection that the peer has not closed.
+    async fn take_idle(&self, addr: &str) -> Option<TcpStream> {
         loop {
             let (stream, since) = {
                 let mut idle = self.idle.borrow_mut();
@@ -141,45 +144,51 @@
                 next?
             };
             if self.is_worker(addr) {
-                self.kept.set(self.kept.get().saturating_sub(1));
+                self.idle_to_workers.set(self.idle_to_workers.get().saturating_sub(1));
             }
             let mut b = [0u8; 1];
-            let silent = future::poll_once(stream.peek(&mut b)).await.is_none();
-            if silent && since.elapsed() < STALE {
+            let open = future::poll_once(stream.peek(&mut b)).await.is_none();
+            if open && since.elapsed() < MAX_IDLE_TIME {
                 return Some(stream);
             }
         }
     }
 
-    fn keep(&self, addr: &str, stream: TcpStream) {
+    fn put_idle(&self, addr: &str, stream: TcpStream) {
         let mut idle = self.idle.borrow_mut();
         if self.is_worker(addr) {
-            if self.kept.get() >= self.may_keep() && self.swept.get().elapsed() >= SWEEP {
-                self.swept.set(Instant::now());
+            if self.idle_to_workers.get() >= self.max_idle_to_workers()
+                && self.last_scan.get().elapsed() >= MIN_SCAN_INTERVAL
+            {
+                self.last_scan.set(Instant::now());
                 idle.retain(|_, v| {
-                    v.retain(|(_, t)| t.elapsed() < STALE);
+                    v.retain(|(_, t)| t.elapsed() < MAX_IDLE_TIME);
                     !v.is_empty()
                 });
-                self.count(&idle);
+                self.recount_idle_to_workers(&idle);
             }
-            if self.kept.get() >= self.may_keep() {
+            if self.idle_to_workers.get() >= self.max_idle_to_workers() {
                 return;
             }
-            self.kept.set(self.kept.get() + 1);
+            self.idle_to_workers.set(self.idle_to_workers.get() + 1);
         }
         let list = idle.entry(addr.to_owned()).or_default();
-        if list.len() < KEPT {
+        if list.len() < MAX_IDLE_PER_ADDRESS {
             list.push((stream, Instant::now()));
         } else if self.is_worker(addr) {
-            self.kept.set(self.kept.get() - 1);
+            self.idle_to_workers.set(self.idle_to_workers.get() - 1);
         }
     }
 }
 
-type Exchanged = (u16, Vec<u8>, Option<TcpStream>);
+type ResponseAndConnection = (u16, Vec<u8>, Option<TcpStream>);
 
-async fn exchange(mut stream: TcpStream, addr: &str, call: &Call) -> Result<Exchanged, http::BadRequest> {
-    let broken = |_| http::BadRequest::Broken;
+async fn exchange(
+    mut stream: TcpStream,
+    addr: &str,
+    call: &Call,
+) -> Result<ResponseAndConnection, http::HttpError> {
+    let read_write_error = |_| http::HttpError::Malformed;
     let mut req = format!("{} {} HTTP/1.1\r\nHost: {addr}\r\n", call.method, call.path);
     if !call.body.is_empty() || call.method == "POST" {
         req.push_str(&format!("Content-Type: application/json\r\nContent-Length: {}\r\n", call.body.len()));
@@ -187,30 +196,30 @@
     req.push_str("\r\n");
     let mut bytes = req.into_bytes();
     bytes.extend_from_slice(&call.body);
-    stream.write_all(&bytes).await.map_err(broken)?;
+    stream.write_all(&bytes).await.map_err(read_write_error)?;
     let mut buf = Vec::new();
-    let mut part = vec![0u8; 8192];
+    let mut chunk = vec![0u8; 8192];
     let mut head = None;
     loop {
-        let n = stream.read(&mut part).await.map_err(broken)?;
-        buf.extend_from_slice(&part[..n]);
+        let n = stream.read(&mut chunk).await.map_err(read_write_error)?;
+        buf.extend_from_slice(&chunk[..n]);
         if head.is_none() {
             head = http::parse_response_head(&buf)?;
         }
         if let Some(h) = &head {
             let body = &buf[h.head_len..];
-            let whole = match h.framing {
+            let complete = match h.framing {
                 BodyFraming::Length(len) if body.len() >= len => Some(body[..len].to_vec()),
-                BodyFraming::Chunked => http::chunked(body)?.map(|(b, _)| b),
+                BodyFraming::Chunked => http::decode_chunked(body)?.map(|(b, _)| b),
                 BodyFraming::UntilClose if n == 0 => Some(body.to_vec()),
                 _ => None,
             };
-            if let Some(body) = whole {
+            if let Some(body) = complete {
                 return Ok((h.status, body, h.keep_alive.then_some(stream)));
             }
         }
         if n == 0 {
-            return Err(http::BadRequest::Broken);
+            return Err(http::HttpError::Malformed);
         }
     }
 }
@@ -220,34 +229,43 @@
     use super::*;
 
     #[test]
-    fn kept_connections_make_room_for_those_from_outside() {
+    fn idle_connections_to_workers_yield_to_inbound_connections() {
         smol::block_on(async {
-            let bounds = Bounds { most: 100, lobby: 4, calls: 4, kept: 4, guest: 0 };
-            let client = Client::new("127.0.0.1:1", "127.0.0.1:2", &bounds);
+            let limits = ConnectionLimits {
+                max_persistent: 100,
+                headroom: 4,
+                max_worker_calls: 4,
+                reserved_idle_to_workers: 4,
+                extension: 0,
+            };
+            let client = Client::new("127.0.0.1:1", "127.0.0.1:2", &limits);
             let listener = smol::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
             let addr = listener.local_addr().unwrap();
-            let mut others = Vec::new();
+            let mut accepted = Vec::new();
             let mut connect = async || {
                 let s = TcpStream::connect(addr).await.unwrap();
-                others.push(listener.accept().await.unwrap());
+                accepted.push(listener.accept().await.unwrap());
                 s
             };
-            // (room that those from outside leave, connections kept of 70)
-            for (spare, want) in [(100, 54), (60, 29), (0, 3), (100, 54)] {
-                client.leave_room(spare);
+            // (free inbound connections, idle connections expected to be kept of 70)
+            for (free_inbound, expected) in [(100, 54), (60, 29), (0, 3), (100, 54)] {
+                client.set_free_inbound(free_inbound);
                 for i in 0..70 {
-                    client.keep(&format!("10.0.0.1:{i}"), connect().await);
+                    client.put_idle(&format!("10.0.0.1:{i}"), connect().await);
                 }
-                client.leave_room(spare);
+                client.set_free_inbound(free_inbound);
                 let kept: usize = client.idle.borrow().values().map(Vec::len).sum();
-                assert_eq!(kept, client.kept.get());
-                assert!(kept <= client.may_keep() && kept + 5 >= want, "{spare}: {kept} kept");
+                assert_eq!(kept, client.idle_to_workers.get());
+                assert!(
+                    kept <= client.max_idle_to_workers() && kept + 5 >= expected,
+                    "{free_inbound}: {kept} kept"
+                );
             }
-            // State service and cloud are not counted with them.
-            client.keep("127.0.0.1:1", connect().await);
-            client.leave_room(0);
-            assert!(client.kept("127.0.0.1:1").await.is_some());
-            assert!(client.kept.get() <= 4);
+            // Connections to the state service and the cloud are not counted with them.
+            client.put_idle("127.0.0.1:1", connect().await);
+            client.set_free_inbound(0);
+            assert!(client.take_idle("127.0.0.1:1").await.is_some());
+            assert!(client.idle_to_workers.get() <= 4);
         });
     }
 }
--- a/crates/shell/src/handling.rs
+++ b/crates/shell/src/input_timings.rs
@@ -1,21 +1,21 @@
-//! How long the core takes to handle its inputs, by kind: shows what a controller
-//! that is behind spends its time on.
+//! Time that the core takes to process its inputs, by kind: shows what an overloaded
+//! controller spends its time on.
 use gorseshore_core::Input;
 use std::fmt;
 use std::time::Duration;
 
-/// What an input is.
+/// Kind of a core input.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum InputKind {
     /// A timer.
     Tick,
     /// A worker's heartbeat.
     Heartbeat,
-    /// A user's request, or one of a hosted subsystem's client.
+    /// A request of a user or of the extension's client, or its disconnect.
     Request,
     /// The result of a call to the state service, the cloud or a worker.
     CallResult,
-    /// A message from another controller.
+    /// A message from another controller, or its refused connection.
     Message,
 }
 
@@ -28,8 +28,8 @@
         (InputKind::Message, "message"),
     ];
 
-    /// The kind of an input.
-    pub fn of(input: &Input) -> Self {
+    /// Returns the kind of an input.
+    pub fn from_input(input: &Input) -> Self {
         match input {
             Input::Tick => InputKind::Tick,
             Input::Request { path, .. } if path == "/checkin" => InputKind::Heartbeat,
@@ -41,33 +41,33 @@
 }
 
 #[derive(Debug, Default, Clone, Copy)]
-struct Handled {
+struct Timing {
     count: u32,
     total: Duration,
     slowest: Duration,
 }
 
-/// Times since they were last shown.
+/// Counts and times of processed inputs since they were last logged.
 #[derive(Debug, Default)]
-pub struct HandlingTimes([Handled; InputKind::ALL.len()]);
+pub struct InputTimings([Timing; InputKind::ALL.len()]);
 
-impl HandlingTimes {
-    /// An input was handled.
-    pub fn add(&mut self, kind: InputKind, took: Duration) {
-        let handled = &mut self.0[kind as usize];
-        handled.count += 1;
-        handled.total += took;
-        handled.slowest = handled.slowest.max(took);
+impl InputTimings {
+    /// Records a processed input.
+    pub fn record(&mut self, kind: InputKind, elapsed: Duration) {
+        let timing = &mut self.0[kind as usize];
+        timing.count += 1;
+        timing.total += elapsed;
+        timing.slowest = timing.slowest.max(elapsed);
     }
 }
 
-impl fmt::Display for HandlingTimes {
+impl fmt::Display for InputTimings {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (i, (kind, name)) in InputKind::ALL.into_iter().enumerate() {
-            let Handled { count, total, slowest } = self.0[kind as usize];
-            let space = if i == 0 { "" } else { " " };
+            let Timing { count, total, slowest } = self.0[kind as usize];
+            let separator = if i == 0 { "" } else { " " };
             let (total, slowest) = (total.as_millis(), slowest.as_millis());
-            write!(f, "{space}{name}s={count} {name}_ms={total} {name}_slowest_ms={slowest}")?;
+            write!(f, "{separator}{name}s={count} {name}_ms={total} {name}_slowest_ms={slowest}")?;
         }
         Ok(())
     }
--- a/crates/shell/src/lib.rs
+++ b/crates/shell/src/lib.rs
@@ -1,21 +1,21 @@
-//! Sockets and timers round the core.
+//! Runs the scheduler core: sockets, timers and logging.
 #![warn(missing_docs)]
 pub mod admission;
 pub mod client;
-pub mod handling;
 pub mod http;
+pub mod input_timings;
 pub mod logger;
 pub mod peers;
 pub mod server;
 
-use admission::Bounds;
+use admission::ConnectionLimits;
 use gorseshore_core::extension::{Answer, Extension};
 use gorseshore_core::node::{ClusterMembers, Node};
 use gorseshore_core::peer::{Envelope, Message, before_number, process_number};
 use gorseshore_core::{CallResult, Input, Output, RequestId};
 use gorseshore_protocol::ids::{Micros, NodeId};
 use gorseshore_settings::{Operator, Platform};
-use handling::{HandlingTimes, InputKind};
+use input_timings::{InputKind, InputTimings};
 use log::{error, info};
 use smol::channel::{Receiver, Sender, bounded};
 use smol::{Async, LocalExecutor, Timer};
@@ -26,190 +26,194 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// An answer on its way to a connection, or a part of one.
-pub enum Reply {
-    /// All of it.
-    Whole(Answer),
-    /// The head of one that goes on in chunks.
-    Head(Answer),
-    /// A chunk.
-    Chunk(Vec<u8>),
+/// A response to an inbound request, or a part of a streamed one.
+pub enum ResponsePart {
+    /// The whole response.
+    Full(Answer),
+    /// The head of a streamed response.
+    StreamHead(Answer),
+    /// A chunk of a streamed response.
+    StreamChunk(Vec<u8>),
 }
 
-/// Chunks that wait for a reader; one that is further behind is let go.
-const CHUNKS_WAITING: usize = 256;
+/// Limit of chunks queued for a client; a client that falls further behind is disconnected.
+const MAX_QUEUED_CHUNKS: usize = 256;
 
-/// Everything the tasks of this process share.
+/// State shared by the async tasks of this process.
 pub struct Shell {
     node: RefCell<Node>,
     started: Instant,
-    handling: RefCell<HandlingTimes>,
-    waiting: RefCell<HashMap<RequestId, Sender<Reply>>>,
+    input_timings: RefCell<InputTimings>,
+    response_channels: RefCell<HashMap<RequestId, Sender<ResponsePart>>>,
     next_request: Cell<u64>,
     executor: Rc<LocalExecutor<'static>>,
     client: client::Client,
-    peers: Vec<Option<peers::Outgoing>>,
+    peers: Vec<Option<peers::PeerQueue>>,
     incarnation: u64,
-    me: NodeId,
+    own_id: NodeId,
 }
 
 impl Shell {
     fn now(&self) -> Micros {
-        // Not zero, which stands for "never" in places.
+        // Starts at 1 s: zero means "never" in some fields.
         Micros(self.started.elapsed().as_micros() as u64 + 1_000_000)
     }
 
-    /// Gives an input to the core and does what it says.
-    pub fn input(self: &Rc<Self>, input: Input) {
+    /// Passes an input to the core and carries out its outputs.
+    pub fn process_input(self: &Rc<Self>, input: Input) {
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
-        let kind = InputKind::of(&input);
-        let began = Instant::now();
+        let kind = InputKind::from_input(&input);
+        let started = Instant::now();
         let outputs = self.node.borrow_mut().handle(self.now(), wall, input);
-        self.handling.borrow_mut().add(kind, began.elapsed());
-        for o in outputs {
-            match o {
+        self.input_timings.borrow_mut().record(kind, started.elapsed());
+        for output in outputs {
+            match output {
                 Output::Answer { id, status, body, retry_after } => {
                     let headers = retry_after.map(|s| ("Retry-After", s.to_string())).into_iter().collect();
-                    self.reply(id, Answer { status, headers, body });
+                    self.send_response(id, Answer { status, headers, body });
                 }
-                Output::GuestAnswer(id, answer) => self.reply(id, answer),
-                Output::Open(id, answer) => self.part(id, Reply::Head(answer)),
-                Output::Chunk(id, data) => self.part(id, Reply::Chunk(data)),
-                Output::Close(id) => drop(self.waiting.borrow_mut().remove(&id)),
+                Output::GuestAnswer(id, answer) => self.send_response(id, answer),
+                Output::Open(id, answer) => self.send_response_part(id, ResponsePart::StreamHead(answer)),
+                Output::Chunk(id, data) => self.send_response_part(id, ResponsePart::StreamChunk(data)),
+                Output::Close(id) => drop(self.response_channels.borrow_mut().remove(&id)),
                 Output::Call { id, call } => {
                     let shell = self.clone();
                     self.executor
                         .spawn(async move {
                             let result: CallResult = shell.client.call(&call).await;
-                            shell.input(Input::Called { id, result });
+                            shell.process_input(Input::Called { id, result });
                         })
                         .detach();
                 }
-                Output::Send { to, message } => self.send(to, message),
+                Output::Send { to, message } => self.send_to_controller(to, message),
             }
         }
     }
 
-    fn reply(&self, id: RequestId, answer: Answer) {
-        if let Some(tx) = self.waiting.borrow_mut().remove(&id) {
-            let _ = tx.try_send(Reply::Whole(answer));
+    fn send_response(&self, id: RequestId, answer: Answer) {
+        if let Some(tx) = self.response_channels.borrow_mut().remove(&id) {
+            let _ = tx.try_send(ResponsePart::Full(answer));
         }
     }
 
-    /// A part of an answer. A reader that doesn't keep up loses its connection,
-    /// so that nothing piles up here.
-    fn part(self: &Rc<Self>, id: RequestId, part: Reply) {
-        let kept = match self.waiting.borrow().get(&id) {
+    /// Queues a part of a streamed response. A client that doesn't keep up is disconnected,
+    /// so that the queue stays bounded.
+    fn send_response_part(self: &Rc<Self>, id: RequestId, part: ResponsePart) {
+        let queued = match self.response_channels.borrow().get(&id) {
             Some(tx) => tx.try_send(part).is_ok(),
             None => return,
         };
-        if !kept {
-            self.waiting.borrow_mut().remove(&id);
+        if !queued {
+            self.response_channels.borrow_mut().remove(&id);
             let shell = self.clone();
-            self.executor.spawn(async move { shell.input(Input::Gone(id)) }).detach();
+            self.executor.spawn(async move { shell.process_input(Input::Gone(id)) }).detach();
         }
     }
 
-    fn send(&self, to: NodeId, message: Message) {
-        let Some(Some(out)) = self.peers.get(to.0 as usize) else { return };
+    fn send_to_controller(&self, to: NodeId, message: Message) {
+        let Some(Some(queue)) = self.peers.get(to.0 as usize) else { return };
         match gorseshore_core::peer::encode(&Envelope {
-            from: self.me,
+            from: self.own_id,
             incarnation: self.incarnation,
             message,
         }) {
-            Ok(frame) => out.put(frame),
-            Err(e) => error!("message to controller {} not sent: {e}", to.0),
+            Ok(frame) => queue.push(frame),
+            Err(e) => error!("encoding a message failed: controller={} error={e}", to.0),
         }
     }
 
-    /// Writes the `status` line when it is due.
-    fn log_status(&self, entry: &RefCell<server::Entry>) {
+    /// Logs the `status` line when it is due.
+    fn log_status(&self, connections: &RefCell<server::ConnectionTable>) {
         if let Some(line) = self.node.borrow_mut().status_line() {
-            let times = self.handling.take();
-            info!("{line} {} {times}", entry.borrow_mut().take_counts());
+            let times = self.input_timings.take();
+            info!("{line} {} {times}", connections.borrow_mut().take_counts());
         }
     }
 
-    /// Whether users are served here, or better by others.
+    /// Whether this controller serves users; otherwise they should use another one.
     fn serves_users(&self) -> bool {
         self.node.borrow().serves_users()
     }
 
-    /// A frame for a peer left its queue.
-    fn taken(&self, to: NodeId, frame: &[u8]) {
-        if let Some(Some(out)) = self.peers.get(to.0 as usize) {
-            out.taken(frame);
+    /// Subtracts a frame that was taken from the queue to a controller.
+    fn record_dequeued(&self, to: NodeId, frame: &[u8]) {
+        if let Some(Some(queue)) = self.peers.get(to.0 as usize) {
+            queue.record_dequeued(frame);
         }
     }
 
-    /// A request from a connection; the answer comes on the channel.
-    pub fn request(
+    /// Passes a request to the core. The response arrives on the returned channel.
+    pub fn submit_request(
         self: &Rc<Self>,
-        door: server::Door,
+        api: server::Api,
         head: http::RequestHead,
         body: Vec<u8>,
-    ) -> (RequestId, Receiver<Reply>) {
+    ) -> (RequestId, Receiver<ResponsePart>) {
         let id = RequestId(self.next_request.get());
         self.next_request.set(id.0 + 1);
         let http::RequestHead { method, path, token, .. } = head;
-        let (room, input) = match door {
-            server::Door::Users => (1, Input::Request { id, method, path, body }),
-            server::Door::Extension => {
-                (CHUNKS_WAITING, Input::GuestRequest { id, method, path, token, body })
+        let (capacity, input) = match api {
+            server::Api::Scheduler => (1, Input::Request { id, method, path, body }),
+            server::Api::Extension => {
+                (MAX_QUEUED_CHUNKS, Input::GuestRequest { id, method, path, token, body })
             }
         };
-        let (tx, rx) = bounded(room);
-        self.waiting.borrow_mut().insert(id, tx);
-        self.input(input);
+        let (tx, rx) = bounded(capacity);
+        self.response_channels.borrow_mut().insert(id, tx);
+        self.process_input(input);
         (id, rx)
     }
 
-    /// The requester is gone.
-    pub fn gone(self: &Rc<Self>, id: RequestId) {
-        if self.waiting.borrow_mut().remove(&id).is_some() {
-            self.input(Input::Gone(id));
+    /// The client disconnected before its response ended.
+    pub fn client_disconnected(self: &Rc<Self>, id: RequestId) {
+        if self.response_channels.borrow_mut().remove(&id).is_some() {
+            self.process_input(Input::Gone(id));
         }
     }
 }
 
-/// A subsystem beside the scheduler, and the address that it is asked on.
+/// An extension and the address of its API.
 pub struct ExtensionEndpoint {
-    /// The subsystem.
+    /// The extension.
     pub extension: Box<dyn Extension>,
-    /// Its address.
+    /// Address to listen on.
     pub listen: SocketAddr,
 }
 
-/// The sockets that a controller listens on, bound.
+/// The bound listeners of a controller.
 pub struct Listeners {
-    /// Users and workers.
+    /// API of users and workers.
     pub public: TcpListener,
-    /// The other controllers.
+    /// Connections of the other controllers.
     pub cluster: TcpListener,
-    /// The guest's interface.
+    /// API of the extension.
     pub extension: Option<TcpListener>,
 }
 
-/// Binds the settings' addresses and runs the service until the process is killed.
-pub fn run(platform: Platform, operator: Operator, guest: Option<ExtensionEndpoint>) -> std::io::Result<()> {
-    let sockets = Listeners {
+/// Binds the configured addresses and runs the service until the process is killed.
+pub fn run(
+    platform: Platform,
+    operator: Operator,
+    extension: Option<ExtensionEndpoint>,
+) -> std::io::Result<()> {
+    let listeners = Listeners {
         public: bind(&platform.public_addr)?,
         cluster: bind(&platform.cluster_listen)?,
-        extension: guest.as_ref().map(|g| bind(&g.listen.to_string())).transpose()?,
+        extension: extension.as_ref().map(|e| bind(&e.listen.to_string())).transpose()?,
     };
-    run_with_listeners(sockets, platform, operator, guest.map(|g| g.extension))
+    run_with_listeners(listeners, platform, operator, extension.map(|e| e.extension))
 }
 
-/// An earlier process of this controller may still hold its address while it
-/// ends; it is waited for so long.
-const ADDRESS_IN_USE: Duration = Duration::from_secs(10);
+/// Limit of the wait for an address that is in use: the previous process of this controller
+/// may hold it until it exits.
+const ADDRESS_IN_USE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Binds an address.
+/// Binds an address, and retries while it is in use.
 fn bind(addr: &str) -> std::io::Result<TcpListener> {
-    let began = Instant::now();
+    let started = Instant::now();
     loop {
         match TcpListener::bind(addr) {
-            Err(e) if e.kind() == ErrorKind::AddrInUse && began.elapsed() < ADDRESS_IN_USE => {
+            Err(e) if e.kind() == ErrorKind::AddrInUse && started.elapsed() < ADDRESS_IN_USE_TIMEOUT => {
                 std::thread::sleep(Duration::from_millis(20));
             }
             Err(e) => return Err(std::io::Error::new(e.kind(), format!("{addr}: {e}"))),
@@ -218,81 +222,93 @@
     }
 }
 
-/// Runs the service on sockets that are bound already.
+/// Runs the service on bound listeners.
 pub fn run_with_listeners(
-    bound: Listeners,
+    listeners: Listeners,
     platform: Platform,
     operator: Operator,
-    guest: Option<Box<dyn Extension>>,
+    extension: Option<Box<dyn Extension>>,
 ) -> std::io::Result<()> {
     let executor = Rc::new(LocalExecutor::new());
-    let ex = executor.clone();
-    smol::block_on(ex.run(async move {
-        let nodes = ClusterMembers::new(&platform);
+    let executor_handle = executor.clone();
+    smol::block_on(executor_handle.run(async move {
+        let members = ClusterMembers::new(&platform);
         let started = Instant::now();
         let seed = fastrand::u64(..) >> 1;
-        let clock_off = Micros::from_secs_f64(platform.deployment.clock_off_ms / 1000.0);
-        Timer::after(Duration::from_micros(before_number(clock_off).0)).await;
+        let max_clock_error = Micros::from_secs_f64(platform.deployment.clock_off_ms / 1000.0);
+        Timer::after(Duration::from_micros(before_number(max_clock_error).0)).await;
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
         let incarnation = process_number(wall, seed);
         let mut node = Node::new(&platform, operator, seed, incarnation, Micros(1_000_000));
-        if let Some(guest) = guest {
-            node = node.with_extension(guest);
+        if let Some(extension) = extension {
+            node = node.with_extension(extension);
         }
         let sockets = platform.deployment.machine_limits.sockets;
-        let bounds = Bounds::new(sockets, nodes.names.len() - 1, bound.extension.is_some());
+        let limits = ConnectionLimits::new(sockets, members.names.len() - 1, listeners.extension.is_some());
         let mut receivers = Vec::new();
-        let peers = nodes
+        let peers = members
             .names
             .iter()
             .map(|name| {
                 let addr = platform.peers.iter().find(|p| p.host_name == *name)?.peer_addr.clone();
                 let (tx, rx) = bounded(64);
                 receivers.push((addr, name.clone(), rx));
-                Some(peers::Outgoing::new(tx))
+                Some(peers::PeerQueue::new(tx))
             })
             .collect();
         let shell = Rc::new(Shell {
             node: RefCell::new(node),
             started,
-            handling: RefCell::default(),
-            waiting: RefCell::default(),
+            input_timings: RefCell::default(),
+            response_channels: RefCell::default(),
             next_request: Cell::new(1),
             executor: executor.clone(),
-            client: client::Client::new(&platform.endpoints.state, &platform.endpoints.cloud, &bounds),
+            client: client::Client::new(&platform.endpoints.state, &platform.endpoints.cloud, &limits),
             peers,
             incarnation,
-            me: nodes.own_id,
+            own_id: members.own_id,
         });
         for (addr, name, rx) in receivers {
-            let node = NodeId(nodes.names.iter().position(|n| *n == name).unwrap_or(0) as u8);
-            executor.spawn(peers::dial(shell.clone(), node, addr, rx)).detach();
+            let node = NodeId(members.names.iter().position(|n| *n == name).unwrap_or(0) as u8);
+            executor.spawn(peers::run_sender(shell.clone(), node, addr, rx)).detach();
         }
-        let door = |l: TcpListener| Async::new(l).map(smol::net::TcpListener::from);
-        let (cluster, public) = (door(bound.cluster)?, door(bound.public)?);
-        info!("{} listens on {} and {}", platform.host_name, platform.public_addr, platform.cluster_listen);
-        executor.spawn(peers::listen(shell.clone(), cluster, executor.clone(), nodes.names.len())).detach();
-        let entry = Rc::new(RefCell::new(server::Entry::new(bounds)));
+        let to_async = |l: TcpListener| Async::new(l).map(smol::net::TcpListener::from);
+        let (cluster, public) = (to_async(listeners.cluster)?, to_async(listeners.public)?);
+        info!(
+            "listening: controller={} public={} cluster={}",
+            platform.host_name, platform.public_addr, platform.cluster_listen
+        );
+        executor
+            .spawn(peers::accept_peers(shell.clone(), cluster, executor.clone(), members.names.len()))
+            .detach();
+        let connections = Rc::new(RefCell::new(server::ConnectionTable::new(limits)));
         executor
             .spawn(server::listen(
                 shell.clone(),
                 public,
                 executor.clone(),
-                server::Door::Users,
-                entry.clone(),
+                server::Api::Scheduler,
+                connections.clone(),
             ))
             .detach();
-        if let Some(listener) = bound.extension {
-            info!("the guest's interface listens on {}", listener.local_addr()?);
-            let door = door(listener)?;
-            let guests = Rc::new(RefCell::new(server::Entry::new(bounds.of_guest())));
+        if let Some(listener) = listeners.extension {
+            info!("extension listening: address={}", listener.local_addr()?);
+            let listener = to_async(listener)?;
+            let extension_connections =
+                Rc::new(RefCell::new(server::ConnectionTable::new(limits.for_extension())));
             executor
-                .spawn(server::listen(shell.clone(), door, executor.clone(), server::Door::Extension, guests))
+                .spawn(server::listen(
+                    shell.clone(),
+                    listener,
+                    executor.clone(),
+                    server::Api::Extension,
+                    extension_connections,
+                ))
                 .detach();
         }
         loop {
-            shell.input(Input::Tick);
-            shell.log_status(&entry);
+            shell.process_input(Input::Tick);
+            shell.log_status(&connections);
             Timer::after(Duration::from_millis(20)).await;
         }
     }))
--- a/crates/shell/src/peers.rs
+++ b/crates/shell/src/peers.rs
@@ -1,7 +1,7 @@
-//! Connections between controllers: each node dials the others and only
-//! sends on what it dialled.
+//! Connections between controllers: each controller connects to every other one and only
+//! sends on the connections that it opened.
 use super::Shell;
-use super::server::within;
+use super::server::with_timeout;
 use gorseshore_core::Input;
 use gorseshore_core::peer::inbox::Inbox;
 use gorseshore_core::peer::{self, Envelope};
@@ -19,96 +19,106 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Bytes of frames that may wait for one peer. Every frame stands for a whole state or
-/// is sent again, so what comes beyond is left out; a longer frame goes alone.
-const MOST_WAITING: usize = 1 << 20;
+/// Limit of the frames queued for one peer, in bytes. Frames beyond it are dropped: every
+/// frame holds a whole state or is sent again. A longer frame is queued if the queue is empty.
+const MAX_QUEUED_BYTES: usize = 1 << 20;
 
-/// Everybody sends twice a second; a connection that is silent for so long is dead.
+/// Each controller sends twice a second; a connection without a frame for this time is dead.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// Frames that wait for a peer. Invariant: `bytes` is the length of those in the queue.
-pub struct Outgoing {
+/// Frames queued for a peer. Invariant: `queued_bytes` is the total length of the frames in the queue.
+pub struct PeerQueue {
     queue: Sender<Vec<u8>>,
-    bytes: Cell<usize>,
+    queued_bytes: Cell<usize>,
 }
 
-impl Outgoing {
-    /// Nothing waits.
+impl PeerQueue {
+    /// Wraps an empty queue.
     pub fn new(queue: Sender<Vec<u8>>) -> Self {
-        Outgoing { queue, bytes: Cell::new(0) }
+        PeerQueue { queue, queued_bytes: Cell::new(0) }
     }
 
-    /// Puts a frame into the queue, or leaves it out where too much waits: a peer that
-    /// doesn't keep up must not fill this process's memory.
-    pub fn put(&self, frame: Vec<u8>) {
-        let (waiting, more) = (self.bytes.get(), frame.len());
-        if (waiting == 0 || waiting + more <= MOST_WAITING) && self.queue.try_send(frame).is_ok() {
-            self.bytes.set(waiting + more);
+    /// Queues a frame, or drops it if the queue is full: a peer that doesn't keep up must not
+    /// fill this process's memory.
+    pub fn push(&self, frame: Vec<u8>) {
+        let (queued, len) = (self.queued_bytes.get(), frame.len());
+        if (queued == 0 || queued + len <= MAX_QUEUED_BYTES) && self.queue.try_send(frame).is_ok() {
+            self.queued_bytes.set(queued + len);
         }
     }
 
-    /// A frame left the queue.
-    pub fn taken(&self, frame: &[u8]) {
-        self.bytes.set(self.bytes.get().saturating_sub(frame.len()));
+    /// Subtracts a frame that was taken from the queue.
+    pub fn record_dequeued(&self, frame: &[u8]) {
+        self.queued_bytes.set(self.queued_bytes.get().saturating_sub(frame.len()));
     }
 }
 
-/// Sends the queue's frames to a peer, for ever.
-pub async fn dial(shell: Rc<Shell>, node: NodeId, addr: String, queue: Receiver<Vec<u8>>) {
+/// Sends the queue's frames to a peer and reconnects on failure. Never returns, unless `addr`
+/// is invalid.
+pub async fn run_sender(shell: Rc<Shell>, node: NodeId, addr: String, queue: Receiver<Vec<u8>>) {
     let Ok(sock) = addr.parse::<SocketAddr>() else { return };
     loop {
-        let stream = within(Duration::from_millis(1000), TcpStream::connect(sock)).await;
-        // What queued up meanwhile is out of date.
+        let stream = with_timeout(Duration::from_millis(1000), TcpStream::connect(sock)).await;
+        // Frames queued while the connection was down are out of date.
         while let Ok(frame) = queue.try_recv() {
-            shell.taken(node, &frame);
+            shell.record_dequeued(node, &frame);
         }
         if let Some(Err(e)) = &stream
             && e.kind() == std::io::ErrorKind::ConnectionRefused
         {
-            shell.input(Input::Refused(node));
+            shell.process_input(Input::Refused(node));
         }
         if let Some(Ok(mut s)) = stream {
             let _ = s.set_nodelay(true);
-            debug!("connected to {addr}");
+            debug!("connected to controller: addr={addr}");
             while let Ok(frame) = queue.recv().await {
-                shell.taken(node, &frame);
-                if !matches!(within(Duration::from_secs(2), s.write_all(&frame)).await, Some(Ok(()))) {
+                shell.record_dequeued(node, &frame);
+                if !matches!(with_timeout(Duration::from_secs(2), s.write_all(&frame)).await, Some(Ok(()))) {
                     break;
                 }
             }
-            debug!("connection to {addr} lost");
+            debug!("connection to controller lost: addr={addr}");
         }
         Timer::after(Duration::from_millis(200 + fastrand::u64(0..150))).await;
     }
 }
 
-/// Takes peers' connections.
-pub async fn listen(shell: Rc<Shell>, listener: TcpListener, ex: Rc<LocalExecutor<'static>>, nodes: usize) {
+/// Accepts connections of the other controllers.
+pub async fn accept_peers(
+    shell: Rc<Shell>,
+    listener: TcpListener,
+    ex: Rc<LocalExecutor<'static>>,
+    controllers: usize,
+) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 let shell = shell.clone();
                 ex.spawn(async move {
-                    if let Err(e) = receive(&shell, stream, nodes).await {
-                        debug!("peer connection: {e}");
+                    if let Err(e) = receive_messages(&shell, stream, controllers).await {
+                        debug!("connection from a controller failed: {e}");
                     }
                 })
                 .detach();
             }
             Err(e) => {
-                warn!("accept: {e}");
+                warn!("accept on the cluster address failed: {e}");
                 Timer::after(Duration::from_millis(50)).await;
             }
         }
     }
 }
 
-/// Frames that are read before the first of them is handled, where more and more come.
-const MAX_FRAMES_AT_ONCE: usize = 64;
+/// Most frames read before the first of them is processed, while frames keep arriving.
+const MAX_FRAMES_PER_BATCH: usize = 64;
 
-/// Takes a peer's messages. What is there is read first, so that this process, if it is behind,
-/// handles only the newest of what repeats itself.
-async fn receive(shell: &Rc<Shell>, mut stream: TcpStream, nodes: usize) -> Result<(), peer::FrameError> {
+/// Receives a peer's messages. All available frames are read first, so that an overloaded
+/// process handles only the newest of the messages that replace earlier ones.
+async fn receive_messages(
+    shell: &Rc<Shell>,
+    mut stream: TcpStream,
+    controllers: usize,
+) -> Result<(), peer::FrameError> {
     let mut inboxes: BTreeMap<NodeId, Inbox> = BTreeMap::new();
     let mut frames = 0;
     loop {
@@ -117,44 +127,44 @@
             match poll_once(&mut next).await {
                 Some(envelope) => envelope,
                 None => {
-                    handle_waiting(shell, &mut inboxes);
+                    process_queued_messages(shell, &mut inboxes);
                     frames = 0;
                     next.await
                 }
             }
         };
-        let Some(envelope) = envelope.inspect_err(|_| handle_waiting(shell, &mut inboxes))? else {
-            handle_waiting(shell, &mut inboxes);
+        let Some(envelope) = envelope.inspect_err(|_| process_queued_messages(shell, &mut inboxes))? else {
+            process_queued_messages(shell, &mut inboxes);
             return Ok(());
         };
-        if (envelope.from.0 as usize) < nodes && envelope.from != shell.me {
+        if (envelope.from.0 as usize) < controllers && envelope.from != shell.own_id {
             inboxes.entry(envelope.from).or_default().put(envelope.incarnation, envelope.message);
         }
         frames += 1;
-        if frames == MAX_FRAMES_AT_ONCE {
-            handle_waiting(shell, &mut inboxes);
+        if frames == MAX_FRAMES_PER_BATCH {
+            process_queued_messages(shell, &mut inboxes);
             frames = 0;
         }
     }
 }
 
-fn handle_waiting(shell: &Rc<Shell>, inboxes: &mut BTreeMap<NodeId, Inbox>) {
+fn process_queued_messages(shell: &Rc<Shell>, inboxes: &mut BTreeMap<NodeId, Inbox>) {
     for (from, inbox) in inboxes {
         while let Some((incarnation, message)) = inbox.take() {
-            shell.input(Input::Peer { from: *from, incarnation, message });
+            shell.process_input(Input::Peer { from: *from, incarnation, message });
         }
     }
 }
 
-/// The next frame; `None` where the connection is over.
+/// Reads the next frame; `None` if the connection ended or timed out.
 async fn read_envelope(stream: &mut TcpStream) -> Result<Option<Envelope>, peer::FrameError> {
     let mut head = [0u8; peer::HEAD];
-    let read = within(IDLE_TIMEOUT, stream.read_exact(&mut head)).await;
+    let read = with_timeout(IDLE_TIMEOUT, stream.read_exact(&mut head)).await;
     if !matches!(read, Some(Ok(_))) {
         return Ok(None);
     }
     let len = peer::decode_head(head)?;
-    // Room is taken as the frame comes, not as its head claims.
+    // Allocates as bytes arrive, not by the length in the header.
     let mut body = Vec::new();
     stream.take(len as u64).read_to_end(&mut body).await?;
     peer::decode_body(&body).map(Some)
@@ -165,30 +175,30 @@
     use super::*;
 
     #[test]
-    fn what_waits_for_a_peer_is_bounded_in_bytes() {
+    fn queue_to_a_peer_is_bounded_in_bytes() {
         let (tx, rx) = smol::channel::bounded(64);
-        let out = Outgoing::new(tx);
-        // (frame put, or 0 to take one out; frames that wait after it)
-        let m = MOST_WAITING;
+        let queue = PeerQueue::new(tx);
+        // (bytes of the frame to queue, or 0 to take one out; frames queued after it)
+        let max = MAX_QUEUED_BYTES;
         let steps = [
-            (3 * m, 1),
+            (3 * max, 1),
             (1, 1),
             (0, 0),
-            (m / 2, 1),
-            (m / 2, 2),
+            (max / 2, 1),
+            (max / 2, 2),
             (1, 2),
             (0, 1),
             (1, 2),
             (0, 1),
             (0, 0),
-            (m, 1),
+            (max, 1),
         ];
-        for (i, (len, waiting)) in steps.into_iter().enumerate() {
+        for (i, (len, expected)) in steps.into_iter().enumerate() {
             match len {
-                0 => out.taken(&rx.try_recv().unwrap()),
-                n => out.put(vec![0; n]),
+                0 => queue.record_dequeued(&rx.try_recv().unwrap()),
+                n => queue.push(vec![0; n]),
             }
-            assert_eq!(rx.len(), waiting, "step {i}");
+            assert_eq!(rx.len(), expected, "step {i}");
         }
     }
 }
--- a/crates/shell/src/server.rs
+++ b/crates/shell/src/server.rs
@@ -1,8 +1,10 @@
-//! Connections of users and workers; who may keep one is decided in
-//! [`super::admission`].
-use super::admission::{Admission, Bounds, ConnId, ConnectionCounts, Manner, Who};
+//! HTTP server for users, workers and the extension's clients. [`super::admission`] decides
+//! which connections stay open.
+use super::admission::{
+    Admission, AdmissionDecision, ClientClass, ConnId, ConnectionCounts, ConnectionLimits,
+};
 use super::http;
-use super::{Reply, Shell};
+use super::{ResponsePart, Shell};
 use gorseshore_protocol::users;
 use log::{info, warn};
 use smol::channel::{Receiver, Sender, bounded};
@@ -15,19 +17,19 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// An open connection without a request is closed after this.
-const IDLE: Duration = Duration::from_secs(90);
-/// A request must be there whole within this.
-const SLOW: Duration = Duration::from_secs(5);
-/// Who is refused for want of a connection may come back after this, in seconds.
-const COME_BACK: u32 = 2;
-/// How often, every 2 ms, a place is looked for before a newcomer is closed.
-const LETS_GO_IN: u32 = 20;
-/// That connections run short is logged no more often than this.
-const TOLD_EVERY: Duration = Duration::from_secs(10);
+/// A connection that waits for a request is closed after this time.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(90);
+/// Limit for receiving a whole request, and for each write to a client.
+const IO_TIMEOUT: Duration = Duration::from_secs(5);
+/// `Retry-After`, in seconds, of a request rejected at the connection limit.
+const RETRY_AFTER_S: u32 = 2;
+/// Attempts, 2 ms apart, to admit a new connection before it is closed.
+const MAX_ADMISSION_ATTEMPTS: u32 = 20;
+/// Minimum interval between log lines about an exceeded connection limit.
+const LIMIT_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Waits for `f` no longer than `limit`.
-pub async fn within<T>(limit: Duration, f: impl Future<Output = T>) -> Option<T> {
+/// Waits for `f`; `None` if it is not ready within `limit`.
+pub async fn with_timeout<T>(limit: Duration, f: impl Future<Output = T>) -> Option<T> {
     async { Some(f.await) }
         .or(async {
             Timer::after(limit).await;
@@ -36,191 +38,202 @@
         .await
 }
 
-/// Who is behind an address.
+/// The API that a listener serves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Door {
-    /// Users and workers.
-    Users,
-    /// Those who speak the guest's interface.
+pub enum Api {
+    /// API of users and workers.
+    Scheduler,
+    /// API of the extension.
     Extension,
 }
 
-impl Door {
-    /// Longest request body.
-    fn longest(self) -> usize {
+impl Api {
+    /// Limit of a request body, in bytes.
+    fn max_body_len(self) -> usize {
         match self {
-            Door::Users => http::MAX_BODY,
-            Door::Extension => http::MAX_EXTENSION_BODY_BYTES,
+            Api::Scheduler => http::MAX_BODY_BYTES,
+            Api::Extension => http::MAX_EXTENSION_BODY_BYTES,
         }
     }
 }
 
-/// The connections of one address.
-pub struct Entry {
+/// The connections of one listener.
+pub struct ConnectionTable {
     admission: Admission,
-    /// Tells a connection that it is let go.
-    let_go: HashMap<ConnId, Sender<()>>,
-    told: Option<std::time::Instant>,
+    /// Channels that signal a connection its eviction.
+    close_signals: HashMap<ConnId, Sender<()>>,
+    last_limit_log: Option<std::time::Instant>,
 }
 
-impl Entry {
-    /// Nobody is connected yet.
-    pub fn new(bounds: Bounds) -> Self {
-        Entry { admission: Admission::new(bounds), let_go: HashMap::new(), told: None }
+impl ConnectionTable {
+    /// Starts without connections.
+    pub fn new(limits: ConnectionLimits) -> Self {
+        ConnectionTable {
+            admission: Admission::new(limits),
+            close_signals: HashMap::new(),
+            last_limit_log: None,
+        }
     }
 
-    /// Connections by class, and what became of others since this was last asked.
+    /// Open connections by class, and the counters since the last call, which are reset.
     pub fn take_counts(&mut self) -> ConnectionCounts {
         self.admission.take_counts()
     }
 
-    /// Users' and workers' connections take the room of those kept with workers.
-    fn leave_room(&self, shell: &Shell, door: Door) {
-        if door == Door::Users {
-            let (open, most) = self.admission.load();
-            shell.client.leave_room(most.saturating_sub(open));
+    /// Updates the limit of idle connections to workers: it shrinks as inbound connections of
+    /// users and workers take sockets.
+    fn update_free_inbound(&self, shell: &Shell, api: Api) {
+        if api == Api::Scheduler {
+            let (open, limit) = self.admission.open_and_limit();
+            shell.client.set_free_inbound(limit.saturating_sub(open));
         }
     }
 
-    fn let_go(&self, id: Option<ConnId>) {
-        if let Some(tx) = id.and_then(|id| self.let_go.get(&id)) {
+    fn signal_close(&self, id: Option<ConnId>) {
+        if let Some(tx) = id.and_then(|id| self.close_signals.get(&id)) {
             let _ = tx.try_send(());
         }
     }
 
-    /// Says that connections run short, now and then.
-    fn tell(&mut self) {
-        let (open, most) = self.admission.load();
-        if open > most && self.told.is_none_or(|t| t.elapsed() >= TOLD_EVERY) {
-            self.told = Some(std::time::Instant::now());
-            let away = self.admission.turned_away();
-            info!("{open} of {most} connections are open: {away} let go or turned away so far");
+    /// Logs that the connection limit is exceeded, at most once per [`LIMIT_LOG_INTERVAL`].
+    fn log_limit_exceeded(&mut self) {
+        let (open, limit) = self.admission.open_and_limit();
+        if open > limit && self.last_limit_log.is_none_or(|t| t.elapsed() >= LIMIT_LOG_INTERVAL) {
+            self.last_limit_log = Some(std::time::Instant::now());
+            let closed = self.admission.closed_or_rejected();
+            info!("connection limit exceeded: open={open} limit={limit} closed_or_rejected={closed}");
         }
     }
 }
 
-/// Takes connections, as many as the bounds of `entry` say.
+/// Accepts connections within the limits of `connections`.
 pub async fn listen(
     shell: Rc<Shell>,
     listener: TcpListener,
     ex: Rc<LocalExecutor<'static>>,
-    door: Door,
-    entry: Rc<RefCell<Entry>>,
+    api: Api,
+    connections: Rc<RefCell<ConnectionTable>>,
 ) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 let (tx, rx) = bounded(1);
-                let Some(id) = admit(&entry, &shell).await else { continue };
+                let Some(id) = admit(&connections, &shell).await else { continue };
                 {
-                    let mut e = entry.borrow_mut();
-                    e.let_go.insert(id, tx);
-                    e.leave_room(&shell, door);
+                    let mut table = connections.borrow_mut();
+                    table.close_signals.insert(id, tx);
+                    table.update_free_inbound(&shell, api);
                 }
-                let (shell, entry) = (shell.clone(), entry.clone());
+                let (shell, connections) = (shell.clone(), connections.clone());
                 ex.spawn(async move {
-                    serve(&shell, stream, door, id, &entry, rx).await;
-                    let mut e = entry.borrow_mut();
-                    e.admission.closed(id);
-                    e.let_go.remove(&id);
-                    e.leave_room(&shell, door);
+                    serve(&shell, stream, api, id, &connections, rx).await;
+                    let mut table = connections.borrow_mut();
+                    table.admission.on_close(id);
+                    table.close_signals.remove(&id);
+                    table.update_free_inbound(&shell, api);
                 })
                 .detach();
             }
             Err(e) => {
-                warn!("accept: {e}");
+                warn!("accept failed: {e}");
                 Timer::after(Duration::from_millis(50)).await;
             }
         }
     }
 }
 
-/// Lets a newcomer in. Those who are let go for it need a moment to close, in
-/// which nobody else is taken from the queue either.
-async fn admit(entry: &RefCell<Entry>, shell: &Shell) -> Option<ConnId> {
-    for _ in 0..LETS_GO_IN {
+/// Admits a new connection; `None` if it has to be closed. An evicted connection takes a
+/// moment to close; no other connection is accepted in that time.
+async fn admit(connections: &RefCell<ConnectionTable>, shell: &Shell) -> Option<ConnId> {
+    for _ in 0..MAX_ADMISSION_ATTEMPTS {
         {
-            let mut e = entry.borrow_mut();
-            let (id, gone) = e.admission.opened(shell.now());
-            e.let_go(gone);
-            e.tell();
+            let mut table = connections.borrow_mut();
+            let (id, evicted) = table.admission.on_connect(shell.now());
+            table.signal_close(evicted);
+            table.log_limit_exceeded();
             if id.is_some() {
                 return id;
             }
         }
         Timer::after(Duration::from_millis(2)).await;
     }
-    entry.borrow_mut().admission.turn_away();
+    connections.borrow_mut().admission.record_closed_before_request();
     None
 }
 
 async fn serve(
     shell: &Rc<Shell>,
     mut stream: TcpStream,
-    door: Door,
+    api: Api,
     conn: ConnId,
-    entry: &RefCell<Entry>,
-    let_go: Receiver<()>,
+    connections: &RefCell<ConnectionTable>,
+    close_signal: Receiver<()>,
 ) {
     let _ = stream.set_nodelay(true);
     let mut buf: Vec<u8> = Vec::new();
     loop {
         if buf.is_empty() {
-            let next = async { within(IDLE, more(&mut stream, &mut buf)).await == Some(true) };
-            let gone = async {
-                let _ = let_go.recv().await;
+            let next =
+                async { with_timeout(IDLE_TIMEOUT, read_more(&mut stream, &mut buf)).await == Some(true) };
+            let evicted = async {
+                let _ = close_signal.recv().await;
                 false
             };
-            if !next.or(gone).await {
+            if !next.or(evicted).await {
                 return;
             }
         }
-        let read = within(SLOW, read_request(&mut stream, &mut buf, door)).await;
+        let read = with_timeout(IO_TIMEOUT, read_request(&mut stream, &mut buf, api)).await;
         let (head, body) = match read {
             Some(Ok(Some(r))) => r,
             Some(Ok(None)) => return,
             None => {
-                let a = http::encode_response(408, &users::error("the request took too long"), None, false);
-                let _ = within(SLOW, stream.write_all(&a)).await;
+                let a = http::encode_response(
+                    408,
+                    &users::error("the request was not received in time"),
+                    None,
+                    false,
+                );
+                let _ = with_timeout(IO_TIMEOUT, stream.write_all(&a)).await;
                 return;
             }
             Some(Err(e)) => {
                 let a = http::encode_response(e.status(), &users::error(&e.to_string()), None, false);
-                let _ = within(SLOW, stream.write_all(&a)).await;
-                // What is still on its way is read, so that the answer is not
-                // lost to a reset.
+                let _ = with_timeout(IO_TIMEOUT, stream.write_all(&a)).await;
+                // Reads what the client still sends, so that the response is not lost to a
+                // connection reset.
                 let mut sink = [0u8; 4096];
-                let _ = within(Duration::from_millis(300), async {
-                    let mut left = 256 * 1024usize;
+                let _ = with_timeout(Duration::from_millis(300), async {
+                    let mut remaining = 256 * 1024usize;
                     while let Ok(n) = stream.read(&mut sink).await {
-                        if n == 0 || n >= left {
+                        if n == 0 || n >= remaining {
                             return;
                         }
-                        left -= n;
+                        remaining -= n;
                     }
                 })
                 .await;
                 return;
             }
         };
-        let who = Who::of(&head.method, &head.path);
-        let manner = {
-            let mut e = entry.borrow_mut();
-            let (manner, gone) = e.admission.asks(conn, who, shell.now());
-            e.let_go(gone);
-            manner
+        let class = ClientClass::from_request(&head.method, &head.path);
+        let decision = {
+            let mut table = connections.borrow_mut();
+            let (decision, evicted) = table.admission.on_request(conn, class, shell.now());
+            table.signal_close(evicted);
+            decision
         };
-        if manner == Manner::Refuse {
+        if decision == AdmissionDecision::Reject {
             let error = users::error("too many connections");
-            let a = http::encode_response(503, &error, Some(COME_BACK), false);
-            let _ = within(SLOW, stream.write_all(&a)).await;
+            let a = http::encode_response(503, &error, Some(RETRY_AFTER_S), false);
+            let _ = with_timeout(IO_TIMEOUT, stream.write_all(&a)).await;
             return;
         }
-        let keep = head.keep_alive && manner == Manner::Keep;
-        let (id, reply) = shell.request(door, head, body);
-        // A requester that goes away meanwhile is noticed.
+        let keep_alive = head.keep_alive && decision == AdmissionDecision::KeepAlive;
+        let (id, response_parts) = shell.submit_request(api, head, body);
+        // Detects a client that disconnects before the response is ready.
         let mut probe = [0u8; 1];
-        let answered = async { reply.recv().await.ok() }
+        let response = async { response_parts.recv().await.ok() }
             .or(async {
                 match stream.peek(&mut probe).await {
                     Ok(0) | Err(_) => None,
@@ -228,58 +241,61 @@
                 }
             })
             .await;
-        match answered {
-            Some(Reply::Whole(a)) => {
-                // A controller that can't serve users lets them go to others, which the
-                // load balancer names only for a new connection.
-                let keep = keep && !(a.status == 503 && who != Who::Worker && !shell.serves_users());
-                let bytes = http::answer_with(a.status, &a.headers, &a.body, keep);
-                if !matches!(within(SLOW, stream.write_all(&bytes)).await, Some(Ok(()))) || !keep {
+        match response {
+            Some(ResponsePart::Full(a)) => {
+                // A controller that can't serve users closes their connections: the load
+                // balancer selects another controller only for a new connection.
+                let keep_alive =
+                    keep_alive && !(a.status == 503 && class != ClientClass::Worker && !shell.serves_users());
+                let bytes = http::encode_response_with_headers(a.status, &a.headers, &a.body, keep_alive);
+                if !matches!(with_timeout(IO_TIMEOUT, stream.write_all(&bytes)).await, Some(Ok(())))
+                    || !keep_alive
+                {
                     return;
                 }
-                entry.borrow_mut().admission.idle(conn, shell.now());
+                connections.borrow_mut().admission.on_response(conn, shell.now());
             }
-            Some(Reply::Head(a)) => {
-                let first = http::chunked_head(a.status, &a.headers);
-                if matches!(within(SLOW, stream.write_all(&first)).await, Some(Ok(()))) {
-                    stream_chunks(&mut stream, &reply).await;
+            Some(ResponsePart::StreamHead(a)) => {
+                let head = http::encode_chunked_response_head(a.status, &a.headers);
+                if matches!(with_timeout(IO_TIMEOUT, stream.write_all(&head)).await, Some(Ok(()))) {
+                    stream_chunks(&mut stream, &response_parts).await;
                 }
-                return shell.gone(id);
+                return shell.client_disconnected(id);
             }
-            Some(Reply::Chunk(_)) | None => return shell.gone(id),
+            Some(ResponsePart::StreamChunk(_)) | None => return shell.client_disconnected(id),
         }
     }
 }
 
-/// Writes chunks until their source or the reader ends.
-async fn stream_chunks(stream: &mut TcpStream, chunks: &Receiver<Reply>) {
-    let mut watch = stream.clone();
+/// Writes chunks until the stream ends or the client disconnects.
+async fn stream_chunks(stream: &mut TcpStream, parts: &Receiver<ResponsePart>) {
+    let mut reader = stream.clone();
     let mut probe = [0u8; 64];
     loop {
-        let next = async { chunks.recv().await.ok() }
+        let next = async { parts.recv().await.ok() }
             .or(async {
-                // Whatever the reader sends is of no interest but its end.
-                while matches!(watch.read(&mut probe).await, Ok(n) if n > 0) {}
+                // Discards what the client sends, and waits for its disconnect.
+                while matches!(reader.read(&mut probe).await, Ok(n) if n > 0) {}
                 None
             })
             .await;
         let bytes = match next {
-            Some(Reply::Chunk(data)) if !data.is_empty() => http::chunk(&data),
+            Some(ResponsePart::StreamChunk(data)) if !data.is_empty() => http::encode_chunk(&data),
             Some(_) => continue,
             None => break,
         };
-        if !matches!(within(SLOW, stream.write_all(&bytes)).await, Some(Ok(()))) {
+        if !matches!(with_timeout(IO_TIMEOUT, stream.write_all(&bytes)).await, Some(Ok(()))) {
             return;
         }
     }
-    let _ = within(SLOW, stream.write_all(&http::chunk(b""))).await;
+    let _ = with_timeout(IO_TIMEOUT, stream.write_all(&http::encode_chunk(b""))).await;
 }
 
-async fn more(stream: &mut TcpStream, buf: &mut Vec<u8>) -> bool {
-    let mut part = [0u8; 4096];
-    match stream.read(&mut part).await {
+async fn read_more(stream: &mut TcpStream, buf: &mut Vec<u8>) -> bool {
+    let mut chunk = [0u8; 4096];
+    match stream.read(&mut chunk).await {
         Ok(n) if n > 0 => {
-            buf.extend_from_slice(&part[..n]);
+            buf.extend_from_slice(&chunk[..n]);
             true
         }
         _ => false,
@@ -291,13 +307,13 @@
 async fn read_request(
     stream: &mut TcpStream,
     buf: &mut Vec<u8>,
-    door: Door,
-) -> Result<Option<Request>, http::BadRequest> {
+    api: Api,
+) -> Result<Option<Request>, http::HttpError> {
     let head = loop {
-        if let Some(h) = http::parse_request_head(buf, door.longest())? {
+        if let Some(h) = http::parse_request_head(buf, api.max_body_len())? {
             break h;
         }
-        if !more(stream, buf).await {
+        if !read_more(stream, buf).await {
             return Ok(None);
         }
     };
@@ -305,7 +321,7 @@
         let _ = stream.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await;
     }
     while buf.len() < head.head_len + head.body_len {
-        if !more(stream, buf).await {
+        if !read_more(stream, buf).await {
             return Ok(None);
         }
     }
