--- a/tests/site_records.rs
+++ b/tests/site_records.rs
@@ -1,5 +1,5 @@
-//! Every record that real controllers leave in the state service after work of all
-//! kinds is one that the program in production reads.
+//! The program in production can read every record that controllers write to the state service
+//! while they run jobs of all kinds.
 use gorseshore_core::jobs::description;
 use gorseshore_protocol::ids::JobId;
 use gorseshore_protocol::state::News;
@@ -15,94 +15,95 @@
 mod production;
 
 const LIMIT: Duration = Duration::from_secs(120);
-const NOMAD: &str = include_str!("../deploy/nomad.txtpb");
+const OPERATOR_SETTINGS: &str = include_str!("../deploy/nomad.txtpb");
 
 fn send(a: SocketAddr, method: &str, path: &str, body: &Value) -> Told {
     ask(a, method, path, "", &body.to_string(), Duration::from_secs(20))
-        .unwrap_or_else(|| panic!("{method} {path}: no answer"))
+        .unwrap_or_else(|| panic!("{method} {path}: no response"))
 }
 
-fn until(what: &str, mut done: impl FnMut() -> bool) {
+fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
-    while !done() {
+    while !condition() {
         assert!(start.elapsed() < LIMIT, "{what}: not in time");
         std::thread::sleep(Duration::from_millis(30));
     }
 }
 
-fn native(number: u64, manner: &str, tasks: u32) -> Value {
-    json!({"ref": format!("j-{number:06}"), "lot": "l", "crew": "default", "manner": manner, "rank": "high",
+fn native_job(number: u64, kind: &str, tasks: u32) -> Value {
+    json!({"ref": format!("j-{number:06}"), "lot": "l", "crew": "default", "manner": kind, "rank": "high",
         "pieces": tasks, "cpus": 0.5, "gpus": 0, "memory_gb": 0.5, "bundle": "i", "image_gb": 0.1,
         "builds": ["big", "small"], "yard": "east", "same_place": false, "apart": false, "loaners": true,
         "guess_s": 100, "mark_s": 10, "stow_s": 1, "due_s": 900.5})
 }
 
-fn nomad(id: &str, count: u32, image: &str) -> Value {
+fn nomad_job(id: &str, count: u32, image: &str) -> Value {
     json!({"Job": {"ID": id, "Name": id, "Type": "batch", "TaskGroups": [{"Name": "g", "Count": count,
         "RestartPolicy": {"Attempts": 1, "Mode": "fail"}, "ReschedulePolicy": {"Attempts": 1},
         "Tasks": [{"Name": "t", "Driver": "docker", "Config": {"image": image},
             "Resources": {"CPU": 1000, "MemoryMB": 256}}]}]}})
 }
 
-/// All sorts of records that a site without cuts writes in the time of a test; launches by
-/// cron come once a minute.
-const SORTS: &[&str] = &[
+/// Kinds of records that controllers without network partitions write in the time of a test.
+/// Launches by cron are not among them: they come once a minute.
+const EXPECTED_KINDS: &[&str] = &[
     "job",
     "done",
     "cancelled",
-    "settled",
+    "fully stopped",
     "failed",
     "progress",
     "failures",
     "machines",
     "leader",
     "term",
-    "books",
-    "hire",
+    "standby replicas",
+    "last rental request",
     "nomad head",
     "nomad part",
     "nomad token",
 ];
 
-/// A record's sort, by words of this test's own.
-fn sort(key: &str, record: &Record) -> &'static str {
+/// Kind of a record, in this test's own terms.
+fn record_kind(key: &str, record: &Record) -> &'static str {
     match record {
         Record::Job { .. } => "job",
         Record::End { done: true, .. } => "done",
         Record::End { settled: false, cause: None, .. } => "cancelled",
-        Record::End { settled: true, .. } => "settled",
+        Record::End { settled: true, .. } => "fully stopped",
         Record::End { .. } => "failed",
         Record::Progress { .. } => "progress",
         Record::Failures { .. } => "failures",
         Record::Machines { .. } => "machines",
         Record::Leader { .. } => "leader",
         Record::Term(_) => "term",
-        Record::Books { .. } => "books",
-        Record::Mail { .. } => "mail",
+        Record::Books { .. } => "standby replicas",
+        Record::Mail { .. } => "relayed messages",
         Record::NomadHead(_) => "nomad head",
         Record::NomadPart(_) => "nomad part",
         Record::NomadLaunch(_) => "nomad launch",
         Record::NomadToken(_) => "nomad token",
-        Record::PassedOver if key == "g/hire" => "hire",
-        Record::PassedOver => "passed over",
+        Record::PassedOver if key == "g/hire" => "last rental request",
+        Record::PassedOver => "unknown key",
     }
 }
 
-/// What the state service was told, read as production reads it.
+/// Records written to the state service, read as production reads them.
 struct Records {
     state: SocketAddr,
-    /// Changes up to this revision were read.
+    /// Changes up to this revision have been read.
     revision: u64,
     seen: BTreeSet<&'static str>,
 }
 
 impl Records {
-    /// Reads every change since the last time.
+    /// Reads the changes since the last call.
     fn read_changes(&mut self) {
         let path = format!("/follow?prefix=g/&from={}&hold_ms=0", self.revision);
-        let news: News = serde_json::from_slice(&send(self.state, "GET", &path, &Value::Null).body).unwrap();
-        self.revision = news.ledger;
-        for event in news.news {
+        let response: News =
+            serde_json::from_slice(&send(self.state, "GET", &path, &Value::Null).body).unwrap();
+        self.revision = response.ledger;
+        for event in response.news {
             if let Some(key) = event.put {
                 self.read(&key, &event.v);
             }
@@ -115,15 +116,15 @@
             let spec = description(JobId(*id), value).unwrap_or_else(|| panic!("{key}: {value}"));
             assert_eq!((spec.tasks, &spec.image), (job.tasks, &job.image), "{key}");
         }
-        self.seen.insert(sort(key, &record));
+        self.seen.insert(record_kind(key, &record));
     }
 
-    /// Reads on until all of these sorts were there.
-    fn read_until(&mut self, wanted: &[&'static str]) {
+    /// Reads changes until records of all these kinds were seen.
+    fn read_until(&mut self, kinds: &[&'static str]) {
         let start = Instant::now();
         loop {
             self.read_changes();
-            let missing: Vec<_> = wanted.iter().filter(|sort| !self.seen.contains(*sort)).collect();
+            let missing: Vec<_> = kinds.iter().filter(|kind| !self.seen.contains(*kind)).collect();
             if missing.is_empty() {
                 return;
             }
@@ -134,35 +135,37 @@
 }
 
 #[test]
-fn all_records_of_a_site_are_read_by_production() {
-    // The team's limit lets an array go on for long enough that its progress is recorded.
+fn production_reads_all_records_of_a_site() {
+    // The team limit makes an array run long enough for its progress to be recorded.
     let teams = vec![("default".to_owned(), 20.0)];
-    let options = Options { operator: NOMAD.into(), pace: 0.02, teams, ..Options::default() };
+    let options = Options { operator: OPERATOR_SETTINGS.into(), pace: 0.02, teams, ..Options::default() };
     let site = Site::start(&options).unwrap();
     assert!(site.ready(Duration::from_secs(30)), "not ready");
-    let (user, guest) = (site.users[0], site.nomad[0]);
-    let submit = |job: &Value| send(user, "POST", "/submissions", job).status;
-    until("accepted", || submit(&native(1, "array", 40)) == 201);
-    assert_eq!(submit(&native(2, "standing", 2)), 201);
-    assert_eq!(submit(&native(3, "array", 200)), 201);
-    until("registered", || send(guest, "PUT", "/v1/jobs", &nomad("good", 2, "i")).status == 200);
-    assert_eq!(send(guest, "PUT", "/v1/jobs", &nomad("good", 3, "i2")).status, 200);
-    assert_eq!(send(guest, "PUT", "/v1/jobs", &nomad("bad", 3, "fails")).status, 200);
-    let mut template = nomad("template", 1, "i");
+    let (user_addr, nomad_addr) = (site.users[0], site.nomad[0]);
+    let submit = |job: &Value| send(user_addr, "POST", "/submissions", job).status;
+    wait_until("accepted", || submit(&native_job(1, "array", 40)) == 201);
+    assert_eq!(submit(&native_job(2, "standing", 2)), 201);
+    assert_eq!(submit(&native_job(3, "array", 200)), 201);
+    wait_until("registered", || {
+        send(nomad_addr, "PUT", "/v1/jobs", &nomad_job("good", 2, "i")).status == 200
+    });
+    assert_eq!(send(nomad_addr, "PUT", "/v1/jobs", &nomad_job("good", 3, "i2")).status, 200);
+    assert_eq!(send(nomad_addr, "PUT", "/v1/jobs", &nomad_job("bad", 3, "fails")).status, 200);
+    let mut template = nomad_job("template", 1, "i");
     template["Job"]["ParameterizedJob"] = json!({"Payload": "forbidden", "MetaRequired": ["route"]});
-    assert_eq!(send(guest, "PUT", "/v1/jobs", &template).status, 200);
+    assert_eq!(send(nomad_addr, "PUT", "/v1/jobs", &template).status, 200);
     let dispatch = json!({"Meta": {"route": "7"}, "IdempotencyToken": "t1"});
-    assert_eq!(send(guest, "POST", "/v1/job/template/dispatch", &dispatch).status, 200);
-    let mut often = nomad("often", 1, "i");
-    often["Job"]["Periodic"] = json!({"Enabled": true, "Spec": "0 0 1 1 *", "SpecType": "cron"});
-    assert_eq!(send(guest, "PUT", "/v1/jobs", &often).status, 200);
-    let forced = send(guest, "POST", "/v1/job/often/periodic/force", &Value::Null);
-    assert_eq!(forced.status, 200, "{}", forced.text());
+    assert_eq!(send(nomad_addr, "POST", "/v1/job/template/dispatch", &dispatch).status, 200);
+    let mut periodic = nomad_job("often", 1, "i");
+    periodic["Job"]["Periodic"] = json!({"Enabled": true, "Spec": "0 0 1 1 *", "SpecType": "cron"});
+    assert_eq!(send(nomad_addr, "PUT", "/v1/jobs", &periodic).status, 200);
+    let launched = send(nomad_addr, "POST", "/v1/job/often/periodic/force", &Value::Null);
+    assert_eq!(launched.status, 200, "{}", launched.text());
 
     let mut records = Records { state: site.state, revision: 0, seen: BTreeSet::new() };
     records.read_until(&["progress", "failures"]);
-    let cancelled = send(user, "POST", "/submissions/j-000002/abort", &Value::Null);
+    let cancelled = send(user_addr, "POST", "/submissions/j-000002/abort", &Value::Null);
     assert_eq!(cancelled.status, 200, "{}", cancelled.text());
-    records.read_until(SORTS);
-    assert!(!records.seen.contains("passed over"), "a key that production doesn't know");
+    records.read_until(EXPECTED_KINDS);
+    assert!(!records.seen.contains("unknown key"), "a key that production does not know");
 }
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,5 +1,5 @@
-//! Real controllers on loopback under random faults: one short seeded run of many workers
-//! with few sockets. `gorseshore-standins soak` plays more.
+//! Controllers on loopback under random faults: one short run with a fixed seed, and with more
+//! workers than a controller may hold connections. `gorseshore-standins soak` does more runs.
 use gorseshore_standins::soak::{Settings, run};
 use std::path::PathBuf;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 const SEED: u64 = 1;
 
 #[test]
-fn rules_hold_under_random_faults_with_more_workers_than_connections() {
+fn invariants_hold_under_random_faults_with_more_workers_than_connections() {
     let settings = Settings {
         program: PathBuf::from(env!("CARGO_BIN_EXE_gorseshore")),
         controllers: 3,
@@ -18,7 +18,7 @@
     };
     let outcome = run(&settings, SEED).unwrap();
     println!(
-        "{} jobs, {} answers, {} starts, longest unanswered {:.1} s",
+        "{} jobs, {} responses, {} task starts, longest time without a response {:.1} s",
         outcome.jobs, outcome.answers, outcome.starts, outcome.unanswered_s
     );
     assert!(outcome.violations.is_empty(), "seed {SEED}: {:?}", outcome.violations);
