--- a/crates/core/src/leader/blocks.rs
+++ b/crates/core/src/leader/blocks.rs
@@ -23,7 +23,7 @@
     pub(super) fn in_contact(&self, n: NodeId, now: Micros) -> bool {
         let heard = self.nodes.get(n.0 as usize).and_then(|x| x.heard);
         heard.is_some_and(|t| {
-            now.since(self.lateness.silent_from_within(t, CONTACT_LOST_FOR_CERTAIN)) < CONTACT_TIMEOUT
+            now.since(self.lateness.silence_start_capped(t, CONTACT_LOST_FOR_CERTAIN)) < CONTACT_TIMEOUT
         })
     }
 
@@ -89,7 +89,7 @@
     /// Grants, moves, watches and decides. Called about every 20 ms while
     /// this node may lead.
     pub fn tick(&mut self, ledger: &Ledger, now: Micros) {
-        self.lateness.works(now);
+        self.lateness.record_tick(now);
         if !self.granted {
             let all = self.contacts(now).into_iter().all(|c| c);
             let waited = now.since(self.began);
@@ -144,8 +144,8 @@
             match m.holder {
                 None => unheld.push((id.clone(), m.zone.clone())),
                 Some(h) => {
-                    let silent_from = m.heard.map(|t| self.lateness.silent_from(t));
-                    let silent = silent_from.is_none_or(|t| now.since(t) > Micros::millis(3500))
+                    let silence_start = m.heard.map(|t| self.lateness.silence_start(t));
+                    let silent = silence_start.is_none_or(|t| now.since(t) > Micros::millis(3500))
                         && now.since(m.granted_at) > Micros::millis(1500);
                     if let Some(s) = seen
                         && s != h
@@ -225,7 +225,7 @@
             *last = (*last).max(t);
         }
         // By then it should have reported, or have answered its holder.
-        let overdue = (self.ctx.report.scale(5, 4) + Micros::secs(1)).min(ASKED_AFTER + ASK_TIMEOUT);
+        let overdue = (self.ctx.report.scale(5, 4) + Micros::secs(1)).min(PROBE_AFTER + PROBE_TIMEOUT);
         let heard_by = latest.iter().map(|((h, zone), (t, _))| (Some(*h), *zone, *t));
         for (by, zone, at) in heard_by.chain(zone_latest.iter().map(|(z, t)| (None, *z, *t))) {
             self.ways.heard(by, zone, at, overdue);
@@ -244,7 +244,8 @@
             let way = |by| self.ways.open_since(by, &m.zone);
             let opened = m.holder.map_or(Micros(0), |h| way(Some(h))).max(way(None));
             let last = m.heard.unwrap_or(m.since);
-            let base = self.lateness.silent_from(last).max(self.began).max(spoke).max(m.moved_at).max(opened);
+            let base =
+                self.lateness.silence_start(last).max(self.began).max(spoke).max(m.moved_at).max(opened);
             let silent = now.since(base);
             let seen = self.last_seen.get(id).is_some_and(|(_, t)| now.since(*t) < Micros::secs(5));
             let lost =
--- a/crates/core/src/leader/machines.rs
+++ b/crates/core/src/leader/machines.rs
@@ -116,7 +116,7 @@
     }
 
     /// A rental ended: machines, a refusal (`Some(empty)`), or nobody knows.
-    pub fn hired(&mut self, req: &HireRequest, got: Option<&[String]>, sizes: &Sizes, now: Micros) {
+    pub fn hired(&mut self, req: &HireRequest, got: Option<&[String]>, sizes: &MachineSizes, now: Micros) {
         let Some(hosts) = got else {
             // The same name again gives the same machines.
             if let Some(h) = self.hires.get_mut(&req.name) {
@@ -156,7 +156,7 @@
     }
 
     /// A page of the list (or none, if the call failed).
-    pub fn listed(&mut self, page: Option<&Rentals>, sizes: &Sizes, now: Micros) {
+    pub fn listed(&mut self, page: Option<&Rentals>, sizes: &MachineSizes, now: Micros) {
         self.listing = false;
         self.listed = now;
         let Some(page) = page else { return };
@@ -213,7 +213,7 @@
         }
         // All of a zone's workers report in a quarter more than this.
         let patience = self.ctx.report.max(Micros::secs(4)) + Micros::secs(2);
-        let listens_from = self.lateness.silent_from(self.began + Micros::secs(2));
+        let listens_from = self.lateness.silence_start(self.began + Micros::secs(2));
         for turn in self.health.look(&sights, listens_from, patience, now) {
             self.dirty = true;
             match turn {
--- a/crates/core/src/node/cancellation_enforcement/tests.rs
+++ b/crates/core/src/node/cancellation_enforcement/tests.rs
@@ -1,6 +1,6 @@
 //! Heartbeats and probe answers while probes are the only evidence of where tasks may be.
 use super::*;
-use crate::deputy::ProbeReason;
+use crate::cancellation_enforcer::ProbeReason;
 use gorseshore_protocol::cloud::Rental;
 use serde_json::json;
 
@@ -54,7 +54,7 @@
         held_s: 100.0,
     };
     let rentals: Vec<Rental> = names.iter().map(rental).collect();
-    node.liveness.listed(Some((&rentals, false)), node.now);
+    node.liveness.record_list_page(Some((&rentals, false)), node.now);
 }
 
 /// Lets probes of `m0` fail from a time on while `m1` answers; returns why `m0` is probed in the
@@ -66,9 +66,9 @@
         let sent = from + Micros::secs(second);
         for ms in (0..1_200).step_by(20) {
             node.now = sent + Micros::millis(ms);
-            node.liveness.works(node.now);
+            node.liveness.record_tick(node.now);
         }
-        let answer = CallResult::Answer { status: 200, body: idle_report("m1", 1_000 + second) };
+        let answer = CallResult::Response { status: 200, body: idle_report("m1", 1_000 + second) };
         node.suspect_call_completed(&m1, sent, &answer);
         node.suspect_call_completed(&m0, sent, &CallResult::Unknown);
         node.liveness.suspects(deadline, node.now);
@@ -108,7 +108,7 @@
 
 #[test]
 fn answers_other_than_the_machines_own_report_do_not_count_as_responses() {
-    let answer = |status, body: Vec<u8>| CallResult::Answer { status, body };
+    let answer = |status, body: Vec<u8>| CallResult::Response { status, body };
     let report = idle_report("m0", 9);
     // What arrives for m0 after its probes failed, and how many machines do not answer then.
     let cases = [
@@ -126,7 +126,7 @@
         let sent = node.now;
         node.now = sent + Micros::millis(20);
         node.suspect_call_completed(&MachineId::from("m0"), sent, &result);
-        assert_eq!(node.liveness.summary(node.now).unanswering, unanswering, "{what}");
+        assert_eq!(node.liveness.summary(node.now).unanswered, unanswering, "{what}");
         let other = MachineId::from("m7");
         assert!(node.liveness.address(&other).is_none(), "{what}");
     }
--- a/crates/core/src/node/control_loop.rs
+++ b/crates/core/src/node/control_loop.rs
@@ -45,8 +45,15 @@
                 if i != self.members.own_id.0 as usize {
                     let contacts = contacts.clone();
                     let loaded = self.replica_sync.loaded;
-                    self.out
-                        .send(NodeId(i as u8), Message::Ping { state_ok, hears: contacts, queued, loaded });
+                    self.out.send(
+                        NodeId(i as u8),
+                        Message::Ping {
+                            state_reachable: state_ok,
+                            receives_from: contacts,
+                            queued_writes: queued,
+                            state_loaded: loaded,
+                        },
+                    );
                 }
             }
         }
@@ -345,7 +352,7 @@
         let holders =
             w.nodes.iter().filter_map(|(name, _)| self.members.names.iter().position(|n| n == name));
         for n in holders.filter(|n| *n != self.members.own_id.0 as usize) {
-            self.out.send(NodeId(n as u8), Message::BooksWanted { term });
+            self.out.send(NodeId(n as u8), Message::PlacementLogRequest { term });
         }
     }
 
@@ -491,14 +498,14 @@
             l.writing(w, false);
         }
         match result {
-            CallResult::Answer { status: 200, .. } => {
+            CallResult::Response { status: 200, .. } => {
                 for w in &writes {
                     l.written(w);
                 }
                 self.leadership.rejected.record_success(&writes);
                 self.run_leader();
             }
-            CallResult::Answer { status: 409, body } => {
+            CallResult::Response { status: 409, body } => {
                 let failed =
                     serde_json::from_slice::<MultiAnswer>(body).map(|a| a.failed).unwrap_or_default();
                 if failed.iter().any(|k| k == keys::LEADER) {
@@ -509,7 +516,7 @@
                 self.leadership.next_txn_at = self.now + Micros::millis(60);
                 self.leadership.record_conflicts(&failed, self.now);
             }
-            CallResult::Answer { status: 400, body } => {
+            CallResult::Response { status: 400, body } => {
                 let reason = String::from_utf8_lossy(body);
                 self.leadership.rejected.record_rejection(&writes, &reason, self.now);
             }
@@ -552,7 +559,7 @@
     pub(super) fn cloud_call_completed(&mut self, term: u64, request: CloudWish, result: &CallResult) {
         let Some(l) = self.leadership.leader.as_mut().filter(|l| l.term == term) else { return };
         let body = match result {
-            CallResult::Answer { status: 200, body } => Some(body),
+            CallResult::Response { status: 200, body } => Some(body),
             _ => None,
         };
         match request {
@@ -572,14 +579,14 @@
     pub(super) fn rental_completed(&mut self, req: HireRequest, result: &CallResult) {
         let Some(l) = self.leadership.leader.as_mut() else { return };
         match result {
-            CallResult::Answer { status: 200, body } => {
+            CallResult::Response { status: 200, body } => {
                 let hosts = serde_json::from_slice::<Hosts>(body).map(|h| h.hosts).unwrap_or_default();
                 l.hired(&req, Some(&hosts), &self.catalogue.sizes, self.now);
             }
-            CallResult::Answer { status: 503, body } if body.windows(11).any(|w| w == b"no capacity") => {
+            CallResult::Response { status: 503, body } if body.windows(11).any(|w| w == b"no capacity") => {
                 l.hired(&req, Some(&[]), &self.catalogue.sizes, self.now);
             }
-            CallResult::Answer { status: 400, body } => {
+            CallResult::Response { status: 400, body } => {
                 error!("rental rejected: {}", String::from_utf8_lossy(body));
                 l.hired(&req, Some(&[]), &self.catalogue.sizes, self.now);
             }
--- a/crates/core/src/peer/tests.rs
+++ b/crates/core/src/peer/tests.rs
@@ -1,19 +1,24 @@
 use super::*;
 
 #[test]
-fn frames_round_trip_and_bad_ones_are_refused() {
+fn frames_round_trip_and_invalid_ones_are_rejected() {
     let e = Envelope {
         from: NodeId(1),
         incarnation: 9,
-        message: Message::Ping { state_ok: true, hears: vec![NodeId(2)], queued: 3, loaded: true },
+        message: Message::Ping {
+            state_reachable: true,
+            receives_from: vec![NodeId(2)],
+            queued_writes: 3,
+            state_loaded: true,
+        },
     };
-    let f = encode(&e).unwrap();
-    let head: [u8; HEAD] = f[..HEAD].try_into().unwrap();
-    assert_eq!(decode_head(head).unwrap(), f.len() - HEAD);
-    assert_eq!(decode_body(&f[HEAD..]).unwrap(), e);
-    assert!(decode_head([0, 0, 0, 0, VERSION + 1]).is_err());
-    assert!(decode_head([0xff, 0xff, 0xff, 0xff, VERSION]).is_err());
-    for cut in 0..f.len() - HEAD {
-        assert!(decode_body(&f[HEAD..HEAD + cut]).is_err());
+    let f = encode_frame(&e).unwrap();
+    let head: [u8; FRAME_HEADER_LEN] = f[..FRAME_HEADER_LEN].try_into().unwrap();
+    assert_eq!(decode_header(head).unwrap(), f.len() - FRAME_HEADER_LEN);
+    assert_eq!(decode_body(&f[FRAME_HEADER_LEN..]).unwrap(), e);
+    assert!(decode_header([0, 0, 0, 0, PROTOCOL_VERSION + 1]).is_err());
+    assert!(decode_header([0xff, 0xff, 0xff, 0xff, PROTOCOL_VERSION]).is_err());
+    for cut in 0..f.len() - FRAME_HEADER_LEN {
+        assert!(decode_body(&f[FRAME_HEADER_LEN..FRAME_HEADER_LEN + cut]).is_err());
     }
 }
--- a/crates/shell/src/client.rs
+++ b/crates/shell/src/client.rs
@@ -125,7 +125,7 @@
                 if let Some(s) = connection {
                     self.put_idle(addr, s);
                 }
-                CallResult::Answer { status, body }
+                CallResult::Response { status, body }
             }
             _ => CallResult::Unknown,
         }
--- a/crates/shell/src/lib.rs
+++ b/crates/shell/src/lib.rs
@@ -11,7 +11,7 @@
 use admission::ConnectionLimits;
 use gorseshore_core::extension::{Answer, Extension};
 use gorseshore_core::node::{ClusterMembers, Node};
-use gorseshore_core::peer::{Envelope, Message, before_number, process_number};
+use gorseshore_core::peer::{Envelope, Message, incarnation_delay, incarnation_number};
 use gorseshore_core::{CallResult, Input, Output, RequestId};
 use gorseshore_protocol::ids::{Micros, NodeId};
 use gorseshore_settings::{Operator, Platform};
@@ -68,20 +68,22 @@
         self.input_timings.borrow_mut().record(kind, started.elapsed());
         for output in outputs {
             match output {
-                Output::Answer { id, status, body, retry_after } => {
+                Output::Response { id, status, body, retry_after } => {
                     let headers = retry_after.map(|s| ("Retry-After", s.to_string())).into_iter().collect();
                     self.send_response(id, Answer { status, headers, body });
                 }
-                Output::GuestAnswer(id, answer) => self.send_response(id, answer),
-                Output::Open(id, answer) => self.send_response_part(id, ResponsePart::StreamHead(answer)),
-                Output::Chunk(id, data) => self.send_response_part(id, ResponsePart::StreamChunk(data)),
-                Output::Close(id) => drop(self.response_channels.borrow_mut().remove(&id)),
+                Output::ExtensionResponse(id, answer) => self.send_response(id, answer),
+                Output::StreamOpen(id, answer) => {
+                    self.send_response_part(id, ResponsePart::StreamHead(answer))
+                }
+                Output::StreamChunk(id, data) => self.send_response_part(id, ResponsePart::StreamChunk(data)),
+                Output::StreamClose(id) => drop(self.response_channels.borrow_mut().remove(&id)),
                 Output::Call { id, call } => {
                     let shell = self.clone();
                     self.executor
                         .spawn(async move {
                             let result: CallResult = shell.client.call(&call).await;
-                            shell.process_input(Input::Called { id, result });
+                            shell.process_input(Input::CallCompleted { id, result });
                         })
                         .detach();
                 }
@@ -106,13 +108,13 @@
         if !queued {
             self.response_channels.borrow_mut().remove(&id);
             let shell = self.clone();
-            self.executor.spawn(async move { shell.process_input(Input::Gone(id)) }).detach();
+            self.executor.spawn(async move { shell.process_input(Input::ClientDisconnected(id)) }).detach();
         }
     }
 
     fn send_to_controller(&self, to: NodeId, message: Message) {
         let Some(Some(queue)) = self.peers.get(to.0 as usize) else { return };
-        match gorseshore_core::peer::encode(&Envelope {
+        match gorseshore_core::peer::encode_frame(&Envelope {
             from: self.own_id,
             incarnation: self.incarnation,
             message,
@@ -155,7 +157,7 @@
         let (capacity, input) = match api {
             server::Api::Scheduler => (1, Input::Request { id, method, path, body }),
             server::Api::Extension => {
-                (MAX_QUEUED_CHUNKS, Input::GuestRequest { id, method, path, token, body })
+                (MAX_QUEUED_CHUNKS, Input::ExtensionRequest { id, method, path, token, body })
             }
         };
         let (tx, rx) = bounded(capacity);
@@ -167,7 +169,7 @@
     /// The client disconnected before its response ended.
     pub fn client_disconnected(self: &Rc<Self>, id: RequestId) {
         if self.response_channels.borrow_mut().remove(&id).is_some() {
-            self.process_input(Input::Gone(id));
+            self.process_input(Input::ClientDisconnected(id));
         }
     }
 }
@@ -236,9 +238,9 @@
         let started = Instant::now();
         let seed = fastrand::u64(..) >> 1;
         let max_clock_error = Micros::from_secs_f64(platform.deployment.clock_off_ms / 1000.0);
-        Timer::after(Duration::from_micros(before_number(max_clock_error).0)).await;
+        Timer::after(Duration::from_micros(incarnation_delay(max_clock_error).0)).await;
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
-        let incarnation = process_number(wall, seed);
+        let incarnation = incarnation_number(wall, seed);
         let mut node = Node::new(&platform, operator, seed, incarnation, Micros(1_000_000));
         if let Some(extension) = extension {
             node = node.with_extension(extension);
--- a/crates/shell/src/peers.rs
+++ b/crates/shell/src/peers.rs
@@ -66,7 +66,7 @@
         if let Some(Err(e)) = &stream
             && e.kind() == std::io::ErrorKind::ConnectionRefused
         {
-            shell.process_input(Input::Refused(node));
+            shell.process_input(Input::PeerRefused(node));
         }
         if let Some(Ok(mut s)) = stream {
             let _ = s.set_nodelay(true);
@@ -138,7 +138,7 @@
             return Ok(());
         };
         if (envelope.from.0 as usize) < controllers && envelope.from != shell.own_id {
-            inboxes.entry(envelope.from).or_default().put(envelope.incarnation, envelope.message);
+            inboxes.entry(envelope.from).or_default().push(envelope.incarnation, envelope.message);
         }
         frames += 1;
         if frames == MAX_FRAMES_PER_BATCH {
@@ -150,7 +150,7 @@
 
 fn process_queued_messages(shell: &Rc<Shell>, inboxes: &mut BTreeMap<NodeId, Inbox>) {
     for (from, inbox) in inboxes {
-        while let Some((incarnation, message)) = inbox.take() {
+        while let Some((incarnation, message)) = inbox.pop() {
             shell.process_input(Input::Peer { from: *from, incarnation, message });
         }
     }
@@ -158,12 +158,12 @@
 
 /// Reads the next frame; `None` if the connection ended or timed out.
 async fn read_envelope(stream: &mut TcpStream) -> Result<Option<Envelope>, peer::FrameError> {
-    let mut head = [0u8; peer::HEAD];
+    let mut head = [0u8; peer::FRAME_HEADER_LEN];
     let read = with_timeout(IDLE_TIMEOUT, stream.read_exact(&mut head)).await;
     if !matches!(read, Some(Ok(_))) {
         return Ok(None);
     }
-    let len = peer::decode_head(head)?;
+    let len = peer::decode_header(head)?;
     // Allocates as bytes arrive, not by the length in the header.
     let mut body = Vec::new();
     stream.take(len as u64).read_to_end(&mut body).await?;
--- a/tests/world/main.rs
+++ b/tests/world/main.rs
@@ -280,7 +280,7 @@
     Peer(usize, usize, u64, gorseshore_core::peer::Message),
     Request(usize, u64, RequestId, &'static str, String, Vec<u8>),
     Answered(RequestId, u16, Vec<u8>),
-    GuestRequest(usize, u64, RequestId, &'static str, String, Vec<u8>),
+    ExtensionRequest(usize, u64, RequestId, &'static str, String, Vec<u8>),
     GuestAnswered(RequestId, gorseshore_core::extension::Answer),
     Workers,
     Users,
@@ -502,7 +502,7 @@
         }
         for o in outputs {
             match o {
-                Output::Answer { id, status, body, .. } => {
+                Output::Response { id, status, body, .. } => {
                     if self.oncall_swallows(n, id, status, &body) {
                         continue;
                     }
@@ -559,11 +559,11 @@
                         _ => self.at(d, Event::Arrive(n, me, id, call)),
                     }
                 }
-                Output::GuestAnswer(id, answer) => {
+                Output::ExtensionResponse(id, answer) => {
                     let d = self.delay();
                     self.at(d, Event::GuestAnswered(id, answer));
                 }
-                Output::Open(..) | Output::Chunk(..) | Output::Close(_) => {}
+                Output::StreamOpen(..) | Output::StreamChunk(..) | Output::StreamClose(_) => {}
                 Output::Send { to, message } => {
                     let to = to.0 as usize;
                     let cut = self.node_node_cut(n, to);
@@ -1263,7 +1263,7 @@
                     let w = self.watches.remove(i);
                     let d = self.delay();
                     let status = if self.state.too_old(w.from) { 410 } else { 200 };
-                    let r = CallResult::Answer { status, body };
+                    let r = CallResult::Response { status, body };
                     self.at(d, Event::Called(w.node, w.incarnation, w.call, r));
                 }
                 None => i += 1,
@@ -1310,7 +1310,7 @@
             }
             Event::Called(n, me, id, result) => {
                 if self.incarnations[n] == me {
-                    self.feed(n, Input::Called { id, result });
+                    self.feed(n, Input::CallCompleted { id, result });
                 }
             }
             Event::Peer(from, to, incarnation, message) => {
@@ -1326,10 +1326,10 @@
                 }
             }
             Event::Answered(id, status, body) => self.answered(id, status, body),
-            Event::GuestRequest(n, me, id, method, path, body) => {
+            Event::ExtensionRequest(n, me, id, method, path, body) => {
                 if self.incarnations[n] == me && self.nodes[n].is_some() {
                     let method = method.into();
-                    self.feed(n, Input::GuestRequest { id, method, path, token: None, body });
+                    self.feed(n, Input::ExtensionRequest { id, method, path, token: None, body });
                 }
             }
             Event::GuestAnswered(id, answer) => self.planned(id, answer),
@@ -1420,7 +1420,7 @@
         };
         if let Some((status, body)) = answer {
             let d = self.delay();
-            self.at(d, Event::Called(n, me, id, CallResult::Answer { status, body }));
+            self.at(d, Event::Called(n, me, id, CallResult::Response { status, body }));
         }
     }
 }
