--- a/crates/shell/src/admission.rs
+++ b/crates/shell/src/admission.rs
@@ -426,15 +426,18 @@
         for sockets in [64, 200, 1024, 1500, 3208, 3742, 60_000] {
             for others in [0, 2, 6, 30] {
                 for extension in [false, true] {
-                    let b = ConnectionLimits::new(sockets, others, extension);
+                    let limits = ConnectionLimits::new(sockets, others, extension);
                     let reserved = 48 + 3 * others;
-                    let sum = b.max_persistent
-                        + b.headroom
-                        + b.max_worker_calls
-                        + b.reserved_idle_to_workers
-                        + b.extension;
-                    assert!(sum + reserved <= sockets.max(reserved + 16), "{sockets} {others}: {b:?}");
-                    assert!(b.max_persistent >= 8 && b.max_worker_calls >= 2, "{sockets} {others}: {b:?}");
+                    let sum = limits.max_persistent
+                        + limits.headroom
+                        + limits.max_worker_calls
+                        + limits.reserved_idle_to_workers
+                        + limits.extension;
+                    assert!(sum + reserved <= sockets.max(reserved + 16), "{sockets} {others}: {limits:?}");
+                    assert!(
+                        limits.max_persistent >= 8 && limits.max_worker_calls >= 2,
+                        "{sockets} {others}: {limits:?}"
+                    );
                 }
             }
         }
--- a/crates/shell/src/lib.rs
+++ b/crates/shell/src/lib.rs
@@ -61,10 +61,10 @@
 
     /// Passes an input to the core and carries out its outputs.
     pub fn process_input(self: &Rc<Self>, input: Input) {
-        let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
+        let wall_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
         let kind = InputKind::from_input(&input);
         let started = Instant::now();
-        let outputs = self.node.borrow_mut().handle(self.now(), wall, input);
+        let outputs = self.node.borrow_mut().handle(self.now(), wall_ms, input);
         self.input_timings.borrow_mut().record(kind, started.elapsed());
         for output in outputs {
             match output {
@@ -239,8 +239,8 @@
         let seed = fastrand::u64(..) >> 1;
         let max_clock_error = Micros::from_secs_f64(platform.deployment.clock_off_ms / 1000.0);
         Timer::after(Duration::from_micros(incarnation_delay(max_clock_error).0)).await;
-        let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
-        let incarnation = incarnation_number(wall, seed);
+        let wall_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
+        let incarnation = incarnation_number(wall_ms, seed);
         let mut node = Node::new(&platform, operator, seed, incarnation, Micros(1_000_000));
         if let Some(extension) = extension {
             node = node.with_extension(extension);
--- a/crates/shell/src/peers.rs
+++ b/crates/shell/src/peers.rs
@@ -88,14 +88,14 @@
     shell: Rc<Shell>,
     listener: TcpListener,
     ex: Rc<LocalExecutor<'static>>,
-    controllers: usize,
+    controller_count: usize,
 ) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 let shell = shell.clone();
                 ex.spawn(async move {
-                    if let Err(e) = receive_messages(&shell, stream, controllers).await {
+                    if let Err(e) = receive_messages(&shell, stream, controller_count).await {
                         debug!("connection from a controller failed: {e}");
                     }
                 })
@@ -117,7 +117,7 @@
 async fn receive_messages(
     shell: &Rc<Shell>,
     mut stream: TcpStream,
-    controllers: usize,
+    controller_count: usize,
 ) -> Result<(), peer::FrameError> {
     let mut inboxes: BTreeMap<NodeId, Inbox> = BTreeMap::new();
     let mut frames = 0;
@@ -137,7 +137,7 @@
             process_queued_messages(shell, &mut inboxes);
             return Ok(());
         };
-        if (envelope.from.0 as usize) < controllers && envelope.from != shell.own_id {
+        if (envelope.from.0 as usize) < controller_count && envelope.from != shell.own_id {
             inboxes.entry(envelope.from).or_default().push(envelope.incarnation, envelope.message);
         }
         frames += 1;
@@ -158,12 +158,12 @@
 
 /// Reads the next frame; `None` if the connection ended or timed out.
 async fn read_envelope(stream: &mut TcpStream) -> Result<Option<Envelope>, peer::FrameError> {
-    let mut head = [0u8; peer::FRAME_HEADER_LEN];
-    let read = with_timeout(IDLE_TIMEOUT, stream.read_exact(&mut head)).await;
+    let mut header = [0u8; peer::FRAME_HEADER_LEN];
+    let read = with_timeout(IDLE_TIMEOUT, stream.read_exact(&mut header)).await;
     if !matches!(read, Some(Ok(_))) {
         return Ok(None);
     }
-    let len = peer::decode_header(head)?;
+    let len = peer::decode_header(header)?;
     // Allocates as bytes arrive, not by the length in the header.
     let mut body = Vec::new();
     stream.take(len as u64).read_to_end(&mut body).await?;
