--- a/crates/core/src/leader/blocks.rs
+++ b/crates/core/src/leader/blocks.rs
@@ -122,7 +122,7 @@
             self.blocks_at = now;
             self.move_blocks(now);
             self.watch_silent(now);
-            self.watch_deaf(now);
+            self.delete_unreachable_for_commands(now);
         }
         self.stop_cancelled(ledger, now);
         if self.dirty && now.since(self.scheduled) >= Micros::millis(20) {
@@ -228,7 +228,7 @@
         let overdue = (self.ctx.report.scale(5, 4) + Micros::secs(1)).min(PROBE_AFTER + PROBE_TIMEOUT);
         let heard_by = latest.iter().map(|((h, zone), (t, _))| (Some(*h), *zone, *t));
         for (by, zone, at) in heard_by.chain(zone_latest.iter().map(|(z, t)| (None, *z, *t))) {
-            self.ways.heard(by, zone, at, overdue);
+            self.ways.record_contact(by, zone, at, overdue);
         }
         for (id, m) in &self.machines {
             if m.stage != Stage::Up {
@@ -250,7 +250,7 @@
             let seen = self.last_seen.get(id).is_some_and(|(_, t)| now.since(*t) < Micros::secs(5));
             let lost =
                 silent > Micros::millis(3200) && m.probed.is_none_or(|t| now.since(t) > Micros::millis(1500));
-            if lost || m.hearing.ask_due(now) {
+            if lost || m.hearing.probe_due(now) {
                 probes.push((m.probed, id.clone()));
             }
             let open = base + overdue;
@@ -284,7 +284,7 @@
         for (_, id) in probes {
             let Some(m) = self.machines.get_mut(&id) else { continue };
             m.probed = Some(now);
-            m.hearing.ask(now);
+            m.hearing.record_probe(now);
             let (holder, addr) = (m.holder, m.addr.clone());
             for n in 0..self.nodes.len() {
                 let n = NodeId(n as u8);
@@ -327,7 +327,7 @@
             }
         }
         for (t, a, id) in stops {
-            self.stop(t, a, &id, Micros(0), now);
+            self.request_stop(t, a, &id, Micros(0), now);
         }
     }
 
@@ -345,13 +345,13 @@
             }
             if now >= self.deletion_due(*by, 95, Micros::millis(1500)) {
                 let bound = || run.iter().flat_map(|r| r.bound.values());
-                doomed.extend(bound().flat_map(|b| b.on.iter()).map(|id| (id.clone(), *job)));
+                doomed.extend(bound().flat_map(|b| b.reported_on.iter()).map(|id| (id.clone(), *job)));
                 // A hand-out went to a machine that its job may use.
                 let holds = |id: &MachineId, attempt: Attempt| {
                     let (Some(r), Some(m)) = (run, self.machines.get(id)) else { return false };
                     m.suits(&r.spec) && may_hold(m, attempt)
                 };
-                for (b, h) in bound().filter_map(|b| Some((b, b.handed.as_ref()?))) {
+                for (b, h) in bound().filter_map(|b| Some((b, b.unresolved_assignment.as_ref()?))) {
                     let machines = h.machines.iter().filter(|id| holds(id, b.attempt));
                     doomed.extend(machines.map(|id| (id.clone(), *job)));
                 }
--- a/crates/core/src/leader/records.rs
+++ b/crates/core/src/leader/records.rs
@@ -13,17 +13,17 @@
         let active = |id: &JobId| ledger.jobs.get(id).is_some_and(|j| j.phase == Phase::Active);
         for (id, r) in self.progressed.iter().filter_map(|id| Some((id, self.jobs.get(id)?))) {
             if r.spec.kind == Kind::Array && r.done.below(r.spec.tasks) >= r.spec.tasks && active(id) {
-                v.push(LeaderWrite::End(*id));
+                v.push(LeaderWrite::JobDone(*id));
             }
         }
         // A job is failed by what is recorded, never by what one leader saw.
         let bounded = self.jobs.iter().filter(|(id, r)| r.spec.attempts.is_some() && active(id));
         for (id, r) in bounded {
-            if let Some(i) = r.used_up().filter(|i| !r.unsaved.contains(i)) {
-                v.push(LeaderWrite::Fail(*id, i));
+            if let Some(i) = r.exhausted_task().filter(|i| !r.unrecorded_failures.contains(i)) {
+                v.push(LeaderWrite::JobFailed(*id, i));
             }
-            let chunks: BTreeSet<u32> = r.unsaved.iter().map(|i| i / FAILED_CHUNK).collect();
-            v.extend(chunks.into_iter().map(|c| LeaderWrite::Failures(*id, c)));
+            let chunks: BTreeSet<u32> = r.unrecorded_failures.iter().map(|i| i / FAILED_CHUNK).collect();
+            v.extend(chunks.into_iter().map(|c| LeaderWrite::FailureCounts(*id, c)));
         }
         v.sort();
         let mut kinds: BTreeMap<(&str, &str, bool), (usize, Vec<MachineId>)> = BTreeMap::new();
@@ -38,8 +38,8 @@
         }
         v.extend(kinds.into_values().map(|(_, list)| LeaderWrite::Machines(list)));
         for (name, (_, stage, _)) in &self.hires {
-            if *stage == HireStage::ToRecord {
-                v.push(LeaderWrite::Hire(name.clone()));
+            if *stage == ScaleOutStage::Unrecorded {
+                v.push(LeaderWrite::ScaleOutName(name.clone()));
             }
         }
         for (id, r) in self.progressed.iter().filter_map(|id| Some((id, self.jobs.get(id)?))) {
@@ -61,14 +61,14 @@
             let job = ledger.jobs.get(id).filter(|j| !j.settled && j.end_stamp > 0);
             let known_for = (now + self.ctx.cancel).since(*by);
             if known_for > Micros::secs(1) && job.is_some_and(|j| self.nowhere(*id, j)) {
-                v.push(LeaderWrite::Settle(*id));
+                v.push(LeaderWrite::CancellationComplete(*id));
             }
         }
         let unrecorded = self.unrecorded_cancellations.iter().take(CANCELLATIONS_AT_ONCE);
-        v.extend(unrecorded.map(|id| LeaderWrite::CancelledWith(*id)));
+        v.extend(unrecorded.map(|id| LeaderWrite::CancelDependent(*id)));
         for (key, (ids, _)) in &ledger.records {
             if ids.iter().any(|id| self.gone.contains_key(id)) {
-                v.push(LeaderWrite::Forget(key.clone()));
+                v.push(LeaderWrite::RemoveDeletedMachines(key.clone()));
             }
         }
         v
@@ -110,12 +110,12 @@
     pub fn failures(&self, id: JobId, chunk: u32) -> Option<BTreeMap<u32, Failures>> {
         let run = self.jobs.get(&id)?;
         let range = chunk * FAILED_CHUNK..(chunk + 1) * FAILED_CHUNK;
-        Some(run.fails.range(range).map(|(i, f)| (*i, *f)).collect())
+        Some(run.failed_attempts.range(range).map(|(i, f)| (*i, *f)).collect())
     }
 
     /// How often a task has failed.
     pub fn attempts_of(&self, id: JobId, index: u32) -> u32 {
-        self.jobs.get(&id).and_then(|r| r.fails.get(&index)).map_or(0, |f| f.count)
+        self.jobs.get(&id).and_then(|r| r.failed_attempts.get(&index)).map_or(0, |f| f.count)
     }
 
     /// A write succeeded.
@@ -130,11 +130,11 @@
                 }
                 self.blocks_at = Micros(0);
             }
-            LeaderWrite::Hire(name) => {
+            LeaderWrite::ScaleOutName(name) => {
                 if let Some(h) = self.hires.get_mut(name)
-                    && h.1 == HireStage::ToRecord
+                    && h.1 == ScaleOutStage::Unrecorded
                 {
-                    h.1 = HireStage::Recorded;
+                    h.1 = ScaleOutStage::Recorded;
                 }
             }
             LeaderWrite::Progress(id, _) => {
@@ -143,12 +143,12 @@
                 }
             }
             // What the mirror shows of these is what counts.
-            LeaderWrite::End(_)
-            | LeaderWrite::Failures(..)
-            | LeaderWrite::Fail(..)
-            | LeaderWrite::Settle(_)
-            | LeaderWrite::CancelledWith(_)
-            | LeaderWrite::Forget(_) => {}
+            LeaderWrite::JobDone(_)
+            | LeaderWrite::FailureCounts(..)
+            | LeaderWrite::JobFailed(..)
+            | LeaderWrite::CancellationComplete(_)
+            | LeaderWrite::CancelDependent(_)
+            | LeaderWrite::RemoveDeletedMachines(_) => {}
         }
     }
 
--- a/crates/core/src/leader/tests/pipelines.rs
+++ b/crates/core/src/leader/tests/pipelines.rs
@@ -82,7 +82,7 @@
     let state = b.state("m0", b.token("m0"), &[(task(1, 0), attempt, TaskState::Done)]);
     b.sync(A, &[state], &[]);
     b.tick(100);
-    assert!(b.leader.writes(&b.ledger, 4000, b.now).contains(&LeaderWrite::End(JobId(1))));
+    assert!(b.leader.writes(&b.ledger, 4000, b.now).contains(&LeaderWrite::JobDone(JobId(1))));
     assert!(!b.handed(2), "its end is not on record");
     b.next_leader();
     assert!(b.leader.jobs[&JobId(2)].held);
@@ -159,10 +159,10 @@
     b.confirm("m0", &[]);
     b.stage(1, "standard", 1, &[], None);
     b.tick(30);
-    let one_handed = b.leader.team_use("t");
+    let one_handed = b.leader.team_usage("t");
     b.stage(2, "high", 50, &[1], None);
     b.tick(300);
-    assert_eq!(b.leader.team_use("t"), one_handed);
+    assert_eq!(b.leader.team_usage("t"), one_handed);
     assert!(b.leader.queues.get(&Rank::High).is_none_or(|q| q.order().is_empty()));
 }
 
@@ -177,10 +177,10 @@
     b.end(1, "aborted");
     let wanted = |b: &Bench| {
         let writes = b.leader.writes(&b.ledger, 4000, b.now);
-        let with = |w: &LeaderWrite| matches!(w, LeaderWrite::CancelledWith(_));
+        let with = |w: &LeaderWrite| matches!(w, LeaderWrite::CancelDependent(_));
         writes.into_iter().filter(with).collect::<Vec<_>>()
     };
-    let all: Vec<LeaderWrite> = (2..5).map(|id| LeaderWrite::CancelledWith(JobId(id))).collect();
+    let all: Vec<LeaderWrite> = (2..5).map(|id| LeaderWrite::CancelDependent(JobId(id))).collect();
     assert_eq!(wanted(&b), all);
     // Also by the next leader, until it is on record.
     b.next_leader();
--- a/crates/core/src/node/catalogue.rs
+++ b/crates/core/src/node/catalogue.rs
@@ -1,8 +1,8 @@
 //! Machine types that the cloud offers, calls to the cloud, and their budget.
 use crate::controller::MachineSizes;
-use crate::leader::HireRequest;
-use crate::leader::growth::LIST_PAGE;
-use crate::rate::Bucket;
+use crate::leader::ScaleOutRequest;
+use crate::leader::scaling_limits::MAX_MACHINES_PER_LIST_PAGE;
+use crate::token_bucket::TokenBucket;
 use crate::{Call, Target};
 use gorseshore_protocol::cloud::{Flavor, Flavors, Hire, Hosts};
 use gorseshore_protocol::ids::{Micros, Resources};
@@ -15,7 +15,7 @@
     pub requested_at: Micros,
     /// A request for the machine types is in flight.
     pub request_in_flight: bool,
-    pub bucket: Bucket,
+    pub bucket: TokenBucket,
 }
 
 impl Catalogue {
@@ -26,7 +26,7 @@
             sizes: MachineSizes::new(),
             requested_at: Micros(0),
             request_in_flight: false,
-            bucket: Bucket::new(calls * 0.85, calls, now),
+            bucket: TokenBucket::new(calls * 0.85, calls, now),
         }
     }
 
@@ -57,10 +57,10 @@
 }
 
 /// A call that rents machines.
-pub(super) fn rent_call(request: &HireRequest) -> Call {
+pub(super) fn rent_call(request: &ScaleOutRequest) -> Call {
     let body = Hire {
         hire: request.name.clone(),
-        build: request.build.clone(),
+        build: request.machine_type.clone(),
         yard: request.zone.clone(),
         loaners: request.spot,
         number: request.count,
@@ -77,5 +77,5 @@
 /// A call for a page of the cloud's list of machines, starting after a name.
 pub(super) fn list_call(from: Option<&str>) -> Call {
     let from = from.map_or(String::new(), |name| format!("from={name}&"));
-    cloud_call("GET", format!("/rentals?{from}limit={LIST_PAGE}"), Vec::new())
+    cloud_call("GET", format!("/rentals?{from}limit={MAX_MACHINES_PER_LIST_PAGE}"), Vec::new())
 }
--- a/crates/core/src/node/control_loop.rs
+++ b/crates/core/src/node/control_loop.rs
@@ -40,7 +40,7 @@
                 .collect();
             let queued = self.pending.writes.len() as u32;
             let others = self.peers.queued(self.now);
-            self.pending.share_budget(others, self.members.names.len(), self.limits.changes_per_s);
+            self.pending.share_budget(others, self.members.names.len(), self.limits.writes_per_s);
             for i in 0..self.members.names.len() {
                 if i != self.members.own_id.0 as usize {
                     let contacts = contacts.clone();
@@ -385,7 +385,7 @@
         };
         let names: Vec<&str> = record.nodes.iter().map(|(n, _)| n.as_str()).collect();
         debug!("standby replicas of term {term}: {}", names.join(", "));
-        self.leadership.bucket.force(self.now, 1.0);
+        self.leadership.bucket.take_unconditionally(self.now, 1.0);
         let when = vec![
             When { path: keys::LEADER.into(), stamp: key_revision },
             When { path: keys::BOOKS.into(), stamp: record_revision },
@@ -435,15 +435,15 @@
             }
             // Progress and cleanup leave budget for writes that clients wait for.
             let reserve = match w {
-                LeaderWrite::End(_) | LeaderWrite::Machines(_) | LeaderWrite::Hire(_) => 0.0,
-                LeaderWrite::Failures(..) | LeaderWrite::Fail(..) => 0.0,
-                LeaderWrite::Progress(..) | LeaderWrite::Settle(_) => 1.0,
-                LeaderWrite::CancelledWith(_) | LeaderWrite::Forget(_) => 2.0,
+                LeaderWrite::JobDone(_) | LeaderWrite::Machines(_) | LeaderWrite::ScaleOutName(_) => 0.0,
+                LeaderWrite::FailureCounts(..) | LeaderWrite::JobFailed(..) => 0.0,
+                LeaderWrite::Progress(..) | LeaderWrite::CancellationComplete(_) => 1.0,
+                LeaderWrite::CancelDependent(_) | LeaderWrite::RemoveDeletedMachines(_) => 2.0,
             };
             if !self.leadership.bucket.take(self.now, changes.writes.len() as f64, reserve) {
                 break;
             }
-            if let (LeaderWrite::Fail(id, index), Some(l)) = (&w, &self.leadership.leader) {
+            if let (LeaderWrite::JobFailed(id, index), Some(l)) = (&w, &self.leadership.leader) {
                 info!("{id}: {}", l.failure_cause(*id, *index));
             }
             size += changes.len();
@@ -451,8 +451,8 @@
             m.writes.extend(changes.writes);
             // One rental name per transaction: rentals share a key.
             let ends_txn = alone
-                || matches!(w, LeaderWrite::Hire(_))
-                    && included.iter().any(|x| matches!(x, LeaderWrite::Hire(_)));
+                || matches!(w, LeaderWrite::ScaleOutName(_))
+                    && included.iter().any(|x| matches!(x, LeaderWrite::ScaleOutName(_)));
             included.push(w);
             if ends_txn {
                 break;
@@ -532,65 +532,65 @@
         let Some(l) = self.leadership.leader.as_mut() else { return };
         let term = l.term;
         let requests = if lease_confirmed {
-            l.fleet(&self.catalogue.flavors, self.now)
+            l.autoscale(&self.catalogue.flavors, self.now)
         } else {
-            l.deletions(self.now).into_iter().collect()
+            l.due_deletions(self.now).into_iter().collect()
         };
         for w in requests {
             let reserve = match w {
-                CloudWish::Delete(_) => 0.0,
-                CloudWish::Hire(_) => 0.5,
-                CloudWish::List(_) => 1.0,
+                CloudRequest::Delete(_) => 0.0,
+                CloudRequest::Rent(_) => 0.5,
+                CloudRequest::List(_) => 1.0,
             };
             if !self.catalogue.bucket.take(self.now, 1.0, reserve) {
                 continue;
             }
-            l.wish_sent(&w, self.now);
+            l.cloud_request_sent(&w, self.now);
             let call = match &w {
-                CloudWish::Delete(ids) => delete_call(ids.iter().map(|i| i.to_string()).collect()),
-                CloudWish::Hire(request) => rent_call(request),
-                CloudWish::List(from) => list_call(from.as_deref()),
+                CloudRequest::Delete(ids) => delete_call(ids.iter().map(|i| i.to_string()).collect()),
+                CloudRequest::Rent(request) => rent_call(request),
+                CloudRequest::List(from) => list_call(from.as_deref()),
             };
             let id = self.out.call(call);
             self.calls.insert(id, CallPurpose::Cloud(term, w));
         }
     }
 
-    pub(super) fn cloud_call_completed(&mut self, term: u64, request: CloudWish, result: &CallResult) {
+    pub(super) fn cloud_call_completed(&mut self, term: u64, request: CloudRequest, result: &CallResult) {
         let Some(l) = self.leadership.leader.as_mut().filter(|l| l.term == term) else { return };
         let body = match result {
             CallResult::Response { status: 200, body } => Some(body),
             _ => None,
         };
         match request {
-            CloudWish::Delete(ids) => match body {
-                Some(_) => l.deleted(&ids, self.now),
-                None => l.delete_failed(&ids, self.now),
+            CloudRequest::Delete(ids) => match body {
+                Some(_) => l.deletion_confirmed(&ids, self.now),
+                None => l.deletion_unconfirmed(&ids, self.now),
             },
-            CloudWish::Hire(req) => self.rental_completed(req, result),
-            CloudWish::List(_) => {
+            CloudRequest::Rent(req) => self.rental_completed(req, result),
+            CloudRequest::List(_) => {
                 let page: Option<Rentals> = body.and_then(|b| serde_json::from_slice(b).ok());
-                l.listed(page.as_ref(), &self.catalogue.sizes, self.now);
+                l.list_page_received(page.as_ref(), &self.catalogue.sizes, self.now);
             }
         }
         self.run_leader();
     }
 
-    pub(super) fn rental_completed(&mut self, req: HireRequest, result: &CallResult) {
+    pub(super) fn rental_completed(&mut self, req: ScaleOutRequest, result: &CallResult) {
         let Some(l) = self.leadership.leader.as_mut() else { return };
         match result {
             CallResult::Response { status: 200, body } => {
                 let hosts = serde_json::from_slice::<Hosts>(body).map(|h| h.hosts).unwrap_or_default();
-                l.hired(&req, Some(&hosts), &self.catalogue.sizes, self.now);
+                l.rental_finished(&req, Some(&hosts), &self.catalogue.sizes, self.now);
             }
             CallResult::Response { status: 503, body } if body.windows(11).any(|w| w == b"no capacity") => {
-                l.hired(&req, Some(&[]), &self.catalogue.sizes, self.now);
+                l.rental_finished(&req, Some(&[]), &self.catalogue.sizes, self.now);
             }
             CallResult::Response { status: 400, body } => {
                 error!("rental rejected: {}", String::from_utf8_lossy(body));
-                l.hired(&req, Some(&[]), &self.catalogue.sizes, self.now);
+                l.rental_finished(&req, Some(&[]), &self.catalogue.sizes, self.now);
             }
-            _ => l.hired(&req, None, &self.catalogue.sizes, self.now),
+            _ => l.rental_finished(&req, None, &self.catalogue.sizes, self.now),
         }
     }
 
@@ -600,7 +600,7 @@
         }
         self.catalogue.request_in_flight = true;
         self.catalogue.requested_at = self.now;
-        self.catalogue.bucket.force(self.now, 1.0);
+        self.catalogue.bucket.take_unconditionally(self.now, 1.0);
         let id = self.out.call(Call {
             target: Target::Cloud,
             method: "GET",
--- a/crates/standins/src/scale.rs
+++ b/crates/standins/src/scale.rs
@@ -281,7 +281,7 @@
         }
         let t = Instant::now();
         let before = self.now;
-        while self.leader.array_slots() < HAND_OUTS as u64 {
+        while self.leader.active_array_tasks() < HAND_OUTS as u64 {
             self.now = self.now + Micros::millis(25);
             self.leader.tick(&self.ledger, self.now);
             self.exchange();
@@ -306,7 +306,7 @@
             // The pace of decisions; nothing that was decided on is rented.
             self.now = self.now + Micros::millis(410);
             let t = Instant::now();
-            self.leader.fleet(&flavors, self.now);
+            self.leader.autoscale(&flavors, self.now);
             spent += t.elapsed().as_secs_f64();
         }
         Ok(spent * 1e3 / ROUNDS as f64)
@@ -323,8 +323,8 @@
         b.job("array", 1, CPUS / 2.0)?;
     }
     let mut before = u64::MAX;
-    while b.leader.array_slots() != before {
-        before = b.leader.array_slots();
+    while b.leader.active_array_tasks() != before {
+        before = b.leader.active_array_tasks();
         b.pass();
         b.report();
     }
@@ -348,7 +348,7 @@
         passes += t.elapsed().as_secs_f64();
         if i % 20 == 0 {
             let t = Instant::now();
-            b.leader.fleet(&flavors, b.now);
+            b.leader.autoscale(&flavors, b.now);
             rentals += t.elapsed().as_secs_f64();
             b.exchange();
         }
