--- a/crates/core/src/leader/capacity_index.rs
+++ b/crates/core/src/leader/capacity_index.rs
@@ -60,11 +60,12 @@
 
 impl CapacityIndex {
     fn kind(&mut self, m: &Machine) -> usize {
-        let same =
-            |k: &KindIndex| k.spot == m.spot && k.size == m.size && k.build == m.build && k.zone == m.zone;
+        let same = |k: &KindIndex| {
+            k.spot == m.spot && k.size == m.size && k.build == m.machine_type && k.zone == m.zone
+        };
         self.kinds.iter().position(same).unwrap_or_else(|| {
             self.kinds.push(KindIndex {
-                build: m.build.clone(),
+                build: m.machine_type.clone(),
                 zone: m.zone.clone(),
                 spot: m.spot,
                 size: m.size,
@@ -78,12 +79,12 @@
     /// Updates a machine's entry; a machine that does not accept tasks (`open` false) has none.
     pub(super) fn update(&mut self, id: &MachineId, m: &mut Machine, open: bool) {
         let entry = open.then(|| IndexEntry {
-            kind: m.placed.map_or_else(|| self.kind(m), |p| p.kind),
+            kind: m.index_entry.map_or_else(|| self.kind(m), |p| p.kind),
             failed: m.failures > 0,
             free: m.free(),
             images: m.images.len(),
         });
-        if m.placed == entry {
+        if m.index_entry == entry {
             return;
         }
         self.remove(id, m);
@@ -98,12 +99,12 @@
             }
             kind.by_cpu.insert(key);
         }
-        m.placed = entry;
+        m.index_entry = entry;
     }
 
     /// Removes a machine from the index.
     pub(super) fn remove(&mut self, id: &MachineId, m: &mut Machine) {
-        let Some(p) = m.placed.take() else { return };
+        let Some(p) = m.index_entry.take() else { return };
         let key = (p.failed, p.free.cpu, id.clone());
         let kind = &mut self.kinds[p.kind];
         kind.by_cpu.remove(&key);
@@ -180,17 +181,17 @@
 impl Leader {
     /// Updates the index with all changes since the last pass.
     pub(super) fn refresh_capacity_index(&mut self, now: Micros) {
-        let contact = self.contacts(now);
-        self.rooms.zone_cpu.values_mut().for_each(|z| *z = 0);
+        let contact = self.controllers_in_contact(now);
+        self.capacity_index.zone_cpu.values_mut().for_each(|z| *z = 0);
         for (id, m) in self.machines.iter_mut() {
             if !m.spot && m.stage != Stage::Deleting {
-                match self.rooms.zone_cpu.get_mut(&m.zone) {
+                match self.capacity_index.zone_cpu.get_mut(&m.zone) {
                     Some(z) => *z += m.size.cpu,
-                    None => drop(self.rooms.zone_cpu.insert(m.zone.clone(), m.size.cpu)),
+                    None => drop(self.capacity_index.zone_cpu.insert(m.zone.clone(), m.size.cpu)),
                 }
             }
-            let open = m.open(&contact, now);
-            self.rooms.update(id, m, open);
+            let open = m.accepts_tasks(&contact, now);
+            self.capacity_index.update(id, m, open);
         }
     }
 
@@ -203,10 +204,10 @@
     ) -> Option<MachineId> {
         let spec = &run.spec;
         let may_retry = run.may_retry_on_failed_machine(now);
-        self.rooms.best(&PlacementQuery { spec, zones }, |id| {
+        self.capacity_index.best(&PlacementQuery { spec, zones }, |id| {
             let m = self.machines.get(id)?;
-            let accumulates = m.gathers_for(now).is_some_and(|job| job != spec.id);
-            let reserved = m.kept_for.is_some_and(|(r, until)| run.urgency.rank < r && now < until)
+            let accumulates = m.accumulating_job(now).is_some_and(|job| job != spec.id);
+            let reserved = m.reserved_priority.is_some_and(|(r, until)| run.urgency.rank < r && now < until)
                 || accumulates && run.urgency.rank < Rank::Production;
             let failed = !may_retry && run.failed_on.contains(id);
             let free = m.free();
@@ -217,16 +218,16 @@
     /// Checks that the index agrees with the machines' entries; for tests.
     pub(super) fn check_capacity_index(&self) -> Result<(), String> {
         for (id, m) in &self.machines {
-            let Some(p) = m.placed else { continue };
-            let k = &self.rooms.kinds[p.kind];
+            let Some(p) = m.index_entry else { continue };
+            let k = &self.capacity_index.kinds[p.kind];
             let key = (p.failed, p.free.cpu, id.clone());
             let images = m.images.iter().filter(|i| k.by_image.get(*i).is_some_and(|s| s.contains(&key)));
             if !k.by_cpu.contains(&key) || images.count() < p.images {
                 return Err(format!("{id}: its entry {p:?} is not in the index"));
             }
         }
-        let placed = self.machines.values().filter(|m| m.placed.is_some()).count();
-        let indexed: usize = self.rooms.kinds.iter().map(|k| k.by_cpu.len()).sum();
+        let placed = self.machines.values().filter(|m| m.index_entry.is_some()).count();
+        let indexed: usize = self.capacity_index.kinds.iter().map(|k| k.by_cpu.len()).sum();
         if placed != indexed {
             return Err(format!("{placed} machines have an entry, the index holds {indexed}"));
         }
@@ -258,7 +259,7 @@
                 Kind::Array => 0,
             };
             let c = Candidate {
-                machine_type: &m.build,
+                machine_type: &m.machine_type,
                 zone: &m.zone,
                 spot: m.spot,
                 size: &m.size,
@@ -268,7 +269,7 @@
             };
             Some((m.failures > 0, placement::score(a.spec, &c, None)?))
         };
-        let open = machines.iter().filter(|(_, m)| m.placed.is_some());
+        let open = machines.iter().filter(|(_, m)| m.index_entry.is_some());
         let there = open.filter(|(_, m)| fleet::zone_allows_task(a.spec, &m.zone, a.zones));
         there.filter_map(|(id, m)| Some((score(m)?, id))).min().map(|(_, id)| id.clone())
     }
--- a/crates/core/src/leader/pending_reasons.rs
+++ b/crates/core/src/leader/pending_reasons.rs
@@ -82,7 +82,7 @@
         let in_zones = |z: &str| spec.zones.as_ref().is_none_or(|l| l.iter().any(|x| x == z));
         let of_types = |b: &str| spec.types.as_ref().is_none_or(|l| l.iter().any(|x| x == b));
         let refused = self
-            .refused
+            .refused_offers
             .iter()
             .any(|((build, z, spot), t)| recent(t) && of_types(build) && in_zones(z) && (spec.spot || !spot));
         if refused { PendingReason::CloudSoldOut } else { PendingReason::NoFreeCapacity }
@@ -109,10 +109,10 @@
 
     /// Logs the longest pending job of each class once per `REPORT_INTERVAL`.
     pub(super) fn log_longest_pending(&mut self, now: Micros) {
-        if now.since(self.waits_told) < REPORT_INTERVAL {
+        if now.since(self.pending_logged_at) < REPORT_INTERVAL {
             return;
         }
-        self.waits_told = now;
+        self.pending_logged_at = now;
         for (class, id, waited, reason) in self.longest_pending(now) {
             let pending = self
                 .jobs
--- a/crates/core/src/leader/records.rs
+++ b/crates/core/src/leader/records.rs
@@ -1,22 +1,22 @@
-//! What the leader records.
+//! Which records the leader writes to the state service, and what they contain.
 use super::*;
 use crate::jobs::{FAILED_CHUNK, machine_room, machines_value};
 use serde_json::Value;
 
-/// Records of jobs cancelled with others that are offered at a time: they are in no hurry.
-const CANCELLATIONS_AT_ONCE: usize = 100;
+/// Cancellations of dependent jobs that are recorded at a time: these records are not urgent.
+const MAX_CANCELLATION_RECORDS: usize = 100;
 
 impl Leader {
-    /// What should be written, most urgent first.
-    pub fn writes(&self, ledger: &Ledger, value_limit: usize, now: Micros) -> Vec<LeaderWrite> {
+    /// The records to write, most urgent first.
+    pub fn due_writes(&self, state_replica: &Ledger, value_limit: usize, now: Micros) -> Vec<LeaderWrite> {
         let mut v = Vec::new();
-        let active = |id: &JobId| ledger.jobs.get(id).is_some_and(|j| j.phase == Phase::Active);
-        for (id, r) in self.progressed.iter().filter_map(|id| Some((id, self.jobs.get(id)?))) {
+        let active = |id: &JobId| state_replica.jobs.get(id).is_some_and(|j| j.phase == Phase::Active);
+        for (id, r) in self.arrays_with_progress.iter().filter_map(|id| Some((id, self.jobs.get(id)?))) {
             if r.spec.kind == Kind::Array && r.done.below(r.spec.tasks) >= r.spec.tasks && active(id) {
                 v.push(LeaderWrite::JobDone(*id));
             }
         }
-        // A job is failed by what is recorded, never by what one leader saw.
+        // A job fails by recorded failures only, never by those that just one leader saw.
         let bounded = self.jobs.iter().filter(|(id, r)| r.spec.attempts.is_some() && active(id));
         for (id, r) in bounded {
             if let Some(i) = r.exhausted_task().filter(|i| !r.unrecorded_failures.contains(i)) {
@@ -29,25 +29,25 @@
         let mut kinds: BTreeMap<(&str, &str, bool), (usize, Vec<MachineId>)> = BTreeMap::new();
         for (id, m) in &self.machines {
             if m.stage == Stage::Up && !m.recorded && !m.recording {
-                let (room, list) = kinds.entry((&m.build, &m.zone, m.spot)).or_default();
-                *room += machine_room(id, &m.addr);
-                if *room < value_limit.saturating_sub(200) || list.is_empty() {
+                let (length, list) = kinds.entry((&m.machine_type, &m.zone, m.spot)).or_default();
+                *length += machine_room(id, &m.addr);
+                if *length < value_limit.saturating_sub(200) || list.is_empty() {
                     list.push(id.clone());
                 }
             }
         }
         v.extend(kinds.into_values().map(|(_, list)| LeaderWrite::Machines(list)));
-        for (name, (_, stage, _)) in &self.hires {
+        for (name, (_, stage, _)) in &self.scale_out_requests {
             if *stage == ScaleOutStage::Unrecorded {
                 v.push(LeaderWrite::ScaleOutName(name.clone()));
             }
         }
-        for (id, r) in self.progressed.iter().filter_map(|id| Some((id, self.jobs.get(id)?))) {
+        for (id, r) in self.arrays_with_progress.iter().filter_map(|id| Some((id, self.jobs.get(id)?))) {
             if r.done.below(r.spec.tasks) < r.spec.tasks
                 && active(id)
                 && r.unrecorded_since.is_some_and(|t| now.since(t) > Micros::millis(1500))
             {
-                let recorded = &ledger.jobs[id].done;
+                let recorded = &state_replica.jobs[id].done;
                 let chunks: BTreeSet<u32> = (0..r.spec.tasks)
                     .filter(|i| r.done.contains(*i) && !recorded.contains(*i))
                     .map(|i| i / crate::jobs::CHUNK)
@@ -55,72 +55,71 @@
                 v.extend(chunks.into_iter().map(|c| LeaderWrite::Progress(*id, c)));
             }
         }
-        // A later leader, which doesn't know what became of a cancelled job's
-        // tasks, would delete what machines it can't hear for its sake.
-        for (id, by) in &self.aborted {
-            let job = ledger.jobs.get(id).filter(|j| !j.settled && j.end_stamp > 0);
-            let known_for = (now + self.ctx.cancel).since(*by);
-            if known_for > Micros::secs(1) && job.is_some_and(|j| self.nowhere(*id, j)) {
+        // A later leader doesn't know what became of a cancelled job's tasks. Without this
+        // record it would delete machines that send no heartbeats, because they may hold one.
+        for (id, by) in &self.cancelled_jobs {
+            let job = state_replica.jobs.get(id).filter(|j| !j.settled && j.end_stamp > 0);
+            let known_for = (now + self.config.cancel_timeout).since(*by);
+            if known_for > Micros::secs(1) && job.is_some_and(|j| self.has_no_tasks(*id, j)) {
                 v.push(LeaderWrite::CancellationComplete(*id));
             }
         }
-        let unrecorded = self.unrecorded_cancellations.iter().take(CANCELLATIONS_AT_ONCE);
+        let unrecorded = self.unrecorded_cancellations.iter().take(MAX_CANCELLATION_RECORDS);
         v.extend(unrecorded.map(|id| LeaderWrite::CancelDependent(*id)));
-        for (key, (ids, _)) in &ledger.records {
-            if ids.iter().any(|id| self.gone.contains_key(id)) {
+        for (key, (ids, _)) in &state_replica.records {
+            if ids.iter().any(|id| self.deleted_machines.contains_key(id)) {
                 v.push(LeaderWrite::RemoveDeletedMachines(key.clone()));
             }
         }
         v
     }
 
-    /// The record of machines of one kind; those that are gone are left out,
-    /// and `None` if none is left.
-    pub fn machines_record(&self, ids: &[MachineId], ledger: &Ledger) -> Option<Value> {
-        let there: Vec<(&MachineId, MachineRecord)> = ids
+    /// The record of machines of one kind, without deleted ones; `None` if none is left.
+    pub fn machines_record(&self, ids: &[MachineId], state_replica: &Ledger) -> Option<Value> {
+        let present: Vec<(&MachineId, MachineRecord)> = ids
             .iter()
-            .filter(|id| !self.gone.contains_key(*id))
+            .filter(|id| !self.deleted_machines.contains_key(*id))
             .filter_map(|id| {
                 let known = self.machines.get(id).map(Machine::record);
-                Some((id, known.or_else(|| ledger.machines.get(id).cloned())?))
+                Some((id, known.or_else(|| state_replica.machines.get(id).cloned())?))
             })
             .collect();
-        let (_, first) = there.first()?;
+        let (_, first) = present.first()?;
         let kind = (first.build.as_str(), first.zone.as_str(), first.spot);
-        Some(machines_value(kind, there.iter().map(|(id, r)| (*id, r.addr.as_str()))))
+        Some(machines_value(kind, present.iter().map(|(id, r)| (*id, r.addr.as_str()))))
     }
 
-    /// A write is under way, or (`open` false) it failed.
-    pub fn writing(&mut self, w: &LeaderWrite, open: bool) {
+    /// A write is pending, or (`pending` is false) it failed.
+    pub fn set_write_pending(&mut self, w: &LeaderWrite, pending: bool) {
         if let LeaderWrite::Machines(ids) = w {
             for id in ids {
                 if let Some(m) = self.machines.get_mut(id) {
-                    m.recording = open;
+                    m.recording = pending;
                 }
             }
         }
     }
 
-    /// The text of a progress record.
+    /// The content of a progress record.
     pub fn progress(&self, id: JobId, chunk: u32) -> Option<String> {
         self.jobs.get(&id).map(|r| r.done.chunk_text(chunk))
     }
 
-    /// The record of a chunk of failures.
+    /// The content of a failure record: the failures of one chunk of tasks.
     pub fn failures(&self, id: JobId, chunk: u32) -> Option<BTreeMap<u32, Failures>> {
         let run = self.jobs.get(&id)?;
         let range = chunk * FAILED_CHUNK..(chunk + 1) * FAILED_CHUNK;
         Some(run.failed_attempts.range(range).map(|(i, f)| (*i, *f)).collect())
     }
 
-    /// How often a task has failed.
+    /// Number of a task's failed attempts.
     pub fn attempts_of(&self, id: JobId, index: u32) -> u32 {
         self.jobs.get(&id).and_then(|r| r.failed_attempts.get(&index)).map_or(0, |f| f.count)
     }
 
-    /// A write succeeded.
-    pub fn written(&mut self, w: &LeaderWrite) {
-        self.dirty = true;
+    /// Notes that a write succeeded.
+    pub fn write_succeeded(&mut self, w: &LeaderWrite) {
+        self.needs_scheduling = true;
         match w {
             LeaderWrite::Machines(ids) => {
                 for id in ids {
@@ -128,10 +127,10 @@
                         m.recorded = true;
                     }
                 }
-                self.blocks_at = Micros(0);
+                self.blocks_checked_at = Micros(0);
             }
             LeaderWrite::ScaleOutName(name) => {
-                if let Some(h) = self.hires.get_mut(name)
+                if let Some(h) = self.scale_out_requests.get_mut(name)
                     && h.1 == ScaleOutStage::Unrecorded
                 {
                     h.1 = ScaleOutStage::Recorded;
@@ -142,7 +141,7 @@
                     r.unrecorded_since = None;
                 }
             }
-            // What the mirror shows of these is what counts.
+            // For these, only what the state replica shows counts.
             LeaderWrite::JobDone(_)
             | LeaderWrite::FailureCounts(..)
             | LeaderWrite::JobFailed(..)
@@ -152,26 +151,25 @@
         }
     }
 
-    /// Machines whose record turned up after its write was given up.
-    pub fn note_recorded(&mut self, ledger: &Ledger) {
-        let mut news = false;
+    /// Marks machines as recorded whose record appears after its write was given up.
+    pub fn mark_late_records(&mut self, state_replica: &Ledger) {
+        let mut found = false;
         for (id, m) in self.machines.iter_mut().filter(|(_, m)| m.stage == Stage::Up && !m.recorded) {
-            m.recorded = ledger.machines.contains_key(id);
-            news |= m.recorded;
+            m.recorded = state_replica.machines.contains_key(id);
+            found |= m.recorded;
         }
-        if news {
-            self.blocks_at = Micros(0);
-            self.dirty = true;
+        if found {
+            self.blocks_checked_at = Micros(0);
+            self.needs_scheduling = true;
         }
     }
 
-    /// Progress that came in while a record was being written. Jobs that are
-    /// over, and those whose progress is on record, are not looked at again
-    /// before more of them is done.
-    pub fn note_unrecorded(&mut self, ledger: &Ledger, now: Micros) {
+    /// Notes progress that arrived while a record was being written. Ended jobs, and jobs
+    /// whose progress is recorded, are not checked again until more of their tasks are done.
+    pub fn mark_unrecorded_progress(&mut self, state_replica: &Ledger, now: Micros) {
         let jobs = &mut self.jobs;
-        self.progressed.retain(|id| {
-            let active = ledger.jobs.get(id).filter(|j| j.phase == Phase::Active);
+        self.arrays_with_progress.retain(|id| {
+            let active = state_replica.jobs.get(id).filter(|j| j.phase == Phase::Active);
             let (Some(job), Some(r)) = (active, jobs.get_mut(id)) else { return false };
             if job.done.len() < r.done.len() {
                 r.unrecorded_since.get_or_insert(now);
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,7 +1,6 @@
 //! The scheduler as a state machine without I/O: it takes inputs, including the passing of time, and
 //! returns the calls, messages and responses to send.
 #![warn(missing_docs)]
-pub mod books;
 pub mod cancellation_enforcer;
 pub mod controller;
 pub mod dependencies;
@@ -17,6 +16,7 @@
 pub mod node;
 pub mod peer;
 pub mod placement;
+pub mod placement_log;
 pub mod token_bucket;
 
 use crate::peer::Message;
--- a/crates/core/src/node/messaging.rs
+++ b/crates/core/src/node/messaging.rs
@@ -130,17 +130,17 @@
                 }
             }
             m @ Message::Sync { .. } => {
-                if let Some((term, view)) = View::of(&m)
+                if let Some((term, view)) = SyncView::of(&m)
                     && let Some(l) = self.leadership.leader.as_mut().filter(|l| l.term == term)
                 {
-                    l.sync(from, incarnation, &view, &self.replica_sync.replica, self.now);
+                    l.apply_sync(from, incarnation, &view, &self.replica_sync.replica, self.now);
                 }
             }
             Message::MachineDiscovered { id, build, zone, spot, addr, report, probed: asked } => {
                 if let Some(l) = self.leadership.leader.as_mut() {
                     let rec = MachineRecord { build, zone, spot, addr };
                     let s = UnleasedReport { id, report, probed: asked };
-                    l.seen(from, &s, &rec, &self.catalogue.sizes, self.now);
+                    l.apply_unleased_report(from, &s, &rec, &self.catalogue.sizes, self.now);
                 }
             }
             Message::Update {
@@ -182,27 +182,27 @@
             }
             Message::PlacementLogUpdate(page) => {
                 let (on_record, _) = &self.replica_sync.replica.books;
-                self.log_replicas.drop_before(on_record.term);
+                self.log_replicas.remove_before(on_record.term);
                 // No placement log is kept for a leader that has a successor.
                 if page.term < self.replica_sync.replica.term.0 {
                     return;
                 }
                 let term = page.term;
-                let seq = self.log_replicas.take(page);
+                let seq = self.log_replicas.apply(page);
                 self.out.send(from, Message::PlacementLogAck { term, seq });
             }
             Message::PlacementLogAck { term, seq } => {
                 let lease_confirmed = self.leadership.election.may_lead(self.now);
                 if let Some(l) = self.leadership.leader.as_mut().filter(|l| l.term == term)
-                    && l.books_taken(from, incarnation, seq, self.now)
+                    && l.log_acknowledged(from, incarnation, seq, self.now)
                 {
-                    let messages = l.messages(self.now, lease_confirmed);
+                    let messages = l.due_messages(self.now, lease_confirmed);
                     messages.into_iter().for_each(|(to, m)| self.send(to, m));
                 }
             }
             Message::PlacementLogRequest { term } => {
                 if let Some(log_replica) = self.log_replicas.get(term) {
-                    self.out.send(from, Message::PlacementLogSnapshot(log_replica.page(term)));
+                    self.out.send(from, Message::PlacementLogSnapshot(log_replica.full_update(term)));
                 }
             }
             Message::PlacementLogSnapshot(page) => {
--- a/crates/core/tests/record_compatibility.rs
+++ b/crates/core/tests/record_compatibility.rs
@@ -4,10 +4,10 @@
 mod production;
 
 use data_encoding::BASE64;
-use gorseshore_core::books::Witnesses;
 use gorseshore_core::jobs::{Failures, Ledger, Phase, TaskSet, description, job_value, keys, machines_value};
 use gorseshore_core::node::Node;
 use gorseshore_core::peer::{Envelope, Message};
+use gorseshore_core::placement_log::StandbyReplicas;
 use gorseshore_core::{Call, CallResult, Input, Output, Target};
 use gorseshore_protocol::ids::{JobId, MachineId, Micros, NodeId};
 use gorseshore_protocol::job::{JobSpec, Kind, Rank};
@@ -266,8 +266,11 @@
     let (leader, stamp) = ledger.leader.clone().expect("leader");
     assert_eq!((leader.node.as_str(), leader.term, leader.lease, stamp), ("n1", 7, 42, 10));
     assert_eq!(ledger.term, (7, 11));
-    let books =
-        Witnesses { term: 6, led: 7, nodes: vec![("n0".into(), 451_737_600_031_523), ("n2".into(), 9)] };
+    let books = StandbyReplicas {
+        term: 6,
+        last_leader_term: 7,
+        nodes: vec![("n0".into(), 451_737_600_031_523), ("n2".into(), 9)],
+    };
     assert_eq!(ledger.books, (books.clone(), 12));
 
     // (key, as it is written, as production reads it)
@@ -276,10 +279,10 @@
         ("g/books", json!(books), Record::Books { term: 6, led: 7, nodes: books.nodes.clone() }),
         (
             "g/books",
-            json!(books.taken_over(8)),
+            json!(books.for_new_term(8)),
             Record::Books { term: 6, led: 8, nodes: books.nodes.clone() },
         ),
-        ("g/books", json!(books.taken_over(9)), Record::Books { term: 0, led: 9, nodes: vec![] }),
+        ("g/books", json!(books.for_new_term(9)), Record::Books { term: 0, led: 9, nodes: vec![] }),
         ("g/term", json!(8), Record::Term(8)),
         // Written for the names of rentals; production never reads it.
         ("g/hire", json!("7-12"), Record::PassedOver),
