--- a/crates/standins/src/site.rs
+++ b/crates/standins/src/site.rs
@@ -5,7 +5,7 @@
 use crate::net::{Handler, KeptConnection, call, free_address, serve};
 use crate::process::{ControllerProcess, TemporaryFolder};
 use crate::soak::history::{MachineView, Recorder};
-use crate::state::{Outcome, State};
+use crate::state::{Outcome, StateService};
 use crate::worker::{Facts, Machine, Stage};
 use gorseshore_core::extension::Extension;
 use gorseshore_core::jobs::description;
@@ -137,7 +137,7 @@
 /// What all parts of the site share.
 struct Shared {
     start: Instant,
-    state: Mutex<State>,
+    state: Mutex<StateService>,
     machines: Mutex<BTreeMap<String, Rented>>,
     hires: Mutex<BTreeMap<String, Vec<String>>>,
     nodes: Mutex<Vec<SocketAddr>>,
@@ -274,7 +274,7 @@
     pub fn start(o: &Options) -> Result<Site, SiteError> {
         let shared = Arc::new(Shared {
             start: Instant::now(),
-            state: Mutex::new(State::limited(o.changes, o.changes_at_once, o.value_kb)),
+            state: Mutex::new(StateService::with_limits(o.changes, o.changes_at_once, o.value_kb)),
             machines: Mutex::new(BTreeMap::new()),
             hires: Mutex::new(BTreeMap::new()),
             nodes: Mutex::new(Vec::new()),
@@ -446,15 +446,15 @@
         let now = self.shared.now();
         if let Ok(mut s) = self.shared.state.lock() {
             match down {
-                true => s.down = true,
-                false => s.recover(now),
+                true => s.unavailable = true,
+                false => s.end_outage(now),
             }
         }
     }
 
     /// Keys of the state service with a prefix, as they are.
     pub fn keys(&self, prefix: &str) -> Vec<String> {
-        self.shared.state.lock().map(|s| s.names(prefix)).unwrap_or_default()
+        self.shared.state.lock().map(|s| s.keys_with_prefix(prefix)).unwrap_or_default()
     }
 
     /// Tasks on machines now: names as `j-000412/3`.
@@ -481,13 +481,13 @@
             Outcome::Wait { prefix, from, until } => loop {
                 {
                     let Ok(mut s) = shared.state.lock() else { return fault() };
-                    s.expire(shared.now());
-                    if !s.down {
-                        if let Some(news) = s.news(&prefix, from) {
+                    s.expire_leases(shared.now());
+                    if !s.unavailable {
+                        if let Some(news) = s.watch_response(&prefix, from) {
                             return (200, news);
                         }
                         if shared.now() > until {
-                            return (200, s.no_news());
+                            return (200, s.empty_watch_response());
                         }
                     }
                 }
--- a/crates/standins/src/state.rs
+++ b/crates/standins/src/state.rs
@@ -11,7 +11,7 @@
 
 /// The service.
 #[derive(Default)]
-pub struct State {
+pub struct StateService {
     ledger: u64,
     keys: BTreeMap<String, Entry>,
     leases: BTreeMap<u64, (u64, u64)>,
@@ -20,7 +20,7 @@
     /// Changes up to this revision are not kept any more.
     forgotten: u64,
     /// 503 to everybody.
-    pub down: bool,
+    pub unavailable: bool,
     /// Changes a second, what is left of them, and as of when.
     changes: (f64, f64, u64),
     changes_at_once: usize,
@@ -55,14 +55,14 @@
     q.split('&').filter_map(|kv| kv.split_once('=')).collect()
 }
 
-impl State {
+impl StateService {
     fn answer(status: u16, v: Value) -> Outcome {
         Outcome::Answer(status, v.to_string().into_bytes())
     }
 
     /// Ends leases; their keys go.
-    pub fn expire(&mut self, now: u64) {
-        if self.down {
+    pub fn expire_leases(&mut self, now: u64) {
+        if self.unavailable {
             return;
         }
         let over: Vec<u64> = self.leases.iter().filter(|(_, l)| l.1 <= now).map(|(i, _)| *i).collect();
@@ -83,8 +83,8 @@
     }
 
     /// After an outage all leases have their full time again.
-    pub fn recover(&mut self, now: u64) {
-        self.down = false;
+    pub fn end_outage(&mut self, now: u64) {
+        self.unavailable = false;
         for l in self.leases.values_mut() {
             l.1 = now + l.0;
         }
@@ -96,18 +96,18 @@
     }
 
     /// Keeps none of the changes that there were.
-    pub fn forget(&mut self) {
+    pub fn compact(&mut self) {
         self.forgotten = self.ledger;
         self.log.clear();
     }
 
     /// Whether changes after this revision are not kept any more.
-    pub fn too_old(&self, from: u64) -> bool {
+    pub fn is_compacted(&self, from: u64) -> bool {
         from < self.forgotten
     }
 
     /// The news of a watch, once there are any.
-    pub fn news(&self, prefix: &str, from: u64) -> Option<Vec<u8>> {
+    pub fn watch_response(&self, prefix: &str, from: u64) -> Option<Vec<u8>> {
         let news = self.collect(prefix, from);
         (!news.is_empty()).then(|| self.news_body(news))
     }
@@ -131,23 +131,23 @@
     }
 
     /// The revision of a key's last change, 0 if it is not there.
-    pub fn stamp(&self, key: &str) -> u64 {
+    pub fn key_revision(&self, key: &str) -> u64 {
         self.keys.get(key).map_or(0, |e| e.stamp)
     }
 
     /// Keys with a prefix.
-    pub fn names(&self, prefix: &str) -> Vec<String> {
+    pub fn keys_with_prefix(&self, prefix: &str) -> Vec<String> {
         self.keys.keys().filter(|k| k.starts_with(prefix)).cloned().collect()
     }
 
     /// The empty answer of a watch whose time is over.
-    pub fn no_news(&self) -> Vec<u8> {
+    pub fn empty_watch_response(&self) -> Vec<u8> {
         self.news_body(Vec::new())
     }
 
     /// Executes a request.
     pub fn request(&mut self, method: &str, path: &str, body: &[u8], now: u64) -> Outcome {
-        if self.down {
+        if self.unavailable {
             if path.starts_with("/follow") && !path.contains("hold_ms=0") {
                 let q = query(path);
                 let from = q["from"].parse().unwrap();
@@ -155,7 +155,7 @@
             }
             return Self::answer(503, json!({}));
         }
-        self.expire(now);
+        self.expire_leases(now);
         let q = query(path);
         match (method, path.split('?').next().unwrap()) {
             ("GET", "/store") => {
@@ -172,7 +172,7 @@
             }
             ("GET", "/follow") => {
                 let from: u64 = q["from"].parse().unwrap();
-                if self.too_old(from) {
+                if self.is_compacted(from) {
                     return Self::answer(410, json!({}));
                 }
                 let news = self.collect(q["prefix"], from);
@@ -228,17 +228,17 @@
     }
 
     /// A service with limits.
-    pub fn limited(changes: f64, changes_at_once: usize, value_kb: f64) -> Self {
-        State {
+    pub fn with_limits(changes: f64, changes_at_once: usize, value_kb: f64) -> Self {
+        StateService {
             changes: (changes, changes, 0),
             changes_at_once,
             value_limit: (value_kb * 1024.0) as usize,
-            ..State::default()
+            ..StateService::default()
         }
     }
 
     /// Other limits apply from now on; nobody is told.
-    pub fn lower(&mut self, changes: f64, changes_at_once: usize, value_kb: f64) {
+    pub fn lower_limits(&mut self, changes: f64, changes_at_once: usize, value_kb: f64) {
         self.changes.0 = changes;
         self.changes.1 = self.changes.1.min(changes);
         self.changes_at_once = changes_at_once;
@@ -248,22 +248,22 @@
 
     /// What was refused for its size or its number of changes since the limits
     /// were lowered.
-    pub fn refused(&self) -> &[String] {
+    pub fn rejected_transactions(&self) -> &[String] {
         &self.refused
     }
 
     /// How often changes came beyond the rate.
-    pub fn too_fast(&self) -> usize {
+    pub fn rate_limited_count(&self) -> usize {
         self.too_fast
     }
 
     /// Calls every put of a key wrong from now on.
-    pub fn refuse_key(&mut self, key: &str) {
+    pub fn reject_puts_of(&mut self, key: &str) {
         self.unwelcome.insert(key.to_owned(), 0);
     }
 
     /// How often a put of a key was called wrong.
-    pub fn times_refused(&self, key: &str) -> usize {
+    pub fn rejected_put_count(&self, key: &str) -> usize {
         self.unwelcome.get(key).copied().unwrap_or(0)
     }
 
--- a/tests/world/blink.rs
+++ b/tests/world/blink.rs
@@ -97,7 +97,7 @@
                 self.crash(n);
             }
             _ => {
-                self.state.down = true;
+                self.state.unavailable = true;
                 let length = self.rng.u64(500 * MS..6 * S);
                 self.at(length, Event::Heal);
                 self.crash(n);
--- a/tests/world/desk.rs
+++ b/tests/world/desk.rs
@@ -11,7 +11,7 @@
 
 /// The state service, and the interface of a controller that leads.
 struct Desk {
-    state: State,
+    state: StateService,
     service: Service,
     ledger: Ledger,
     flavors: Vec<Flavor>,
@@ -28,7 +28,7 @@
 
 impl Desk {
     fn new(wall_ms: u64) -> Self {
-        let mut state = State::limited(1e9, 24, 4.0);
+        let mut state = StateService::with_limits(1e9, 24, 4.0);
         let m = json!({"when": [], "writes": [{"put": LEADER, "v": {"node": "n0", "term": 1, "lease": 1}}]});
         state.request("POST", "/multi", m.to_string().as_bytes(), 0);
         let settings = nomad::operator().nomad.unwrap();
@@ -139,7 +139,7 @@
                     }
                     ExtensionOutput::Write { ticket, mut multi, as_leader } => {
                         if as_leader {
-                            multi.when.push(When { path: LEADER.into(), stamp: self.state.stamp(LEADER) });
+                            multi.when.push(When { path: LEADER.into(), stamp: self.state.key_revision(LEADER) });
                         }
                         if as_leader && self.hold {
                             self.held.push(multi);
@@ -180,7 +180,7 @@
     }
 
     fn launches(&self) -> Vec<u64> {
-        let heads = self.state.names("g/n/j/").into_iter().filter_map(|n| self.state.value(&n));
+        let heads = self.state.keys_with_prefix("g/n/j/").into_iter().filter_map(|n| self.state.value(&n));
         let mut times: Vec<u64> =
             heads.filter_map(|h| h["id"].as_str()?.split_once("/periodic-")?.1.parse().ok()).collect();
         times.sort();
@@ -211,13 +211,13 @@
     assert_eq!(d.put(&file("j", "two", json!({}))), 200);
     d.leads = true;
     d.pass(2);
-    let natives = d.state.names("g/j/");
+    let natives = d.state.keys_with_prefix("g/j/");
     assert_eq!(natives.len(), 1);
     for m in &late {
         let r = d.execute(m);
         assert!(matches!(r, CallResult::Response { status: 409, .. }), "{r:?}");
     }
-    assert_eq!(d.state.names("g/j/"), natives, "only the newer version's job is there");
+    assert_eq!(d.state.keys_with_prefix("g/j/"), natives, "only the newer version's job is there");
     // The same of a job that was stopped.
     d.hold = true;
     assert_eq!(d.put(&file("k", "one", json!({}))), 200);
@@ -229,7 +229,7 @@
     for m in &late {
         assert!(matches!(d.execute(m), CallResult::Response { status: 409, .. }));
     }
-    assert_eq!(d.state.names("g/j/"), natives);
+    assert_eq!(d.state.keys_with_prefix("g/j/"), natives);
 }
 
 /// Launches are made once through clock steps, restarts and repeated looks; of
--- a/tests/world/fleet.rs
+++ b/tests/world/fleet.rs
@@ -191,7 +191,7 @@
                 }
             }
             Blow::StateAway(long) => {
-                self.state.down = true;
+                self.state.unavailable = true;
                 self.at(long, Event::Heal);
             }
             Blow::Look => {}
--- a/tests/world/limits.rs
+++ b/tests/world/limits.rs
@@ -54,7 +54,7 @@
 
     pub fn lower_limits(&mut self) {
         if let Some(next) = self.size.next {
-            self.state.lower(next.changes, next.changes_at_once, next.value_kb);
+            self.state.lower_limits(next.changes, next.changes_at_once, next.value_kb);
         }
     }
 
@@ -83,11 +83,11 @@
             "{name}, seed {seed}: {} completed, {} started, {} times too fast, {} refused",
             w.completed,
             w.started,
-            w.state.too_fast(),
-            w.state.refused().len()
+            w.state.rate_limited_count(),
+            w.state.rejected_transactions().len()
         );
         assert!(w.broken.is_empty(), "{name}, seed {seed}: {:?}", w.broken);
-        let refused = w.state.refused();
+        let refused = w.state.rejected_transactions();
         assert!(refused.is_empty(), "{name}, seed {seed}: {} refused: {:?}", refused.len(), refused.first());
         assert!(w.completed >= least_completed, "{name}, seed {seed}: {} completed", w.completed);
         let late = w.late();
@@ -119,8 +119,8 @@
     {
         let next = size.next.map(|next| NextLimits { announced: false, ..next });
         let w = play(1, false, Size { next, ..size });
-        println!("{name}: {} refused", w.state.refused().len());
-        assert!(!w.state.refused().is_empty(), "{name}");
+        println!("{name}: {} refused", w.state.rejected_transactions().len());
+        assert!(!w.state.rejected_transactions().is_empty(), "{name}");
     }
 }
 
@@ -130,7 +130,7 @@
 fn a_record_that_is_refused_holds_up_no_other() {
     let mut w = World::new(3, true, SMALL);
     let keys = ["g/h/host-000000", "g/p/j-000002/0"];
-    keys.iter().for_each(|key| w.state.refuse_key(key));
+    keys.iter().for_each(|key| w.state.reject_puts_of(key));
     w.run(40 * S);
     assert!(w.completed > 5, "{} tasks completed in 40 s", w.completed);
     w.run(SMALL.ends + 150 * S);
@@ -138,7 +138,7 @@
     let late = w.late();
     assert!(late.is_empty(), "{:?} are not over", w.describe(&late));
     assert!(w.completed > 60, "{} tasks completed", w.completed);
-    let times: usize = keys.iter().map(|key| w.state.times_refused(key)).sum();
+    let times: usize = keys.iter().map(|key| w.state.rejected_put_count(key)).sum();
     println!("{times} times refused");
     // Pauses grow from one second on, of whichever leader.
     assert!((1..40).contains(&times), "{times} times refused");
--- a/tests/world/main.rs
+++ b/tests/world/main.rs
@@ -27,7 +27,7 @@
 use gorseshore_protocol::workers::{CheckinAnswer, Direct};
 use gorseshore_settings::{Operator, Platform};
 use serde_json::{Value, json};
-use state::{Outcome, State};
+use state::{Outcome, StateService};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use worker::{Facts, Machine, Stage};
@@ -332,7 +332,7 @@
     incarnations: Vec<u64>,
     /// When each process began: its steady clock counts from then.
     began: Vec<u64>,
-    state: State,
+    state: StateService,
     refused_until: Vec<u64>,
     watches: Vec<Watch>,
     machines: BTreeMap<String, Machine>,
@@ -383,7 +383,7 @@
             nodes: Vec::new(),
             incarnations: vec![0; size.nodes],
             began: vec![0; size.nodes],
-            state: State::limited(size.changes, size.changes_at_once, size.value_kb),
+            state: StateService::with_limits(size.changes, size.changes_at_once, size.value_kb),
             refused_until: vec![0; size.nodes],
             watches: Vec::new(),
             machines: BTreeMap::new(),
@@ -1159,7 +1159,7 @@
         }
         match kind {
             0 => {
-                self.state.down = true;
+                self.state.unavailable = true;
                 self.at(length.min(25 * S), Event::Heal);
             }
             1 => self.crash(n),
@@ -1244,25 +1244,25 @@
     }
 
     fn watches(&mut self) {
-        if self.state.down {
+        if self.state.unavailable {
             return;
         }
-        self.state.expire(self.now);
+        self.state.expire_leases(self.now);
         let (mut i, now) = (0, self.now);
         while i < self.watches.len() {
             let w = &self.watches[i];
             let body = if self.refused_until[w.node].max(self.oncall.alone_until[w.node]) > now {
                 None
             } else {
-                let over = now >= w.until || self.state.too_old(w.from);
-                let late = over.then(|| self.state.no_news());
-                self.state.news(&w.prefix, w.from).or(late)
+                let over = now >= w.until || self.state.is_compacted(w.from);
+                let late = over.then(|| self.state.empty_watch_response());
+                self.state.watch_response(&w.prefix, w.from).or(late)
             };
             match body {
                 Some(body) => {
                     let w = self.watches.remove(i);
                     let d = self.delay();
-                    let status = if self.state.too_old(w.from) { 410 } else { 200 };
+                    let status = if self.state.is_compacted(w.from) { 410 } else { 200 };
                     let r = CallResult::Response { status, body };
                     self.at(d, Event::Called(w.node, w.incarnation, w.call, r));
                 }
@@ -1346,12 +1346,12 @@
             Event::Trouble if self.size.oncall => self.oncall_trouble(),
             Event::Crash(n) => self.crash(n),
             Event::Trouble => self.trouble(),
-            Event::Heal => self.state.recover(now),
+            Event::Heal => self.state.end_outage(now),
             Event::EndLeader => self.end_leader(),
             Event::Look(n, way, j) => self.look(n, way, j),
             Event::EndForGood(n) => self.end_process(n, scenes::NEVER * S),
             Event::Outage => {
-                self.state.down = true;
+                self.state.unavailable = true;
                 self.at(self.size.cancel, Event::Heal);
             }
             Event::LowerLimits => self.lower_limits(),
--- a/tests/world/nomad.rs
+++ b/tests/world/nomad.rs
@@ -87,7 +87,7 @@
 
 impl World {
     /// What a worker knows of a task: the record behind it.
-    pub fn own_facts(state: &State, piece: &str) -> Option<Facts> {
+    pub fn own_facts(state: &StateService, piece: &str) -> Option<Facts> {
         let task = TaskId::parse(piece).filter(|t| t.job.own())?;
         let spec = description(task.job, &state.value(&format!("g/j/{}", task.job))?)?;
         (task.index < spec.tasks).then(|| Facts {
@@ -100,16 +100,16 @@
     }
 
     fn heads(&self) -> Vec<(Head, u64)> {
-        let names = self.state.names("g/n/j/");
+        let names = self.state.keys_with_prefix("g/n/j/");
         names
             .iter()
-            .filter_map(|n| Some((serde_json::from_value(self.state.value(n)?).ok()?, self.state.stamp(n))))
+            .filter_map(|n| Some((serde_json::from_value(self.state.value(n)?).ok()?, self.state.key_revision(n))))
             .collect()
     }
 
     fn head(&self, job: &str) -> Option<(Head, u64)> {
         let name = format!("g/n/j/{}", JobKey::of("default", job).0);
-        Some((serde_json::from_value(self.state.value(&name)?).ok()?, self.state.stamp(&name)))
+        Some((serde_json::from_value(self.state.value(&name)?).ok()?, self.state.key_revision(&name)))
     }
 
     /// Own tasks on machines, by native job.
--- a/tests/world/odd.rs
+++ b/tests/world/odd.rs
@@ -102,7 +102,7 @@
         let texts = ["", "[]", "{", "null", "{}", "7", "\"x\"", "{\"ref\":\"j-000777\",\"cpus\":NaN}"];
         let mut failed = Vec::new();
         for away in [false, true] {
-            w.state.down = away;
+            w.state.unavailable = away;
             w.run(w.now + 3 * S);
             for n in 0..nodes {
                 for (i, (field, value, want)) in bad().into_iter().enumerate() {
@@ -162,7 +162,7 @@
                 }
             }
         }
-        w.state.recover(w.now);
+        w.state.end_outage(w.now);
         w.run(w.now + 5 * S);
         // Fields that may be null may be missing, and unknown ones are ignored.
         for (i, n) in (0..nodes).enumerate() {
@@ -266,7 +266,7 @@
         let mut failed = Vec::new();
         let mut accepted: Vec<(u64, Option<Value>)> = Vec::new();
         for away in [false, true] {
-            w.state.down = away;
+            w.state.unavailable = away;
             w.run(w.now + 3 * S);
             for n in 0..nodes {
                 let rows = awaited(0).len();
@@ -290,7 +290,7 @@
                 }
             }
         }
-        w.state.recover(w.now);
+        w.state.end_outage(w.now);
         w.run(w.now + w.size.cancel);
         // What names a cancelled job is cancelled, what waits for others queues.
         for (own, value) in accepted {
@@ -321,7 +321,7 @@
             let mut s = good(own);
             s["awaits"] = names(&[before, ABORTED][..1 + (i == 59) as usize]);
             if i % 10 == 9 {
-                w.state.forget();
+                w.state.compact();
             }
             let mut got = 503;
             for _ in 0..10 {
--- a/tests/world/pipelines.rs
+++ b/tests/world/pipelines.rs
@@ -260,7 +260,7 @@
         match strike {
             StageEnd::LeaderEnds => self.at(delay, Event::EndLeader),
             StageEnd::AllEnd => (0..self.size.nodes).for_each(|n| self.end_process(n, 100 * MS)),
-            StageEnd::Forgotten => self.state.forget(),
+            StageEnd::Forgotten => self.state.compact(),
             StageEnd::LateEnds => self.faults.late_ends_until = self.now + 2 * S,
             StageEnd::ZonesCut => self.zones_cut_until = self.now + 5 * S,
             StageEnd::LeaderFrozen => {
@@ -901,7 +901,7 @@
         w.jobs[all[0]].abort_at = w.now;
         w.run(w.now + 200 * MS);
         if away > 0 {
-            w.state.down = true;
+            w.state.unavailable = true;
             w.at(away, Event::Heal);
         }
         // Polled by their users, and in the end at every controller.
--- a/tests/world/scenes.rs
+++ b/tests/world/scenes.rs
@@ -300,7 +300,7 @@
                 who(w).into_iter().for_each(|n| self.refused_until[n] = t);
             }
             Away(l) => {
-                self.state.down = true;
+                self.state.unavailable = true;
                 self.at(l * self.size.cancel / 1000, Event::Heal);
             }
             Cancel(w) => {
@@ -374,7 +374,7 @@
             Changes(times) => {
                 (0..times).for_each(|i| self.at(i * 2900 * MS, Event::EndLeader));
             }
-            Forgotten => self.state.forget(),
+            Forgotten => self.state.compact(),
             Submit => (0..12).for_each(|_| self.short_job()),
             CancelAtEnd(l) => self.faults.cancel_at_end = until(l),
             Looks(l) => self.looks.until = until(l),
