--- a/crates/standins/src/scale.rs
+++ b/crates/standins/src/scale.rs
@@ -3,7 +3,7 @@
 //! the controllers' own parts are driven directly, in one thread; messages take
 //! no time and are not encoded. What is measured is their processing only.
 use crate::cloud::flavor;
-use crate::worker::{Facts, Machine};
+use crate::worker::{TaskProfile, Machine};
 use gorseshore_core::books::Kept;
 use gorseshore_core::controller::{Controller, HeartbeatReply, MachineSizes, parse_tasks};
 use gorseshore_core::jobs::{Ledger, job_value, keys, machines_value};
@@ -222,26 +222,26 @@
 
     /// Every worker reports once, and does what it is told.
     fn report(&mut self) {
-        let facts = |piece: &str| -> Option<Facts> {
+        let facts = |piece: &str| -> Option<TaskProfile> {
             let task = TaskId::parse(piece)?;
             let spec = self.ledger.jobs.get(&task.job)?.spec.clone()?;
-            Some(Facts {
+            Some(TaskProfile {
                 cpus: spec.need.cpu as f64 / 1000.0,
                 run_us: None,
                 tasks: spec.tasks,
-                save_us: None,
+                checkpoint_us: None,
                 fails: false,
             })
         };
         for w in &mut self.workers {
-            let mut to = w.report_to;
+            let mut to = w.target_controller;
             let r = w.report();
             let Some(tasks) = parse_tasks(&r) else { continue };
             // 421 names the holder; the next one is asked then.
             for _ in 0..2 {
                 match self.controllers[to].checkin(&r, tasks.clone(), &self.ledger, self.now) {
-                    HeartbeatReply::Commands(baton, orders) if baton.0 >= w.baton => {
-                        w.baton = baton.0;
+                    HeartbeatReply::Commands(baton, orders) if baton.0 >= w.fencing_token => {
+                        w.fencing_token = baton.0;
                         w.execute(&orders, &facts, self.now.0);
                         w.advance(&facts, self.now.0);
                         break;
@@ -252,7 +252,7 @@
                     }
                 }
             }
-            w.report_to = to;
+            w.target_controller = to;
         }
     }
 
--- a/crates/standins/src/site.rs
+++ b/crates/standins/src/site.rs
@@ -6,7 +6,7 @@
 use crate::process::{ControllerProcess, TemporaryFolder};
 use crate::soak::history::{MachineView, Recorder};
 use crate::state::{Outcome, StateService};
-use crate::worker::{Facts, Machine, Stage};
+use crate::worker::{TaskProfile, Machine, Stage};
 use gorseshore_core::extension::Extension;
 use gorseshore_core::jobs::description;
 use gorseshore_nomad::service::Service;
@@ -239,7 +239,7 @@
     fn record(&self, m: &Machine) {
         let Some(recorder) = &self.recorder else { return };
         let id = |name: &str| TaskId::parse(name).map(|task| (task.job.0, task.index));
-        let on = m.tasks.iter().filter(|t| t.on()).filter_map(|t| id(&t.name)).collect();
+        let on = m.tasks.iter().filter(|t| t.is_running()).filter_map(|t| id(&t.name)).collect();
         let done = m.tasks.iter().filter(|t| t.stage == Stage::Exited("done"));
         let completed = done.filter_map(|t| id(&t.name)).collect();
         let view = MachineView { machine: &m.name, zone: &m.zone, spot: m.spot };
@@ -251,7 +251,7 @@
     }
 
     /// What a worker knows of a task: its job's record.
-    fn facts(&self, piece: &str) -> Option<Facts> {
+    fn facts(&self, piece: &str) -> Option<TaskProfile> {
         let task = TaskId::parse(piece)?;
         let record = self.state.lock().ok()?.value(&format!("g/j/{}", task.job))?;
         let spec = description(JobId(task.job.0), &record)?;
@@ -259,11 +259,11 @@
             return None;
         }
         let run = (spec.estimate_s * self.pace * 1e6).max(50_000.0) as u64;
-        Some(Facts {
+        Some(TaskProfile {
             cpus: spec.need.cpu as f64 / 1000.0,
             run_us: (spec.kind == Kind::Array).then_some(run),
             tasks: spec.tasks,
-            save_us: None,
+            checkpoint_us: None,
             fails: spec.image.contains("fails"),
         })
     }
@@ -462,7 +462,7 @@
         let Ok(machines) = self.shared.machines.lock() else { return Vec::new() };
         let on = |r: &Rented| {
             let m = r.machine.lock().ok()?;
-            Some(m.tasks.iter().filter(|t| t.on()).map(|t| t.name.clone()).collect::<Vec<_>>())
+            Some(m.tasks.iter().filter(|t| t.is_running()).map(|t| t.name.clone()).collect::<Vec<_>>())
         };
         machines.values().filter_map(on).flatten().collect()
     }
@@ -582,7 +582,7 @@
             return (200, serde_json::to_vec(&m.report()).unwrap_or_default());
         }
         let Ok(d) = serde_json::from_slice::<Direct>(body) else { return (400, Vec::new()) };
-        let answer = m.direct(&d, &|piece| at.facts(piece), at.now());
+        let answer = m.apply_command_request(&d, &|piece| at.facts(piece), at.now());
         at.record(&m);
         answer
     }))?;
@@ -611,14 +611,14 @@
             if m.hung_until > 0 {
                 return;
             }
-            m.check_lease(now, LEASE);
+            m.enforce_lease(now, LEASE);
             m.advance(&|piece| shared.facts(piece), now);
             shared.record(&m);
-            let due = now >= last + 2_000_000 || m.changed && now >= last + 500_000;
+            let due = now >= last + 2_000_000 || m.has_changes && now >= last + 500_000;
             if !due {
                 continue;
             }
-            m.changed = false;
+            m.has_changes = false;
             let mut r = m.report();
             r.addr = addr.to_string();
             serde_json::to_string(&r).unwrap_or_default()
@@ -633,11 +633,11 @@
         match answer {
             Some((200, v)) => {
                 if let Ok(a) = serde_json::from_value::<CheckinAnswer>(v)
-                    && a.baton >= m.baton
+                    && a.baton >= m.fencing_token
                 {
-                    m.changed |= a.baton > m.baton;
-                    m.baton = a.baton;
-                    m.lease_from = now;
+                    m.has_changes |= a.baton > m.fencing_token;
+                    m.fencing_token = a.baton;
+                    m.lease_start = now;
                     m.execute(&a.orders, &|piece| shared.facts(piece), shared.now());
                     shared.record(&m);
                 }
--- a/crates/standins/src/worker.rs
+++ b/crates/standins/src/worker.rs
@@ -5,11 +5,11 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Stage {
     /// Has its image at that time.
-    Fetching(u64),
+    PullingImage(u64),
     /// Completes at that time.
     Running(u64),
     /// Has saved at that time.
-    Saving(u64),
+    Checkpointing(u64),
     /// Ended, for this cause.
     Exited(&'static str),
 }
@@ -27,8 +27,8 @@
 
 impl Task {
     /// From having its image until it ends.
-    pub fn on(&self) -> bool {
-        matches!(self.stage, Stage::Running(_) | Stage::Saving(_))
+    pub fn is_running(&self) -> bool {
+        matches!(self.stage, Stage::Running(_) | Stage::Checkpointing(_))
     }
 }
 
@@ -37,7 +37,7 @@
     /// Name, which is its address too in worlds in memory.
     pub name: String,
     /// Type.
-    pub build: String,
+    pub machine_type: String,
     /// Zone.
     pub zone: String,
     /// Spot.
@@ -49,33 +49,33 @@
     /// Does nothing until then.
     pub hung_until: u64,
     /// Out of reach until then.
-    pub cut_until: u64,
+    pub unreachable_until: u64,
     /// Every task fails.
-    pub sick: bool,
+    pub fails_all_tasks: bool,
     /// Session.
-    pub shift: u64,
+    pub agent_epoch: u64,
     /// Number of the last report or answer.
-    pub tally: u64,
+    pub sequence: u64,
     /// Highest token seen.
-    pub baton: u64,
+    pub fencing_token: u64,
     /// Tasks, with those that exited and are not cleared.
     pub tasks: Vec<Task>,
     /// Which controller it reports to.
-    pub report_to: usize,
+    pub target_controller: usize,
     /// When the next report is due.
-    pub next_report: u64,
+    pub next_report_at: u64,
     /// The open report: its number, when it was sent, its session.
-    pub open: Option<(u64, u64, u64)>,
+    pub outstanding_report: Option<(u64, u64, u64)>,
     /// What the lease counts from.
-    pub lease_from: u64,
+    pub lease_start: u64,
     /// When the last report went out.
-    pub last_sent: u64,
+    pub last_report_at: u64,
     /// Something is to be reported.
-    pub changed: bool,
+    pub has_changes: bool,
 }
 
 /// What the worker knows of a job from its user.
-pub struct Facts {
+pub struct TaskProfile {
     /// CPUs of a task.
     pub cpus: f64,
     /// Run time; none for replicas.
@@ -83,7 +83,7 @@
     /// Number of tasks.
     pub tasks: u32,
     /// Time to save; none if the task never saves.
-    pub save_us: Option<u64>,
+    pub checkpoint_us: Option<u64>,
     /// It fails instead of completing.
     pub fails: bool,
 }
@@ -93,48 +93,48 @@
     pub fn new(name: &str, (build, zone, spot): (&str, &str, bool), cpus: f64, up_at: u64) -> Self {
         Machine {
             name: name.to_owned(),
-            build: build.to_owned(),
+            machine_type: build.to_owned(),
             zone: zone.to_owned(),
             spot,
             cpus,
             up_at,
             hung_until: 0,
-            cut_until: 0,
-            sick: false,
-            shift: 1,
-            tally: 0,
-            baton: 0,
+            unreachable_until: 0,
+            fails_all_tasks: false,
+            agent_epoch: 1,
+            sequence: 0,
+            fencing_token: 0,
             tasks: Vec::new(),
-            report_to: 0,
-            next_report: up_at,
-            open: None,
-            lease_from: up_at,
-            last_sent: 0,
-            changed: false,
+            target_controller: 0,
+            next_report_at: up_at,
+            outstanding_report: None,
+            lease_start: up_at,
+            last_report_at: 0,
+            has_changes: false,
         }
     }
 
     /// The report as of now; each has a number of its own.
     pub fn report(&mut self) -> Report {
-        self.tally += 1;
+        self.sequence += 1;
         Report {
             host: self.name.clone(),
             addr: self.name.clone(),
-            build: self.build.clone(),
+            build: self.machine_type.clone(),
             yard: self.zone.clone(),
             loaners: self.spot,
-            shift: self.shift,
-            tally: self.tally,
-            baton: self.baton,
+            shift: self.agent_epoch,
+            tally: self.sequence,
+            baton: self.fencing_token,
             warning_s: None,
             pieces: self
                 .tasks
                 .iter()
                 .map(|t| {
                     let (stage, cause) = match t.stage {
-                        Stage::Fetching(_) => ("pulling", None),
+                        Stage::PullingImage(_) => ("pulling", None),
                         Stage::Running(_) => ("running", None),
-                        Stage::Saving(_) => ("flushing", None),
+                        Stage::Checkpointing(_) => ("flushing", None),
                         Stage::Exited(c) => ("exited", Some(c.to_owned())),
                     };
                     Piece {
@@ -150,19 +150,19 @@
     }
 
     /// The lease ran out: everything is killed and forgotten.
-    pub fn check_lease(&mut self, now: u64, lease: u64) {
-        if now > self.lease_from + lease {
+    pub fn enforce_lease(&mut self, now: u64, lease: u64) {
+        if now > self.lease_start + lease {
             self.tasks.clear();
-            self.shift += 1;
-            self.lease_from = now;
-            self.changed = true;
+            self.agent_epoch += 1;
+            self.lease_start = now;
+            self.has_changes = true;
         }
     }
 
     /// Executes orders in their order.
-    pub fn execute(&mut self, orders: &[Order], facts: &dyn Fn(&str) -> Option<Facts>, now: u64) {
+    pub fn execute(&mut self, orders: &[Order], facts: &dyn Fn(&str) -> Option<TaskProfile>, now: u64) {
         for o in orders {
-            self.changed = true;
+            self.has_changes = true;
             let at = self.tasks.iter().position(|t| t.name == o.piece && t.attempt == o.attempt);
             match (o.verb.as_str(), at) {
                 ("run", Some(_)) => {}
@@ -185,18 +185,18 @@
                             Stage::Exited("busy")
                         }
                         Some(f) if used + f.cpus > self.cpus + 1e-9 => Stage::Exited("no_room"),
-                        Some(_) => Stage::Fetching(now + 400_000),
+                        Some(_) => Stage::PullingImage(now + 400_000),
                     };
                     self.tasks.push(Task { name: o.piece.clone(), attempt: o.attempt, stage });
                 }
                 ("halt", Some(i)) => {
                     let grace = (o.wind_down_s.unwrap_or(0.0) * 1e6) as u64;
-                    let save = facts(&o.piece).and_then(|f| f.save_us);
+                    let save = facts(&o.piece).and_then(|f| f.checkpoint_us);
                     let t = &mut self.tasks[i];
                     t.stage = match (t.stage, save) {
                         (Stage::Exited(c), _) => Stage::Exited(c),
-                        (Stage::Running(_), Some(s)) if grace >= s => Stage::Saving(now + s),
-                        (Stage::Saving(until), _) if grace > 0 => Stage::Saving(until),
+                        (Stage::Running(_), Some(s)) if grace >= s => Stage::Checkpointing(now + s),
+                        (Stage::Checkpointing(until), _) if grace > 0 => Stage::Checkpointing(until),
                         _ => Stage::Exited("halted"),
                     };
                 }
@@ -209,12 +209,12 @@
     }
 
     /// `POST /do`.
-    pub fn direct(&mut self, d: &Direct, facts: &dyn Fn(&str) -> Option<Facts>, now: u64) -> (u16, Vec<u8>) {
-        let ok = d.baton >= self.baton && d.shift == self.shift;
+    pub fn apply_command_request(&mut self, d: &Direct, facts: &dyn Fn(&str) -> Option<TaskProfile>, now: u64) -> (u16, Vec<u8>) {
+        let ok = d.baton >= self.fencing_token && d.shift == self.agent_epoch;
         if ok {
-            if d.baton > self.baton {
-                self.baton = d.baton;
-                self.changed = true;
+            if d.baton > self.fencing_token {
+                self.fencing_token = d.baton;
+                self.has_changes = true;
             }
             self.execute(&d.orders, facts, now);
         }
@@ -222,24 +222,24 @@
     }
 
     /// Lets time pass for the tasks; true if one got its image.
-    pub fn advance(&mut self, facts: &dyn Fn(&str) -> Option<Facts>, now: u64) -> Vec<String> {
+    pub fn advance(&mut self, facts: &dyn Fn(&str) -> Option<TaskProfile>, now: u64) -> Vec<String> {
         let mut started = Vec::new();
         for t in &mut self.tasks {
             let f = facts(&t.name);
             let fails = f.as_ref().is_some_and(|f| f.fails);
             let next = match t.stage {
-                Stage::Fetching(at) if now >= at => {
+                Stage::PullingImage(at) if now >= at => {
                     started.push(t.name.clone());
                     Stage::Running(f.and_then(|f| f.run_us).map_or(u64::MAX, |r| now + r))
                 }
-                Stage::Running(_) if self.sick => Stage::Exited("error"),
+                Stage::Running(_) if self.fails_all_tasks => Stage::Exited("error"),
                 Stage::Running(end) if now >= end => Stage::Exited(if fails { "error" } else { "done" }),
-                Stage::Saving(end) if now >= end => Stage::Exited("halted"),
+                Stage::Checkpointing(end) if now >= end => Stage::Exited("halted"),
                 s => s,
             };
             if next != t.stage {
                 t.stage = next;
-                self.changed = true;
+                self.has_changes = true;
             }
         }
         started
--- a/tests/world/fleet.rs
+++ b/tests/world/fleet.rs
@@ -154,7 +154,7 @@
             Blow::Cancel { arrays, services } => {
                 for (service, many) in [(false, arrays), (true, services)] {
                     let on = |w: &World, j: usize| {
-                        let mine = |t: &&worker::Task| t.on() && World::job_of(&t.name).0 == j;
+                        let mine = |t: &&worker::Task| t.is_running() && World::job_of(&t.name).0 == j;
                         w.machines
                             .values()
                             .filter(|m| m.zone == "west")
@@ -185,7 +185,7 @@
             Blow::Sick(n) => {
                 for name in self.some_machines(n * times, |m| !m.spot) {
                     if let Some(m) = self.machines.get_mut(&name) {
-                        m.sick = true;
+                        m.fails_all_tasks = true;
                     }
                     self.fleet.struck.insert(name);
                 }
@@ -209,7 +209,7 @@
     /// Replicas that should run and don't, of how many.
     fn missing_replicas(&self) -> (u32, u32) {
         let mut on: BTreeMap<usize, u32> = BTreeMap::new();
-        for t in self.machines.values().flat_map(|m| &m.tasks).filter(|t| t.on()) {
+        for t in self.machines.values().flat_map(|m| &m.tasks).filter(|t| t.is_running()) {
             *on.entry(World::job_of(&t.name).0).or_default() += 1;
         }
         // Those that came just now have their own time to start.
@@ -230,7 +230,7 @@
     pub fn fleet_deletes(&mut self, name: &str) {
         let Some(m) = self.machines.get(name).filter(|_| self.size.fleet) else { return };
         let job = |t: &worker::Task| &self.jobs[World::job_of(&t.name).0];
-        let mut on = m.tasks.iter().filter(|t| t.on());
+        let mut on = m.tasks.iter().filter(|t| t.is_running());
         let replicas = on.clone().any(|t| job(t).service && !job(t).abort_asked);
         let cancelled = on.any(|t| job(t).abort_asked);
         if !replicas || cancelled || self.fleet.struck.contains(name) || m.hung_until > self.now {
--- a/tests/world/main.rs
+++ b/tests/world/main.rs
@@ -30,7 +30,7 @@
 use state::{Outcome, StateService};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
-use worker::{Facts, Machine, Stage};
+use worker::{TaskProfile, Machine, Stage};
 
 const S: u64 = 1_000_000;
 const MS: u64 = 1_000;
@@ -451,7 +451,7 @@
     // ---- network ---------------------------------------------------------
 
     fn node_machine_cut(&self, n: usize, m: &Machine) -> u64 {
-        let mut until = self.node_cut_until[n].max(m.cut_until);
+        let mut until = self.node_cut_until[n].max(m.unreachable_until);
         if node_zone(n) != m.zone {
             until = until.max(self.zones_cut_until);
         }
@@ -612,7 +612,7 @@
         };
         let cpus = if build == "small" { 4.0 } else { 16.0 };
         let mut m = Machine::new(&name, (build, zone, spot), cpus, self.now + boot);
-        m.report_to = self.rng.usize(0..self.size.nodes);
+        m.target_controller = self.rng.usize(0..self.size.nodes);
         self.machines.insert(name.clone(), m);
         self.born.insert(name.clone(), self.now);
         name
@@ -636,7 +636,7 @@
                 let there = self
                     .machines
                     .values()
-                    .filter(|m| (&m.build, &m.zone, m.spot) == (&h.build, &h.yard, h.loaners))
+                    .filter(|m| (&m.machine_type, &m.zone, m.spot) == (&h.build, &h.yard, h.loaners))
                     .count();
                 let room = self.size.room[(h.build == "big") as usize].saturating_sub(there);
                 if room == 0 {
@@ -689,7 +689,7 @@
             .map(|m| Rental {
                 name: m.name.clone(),
                 addr: m.name.clone(),
-                build: m.build.clone(),
+                build: m.machine_type.clone(),
                 yard: m.zone.clone(),
                 loaners: m.spot,
                 stage: if m.up_at <= self.now { "running" } else { "starting" }.into(),
@@ -707,7 +707,7 @@
     fn with_machine<T>(
         &mut self,
         name: &str,
-        f: impl FnOnce(&mut Machine, &dyn Fn(&str) -> Option<Facts>, u64) -> T,
+        f: impl FnOnce(&mut Machine, &dyn Fn(&str) -> Option<TaskProfile>, u64) -> T,
     ) -> Option<T> {
         let (jobs, state, now) = (&self.jobs, &self.state, self.now);
         let facts = |piece: &str| match own(piece) {
@@ -731,28 +731,28 @@
             if now < m.hung_until {
                 continue;
             }
-            m.check_lease(now, lease);
+            m.enforce_lease(now, lease);
             let started = self.with_machine(&name, |m, f, now| m.advance(f, now)).unwrap_or_default();
             for piece in started {
                 self.check_start(&name, &piece);
             }
             let Some(m) = self.machines.get_mut(&name) else { continue };
-            if let Some((_, sent, _)) = m.open
+            if let Some((_, sent, _)) = m.outstanding_report
                 && now > sent + 4 * S
             {
-                m.open = None;
-                m.report_to = (m.report_to + 1) % nodes;
-                m.next_report = now + S;
+                m.outstanding_report = None;
+                m.target_controller = (m.target_controller + 1) % nodes;
+                m.next_report_at = now + S;
             }
-            let due = now >= m.next_report || m.changed && now >= m.last_sent + S / 2 && m.next_report > now;
-            if m.open.is_none() && due && (now >= m.next_report || m.changed) {
-                m.changed = false;
-                m.last_sent = now;
-                m.next_report = now + self.rng.u64(report * 3 / 4..report * 5 / 4);
+            let due = now >= m.next_report_at || m.has_changes && now >= m.last_report_at + S / 2 && m.next_report_at > now;
+            if m.outstanding_report.is_none() && due && (now >= m.next_report_at || m.has_changes) {
+                m.has_changes = false;
+                m.last_report_at = now;
+                m.next_report_at = now + self.rng.u64(report * 3 / 4..report * 5 / 4);
                 let body = serde_json::to_vec(&m.report()).unwrap();
-                let to = m.report_to;
+                let to = m.target_controller;
                 let key = self.next_request;
-                m.open = Some((key, now, m.shift));
+                m.outstanding_report = Some((key, now, m.agent_epoch));
                 self.oncall_reported(&name, &body);
                 self.keep_report(&body);
                 if self.is_mute(&name) {
@@ -791,42 +791,42 @@
             self.at(d, Event::Answered(id, status, body.to_vec()));
             return;
         }
-        let Some((open, sent, shift)) = m.open else { return };
+        let Some((open, sent, shift)) = m.outstanding_report else { return };
         if open != key || now > sent + 4 * S {
             return;
         }
-        m.open = None;
-        m.check_lease(now, self.size.lease);
+        m.outstanding_report = None;
+        m.enforce_lease(now, self.size.lease);
         match status {
             200 => {
                 let a: CheckinAnswer = serde_json::from_slice(body).unwrap();
-                if a.baton < m.baton || shift != m.shift {
+                if a.baton < m.fencing_token || shift != m.agent_epoch {
                     return;
                 }
-                if a.baton > m.baton {
-                    m.baton = a.baton;
-                    m.changed = true;
+                if a.baton > m.fencing_token {
+                    m.fencing_token = a.baton;
+                    m.has_changes = true;
                 }
-                m.lease_from = sent;
+                m.lease_start = sent;
                 self.with_machine(name, |m, f, now| m.execute(&a.orders, f, now));
             }
             421 => {
                 let v: Value = serde_json::from_slice(body).unwrap();
                 let to = v["foreman"].as_str().and_then(|s| s[1..].parse::<usize>().ok());
-                match to.filter(|t| *t != m.report_to) {
+                match to.filter(|t| *t != m.target_controller) {
                     Some(t) => {
-                        m.report_to = t;
-                        m.next_report = now + 100 * MS;
+                        m.target_controller = t;
+                        m.next_report_at = now + 100 * MS;
                     }
                     None => {
-                        m.report_to = (m.report_to + 1) % self.size.nodes;
-                        m.next_report = now + S;
+                        m.target_controller = (m.target_controller + 1) % self.size.nodes;
+                        m.next_report_at = now + S;
                     }
                 }
             }
             _ => {
-                m.report_to = (m.report_to + 1) % self.size.nodes;
-                m.next_report = now + S;
+                m.target_controller = (m.target_controller + 1) % self.size.nodes;
+                m.next_report_at = now + S;
             }
         }
     }
@@ -853,15 +853,15 @@
         let job = &self.jobs[j];
         let mut faults: Vec<(&str, String)> = Vec::new();
         for (name, o) in &self.machines {
-            if name != at && o.tasks.iter().any(|t| t.name == piece && t.on()) {
+            if name != at && o.tasks.iter().any(|t| t.name == piece && t.is_running()) {
                 faults.push(("ran_twice", format!("{piece} starts on {at} while it is on {name}")));
             }
         }
         if job.zone.is_some_and(|z| z != m.zone) {
             faults.push(("wrong_place", format!("{piece} on {at} in {}", m.zone)));
         }
-        if m.spot && !job.spot || job.build.is_some_and(|b| b != m.build) || index >= job.tasks {
-            faults.push(("wrong_place", format!("{piece} on {at} ({}, spot {})", m.build, m.spot)));
+        if m.spot && !job.spot || job.build.is_some_and(|b| b != m.machine_type) || index >= job.tasks {
+            faults.push(("wrong_place", format!("{piece} on {at} ({}, spot {})", m.machine_type, m.spot)));
         }
         if job.spread {
             let here = self
@@ -869,7 +869,7 @@
                 .values()
                 .filter(|o| o.zone == m.zone)
                 .flat_map(|o| o.tasks.iter())
-                .filter(|t| t.on() && own(&t.name).is_none() && Self::job_of(&t.name).0 == j)
+                .filter(|t| t.is_running() && own(&t.name).is_none() && Self::job_of(&t.name).0 == j)
                 .count() as u32;
             if here > job.tasks.div_ceil(2) {
                 faults.push(("wrong_place", format!("{here} tasks of job {j} in {}", m.zone)));
@@ -903,7 +903,7 @@
                 if t.stage == Stage::Exited("done") {
                     done.push((j, i));
                 }
-                if !t.on() {
+                if !t.is_running() {
                     continue;
                 }
                 on += 1;
@@ -1177,13 +1177,13 @@
             }
             7 => {
                 if let Some(m) = some.and_then(|m| self.machines.get_mut(&m)) {
-                    m.cut_until = self.now + length;
+                    m.unreachable_until = self.now + length;
                 }
             }
             8 => drop(some.map(|m| self.machines.remove(&m))),
             9 => {
                 if let Some(m) = some.and_then(|m| self.machines.get_mut(&m)) {
-                    m.sick = true;
+                    m.fails_all_tasks = true;
                 }
             }
             10 => self.cloud_down_until = self.now + length.min(15 * S),
@@ -1219,7 +1219,7 @@
         });
         let machines = self.machines.values().map(|m| {
             let up = m.up_at <= self.now;
-            format!("{} {} {} spot={} up={up} sick={} {:?}", m.name, m.build, m.zone, m.spot, m.sick, m.tasks)
+            format!("{} {} {} spot={} up={up} sick={} {:?}", m.name, m.machine_type, m.zone, m.spot, m.fails_all_tasks, m.tasks)
         });
         (jobs.collect(), machines.collect())
     }
@@ -1407,12 +1407,12 @@
                     return;
                 }
                 let out = self.with_machine(&addr, |m, f, now| {
-                    m.check_lease(now, lease);
+                    m.enforce_lease(now, lease);
                     if call.path == "/status" {
                         return (200, serde_json::to_vec(&m.report()).unwrap());
                     }
                     let d: Direct = serde_json::from_slice(&call.body).unwrap();
-                    m.direct(&d, f, now)
+                    m.apply_command_request(&d, f, now)
                 });
                 let cut = self.machines.get(&addr).map_or(1, |m| self.node_machine_cut(n, m));
                 out.filter(|_| cut == 0)
@@ -1430,14 +1430,14 @@
     TaskId::parse(piece).filter(|t| t.job.own())
 }
 
-fn facts(jobs: &[Job], piece: &str) -> Option<Facts> {
+fn facts(jobs: &[Job], piece: &str) -> Option<TaskProfile> {
     let (j, i) = World::job_of(piece);
     let job = jobs.get(j).filter(|job| job.submitted && i < job.tasks)?;
-    Some(Facts {
+    Some(TaskProfile {
         cpus: job.cpus,
         run_us: (!job.service).then_some(job.run_us + job.later_us * i as u64),
         tasks: job.tasks,
-        save_us: job.save_us,
+        checkpoint_us: job.save_us,
         fails: job.mistaken,
     })
     .filter(|f| f.tasks > 0)
@@ -1481,7 +1481,7 @@
                     .machines
                     .values()
                     .flat_map(|m| &m.tasks)
-                    .filter(|t| t.on() && World::job_of(&t.name).0 == j)
+                    .filter(|t| t.is_running() && World::job_of(&t.name).0 == j)
                     .count();
                 assert!(
                     on as u32 == job.tasks || job.team == "tight",
--- a/tests/world/nomad.rs
+++ b/tests/world/nomad.rs
@@ -87,14 +87,14 @@
 
 impl World {
     /// What a worker knows of a task: the record behind it.
-    pub fn own_facts(state: &StateService, piece: &str) -> Option<Facts> {
+    pub fn own_facts(state: &StateService, piece: &str) -> Option<TaskProfile> {
         let task = TaskId::parse(piece).filter(|t| t.job.own())?;
         let spec = description(task.job, &state.value(&format!("g/j/{}", task.job))?)?;
-        (task.index < spec.tasks).then(|| Facts {
+        (task.index < spec.tasks).then(|| TaskProfile {
             cpus: spec.need.cpu as f64 / 1000.0,
             run_us: (spec.kind == Kind::Array).then_some((spec.estimate_s * 1e6) as u64),
             tasks: spec.tasks,
-            save_us: None,
+            checkpoint_us: None,
             fails: spec.image == "fails",
         })
     }
@@ -115,7 +115,7 @@
     /// Own tasks on machines, by native job.
     fn own_on(&self) -> BTreeMap<JobId, u32> {
         let mut on = BTreeMap::new();
-        for t in self.machines.values().flat_map(|m| &m.tasks).filter(|t| t.on()) {
+        for t in self.machines.values().flat_map(|m| &m.tasks).filter(|t| t.is_running()) {
             if let Some(t) = TaskId::parse(&t.name).filter(|t| t.job.own()) {
                 *on.entry(t.job).or_default() += 1;
             }
@@ -213,7 +213,7 @@
         let twice = self
             .machines
             .iter()
-            .filter(|(n, m)| *n != at && m.tasks.iter().any(|t| t.name == piece && t.on()));
+            .filter(|(n, m)| *n != at && m.tasks.iter().any(|t| t.name == piece && t.is_running()));
         let twice: Vec<String> = twice.map(|(n, _)| n.clone()).collect();
         if !twice.is_empty() {
             self.break_rule("ran_twice", format!("{piece} starts on {at} while it is on {twice:?}"));
--- a/tests/world/oncall.rs
+++ b/tests/world/oncall.rs
@@ -170,7 +170,7 @@
 
     /// The cloud deletes a machine.
     pub fn oncall_deletes(&mut self, name: &str) {
-        let on = self.machines.get(name).map_or(0, |m| m.tasks.iter().filter(|t| t.on()).count());
+        let on = self.machines.get(name).map_or(0, |m| m.tasks.iter().filter(|t| t.is_running()).count());
         if on > 0 {
             self.oncall.deleted.push((self.now, name.into(), on));
         }
@@ -182,7 +182,7 @@
         let due = self.jobs.iter().enumerate().filter(|(_, j)| due(j));
         let on = |j: usize| {
             let tasks = self.machines.values().flat_map(|m| &m.tasks);
-            tasks.filter(|t| t.on() && Self::job_of(&t.name).0 == j).count() as u32
+            tasks.filter(|t| t.is_running() && Self::job_of(&t.name).0 == j).count() as u32
         };
         due.map(|(j, job)| job.tasks.saturating_sub(on(j))).sum()
     }
@@ -364,7 +364,7 @@
     for (seed, nodes) in [(1, 3), (2, 3), (3, 7), (4, 7)] {
         let mut w = settled(seed, nodes);
         let replicas = |m: &Machine| {
-            let of_service = |t: &&worker::Task| t.on() && w.jobs[World::job_of(&t.name).0].service;
+            let of_service = |t: &&worker::Task| t.is_running() && w.jobs[World::job_of(&t.name).0].service;
             m.tasks.iter().filter(of_service).count()
         };
         let most = w.machines.values().max_by_key(|m| replicas(m)).map(|m| m.name.clone()).unwrap();
@@ -409,7 +409,7 @@
             // Its workers are with others by then: here, new ones too.
             let there = w.machines.values().filter(|m| w.now > m.up_at + 12 * S);
             let there =
-                there.filter(|m| alone.contains(&m.report_to) && w.oncall.alone_until[m.report_to] > w.now);
+                there.filter(|m| alone.contains(&m.target_controller) && w.oncall.alone_until[m.target_controller] > w.now);
             let stay: Vec<(&str, usize)> = there.map(|m| (m.name.as_str(), m.tasks.len())).collect();
             assert!(
                 stay.is_empty(),
@@ -431,13 +431,13 @@
         let mut w = settled(seed, nodes);
         w.oncall.copies = 1;
         let missing = watch(&mut w, 60);
-        let moved = w.machines.values().filter(|m| m.shift > 1).count();
+        let moved = w.machines.values().filter(|m| m.agent_epoch > 1).count();
         let seen = format!("seed {seed}, {nodes} controllers");
         assert!(w.broken.is_empty(), "{seen}: {:?}", w.broken);
         assert_eq!((missing.iter().sum::<u32>(), moved), (0, 0), "{seen}: missing each second {missing:?}");
         assert!(w.oncall.deleted.is_empty(), "{seen}: {:?}", w.oncall.deleted);
         // A machine that ended is known by copies alone; that doesn't keep it.
-        let with_replicas = |m: &&Machine| m.tasks.iter().any(|t| t.on());
+        let with_replicas = |m: &&Machine| m.tasks.iter().any(|t| t.is_running());
         let dead = w.machines.values().filter(with_replicas).map(|m| m.name.clone()).next().unwrap();
         w.machines.remove(&dead);
         let missing = watch(&mut w, 60);
--- a/tests/world/pipelines.rs
+++ b/tests/world/pipelines.rs
@@ -958,7 +958,7 @@
         w.jobs.push(Job::new(body, "tight", true, 3, 3.0, S));
         w.run(w.now + 40 * S);
         assert!(w.broken.is_empty(), "{:?}", w.broken);
-        let mine = |t: &&worker::Task| t.on() && World::job_of(&t.name).0 == service;
+        let mine = |t: &&worker::Task| t.is_running() && World::job_of(&t.name).0 == service;
         let on = w.machines.values().flat_map(|m| &m.tasks).filter(mine).count();
         assert_eq!(on, 3, "seed {seed}: replicas that run while other jobs of the team wait");
     }
--- a/tests/world/scenes.rs
+++ b/tests/world/scenes.rs
@@ -331,7 +331,7 @@
             }
             MachinesCut(l) => {
                 let t = until(l);
-                third.iter().for_each(|m| self.machines.get_mut(m).unwrap().cut_until = t);
+                third.iter().for_each(|m| self.machines.get_mut(m).unwrap().unreachable_until = t);
             }
             MachinesHang(l) => {
                 let t = until(l);
@@ -357,7 +357,7 @@
             CancelAndHang(w, l) => {
                 self.act(leader, Cancel(w));
                 let t = until(l);
-                let cancelled = |t: &worker::Task| t.on() && Self::job_of(&t.name).0.is_multiple_of(2);
+                let cancelled = |t: &worker::Task| t.is_running() && Self::job_of(&t.name).0.is_multiple_of(2);
                 let theirs = self.machines.values_mut().filter(|m| m.tasks.iter().any(cancelled));
                 theirs.take(8).for_each(|m| m.hung_until = t);
             }
@@ -406,7 +406,7 @@
 
     /// Tasks that are on machines.
     fn running(&self) -> usize {
-        self.machines.values().flat_map(|m| &m.tasks).filter(|t| t.on()).count()
+        self.machines.values().flat_map(|m| &m.tasks).filter(|t| t.is_running()).count()
     }
 
     /// Jobs whose users were told of a cancellation.
