--- a/crates/standins/src/main.rs
+++ b/crates/standins/src/main.rs
@@ -246,9 +246,9 @@
 
 /// Rolls a controller over and says how it went.
 fn roll(site: &Site, controller: usize, program: &Path) {
-    match site.roll(controller, program) {
+    match site.replace_controller(controller, program) {
         Err(e) => println!("{e}"),
-        Ok(()) => match site.controller_ready(controller, READY_LIMIT) {
+        Ok(()) => match site.wait_until_controller_ready(controller, READY_LIMIT) {
             Some(took) => println!(
                 "controller n{controller}: {}, ready after {:.2} s",
                 program.display(),
@@ -272,7 +272,7 @@
 
 fn measure(m: &MeasureArgs) -> ExitCode {
     let load = Load { requests: m.requests, clients: m.clients as usize, waiters: m.waiters };
-    let options = Options { pace: 0.05, changes: m.changes.clamp(1.0, 1e6), ..Options::default() };
+    let options = Options { time_scale: 0.05, writes_per_s: m.changes.clamp(1.0, 1e6), ..Options::default() };
     match gorseshore_standins::measure::run(&load, options) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
@@ -308,7 +308,7 @@
     let options = Options {
         controllers: args.controllers as usize,
         operator,
-        pace: args.pace.clamp(0.001, 1000.0),
+        time_scale: args.pace.clamp(0.001, 1000.0),
         programs,
         ..Options::default()
     };
@@ -319,18 +319,18 @@
             return ExitCode::from(2);
         }
     };
-    if !site.ready(READY_LIMIT) {
+    if !site.wait_until_ready(READY_LIMIT) {
         eprintln!("the controllers were not ready within {} s", READY_LIMIT.as_secs());
         return ExitCode::FAILURE;
     }
-    for (i, a) in site.users.iter().enumerate() {
+    for (i, a) in site.user_addresses.iter().enumerate() {
         println!("controller n{i}: http://{a}");
     }
-    for (i, a) in site.nomad.iter().enumerate() {
+    for (i, a) in site.nomad_addresses.iter().enumerate() {
         println!("Nomad's interface of n{i}: http://{a}/v1/");
     }
-    println!("state service: http://{}", site.state);
-    println!("cloud: http://{}", site.cloud);
+    println!("state service: http://{}", site.state_address);
+    println!("cloud: http://{}", site.cloud_address);
     match args.seconds {
         Some(s) => {
             println!("ready; ends after {s} s");
--- a/crates/standins/src/measure.rs
+++ b/crates/standins/src/measure.rs
@@ -101,21 +101,21 @@
 /// Runs it and prints what it measured.
 pub fn run(load: &Load, options: Options) -> Result<(), SiteError> {
     let site = Site::start(&Options { operator: SETTINGS.into(), ..options })?;
-    if !site.ready(Duration::from_secs(20)) {
+    if !site.wait_until_ready(Duration::from_secs(20)) {
         return Err(std::io::Error::other("the controllers were not ready within 20 s").into());
     }
     println!(
         "{} clients, {} requests of each kind, {} controllers",
         load.clients,
         load.requests,
-        site.users.len()
+        site.user_addresses.len()
     );
-    drive("native submissions", load, &site.users, "POST", "/submissions", native, |s| s == 200 || s == 201);
-    drive("Nomad registrations", load, &site.nomad, "PUT", "/v1/jobs", nomad, |s| s == 200);
-    drive("the same again", load, &site.nomad, "PUT", "/v1/jobs", nomad, |s| s == 200);
+    drive("native submissions", load, &site.user_addresses, "POST", "/submissions", native, |s| s == 200 || s == 201);
+    drive("Nomad registrations", load, &site.nomad_addresses, "PUT", "/v1/jobs", nomad, |s| s == 200);
+    drive("the same again", load, &site.nomad_addresses, "PUT", "/v1/jobs", nomad, |s| s == 200);
 
     // Queries that wait at one controller for a job of which nothing runs.
-    let a = site.nomad[0];
+    let a = site.nomad_addresses[0];
     let mut quiet = nomad(0);
     quiet["Job"]["ID"] = json!("quiet");
     quiet["Job"]["TaskGroups"][0]["Count"] = json!(0);
--- a/crates/standins/src/site.rs
+++ b/crates/standins/src/site.rs
@@ -32,13 +32,13 @@
     /// Teams: name and most CPUs, 0 for no limit.
     pub teams: Vec<(String, f64)>,
     /// Seconds that a second of a task's estimate takes.
-    pub pace: f64,
+    pub time_scale: f64,
     /// Changes a second of the state service.
-    pub changes: f64,
+    pub writes_per_s: f64,
     /// Longest value in KiB, and most changes at once.
-    pub value_kb: f64,
+    pub max_value_kib: f64,
     /// Most changes in a transaction.
-    pub changes_at_once: usize,
+    pub max_txn_writes: usize,
     /// Programs of those controllers that are processes of their own; the others run
     /// in this process.
     pub programs: BTreeMap<usize, PathBuf>,
@@ -49,7 +49,7 @@
     /// Sees what workers do.
     pub recorder: Option<Arc<Recorder>>,
     /// Processes' logs are kept in files ([`Site::logged`]).
-    pub keep_logs: bool,
+    pub log_to_files: bool,
 }
 
 /// A link of a site.
@@ -105,15 +105,15 @@
             controllers: 3,
             operator: String::new(),
             teams: vec![("default".into(), 0.0)],
-            pace: 0.1,
-            changes: 200.0,
-            value_kb: 16.0,
-            changes_at_once: 24,
+            time_scale: 0.1,
+            writes_per_s: 200.0,
+            max_value_kib: 16.0,
+            max_txn_writes: 24,
             programs: BTreeMap::new(),
             sockets: 8000,
             router: None,
             recorder: None,
-            keep_logs: false,
+            log_to_files: false,
         }
     }
 }
@@ -152,13 +152,13 @@
     processes: Mutex<BTreeMap<usize, ControllerProcess>>,
     _folder: Option<TemporaryFolder>,
     /// Users' addresses of the controllers.
-    pub users: Vec<SocketAddr>,
+    pub user_addresses: Vec<SocketAddr>,
     /// Addresses of Nomad's interface; empty if it is off.
-    pub nomad: Vec<SocketAddr>,
+    pub nomad_addresses: Vec<SocketAddr>,
     /// The state service.
-    pub state: SocketAddr,
+    pub state_address: SocketAddr,
     /// The cloud.
-    pub cloud: SocketAddr,
+    pub cloud_address: SocketAddr,
 }
 
 /// What went wrong at the start.
@@ -221,7 +221,7 @@
          [deployment.state]\nrps = 2000.0\nwrite_rps = {:.1}\nvalue_kb = {:.1}\ntxn_ops = {}\n\
          [deployment.cloud]\nrps = 20.0\nlist_lag_s = 1.0\n\
          [deployment.machine_limits]\nsockets = {}\n",
-        options.changes, options.value_kb, options.changes_at_once, options.sockets
+        options.writes_per_s, options.max_value_kib, options.max_txn_writes, options.sockets
     );
     Ok(text)
 }
@@ -274,11 +274,11 @@
     pub fn start(o: &Options) -> Result<Site, SiteError> {
         let shared = Arc::new(Shared {
             start: Instant::now(),
-            state: Mutex::new(StateService::with_limits(o.changes, o.changes_at_once, o.value_kb)),
+            state: Mutex::new(StateService::with_limits(o.writes_per_s, o.max_txn_writes, o.max_value_kib)),
             machines: Mutex::new(BTreeMap::new()),
             hires: Mutex::new(BTreeMap::new()),
             nodes: Mutex::new(Vec::new()),
-            pace: o.pace,
+            pace: o.time_scale,
             recorder: o.recorder.clone(),
         });
         let state = state_service(&shared)?;
@@ -310,7 +310,7 @@
                 let operator = operator_settings(&o.operator, listen, addresses.nomad[i]);
                 let settings = folder.write(&format!("n{i}.toml"), &settings)?;
                 let operator = folder.write(&format!("n{i}.txtpb"), &operator)?;
-                let log = o.keep_logs.then(|| folder.path(&format!("n{i}.log")));
+                let log = o.log_to_files.then(|| folder.path(&format!("n{i}.log")));
                 let process = ControllerProcess::start(program, settings, operator, log)
                     .map_err(|error| SiteError::Program { program: program.clone(), error })?;
                 processes.insert(i, process);
@@ -342,11 +342,11 @@
         if operator.nomad.is_none() {
             nomad.clear();
         }
-        Ok(Site { shared, processes: Mutex::new(processes), _folder: folder, users, nomad, state, cloud })
+        Ok(Site { shared, processes: Mutex::new(processes), _folder: folder, user_addresses: users, nomad_addresses: nomad, state_address: state, cloud_address: cloud })
     }
 
     /// Ends a controller that is a process and starts `program` in its place.
-    pub fn roll(&self, controller: usize, program: &Path) -> Result<(), SiteError> {
+    pub fn replace_controller(&self, controller: usize, program: &Path) -> Result<(), SiteError> {
         let no_process = || SiteError::NoProcess(controller);
         let mut processes = self.processes.lock().map_err(|_| no_process())?;
         let process = processes.get_mut(&controller).ok_or_else(no_process)?;
@@ -365,12 +365,12 @@
     }
 
     /// Ends a controller that is a process, without warning.
-    pub fn end_controller(&self, controller: usize) -> Result<(), SiteError> {
+    pub fn kill_controller(&self, controller: usize) -> Result<(), SiteError> {
         self.process(controller, ControllerProcess::end)
     }
 
     /// Starts a controller again that was ended.
-    pub fn start_controller(&self, controller: usize) -> Result<(), SiteError> {
+    pub fn restart_controller(&self, controller: usize) -> Result<(), SiteError> {
         self.process(controller, ControllerProcess::start_again)
     }
 
@@ -391,24 +391,24 @@
     }
 
     /// Machines that are rented.
-    pub fn machines(&self) -> usize {
+    pub fn machine_count(&self) -> usize {
         self.shared.machines.lock().map_or(0, |machines| machines.len())
     }
 
     /// When the site's clock began.
-    pub fn started(&self) -> Instant {
+    pub fn start_time(&self) -> Instant {
         self.shared.start
     }
 
     /// Lines of the processes' logs with one of these words.
-    pub fn logged(&self, words: &[&str]) -> Vec<String> {
+    pub fn matching_log_lines(&self, words: &[&str]) -> Vec<String> {
         let Ok(processes) = self.processes.lock() else { return Vec::new() };
         processes.values().flat_map(|process| process.logged(words)).collect()
     }
 
     /// Waits until one controller is ready; how long it took, or nothing after `limit`.
-    pub fn controller_ready(&self, controller: usize, limit: Duration) -> Option<Duration> {
-        let address = *self.users.get(controller)?;
+    pub fn wait_until_controller_ready(&self, controller: usize, limit: Duration) -> Option<Duration> {
+        let address = *self.user_addresses.get(controller)?;
         let start = Instant::now();
         while start.elapsed() < limit {
             if call(address, "GET", "/ready", "").is_some_and(|answer| answer.0 == 200) {
@@ -420,11 +420,11 @@
     }
 
     /// Waits until every controller is ready; false after `limit`.
-    pub fn ready(&self, limit: Duration) -> bool {
+    pub fn wait_until_ready(&self, limit: Duration) -> bool {
         let start = Instant::now();
         loop {
             let up = |a: &SocketAddr| call(*a, "GET", "/ready", "").is_some_and(|r| r.0 == 200);
-            if self.users.iter().all(up) {
+            if self.user_addresses.iter().all(up) {
                 return true;
             }
             if start.elapsed() > limit {
@@ -435,14 +435,14 @@
     }
 
     /// Names the controllers that workers report to.
-    pub fn report_to(&self, nodes: &[SocketAddr]) {
+    pub fn set_worker_targets(&self, nodes: &[SocketAddr]) {
         if let Ok(mut n) = self.shared.nodes.lock() {
             *n = nodes.to_vec();
         }
     }
 
     /// Switches the state service off (503 to everybody) or on again.
-    pub fn state_down(&self, down: bool) {
+    pub fn set_state_unavailable(&self, down: bool) {
         let now = self.shared.now();
         if let Ok(mut s) = self.shared.state.lock() {
             match down {
@@ -453,12 +453,12 @@
     }
 
     /// Keys of the state service with a prefix, as they are.
-    pub fn keys(&self, prefix: &str) -> Vec<String> {
+    pub fn state_keys(&self, prefix: &str) -> Vec<String> {
         self.shared.state.lock().map(|s| s.keys_with_prefix(prefix)).unwrap_or_default()
     }
 
     /// Tasks on machines now: names as `j-000412/3`.
-    pub fn running(&self) -> Vec<String> {
+    pub fn running_tasks(&self) -> Vec<String> {
         let Ok(machines) = self.shared.machines.lock() else { return Vec::new() };
         let on = |r: &Rented| {
             let m = r.machine.lock().ok()?;
--- a/crates/standins/src/soak/mod.rs
+++ b/crates/standins/src/soak/mod.rs
@@ -133,7 +133,7 @@
 
 impl Faults<'_> {
     fn end(&mut self, n: usize, back: Duration) {
-        if self.site.end_controller(n).is_ok() {
+        if self.site.kill_controller(n).is_ok() {
             self.away.insert(n, Instant::now() + back);
         }
     }
@@ -153,7 +153,7 @@
                 self.network.set(lost, |link| *link == Link::Workers(n));
             }
             FaultKind::RefusePeers => self.network.set(refuse, |link| matches!(link, Link::Peer { .. })),
-            FaultKind::StateOutage => self.site.state_down(true),
+            FaultKind::StateOutage => self.site.set_state_unavailable(true),
             FaultKind::StateSlow(by) => {
                 let slow = Condition { answers: Flow::Delay(by), ..Condition::default() };
                 self.network.set(slow, |link| matches!(link, Link::State(_)));
@@ -181,7 +181,7 @@
             FaultKind::LoseState(n) => self.network.set(well, |link| *link == Link::State(n)),
             FaultKind::LoseAnswersToWorkers(n) => self.network.set(well, |link| *link == Link::Workers(n)),
             FaultKind::RefusePeers => self.network.set(well, |link| matches!(link, Link::Peer { .. })),
-            FaultKind::StateOutage => self.site.state_down(false),
+            FaultKind::StateOutage => self.site.set_state_unavailable(false),
             FaultKind::StateSlow(_) => self.network.set(well, |link| matches!(link, Link::State(_))),
             FaultKind::LoseStateAnswers => {
                 self.network.reset(|link| matches!(link, Link::State(_)));
@@ -200,7 +200,7 @@
         let back: Vec<usize> = self.away.iter().filter(|(_, at)| **at <= now).map(|(n, _)| *n).collect();
         for n in back {
             self.away.remove(&n);
-            if let Err(e) = self.site.start_controller(n) {
+            if let Err(e) = self.site.restart_controller(n) {
                 log::error!("controller n{n} was not started again: {e}");
             }
         }
@@ -250,7 +250,7 @@
         std::thread::sleep(STEP);
     }
     network.set(Condition::default(), |_| true);
-    site.state_down(false);
+    site.set_state_unavailable(false);
 }
 
 fn is_of_links(kind: FaultKind) -> bool {
@@ -272,17 +272,17 @@
         sockets: settings.sockets,
         router: Some(router),
         recorder: Some(recorder.clone()),
-        keep_logs: true,
+        log_to_files: true,
         ..Options::default()
     };
     let site = Site::start(&options)?;
-    if !site.ready(READY_LIMIT) {
+    if !site.wait_until_ready(READY_LIMIT) {
         return Err(SoakError::NotReady);
     }
     let users = Arc::new(Users {
-        controllers: site.users.clone(),
+        controllers: site.user_addresses.clone(),
         recorder: recorder.clone(),
-        start: site.started(),
+        start: site.start_time(),
         workers: settings.workers,
         stop: AtomicBool::new(false),
         no_more_jobs: AtomicBool::new(false),
@@ -296,7 +296,7 @@
     recorder.note(|h| h.calm = calm);
     let began = Instant::now();
     while began.elapsed() < settings.calm {
-        machines = machines.max(site.machines());
+        machines = machines.max(site.machine_count());
         if began.elapsed() > LAST_JOBS {
             users.no_more_jobs.store(true, Ordering::Relaxed);
         }
@@ -311,7 +311,7 @@
     let history = History { ended, ..history };
     let limits = BTreeMap::from([("tight".to_owned(), LIMIT_CPUS)]);
     let mut violations = checker::check(&history, &Promises { cancel_us: CANCEL_US, limits });
-    for line in site.logged(&["invariant violated", "panicked at"]) {
+    for line in site.matching_log_lines(&["invariant violated", "panicked at"]) {
         violations.push(Violation { rule: "invariant", what: line });
     }
     Ok(Outcome {
--- a/tests/nomad.rs
+++ b/tests/nomad.rs
@@ -11,12 +11,12 @@
 
 fn site(options: Options) -> Site {
     let s = Site::start(&options).unwrap();
-    assert!(s.ready(Duration::from_secs(30)), "not ready");
+    assert!(s.wait_until_ready(Duration::from_secs(30)), "not ready");
     s
 }
 
 fn options() -> Options {
-    Options { operator: SETTINGS.into(), pace: 0.01, ..Options::default() }
+    Options { operator: SETTINGS.into(), time_scale: 0.01, ..Options::default() }
 }
 
 fn get(a: SocketAddr, path: &str) -> Told {
@@ -56,7 +56,7 @@
 #[test]
 fn jobs_live_by_the_interface() {
     let s = site(options());
-    let (a, b) = (s.nomad[0], s.nomad[1]);
+    let (a, b) = (s.nomad_addresses[0], s.nomad_addresses[1]);
     until("types known", || {
         let t = send(a, "PUT", "/v1/jobs", &job("first", "batch", 2, "i"));
         assert!(t.status == 200 || t.status == 503, "{} {}", t.status, t.text());
@@ -73,7 +73,7 @@
     let again = send(b, "PUT", "/v1/jobs", &web);
     assert_eq!(again.json()["JobModifyIndex"].as_u64(), Some(index), "{}", again.text());
     until("web runs", || summary(b, "web")["Running"] == 2);
-    assert_eq!(s.running().len(), 2);
+    assert_eq!(s.running_tasks().len(), 2);
 
     // EnforceIndex; what is refused, in the interface's own form.
     let mut stale = job("web", "service", 3, "i");
@@ -101,24 +101,24 @@
     }
 
     // Scaled in place: the running tasks go on.
-    let before = s.running();
+    let before = s.running_tasks();
     assert_eq!(
         send(b, "POST", "/v1/job/web/scale", &json!({"Target": {"Group": "g"}, "Count": 4})).status,
         200
     );
     until("web has four", || summary(a, "web")["Running"] == 4);
-    assert!(before.iter().all(|t| s.running().contains(t)), "the first two went on");
+    assert!(before.iter().all(|t| s.running_tasks().contains(t)), "the first two went on");
     assert_eq!(
         send(a, "POST", "/v1/job/web/scale", &json!({"Target": {"Group": "g"}, "Count": 1})).status,
         200
     );
-    until("web has one", || s.running().len() == 1);
+    until("web has one", || s.running_tasks().len() == 1);
 
     // Another image is another version: the old one is gone before it starts.
-    let old = s.running();
+    let old = s.running_tasks();
     assert_eq!(send(a, "PUT", "/v1/jobs", &job("web", "service", 1, "i2")).status, 200);
     until("replaced", || {
-        let now = s.running();
+        let now = s.running_tasks();
         assert!(now.len() <= 1, "{now:?}");
         now.len() == 1 && now != old
     });
@@ -128,7 +128,7 @@
     // Stopped, and then purged.
     assert_eq!(send(b, "DELETE", "/v1/job/web", &json!(null)).status, 200);
     assert_eq!(status(a, "web"), "dead");
-    until("nothing runs", || s.running().is_empty());
+    until("nothing runs", || s.running_tasks().is_empty());
     assert_eq!(send(b, "DELETE", "/v1/job/web?purge=true", &json!(null)).status, 200);
     until("purged", || get(a, "/v1/job/web").status == 404);
 
@@ -184,8 +184,8 @@
         assert_eq!(get(b, path).status, 200, "{path}");
     }
     // Native jobs and these never meet.
-    let guess = s.keys("g/j/").first().and_then(|k| k.strip_prefix("g/j/").map(str::to_owned)).unwrap();
-    let native = |method: &str, path: String, body: &Value| send(s.users[0], method, &path, body).status;
+    let guess = s.state_keys("g/j/").first().and_then(|k| k.strip_prefix("g/j/").map(str::to_owned)).unwrap();
+    let native = |method: &str, path: String, body: &Value| send(s.user_addresses[0], method, &path, body).status;
     let stolen = json!({"ref": guess, "lot":"l","crew":"default","manner":"array","rank":"standard","pieces":1,
         "cpus":1,"gpus":0,"memory_gb":1,"bundle":"i","image_gb":0.1,"same_place":false,"apart":false,
         "loaners":false,"guess_s":1,"mark_s":0,"stow_s":0});
@@ -199,7 +199,7 @@
 #[test]
 fn queries_wait_and_streams_tell() {
     let s = site(options());
-    let a = s.nomad[0];
+    let a = s.nomad_addresses[0];
     until("registered", || send(a, "PUT", "/v1/jobs", &job("one", "service", 1, "i")).status == 200);
     let mut index = get(a, "/v1/jobs").index;
     assert!(index > 0);
@@ -207,20 +207,20 @@
     until("one runs", || summary(a, "one")["Running"] == 1);
     let quiet = get(a, "/v1/job/one/summary").index;
     let began = Instant::now();
-    let t = get(s.nomad[1], &format!("/v1/job/one/summary?index={quiet}&wait=1s"));
+    let t = get(s.nomad_addresses[1], &format!("/v1/job/one/summary?index={quiet}&wait=1s"));
     assert!(t.status == 200 && t.index >= quiet, "{} {quiet}", t.index);
     assert!(began.elapsed() < Duration::from_secs(8));
     // Each change ends the wait, on whichever controller.
-    let mut stream = TcpStream::connect(s.nomad[2]).unwrap();
+    let mut stream = TcpStream::connect(s.nomad_addresses[2]).unwrap();
     stream.write_all(b"GET /v1/event/stream?topic=Job HTTP/1.1\r\nHost: x\r\n\r\n").unwrap();
     stream.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
     for i in 0..6 {
-        let reader = s.nomad[i % 3];
+        let reader = s.nomad_addresses[i % 3];
         let from = index;
         let waiting =
             std::thread::spawn(move || get(reader, &format!("/v1/jobs?index={from}&wait=20s&prefix=more")));
         std::thread::sleep(Duration::from_millis(100));
-        let t = send(s.nomad[(i + 1) % 3], "PUT", "/v1/jobs", &job(&format!("more-{i}"), "batch", 1, "i"));
+        let t = send(s.nomad_addresses[(i + 1) % 3], "PUT", "/v1/jobs", &job(&format!("more-{i}"), "batch", 1, "i"));
         assert_eq!(t.status, 200, "{}", t.text());
         let mut told = waiting.join().unwrap();
         assert!(told.index >= from, "{} after {from}", told.index);
@@ -251,11 +251,11 @@
 fn changes_at_once_and_outages() {
     let s = site(options());
     until("registered", || {
-        send(s.nomad[0], "PUT", "/v1/jobs", &job("race", "service", 1, "i")).status == 200
+        send(s.nomad_addresses[0], "PUT", "/v1/jobs", &job("race", "service", 1, "i")).status == 200
     });
     let threads: Vec<_> = (0..9u32)
         .map(|i| {
-            let a = s.nomad[i as usize % 3];
+            let a = s.nomad_addresses[i as usize % 3];
             std::thread::spawn(move || {
                 send(a, "PUT", "/v1/jobs", &job("race", "service", 1 + i % 4, &format!("i{i}")))
             })
@@ -273,15 +273,15 @@
     distinct.sort();
     distinct.dedup();
     assert_eq!(distinct.len(), accepted.len());
-    let now = get(s.nomad[2], "/v1/job/race").json();
+    let now = get(s.nomad_addresses[2], "/v1/job/race").json();
     assert_eq!(now["JobModifyIndex"].as_u64(), accepted.iter().max().copied());
     assert_eq!(now["Version"].as_u64(), Some(accepted.len() as u64));
     let want = now["TaskGroups"][0]["Count"].as_u64().unwrap();
     until("the last one runs alone", || {
-        summary(s.nomad[0], "race")["Running"].as_u64() == Some(want) && s.running().len() as u64 == want
+        summary(s.nomad_addresses[0], "race")["Running"].as_u64() == Some(want) && s.running_tasks().len() as u64 == want
     });
 
-    s.state_down(true);
+    s.set_state_unavailable(true);
     std::thread::sleep(Duration::from_millis(200));
     for (method, path, body) in [
         ("PUT", "/v1/jobs", job("down", "batch", 1, "i")),
@@ -289,33 +289,33 @@
         ("DELETE", "/v1/job/race", json!(null)),
         ("POST", "/v1/job/race/scale", json!({"Target": {"Group": "g"}, "Count": 2})),
     ] {
-        let t = send(s.nomad[0], method, path, &body);
+        let t = send(s.nomad_addresses[0], method, path, &body);
         assert_eq!(t.status, 503, "{method} {path}: {}", t.text());
     }
-    s.state_down(false);
-    until("back", || send(s.nomad[0], "PUT", "/v1/jobs", &job("up", "batch", 1, "i")).status == 200);
-    assert_eq!(get(s.nomad[1], "/v1/job/race").json()["Version"], now["Version"]);
+    s.set_state_unavailable(false);
+    until("back", || send(s.nomad_addresses[0], "PUT", "/v1/jobs", &job("up", "batch", 1, "i")).status == 200);
+    assert_eq!(get(s.nomad_addresses[1], "/v1/job/race").json()["Version"], now["Version"]);
 }
 
 /// A job that is longer than a value and a transaction: parts first, the head
 /// last; read back whole; what no head names is not there.
 #[test]
 fn a_job_longer_than_a_transaction_is_one_step() {
-    let s = site(Options { value_kb: 4.0, changes_at_once: 8, changes: 60.0, ..options() });
+    let s = site(Options { max_value_kib: 4.0, max_txn_writes: 8, writes_per_s: 60.0, ..options() });
     let mut long = job("long", "batch", 2, "i");
     long["Job"]["Meta"] = json!({"text": "é\"\\\n".repeat(4000)});
     until("registered", || {
-        let t = send(s.nomad[0], "PUT", "/v1/jobs", &long);
+        let t = send(s.nomad_addresses[0], "PUT", "/v1/jobs", &long);
         assert!(matches!(t.status, 200 | 503), "{} {}", t.status, t.text());
         t.status == 200
     });
-    let parts = s.keys("g/n/p/").len();
+    let parts = s.state_keys("g/n/p/").len();
     assert!(parts > 8, "{parts} parts");
-    let back = get(s.nomad[1], "/v1/job/long").json();
+    let back = get(s.nomad_addresses[1], "/v1/job/long").json();
     assert!(back["Meta"]["text"] == long["Job"]["Meta"]["text"], "it reads back as it was");
-    until("over", || status(s.nomad[2], "long") == "dead");
+    until("over", || status(s.nomad_addresses[2], "long") == "dead");
     long["Job"]["Meta"]["text"] = json!("x".repeat(300_000));
-    let t = send(s.nomad[0], "PUT", "/v1/jobs", &long);
+    let t = send(s.nomad_addresses[0], "PUT", "/v1/jobs", &long);
     assert!(t.status == 400 && t.text().contains("at most"), "{} {}", t.status, t.text());
 }
 
@@ -330,7 +330,7 @@
     );
     let operator = SETTINGS.replacen("nomad {", &format!("nomad {{ {tokens}"), 1);
     let s = site(Options { operator, controllers: 1, ..options() });
-    let a = s.nomad[0];
+    let a = s.nomad_addresses[0];
     let with = |token: &str, method: &str, path: &str, body: &Value| {
         let head = if token.is_empty() { String::new() } else { format!("X-Nomad-Token: {token}\r\n") };
         ask(a, method, path, &head, &body.to_string(), Duration::from_secs(20)).unwrap()
@@ -360,8 +360,8 @@
 /// job of the same description does: job by job.
 #[test]
 fn samples_end_as_native_jobs_do() {
-    let s = site(Options { pace: 0.005, ..options() });
-    let a = s.nomad[0];
+    let s = site(Options { time_scale: 0.005, ..options() });
+    let a = s.nomad_addresses[0];
     until("types known", || send(a, "PUT", "/v1/jobs", &job("warm", "batch", 1, "i")).status == 200);
     let dir = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("crates/nomad/samples");
     let mut files: Vec<_> = std::fs::read_dir(dir).unwrap().map(|f| f.unwrap().path()).collect();
@@ -388,7 +388,7 @@
                 "memory_gb": x.need.mem as f64 / 1000.0, "bundle": x.image, "image_gb": x.image_gb,
                 "builds": x.types, "yard": null, "same_place": false, "apart": x.spread, "loaners": x.spot,
                 "guess_s": x.estimate_s, "mark_s": x.checkpoint_s, "stow_s": x.save_s});
-            let t = send(s.users[0], "POST", "/submissions", &native);
+            let t = send(s.user_addresses[0], "POST", "/submissions", &native);
             assert!(t.status == 201, "{f:?}: {} {}", t.status, t.text());
             pairs.push((job.id.clone(), p.group.clone(), x.tasks, number, x.kind));
         }
@@ -397,8 +397,8 @@
     for (id, group, tasks, number, kind) in pairs {
         let mut last = String::new();
         until(&format!("{id} {group}"), || {
-            let native = get(s.users[1], &format!("/submissions/j-{number:06}")).json();
-            let own = get(s.nomad[1], &format!("/v1/job/{id}/summary")).json()["Summary"][&group].clone();
+            let native = get(s.user_addresses[1], &format!("/submissions/j-{number:06}")).json();
+            let own = get(s.nomad_addresses[1], &format!("/v1/job/{id}/summary")).json()["Summary"][&group].clone();
             last = format!("{native} {own}");
             let ended = native["stage"] == "done" && own["Complete"] == tasks;
             let serves = native["running"] == tasks && own["Running"] == tasks;
--- a/tests/rolling.rs
+++ b/tests/rolling.rs
@@ -24,7 +24,7 @@
     let program = PathBuf::from(env!("CARGO_BIN_EXE_gorseshore"));
     let programs: BTreeMap<usize, PathBuf> = (0..3).map(|i| (i, program.clone())).collect();
     let site = Site::start(&Options { programs, ..Options::default() }).unwrap();
-    assert!(site.ready(LIMIT), "not ready");
+    assert!(site.wait_until_ready(LIMIT), "not ready");
     let job = |number: u32, manner: &str, seconds: u32| {
         json!({"ref": format!("j-{number:06}"), "lot": "l", "crew": "default", "manner": manner,
             "rank": "standard", "pieces": 3, "cpus": 1, "gpus": 0, "memory_gb": 1, "bundle": "i",
@@ -34,26 +34,26 @@
     };
     let submit = |to: usize, body: &str| {
         until("accepted", || {
-            call(site.users[to], "POST", "/submissions", body).is_some_and(|r| matches!(r.0, 200 | 201))
+            call(site.user_addresses[to], "POST", "/submissions", body).is_some_and(|r| matches!(r.0, 200 | 201))
         });
     };
     submit(0, &job(1, "standing", 0));
     submit(1, &job(2, "array", 40));
     let mut replicas = Vec::new();
     until("replicas run", || {
-        replicas = site.running().into_iter().filter(|t| t.starts_with("j-000001/")).collect();
+        replicas = site.running_tasks().into_iter().filter(|t| t.starts_with("j-000001/")).collect();
         replicas.len() == 3
     });
     for controller in 0..3 {
-        site.roll(controller, &program).unwrap();
+        site.replace_controller(controller, &program).unwrap();
         // Others serve users meanwhile, and this one does again soon.
         submit((controller + 1) % 3, &job(10 + controller as u32, "array", 1));
-        assert!(site.controller_ready(controller, LIMIT).is_some(), "controller {controller}");
-        let running = site.running();
+        assert!(site.wait_until_controller_ready(controller, LIMIT).is_some(), "controller {controller}");
+        let running = site.running_tasks();
         assert!(replicas.iter().all(|t| running.contains(t)), "{replicas:?} in {running:?}");
     }
     for number in [2, 10, 11, 12] {
-        for user in &site.users {
+        for user in &site.user_addresses {
             until("done everywhere", || {
                 call(*user, "GET", &format!("/submissions/j-{number:06}"), "")
                     .is_some_and(|r| r.1["stage"] == "done")
@@ -67,7 +67,7 @@
     let site = Site::start(&Options { controllers: 1, ..Options::default() }).unwrap();
     let nothing = Path::new("/nothing/there");
     for controller in [0, 7] {
-        assert!(matches!(site.roll(controller, nothing), Err(SiteError::NoProcess(n)) if n == controller));
+        assert!(matches!(site.replace_controller(controller, nothing), Err(SiteError::NoProcess(n)) if n == controller));
     }
     let programs = BTreeMap::from([(0, nothing.to_owned())]);
     let started = Site::start(&Options { controllers: 1, programs, ..Options::default() });
--- a/tests/site_records.rs
+++ b/tests/site_records.rs
@@ -137,10 +137,10 @@
 fn all_records_of_a_site_are_read_by_production() {
     // The team's limit lets an array go on for long enough that its progress is recorded.
     let teams = vec![("default".to_owned(), 20.0)];
-    let options = Options { operator: NOMAD.into(), pace: 0.02, teams, ..Options::default() };
+    let options = Options { operator: NOMAD.into(), time_scale: 0.02, teams, ..Options::default() };
     let site = Site::start(&options).unwrap();
-    assert!(site.ready(Duration::from_secs(30)), "not ready");
-    let (user, guest) = (site.users[0], site.nomad[0]);
+    assert!(site.wait_until_ready(Duration::from_secs(30)), "not ready");
+    let (user, guest) = (site.user_addresses[0], site.nomad_addresses[0]);
     let submit = |job: &Value| send(user, "POST", "/submissions", job).status;
     until("accepted", || submit(&native(1, "array", 40)) == 201);
     assert_eq!(submit(&native(2, "standing", 2)), 201);
@@ -159,7 +159,7 @@
     let forced = send(guest, "POST", "/v1/job/often/periodic/force", &Value::Null);
     assert_eq!(forced.status, 200, "{}", forced.text());
 
-    let mut records = Records { state: site.state, revision: 0, seen: BTreeSet::new() };
+    let mut records = Records { state: site.state_address, revision: 0, seen: BTreeSet::new() };
     records.read_until(&["progress", "failures"]);
     let cancelled = send(user, "POST", "/submissions/j-000002/abort", &Value::Null);
     assert_eq!(cancelled.status, 200, "{}", cancelled.text());
--- a/tests/smoke.rs
+++ b/tests/smoke.rs
@@ -44,8 +44,8 @@
 fn serves_a_job_and_keeps_its_end() {
     let site = Site::start(&Options { controllers: 0, ..Options::default() }).unwrap();
     let (public, cluster) = (free_address().unwrap(), free_address().unwrap());
-    site.report_to(&[public]);
-    let text = settings(public, cluster, site.cloud, site.state);
+    site.set_worker_targets(&[public]);
+    let text = settings(public, cluster, site.cloud_address, site.state_address);
     let file = std::env::temp_dir().join(format!("gorseshore-smoke-{}.toml", std::process::id()));
     std::fs::write(&file, text).unwrap();
     let path = file.to_str().unwrap().to_owned();
@@ -107,8 +107,8 @@
 fn a_program_that_is_back_at_once_loses_nothing() {
     let site = Site::start(&Options { controllers: 0, ..Options::default() }).unwrap();
     let (public, cluster) = (free_address().unwrap(), free_address().unwrap());
-    site.report_to(&[public]);
-    let text = settings(public, cluster, site.cloud, site.state);
+    site.set_worker_targets(&[public]);
+    let text = settings(public, cluster, site.cloud_address, site.state_address);
     let file = std::env::temp_dir().join(format!("gorseshore-blink-{}.toml", std::process::id()));
     std::fs::write(&file, text).unwrap();
     let path = file.to_str().unwrap().to_owned();
@@ -125,7 +125,7 @@
     until("accepted", || {
         call(public, "POST", "/submissions", &job(1, "standing")).is_some_and(|r| r.0 == 201)
     });
-    let replicas = || site.running().iter().filter(|t| t.starts_with("j-000001/")).count();
+    let replicas = || site.running_tasks().iter().filter(|t| t.starts_with("j-000001/")).count();
     until("replicas run", || replicas() == 2);
     for (i, away) in [0, 20, 100, 300].into_iter().cycle().take(12).enumerate() {
         // In the middle of things: what is sent just before may or may not count.
@@ -176,7 +176,7 @@
     let site = Site::start(&Options { controllers: 0, ..Options::default() }).unwrap();
     let (public, cluster) = (free_address().unwrap(), free_address().unwrap());
     let text =
-        settings(public, cluster, site.cloud, site.state) + "[deployment.machine_limits]\nsockets = 200\n";
+        settings(public, cluster, site.cloud_address, site.state_address) + "[deployment.machine_limits]\nsockets = 200\n";
     let file = std::env::temp_dir().join(format!("gorseshore-crowd-{}.toml", std::process::id()));
     std::fs::write(&file, text).unwrap();
     let _node =
