--- a/crates/standins/src/measure.rs
+++ b/crates/standins/src/measure.rs
@@ -1,6 +1,6 @@
 //! Measures Nomad's interface against native submissions of the same work, on
 //! a site on loopback, in one run.
-use crate::net::{ask, call};
+use crate::net::{send_request, call};
 use crate::site::{Options, Site, SiteError};
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
@@ -122,7 +122,7 @@
     call(a, "PUT", "/v1/jobs", &quiet.to_string());
     std::thread::sleep(Duration::from_secs(1));
     let index =
-        ask(a, "GET", "/v1/job/quiet/summary", "", "", Duration::from_secs(10)).map_or(0, |t| t.index);
+        send_request(a, "GET", "/v1/job/quiet/summary", "", "", Duration::from_secs(10)).map_or(0, |t| t.index);
     let before = memory_kib();
     let woken = Arc::new(AtomicUsize::new(0));
     let waiters: Vec<_> = (0..load.waiters)
@@ -132,7 +132,7 @@
             // Small stacks: the waiters' own memory is not what is measured.
             let thread = std::thread::Builder::new().stack_size(64 << 10);
             let wait = move || {
-                if ask(a, "GET", &path, "", "", Duration::from_secs(70)).is_some_and(|t| t.status == 200) {
+                if send_request(a, "GET", &path, "", "", Duration::from_secs(70)).is_some_and(|t| t.status == 200) {
                     woken.fetch_add(1, Ordering::Relaxed);
                 }
             };
--- a/crates/standins/src/net.rs
+++ b/crates/standins/src/net.rs
@@ -48,7 +48,7 @@
 
 /// An answer: status, the index header, and the body.
 #[derive(Debug, Clone)]
-pub struct Told {
+pub struct Response {
     /// HTTP status.
     pub status: u16,
     /// `X-Nomad-Index`, 0 without one.
@@ -57,7 +57,7 @@
     pub body: Vec<u8>,
 }
 
-impl Told {
+impl Response {
     /// The body as JSON, null if it is none.
     pub fn json(&self) -> Value {
         serde_json::from_slice(&self.body).unwrap_or(Value::Null)
@@ -69,13 +69,13 @@
 }
 
 /// Sends raw bytes on a connection of its own and reads one answer.
-pub fn raw(addr: SocketAddr, raw: &[u8], limit: Duration) -> Option<Told> {
+pub fn send_raw(addr: SocketAddr, raw: &[u8], limit: Duration) -> Option<Response> {
     let mut s = TcpStream::connect_timeout(&addr, Duration::from_secs(2)).ok()?;
     exchange(&mut s, raw, limit).map(|(told, _)| told)
 }
 
 /// Writes a request and reads its answer; whether the connection stays.
-fn exchange(s: &mut TcpStream, raw: &[u8], limit: Duration) -> Option<(Told, bool)> {
+fn exchange(s: &mut TcpStream, raw: &[u8], limit: Duration) -> Option<(Response, bool)> {
     s.set_read_timeout(Some(limit)).ok()?;
     s.write_all(raw).ok()?;
     let mut buf = Vec::new();
@@ -88,7 +88,7 @@
             let head = String::from_utf8_lossy(&buf[..h.head]).to_ascii_lowercase();
             let index = head.lines().find_map(|l| l.strip_prefix("x-nomad-index:")?.trim().parse().ok());
             let body = buf[h.head..h.head + n].to_vec();
-            return Some((Told { status: h.status, index: index.unwrap_or(0), body }, h.keep));
+            return Some((Response { status: h.status, index: index.unwrap_or(0), body }, h.keep));
         }
         match s.read(&mut part) {
             Ok(n) if n > 0 => buf.extend_from_slice(&part[..n]),
@@ -99,9 +99,9 @@
 
 /// A connection that is kept for the next request, as workers keep theirs.
 #[derive(Debug, Default)]
-pub struct KeptConnection(Option<(SocketAddr, TcpStream)>);
+pub struct KeepAliveConnection(Option<(SocketAddr, TcpStream)>);
 
-impl KeptConnection {
+impl KeepAliveConnection {
     /// One request; status and body as JSON. A connection that was closed meanwhile is
     /// opened anew.
     pub fn call(
@@ -129,24 +129,24 @@
 }
 
 /// One request with further header lines, each with its line's end.
-pub fn ask(
+pub fn send_request(
     addr: SocketAddr,
     method: &str,
     path: &str,
     headers: &str,
     body: &str,
     limit: Duration,
-) -> Option<Told> {
+) -> Option<Response> {
     let text = format!(
         "{method} {path} HTTP/1.1\r\nHost: x\r\n{headers}Content-Length: {}\r\n\r\n{body}",
         body.len()
     );
-    raw(addr, text.as_bytes(), limit)
+    send_raw(addr, text.as_bytes(), limit)
 }
 
 /// One request; status and body as JSON.
 pub fn call(addr: SocketAddr, method: &str, path: &str, body: &str) -> Option<(u16, Value)> {
-    ask(addr, method, path, "", body, Duration::from_secs(10)).map(|t| (t.status, t.json()))
+    send_request(addr, method, path, "", body, Duration::from_secs(10)).map(|t| (t.status, t.json()))
 }
 
 /// An address for a program of its own that is started later: free now, never
--- a/crates/standins/src/site.rs
+++ b/crates/standins/src/site.rs
@@ -2,7 +2,7 @@
 //! the real controllers, each in a thread of its own or as a process of a named
 //! program. Nothing is kept when the site ends.
 use crate::cloud::flavor;
-use crate::net::{Handler, KeptConnection, call, free_address, serve};
+use crate::net::{Handler, KeepAliveConnection, call, free_address, serve};
 use crate::process::{ControllerProcess, TemporaryFolder};
 use crate::soak::history::{MachineView, Recorder};
 use crate::state::{Outcome, StateService};
@@ -602,7 +602,7 @@
 fn report(machine: &Mutex<Machine>, shared: &Shared, addr: SocketAddr) {
     let mut to = 0;
     let mut last = 0;
-    let mut connection = KeptConnection::default();
+    let mut connection = KeepAliveConnection::default();
     loop {
         std::thread::sleep(Duration::from_millis(40));
         let now = shared.now();
--- a/crates/standins/src/soak/load.rs
+++ b/crates/standins/src/soak/load.rs
@@ -1,7 +1,7 @@
 //! Users of a run: they submit, cancel, ask and repeat at all controllers throughout, also
 //! right after each answer.
 use super::history::{JobFacts, Operation, Recorder, Request};
-use crate::net::ask;
+use crate::net::send_request;
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -70,7 +70,7 @@
             Operation::Cancel => ("POST", format!("/submissions/{}/abort", name(job)), CHANGE_TIMEOUT),
         };
         let sent = self.now();
-        let told = ask(self.controllers[at], method, &path, "Connection: close\r\n", text, timeout);
+        let told = send_request(self.controllers[at], method, &path, "Connection: close\r\n", text, timeout);
         let answered = self.now();
         // An answer that comes after the user has given up is none.
         let told = told.filter(|_| answered - sent <= timeout.as_micros() as u64);
--- a/tests/nomad.rs
+++ b/tests/nomad.rs
@@ -1,6 +1,6 @@
 //! Nomad's interface against real controllers on loopback.
 use gorseshore_protocol::job::Kind;
-use gorseshore_standins::net::{Told, ask};
+use gorseshore_standins::net::{Response, send_request};
 use gorseshore_standins::site::{Options, Site};
 use serde_json::{Value, json};
 use std::io::{Read, Write};
@@ -19,12 +19,12 @@
     Options { operator: SETTINGS.into(), time_scale: 0.01, ..Options::default() }
 }
 
-fn get(a: SocketAddr, path: &str) -> Told {
-    ask(a, "GET", path, "", "", Duration::from_secs(30)).unwrap_or_else(|| panic!("GET {path}: no answer"))
+fn get(a: SocketAddr, path: &str) -> Response {
+    send_request(a, "GET", path, "", "", Duration::from_secs(30)).unwrap_or_else(|| panic!("GET {path}: no answer"))
 }
 
-fn send(a: SocketAddr, method: &str, path: &str, body: &Value) -> Told {
-    ask(a, method, path, "", &body.to_string(), Duration::from_secs(40))
+fn send(a: SocketAddr, method: &str, path: &str, body: &Value) -> Response {
+    send_request(a, method, path, "", &body.to_string(), Duration::from_secs(40))
         .unwrap_or_else(|| panic!("{method} {path}: no answer"))
 }
 
@@ -261,7 +261,7 @@
             })
         })
         .collect();
-    let told: Vec<Told> = threads.into_iter().map(|t| t.join().unwrap()).collect();
+    let told: Vec<Response> = threads.into_iter().map(|t| t.join().unwrap()).collect();
     let accepted: Vec<u64> =
         told.iter().filter(|t| t.status == 200).filter_map(|t| t.json()["JobModifyIndex"].as_u64()).collect();
     assert!(!accepted.is_empty());
@@ -333,7 +333,7 @@
     let a = s.nomad_addresses[0];
     let with = |token: &str, method: &str, path: &str, body: &Value| {
         let head = if token.is_empty() { String::new() } else { format!("X-Nomad-Token: {token}\r\n") };
-        ask(a, method, path, &head, &body.to_string(), Duration::from_secs(20)).unwrap()
+        send_request(a, method, path, &head, &body.to_string(), Duration::from_secs(20)).unwrap()
     };
     until("registered", || with("mine", "PUT", "/v1/jobs", &job("j", "service", 1, "i")).status == 200);
     let cases = [
--- a/tests/site_records.rs
+++ b/tests/site_records.rs
@@ -3,7 +3,7 @@
 use gorseshore_core::jobs::description;
 use gorseshore_protocol::ids::JobId;
 use gorseshore_protocol::state::News;
-use gorseshore_standins::net::{Told, ask};
+use gorseshore_standins::net::{Response, send_request};
 use gorseshore_standins::site::{Options, Site};
 use production::Record;
 use serde_json::{Value, json};
@@ -17,8 +17,8 @@
 const LIMIT: Duration = Duration::from_secs(120);
 const NOMAD: &str = include_str!("../deploy/nomad.txtpb");
 
-fn send(a: SocketAddr, method: &str, path: &str, body: &Value) -> Told {
-    ask(a, method, path, "", &body.to_string(), Duration::from_secs(20))
+fn send(a: SocketAddr, method: &str, path: &str, body: &Value) -> Response {
+    send_request(a, method, path, "", &body.to_string(), Duration::from_secs(20))
         .unwrap_or_else(|| panic!("{method} {path}: no answer"))
 }
 
--- a/tests/smoke.rs
+++ b/tests/smoke.rs
@@ -1,5 +1,5 @@
 //! The real program on loopback, against stand-ins for the outside systems.
-use gorseshore_standins::net::{call, free_address, raw};
+use gorseshore_standins::net::{call, free_address, send_raw};
 use gorseshore_standins::site::{Options, Site};
 use serde_json::json;
 use std::io::{Read, Write};
@@ -78,7 +78,7 @@
     until("types known", || {
         call(public, "POST", "/submissions", &unknown_team.to_string()).unwrap().0 == 422
     });
-    let refused = |bytes: &[u8]| raw(public, bytes, Duration::from_secs(10)).unwrap().status;
+    let refused = |bytes: &[u8]| send_raw(public, bytes, Duration::from_secs(10)).unwrap().status;
     assert_eq!(refused(big.as_bytes()), 413);
     assert_eq!(refused(b"nonsense\r\n\r\n"), 400);
 
