--- a/crates/standins/src/main.rs
+++ b/crates/standins/src/main.rs
@@ -91,15 +91,15 @@
     let settings = soak::Settings {
         program,
         controllers: args.controllers as usize,
-        workers: args.workers,
+        fleet_machines: args.workers,
         sockets: args.sockets as usize,
-        faults: Duration::from_secs(args.seconds),
-        calm: CALM,
+        fault_period: Duration::from_secs(args.seconds),
+        quiet_period: CALM,
     };
     let mut broken = 0;
     for seed in args.seeds.clone() {
         println!("seed {seed}:");
-        for fault in schedule::faults(seed, settings.controllers, settings.faults) {
+        for fault in schedule::faults(seed, settings.controllers, settings.fault_period) {
             println!("  {fault}");
         }
         let outcome = match soak::run(&settings, seed) {
@@ -113,9 +113,9 @@
             "seed {seed}: {} jobs, {} answers, {} starts, {} machines, longest unanswered {:.1} s, {} rules broken",
             outcome.jobs,
             outcome.answers,
-            outcome.starts,
+            outcome.task_starts,
             outcome.machines,
-            outcome.unanswered_s,
+            outcome.longest_unanswered_s,
             outcome.violations.len()
         );
         outcome.violations.iter().for_each(|v| println!("  {v}"));
--- a/crates/standins/src/soak/mod.rs
+++ b/crates/standins/src/soak/mod.rs
@@ -28,13 +28,13 @@
     /// How many controllers.
     pub controllers: usize,
     /// Machines that a first job asks for, 0 for only what the others need.
-    pub workers: u32,
+    pub fleet_machines: u32,
     /// Sockets of a controller.
     pub sockets: usize,
     /// For so long faults come.
-    pub faults: Duration,
+    pub fault_period: Duration,
     /// For so long it goes on after the last of them.
-    pub calm: Duration,
+    pub quiet_period: Duration,
 }
 
 /// Cancelled tasks of a site on loopback are gone within this.
@@ -69,13 +69,13 @@
     /// Answered requests.
     pub answers: usize,
     /// Starts.
-    pub starts: usize,
+    pub task_starts: usize,
     /// Most machines at a time.
     pub machines: usize,
     /// What was seen.
     pub history: History,
     /// The longest that a job went without an answer after the last fault, in seconds.
-    pub unanswered_s: f64,
+    pub longest_unanswered_s: f64,
 }
 
 type Proxies = Arc<Mutex<BTreeMap<Link, FaultProxy>>>;
@@ -283,19 +283,19 @@
         controllers: site.user_addresses.clone(),
         recorder: recorder.clone(),
         start: site.start_time(),
-        workers: settings.workers,
+        workers: settings.fleet_machines,
         stop: AtomicBool::new(false),
         no_more_jobs: AtomicBool::new(false),
         next_job: AtomicU64::new(2),
     });
     let threads = users.start(rng.u64(0..1 << 40));
-    let faults = schedule::faults(seed, settings.controllers, settings.faults);
+    let faults = schedule::faults(seed, settings.controllers, settings.fault_period);
     let mut machines = 0;
     play(&site, &network, &faults, settings.controllers);
     let calm = users.now();
     recorder.note(|h| h.calm = calm);
     let began = Instant::now();
-    while began.elapsed() < settings.calm {
+    while began.elapsed() < settings.quiet_period {
         machines = machines.max(site.machine_count());
         if began.elapsed() > LAST_JOBS {
             users.no_more_jobs.store(true, Ordering::Relaxed);
@@ -318,9 +318,9 @@
         violations,
         jobs: history.jobs.len(),
         answers: history.requests.iter().filter(|r| r.status != 0).count(),
-        starts: history.tasks.iter().filter(|e| e.change == history::TaskChange::Began).count(),
+        task_starts: history.tasks.iter().filter(|e| e.change == history::TaskChange::Began).count(),
         machines,
-        unanswered_s: checker::longest_unanswered(&history) as f64 / 1e6,
+        longest_unanswered_s: checker::longest_unanswered(&history) as f64 / 1e6,
         history,
     })
 }
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -11,16 +11,16 @@
     let settings = Settings {
         program: PathBuf::from(env!("CARGO_BIN_EXE_gorseshore")),
         controllers: 3,
-        workers: 60,
+        fleet_machines: 60,
         sockets: 110,
-        faults: Duration::from_secs(30),
-        calm: Duration::from_secs(78),
+        fault_period: Duration::from_secs(30),
+        quiet_period: Duration::from_secs(78),
     };
     let outcome = run(&settings, SEED).unwrap();
     println!(
         "{} jobs, {} answers, {} starts, longest unanswered {:.1} s",
-        outcome.jobs, outcome.answers, outcome.starts, outcome.unanswered_s
+        outcome.jobs, outcome.answers, outcome.task_starts, outcome.longest_unanswered_s
     );
     assert!(outcome.violations.is_empty(), "seed {SEED}: {:?}", outcome.violations);
-    assert!(outcome.machines > 40 && outcome.jobs > 10 && outcome.starts > 60);
+    assert!(outcome.machines > 40 && outcome.jobs > 10 && outcome.task_starts > 60);
 }
