--- a/crates/standins/src/cloud.rs
+++ b/crates/standins/src/cloud.rs
@@ -1,9 +1,10 @@
-//! Machine types of stand-in clouds.
+//! Machine types offered by the cloud stand-ins.
 use gorseshore_protocol::cloud::Flavor;
 
-/// A type without GPUs, to be had in these zones: price an hour, what part of it
-/// a spot machine costs, and seconds to boot.
-pub fn flavor(sku: &str, cpus: f64, hourly: f64, spot: f64, boot_s: f64, zones: &[&str]) -> Flavor {
+/// A machine type without GPUs that is available in `zones`. `hourly` is the
+/// on-demand price per hour, `spot_fraction` the fraction of it that a spot machine costs,
+/// `boot_s` the boot time in seconds.
+pub fn flavor(sku: &str, cpus: f64, hourly: f64, spot_fraction: f64, boot_s: f64, zones: &[&str]) -> Flavor {
     Flavor {
         sku: sku.into(),
         cpus,
@@ -12,7 +13,7 @@
         cache_gb: 40.0,
         pull_gb_per_s: 1.0,
         hourly,
-        spot_price: Some(hourly * spot),
+        spot_price: Some(hourly * spot_fraction),
         boot_s,
         yards: zones.iter().map(|z| (*z).to_owned()).collect(),
     }
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,6 +1,6 @@
-//! Stand-ins for the outside systems, written from the protocol: the state
-//! service and the worker as state machines, for worlds in memory, and a whole
-//! site of them on loopback round the real controllers.
+//! Stand-ins for the external systems, implemented from the protocol: the state
+//! service and the worker as state machines for in-memory simulations, and a
+//! complete site of them on loopback around real controllers.
 #![warn(missing_docs)]
 pub mod cloud;
 pub mod measure;
--- a/crates/standins/src/main.rs
+++ b/crates/standins/src/main.rs
@@ -1,4 +1,5 @@
-//! `gorseshore-standins site`: a whole site on loopback, to try things.
+//! Command line of the stand-ins: a complete site on loopback for trying things out,
+//! measurements, and the soak.
 use clap::{Args, Parser, Subcommand};
 use gorseshore_standins::measure::Load;
 use gorseshore_standins::scale::Sizing;
@@ -10,64 +11,64 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// A controller has so long to be ready.
-const READY_LIMIT: Duration = Duration::from_secs(20);
+/// Time within which a controller has to be ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Stand-ins for what gorseshore needs, on loopback.
+/// Stand-ins on loopback for the systems that gorseshore depends on.
 #[derive(Parser)]
 #[command(version)]
 struct Cli {
     #[command(subcommand)]
-    verb: Verb,
+    command: CliCommand,
 }
 
 #[derive(Subcommand)]
-enum Verb {
-    /// Start controllers, state service, cloud and workers; nothing is kept.
+enum CliCommand {
+    /// Start controllers, state service, cloud and workers; nothing is persisted.
     ///
     /// Without --seconds, commands are read from standard input, one a line:
-    /// `roll N PATH` ends controller N without warning and starts the program at PATH
-    /// in its place, with the same settings (only controllers that were started with
-    /// --controller-program); an empty line or the end of input ends the site.
+    /// `roll N PATH` kills controller N and starts the program at PATH in its place, with
+    /// the same settings (only for controllers that were started with
+    /// --controller-program); an empty line or the end of input stops the site.
     #[command(verbatim_doc_comment)]
     Site(SiteArgs),
-    /// Measure Nomad's interface against native submissions of the same work.
+    /// Compare Nomad's interface with native submissions of the same work.
     MeasureNomad(MeasureArgs),
-    /// Measure what decisions cost at several sizes, with slopes.
+    /// Measure the CPU cost of scheduling decisions at several cluster sizes, with slopes.
     Scale(ScaleArgs),
-    /// Play random faults on real controllers and check what users, workers and cloud saw.
+    /// Inject random faults into real controllers and check what users, workers and cloud observed.
     ///
-    /// Prints each seed's schedule of faults and what it came to. Ends with 1 if a rule was
-    /// broken, with 2 if a run could not be played.
+    /// Prints the fault schedule and the result of each seed. Exits with 1 if a rule was
+    /// broken, with 2 if a run could not be carried out.
     Soak(SoakArgs),
 }
 
 #[derive(Args)]
 struct SoakArgs {
-    /// Seeds to play: A..B plays A up to, but not with, B.
+    /// Seeds to run: A up to, but not including, B.
     #[arg(long, value_name = "A..B", value_parser = seed_range)]
     seeds: Range<u64>,
-    /// Machines that a first job asks for; 0 for what the other jobs need.
+    /// Machines that the first job requests; 0 for only those that the other jobs need.
     #[arg(long, default_value_t = 0, value_parser = clap::value_parser!(u32).range(0..=2000))]
     workers: u32,
     /// Controllers.
     #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u8).range(1..=15))]
     controllers: u8,
-    /// Seconds in which faults come; the run goes on for 95 s after the last of them.
+    /// Seconds in which faults occur; the run continues for 95 s after the last one.
     #[arg(long, default_value_t = 60, value_parser = clap::value_parser!(u64).range(10..=3600))]
     seconds: u64,
-    /// Sockets of a controller: few of them, and connections run short.
+    /// Socket limit of a controller; a low limit makes connections scarce.
     #[arg(long, default_value_t = 8000, value_parser = clap::value_parser!(u32).range(64..=1_000_000))]
     sockets: u32,
-    /// The controllers' program; without it, gorseshore beside this program.
+    /// Program of the controllers; by default, gorseshore in the directory of this program.
     #[arg(long, value_name = "PATH")]
     program: Option<PathBuf>,
-    /// Write what was seen of a seed that broke a rule to PREFIX-SEED.txt.
+    /// Write the history of a seed that broke a rule to PREFIX-SEED.txt.
     #[arg(long, value_name = "PREFIX")]
     history: Option<String>,
 }
 
-/// Reads `A..B`.
+/// Parses `A..B`.
 fn seed_range(text: &str) -> Result<Range<u64>, String> {
     let (from, to) = text.split_once("..").ok_or("not of the form A..B")?;
     let number = |text: &str| text.parse::<u64>().map_err(|_| format!("\"{text}\" is not a number"));
@@ -78,14 +79,14 @@
     Ok(range)
 }
 
-/// A run goes on for so long after its last fault: longer than any bound that is checked.
-const CALM: Duration = Duration::from_secs(95);
+/// Time that a run continues after its last fault: longer than any time limit that is checked.
+const QUIET_PERIOD: Duration = Duration::from_secs(95);
 
-fn play_soak(args: &SoakArgs) -> ExitCode {
-    let beside = || Some(std::env::current_exe().ok()?.with_file_name("gorseshore"));
-    let Some(program) = args.program.clone().or_else(beside).filter(|program| program.is_file()) else {
-        let named = args.program.as_deref().unwrap_or(Path::new("gorseshore beside this program"));
-        eprintln!("--program: {} is not there", named.display());
+fn run_soak(args: &SoakArgs) -> ExitCode {
+    let sibling = || Some(std::env::current_exe().ok()?.with_file_name("gorseshore"));
+    let Some(program) = args.program.clone().or_else(sibling).filter(|program| program.is_file()) else {
+        let missing = args.program.as_deref().unwrap_or(Path::new("gorseshore beside this program"));
+        eprintln!("--program: {} is not there", missing.display());
         return ExitCode::from(2);
     };
     let settings = soak::Settings {
@@ -94,9 +95,9 @@
         fleet_machines: args.workers,
         sockets: args.sockets as usize,
         fault_period: Duration::from_secs(args.seconds),
-        quiet_period: CALM,
+        quiet_period: QUIET_PERIOD,
     };
-    let mut broken = 0;
+    let mut seeds_with_violations = 0;
     for seed in args.seeds.clone() {
         println!("seed {seed}:");
         for fault in schedule::faults(seed, settings.controllers, settings.fault_period) {
@@ -119,7 +120,7 @@
             outcome.violations.len()
         );
         outcome.violations.iter().for_each(|v| println!("  {v}"));
-        broken += usize::from(!outcome.violations.is_empty());
+        seeds_with_violations += usize::from(!outcome.violations.is_empty());
         if let Some(prefix) = args.history.as_ref().filter(|_| !outcome.violations.is_empty()) {
             let path = format!("{prefix}-{seed}.txt");
             if let Err(e) = std::fs::write(&path, outcome.history.to_string()) {
@@ -128,8 +129,8 @@
             }
         }
     }
-    println!("{broken} of {} seeds broke a rule", args.seeds.end - args.seeds.start);
-    if broken > 0 { ExitCode::FAILURE } else { ExitCode::SUCCESS }
+    println!("{seeds_with_violations} of {} seeds broke a rule", args.seeds.end - args.seeds.start);
+    if seeds_with_violations > 0 { ExitCode::FAILURE } else { ExitCode::SUCCESS }
 }
 
 #[derive(Args)]
@@ -146,18 +147,18 @@
     #[arg(long, value_delimiter = ',', default_value = "1000,10000,100000",
         value_parser = clap::value_parser!(u32).range(1..=2_000_000))]
     past: Vec<u32>,
-    /// Numbers of jobs that wait and find no room.
+    /// Numbers of pending jobs for which there is no free capacity.
     #[arg(long, value_delimiter = ',', default_values_t = [100, 1000, 10_000], value_parser = clap::value_parser!(u32).range(1..=100_000))]
     waiting: Vec<u32>,
 }
 
-fn scale(a: &ScaleArgs) -> ExitCode {
-    let all = |v: &[u32]| v.iter().map(|n| *n as usize).collect();
+fn run_scale(a: &ScaleArgs) -> ExitCode {
+    let to_usize = |v: &[u32]| v.iter().map(|n| *n as usize).collect();
     let sizing = Sizing {
-        machines: all(&a.machines),
-        controllers: all(&a.controllers),
-        past: all(&a.past),
-        waiting: all(&a.waiting),
+        machines: to_usize(&a.machines),
+        controllers: to_usize(&a.controllers),
+        past: to_usize(&a.past),
+        waiting: to_usize(&a.waiting),
     };
     match gorseshore_standins::scale::run(&sizing) {
         Ok(table) => {
@@ -176,13 +177,13 @@
     /// Requests of each kind.
     #[arg(long, default_value_t = 400)]
     requests: usize,
-    /// Clients at a time.
+    /// Number of concurrent clients.
     #[arg(long, default_value_t = 16, value_parser = clap::value_parser!(u8).range(1..=200))]
     clients: u8,
-    /// Queries that wait at a time.
+    /// Number of concurrent blocking queries.
     #[arg(long, default_value_t = 1000)]
     waiters: usize,
-    /// Changes a second that the state service takes.
+    /// Writes per second that the state service accepts.
     #[arg(long, default_value_t = 200.0)]
     changes: f64,
 }
@@ -192,23 +193,23 @@
     /// Controllers.
     #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u8).range(1..=15))]
     controllers: u8,
-    /// The operators' settings (protobuf text format).
+    /// Operator settings (protobuf text format).
     #[arg(long, value_name = "FILE")]
     operator_config: Option<PathBuf>,
-    /// Seconds that a second of a task's estimate takes.
+    /// Run time of a task in seconds per second of its estimate.
     #[arg(long, default_value_t = 0.1)]
     pace: f64,
-    /// Run controller N (from 0) as a process of the program at PATH, which is called with
-    /// --config FILE and --operator-config FILE; may be given for each controller. The others
-    /// run in this process. What a program logs goes to standard error.
+    /// Run controller N (from 0) as a process of the program at PATH, which is started with
+    /// --config FILE and --operator-config FILE; may be given once per controller. The others
+    /// run in this process. Programs log to standard error.
     #[arg(long, value_name = "N=PATH", value_parser = controller_program)]
     controller_program: Vec<(usize, PathBuf)>,
-    /// End after so many seconds instead of at the end of standard input.
+    /// Stop after this many seconds instead of at the end of standard input.
     #[arg(long, value_name = "SECONDS")]
     seconds: Option<u64>,
 }
 
-/// Reads `N=PATH`.
+/// Parses `N=PATH`.
 fn controller_program(text: &str) -> Result<(usize, PathBuf), String> {
     let (number, path) = text.split_once('=').ok_or("not of the form N=PATH")?;
     let number = number.parse().map_err(|_| format!("\"{number}\" is not a controller's number"))?;
@@ -221,17 +222,17 @@
 /// A command on standard input.
 #[derive(Debug, PartialEq)]
 enum SiteCommand<'a> {
-    /// Start another program in a controller's place.
-    Roll(usize, &'a Path),
-    /// End the site.
-    End,
+    /// Replace a controller's program.
+    Replace(usize, &'a Path),
+    /// Stop the site.
+    Stop,
 }
 
 impl<'a> SiteCommand<'a> {
-    fn read(line: &'a str) -> Result<Self, String> {
+    fn parse(line: &'a str) -> Result<Self, String> {
         let line = line.trim();
         if line.is_empty() {
-            return Ok(SiteCommand::End);
+            return Ok(SiteCommand::Stop);
         }
         let usage =
             || format!("\"{line}\" is not a command; roll N PATH is, and an empty line ends the site");
@@ -240,15 +241,15 @@
             .and_then(|rest| rest.trim_start().split_once(' '))
             .ok_or_else(usage)?;
         let number = number.parse().map_err(|_| usage())?;
-        Ok(SiteCommand::Roll(number, Path::new(path.trim())))
+        Ok(SiteCommand::Replace(number, Path::new(path.trim())))
     }
 }
 
-/// Rolls a controller over and says how it went.
-fn roll(site: &Site, controller: usize, program: &Path) {
+/// Replaces a controller's program and prints the result.
+fn replace_controller(site: &Site, controller: usize, program: &Path) {
     match site.replace_controller(controller, program) {
         Err(e) => println!("{e}"),
-        Ok(()) => match site.wait_until_controller_ready(controller, READY_LIMIT) {
+        Ok(()) => match site.wait_until_controller_ready(controller, READY_TIMEOUT) {
             Some(took) => println!(
                 "controller n{controller}: {}, ready after {:.2} s",
                 program.display(),
@@ -259,18 +260,18 @@
     }
 }
 
-/// Does what standard input says, until its end or an empty line.
-fn follow_commands(site: &Site) {
+/// Executes commands from standard input until its end or an empty line.
+fn run_site_commands(site: &Site) {
     for line in std::io::stdin().lines().map_while(Result::ok) {
-        match SiteCommand::read(&line) {
-            Ok(SiteCommand::End) => return,
-            Ok(SiteCommand::Roll(controller, program)) => roll(site, controller, program),
+        match SiteCommand::parse(&line) {
+            Ok(SiteCommand::Stop) => return,
+            Ok(SiteCommand::Replace(controller, program)) => replace_controller(site, controller, program),
             Err(e) => println!("{e}"),
         }
     }
 }
 
-fn measure(m: &MeasureArgs) -> ExitCode {
+fn run_measure_nomad(m: &MeasureArgs) -> ExitCode {
     let load = Load { requests: m.requests, clients: m.clients as usize, waiters: m.waiters };
     let options = Options { time_scale: 0.05, writes_per_s: m.changes.clamp(1.0, 1e6), ..Options::default() };
     match gorseshore_standins::measure::run(&load, options) {
@@ -283,11 +284,11 @@
 }
 
 fn main() -> ExitCode {
-    let args = match Cli::parse().verb {
-        Verb::Site(args) => args,
-        Verb::MeasureNomad(m) => return measure(&m),
-        Verb::Scale(a) => return scale(&a),
-        Verb::Soak(a) => return play_soak(&a),
+    let args = match Cli::parse().command {
+        CliCommand::Site(args) => args,
+        CliCommand::MeasureNomad(m) => return run_measure_nomad(&m),
+        CliCommand::Scale(a) => return run_scale(&a),
+        CliCommand::Soak(a) => return run_soak(&a),
     };
     let operator = match &args.operator_config {
         None => String::new(),
@@ -319,8 +320,8 @@
             return ExitCode::from(2);
         }
     };
-    if !site.wait_until_ready(READY_LIMIT) {
-        eprintln!("the controllers were not ready within {} s", READY_LIMIT.as_secs());
+    if !site.wait_until_ready(READY_TIMEOUT) {
+        eprintln!("the controllers were not ready within {} s", READY_TIMEOUT.as_secs());
         return ExitCode::FAILURE;
     }
     for (i, a) in site.user_addresses.iter().enumerate() {
@@ -338,7 +339,7 @@
         }
         None => {
             println!("ready; roll N PATH rolls a controller over; Enter or the end of input ends it");
-            follow_commands(&site);
+            run_site_commands(&site);
         }
     }
     println!("ended; nothing is kept");
@@ -350,8 +351,8 @@
     use super::*;
 
     #[test]
-    fn programs_and_commands_are_read() {
-        // (argument, what it says)
+    fn parses_programs_seeds_and_commands() {
+        // (argument, parsed)
         let programs = [
             ("0=/a/b", Some((0, PathBuf::from("/a/b")))),
             ("12=a=b", Some((12, PathBuf::from("a=b")))),
@@ -369,19 +370,19 @@
         for (text, want) in seeds {
             assert_eq!(seed_range(text).ok(), want, "{text}");
         }
-        // (line, what it says)
+        // (line, parsed)
         let commands = [
-            ("", Some(SiteCommand::End)),
-            (" \n", Some(SiteCommand::End)),
-            ("roll 2 /a/b c", Some(SiteCommand::Roll(2, Path::new("/a/b c")))),
-            ("roll  0  x ", Some(SiteCommand::Roll(0, Path::new("x")))),
+            ("", Some(SiteCommand::Stop)),
+            (" \n", Some(SiteCommand::Stop)),
+            ("roll 2 /a/b c", Some(SiteCommand::Replace(2, Path::new("/a/b c")))),
+            ("roll  0  x ", Some(SiteCommand::Replace(0, Path::new("x")))),
             ("roll 2", None),
             ("roll x /a", None),
             ("rolls 2 /a", None),
             ("end", None),
         ];
         for (line, want) in commands {
-            assert_eq!(SiteCommand::read(line).ok(), want, "{line}");
+            assert_eq!(SiteCommand::parse(line).ok(), want, "{line}");
         }
     }
 }
--- a/crates/standins/src/net.rs
+++ b/crates/standins/src/net.rs
@@ -1,4 +1,4 @@
-//! HTTP on loopback with threads: enough for stand-ins and for asking them.
+//! Minimal threaded HTTP server and client on loopback, for the stand-ins and their tests.
 use gorseshore_shell::http;
 use serde_json::Value;
 use std::io::{Read, Write};
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicU16, Ordering};
 use std::time::Duration;
 
-/// Answers a request: method, path with query, body; status and body.
+/// Handles a request given by method, path with query, and body; returns status and body.
 pub type Handler = Arc<dyn Fn(&str, &str, &[u8]) -> (u16, Vec<u8>) + Send + Sync>;
 
 /// Serves HTTP on a free port until the process ends.
@@ -17,16 +17,16 @@
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let handler = handler.clone();
-            std::thread::spawn(move || connection(stream, &handler));
+            std::thread::spawn(move || serve_connection(stream, &handler));
         }
     });
     Ok(addr)
 }
 
-fn connection(mut s: TcpStream, handler: &Handler) {
+fn serve_connection(mut s: TcpStream, handler: &Handler) {
     let _ = s.set_nodelay(true);
     let mut buf = Vec::new();
-    let mut part = [0u8; 4096];
+    let mut chunk = [0u8; 4096];
     loop {
         if let Ok(Some(h)) = http::request_head(&buf, http::MAX_GUEST_BODY)
             && buf.len() >= h.head + h.body
@@ -39,26 +39,26 @@
             }
             continue;
         }
-        match s.read(&mut part) {
-            Ok(n) if n > 0 => buf.extend_from_slice(&part[..n]),
+        match s.read(&mut chunk) {
+            Ok(n) if n > 0 => buf.extend_from_slice(&chunk[..n]),
             _ => return,
         }
     }
 }
 
-/// An answer: status, the index header, and the body.
+/// An HTTP response: status, index header and body.
 #[derive(Debug, Clone)]
 pub struct Response {
     /// HTTP status.
     pub status: u16,
-    /// `X-Nomad-Index`, 0 without one.
+    /// `X-Nomad-Index` header, 0 if absent.
     pub index: u64,
     /// Body.
     pub body: Vec<u8>,
 }
 
 impl Response {
-    /// The body as JSON, null if it is none.
+    /// The body as JSON, null if it is not valid JSON.
     pub fn json(&self) -> Value {
         serde_json::from_slice(&self.body).unwrap_or(Value::Null)
     }
@@ -68,18 +68,18 @@
     }
 }
 
-/// Sends raw bytes on a connection of its own and reads one answer.
-pub fn send_raw(addr: SocketAddr, raw: &[u8], limit: Duration) -> Option<Response> {
+/// Sends raw bytes on a new connection and reads one response.
+pub fn send_raw(addr: SocketAddr, bytes: &[u8], timeout: Duration) -> Option<Response> {
     let mut s = TcpStream::connect_timeout(&addr, Duration::from_secs(2)).ok()?;
-    exchange(&mut s, raw, limit).map(|(told, _)| told)
+    exchange(&mut s, bytes, timeout).map(|(response, _)| response)
 }
 
-/// Writes a request and reads its answer; whether the connection stays.
-fn exchange(s: &mut TcpStream, raw: &[u8], limit: Duration) -> Option<(Response, bool)> {
-    s.set_read_timeout(Some(limit)).ok()?;
-    s.write_all(raw).ok()?;
+/// Writes a request and reads its response; the flag tells whether the connection is kept alive.
+fn exchange(s: &mut TcpStream, bytes: &[u8], timeout: Duration) -> Option<(Response, bool)> {
+    s.set_read_timeout(Some(timeout)).ok()?;
+    s.write_all(bytes).ok()?;
     let mut buf = Vec::new();
-    let mut part = [0u8; 4096];
+    let mut chunk = [0u8; 4096];
     loop {
         if let Ok(Some(h)) = http::answer_head(&buf)
             && let http::BodyEnd::Length(n) = h.body
@@ -90,68 +90,69 @@
             let body = buf[h.head..h.head + n].to_vec();
             return Some((Response { status: h.status, index: index.unwrap_or(0), body }, h.keep));
         }
-        match s.read(&mut part) {
-            Ok(n) if n > 0 => buf.extend_from_slice(&part[..n]),
+        match s.read(&mut chunk) {
+            Ok(n) if n > 0 => buf.extend_from_slice(&chunk[..n]),
             _ => return None,
         }
     }
 }
 
-/// A connection that is kept for the next request, as workers keep theirs.
+/// A keep-alive connection that is reused for the next request, as workers do.
 #[derive(Debug, Default)]
 pub struct KeepAliveConnection(Option<(SocketAddr, TcpStream)>);
 
 impl KeepAliveConnection {
-    /// One request; status and body as JSON. A connection that was closed meanwhile is
-    /// opened anew.
+    /// Sends one request; returns status and body as JSON. If the kept connection fails,
+    /// for example because the server closed it, the request is sent on a new one.
     pub fn call(
         &mut self,
         addr: SocketAddr,
         method: &str,
         path: &str,
         body: &str,
-        limit: Duration,
+        timeout: Duration,
     ) -> Option<(u16, Value)> {
         let text =
             format!("{method} {path} HTTP/1.1\r\nHost: x\r\nContent-Length: {}\r\n\r\n{body}", body.len());
         if let Some((_, mut stream)) = self.0.take().filter(|(to, _)| *to == addr)
-            && let Some((told, keep)) = exchange(&mut stream, text.as_bytes(), limit)
+            && let Some((response, keep)) = exchange(&mut stream, text.as_bytes(), timeout)
         {
             self.0 = keep.then_some((addr, stream));
-            return Some((told.status, told.json()));
+            return Some((response.status, response.json()));
         }
-        let mut stream = TcpStream::connect_timeout(&addr, limit).ok()?;
+        let mut stream = TcpStream::connect_timeout(&addr, timeout).ok()?;
         stream.set_nodelay(true).ok()?;
-        let (told, keep) = exchange(&mut stream, text.as_bytes(), limit)?;
+        let (response, keep) = exchange(&mut stream, text.as_bytes(), timeout)?;
         self.0 = keep.then_some((addr, stream));
-        Some((told.status, told.json()))
+        Some((response.status, response.json()))
     }
 }
 
-/// One request with further header lines, each with its line's end.
+/// Sends one request on a new connection. `headers` are further header lines, each with
+/// its line ending.
 pub fn send_request(
     addr: SocketAddr,
     method: &str,
     path: &str,
     headers: &str,
     body: &str,
-    limit: Duration,
+    timeout: Duration,
 ) -> Option<Response> {
     let text = format!(
         "{method} {path} HTTP/1.1\r\nHost: x\r\n{headers}Content-Length: {}\r\n\r\n{body}",
         body.len()
     );
-    send_raw(addr, text.as_bytes(), limit)
+    send_raw(addr, text.as_bytes(), timeout)
 }
 
-/// One request; status and body as JSON.
+/// Sends one request with a timeout of 10 s; returns status and body as JSON.
 pub fn call(addr: SocketAddr, method: &str, path: &str, body: &str) -> Option<(u16, Value)> {
     send_request(addr, method, path, "", body, Duration::from_secs(10)).map(|t| (t.status, t.json()))
 }
 
-/// An address for a program of its own that is started later: free now, never
-/// given twice, and below the ports that systems use for outgoing connections,
-/// one of which took an address between its being found and its use.
+/// A free address for a program that is started later. Never returned twice by this
+/// process, and below the ephemeral port range: an outgoing connection has taken an
+/// ephemeral port between its selection and its use.
 pub fn free_address() -> std::io::Result<SocketAddr> {
     static NEXT: AtomicU16 = AtomicU16::new(0);
     let first = 16_000 + (std::process::id() % 500) as u16 * 32;
--- a/crates/standins/src/scale.rs
+++ b/crates/standins/src/scale.rs
@@ -1,9 +1,9 @@
-//! What the core's decisions cost at several sizes: a hand-out, a check-in, a
-//! rental decision, and a new leader's start against past jobs. The leader and
-//! the controllers' own parts are driven directly, in one thread; messages take
-//! no time and are not encoded. What is measured is their processing only.
+//! Measures the CPU cost of the core's decisions at several cluster sizes: a task
+//! assignment, a worker heartbeat, an autoscaling decision, and a new leader's start
+//! with past jobs. Leader and controllers are driven directly in one thread. Messages
+//! are delivered at once and are not encoded, so that only their processing is measured.
 use crate::cloud::flavor;
-use crate::worker::{TaskProfile, Machine};
+use crate::worker::{Machine, TaskProfile};
 use gorseshore_core::books::Kept;
 use gorseshore_core::controller::{Controller, HeartbeatReply, MachineSizes, parse_tasks};
 use gorseshore_core::jobs::{Ledger, job_value, keys, machines_value};
@@ -16,7 +16,7 @@
 use std::fmt::Write as _;
 use std::time::Instant;
 
-/// What is measured.
+/// Sizes to measure.
 #[derive(Debug, Clone)]
 pub struct Sizing {
     /// Numbers of machines.
@@ -25,41 +25,42 @@
     pub controllers: Vec<usize>,
     /// Numbers of past jobs.
     pub past: Vec<usize>,
-    /// Numbers of jobs that wait and find no room.
+    /// Numbers of pending jobs for which there is no free capacity.
     pub waiting: Vec<usize>,
 }
 
-/// What went wrong.
+/// Why a measurement failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ScaleError {
-    /// A job of its own was not accepted.
-    #[error("a job of the measurement is refused: {0}")]
+    /// A job that the measurement submits was rejected.
+    #[error("a job of the measurement was rejected: {0}")]
     Job(String),
-    /// Something never came to pass.
+    /// An expected state was not reached in time.
     #[error("{machines} machines, {controllers} controllers: {what}")]
-    Stuck {
+    Timeout {
         /// Machines.
         machines: usize,
         /// Controllers.
         controllers: usize,
-        /// What did not.
+        /// Description of the missing state.
         what: &'static str,
     },
-    /// A record could not be read back.
-    #[error("record: {0}")]
+    /// A record could not be parsed.
+    #[error("cannot parse a record: {0}")]
     Record(#[from] serde_json::Error),
 }
 
 const ZONES: [&str; 3] = ["a", "b", "c"];
 const CPUS: f64 = 8.0;
-/// Hand-outs that are timed; they fit on the machines of the smallest size.
-const HAND_OUTS: u32 = 500;
-/// Rounds that are timed.
-const ROUNDS: u32 = 5;
-/// Times in which something must have come to pass.
-const PATIENCE: u32 = 400;
+/// Number of timed assignments; they fit on the machines of the smallest size.
+const TIMED_ASSIGNMENTS: u32 = 500;
+/// Number of timed rounds of heartbeats and of autoscaling decisions; seconds that the
+/// measurement of pending jobs covers.
+const TIMED_ROUNDS: u32 = 5;
+/// Rounds within which all service tasks have to run.
+const MAX_SETUP_ROUNDS: u32 = 400;
 
-fn spec(id: u64, kind: &str, tasks: u32, cpus: f64) -> Result<Value, ScaleError> {
+fn job_record(id: u64, kind: &str, tasks: u32, cpus: f64) -> Result<Value, ScaleError> {
     let service = kind == "standing";
     let body = json!({"ref": JobId(id).to_string(), "lot": "l", "crew": "t", "manner": kind,
         "rank": if service { "prod" } else { "standard" }, "pieces": tasks, "cpus": cpus, "gpus": 0,
@@ -70,20 +71,20 @@
     Ok(job_value(&spec, 1_000_000))
 }
 
-/// Leader, controllers and workers, and their clock.
+/// Leader, controllers and workers with a simulated clock.
 struct Bench {
-    ledger: Ledger,
+    state_replica: Ledger,
     sizes: MachineSizes,
     leader: Leader,
     controllers: Vec<Controller>,
-    kept: Kept,
+    log_replica: Kept,
     workers: Vec<Machine>,
     now: Micros,
-    stamp: u64,
+    revision: u64,
     jobs: u64,
 }
 
-fn context(controllers: usize) -> Context {
+fn leader_config(controllers: usize) -> Context {
     Context {
         me: NodeId(0),
         names: (0..controllers).map(|i| format!("n{i}")).collect(),
@@ -99,18 +100,18 @@
     }
 }
 
-fn sizes() -> MachineSizes {
+fn machine_sizes() -> MachineSizes {
     MachineSizes::from([("big".into(), Resources::have(CPUS, 0.0, CPUS * 4.0))])
 }
 
-fn machine_records(ledger: &mut Ledger, machines: usize) -> Vec<Machine> {
+fn add_machine_records(state_replica: &mut Ledger, machines: usize) -> Vec<Machine> {
     let mut workers = Vec::new();
     for i in 0..machines {
         let name = format!("host-{i:06}");
         let (zone, spot) = (ZONES[i % 3], i % 2 == 1);
         let id = MachineId::from(&*name);
         let v = machines_value(("big", zone, spot), std::iter::once((&id, name.as_str())));
-        ledger.apply(&keys::machines(&id), Some(&v), 1);
+        state_replica.apply(&keys::machines(&id), Some(&v), 1);
         workers.push(Machine::new(&name, ("big", zone, spot), CPUS, 0));
     }
     workers
@@ -118,57 +119,63 @@
 
 impl Bench {
     fn new(machines: usize, controllers: usize) -> Result<Self, ScaleError> {
-        let mut ledger = Ledger::default();
-        let workers = machine_records(&mut ledger, machines);
+        let mut state_replica = Ledger::default();
+        let workers = add_machine_records(&mut state_replica, machines);
         let now = Micros::secs(100);
-        let leader = Leader::new(context(controllers), 1, 10, &ledger, &sizes(), now, 1_000_000);
+        let leader =
+            Leader::new(leader_config(controllers), 1, 10, &state_replica, &machine_sizes(), now, 1_000_000);
         let mut b = Bench {
-            ledger,
-            sizes: sizes(),
+            state_replica,
+            sizes: machine_sizes(),
             leader,
             controllers: (0..controllers).map(|_| Controller::default()).collect(),
-            kept: Kept::default(),
+            log_replica: Kept::default(),
             workers,
             now,
-            stamp: 20,
+            revision: 20,
             jobs: 0,
         };
-        // Until every worker has its holder's token, and replicas take half of
-        // the room on ordinary machines.
-        let replicas = (machines as f64 * CPUS / 4.0) as u32;
-        for _ in 0..replicas.div_ceil(10) {
-            b.job("standing", 10, 1.0)?;
+        // Runs rounds until every worker has the fencing token of the controller that
+        // holds its lease, and service tasks take half of the capacity of on-demand machines.
+        let service_tasks = (machines as f64 * CPUS / 4.0) as u32;
+        for _ in 0..service_tasks.div_ceil(10) {
+            b.submit_job("standing", 10, 1.0)?;
         }
-        let full = |b: &Bench| b.workers.iter().map(|m| m.tasks.len()).sum::<usize>() >= replicas as usize;
-        for _ in 0..PATIENCE {
-            b.pass();
-            b.report();
-            if full(&b) {
-                // What was told is settled.
+        let all_running =
+            |b: &Bench| b.workers.iter().map(|m| m.tasks.len()).sum::<usize>() >= service_tasks as usize;
+        for _ in 0..MAX_SETUP_ROUNDS {
+            b.run_leader();
+            b.send_heartbeats();
+            if all_running(&b) {
+                // Four more rounds, so that all updates are acknowledged.
                 for _ in 0..4 {
-                    b.pass();
-                    b.report();
+                    b.run_leader();
+                    b.send_heartbeats();
                 }
                 return Ok(b);
             }
         }
-        Err(ScaleError::Stuck { machines, controllers, what: "replicas don't all run" })
+        Err(ScaleError::Timeout { machines, controllers, what: "not all service tasks run" })
     }
 
-    fn job(&mut self, kind: &str, tasks: u32, cpus: f64) -> Result<JobId, ScaleError> {
+    fn submit_job(&mut self, kind: &str, tasks: u32, cpus: f64) -> Result<JobId, ScaleError> {
         self.jobs += 1;
-        self.stamp += 1;
+        self.revision += 1;
         let id = JobId(self.jobs);
-        self.ledger.apply(&keys::job(id), Some(&spec(self.jobs, kind, tasks, cpus)?), self.stamp);
-        self.leader.job_changed(id, &self.ledger, self.now);
+        self.state_replica.apply(
+            &keys::job(id),
+            Some(&job_record(self.jobs, kind, tasks, cpus)?),
+            self.revision,
+        );
+        self.leader.job_changed(id, &self.state_replica, self.now);
         Ok(id)
     }
 
-    /// The leader's messages go out and are answered.
+    /// Delivers the leader's messages to the controllers and their responses to the leader.
     fn exchange(&mut self) {
-        if let Some((record, _)) = self.leader.books_record(&self.ledger, &[], self.now) {
-            self.stamp += 1;
-            self.ledger.apply(keys::BOOKS, Some(&json!(record)), self.stamp);
+        if let Some((record, _)) = self.leader.books_record(&self.state_replica, &[], self.now) {
+            self.revision += 1;
+            self.state_replica.apply(keys::BOOKS, Some(&json!(record)), self.revision);
             self.leader.books_record_ended();
         }
         for (to, m) in self.leader.messages(self.now, true) {
@@ -177,11 +184,11 @@
                     term,
                     seq,
                     base,
-                    acked_sync: ack,
+                    acked_sync,
                     lease,
                     block,
-                    not_in_block: elsewhere,
-                    assignments: handouts,
+                    not_in_block,
+                    assignments,
                     stops,
                     running,
                     ..
@@ -190,41 +197,41 @@
                     if !c.accept_update(term, seq, base) {
                         continue;
                     }
-                    c.apply_block(base == 0, &block, &elsewhere);
-                    c.apply_sync_ack(ack, lease);
+                    c.apply_block(base == 0, &block, &not_in_block);
+                    c.apply_sync_ack(acked_sync, lease);
                     c.apply_running_counts(base == 0, &running);
-                    c.apply_assignments(&handouts, &self.ledger, &self.sizes, self.now);
+                    c.apply_assignments(&assignments, &self.state_replica, &self.sizes, self.now);
                     c.apply_stops(&stops);
                 }
                 Message::PlacementLogUpdate(page) => {
-                    let seq = self.kept.take(page);
+                    let seq = self.log_replica.take(page);
                     self.leader.books_taken(to, 1, seq, self.now);
                 }
                 _ => {}
             }
         }
         for i in 0..self.controllers.len() {
-            let m = self.controllers[i].sync(1, Vec::new(), &self.ledger, self.now);
+            let m = self.controllers[i].sync(1, Vec::new(), &self.state_replica, self.now);
             if let Some((_, view)) = View::of(&m) {
-                self.leader.sync(NodeId(i as u8), 1, &view, &self.ledger, self.now);
+                self.leader.sync(NodeId(i as u8), 1, &view, &self.state_replica, self.now);
             }
         }
     }
 
-    /// A quarter of a second of the leader's work.
-    fn pass(&mut self) {
+    /// Runs the leader for 250 ms of simulated time.
+    fn run_leader(&mut self) {
         for _ in 0..5 {
             self.now = self.now + Micros::millis(50);
-            self.leader.tick(&self.ledger, self.now);
+            self.leader.tick(&self.state_replica, self.now);
             self.exchange();
         }
     }
 
-    /// Every worker reports once, and does what it is told.
-    fn report(&mut self) {
-        let facts = |piece: &str| -> Option<TaskProfile> {
-            let task = TaskId::parse(piece)?;
-            let spec = self.ledger.jobs.get(&task.job)?.spec.clone()?;
+    /// Every worker sends one heartbeat and executes the commands in the response.
+    fn send_heartbeats(&mut self) {
+        let profile_of = |task_name: &str| -> Option<TaskProfile> {
+            let task = TaskId::parse(task_name)?;
+            let spec = self.state_replica.jobs.get(&task.job)?.spec.clone()?;
             Some(TaskProfile {
                 cpus: spec.need.cpu as f64 / 1000.0,
                 run_us: None,
@@ -234,117 +241,124 @@
             })
         };
         for w in &mut self.workers {
-            let mut to = w.target_controller;
+            let mut target = w.target_controller;
             let r = w.report();
             let Some(tasks) = parse_tasks(&r) else { continue };
-            // 421 names the holder; the next one is asked then.
+            // A 421 reply names the controller that holds the machine; the worker tries
+            // that one or the next one.
             for _ in 0..2 {
-                match self.controllers[to].checkin(&r, tasks.clone(), &self.ledger, self.now) {
-                    HeartbeatReply::Commands(baton, orders) if baton.0 >= w.fencing_token => {
-                        w.fencing_token = baton.0;
-                        w.execute(&orders, &facts, self.now.0);
-                        w.advance(&facts, self.now.0);
+                match self.controllers[target].checkin(&r, tasks.clone(), &self.state_replica, self.now) {
+                    HeartbeatReply::Commands(token, commands) if token.0 >= w.fencing_token => {
+                        w.fencing_token = token.0;
+                        w.execute(&commands, &profile_of, self.now.0);
+                        w.advance(&profile_of, self.now.0);
                         break;
                     }
                     HeartbeatReply::Commands(..) => break,
                     HeartbeatReply::Misdirected(holder) | HeartbeatReply::Superseded(holder) => {
-                        to = holder.map_or((to + 1) % self.controllers.len(), |n| n.0 as usize);
+                        target = holder.map_or((target + 1) % self.controllers.len(), |n| n.0 as usize);
                     }
                 }
             }
-            w.target_controller = to;
+            w.target_controller = target;
         }
     }
 
-    /// Microseconds a check-in: every worker's, what the leader hears of them,
-    /// and its tick.
-    fn checkin(&mut self) -> f64 {
-        let mut spent = 0.0;
-        for _ in 0..ROUNDS {
+    /// Microseconds per heartbeat: of the controllers for the heartbeats of all workers,
+    /// and of the leader for the resulting messages and its tick.
+    fn measure_heartbeats(&mut self) -> f64 {
+        let mut elapsed = 0.0;
+        for _ in 0..TIMED_ROUNDS {
             self.now = self.now + Micros::secs(1);
             let t = Instant::now();
-            self.report();
-            self.leader.tick(&self.ledger, self.now);
+            self.send_heartbeats();
+            self.leader.tick(&self.state_replica, self.now);
             self.exchange();
-            spent += t.elapsed().as_secs_f64();
+            elapsed += t.elapsed().as_secs_f64();
             for _ in 0..4 {
-                self.pass();
+                self.run_leader();
             }
         }
-        spent * 1e6 / (ROUNDS as usize * self.workers.len()) as f64
+        elapsed * 1e6 / (TIMED_ROUNDS as usize * self.workers.len()) as f64
     }
 
-    /// Microseconds a hand-out, from choosing to the leader's knowing its place.
-    fn hand_out(&mut self, controllers: usize) -> Result<f64, ScaleError> {
-        for _ in 0..HAND_OUTS / 50 {
-            self.job("array", 50, 1.0)?;
+    /// Microseconds per assignment, from the choice of a machine until the leader knows
+    /// the task's machine.
+    fn measure_assignments(&mut self, controllers: usize) -> Result<f64, ScaleError> {
+        for _ in 0..TIMED_ASSIGNMENTS / 50 {
+            self.submit_job("array", 50, 1.0)?;
         }
         let t = Instant::now();
         let before = self.now;
-        while self.leader.array_slots() < HAND_OUTS as u64 {
+        while self.leader.array_slots() < TIMED_ASSIGNMENTS as u64 {
             self.now = self.now + Micros::millis(25);
-            self.leader.tick(&self.ledger, self.now);
+            self.leader.tick(&self.state_replica, self.now);
             self.exchange();
             if self.now > before + Micros::secs(20) {
                 let machines = self.workers.len();
-                return Err(ScaleError::Stuck { machines, controllers, what: "not all is handed out" });
+                return Err(ScaleError::Timeout {
+                    machines,
+                    controllers,
+                    what: "not all tasks are assigned",
+                });
             }
         }
-        Ok(t.elapsed().as_secs_f64() * 1e6 / HAND_OUTS as f64)
+        Ok(t.elapsed().as_secs_f64() * 1e6 / TIMED_ASSIGNMENTS as f64)
     }
 
-    /// Milliseconds a rental decision, with 200 arrays that find no room.
-    fn rental(&mut self) -> Result<f64, ScaleError> {
+    /// Milliseconds per autoscaling decision, with 200 pending arrays for which there is no
+    /// free capacity.
+    fn measure_autoscaling(&mut self) -> Result<f64, ScaleError> {
         for _ in 0..200 {
-            self.job("array", 40, CPUS)?;
+            self.submit_job("array", 40, CPUS)?;
         }
-        self.leader.tick(&self.ledger, self.now + Micros::millis(25));
+        self.leader.tick(&self.state_replica, self.now + Micros::millis(25));
         let flavor = |sku: &str, cpus: f64| flavor(sku, cpus, cpus / 10.0, 1.0 / 3.0, 30.0, &ZONES);
         let flavors = [flavor("big", CPUS), flavor("huge", 4.0 * CPUS)];
-        let mut spent = 0.0;
-        for _ in 0..ROUNDS {
-            // The pace of decisions; nothing that was decided on is rented.
+        let mut elapsed = 0.0;
+        for _ in 0..TIMED_ROUNDS {
+            // Interval of decisions; no machine is actually rented.
             self.now = self.now + Micros::millis(410);
             let t = Instant::now();
             self.leader.fleet(&flavors, self.now);
-            spent += t.elapsed().as_secs_f64();
+            elapsed += t.elapsed().as_secs_f64();
         }
-        Ok(spent * 1e3 / ROUNDS as f64)
+        Ok(elapsed * 1e3 / TIMED_ROUNDS as f64)
     }
 }
 
-/// Milliseconds of work a second of a leader of a full fleet while so many jobs
-/// of ten tasks wait, a tenth of them of the highest priority: its passes, and
-/// its rental decisions while nothing can be had.
-fn backlog(waiting: usize, machines: usize) -> Result<(f64, f64), ScaleError> {
+/// Milliseconds of work per second for the leader of a full fleet while `waiting` jobs
+/// of ten tasks are pending, a tenth of them with the highest priority: for its
+/// scheduling passes, and for its autoscaling decisions while nothing is rented.
+fn measure_backlog(waiting: usize, machines: usize) -> Result<(f64, f64), ScaleError> {
     let mut b = Bench::new(machines, 3)?;
-    // Everything that is left is taken.
+    // Fills the remaining capacity.
     for _ in 0..machines * CPUS as usize {
-        b.job("array", 1, CPUS / 2.0)?;
+        b.submit_job("array", 1, CPUS / 2.0)?;
     }
     let mut before = u64::MAX;
     while b.leader.array_slots() != before {
         before = b.leader.array_slots();
-        b.pass();
-        b.report();
+        b.run_leader();
+        b.send_heartbeats();
     }
     for i in 0..waiting {
         if i % 10 == 0 {
-            b.job("standing", 10, CPUS)?;
+            b.submit_job("standing", 10, CPUS)?;
         } else {
-            b.job("array", 10, CPUS)?;
+            b.submit_job("array", 10, CPUS)?;
         }
     }
-    b.pass();
+    b.run_leader();
     let flavor = |sku: &str, cpus: f64| flavor(sku, cpus, cpus / 10.0, 1.0 / 3.0, 30.0, &ZONES);
     let flavors = [flavor("big", CPUS)];
     let (mut passes, mut rentals) = (0.0, 0.0);
-    for i in 0..50 * ROUNDS {
+    for i in 0..50 * TIMED_ROUNDS {
         b.now = b.now + Micros::millis(20);
-        // Reports come in all the time, and something is always changed by one.
+        // Heartbeats arrive continuously, so that every tick has something to schedule.
         b.leader.dirty = true;
         let t = Instant::now();
-        b.leader.tick(&b.ledger, b.now);
+        b.leader.tick(&b.state_replica, b.now);
         passes += t.elapsed().as_secs_f64();
         if i % 20 == 0 {
             let t = Instant::now();
@@ -353,58 +367,65 @@
             b.exchange();
         }
     }
-    let a_second = 1e3 / ROUNDS as f64;
-    Ok((passes * a_second, rentals * a_second))
+    let ms_per_s = 1e3 / TIMED_ROUNDS as f64;
+    Ok((passes * ms_per_s, rentals * ms_per_s))
 }
 
-/// Seconds until a leader with so many past jobs has read the records, as text,
-/// and begun its term.
-fn recovery(past: usize, machines: usize) -> Result<(f64, f64), ScaleError> {
+/// Seconds that a new leader with `past` past jobs takes to parse and apply the records,
+/// and seconds to start its term.
+fn measure_recovery(past: usize, machines: usize) -> Result<(f64, f64), ScaleError> {
     let mut rows: Vec<(String, String)> = Vec::new();
     for i in 0..past as u64 {
         let id = JobId(1000 + i);
-        rows.push((keys::job(id), spec(id.0, "array", 40, 4.0)?.to_string()));
+        rows.push((keys::job(id), job_record(id.0, "array", 40, 4.0)?.to_string()));
         rows.push((keys::end(id), json!({"end": "done", "at": 1_000_000}).to_string()));
     }
     for i in 0..300 {
-        rows.push((keys::job(JobId(i)), spec(i, "standing", 10, 1.0)?.to_string()));
+        rows.push((keys::job(JobId(i)), job_record(i, "standing", 10, 1.0)?.to_string()));
     }
-    let mut ledger = Ledger::default();
-    machine_records(&mut ledger, machines);
+    let mut state_replica = Ledger::default();
+    add_machine_records(&mut state_replica, machines);
     let t = Instant::now();
     for (i, (key, text)) in rows.iter().enumerate() {
         let v: Value = serde_json::from_str(text)?;
-        ledger.apply(key, Some(&v), i as u64 + 2);
+        state_replica.apply(key, Some(&v), i as u64 + 2);
     }
     let read = t.elapsed().as_secs_f64();
     let t = Instant::now();
-    let l =
-        Leader::new(context(3), 2, rows.len() as u64 + 9, &ledger, &sizes(), Micros::secs(100), 2_000_000);
+    let l = Leader::new(
+        leader_config(3),
+        2,
+        rows.len() as u64 + 9,
+        &state_replica,
+        &machine_sizes(),
+        Micros::secs(100),
+        2_000_000,
+    );
     let began = t.elapsed().as_secs_f64();
     drop(l);
     Ok((read, began))
 }
 
-/// Slope of the logarithms by least squares.
+/// Least-squares slope of log y over log x.
 fn slope(points: &[(f64, f64)]) -> f64 {
     let logs: Vec<(f64, f64)> = points.iter().map(|(x, y)| (x.ln(), y.max(1e-9).ln())).collect();
     let n = logs.len() as f64;
     let (mx, my) = (logs.iter().map(|p| p.0).sum::<f64>() / n, logs.iter().map(|p| p.1).sum::<f64>() / n);
-    let over: f64 = logs.iter().map(|p| (p.0 - mx) * (p.1 - my)).sum();
-    let under: f64 = logs.iter().map(|p| (p.0 - mx).powi(2)).sum();
-    over / under
+    let covariance: f64 = logs.iter().map(|p| (p.0 - mx) * (p.1 - my)).sum();
+    let variance: f64 = logs.iter().map(|p| (p.0 - mx).powi(2)).sum();
+    covariance / variance
 }
 
-/// Measures, and gives a table.
+/// Runs the measurements and returns their results as a table.
 pub fn run(s: &Sizing) -> Result<String, ScaleError> {
     let mut out = String::from("machines controllers  hand-out us  check-in us  rental ms\n");
     let mut rows: Vec<(usize, usize, [f64; 3])> = Vec::new();
     for machines in &s.machines {
         for controllers in &s.controllers {
             let mut b = Bench::new(*machines, *controllers)?;
-            let checkin = b.checkin();
-            let hand_out = b.hand_out(*controllers)?;
-            let costs = [hand_out, checkin, b.rental()?];
+            let heartbeat = b.measure_heartbeats();
+            let assignment = b.measure_assignments(*controllers)?;
+            let costs = [assignment, heartbeat, b.measure_autoscaling()?];
             let [h, c, r] = costs;
             let _ = writeln!(out, "{machines:>8} {controllers:>11} {h:>12.1} {c:>12.1} {r:>10.2}");
             rows.push((*machines, *controllers, costs));
@@ -437,19 +458,19 @@
     out += "past jobs   records read s   term begun s\n";
     let mut reads = Vec::new();
     for past in &s.past {
-        let (read, began) = recovery(*past, s.machines.first().copied().unwrap_or(300))?;
+        let (read, began) = measure_recovery(*past, s.machines.first().copied().unwrap_or(300))?;
         let _ = writeln!(out, "{past:>9} {read:>16.3} {began:>14.4}");
         reads.push((*past as f64, read + began));
     }
     let _ = writeln!(out, "slope over past jobs {:.2}", slope(&reads));
     out += "waiting jobs   passes ms a s   rentals ms a s\n";
-    let mut spent = Vec::new();
+    let mut elapsed = Vec::new();
     for waiting in &s.waiting {
-        let (passes, rentals) = backlog(*waiting, s.machines.first().copied().unwrap_or(300))?;
+        let (passes, rentals) = measure_backlog(*waiting, s.machines.first().copied().unwrap_or(300))?;
         let _ = writeln!(out, "{waiting:>12} {passes:>15.1} {rentals:>16.1}");
-        spent.push((*waiting as f64, passes + rentals));
+        elapsed.push((*waiting as f64, passes + rentals));
     }
-    let _ = writeln!(out, "slope over waiting jobs {:.2}", slope(&spent));
+    let _ = writeln!(out, "slope over waiting jobs {:.2}", slope(&elapsed));
     Ok(out)
 }
 
--- a/crates/standins/src/site.rs
+++ b/crates/standins/src/site.rs
@@ -1,12 +1,12 @@
-//! A whole site on loopback: state service, cloud and workers as stand-ins, and
-//! the real controllers, each in a thread of its own or as a process of a named
-//! program. Nothing is kept when the site ends.
+//! A complete site on loopback: stand-ins for state service, cloud and workers, and real
+//! controllers, each in its own thread or as a process of a given program. Nothing is
+//! persisted beyond the site.
 use crate::cloud::flavor;
 use crate::net::{Handler, KeepAliveConnection, call, free_address, serve};
-use crate::process::{ControllerProcess, TemporaryFolder};
+use crate::process::{ControllerProcess, TemporaryDirectory};
 use crate::soak::history::{MachineView, Recorder};
 use crate::state::{Outcome, StateService};
-use crate::worker::{TaskProfile, Machine, Stage};
+use crate::worker::{Machine, Stage, TaskProfile};
 use gorseshore_core::extension::Extension;
 use gorseshore_core::jobs::description;
 use gorseshore_nomad::service::Service;
@@ -22,37 +22,39 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// What a site is made of.
+/// Configuration of a site.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Controllers; none if they are processes of their own (see [`Site::report_to`]).
+    /// Number of controllers; 0 if the caller runs them itself (see
+    /// [`Site::set_worker_targets`]).
     pub controllers: usize,
-    /// The operators' settings; the address of the interface is replaced.
+    /// Operator settings in protobuf text format; the listen address of Nomad's interface
+    /// in them is replaced.
     pub operator: String,
-    /// Teams: name and most CPUs, 0 for no limit.
+    /// Teams: name and CPU limit, 0 for no limit.
     pub teams: Vec<(String, f64)>,
-    /// Seconds that a second of a task's estimate takes.
+    /// Run time of a task in seconds per second of its estimate.
     pub time_scale: f64,
-    /// Changes a second of the state service.
+    /// Writes per second that the state service accepts.
     pub writes_per_s: f64,
-    /// Longest value in KiB, and most changes at once.
+    /// Longest value in KiB.
     pub max_value_kib: f64,
-    /// Most changes in a transaction.
+    /// Most writes in a transaction.
     pub max_txn_writes: usize,
-    /// Programs of those controllers that are processes of their own; the others run
-    /// in this process.
+    /// Programs of the controllers that run as separate processes; the others run in
+    /// threads of this process.
     pub programs: BTreeMap<usize, PathBuf>,
-    /// Sockets of a controller.
+    /// Socket limit of a controller.
     pub sockets: usize,
-    /// Puts something on each link; without one all speak to each other directly.
+    /// Routes each link through a proxy; without one, all components connect directly.
     pub router: Option<Router>,
-    /// Sees what workers do.
+    /// Records the tasks on workers.
     pub recorder: Option<Arc<Recorder>>,
-    /// Processes' logs are kept in files ([`Site::logged`]).
+    /// Controller processes log to files ([`Site::matching_log_lines`]).
     pub log_to_files: bool,
 }
 
-/// A link of a site.
+/// A network link of a site.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Link {
     /// Users to a controller.
@@ -65,21 +67,21 @@
     Cloud(usize),
     /// A controller to another one.
     Peer {
-        /// Who connects.
+        /// Index of the connecting controller.
         from: usize,
-        /// To whom.
+        /// Index of the controller that it connects to.
         to: usize,
     },
 }
 
 type Route = dyn Fn(Link, SocketAddr) -> std::io::Result<SocketAddr> + Send + Sync;
 
-/// Names the address by which a link's target is reached.
+/// Chooses the address through which the target of a link is reached.
 #[derive(Clone)]
 pub struct Router(Arc<Route>);
 
 impl Router {
-    /// A router that asks `route`.
+    /// A router that calls `route` with a link and the address of its target.
     pub fn new(
         route: impl Fn(Link, SocketAddr) -> std::io::Result<SocketAddr> + Send + Sync + 'static,
     ) -> Self {
@@ -119,13 +121,13 @@
 }
 
 const ZONES: [&str; 2] = ["east", "west"];
-/// A worker gives an answer up after this.
-const REPORT_TIMEOUT: Duration = Duration::from_secs(4);
-/// A worker's lease.
-const LEASE: u64 = 12_000_000;
+/// Time after which a worker gives up waiting for the response to a heartbeat.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(4);
+/// Lease of a worker, in microseconds.
+const WORKER_LEASE_US: u64 = 12_000_000;
 
-/// A machine that was rented.
-struct Rented {
+/// A rented machine.
+struct RentedMachine {
     machine: Arc<Mutex<Machine>>,
     build: String,
     zone: String,
@@ -134,40 +136,41 @@
     since: Instant,
 }
 
-/// What all parts of the site share.
+/// State that all components of the site share.
 struct Shared {
     start: Instant,
     state: Mutex<StateService>,
-    machines: Mutex<BTreeMap<String, Rented>>,
-    hires: Mutex<BTreeMap<String, Vec<String>>>,
-    nodes: Mutex<Vec<SocketAddr>>,
-    pace: f64,
+    machines: Mutex<BTreeMap<String, RentedMachine>>,
+    rentals_by_request: Mutex<BTreeMap<String, Vec<String>>>,
+    worker_targets: Mutex<Vec<SocketAddr>>,
+    time_scale: f64,
     recorder: Option<Arc<Recorder>>,
 }
 
 /// A running site.
 pub struct Site {
     shared: Arc<Shared>,
-    /// Controllers that are processes; they end before their folder goes.
+    /// Controllers that are processes; declared before `_directory`, so that they are
+    /// killed before it is removed.
     processes: Mutex<BTreeMap<usize, ControllerProcess>>,
-    _folder: Option<TemporaryFolder>,
-    /// Users' addresses of the controllers.
+    _directory: Option<TemporaryDirectory>,
+    /// Address of each controller for users.
     pub user_addresses: Vec<SocketAddr>,
-    /// Addresses of Nomad's interface; empty if it is off.
+    /// Address of Nomad's interface at each controller; empty if it is disabled.
     pub nomad_addresses: Vec<SocketAddr>,
-    /// The state service.
+    /// Address of the state service.
     pub state_address: SocketAddr,
-    /// The cloud.
+    /// Address of the cloud.
     pub cloud_address: SocketAddr,
 }
 
-/// What went wrong at the start.
+/// Why a site operation failed.
 #[derive(Debug, thiserror::Error)]
 pub enum SiteError {
-    /// A socket could not be had.
-    #[error("no socket on loopback: {0}")]
+    /// An I/O error, for example no free socket.
+    #[error("cannot set up the site on loopback: {0}")]
     Io(#[from] std::io::Error),
-    /// The operators' settings are faulty.
+    /// The operator settings or the generated platform settings are invalid.
     #[error("{0}")]
     Settings(#[from] gorseshore_settings::SettingsError),
     /// A program could not be started.
@@ -175,15 +178,16 @@
     Program {
         /// The program.
         program: PathBuf,
-        /// Why.
+        /// Cause.
         error: std::io::Error,
     },
-    /// There is no such controller, or it runs in this process.
+    /// The controller does not exist or runs in this process.
     #[error("controller n{0} is not a process of its own")]
     NoProcess(usize),
 }
 
-/// Where the controllers of a site listen, and whom they ask.
+/// Addresses on which the controllers of a site listen, and those of the state service
+/// and the cloud.
 struct Addresses {
     users: Vec<SocketAddr>,
     cluster: Vec<SocketAddr>,
@@ -192,7 +196,7 @@
     cloud: SocketAddr,
 }
 
-/// The platform's settings of a controller.
+/// Platform settings of a controller, in TOML.
 fn platform_settings(controller: usize, addresses: &Addresses, options: &Options) -> std::io::Result<String> {
     let Addresses { users, cluster, state, cloud, .. } = addresses;
     let mut text = format!(
@@ -226,7 +230,8 @@
     Ok(text)
 }
 
-/// The operators' settings of a controller: Nomad's interface has an address of its own.
+/// Operator settings of a controller: `listen`, the address of Nomad's interface, is
+/// replaced by the controller's own `address`.
 fn operator_settings(text: &str, listen: Option<SocketAddr>, address: SocketAddr) -> String {
     match listen {
         Some(listen) => text.replace(&format!("\"{listen}\""), &format!("\"{address}\"")),
@@ -235,30 +240,30 @@
 }
 
 impl Shared {
-    /// Tells of a machine's tasks, which may have changed.
-    fn record(&self, m: &Machine) {
+    /// Records the current tasks of a machine.
+    fn record_machine(&self, m: &Machine) {
         let Some(recorder) = &self.recorder else { return };
         let id = |name: &str| TaskId::parse(name).map(|task| (task.job.0, task.index));
         let on = m.tasks.iter().filter(|t| t.is_running()).filter_map(|t| id(&t.name)).collect();
         let done = m.tasks.iter().filter(|t| t.stage == Stage::Exited("done"));
         let completed = done.filter_map(|t| id(&t.name)).collect();
         let view = MachineView { machine: &m.name, zone: &m.zone, spot: m.spot };
-        recorder.machine(view, on, &completed, self.now());
+        recorder.record_machine(view, on, &completed, self.now());
     }
 
     fn now(&self) -> u64 {
         self.start.elapsed().as_micros() as u64 + 1_000_000
     }
 
-    /// What a worker knows of a task: its job's record.
-    fn facts(&self, piece: &str) -> Option<TaskProfile> {
-        let task = TaskId::parse(piece)?;
+    /// Profile of a task according to its job's record in the state service.
+    fn task_profile(&self, task_name: &str) -> Option<TaskProfile> {
+        let task = TaskId::parse(task_name)?;
         let record = self.state.lock().ok()?.value(&format!("g/j/{}", task.job))?;
         let spec = description(JobId(task.job.0), &record)?;
         if task.index >= spec.tasks {
             return None;
         }
-        let run = (spec.estimate_s * self.pace * 1e6).max(50_000.0) as u64;
+        let run = (spec.estimate_s * self.time_scale * 1e6).max(50_000.0) as u64;
         Some(TaskProfile {
             cpus: spec.need.cpu as f64 / 1000.0,
             run_us: (spec.kind == Kind::Array).then_some(run),
@@ -270,47 +275,54 @@
 }
 
 impl Site {
-    /// Starts it; returns once the addresses are known.
-    pub fn start(o: &Options) -> Result<Site, SiteError> {
+    /// Starts a site; returns once all addresses are known.
+    pub fn start(options: &Options) -> Result<Site, SiteError> {
         let shared = Arc::new(Shared {
             start: Instant::now(),
-            state: Mutex::new(StateService::with_limits(o.writes_per_s, o.max_txn_writes, o.max_value_kib)),
+            state: Mutex::new(StateService::with_limits(
+                options.writes_per_s,
+                options.max_txn_writes,
+                options.max_value_kib,
+            )),
             machines: Mutex::new(BTreeMap::new()),
-            hires: Mutex::new(BTreeMap::new()),
-            nodes: Mutex::new(Vec::new()),
-            pace: o.time_scale,
-            recorder: o.recorder.clone(),
+            rentals_by_request: Mutex::new(BTreeMap::new()),
+            worker_targets: Mutex::new(Vec::new()),
+            time_scale: options.time_scale,
+            recorder: options.recorder.clone(),
         });
         let state = state_service(&shared)?;
         let cloud = cloud(&shared)?;
-        let n = o.controllers;
-        let operator = Operator::parse(&o.operator)?;
-        // Bound here and handed on: a port that was only found free may be
-        // another's, or an outgoing connection's, before its controller starts.
-        // A process of its own has to get its address again whenever it starts: one that no
-        // outgoing connection is given meanwhile.
-        let listener = |i| match o.programs.contains_key(&i) {
+        let n = options.controllers;
+        let operator = Operator::parse(&options.operator)?;
+        // Listeners are bound here and passed to the controllers, because a port that was
+        // only found free may be taken by another listener or an outgoing connection before
+        // its controller starts. A controller process binds its address itself at every
+        // start, so that its port must be one that no outgoing connection gets meanwhile.
+        let listener = |i| match options.programs.contains_key(&i) {
             true => TcpListener::bind(free_address()?),
             false => TcpListener::bind("127.0.0.1:0"),
         };
         let bind = || (0..n).map(listener).collect::<Result<Vec<_>, _>>();
         let addresses =
             |l: &[TcpListener]| l.iter().map(TcpListener::local_addr).collect::<Result<Vec<_>, _>>();
-        let (public, peers, guests) = (bind()?, bind()?, bind()?);
-        let (users, cluster, nomad) = (addresses(&public)?, addresses(&peers)?, addresses(&guests)?);
+        let (public, peers, extension_listeners) = (bind()?, bind()?, bind()?);
+        let (users, cluster, nomad) =
+            (addresses(&public)?, addresses(&peers)?, addresses(&extension_listeners)?);
         let addresses = Addresses { users, cluster, nomad, state, cloud };
-        let folder = if o.programs.is_empty() { None } else { Some(TemporaryFolder::new()?) };
+        let directory = if options.programs.is_empty() { None } else { Some(TemporaryDirectory::new()?) };
         let mut processes = BTreeMap::new();
-        for (i, ((public, cluster), guest)) in public.into_iter().zip(peers).zip(guests).enumerate() {
-            let settings = platform_settings(i, &addresses, o)?;
-            if let (Some(program), Some(folder)) = (o.programs.get(&i), &folder) {
-                // The process takes the addresses.
+        for (i, ((public, cluster), guest)) in
+            public.into_iter().zip(peers).zip(extension_listeners).enumerate()
+        {
+            let settings = platform_settings(i, &addresses, options)?;
+            if let (Some(program), Some(directory)) = (options.programs.get(&i), &directory) {
+                // Releases the addresses, which the process binds itself.
                 drop((public, cluster, guest));
                 let listen = operator.nomad.as_ref().and_then(|s| s.listen);
-                let operator = operator_settings(&o.operator, listen, addresses.nomad[i]);
-                let settings = folder.write(&format!("n{i}.toml"), &settings)?;
-                let operator = folder.write(&format!("n{i}.txtpb"), &operator)?;
-                let log = o.log_to_files.then(|| folder.path(&format!("n{i}.log")));
+                let operator = operator_settings(&options.operator, listen, addresses.nomad[i]);
+                let settings = directory.write(&format!("n{i}.toml"), &settings)?;
+                let operator = directory.write(&format!("n{i}.txtpb"), &operator)?;
+                let log = options.log_to_files.then(|| directory.path(&format!("n{i}.log")));
                 let process = ControllerProcess::start(program, settings, operator, log)
                     .map_err(|error| SiteError::Program { program: program.clone(), error })?;
                 processes.insert(i, process);
@@ -318,43 +330,52 @@
             }
             let platform = Platform::parse(&settings)?;
             let mut operator = operator.clone();
-            let guest_settings = operator.nomad.as_mut().map(|s| {
+            let extension_settings = operator.nomad.as_mut().map(|s| {
                 s.listen = Some(addresses.nomad[i]);
                 s.clone()
             });
             std::thread::spawn(move || {
-                let sockets = Sockets { public, cluster, guest: guest_settings.is_some().then_some(guest) };
-                let guest = guest_settings
+                let sockets =
+                    Sockets { public, cluster, guest: extension_settings.is_some().then_some(guest) };
+                let guest = extension_settings
                     .map(|s| Box::new(Service::new(s, fastrand::u64(..))) as Box<dyn Extension>);
                 if let Err(e) = gorseshore_shell::run_on(sockets, platform, operator, guest) {
-                    log::error!("controller {i}: {e}");
+                    log::error!("controller n{i} failed: {e}");
                 }
             });
         }
         let Addresses { users, mut nomad, .. } = addresses;
         let routed = |link: fn(usize) -> Link| -> std::io::Result<Vec<SocketAddr>> {
-            users.iter().enumerate().map(|(i, address)| o.route(link(i), *address)).collect()
+            users.iter().enumerate().map(|(i, address)| options.route(link(i), *address)).collect()
         };
-        if let Ok(mut nodes) = shared.nodes.lock() {
-            *nodes = routed(Link::Workers)?;
+        if let Ok(mut targets) = shared.worker_targets.lock() {
+            *targets = routed(Link::Workers)?;
         }
         let users = routed(Link::Users)?;
         if operator.nomad.is_none() {
             nomad.clear();
         }
-        Ok(Site { shared, processes: Mutex::new(processes), _folder: folder, user_addresses: users, nomad_addresses: nomad, state_address: state, cloud_address: cloud })
+        Ok(Site {
+            shared,
+            processes: Mutex::new(processes),
+            _directory: directory,
+            user_addresses: users,
+            nomad_addresses: nomad,
+            state_address: state,
+            cloud_address: cloud,
+        })
     }
 
-    /// Ends a controller that is a process and starts `program` in its place.
+    /// Kills a controller process and starts `program` in its place.
     pub fn replace_controller(&self, controller: usize, program: &Path) -> Result<(), SiteError> {
         let no_process = || SiteError::NoProcess(controller);
         let mut processes = self.processes.lock().map_err(|_| no_process())?;
         let process = processes.get_mut(&controller).ok_or_else(no_process)?;
         let failed = |error| SiteError::Program { program: program.to_owned(), error };
-        process.roll(program).map_err(failed)
+        process.replace(program).map_err(failed)
     }
 
-    fn process<T>(
+    fn with_process<T>(
         &self,
         controller: usize,
         act: impl FnOnce(&mut ControllerProcess) -> std::io::Result<T>,
@@ -364,49 +385,49 @@
         Ok(act(processes.get_mut(&controller).ok_or_else(no_process)?)?)
     }
 
-    /// Ends a controller that is a process, without warning.
+    /// Kills a controller process with SIGKILL.
     pub fn kill_controller(&self, controller: usize) -> Result<(), SiteError> {
-        self.process(controller, ControllerProcess::end)
+        self.with_process(controller, ControllerProcess::kill)
     }
 
-    /// Starts a controller again that was ended.
+    /// Starts a killed controller process again.
     pub fn restart_controller(&self, controller: usize) -> Result<(), SiteError> {
-        self.process(controller, ControllerProcess::start_again)
+        self.with_process(controller, ControllerProcess::restart)
     }
 
-    /// Stops a controller's process where it stands; one that has ended stays so.
+    /// Pauses a controller process with SIGSTOP; no effect on one that was killed.
     pub fn pause_controller(&self, controller: usize) {
-        let _ = self.process(controller, |process| process.pause(false));
+        let _ = self.with_process(controller, |process| process.pause(false));
     }
 
-    /// Lets it go on.
+    /// Resumes a paused controller process.
     pub fn resume_controller(&self, controller: usize) {
-        let _ = self.process(controller, |process| process.pause(true));
+        let _ = self.with_process(controller, |process| process.pause(true));
     }
 
-    /// Who leads, by the state service.
+    /// The leader according to the state service.
     pub fn leader(&self) -> Option<usize> {
         let record = self.shared.state.lock().ok()?.value("g/leader")?;
         record["node"].as_str().and_then(|name| name.strip_prefix('n')?.parse().ok())
     }
 
-    /// Machines that are rented.
+    /// Number of rented machines.
     pub fn machine_count(&self) -> usize {
         self.shared.machines.lock().map_or(0, |machines| machines.len())
     }
 
-    /// When the site's clock began.
+    /// Start of the site's clock.
     pub fn start_time(&self) -> Instant {
         self.shared.start
     }
 
-    /// Lines of the processes' logs with one of these words.
+    /// Lines of the controller processes' log files that contain one of `words`.
     pub fn matching_log_lines(&self, words: &[&str]) -> Vec<String> {
         let Ok(processes) = self.processes.lock() else { return Vec::new() };
-        processes.values().flat_map(|process| process.logged(words)).collect()
+        processes.values().flat_map(|process| process.matching_log_lines(words)).collect()
     }
 
-    /// Waits until one controller is ready; how long it took, or nothing after `limit`.
+    /// Waits until one controller is ready; returns how long it took, or `None` after `limit`.
     pub fn wait_until_controller_ready(&self, controller: usize, limit: Duration) -> Option<Duration> {
         let address = *self.user_addresses.get(controller)?;
         let start = Instant::now();
@@ -434,14 +455,15 @@
         }
     }
 
-    /// Names the controllers that workers report to.
-    pub fn set_worker_targets(&self, nodes: &[SocketAddr]) {
-        if let Ok(mut n) = self.shared.nodes.lock() {
-            *n = nodes.to_vec();
+    /// Sets the addresses of the controllers that workers send heartbeats to.
+    pub fn set_worker_targets(&self, targets: &[SocketAddr]) {
+        if let Ok(mut n) = self.shared.worker_targets.lock() {
+            *n = targets.to_vec();
         }
     }
 
-    /// Switches the state service off (503 to everybody) or on again.
+    /// Starts an outage of the state service, in which it answers requests with 503 and holds
+    /// watches, or ends it.
     pub fn set_state_unavailable(&self, down: bool) {
         let now = self.shared.now();
         if let Ok(mut s) = self.shared.state.lock() {
@@ -452,15 +474,15 @@
         }
     }
 
-    /// Keys of the state service with a prefix, as they are.
+    /// Keys of the state service with a prefix.
     pub fn state_keys(&self, prefix: &str) -> Vec<String> {
         self.shared.state.lock().map(|s| s.keys_with_prefix(prefix)).unwrap_or_default()
     }
 
-    /// Tasks on machines now: names as `j-000412/3`.
+    /// Names of the tasks that run now, as `j-000412/3`.
     pub fn running_tasks(&self) -> Vec<String> {
         let Ok(machines) = self.shared.machines.lock() else { return Vec::new() };
-        let on = |r: &Rented| {
+        let on = |r: &RentedMachine| {
             let m = r.machine.lock().ok()?;
             Some(m.tasks.iter().filter(|t| t.is_running()).map(|t| t.name.clone()).collect::<Vec<_>>())
         };
@@ -505,26 +527,30 @@
 fn cloud(shared: &Arc<Shared>) -> std::io::Result<SocketAddr> {
     let shared = shared.clone();
     let handler: Handler = Arc::new(move |method, path, body| {
-        let (Ok(mut machines), Ok(mut hires)) = (shared.machines.lock(), shared.hires.lock()) else {
+        let (Ok(mut machines), Ok(mut rentals_by_request)) =
+            (shared.machines.lock(), shared.rentals_by_request.lock())
+        else {
             return (500, Vec::new());
         };
         let answer = match (method, path.split('?').next().unwrap_or("")) {
             ("GET", "/flavors") => serde_json::to_vec(&Flavors { builds: flavors() }),
             ("POST", "/rentals") => {
                 let Ok(h) = serde_json::from_slice::<Hire>(body) else { return (400, Vec::new()) };
-                if let Some(hosts) = hires.get(&h.hire) {
+                if let Some(hosts) = rentals_by_request.get(&h.hire) {
                     return (200, serde_json::to_vec(&Hosts { hosts: hosts.clone() }).unwrap_or_default());
                 }
                 let mut hosts = Vec::new();
                 for _ in 0..h.number.min(50) {
-                    let name =
-                        format!("host-{:06}", hires.values().map(Vec::len).sum::<usize>() + hosts.len());
+                    let name = format!(
+                        "host-{:06}",
+                        rentals_by_request.values().map(Vec::len).sum::<usize>() + hosts.len()
+                    );
                     if let Ok(r) = start_machine(&name, &h, &shared) {
                         machines.insert(name.clone(), r);
                         hosts.push(name);
                     }
                 }
-                hires.insert(h.hire, hosts.clone());
+                rentals_by_request.insert(h.hire, hosts.clone());
                 serde_json::to_vec(&Hosts { hosts })
             }
             ("POST", "/rentals/delete") => {
@@ -533,10 +559,10 @@
                     if let Some(r) = machines.remove(&name)
                         && let Ok(mut m) = r.machine.lock()
                     {
-                        // Off for good.
+                        // Stops the machine for good.
                         m.hung_until = u64::MAX;
                         m.tasks.clear();
-                        shared.record(&m);
+                        shared.record_machine(&m);
                     }
                 }
                 return (200, b"{}".to_vec());
@@ -566,8 +592,8 @@
     serve(handler)
 }
 
-/// Starts a machine: it serves `/do` and `/status`, and reports.
-fn start_machine(name: &str, h: &Hire, shared: &Arc<Shared>) -> std::io::Result<Rented> {
+/// Starts a machine, which serves `/do` and `/status` and sends heartbeats.
+fn start_machine(name: &str, h: &Hire, shared: &Arc<Shared>) -> std::io::Result<RentedMachine> {
     let cpus = flavors().iter().find(|f| f.sku == h.build).map_or(1.0, |f| f.cpus);
     let machine = Machine::new(name, (&h.build, &h.yard, h.loaners), cpus, shared.now());
     let machine = Arc::new(Mutex::new(machine));
@@ -575,20 +601,20 @@
     let addr = serve(Arc::new(move |_, path, body| {
         let Ok(mut m) = direct.lock() else { return (500, Vec::new()) };
         if m.hung_until > 0 {
-            // Deleted: it answers nobody.
+            // The machine is deleted.
             return (503, Vec::new());
         }
         if path == "/status" {
             return (200, serde_json::to_vec(&m.report()).unwrap_or_default());
         }
         let Ok(d) = serde_json::from_slice::<Direct>(body) else { return (400, Vec::new()) };
-        let answer = m.apply_command_request(&d, &|piece| at.facts(piece), at.now());
-        at.record(&m);
+        let answer = m.apply_command_request(&d, &|task_name| at.task_profile(task_name), at.now());
+        at.record_machine(&m);
         answer
     }))?;
     let (reporter, at) = (machine.clone(), shared.clone());
-    std::thread::spawn(move || report(&reporter, &at, addr));
-    Ok(Rented {
+    std::thread::spawn(move || run_heartbeats(&reporter, &at, addr));
+    Ok(RentedMachine {
         machine,
         build: h.build.clone(),
         zone: h.yard.clone(),
@@ -598,8 +624,9 @@
     })
 }
 
-/// Reports to one controller after the other, as the protocol says.
-fn report(machine: &Mutex<Machine>, shared: &Shared, addr: SocketAddr) {
+/// Sends heartbeats as the protocol requires: to the controller that a 421 response names,
+/// otherwise to the next one after a failure.
+fn run_heartbeats(machine: &Mutex<Machine>, shared: &Shared, addr: SocketAddr) {
     let mut to = 0;
     let mut last = 0;
     let mut connection = KeepAliveConnection::default();
@@ -611,9 +638,9 @@
             if m.hung_until > 0 {
                 return;
             }
-            m.enforce_lease(now, LEASE);
-            m.advance(&|piece| shared.facts(piece), now);
-            shared.record(&m);
+            m.enforce_lease(now, WORKER_LEASE_US);
+            m.advance(&|task_name| shared.task_profile(task_name), now);
+            shared.record_machine(&m);
             let due = now >= last + 2_000_000 || m.has_changes && now >= last + 500_000;
             if !due {
                 continue;
@@ -624,11 +651,12 @@
             serde_json::to_string(&r).unwrap_or_default()
         };
         last = now;
-        let nodes = shared.nodes.lock().map(|n| n.clone()).unwrap_or_default();
-        if nodes.is_empty() {
+        let targets = shared.worker_targets.lock().map(|n| n.clone()).unwrap_or_default();
+        if targets.is_empty() {
             continue;
         }
-        let answer = connection.call(nodes[to % nodes.len()], "POST", "/checkin", &body, REPORT_TIMEOUT);
+        let answer =
+            connection.call(targets[to % targets.len()], "POST", "/checkin", &body, HEARTBEAT_TIMEOUT);
         let Ok(mut m) = machine.lock() else { return };
         match answer {
             Some((200, v)) => {
@@ -638,17 +666,17 @@
                     m.has_changes |= a.baton > m.fencing_token;
                     m.fencing_token = a.baton;
                     m.lease_start = now;
-                    m.execute(&a.orders, &|piece| shared.facts(piece), shared.now());
-                    shared.record(&m);
+                    m.execute(&a.orders, &|task_name| shared.task_profile(task_name), shared.now());
+                    shared.record_machine(&m);
                 }
             }
             Some((421, v)) => {
-                let named = v["foreman"].as_str().and_then(|s| s[1..].parse::<usize>().ok());
-                to = named.filter(|n| *n != to).unwrap_or(to + 1) % nodes.len();
+                let holder = v["foreman"].as_str().and_then(|s| s[1..].parse::<usize>().ok());
+                to = holder.filter(|n| *n != to).unwrap_or(to + 1) % targets.len();
                 last = now.saturating_sub(1_800_000);
             }
             _ => {
-                to = (to + 1) % nodes.len();
+                to = (to + 1) % targets.len();
                 last = now.saturating_sub(1_000_000);
             }
         }
--- a/crates/standins/src/soak/checker/tests.rs
+++ b/crates/standins/src/soak/checker/tests.rs
@@ -22,8 +22,8 @@
     TaskEvent { at, task: (1, index), machine: machine.into(), zone: "east".into(), spot: false, change }
 }
 
-/// A run that keeps the rules: a job is accepted, runs, and is done.
-fn good() -> History {
+/// A history without violations: a job is accepted, runs and is done.
+fn valid_history() -> History {
     use TaskChange::{Began, Completed};
     let s = 1_000_000;
     History {
@@ -40,22 +40,22 @@
             task(0, "a", Completed, 4 * s),
             task(1, "a", Completed, 4 * s),
         ],
-        calm: 5 * s,
+        faults_ended: 5 * s,
         ended: 120 * s,
     }
 }
 
-fn promises() -> Promises {
-    Promises { cancel_us: 30_000_000, limits: BTreeMap::from([("t".into(), 2.0)]) }
+fn guarantees() -> Guarantees {
+    Guarantees { cancel_us: 30_000_000, limits: BTreeMap::from([("t".into(), 2.0)]) }
 }
 
 #[test]
-fn every_rule_catches_what_is_planted() {
+fn each_rule_detects_its_injected_violation() {
     use TaskChange::{Began, Left};
     const S: u64 = 1_000_000;
-    assert_eq!(check(&good(), &promises()), Vec::new());
-    type Plant = fn(&mut History);
-    let plants: [(&str, Plant); 16] = [
+    assert_eq!(check(&valid_history(), &guarantees()), Vec::new());
+    type Mutation = fn(&mut History);
+    let mutations: [(&str, Mutation); 16] = [
         ("ran_twice", |h| h.tasks.insert(2, task(0, "b", Began, 3 * S))),
         ("quota", |h| h.jobs.get_mut(&1).unwrap().cpus = 1.5),
         ("wrong_place", |h| h.jobs.get_mut(&1).unwrap().zone = Some("west".into())),
@@ -94,13 +94,13 @@
             h.requests[3].stage = "queued".into();
         }),
     ];
-    for (i, (rule, plant)) in plants.into_iter().enumerate() {
-        let mut history = good();
-        plant(&mut history);
-        let found = check(&history, &promises());
-        assert!(found.iter().any(|v| v.rule == rule), "plant {i}, {rule}: {found:?}");
+    for (i, (rule, mutate)) in mutations.into_iter().enumerate() {
+        let mut history = valid_history();
+        mutate(&mut history);
+        let found = check(&history, &guarantees());
+        assert!(found.iter().any(|v| v.rule == rule), "mutation {i}, {rule}: {found:?}");
     }
-    let mut history = good();
+    let mut history = valid_history();
     history.jobs.insert(2, JobFacts { after: vec![1], ..facts() });
     history.requests = vec![
         request(Operation::Submit, 201, "queued", S),
@@ -109,6 +109,6 @@
         request(Operation::Poll, 200, "aborted", 70 * S),
     ];
     history.tasks.clear();
-    let found = check(&history, &promises());
+    let found = check(&history, &guarantees());
     assert!(found.iter().any(|v| v.rule == "orphaned"), "{found:?}");
 }
--- a/crates/standins/src/soak/history.rs
+++ b/crates/standins/src/soak/history.rs
@@ -1,96 +1,97 @@
-//! What users, workers and the cloud saw of a run. Times are microseconds of the site's clock.
+//! History of a run as users, workers and the cloud observed it. Times are in microseconds
+//! of the site's clock.
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use std::sync::Mutex;
 
-/// What a user asked for.
+/// Kind of a user's request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Operation {
-    /// A submission, the first one or a repeated one.
+    /// A submission, first or repeated.
     Submit,
-    /// A question.
+    /// A status query.
     Poll,
     /// A cancellation.
     Cancel,
 }
 
-/// A request and its answer, if one came.
+/// A user's request and its response, if any.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Request {
-    /// The job.
+    /// Job number.
     pub job: u64,
-    /// What was asked.
+    /// Kind of the request.
     pub operation: Operation,
     /// When it was sent.
     pub sent: u64,
-    /// When its answer came.
+    /// When the response arrived or the user gave up.
     pub answered: u64,
-    /// HTTP status, 0 for no answer.
+    /// HTTP status, 0 without a response.
     pub status: u16,
-    /// The job's state in the answer.
+    /// State of the job in a 200 or 201 response, otherwise empty.
     pub stage: String,
 }
 
-/// A submitted job, as its user wrote it.
+/// Specification of a submitted job.
 #[derive(Debug, Clone, PartialEq)]
 pub struct JobFacts {
     /// Number of tasks.
     pub tasks: u32,
-    /// CPUs of a task.
+    /// CPUs per task.
     pub cpus: f64,
     /// Team.
     pub team: String,
-    /// Runs until it is cancelled.
+    /// The job is a service, which runs until it is cancelled.
     pub service: bool,
-    /// May use spot machines.
+    /// The job may use spot machines.
     pub spot: bool,
-    /// The only zone that it may use.
+    /// Required zone.
     pub zone: Option<String>,
-    /// At most half of its tasks may be in one zone.
+    /// At most half of the tasks, rounded up, may be in one zone.
     pub spread: bool,
-    /// Jobs that it waits for.
+    /// Jobs that the job depends on.
     pub after: Vec<u64>,
 }
 
-/// A task came onto a machine, or left it.
+/// A task started on a machine or left it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TaskEvent {
-    /// When.
+    /// Time of the event.
     pub at: u64,
-    /// Job and index.
+    /// Job number and task index.
     pub task: (u64, u32),
-    /// Machine.
+    /// Machine name.
     pub machine: String,
     /// Zone.
     pub zone: String,
-    /// The machine is a spot one.
+    /// The machine is a spot machine.
     pub spot: bool,
-    /// It begins, or leaves with this outcome.
+    /// Kind of the event.
     pub change: TaskChange,
 }
 
-/// What became of a task on a machine.
+/// Kind of a task event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskChange {
-    /// It is on the machine from now on.
+    /// The task runs on the machine from now on.
     Began,
-    /// It completed.
+    /// The task completed.
     Completed,
-    /// It left without completing.
+    /// The task left the machine without completing.
     Left,
 }
 
-/// Everything that was seen.
+/// Everything that was observed in a run.
 #[derive(Debug, Default)]
 pub struct History {
-    /// Jobs that were ever submitted.
+    /// All submitted jobs by number.
     pub jobs: BTreeMap<u64, JobFacts>,
-    /// Requests in the order of their answers.
+    /// Requests in the order in which they finished.
     pub requests: Vec<Request>,
-    /// Tasks in order.
+    /// Task events in order of time.
     pub tasks: Vec<TaskEvent>,
-    /// When the last fault was over.
-    pub calm: u64,
+    /// When the last fault ended.
+    pub faults_ended: u64,
     /// When the run ended.
     pub ended: u64,
 }
@@ -98,7 +99,7 @@
 impl fmt::Display for History {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let seconds = |us: u64| us as f64 / 1e6;
-        writeln!(f, "calm {:.3} ended {:.3}", seconds(self.calm), seconds(self.ended))?;
+        writeln!(f, "calm {:.3} ended {:.3}", seconds(self.faults_ended), seconds(self.ended))?;
         for (id, job) in &self.jobs {
             writeln!(f, "job {id} {job:?}")?;
         }
@@ -118,40 +119,42 @@
     }
 }
 
-/// A machine's tasks at a moment.
+/// Identity of a machine whose tasks are recorded.
 #[derive(Debug, Clone, Copy)]
 pub struct MachineView<'a> {
-    /// Its name.
+    /// Machine name.
     pub machine: &'a str,
-    /// Its zone.
+    /// Zone.
     pub zone: &'a str,
-    /// It is a spot one.
+    /// The machine is a spot machine.
     pub spot: bool,
 }
 
-/// Takes down what is seen, from many threads.
+/// Records observations from many threads.
 #[derive(Debug, Default)]
 pub struct Recorder {
     history: Mutex<History>,
-    on: Mutex<BTreeMap<String, BTreeSet<(u64, u32)>>>,
+    running_by_machine: Mutex<BTreeMap<String, BTreeSet<(u64, u32)>>>,
 }
 
 impl Recorder {
-    /// Changes the history.
-    pub fn note<T>(&self, change: impl FnOnce(&mut History) -> T) -> T {
+    /// Updates the history under its lock.
+    pub fn update<T>(&self, change: impl FnOnce(&mut History) -> T) -> T {
         change(&mut self.history.lock().unwrap_or_else(std::sync::PoisonError::into_inner))
     }
 
-    /// A machine's tasks, whenever they may have changed; `completed` are those that ended well.
-    pub fn machine(
+    /// Records the running tasks of a machine as events against the previous call; of
+    /// those that left, the ones in `completed` completed.
+    pub fn record_machine(
         &self,
         view: MachineView<'_>,
-        on: BTreeSet<(u64, u32)>,
+        running: BTreeSet<(u64, u32)>,
         completed: &BTreeSet<(u64, u32)>,
         at: u64,
     ) {
-        let mut all = self.on.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-        let before = all.insert(view.machine.to_owned(), on.clone()).unwrap_or_default();
+        let mut all_running =
+            self.running_by_machine.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+        let before = all_running.insert(view.machine.to_owned(), running.clone()).unwrap_or_default();
         let event = |task: (u64, u32), change| TaskEvent {
             at,
             task,
@@ -160,13 +163,13 @@
             spot: view.spot,
             change,
         };
-        let left = before.difference(&on).map(|task| {
+        let left = before.difference(&running).map(|task| {
             event(*task, if completed.contains(task) { TaskChange::Completed } else { TaskChange::Left })
         });
-        let came = on.difference(&before).map(|task| event(*task, TaskChange::Began));
-        let events: Vec<TaskEvent> = left.chain(came).collect();
+        let started = running.difference(&before).map(|task| event(*task, TaskChange::Began));
+        let events: Vec<TaskEvent> = left.chain(started).collect();
         if !events.is_empty() {
-            self.note(|history| history.tasks.extend(events));
+            self.update(|history| history.tasks.extend(events));
         }
     }
 }
--- a/crates/standins/src/soak/load.rs
+++ b/crates/standins/src/soak/load.rs
@@ -1,5 +1,5 @@
-//! Users of a run: they submit, cancel, ask and repeat at all controllers throughout, also
-//! right after each answer.
+//! Simulated users of a run. Throughout the run they submit, cancel, query and retry at all
+//! controllers, and query all of them right after each confirmed change.
 use super::history::{JobFacts, Operation, Recorder, Request};
 use crate::net::send_request;
 use serde_json::{Value, json};
@@ -8,42 +8,42 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// A user waits so long for an answer to a question.
+/// Timeout of a status query.
 const POLL_TIMEOUT: Duration = Duration::from_secs(2);
-/// And so long for one to a submission or cancellation.
+/// Timeout of a submission or cancellation.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Jobs that users ask about at a time.
+/// Number of threads that poll jobs.
 const POLLERS: usize = 4;
-/// A user asks about each job this often, or as often as there is time for.
-const POLL_PAUSE: Duration = Duration::from_millis(1500);
-/// The job that asks for as many machines as the run is to have.
+/// Pause of a polling thread between two rounds over its jobs.
+const POLL_INTERVAL: Duration = Duration::from_millis(1500);
+/// Number of the job that requests the machines of the run.
 const FLEET_JOB: u64 = 1;
 
-/// What all users of a run share.
+/// State that all users of a run share.
 pub struct Users {
-    /// Where each controller is reached.
+    /// Address of each controller.
     pub controllers: Vec<SocketAddr>,
-    /// Takes down what they see.
+    /// Records their requests.
     pub recorder: Arc<Recorder>,
-    /// When the site began.
+    /// Start of the site's clock.
     pub start: Instant,
-    /// Machines that a first job asks for.
-    pub workers: u32,
-    /// They end.
+    /// Machines that the first job requests.
+    pub fleet_machines: u32,
+    /// The users stop.
     pub stop: AtomicBool,
-    /// No new jobs come.
-    pub no_more_jobs: AtomicBool,
+    /// No new jobs are submitted.
+    pub stop_submitting: AtomicBool,
     /// The number of the next job.
     pub next_job: AtomicU64,
 }
 
-fn name(job: u64) -> String {
+fn job_name(job: u64) -> String {
     format!("j-{job:06}")
 }
 
-fn body(job: u64, facts: &JobFacts, builds: Option<&str>) -> Value {
-    let awaits: Vec<String> = facts.after.iter().map(|id| name(*id)).collect();
-    json!({"ref": name(job), "lot": "soak", "crew": facts.team,
+fn submission_body(job: u64, facts: &JobFacts, builds: Option<&str>) -> Value {
+    let awaits: Vec<String> = facts.after.iter().map(|id| job_name(*id)).collect();
+    json!({"ref": job_name(job), "lot": "soak", "crew": facts.team,
         "manner": if facts.service { "standing" } else { "array" },
         "rank": if facts.service { "prod" } else { "standard" }, "pieces": facts.tasks,
         "cpus": facts.cpus, "gpus": 0, "memory_gb": 1, "bundle": "image", "image_gb": 0.1,
@@ -53,7 +53,7 @@
 }
 
 impl Users {
-    /// Microseconds of the run.
+    /// Time of the site's clock, in microseconds.
     pub fn now(&self) -> u64 {
         self.start.elapsed().as_micros() as u64 + 1_000_000
     }
@@ -62,34 +62,36 @@
         self.stop.load(Ordering::Relaxed)
     }
 
-    /// Asks a controller, and takes down what came of it; the status, 0 for none.
-    fn ask(&self, at: usize, job: u64, operation: Operation, text: &str) -> u16 {
+    /// Sends a request to a controller and records it; returns the status, 0 without a response.
+    fn request(&self, at: usize, job: u64, operation: Operation, text: &str) -> u16 {
         let (method, path, timeout) = match operation {
             Operation::Submit => ("POST", "/submissions".to_owned(), CHANGE_TIMEOUT),
-            Operation::Poll => ("GET", format!("/submissions/{}", name(job)), POLL_TIMEOUT),
-            Operation::Cancel => ("POST", format!("/submissions/{}/abort", name(job)), CHANGE_TIMEOUT),
+            Operation::Poll => ("GET", format!("/submissions/{}", job_name(job)), POLL_TIMEOUT),
+            Operation::Cancel => ("POST", format!("/submissions/{}/abort", job_name(job)), CHANGE_TIMEOUT),
         };
         let sent = self.now();
-        let told = send_request(self.controllers[at], method, &path, "Connection: close\r\n", text, timeout);
+        let response =
+            send_request(self.controllers[at], method, &path, "Connection: close\r\n", text, timeout);
         let answered = self.now();
-        // An answer that comes after the user has given up is none.
-        let told = told.filter(|_| answered - sent <= timeout.as_micros() as u64);
-        let status = told.as_ref().map_or(0, |t| t.status);
-        let stage = told.filter(|t| matches!(t.status, 200 | 201)).map(|t| t.json()["stage"].clone());
+        // A response that arrives after the timeout does not count.
+        let response = response.filter(|_| answered - sent <= timeout.as_micros() as u64);
+        let status = response.as_ref().map_or(0, |t| t.status);
+        let stage = response.filter(|t| matches!(t.status, 200 | 201)).map(|t| t.json()["stage"].clone());
         let stage = stage.and_then(|s| s.as_str().map(str::to_owned)).unwrap_or_default();
-        self.recorder.note(|h| h.requests.push(Request { job, operation, sent, answered, status, stage }));
+        self.recorder.update(|h| h.requests.push(Request { job, operation, sent, answered, status, stage }));
         status
     }
 
-    fn anywhere(&self) -> usize {
+    fn random_controller(&self) -> usize {
         fastrand::usize(0..self.controllers.len())
     }
 
-    /// Repeats a change as users do until it is answered; whether it was.
-    fn insist(&self, job: u64, operation: Operation, text: &str) -> bool {
+    /// Retries a submission or cancellation every second, for up to 60 s, until it is
+    /// accepted (true) or rejected.
+    fn retry_until_answered(&self, job: u64, operation: Operation, text: &str) -> bool {
         let began = Instant::now();
         while !self.stopped() && began.elapsed() < Duration::from_secs(60) {
-            match self.ask(self.anywhere(), job, operation, text) {
+            match self.request(self.random_controller(), job, operation, text) {
                 200 | 201 => return true,
                 400 | 404 | 422 => return false,
                 _ => std::thread::sleep(Duration::from_secs(1)),
@@ -98,18 +100,18 @@
         false
     }
 
-    /// Asks at every controller, right after an answer.
-    fn look_everywhere(&self, job: u64) {
+    /// Queries the job at every controller.
+    fn query_all_controllers(&self, job: u64) {
         for at in 0..self.controllers.len() {
-            self.ask(at, job, Operation::Poll, "");
+            self.request(at, job, Operation::Poll, "");
         }
     }
 
-    fn draw(&self, rng: &mut fastrand::Rng, job: u64) -> JobFacts {
+    fn random_job(&self, rng: &mut fastrand::Rng, job: u64) -> JobFacts {
         let service = rng.u32(0..4) == 0;
-        let awaits = !service && rng.u32(0..6) == 0;
+        let has_dependency = !service && rng.u32(0..6) == 0;
         let before = rng.u64(FLEET_JOB + 1..job.max(FLEET_JOB + 2));
-        let ends = |id: u64| self.recorder.note(|h| h.jobs.get(&id).is_some_and(|j| !j.service));
+        let is_array = |id: u64| self.recorder.update(|h| h.jobs.get(&id).is_some_and(|j| !j.service));
         JobFacts {
             tasks: if service { rng.u32(1..4) } else { rng.u32(1..10) },
             cpus: f64::from(rng.u32(1..3)),
@@ -118,22 +120,22 @@
             spot: !service && rng.bool(),
             zone: (rng.u32(0..6) == 0).then(|| "east".to_owned()),
             spread: service && rng.u32(0..3) == 0,
-            after: if awaits && before < job && ends(before) { vec![before] } else { Vec::new() },
+            after: if has_dependency && before < job && is_array(before) { vec![before] } else { Vec::new() },
         }
     }
 
     fn submit(&self, job: u64, facts: JobFacts, builds: Option<&str>) {
-        let text = body(job, &facts, builds).to_string();
-        self.recorder.note(|h| h.jobs.insert(job, facts));
-        if self.insist(job, Operation::Submit, &text) {
-            self.look_everywhere(job);
+        let text = submission_body(job, &facts, builds).to_string();
+        self.recorder.update(|h| h.jobs.insert(job, facts));
+        if self.retry_until_answered(job, Operation::Submit, &text) {
+            self.query_all_controllers(job);
         }
     }
 
-    /// Asks for machines: a service with a task for each.
-    pub fn ask_for_fleet(&self) {
+    /// Requests machines by submitting a service with a task for each.
+    pub fn submit_fleet_job(&self) {
         let facts = JobFacts {
-            tasks: self.workers,
+            tasks: self.fleet_machines,
             cpus: 4.0,
             team: "default".into(),
             service: true,
@@ -145,65 +147,67 @@
         self.submit(FLEET_JOB, facts, Some("small"));
     }
 
-    /// Submits jobs, and cancels some of them a while later.
-    pub fn submitter(&self, seed: u64) {
+    /// Submits jobs and cancels some of them up to 9 s later.
+    pub fn run_submitter(&self, seed: u64) {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut to_cancel: Vec<(Instant, u64)> = Vec::new();
         while !self.stopped() {
-            if !self.no_more_jobs.load(Ordering::Relaxed) {
+            if !self.stop_submitting.load(Ordering::Relaxed) {
                 let job = self.next_job.fetch_add(1, Ordering::Relaxed);
-                let facts = self.draw(&mut rng, job);
-                // A limited team's replicas would keep its arrays from starting for ever.
-                let cancels = facts.service && facts.team == "tight" || rng.u32(0..4) == 0;
-                let repeated = body(job, &facts, None).to_string();
+                let facts = self.random_job(&mut rng, job);
+                // Services of the team with a CPU limit are always cancelled, or else they
+                // would keep its arrays from ever starting.
+                let will_cancel = facts.service && facts.team == "tight" || rng.u32(0..4) == 0;
+                let repeated = submission_body(job, &facts, None).to_string();
                 self.submit(job, facts, None);
-                if cancels {
+                if will_cancel {
                     to_cancel.push((Instant::now() + Duration::from_millis(rng.u64(0..9000)), job));
                 } else if rng.u32(0..4) == 0 {
-                    self.ask(self.anywhere(), job, Operation::Submit, &repeated);
+                    self.request(self.random_controller(), job, Operation::Submit, &repeated);
                 }
             }
             let (due, later) = to_cancel.into_iter().partition(|(at, _)| *at <= Instant::now());
             to_cancel = later;
             let due: Vec<(Instant, u64)> = due;
             for (_, job) in due {
-                if self.insist(job, Operation::Cancel, "") {
-                    self.look_everywhere(job);
+                if self.retry_until_answered(job, Operation::Cancel, "") {
+                    self.query_all_controllers(job);
                 }
             }
             std::thread::sleep(Duration::from_millis(rng.u64(200..900)));
         }
     }
 
-    /// Asks about every job in turn, and now and then about one that nobody submitted.
-    pub fn poller(&self, number: usize) {
+    /// Queries its share of the jobs in rounds, and in each round one job that was never
+    /// submitted.
+    pub fn run_poller(&self, number: usize) {
         while !self.stopped() {
-            let jobs: Vec<u64> = self.recorder.note(|h| h.jobs.keys().copied().collect());
+            let jobs: Vec<u64> = self.recorder.update(|h| h.jobs.keys().copied().collect());
             for job in jobs.into_iter().filter(|job| *job as usize % POLLERS == number) {
                 if self.stopped() {
                     return;
                 }
-                self.ask(self.anywhere(), job, Operation::Poll, "");
+                self.request(self.random_controller(), job, Operation::Poll, "");
             }
-            self.ask(self.anywhere(), 900_000 + number as u64, Operation::Poll, "");
-            std::thread::sleep(POLL_PAUSE);
+            self.request(self.random_controller(), 900_000 + number as u64, Operation::Poll, "");
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Starts all of them.
+    /// Starts the threads of all users.
     pub fn start(self: &Arc<Self>, seed: u64) -> Vec<std::thread::JoinHandle<()>> {
         let mut threads = Vec::new();
         for number in 0..POLLERS {
             let users = self.clone();
-            threads.push(std::thread::spawn(move || users.poller(number)));
+            threads.push(std::thread::spawn(move || users.run_poller(number)));
         }
         for number in 0..2 {
             let users = self.clone();
-            threads.push(std::thread::spawn(move || users.submitter(seed * 2 + number)));
+            threads.push(std::thread::spawn(move || users.run_submitter(seed * 2 + number)));
         }
-        if self.workers > 0 {
+        if self.fleet_machines > 0 {
             let users = self.clone();
-            threads.push(std::thread::spawn(move || users.ask_for_fleet()));
+            threads.push(std::thread::spawn(move || users.submit_fleet_job()));
         }
         threads
     }
--- a/crates/standins/src/soak/mod.rs
+++ b/crates/standins/src/soak/mod.rs
@@ -1,6 +1,7 @@
-//! A randomized fault test of real controllers on loopback: stand-ins for everything else,
-//! every link through a fault proxy, users who never stop, and a checker that sees only what
-//! users, workers and the cloud saw. A seed always gives the same schedule of faults.
+//! Randomized fault test (soak) of real controllers on loopback, with stand-ins for all other
+//! components. Every link runs through a fault proxy, users send requests throughout, and a
+//! checker judges only what users, workers and the cloud observed. A seed always gives the
+//! same schedule of faults.
 pub mod checker;
 pub mod history;
 pub mod load;
@@ -8,7 +9,7 @@
 pub mod schedule;
 
 use crate::site::{Link, Options, Router, Site, SiteError};
-use checker::{Promises, Violation};
+use checker::{Guarantees, Violation};
 use fastrand::Rng;
 use history::{History, Recorder};
 use load::Users;
@@ -20,87 +21,88 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// What a run is made of.
+/// Configuration of a run.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// The controllers' program.
+    /// Program of the controllers.
     pub program: PathBuf,
-    /// How many controllers.
+    /// Number of controllers.
     pub controllers: usize,
-    /// Machines that a first job asks for, 0 for only what the others need.
+    /// Machines that the first job requests; 0 for only those that the other jobs need.
     pub fleet_machines: u32,
-    /// Sockets of a controller.
+    /// Socket limit of a controller.
     pub sockets: usize,
-    /// For so long faults come.
+    /// Period from the start of the run in which faults occur.
     pub fault_period: Duration,
-    /// For so long it goes on after the last of them.
+    /// Period without faults that follows.
     pub quiet_period: Duration,
 }
 
-/// Cancelled tasks of a site on loopback are gone within this.
-const CANCEL_US: u64 = 30_000_000;
-/// The limited team's CPUs.
-const LIMIT_CPUS: f64 = 6.0;
-/// Controllers are ready within this.
-const READY_LIMIT: Duration = Duration::from_secs(30);
-/// No new jobs come for so long before the end, so that each can be judged.
-const LAST_JOBS: Duration = Duration::from_secs(5);
-/// How often faults are looked at.
-const STEP: Duration = Duration::from_millis(50);
+/// Time in microseconds within which cancelled tasks are stopped on a loopback site.
+const CANCEL_TIMEOUT_US: u64 = 30_000_000;
+/// CPU limit of the limited team.
+const TEAM_LIMIT_CPUS: f64 = 6.0;
+/// Time within which all controllers have to be ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
+/// Users submit jobs until this long after the last fault; the rest of the quiet period
+/// lets each job be judged.
+const SUBMIT_AFTER_LAST_FAULT: Duration = Duration::from_secs(5);
+/// Interval at which the fault schedule is checked.
+const FAULT_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Why a run could not be played.
+/// Why a run could not be carried out.
 #[derive(Debug, thiserror::Error)]
 pub enum SoakError {
     /// The site did not start.
     #[error("the site did not start: {0}")]
     Site(#[from] SiteError),
-    /// The controllers were not ready.
-    #[error("the controllers were not ready within {} s", READY_LIMIT.as_secs())]
+    /// The controllers were not ready in time.
+    #[error("the controllers were not ready within {} s", READY_TIMEOUT.as_secs())]
     NotReady,
 }
 
-/// What a run came to.
+/// Result of a run.
 #[derive(Debug)]
 pub struct Outcome {
     /// Broken rules.
     pub violations: Vec<Violation>,
-    /// Jobs, answers to users, and tasks that began.
+    /// Submitted jobs.
     pub jobs: usize,
-    /// Answered requests.
+    /// Requests of users that got a response.
     pub answers: usize,
-    /// Starts.
+    /// Task starts on machines.
     pub task_starts: usize,
-    /// Most machines at a time.
+    /// Most machines rented at the same time in the quiet period.
     pub machines: usize,
-    /// What was seen.
+    /// Observations of users, workers and the cloud.
     pub history: History,
-    /// The longest that a job went without an answer after the last fault, in seconds.
+    /// Longest time that a job went without an answer after the last fault, in seconds.
     pub longest_unanswered_s: f64,
 }
 
 type Proxies = Arc<Mutex<BTreeMap<Link, FaultProxy>>>;
 
-/// The links of a run.
+/// Fault proxies of all links of a run.
 struct Network(Proxies);
 
 impl Network {
     fn new() -> (Self, Router) {
         let proxies = Proxies::default();
-        let made = proxies.clone();
+        let proxy_map = proxies.clone();
         let router = Router::new(move |link, target| {
-            let mut made = made.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-            if let Some(proxy) = made.get(&link) {
+            let mut proxy_map = proxy_map.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+            if let Some(proxy) = proxy_map.get(&link) {
                 return Ok(proxy.address);
             }
             let proxy = FaultProxy::start(target)?;
             let address = proxy.address;
-            made.insert(link, proxy);
+            proxy_map.insert(link, proxy);
             Ok(address)
         });
         (Network(proxies), router)
     }
 
-    /// Sets the condition of the links that `which` names.
+    /// Sets the condition of the links that `which` selects.
     fn set(&self, condition: Condition, which: impl Fn(&Link) -> bool) {
         let proxies = self.0.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         proxies.iter().filter(|(link, _)| which(link)).for_each(|(_, proxy)| proxy.set(condition));
@@ -112,7 +114,7 @@
     }
 }
 
-fn of_controller(link: &Link, n: usize) -> bool {
+fn touches_controller(link: &Link, n: usize) -> bool {
     match link {
         Link::Users(to) | Link::Workers(to) => *to == n,
         Link::State(from) | Link::Cloud(from) => *from == n,
@@ -120,154 +122,156 @@
     }
 }
 
-/// A run's faults as they are carried out.
-struct Faults<'a> {
+/// Applies the faults of a run.
+struct FaultInjector<'a> {
     site: &'a Site,
     network: &'a Network,
     controllers: usize,
-    /// Controllers whose processes are away, and when they start again.
-    away: BTreeMap<usize, Instant>,
-    /// When the leader ends next.
-    next_leader_end: Option<Instant>,
+    /// Killed controllers and when each is restarted.
+    restart_at: BTreeMap<usize, Instant>,
+    /// When the leader is killed next.
+    next_leader_kill: Option<Instant>,
 }
 
-impl Faults<'_> {
-    fn end(&mut self, n: usize, back: Duration) {
+impl FaultInjector<'_> {
+    fn kill(&mut self, n: usize, downtime: Duration) {
         if self.site.kill_controller(n).is_ok() {
-            self.away.insert(n, Instant::now() + back);
+            self.restart_at.insert(n, Instant::now() + downtime);
         }
     }
 
-    fn begin(&mut self, fault: &Fault) {
+    fn apply(&mut self, fault: &Fault) {
         let refuse = Condition { refuse: true, ..Condition::default() };
         match fault.kind {
             FaultKind::CutController { controller, held } => {
                 let flow = if held { Flow::Hold } else { Flow::Lose };
-                self.network.set(Condition::both(flow), |link| of_controller(link, controller));
+                self.network.set(Condition::both(flow), |link| touches_controller(link, controller));
             }
             FaultKind::LoseState(n) => {
                 self.network.set(Condition::both(Flow::Hold), |link| *link == Link::State(n));
             }
             FaultKind::LoseAnswersToWorkers(n) => {
-                let lost = Condition { answers: Flow::Lose, ..Condition::default() };
+                let lost = Condition { responses: Flow::Lose, ..Condition::default() };
                 self.network.set(lost, |link| *link == Link::Workers(n));
             }
             FaultKind::RefusePeers => self.network.set(refuse, |link| matches!(link, Link::Peer { .. })),
             FaultKind::StateOutage => self.site.set_state_unavailable(true),
             FaultKind::StateSlow(by) => {
-                let slow = Condition { answers: Flow::Delay(by), ..Condition::default() };
+                let slow = Condition { responses: Flow::Delay(by), ..Condition::default() };
                 self.network.set(slow, |link| matches!(link, Link::State(_)));
             }
             FaultKind::LoseStateAnswers => {
-                let lost = Condition { answers: Flow::Lose, ..Condition::default() };
+                let lost = Condition { responses: Flow::Lose, ..Condition::default() };
                 self.network.set(lost, |link| matches!(link, Link::State(_)));
             }
-            FaultKind::End(n, back) => self.end(n, back),
-            FaultKind::EndAll(back) => (0..self.controllers).for_each(|n| self.end(n, back)),
+            FaultKind::End(n, downtime) => self.kill(n, downtime),
+            FaultKind::EndAll(downtime) => (0..self.controllers).for_each(|n| self.kill(n, downtime)),
             FaultKind::Pause(n) => self.site.pause_controller(n),
-            FaultKind::EndLeaders(_) => self.next_leader_end = Some(Instant::now()),
+            FaultKind::EndLeaders(_) => self.next_leader_kill = Some(Instant::now()),
             FaultKind::LoseCloud => {
                 self.network.set(Condition::both(Flow::Hold), |link| matches!(link, Link::Cloud(_)));
             }
         }
     }
 
-    fn finish(&mut self, fault: &Fault) {
-        let well = Condition::default();
+    fn clear(&mut self, fault: &Fault) {
+        let healthy = Condition::default();
         match fault.kind {
             FaultKind::CutController { controller, .. } => {
-                self.network.set(well, |link| of_controller(link, controller));
+                self.network.set(healthy, |link| touches_controller(link, controller));
             }
-            FaultKind::LoseState(n) => self.network.set(well, |link| *link == Link::State(n)),
-            FaultKind::LoseAnswersToWorkers(n) => self.network.set(well, |link| *link == Link::Workers(n)),
-            FaultKind::RefusePeers => self.network.set(well, |link| matches!(link, Link::Peer { .. })),
+            FaultKind::LoseState(n) => self.network.set(healthy, |link| *link == Link::State(n)),
+            FaultKind::LoseAnswersToWorkers(n) => self.network.set(healthy, |link| *link == Link::Workers(n)),
+            FaultKind::RefusePeers => self.network.set(healthy, |link| matches!(link, Link::Peer { .. })),
             FaultKind::StateOutage => self.site.set_state_unavailable(false),
-            FaultKind::StateSlow(_) => self.network.set(well, |link| matches!(link, Link::State(_))),
+            FaultKind::StateSlow(_) => self.network.set(healthy, |link| matches!(link, Link::State(_))),
             FaultKind::LoseStateAnswers => {
                 self.network.reset(|link| matches!(link, Link::State(_)));
-                self.network.set(well, |link| matches!(link, Link::State(_)));
+                self.network.set(healthy, |link| matches!(link, Link::State(_)));
             }
             FaultKind::End(..) | FaultKind::EndAll(_) => {}
             FaultKind::Pause(n) => self.site.resume_controller(n),
-            FaultKind::EndLeaders(_) => self.next_leader_end = None,
-            FaultKind::LoseCloud => self.network.set(well, |link| matches!(link, Link::Cloud(_))),
+            FaultKind::EndLeaders(_) => self.next_leader_kill = None,
+            FaultKind::LoseCloud => self.network.set(healthy, |link| matches!(link, Link::Cloud(_))),
         }
     }
 
-    /// What time alone brings: processes that are back, and the next end of a leader.
-    fn step(&mut self, running: &[Fault]) {
+    /// Restarts the controllers whose downtime is over, and kills the leader when due.
+    fn tick(&mut self, running: &[Fault]) {
         let now = Instant::now();
-        let back: Vec<usize> = self.away.iter().filter(|(_, at)| **at <= now).map(|(n, _)| *n).collect();
-        for n in back {
-            self.away.remove(&n);
+        let due: Vec<usize> = self.restart_at.iter().filter(|(_, at)| **at <= now).map(|(n, _)| *n).collect();
+        for n in due {
+            self.restart_at.remove(&n);
             if let Err(e) = self.site.restart_controller(n) {
-                log::error!("controller n{n} was not started again: {e}");
+                log::error!("controller n{n} could not be restarted: {e}");
             }
         }
-        let every = running.iter().find_map(|fault| match fault.kind {
-            FaultKind::EndLeaders(every) => Some(every),
+        let kill_interval = running.iter().find_map(|fault| match fault.kind {
+            FaultKind::EndLeaders(interval) => Some(interval),
             _ => None,
         });
-        if let (Some(every), Some(at)) = (every, self.next_leader_end)
+        if let (Some(interval), Some(at)) = (kill_interval, self.next_leader_kill)
             && at <= now
         {
-            self.next_leader_end = Some(now + every);
+            self.next_leader_kill = Some(now + interval);
             if let Some(leader) = self.site.leader() {
-                self.end(leader, Duration::from_millis(200));
+                self.kill(leader, Duration::from_millis(200));
             }
         }
     }
 }
 
-/// Plays the faults; returns when the last of them is over and all processes are back.
-fn play(site: &Site, network: &Network, faults: &[Fault], controllers: usize) {
+/// Applies the faults; returns when the last one is over and all processes are restarted.
+fn inject_faults(site: &Site, network: &Network, faults: &[Fault], controllers: usize) {
     let began = Instant::now();
-    let mut state = Faults { site, network, controllers, away: BTreeMap::new(), next_leader_end: None };
+    let mut injector =
+        FaultInjector { site, network, controllers, restart_at: BTreeMap::new(), next_leader_kill: None };
     let mut waiting = faults.to_vec();
     let mut running: Vec<Fault> = Vec::new();
-    while !(waiting.is_empty() && running.is_empty() && state.away.is_empty()) {
+    while !(waiting.is_empty() && running.is_empty() && injector.restart_at.is_empty()) {
         let now = began.elapsed();
         let (due, later) = waiting.into_iter().partition(|fault| fault.at <= now);
         waiting = later;
         let due: Vec<Fault> = due;
         for fault in due {
-            state.begin(&fault);
+            injector.apply(&fault);
             running.push(fault);
         }
         let (over, left) = running.into_iter().partition(|fault| fault.at + fault.lasts <= now);
         running = left;
         let over: Vec<Fault> = over;
         for fault in &over {
-            state.finish(fault);
+            injector.clear(fault);
         }
-        // Of two faults on one link, the one that is over ends the other's hold on it, too:
-        // the other begins again.
+        // Clearing a fault restores its links even if another running fault affects them,
+        // so that the running network faults are applied again.
         if !over.is_empty() {
-            let again: Vec<Fault> = running.iter().filter(|f| is_of_links(f.kind)).copied().collect();
-            again.iter().for_each(|fault| state.begin(fault));
+            let still_running: Vec<Fault> =
+                running.iter().filter(|f| affects_links(f.kind)).copied().collect();
+            still_running.iter().for_each(|fault| injector.apply(fault));
         }
-        state.step(&running);
-        std::thread::sleep(STEP);
+        injector.tick(&running);
+        std::thread::sleep(FAULT_CHECK_INTERVAL);
     }
     network.set(Condition::default(), |_| true);
     site.set_state_unavailable(false);
 }
 
-fn is_of_links(kind: FaultKind) -> bool {
+fn affects_links(kind: FaultKind) -> bool {
     !matches!(
         kind,
         FaultKind::End(..) | FaultKind::EndAll(_) | FaultKind::EndLeaders(_) | FaultKind::Pause(_)
     )
 }
 
-/// Plays a seed.
+/// Runs the test for one seed.
 pub fn run(settings: &Settings, seed: u64) -> Result<Outcome, SoakError> {
     let (network, router) = Network::new();
     let recorder = Arc::new(Recorder::default());
     let mut rng = Rng::with_seed(seed);
     let options = Options {
         controllers: settings.controllers,
-        teams: vec![("default".into(), 0.0), ("tight".into(), LIMIT_CPUS)],
+        teams: vec![("default".into(), 0.0), ("tight".into(), TEAM_LIMIT_CPUS)],
         programs: (0..settings.controllers).map(|n| (n, settings.program.clone())).collect(),
         sockets: settings.sockets,
         router: Some(router),
@@ -276,29 +280,29 @@
         ..Options::default()
     };
     let site = Site::start(&options)?;
-    if !site.wait_until_ready(READY_LIMIT) {
+    if !site.wait_until_ready(READY_TIMEOUT) {
         return Err(SoakError::NotReady);
     }
     let users = Arc::new(Users {
         controllers: site.user_addresses.clone(),
         recorder: recorder.clone(),
         start: site.start_time(),
-        workers: settings.fleet_machines,
+        fleet_machines: settings.fleet_machines,
         stop: AtomicBool::new(false),
-        no_more_jobs: AtomicBool::new(false),
+        stop_submitting: AtomicBool::new(false),
         next_job: AtomicU64::new(2),
     });
     let threads = users.start(rng.u64(0..1 << 40));
     let faults = schedule::faults(seed, settings.controllers, settings.fault_period);
     let mut machines = 0;
-    play(&site, &network, &faults, settings.controllers);
-    let calm = users.now();
-    recorder.note(|h| h.calm = calm);
+    inject_faults(&site, &network, &faults, settings.controllers);
+    let faults_ended = users.now();
+    recorder.update(|h| h.faults_ended = faults_ended);
     let began = Instant::now();
     while began.elapsed() < settings.quiet_period {
         machines = machines.max(site.machine_count());
-        if began.elapsed() > LAST_JOBS {
-            users.no_more_jobs.store(true, Ordering::Relaxed);
+        if began.elapsed() > SUBMIT_AFTER_LAST_FAULT {
+            users.stop_submitting.store(true, Ordering::Relaxed);
         }
         std::thread::sleep(Duration::from_millis(250));
     }
@@ -307,12 +311,12 @@
     for thread in threads {
         let _ = thread.join();
     }
-    let history = recorder.note(std::mem::take);
+    let history = recorder.update(std::mem::take);
     let history = History { ended, ..history };
-    let limits = BTreeMap::from([("tight".to_owned(), LIMIT_CPUS)]);
-    let mut violations = checker::check(&history, &Promises { cancel_us: CANCEL_US, limits });
+    let limits = BTreeMap::from([("tight".to_owned(), TEAM_LIMIT_CPUS)]);
+    let mut violations = checker::check(&history, &Guarantees { cancel_us: CANCEL_TIMEOUT_US, limits });
     for line in site.matching_log_lines(&["invariant violated", "panicked at"]) {
-        violations.push(Violation { rule: "invariant", what: line });
+        violations.push(Violation { rule: "invariant", details: line });
     }
     Ok(Outcome {
         violations,
--- a/crates/standins/src/soak/schedule.rs
+++ b/crates/standins/src/soak/schedule.rs
@@ -1,50 +1,51 @@
-//! The faults of a run, drawn from its seed: which, when and for how long. No input or
-//! output, so that a seed always gives the same schedule.
+//! Generates the fault schedule of a run from its seed: kind, start and duration of each
+//! fault. Does no I/O, so that a seed always gives the same schedule.
 use std::fmt;
 use std::time::Duration;
 
-/// A fault.
+/// Kind of a fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FaultKind {
-    /// A controller loses everybody; held bytes are delivered afterwards, or lost.
+    /// All links of a controller are interrupted; bytes in transit are delivered afterwards
+    /// or lost.
     CutController {
-        /// Which.
+        /// Index of the controller.
         controller: usize,
-        /// Bytes on their way are held, not lost.
+        /// Bytes in transit are held, not lost.
         held: bool,
     },
-    /// A controller loses the state service alone.
+    /// Only a controller's link to the state service is interrupted.
     LoseState(usize),
-    /// A controller's answers to workers are lost.
+    /// A controller's responses to workers are lost.
     LoseAnswersToWorkers(usize),
-    /// Controllers refuse each other's connections.
+    /// Connections between controllers are refused.
     RefusePeers,
-    /// The state service refuses everybody.
+    /// The state service answers requests with 503 and holds watches.
     StateOutage,
-    /// The state service's answers come late.
+    /// Responses of the state service are delayed by this.
     StateSlow(Duration),
-    /// Requests to the state service are carried out, and their answers lost.
+    /// Requests to the state service are executed, and their responses are lost.
     LoseStateAnswers,
-    /// A controller's process ends, and is back after this.
+    /// A controller process is killed and restarted after this.
     End(usize, Duration),
-    /// All processes end, and are back after this.
+    /// All controller processes are killed and restarted after this.
     EndAll(Duration),
-    /// A controller's process stands still.
+    /// A controller process is paused with SIGSTOP.
     Pause(usize),
-    /// Whoever leads ends, again and again this far apart.
+    /// The current leader is killed repeatedly at this interval.
     EndLeaders(Duration),
-    /// The cloud can't be reached.
+    /// The cloud is unreachable for all controllers.
     LoseCloud,
 }
 
-/// A fault, when it begins and how long it lasts.
+/// A scheduled fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Fault {
-    /// From the run's beginning.
+    /// Start, from the beginning of the run.
     pub at: Duration,
-    /// Its length.
+    /// Duration.
     pub lasts: Duration,
-    /// What happens.
+    /// Kind.
     pub kind: FaultKind,
 }
 
@@ -54,14 +55,14 @@
     }
 }
 
-/// Faults begin after this.
+/// Start of the first group of faults, from the beginning of the run.
 const FIRST_FAULT: Duration = Duration::from_secs(8);
 
-fn millis(rng: &mut fastrand::Rng, range: std::ops::Range<u64>) -> Duration {
+fn random_millis(rng: &mut fastrand::Rng, range: std::ops::Range<u64>) -> Duration {
     Duration::from_millis(rng.u64(range))
 }
 
-fn draw(rng: &mut fastrand::Rng, controllers: usize) -> FaultKind {
+fn random_kind(rng: &mut fastrand::Rng, controllers: usize) -> FaultKind {
     let controller = rng.usize(0..controllers);
     match rng.u32(0..12) {
         0 | 1 => FaultKind::CutController { controller, held: rng.bool() },
@@ -69,31 +70,32 @@
         3 => FaultKind::LoseAnswersToWorkers(controller),
         4 => FaultKind::RefusePeers,
         5 => FaultKind::StateOutage,
-        6 => FaultKind::StateSlow(millis(rng, 100..700)),
+        6 => FaultKind::StateSlow(random_millis(rng, 100..700)),
         7 => FaultKind::LoseStateAnswers,
-        8 => FaultKind::End(controller, millis(rng, 50..900)),
-        9 => FaultKind::EndAll(millis(rng, 50..2000)),
+        8 => FaultKind::End(controller, random_millis(rng, 50..900)),
+        9 => FaultKind::EndAll(random_millis(rng, 50..2000)),
         10 => FaultKind::Pause(controller),
-        _ if rng.bool() => FaultKind::EndLeaders(millis(rng, 1500..3500)),
+        _ if rng.bool() => FaultKind::EndLeaders(random_millis(rng, 1500..3500)),
         _ => FaultKind::LoseCloud,
     }
 }
 
-/// The faults of a seed, in order; all are over at `until`. Two or three overlap.
+/// The faults of a seed by start time; all are over at `until`. Faults start in groups of
+/// one to three, which may overlap.
 pub fn faults(seed: u64, controllers: usize, until: Duration) -> Vec<Fault> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut faults = Vec::new();
     let mut at = FIRST_FAULT;
     while at + Duration::from_secs(3) < until {
         for _ in 0..rng.u32(1..4) {
-            let at = at + millis(&mut rng, 0..2500);
-            let longest = until.saturating_sub(at).as_millis() as u64;
-            let lasts = millis(&mut rng, 1500..16_000).min(Duration::from_millis(longest));
+            let at = at + random_millis(&mut rng, 0..2500);
+            let max_millis = until.saturating_sub(at).as_millis() as u64;
+            let lasts = random_millis(&mut rng, 1500..16_000).min(Duration::from_millis(max_millis));
             if !lasts.is_zero() {
-                faults.push(Fault { at, lasts, kind: draw(&mut rng, controllers) });
+                faults.push(Fault { at, lasts, kind: random_kind(&mut rng, controllers) });
             }
         }
-        at += millis(&mut rng, 6000..14_000);
+        at += random_millis(&mut rng, 6000..14_000);
     }
     faults.sort_by_key(|fault| fault.at);
     faults
--- a/crates/standins/src/state.rs
+++ b/crates/standins/src/state.rs
@@ -1,88 +1,92 @@
-//! Stand-in for the state service, written from the protocol.
+//! Stand-in for the state service, implemented from the protocol.
 use gorseshore_protocol::state::{Event, Listing, Multi, News, Pair, Write};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
 struct Entry {
     value: Value,
-    stamp: u64,
+    revision: u64,
     lease: Option<u64>,
 }
 
-/// The service.
+/// The state service: keys with revisions, leases, watches and transactions.
 #[derive(Default)]
 pub struct StateService {
-    ledger: u64,
+    revision: u64,
     keys: BTreeMap<String, Entry>,
     leases: BTreeMap<u64, (u64, u64)>,
     next_lease: u64,
-    log: Vec<Event>,
-    /// Changes up to this revision are not kept any more.
-    forgotten: u64,
-    /// 503 to everybody.
+    events: Vec<Event>,
+    /// Events up to this revision are compacted.
+    compacted_revision: u64,
+    /// An outage: requests are answered with 503, and watches wait.
     pub unavailable: bool,
-    /// Changes a second, what is left of them, and as of when.
-    changes: (f64, f64, u64),
-    changes_at_once: usize,
-    value_limit: usize,
-    /// The limits were lowered: what is beyond them is answered with 400.
-    lowered: bool,
-    /// What was refused for its size or its number of changes.
-    refused: Vec<String>,
-    /// Changes beyond the rate.
-    too_fast: usize,
-    /// Puts of these keys are called wrong, whatever they say; how often they were.
-    unwelcome: BTreeMap<String, usize>,
+    /// Writes per second, the remaining write budget, and the time in microseconds at
+    /// which that remainder was computed.
+    write_budget: (f64, f64, u64),
+    max_txn_writes: usize,
+    max_value_bytes: usize,
+    /// The limits were lowered: a transaction beyond them is answered with 400.
+    limits_lowered: bool,
+    /// Why transactions were rejected: a value too long, or too many writes.
+    rejected_transactions: Vec<String>,
+    /// Transactions rejected for exceeding the write rate.
+    rate_limited_count: usize,
+    /// Keys whose puts are rejected as invalid whatever their value, with the number
+    /// of rejections.
+    rejected_puts: BTreeMap<String, usize>,
 }
 
-/// A request's outcome: an answer, or a watch that waits.
+/// Outcome of a request: a response, or a watch that waits for events.
 pub enum Outcome {
     /// Status and body.
     Answer(u16, Vec<u8>),
-    /// A watch; [`State::news`] says when it is over, [`State::no_news`] ends it.
+    /// A watch without events so far. [`StateService::watch_response`] returns its
+    /// response once there are events; [`StateService::empty_watch_response`] is its
+    /// response after the timeout.
     Wait {
-        /// Keys that it watches.
+        /// Prefix of the watched keys.
         prefix: String,
-        /// Revision from which on changes count.
+        /// Events after this revision are delivered.
         from: u64,
-        /// When it ends without news, in microseconds.
+        /// When the watch times out, in microseconds.
         until: u64,
     },
 }
 
 fn query(path: &str) -> BTreeMap<&str, &str> {
-    let q = path.split_once('?').map_or("", |x| x.1);
-    q.split('&').filter_map(|kv| kv.split_once('=')).collect()
+    let params = path.split_once('?').map_or("", |x| x.1);
+    params.split('&').filter_map(|kv| kv.split_once('=')).collect()
 }
 
 impl StateService {
-    fn answer(status: u16, v: Value) -> Outcome {
+    fn json_response(status: u16, v: Value) -> Outcome {
         Outcome::Answer(status, v.to_string().into_bytes())
     }
 
-    /// Ends leases; their keys go.
+    /// Removes expired leases and the keys attached to them; none expires during an outage.
     pub fn expire_leases(&mut self, now: u64) {
         if self.unavailable {
             return;
         }
-        let over: Vec<u64> = self.leases.iter().filter(|(_, l)| l.1 <= now).map(|(i, _)| *i).collect();
-        for id in over {
-            self.end(id);
+        let expired: Vec<u64> = self.leases.iter().filter(|(_, l)| l.1 <= now).map(|(i, _)| *i).collect();
+        for id in expired {
+            self.revoke_lease(id);
         }
     }
 
-    fn end(&mut self, id: u64) {
+    fn revoke_lease(&mut self, id: u64) {
         self.leases.remove(&id);
         let keys: Vec<String> =
             self.keys.iter().filter(|(_, e)| e.lease == Some(id)).map(|(k, _)| k.clone()).collect();
         for k in keys {
-            self.ledger += 1;
+            self.revision += 1;
             self.keys.remove(&k);
-            self.log.push(Event { put: None, remove: Some(k), v: Value::Null, stamp: self.ledger });
+            self.events.push(Event { put: None, remove: Some(k), v: Value::Null, stamp: self.revision });
         }
     }
 
-    /// After an outage all leases have their full time again.
+    /// Ends an outage; every lease restarts with its full duration.
     pub fn end_outage(&mut self, now: u64) {
         self.unavailable = false;
         for l in self.leases.values_mut() {
@@ -90,30 +94,30 @@
         }
     }
 
-    /// The revision of the last change.
+    /// Revision of the last change.
     pub fn revision(&self) -> u64 {
-        self.ledger
+        self.revision
     }
 
-    /// Keeps none of the changes that there were.
+    /// Discards all past events; a watch from before them gets 410.
     pub fn compact(&mut self) {
-        self.forgotten = self.ledger;
-        self.log.clear();
+        self.compacted_revision = self.revision;
+        self.events.clear();
     }
 
-    /// Whether changes after this revision are not kept any more.
+    /// Whether some events after this revision are compacted.
     pub fn is_compacted(&self, from: u64) -> bool {
-        from < self.forgotten
+        from < self.compacted_revision
     }
 
-    /// The news of a watch, once there are any.
+    /// Response body of a watch, or `None` while it has no events.
     pub fn watch_response(&self, prefix: &str, from: u64) -> Option<Vec<u8>> {
-        let news = self.collect(prefix, from);
-        (!news.is_empty()).then(|| self.news_body(news))
+        let news = self.events_since(prefix, from);
+        (!news.is_empty()).then(|| self.watch_body(news))
     }
 
-    fn collect(&self, prefix: &str, from: u64) -> Vec<Event> {
-        self.log
+    fn events_since(&self, prefix: &str, from: u64) -> Vec<Event> {
+        self.events
             .iter()
             .filter(|e| e.stamp > from)
             .filter(|e| e.put.as_deref().or(e.remove.as_deref()).is_some_and(|k| k.starts_with(prefix)))
@@ -121,8 +125,8 @@
             .collect()
     }
 
-    fn news_body(&self, news: Vec<Event>) -> Vec<u8> {
-        serde_json::to_vec(&News { ledger: self.ledger, news }).unwrap()
+    fn watch_body(&self, news: Vec<Event>) -> Vec<u8> {
+        serde_json::to_vec(&News { ledger: self.revision, news }).unwrap()
     }
 
     /// The value of a key.
@@ -130,22 +134,22 @@
         self.keys.get(key).map(|e| e.value.clone())
     }
 
-    /// The revision of a key's last change, 0 if it is not there.
+    /// Revision of a key's last change, 0 if the key does not exist.
     pub fn key_revision(&self, key: &str) -> u64 {
-        self.keys.get(key).map_or(0, |e| e.stamp)
+        self.keys.get(key).map_or(0, |e| e.revision)
     }
 
-    /// Keys with a prefix.
+    /// All keys with a prefix.
     pub fn keys_with_prefix(&self, prefix: &str) -> Vec<String> {
         self.keys.keys().filter(|k| k.starts_with(prefix)).cloned().collect()
     }
 
-    /// The empty answer of a watch whose time is over.
+    /// Response body of a watch that timed out without events.
     pub fn empty_watch_response(&self) -> Vec<u8> {
-        self.news_body(Vec::new())
+        self.watch_body(Vec::new())
     }
 
-    /// Executes a request.
+    /// Executes an HTTP request of the protocol; `now` is in microseconds.
     pub fn request(&mut self, method: &str, path: &str, body: &[u8], now: u64) -> Outcome {
         if self.unavailable {
             if path.starts_with("/follow") && !path.contains("hold_ms=0") {
@@ -153,183 +157,185 @@
                 let from = q["from"].parse().unwrap();
                 return Outcome::Wait { prefix: q["prefix"].into(), from, until: now + 10_000_000 };
             }
-            return Self::answer(503, json!({}));
+            return Self::json_response(503, json!({}));
         }
         self.expire_leases(now);
         let q = query(path);
         match (method, path.split('?').next().unwrap()) {
             ("GET", "/store") => {
                 let (prefix, from) = (q["prefix"], q.get("from").copied().unwrap_or(""));
-                // Small pages, so that paging is exercised.
+                // At most 7 keys a page, so that clients have to page.
                 let limit = q["limit"].parse::<usize>().unwrap().min(7);
                 let mut rest =
                     self.keys.iter().filter(|(k, _)| k.starts_with(prefix) && k.as_str() > from).peekable();
                 let page = rest.by_ref().take(limit);
-                let pairs: Vec<Pair> =
-                    page.map(|(k, e)| Pair { path: k.clone(), v: e.value.clone(), stamp: e.stamp }).collect();
+                let pairs: Vec<Pair> = page
+                    .map(|(k, e)| Pair { path: k.clone(), v: e.value.clone(), stamp: e.revision })
+                    .collect();
                 let truncated = rest.peek().is_some();
-                Self::answer(200, json!(Listing { pairs, truncated, ledger: self.ledger }))
+                Self::json_response(200, json!(Listing { pairs, truncated, ledger: self.revision }))
             }
             ("GET", "/follow") => {
                 let from: u64 = q["from"].parse().unwrap();
                 if self.is_compacted(from) {
-                    return Self::answer(410, json!({}));
+                    return Self::json_response(410, json!({}));
                 }
-                let news = self.collect(q["prefix"], from);
+                let news = self.events_since(q["prefix"], from);
                 let hold: u64 = q["hold_ms"].parse().unwrap();
                 if news.is_empty() && hold > 0 {
                     return Outcome::Wait { prefix: q["prefix"].into(), from, until: now + hold * 1000 };
                 }
-                Outcome::Answer(200, self.news_body(news))
+                Outcome::Answer(200, self.watch_body(news))
             }
             ("POST", "/multi") => {
                 let m: Multi = serde_json::from_slice(body).unwrap();
-                if let Some(fault) = self.beyond_limits(&m) {
-                    // Without lower limits on the way nobody may come to this.
-                    assert!(self.lowered, "{fault}");
-                    let answer = Self::answer(400, json!({ "error": fault }));
-                    self.refused.push(fault);
+                if let Some(fault) = self.exceeded_limit(&m) {
+                    // Clients must keep to the limits unless these were lowered without
+                    // notice.
+                    assert!(self.limits_lowered, "{fault}");
+                    let answer = Self::json_response(400, json!({ "error": fault }));
+                    self.rejected_transactions.push(fault);
                     return answer;
                 }
-                if let Some(times) = self.unwelcome_put(&m) {
-                    *times += 1;
-                    return Self::answer(400, json!({"error": "unwelcome"}));
+                if let Some(count) = self.rejected_put_counter(&m) {
+                    *count += 1;
+                    return Self::json_response(400, json!({"error": "unwelcome"}));
                 }
-                if !self.afford(m.writes.len(), now) {
-                    self.too_fast += 1;
-                    return Self::answer(429, json!({}));
+                if !self.take_write_budget(m.writes.len(), now) {
+                    self.rate_limited_count += 1;
+                    return Self::json_response(429, json!({}));
                 }
-                self.multi(m)
+                self.apply_transaction(m)
             }
             ("POST", "/grants") => {
                 let v: Value = serde_json::from_slice(body).unwrap();
-                let life = v["life_ms"].as_u64().unwrap() * 1000;
+                let duration = v["life_ms"].as_u64().unwrap() * 1000;
                 self.next_lease += 1;
-                self.leases.insert(self.next_lease, (life, now + life));
-                Self::answer(200, json!({ "hold": self.next_lease }))
+                self.leases.insert(self.next_lease, (duration, now + duration));
+                Self::json_response(200, json!({ "hold": self.next_lease }))
             }
             ("POST", p) => {
                 let id: u64 = p.split('/').nth(2).unwrap().parse().unwrap();
                 match self.leases.get_mut(&id) {
                     Some(l) => {
                         l.1 = now + l.0;
-                        Self::answer(200, json!({ "hold": id }))
+                        Self::json_response(200, json!({ "hold": id }))
                     }
-                    None => Self::answer(404, json!({})),
+                    None => Self::json_response(404, json!({})),
                 }
             }
             ("DELETE", p) => {
                 let id: u64 = p.split('/').nth(2).unwrap().parse().unwrap();
-                self.end(id);
-                Self::answer(200, json!({}))
+                self.revoke_lease(id);
+                Self::json_response(200, json!({}))
             }
             other => panic!("not in the protocol: {other:?}"),
         }
     }
 
-    /// A service with limits.
-    pub fn with_limits(changes: f64, changes_at_once: usize, value_kb: f64) -> Self {
+    /// A service with limits: writes per second, writes in a transaction, and KiB in a value.
+    pub fn with_limits(writes_per_s: f64, max_txn_writes: usize, max_value_kib: f64) -> Self {
         StateService {
-            changes: (changes, changes, 0),
-            changes_at_once,
-            value_limit: (value_kb * 1024.0) as usize,
+            write_budget: (writes_per_s, writes_per_s, 0),
+            max_txn_writes,
+            max_value_bytes: (max_value_kib * 1024.0) as usize,
             ..StateService::default()
         }
     }
 
-    /// Other limits apply from now on; nobody is told.
-    pub fn lower_limits(&mut self, changes: f64, changes_at_once: usize, value_kb: f64) {
-        self.changes.0 = changes;
-        self.changes.1 = self.changes.1.min(changes);
-        self.changes_at_once = changes_at_once;
-        self.value_limit = (value_kb * 1024.0) as usize;
-        self.lowered = true;
+    /// Replaces the limits without notifying clients.
+    pub fn lower_limits(&mut self, writes_per_s: f64, max_txn_writes: usize, max_value_kib: f64) {
+        self.write_budget.0 = writes_per_s;
+        self.write_budget.1 = self.write_budget.1.min(writes_per_s);
+        self.max_txn_writes = max_txn_writes;
+        self.max_value_bytes = (max_value_kib * 1024.0) as usize;
+        self.limits_lowered = true;
     }
 
-    /// What was refused for its size or its number of changes since the limits
-    /// were lowered.
+    /// Why transactions were rejected since the limits were lowered: a value too
+    /// long, or too many writes.
     pub fn rejected_transactions(&self) -> &[String] {
-        &self.refused
+        &self.rejected_transactions
     }
 
-    /// How often changes came beyond the rate.
+    /// Number of transactions rejected for exceeding the write rate.
     pub fn rate_limited_count(&self) -> usize {
-        self.too_fast
+        self.rate_limited_count
     }
 
-    /// Calls every put of a key wrong from now on.
+    /// Rejects every put of a key as invalid from now on.
     pub fn reject_puts_of(&mut self, key: &str) {
-        self.unwelcome.insert(key.to_owned(), 0);
+        self.rejected_puts.insert(key.to_owned(), 0);
     }
 
-    /// How often a put of a key was called wrong.
+    /// Number of rejected puts of a key.
     pub fn rejected_put_count(&self, key: &str) -> usize {
-        self.unwelcome.get(key).copied().unwrap_or(0)
+        self.rejected_puts.get(key).copied().unwrap_or(0)
     }
 
-    fn unwelcome_put(&mut self, m: &Multi) -> Option<&mut usize> {
+    fn rejected_put_counter(&mut self, m: &Multi) -> Option<&mut usize> {
         let key = m.writes.iter().find_map(|w| match w {
-            Write::Put { put, .. } if self.unwelcome.contains_key(put) => Some(put),
+            Write::Put { put, .. } if self.rejected_puts.contains_key(put) => Some(put),
             _ => None,
         })?;
-        self.unwelcome.get_mut(key)
+        self.rejected_puts.get_mut(key)
     }
 
-    fn beyond_limits(&self, m: &Multi) -> Option<String> {
-        if m.writes.len() > self.changes_at_once {
+    fn exceeded_limit(&self, m: &Multi) -> Option<String> {
+        if m.writes.len() > self.max_txn_writes {
             return Some(format!("{} changes at once", m.writes.len()));
         }
         m.writes.iter().find_map(|w| match w {
-            Write::Put { put, v, .. } if v.to_string().len() > self.value_limit => {
+            Write::Put { put, v, .. } if v.to_string().len() > self.max_value_bytes => {
                 Some(format!("{put} is too long"))
             }
             _ => None,
         })
     }
 
-    /// Whether the budget has room for `n` changes; they are taken from it.
-    fn afford(&mut self, n: usize, now: u64) -> bool {
-        let (rate, left, at) = self.changes;
+    /// Takes `n` writes from the budget; false, and nothing taken, if it is short of them.
+    fn take_write_budget(&mut self, n: usize, now: u64) -> bool {
+        let (rate, left, at) = self.write_budget;
         let left = (left + now.saturating_sub(at) as f64 / 1e6 * rate).min(rate);
         let enough = left >= n as f64;
-        self.changes = (rate, if enough { left - n as f64 } else { left }, now);
+        self.write_budget = (rate, if enough { left - n as f64 } else { left }, now);
         enough
     }
 
-    fn multi(&mut self, m: Multi) -> Outcome {
+    fn apply_transaction(&mut self, m: Multi) -> Outcome {
         for w in &m.writes {
             if let Write::Put { hold: Some(h), .. } = w
                 && !self.leases.contains_key(h)
             {
-                return Self::answer(400, json!({"error": "no such lease"}));
+                return Self::json_response(400, json!({"error": "no such lease"}));
             }
         }
         let failed: Vec<&str> = m
             .when
             .iter()
-            .filter(|c| self.keys.get(&c.path).map_or(0, |e| e.stamp) != c.stamp)
+            .filter(|c| self.keys.get(&c.path).map_or(0, |e| e.revision) != c.stamp)
             .map(|c| c.path.as_str())
             .collect();
         if !failed.is_empty() {
-            return Self::answer(409, json!({"failed": failed, "ledger": self.ledger}));
+            return Self::json_response(409, json!({"failed": failed, "ledger": self.revision}));
         }
         if !m.writes.is_empty() {
-            self.ledger += 1;
+            self.revision += 1;
         }
-        let stamp = self.ledger;
+        let stamp = self.revision;
         for w in m.writes {
             match w {
                 Write::Put { put, v, hold } => {
-                    self.log.push(Event { put: Some(put.clone()), remove: None, v: v.clone(), stamp });
-                    self.keys.insert(put, Entry { value: v, stamp, lease: hold });
+                    self.events.push(Event { put: Some(put.clone()), remove: None, v: v.clone(), stamp });
+                    self.keys.insert(put, Entry { value: v, revision: stamp, lease: hold });
                 }
                 Write::Remove { remove } => {
                     if self.keys.remove(&remove).is_some() {
-                        self.log.push(Event { put: None, remove: Some(remove), v: Value::Null, stamp });
+                        self.events.push(Event { put: None, remove: Some(remove), v: Value::Null, stamp });
                     }
                 }
             }
         }
-        Self::answer(200, json!({"ledger": self.ledger}))
+        Self::json_response(200, json!({"ledger": self.revision}))
     }
 }
--- a/crates/standins/src/worker.rs
+++ b/crates/standins/src/worker.rs
@@ -1,95 +1,96 @@
-//! Stand-in for a machine with its worker, written from the protocol.
+//! Stand-in for a machine and its worker agent, implemented from the protocol.
 use gorseshore_protocol::workers::{Direct, Order, Piece, Report};
 
-/// Where a task stands; times are microseconds of the caller's clock.
+/// State of a task; times are in microseconds of the caller's clock.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Stage {
-    /// Has its image at that time.
+    /// Pulls its image until this time.
     PullingImage(u64),
-    /// Completes at that time.
+    /// Runs, and completes at this time.
     Running(u64),
-    /// Has saved at that time.
+    /// Was told to halt and saves its progress until this time.
     Checkpointing(u64),
-    /// Ended, for this cause.
+    /// Exited with this cause.
     Exited(&'static str),
 }
 
 /// A task on the machine.
 #[derive(Debug, Clone)]
 pub struct Task {
-    /// Job and index, as `j-000412/3`.
+    /// Job id and task index, as `j-000412/3`.
     pub name: String,
-    /// Attempt.
+    /// Attempt of the task.
     pub attempt: u64,
-    /// Where it stands.
+    /// State.
     pub stage: Stage,
 }
 
 impl Task {
-    /// From having its image until it ends.
+    /// Whether the task has its image and has not exited.
     pub fn is_running(&self) -> bool {
         matches!(self.stage, Stage::Running(_) | Stage::Checkpointing(_))
     }
 }
 
-/// The machine.
+/// A machine with its worker agent; times are in microseconds of the caller's clock.
 pub struct Machine {
-    /// Name, which is its address too in worlds in memory.
+    /// Name; also the machine's address in in-memory simulations.
     pub name: String,
-    /// Type.
+    /// Machine type.
     pub machine_type: String,
     /// Zone.
     pub zone: String,
-    /// Spot.
+    /// Whether it is a spot machine.
     pub spot: bool,
     /// CPUs.
     pub cpus: f64,
-    /// When it is up.
+    /// When it has booted.
     pub up_at: u64,
-    /// Does nothing until then.
+    /// Does nothing until this time.
     pub hung_until: u64,
-    /// Out of reach until then.
+    /// Unreachable over the network until this time.
     pub unreachable_until: u64,
-    /// Every task fails.
+    /// Every running task fails.
     pub fails_all_tasks: bool,
-    /// Session.
+    /// Agent epoch; increases when the agent loses its tasks.
     pub agent_epoch: u64,
-    /// Number of the last report or answer.
+    /// Sequence number of the last report or command response.
     pub sequence: u64,
-    /// Highest token seen.
+    /// Highest fencing token seen.
     pub fencing_token: u64,
-    /// Tasks, with those that exited and are not cleared.
+    /// Tasks, including exited ones that are not cleared yet.
     pub tasks: Vec<Task>,
-    /// Which controller it reports to.
+    /// Index of the controller that it reports to.
     pub target_controller: usize,
-    /// When the next report is due.
+    /// Earliest time of the next report.
     pub next_report_at: u64,
-    /// The open report: its number, when it was sent, its session.
+    /// The unanswered report: a number that identifies the request, when it was sent, its
+    /// agent epoch.
     pub outstanding_report: Option<(u64, u64, u64)>,
-    /// What the lease counts from.
+    /// Start of the current lease.
     pub lease_start: u64,
-    /// When the last report went out.
+    /// When the last report was sent.
     pub last_report_at: u64,
-    /// Something is to be reported.
+    /// Whether there are changes that no report contains yet.
     pub has_changes: bool,
 }
 
-/// What the worker knows of a job from its user.
+/// How the tasks of a job behave on a worker.
 pub struct TaskProfile {
-    /// CPUs of a task.
+    /// CPUs per task.
     pub cpus: f64,
-    /// Run time; none for replicas.
+    /// Run time in microseconds; `None` for service tasks, which run until they are stopped.
     pub run_us: Option<u64>,
-    /// Number of tasks.
+    /// Number of tasks in the job.
     pub tasks: u32,
-    /// Time to save; none if the task never saves.
+    /// Time to save progress in microseconds; `None` if the task never saves.
     pub checkpoint_us: Option<u64>,
-    /// It fails instead of completing.
+    /// The task fails instead of completing.
     pub fails: bool,
 }
 
 impl Machine {
-    /// A machine that is up at a time; nothing runs on it.
+    /// A machine without tasks that has booted at `up_at`.
     pub fn new(name: &str, (build, zone, spot): (&str, &str, bool), cpus: f64, up_at: u64) -> Self {
         Machine {
             name: name.to_owned(),
@@ -114,7 +115,7 @@
         }
     }
 
-    /// The report as of now; each has a number of its own.
+    /// Builds a report of the current state with the next sequence number.
     pub fn report(&mut self) -> Report {
         self.sequence += 1;
         Report {
@@ -149,7 +150,7 @@
         }
     }
 
-    /// The lease ran out: everything is killed and forgotten.
+    /// If the lease has expired, kills and removes all tasks and starts a new agent epoch.
     pub fn enforce_lease(&mut self, now: u64, lease: u64) {
         if now > self.lease_start + lease {
             self.tasks.clear();
@@ -159,22 +160,22 @@
         }
     }
 
-    /// Executes orders in their order.
-    pub fn execute(&mut self, orders: &[Order], facts: &dyn Fn(&str) -> Option<TaskProfile>, now: u64) {
+    /// Executes commands in the given order.
+    pub fn execute(&mut self, orders: &[Order], profile_of: &dyn Fn(&str) -> Option<TaskProfile>, now: u64) {
         for o in orders {
             self.has_changes = true;
             let at = self.tasks.iter().position(|t| t.name == o.piece && t.attempt == o.attempt);
             match (o.verb.as_str(), at) {
                 ("run", Some(_)) => {}
                 ("run", None) => {
-                    let used: f64 = self
+                    let used_cpus: f64 = self
                         .tasks
                         .iter()
                         .filter(|t| !matches!(t.stage, Stage::Exited(_)))
-                        .filter_map(|t| facts(&t.name))
+                        .filter_map(|t| profile_of(&t.name))
                         .map(|f| f.cpus)
                         .sum();
-                    let stage = match facts(&o.piece) {
+                    let stage = match profile_of(&o.piece) {
                         None => Stage::Exited("no_such"),
                         Some(_)
                             if self
@@ -184,16 +185,16 @@
                         {
                             Stage::Exited("busy")
                         }
-                        Some(f) if used + f.cpus > self.cpus + 1e-9 => Stage::Exited("no_room"),
+                        Some(f) if used_cpus + f.cpus > self.cpus + 1e-9 => Stage::Exited("no_room"),
                         Some(_) => Stage::PullingImage(now + 400_000),
                     };
                     self.tasks.push(Task { name: o.piece.clone(), attempt: o.attempt, stage });
                 }
                 ("halt", Some(i)) => {
                     let grace = (o.wind_down_s.unwrap_or(0.0) * 1e6) as u64;
-                    let save = facts(&o.piece).and_then(|f| f.checkpoint_us);
+                    let checkpoint_us = profile_of(&o.piece).and_then(|f| f.checkpoint_us);
                     let t = &mut self.tasks[i];
-                    t.stage = match (t.stage, save) {
+                    t.stage = match (t.stage, checkpoint_us) {
                         (Stage::Exited(c), _) => Stage::Exited(c),
                         (Stage::Running(_), Some(s)) if grace >= s => Stage::Checkpointing(now + s),
                         (Stage::Checkpointing(until), _) if grace > 0 => Stage::Checkpointing(until),
@@ -208,24 +209,30 @@
         }
     }
 
-    /// `POST /do`.
-    pub fn apply_command_request(&mut self, d: &Direct, facts: &dyn Fn(&str) -> Option<TaskProfile>, now: u64) -> (u16, Vec<u8>) {
-        let ok = d.baton >= self.fencing_token && d.shift == self.agent_epoch;
-        if ok {
+    /// Handles `POST /do`: executes the commands unless the fencing token or the agent
+    /// epoch is outdated. Returns HTTP status and body.
+    pub fn apply_command_request(
+        &mut self,
+        d: &Direct,
+        profile_of: &dyn Fn(&str) -> Option<TaskProfile>,
+        now: u64,
+    ) -> (u16, Vec<u8>) {
+        let accepted = d.baton >= self.fencing_token && d.shift == self.agent_epoch;
+        if accepted {
             if d.baton > self.fencing_token {
                 self.fencing_token = d.baton;
                 self.has_changes = true;
             }
-            self.execute(&d.orders, facts, now);
+            self.execute(&d.orders, profile_of, now);
         }
-        (if ok { 200 } else { 409 }, serde_json::to_vec(&self.report()).unwrap())
+        (if accepted { 200 } else { 409 }, serde_json::to_vec(&self.report()).unwrap())
     }
 
-    /// Lets time pass for the tasks; true if one got its image.
-    pub fn advance(&mut self, facts: &dyn Fn(&str) -> Option<TaskProfile>, now: u64) -> Vec<String> {
+    /// Advances the tasks to `now`; returns the names of those that started to run.
+    pub fn advance(&mut self, profile_of: &dyn Fn(&str) -> Option<TaskProfile>, now: u64) -> Vec<String> {
         let mut started = Vec::new();
         for t in &mut self.tasks {
-            let f = facts(&t.name);
+            let f = profile_of(&t.name);
             let fails = f.as_ref().is_some_and(|f| f.fails);
             let next = match t.stage {
                 Stage::PullingImage(at) if now >= at => {
