--- a/crates/standins/src/main.rs
+++ b/crates/standins/src/main.rs
@@ -157,8 +157,8 @@
     let sizing = Sizing {
         machines: to_usize(&a.machines),
         controllers: to_usize(&a.controllers),
-        past: to_usize(&a.past),
-        waiting: to_usize(&a.waiting),
+        past_jobs: to_usize(&a.past),
+        pending_jobs: to_usize(&a.waiting),
     };
     match gorseshore_standins::scale::run(&sizing) {
         Ok(table) => {
--- a/crates/standins/src/scale.rs
+++ b/crates/standins/src/scale.rs
@@ -24,9 +24,9 @@
     /// Numbers of controllers, up to 15.
     pub controllers: Vec<usize>,
     /// Numbers of past jobs.
-    pub past: Vec<usize>,
+    pub past_jobs: Vec<usize>,
     /// Numbers of pending jobs for which there is no free capacity.
-    pub waiting: Vec<usize>,
+    pub pending_jobs: Vec<usize>,
 }
 
 /// Why a measurement failed.
@@ -36,14 +36,14 @@
     #[error("a job of the measurement was rejected: {0}")]
     Job(String),
     /// An expected state was not reached in time.
-    #[error("{machines} machines, {controllers} controllers: {what}")]
+    #[error("{machines} machines, {controllers} controllers: {unreached}")]
     Timeout {
         /// Machines.
         machines: usize,
         /// Controllers.
         controllers: usize,
         /// Description of the missing state.
-        what: &'static str,
+        unreached: &'static str,
     },
     /// A record could not be parsed.
     #[error("cannot parse a record: {0}")]
@@ -155,7 +155,7 @@
                 return Ok(b);
             }
         }
-        Err(ScaleError::Timeout { machines, controllers, what: "not all service tasks run" })
+        Err(ScaleError::Timeout { machines, controllers, unreached: "not all service tasks run" })
     }
 
     fn submit_job(&mut self, kind: &str, tasks: u32, cpus: f64) -> Result<JobId, ScaleError> {
@@ -299,7 +299,7 @@
                 return Err(ScaleError::Timeout {
                     machines,
                     controllers,
-                    what: "not all tasks are assigned",
+                    unreached: "not all tasks are assigned",
                 });
             }
         }
@@ -327,10 +327,10 @@
     }
 }
 
-/// Milliseconds of work per second for the leader of a full fleet while `waiting` jobs
+/// Milliseconds of work per second for the leader of a full fleet while `pending_jobs` jobs
 /// of ten tasks are pending, a tenth of them with the highest priority: for its
 /// scheduling passes, and for its autoscaling decisions while nothing is rented.
-fn measure_backlog(waiting: usize, machines: usize) -> Result<(f64, f64), ScaleError> {
+fn measure_backlog(pending_jobs: usize, machines: usize) -> Result<(f64, f64), ScaleError> {
     let mut b = Bench::new(machines, 3)?;
     // Fills the remaining capacity.
     for _ in 0..machines * CPUS as usize {
@@ -342,7 +342,7 @@
         b.run_leader();
         b.send_heartbeats();
     }
-    for i in 0..waiting {
+    for i in 0..pending_jobs {
         if i % 10 == 0 {
             b.submit_job("standing", 10, CPUS)?;
         } else {
@@ -371,11 +371,11 @@
     Ok((passes * ms_per_s, rentals * ms_per_s))
 }
 
-/// Seconds that a new leader with `past` past jobs takes to parse and apply the records,
+/// Seconds that a new leader with `past_jobs` past jobs takes to parse and apply the records,
 /// and seconds to start its term.
-fn measure_recovery(past: usize, machines: usize) -> Result<(f64, f64), ScaleError> {
+fn measure_recovery(past_jobs: usize, machines: usize) -> Result<(f64, f64), ScaleError> {
     let mut rows: Vec<(String, String)> = Vec::new();
-    for i in 0..past as u64 {
+    for i in 0..past_jobs as u64 {
         let id = JobId(1000 + i);
         rows.push((keys::job(id), job_record(id.0, "array", 40, 4.0)?.to_string()));
         rows.push((keys::end(id), json!({"end": "done", "at": 1_000_000}).to_string()));
@@ -457,7 +457,7 @@
     }
     out += "past jobs   records read s   term begun s\n";
     let mut reads = Vec::new();
-    for past in &s.past {
+    for past in &s.past_jobs {
         let (read, began) = measure_recovery(*past, s.machines.first().copied().unwrap_or(300))?;
         let _ = writeln!(out, "{past:>9} {read:>16.3} {began:>14.4}");
         reads.push((*past as f64, read + began));
@@ -465,7 +465,7 @@
     let _ = writeln!(out, "slope over past jobs {:.2}", slope(&reads));
     out += "waiting jobs   passes ms a s   rentals ms a s\n";
     let mut elapsed = Vec::new();
-    for waiting in &s.waiting {
+    for waiting in &s.pending_jobs {
         let (passes, rentals) = measure_backlog(*waiting, s.machines.first().copied().unwrap_or(300))?;
         let _ = writeln!(out, "{waiting:>12} {passes:>15.1} {rentals:>16.1}");
         elapsed.push((*waiting as f64, passes + rentals));
@@ -483,8 +483,8 @@
         let s = Sizing {
             machines: vec![150, 300],
             controllers: vec![1, 3],
-            past: vec![100, 1000],
-            waiting: vec![50, 200],
+            past_jobs: vec![100, 1000],
+            pending_jobs: vec![50, 200],
         };
         let t = run(&s).unwrap();
         assert_eq!(t.lines().filter(|l| l.starts_with("slope")).count(), 5, "{t}");
--- a/crates/standins/src/site.rs
+++ b/crates/standins/src/site.rs
@@ -129,11 +129,11 @@
 /// A rented machine.
 struct RentedMachine {
     machine: Arc<Mutex<Machine>>,
-    build: String,
+    machine_type: String,
     zone: String,
     spot: bool,
     addr: SocketAddr,
-    since: Instant,
+    rented_at: Instant,
 }
 
 /// State that all components of the site share.
@@ -168,7 +168,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum SiteError {
     /// An I/O error, for example no free socket.
-    #[error("cannot set up the site on loopback: {0}")]
+    #[error("I/O error of the loopback site: {0}")]
     Io(#[from] std::io::Error),
     /// The operator settings or the generated platform settings are invalid.
     #[error("{0}")]
@@ -244,11 +244,11 @@
     fn record_machine(&self, m: &Machine) {
         let Some(recorder) = &self.recorder else { return };
         let id = |name: &str| TaskId::parse(name).map(|task| (task.job.0, task.index));
-        let on = m.tasks.iter().filter(|t| t.is_running()).filter_map(|t| id(&t.name)).collect();
+        let running = m.tasks.iter().filter(|t| t.is_running()).filter_map(|t| id(&t.name)).collect();
         let done = m.tasks.iter().filter(|t| t.stage == Stage::Exited("done"));
         let completed = done.filter_map(|t| id(&t.name)).collect();
         let view = MachineView { machine: &m.name, zone: &m.zone, spot: m.spot };
-        recorder.record_machine(view, on, &completed, self.now());
+        recorder.record_machine(view, running, &completed, self.now());
     }
 
     fn now(&self) -> u64 {
@@ -482,11 +482,11 @@
     /// Names of the tasks that run now, as `j-000412/3`.
     pub fn running_tasks(&self) -> Vec<String> {
         let Ok(machines) = self.shared.machines.lock() else { return Vec::new() };
-        let on = |r: &RentedMachine| {
+        let running = |r: &RentedMachine| {
             let m = r.machine.lock().ok()?;
             Some(m.tasks.iter().filter(|t| t.is_running()).map(|t| t.name.clone()).collect::<Vec<_>>())
         };
-        machines.values().filter_map(on).flatten().collect()
+        machines.values().filter_map(running).flatten().collect()
     }
 }
 
@@ -575,11 +575,11 @@
                     .map(|(name, r)| Rental {
                         name: name.clone(),
                         addr: r.addr.to_string(),
-                        build: r.build.clone(),
+                        build: r.machine_type.clone(),
                         yard: r.zone.clone(),
                         loaners: r.spot,
                         stage: "running".into(),
-                        held_s: r.since.elapsed().as_secs_f64(),
+                        held_s: r.rented_at.elapsed().as_secs_f64(),
                     })
                     .collect();
                 let truncated = hosts.len() == 500;
@@ -597,9 +597,9 @@
     let cpus = flavors().iter().find(|f| f.sku == h.build).map_or(1.0, |f| f.cpus);
     let machine = Machine::new(name, (&h.build, &h.yard, h.loaners), cpus, shared.now());
     let machine = Arc::new(Mutex::new(machine));
-    let (direct, at) = (machine.clone(), shared.clone());
+    let (served_machine, server_shared) = (machine.clone(), shared.clone());
     let addr = serve(Arc::new(move |_, path, body| {
-        let Ok(mut m) = direct.lock() else { return (500, Vec::new()) };
+        let Ok(mut m) = served_machine.lock() else { return (500, Vec::new()) };
         if m.hung_until > 0 {
             // The machine is deleted.
             return (503, Vec::new());
@@ -608,27 +608,31 @@
             return (200, serde_json::to_vec(&m.report()).unwrap_or_default());
         }
         let Ok(d) = serde_json::from_slice::<Direct>(body) else { return (400, Vec::new()) };
-        let answer = m.apply_command_request(&d, &|task_name| at.task_profile(task_name), at.now());
-        at.record_machine(&m);
+        let answer = m.apply_command_request(
+            &d,
+            &|task_name| server_shared.task_profile(task_name),
+            server_shared.now(),
+        );
+        server_shared.record_machine(&m);
         answer
     }))?;
-    let (reporter, at) = (machine.clone(), shared.clone());
-    std::thread::spawn(move || run_heartbeats(&reporter, &at, addr));
+    let (reporting_machine, reporter_shared) = (machine.clone(), shared.clone());
+    std::thread::spawn(move || run_heartbeats(&reporting_machine, &reporter_shared, addr));
     Ok(RentedMachine {
         machine,
-        build: h.build.clone(),
+        machine_type: h.build.clone(),
         zone: h.yard.clone(),
         spot: h.loaners,
         addr,
-        since: Instant::now(),
+        rented_at: Instant::now(),
     })
 }
 
 /// Sends heartbeats as the protocol requires: to the controller that a 421 response names,
 /// otherwise to the next one after a failure.
 fn run_heartbeats(machine: &Mutex<Machine>, shared: &Shared, addr: SocketAddr) {
-    let mut to = 0;
-    let mut last = 0;
+    let mut target = 0;
+    let mut last_sent = 0;
     let mut connection = KeepAliveConnection::default();
     loop {
         std::thread::sleep(Duration::from_millis(40));
@@ -641,7 +645,7 @@
             m.enforce_lease(now, WORKER_LEASE_US);
             m.advance(&|task_name| shared.task_profile(task_name), now);
             shared.record_machine(&m);
-            let due = now >= last + 2_000_000 || m.has_changes && now >= last + 500_000;
+            let due = now >= last_sent + 2_000_000 || m.has_changes && now >= last_sent + 500_000;
             if !due {
                 continue;
             }
@@ -650,13 +654,13 @@
             r.addr = addr.to_string();
             serde_json::to_string(&r).unwrap_or_default()
         };
-        last = now;
+        last_sent = now;
         let targets = shared.worker_targets.lock().map(|n| n.clone()).unwrap_or_default();
         if targets.is_empty() {
             continue;
         }
         let answer =
-            connection.call(targets[to % targets.len()], "POST", "/checkin", &body, HEARTBEAT_TIMEOUT);
+            connection.call(targets[target % targets.len()], "POST", "/checkin", &body, HEARTBEAT_TIMEOUT);
         let Ok(mut m) = machine.lock() else { return };
         match answer {
             Some((200, v)) => {
@@ -672,12 +676,12 @@
             }
             Some((421, v)) => {
                 let holder = v["foreman"].as_str().and_then(|s| s[1..].parse::<usize>().ok());
-                to = holder.filter(|n| *n != to).unwrap_or(to + 1) % targets.len();
-                last = now.saturating_sub(1_800_000);
+                target = holder.filter(|n| *n != target).unwrap_or(target + 1) % targets.len();
+                last_sent = now.saturating_sub(1_800_000);
             }
             _ => {
-                to = (to + 1) % targets.len();
-                last = now.saturating_sub(1_000_000);
+                target = (target + 1) % targets.len();
+                last_sent = now.saturating_sub(1_000_000);
             }
         }
     }
