--- a/crates/core/src/leader/machine.rs
+++ b/crates/core/src/leader/machine.rs
@@ -51,7 +51,7 @@
     /// The newest report of its worker that anybody told of, and who.
     pub(super) newest: ReportNo,
     pub(super) newest_from: Option<NodeId>,
-    pub(super) hearing: deaf::Hearing,
+    pub(super) hearing: command_reachability::CommandReachability,
     pub(super) held_heard: Micros,
     pub(super) moved_at: Micros,
     pub(super) granted_at: Micros,
@@ -60,7 +60,7 @@
     pub(super) stamp: u64,
     pub(super) idle_since: Option<Micros>,
     /// Its place among those with room.
-    pub(super) placed: Option<room::Placed>,
+    pub(super) placed: Option<capacity_index::IndexEntry>,
     pub(super) draining: Option<&'static str>,
     /// Failures since something ran well on it, by job.
     pub(super) failed_jobs: BTreeMap<JobId, u32>,
@@ -108,7 +108,7 @@
             heard: None,
             newest: ReportNo::default(),
             newest_from: None,
-            hearing: deaf::Hearing::new(now),
+            hearing: command_reachability::CommandReachability::new(now),
             held_heard: Micros(0),
             moved_at: Micros(0),
             granted_at: now,
@@ -186,7 +186,7 @@
             && self.recorded
             && self.confirmed
             && self.draining.is_none()
-            && self.hearing.obeys
+            && self.hearing.acknowledges_commands
             && self.warning.is_none()
     }
 }
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -1,44 +1,44 @@
 //! The leader: which machines there are, which controller holds them, where
 //! each task is bound, and what goes next.
 mod assignments;
+mod autoscaling;
 mod bindings;
 mod blocks;
 mod books;
 mod cancelled;
+mod capacity_index;
 pub mod changes;
-mod deaf;
+mod command_reachability;
 mod dependents;
-pub mod growth;
-pub mod health;
+mod intents;
+mod job_run;
 mod machine;
-mod machines;
 mod messages;
-mod overdue;
+pub mod network_paths;
+pub mod pending_reasons;
 mod records;
-mod room;
-mod run;
+pub mod scaling_limits;
 mod schedule;
+mod starvation;
 #[cfg(test)]
 mod tests;
-pub mod waits;
-pub mod ways;
-mod wishes;
+pub mod zone_health;
 
 use crate::lateness::Lateness;
 use assignments::{AssignedTasks, Handed, may_hold};
+use intents::ScaleOutStage;
+pub use intents::{CloudRequest, LeaderWrite, ScaleOutRequest};
+use job_run::{Binding, FAULTY_JOB_FAILURES, JobRun};
 pub use machine::{Machine, Stage};
-use run::{Binding, MISTAKEN, Run};
-use wishes::HireStage;
-pub use wishes::{CloudWish, HireRequest, LeaderWrite};
 
 use crate::books::Ledgers;
 use crate::controller::{MachineSizes, PROBE_AFTER, PROBE_TIMEOUT};
 use crate::dependencies::Urgency;
 use crate::fair_queue::FairQueue;
-use crate::fleet::{self, Demand, Offer, Policy, Room, Want};
+use crate::fleet::{self, Demand, MachineCapacity, Offer, RentalKind, ScalingPolicy};
 use crate::jobs::{Failures, Job, Ledger, MachineRecord, Phase, TaskSet};
-use crate::leader::health::{Health, Sight, Turn};
-use crate::leader::ways::Ways;
+use crate::leader::network_paths::NetworkPaths;
+use crate::leader::zone_health::{ZoneHealth, ZoneObservation, ZoneTransition};
 use crate::peer::pacing::Pacer;
 use crate::peer::{
     Assignment, AssignmentOutcome, GrantedMachine, MachineState, Message, StopRequest, TaskState,
@@ -201,7 +201,7 @@
     version: u64,
     /// Deletions told before this are forgotten.
     forgotten: u64,
-    jobs: BTreeMap<JobId, Run>,
+    jobs: BTreeMap<JobId, JobRun>,
     /// Cancelled jobs that are not proven to be nowhere, and by when their tasks have to
     /// be gone.
     aborted: BTreeMap<JobId, Micros>,
@@ -225,20 +225,20 @@
     /// Bound tasks: what teams use of CPUs and GPUs, and how many are of arrays.
     sums: Sums,
     stops: BTreeMap<(TaskId, Attempt), (StopRequest, Micros)>,
-    hires: BTreeMap<String, (HireRequest, HireStage, Micros)>,
+    hires: BTreeMap<String, (ScaleOutRequest, ScaleOutStage, Micros)>,
     refused: BTreeMap<(String, String, bool), Micros>,
     /// Spot machines that were rented of late: when, and how many.
     spot_had: VecDeque<(Micros, usize)>,
     /// Zones, as far as they are heard.
-    health: Health,
+    health: ZoneHealth,
     /// When the ways to the zones opened.
-    ways: Ways,
+    ways: NetworkPaths,
     /// Arrays of which more is done than was recorded when last looked at.
     progressed: BTreeSet<JobId>,
     /// Machines with room, in order.
-    rooms: room::Rooms,
+    rooms: capacity_index::CapacityIndex,
     /// Jobs that wait, in order; `requeue`: some began to wait since.
-    waiting: schedule::Waiting,
+    waiting: schedule::PendingJobs,
     requeue: bool,
     /// Something changed: schedule.
     pub dirty: bool,
@@ -313,11 +313,11 @@
             hires: BTreeMap::new(),
             refused: BTreeMap::new(),
             spot_had: VecDeque::new(),
-            health: Health::default(),
-            ways: Ways::default(),
+            health: ZoneHealth::default(),
+            ways: NetworkPaths::default(),
             progressed: BTreeSet::new(),
-            rooms: room::Rooms::default(),
-            waiting: schedule::Waiting::new(),
+            rooms: capacity_index::CapacityIndex::default(),
+            waiting: schedule::PendingJobs::new(),
             requeue: true,
             dirty: true,
             fleet_at: now,
@@ -379,11 +379,11 @@
             for (index, b) in &r.bound {
                 let task = TaskId { job: *job, index: *index };
                 sums.bound(&r.spec);
-                if let Some(h) = &b.handed {
+                if let Some(h) = &b.unresolved_assignment {
                     handed.watch(task, h.watched.as_ref());
                     self.check_watched(task, b.attempt, h)?;
                 }
-                for id in &b.on {
+                for id in &b.reported_on {
                     on.entry(id).or_default().insert(task);
                 }
             }
@@ -394,7 +394,7 @@
         if sums != kept {
             return Err(format!("bound tasks: {kept:?} kept, {sums:?} counted"));
         }
-        self.check_rooms()?;
+        self.check_capacity_index()?;
         if handed != self.handed {
             return Err(format!("handed: {:?} kept, {handed:?} counted", self.handed));
         }
@@ -403,7 +403,7 @@
             if m.bound != counted {
                 return Err(format!("bound to {id}: {:?} kept, {counted:?} counted", m.bound));
             }
-            if !m.stale && m.used != schedule::used(m, &self.jobs) {
+            if !m.stale && m.used != schedule::used_resources(m, &self.jobs) {
                 return Err(format!("used of {id}: {:?} kept", m.used));
             }
         }
@@ -449,18 +449,18 @@
                 let Some(spec) = &job.spec else { return };
                 match self.jobs.get_mut(&id) {
                     None => {
-                        let mut run = Run::new(job, spec.clone(), &self.ctx.objectives);
+                        let mut run = JobRun::new(job, spec.clone(), &self.ctx.objectives);
                         run.held = !spec.after.is_empty() || !ledger.dependencies.released(id);
                         if run.held {
                             self.held.insert(id);
                         } else {
-                            run.ready_at(ledger.released_ms(id));
+                            run.set_ready_ms(ledger.released_ms(id));
                         }
                         self.jobs.insert(id, run);
                         self.inherit_urgency(id, ledger);
                     }
                     Some(run) => {
-                        for index in run.recorded(job, spec) {
+                        for index in run.apply_record(job, spec) {
                             self.books.note(TaskId { job: id, index });
                         }
                     }
@@ -476,7 +476,7 @@
         if job.phase != Phase::Active
             && let Some(run) = self.jobs.get_mut(&id)
         {
-            run.over = true;
+            run.ended = true;
             for index in std::mem::take(&mut run.unrecorded) {
                 self.books.note(TaskId { job: id, index });
             }
@@ -509,7 +509,7 @@
             self.requeue = true;
             if let Some(run) = self.jobs.get_mut(&id) {
                 run.held = false;
-                run.ready_at(ledger.released_ms(id));
+                run.set_ready_ms(ledger.released_ms(id));
             }
             self.inherit_urgency(id, ledger);
         }
--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -95,7 +95,7 @@
     /// What is written of failures goes into the records.
     fn save_failures(&mut self, stamp: u64) {
         for w in self.leader.writes(&self.ledger, 4000, self.now) {
-            if let LeaderWrite::Failures(id, chunk) = w {
+            if let LeaderWrite::FailureCounts(id, chunk) = w {
                 let v = json!(self.leader.failures(id, chunk).unwrap());
                 self.ledger.apply(&keys::failed(id, chunk), Some(&v), stamp);
                 self.leader.job_changed(id, &self.ledger, self.now);
@@ -252,12 +252,12 @@
             },
             false,
         ),
-        ("its machine is deleted", |b, _| b.leader.deleted(&[m("m0")], b.now), true),
+        ("its machine is deleted", |b, _| b.leader.deletion_confirmed(&[m("m0")], b.now), true),
         (
             "a deletion that nobody confirmed",
             |b, _| {
                 b.leader.delete(&m("m0"), "test", b.now);
-                b.leader.delete_failed(&[m("m0")], b.now);
+                b.leader.deletion_unconfirmed(&[m("m0")], b.now);
             },
             false,
         ),
@@ -468,19 +468,19 @@
             let spec = b.leader.jobs[&JobId(1 + i as u64)].spec.clone();
             demands.push(Demand {
                 spec,
-                waiting: *tasks,
-                starving: false,
-                thirsty: false,
+                pending_tasks: *tasks,
+                starved: false,
+                on_demand_allowed: false,
                 zones: BTreeMap::new(),
             });
         }
-        b.leader.keep_to_limits(&mut demands);
-        assert_eq!(demands.iter().map(|d| d.waiting).sum::<u32>(), want, "{jobs:?}");
+        b.leader.cap_demand_to_team_limits(&mut demands);
+        assert_eq!(demands.iter().map(|d| d.pending_tasks).sum::<u32>(), want, "{jobs:?}");
     }
     // The same through what is rented: 40 CPUs wait, 4 may run.
     let mut b = Bench::new(0);
     b.job(1, 60, "tight", "array", "standard", 20, 2.0);
-    b.leader.plan_hires(&flavors, b.now);
+    b.leader.plan_scale_out(&flavors, b.now);
     let rented: u32 = b.leader.hires.values().map(|(r, ..)| r.count).sum();
     assert_eq!(rented, 1);
 }
@@ -497,7 +497,7 @@
     b.leader.jobs.clear();
     b.leader.job_changed(JobId(1), &b.ledger, b.now);
     // It ran long elsewhere: the failure is no reason to avoid the machine.
-    b.leader.jobs.get_mut(&JobId(1)).unwrap().proven = true;
+    b.leader.jobs.get_mut(&JobId(1)).unwrap().ran_well = true;
     b.tick(30);
     let first = b.fail(1, 0);
     assert_eq!(b.leader.attempts_of(JobId(1), 0), 1, "three reports of one attempt count once");
@@ -507,7 +507,7 @@
     b.pass(4);
     let fails = |b: &Bench| {
         let w = b.leader.writes(&b.ledger, 4000, b.now);
-        w.iter().filter(|w| matches!(w, LeaderWrite::Fail(..))).count()
+        w.iter().filter(|w| matches!(w, LeaderWrite::JobFailed(..))).count()
     };
     assert_eq!(fails(&b), 0);
     // A new leader goes on from the record.
@@ -558,7 +558,7 @@
         b.tick(30);
         b.fail(1, 0);
         b.leader.machines.get_mut(&m("m0")).unwrap().failures = 1;
-        b.leader.jobs.get_mut(&JobId(1)).unwrap().proven = proven;
+        b.leader.jobs.get_mut(&JobId(1)).unwrap().ran_well = proven;
         b.save_failures(70);
         if machines == 2 {
             let v = json!({"t": "big", "z": "east", "s": false, "a": "addr1"});
@@ -572,7 +572,8 @@
         }
         b.pass(2 * seconds);
         let run = &b.leader.jobs[&JobId(1)];
-        let hint = run.bound.get(&0).and_then(|x| x.handed.as_ref()).map(|h| h.hint.to_string());
+        let hint =
+            run.bound.get(&0).and_then(|x| x.unresolved_assignment.as_ref()).map(|h| h.hint.to_string());
         assert_eq!(hint.as_deref(), want, "{machines} machines, proven {proven}, {seconds} s");
     }
 }
@@ -594,7 +595,7 @@
         b.edit(1, 70 + i as u64, |s| s.tasks = *tasks);
         b.tick(30);
         assert_eq!(handed(&b), *want, "{tasks}");
-        assert_eq!(b.leader.jobs[&JobId(1)].waiting(), 0, "{tasks}");
+        assert_eq!(b.leader.jobs[&JobId(1)].pending_tasks(), 0, "{tasks}");
         assert!(b.leader.check_sums().is_ok());
     }
     // The one above goes; nothing replaces it until it is asked for again.
@@ -656,7 +657,7 @@
 
 #[test]
 fn the_log_says_who_waits_longest_and_why() {
-    use super::waits::Why;
+    use super::pending_reasons::PendingReason;
     type Step = fn(&mut Bench);
     // A job that takes all of the machine's eight CPUs.
     let fill: Step = |b| {
@@ -665,9 +666,9 @@
         b.tick(30);
     };
     // (what comes before, the job that waits: team, tasks, CPUs; why)
-    let cases: [(&str, Step, (&str, u32, f64), Why); 6] = [
-        ("nobody heard the machine", |b| b.seq[0] += 1, ("t", 1, 1.0), Why::Unheard),
-        ("the machine is full", fill, ("t", 1, 8.0), Why::NoRoom),
+    let cases: [(&str, Step, (&str, u32, f64), PendingReason); 6] = [
+        ("nobody heard the machine", |b| b.seq[0] += 1, ("t", 1, 1.0), PendingReason::UnconfirmedMachines),
+        ("the machine is full", fill, ("t", 1, 8.0), PendingReason::NoFreeCapacity),
         (
             "the machine is full, and the cloud has none",
             |b| {
@@ -677,7 +678,7 @@
                 b.leader.refused.insert(("big".into(), "east".into(), false), b.now + Micros::secs(35));
             },
             ("t", 1, 8.0),
-            Why::SoldOut,
+            PendingReason::CloudSoldOut,
         ),
         (
             "its team is at its limit",
@@ -687,7 +688,7 @@
                 b.tick(30);
             },
             ("tight", 1, 4.0),
-            Why::Limit,
+            PendingReason::TeamLimit,
         ),
         (
             "it replaces one that runs",
@@ -697,22 +698,35 @@
                 b.tick(30);
             },
             ("t", 1, 1.0),
-            Why::Held,
+            PendingReason::DependencyNotEnded,
+        ),
+        (
+            "nothing was handed out yet",
+            |b| b.confirm("m0", &[]),
+            ("t", 1, 1.0),
+            PendingReason::QueuedBehindOthers,
         ),
-        ("nothing was handed out yet", |b| b.confirm("m0", &[]), ("t", 1, 1.0), Why::Turn),
     ];
     for (what, before, (team, tasks, cpus), want) in cases {
         let mut b = Bench::new(1);
         before(&mut b);
-        b.job(9, if want == Why::Unheard { 40 } else { 61 }, team, "array", "standard", tasks, cpus);
-        if want == Why::Held {
+        b.job(
+            9,
+            if want == PendingReason::UnconfirmedMachines { 40 } else { 61 },
+            team,
+            "array",
+            "standard",
+            tasks,
+            cpus,
+        );
+        if want == PendingReason::DependencyNotEnded {
             b.edit(9, 62, |s| s.after = vec![JobId(8)]);
             b.leader.jobs.remove(&JobId(9));
             b.leader.job_changed(JobId(9), &b.ledger, b.now);
         }
-        assert!(b.leader.longest_waits(b.now).is_empty(), "{what}: too soon");
-        let waits = b.leader.longest_waits(b.now + Micros::secs(40));
-        let got: Vec<(JobId, Why)> = waits.iter().map(|w| (w.1, w.3)).collect();
+        assert!(b.leader.longest_pending(b.now).is_empty(), "{what}: too soon");
+        let waits = b.leader.longest_pending(b.now + Micros::secs(40));
+        let got: Vec<(JobId, PendingReason)> = waits.iter().map(|w| (w.1, w.3)).collect();
         assert_eq!(got, [(JobId(9), want)], "{what}");
     }
 }
@@ -764,7 +778,7 @@
         b.leader.spot_had.push_back((at - Micros::secs(10), had));
         // Asked for just now, and refused.
         b.leader.refused.insert(("big".into(), "east".into(), true), at);
-        b.leader.fleet(&[flavor(Some(0.3))], at);
+        b.leader.autoscale(&[flavor(Some(0.3))], at);
         let rented: u32 = b.leader.hires.values().filter(|(r, ..)| !r.spot).map(|(r, ..)| r.count).sum();
         assert_eq!(rented, want, "{there} machines, {passed} s, {had} spot machines had, some: {spot}");
     }
@@ -811,7 +825,7 @@
     // A job that runs well elsewhere, and fails on m0: that machine is at fault.
     b.job(3, 90, "t", "array", "standard", 1, 1.0);
     if let Some(run) = b.leader.jobs.get_mut(&JobId(3)) {
-        run.proven = true;
+        run.ran_well = true;
     }
     for _ in 0..2 {
         let t = task(3, 0);
@@ -1018,7 +1032,7 @@
         ("its machine is granted to another, whose token is not seen", moved, &nobody, None, Micros(0), true),
         (
             "its machine is deleted",
-            |b, _| b.leader.deleted(&[m("m0")], b.now),
+            |b, _| b.leader.deletion_confirmed(&[m("m0")], b.now),
             &nobody,
             None,
             Micros(0),
@@ -1058,25 +1072,25 @@
     ];
     let sizes = MachineSizes::default();
     for (i, (last, pause, from)) in steps.into_iter().enumerate() {
-        b.leader.listed(last.as_ref(), &sizes, b.now);
+        b.leader.list_page_received(last.as_ref(), &sizes, b.now);
         let lists = |b: &mut Bench, ms| {
-            let wishes = b.leader.fleet(&[], b.now + Micros::millis(ms));
-            wishes.into_iter().find(|w| matches!(w, CloudWish::List(_)))
+            let wishes = b.leader.autoscale(&[], b.now + Micros::millis(ms));
+            wishes.into_iter().find(|w| matches!(w, CloudRequest::List(_)))
         };
         assert_eq!(lists(&mut b, pause - 50), None, "step {i}");
-        assert_eq!(lists(&mut b, pause), Some(CloudWish::List(from.map(str::to_owned))), "step {i}");
+        assert_eq!(lists(&mut b, pause), Some(CloudRequest::List(from.map(str::to_owned))), "step {i}");
         b.now = b.now + Micros::millis(pause);
     }
 }
 
 #[test]
 fn many_machines_are_asked_for_in_several_rentals() {
-    let want = Want { build: "big".into(), zone: "east".into(), spot: false };
+    let want = RentalKind { machine_type: "big".into(), zone: "east".into(), spot: false };
     // (machines, rentals that may be open; machines in each)
     let cases: [(u32, usize, &[u32]); 3] = [(7, 6, &[7]), (166, 6, &[50, 50, 50, 16]), (250, 2, &[50, 50])];
     for (machines, open, counts) in cases {
         let mut b = Bench::new(0);
-        b.leader.ask_for(&want, machines, open, b.now);
+        b.leader.create_scale_out_requests(&want, machines, open, b.now);
         let asked: Vec<u32> = b.leader.hires.values().map(|(r, ..)| r.count).collect();
         assert_eq!(asked, counts, "{machines} machines");
     }
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -34,7 +34,7 @@
 use crate::election::Role;
 use crate::extension::{Extension, ExtensionContext, ExtensionInput, ExtensionOutput, OperationId};
 use crate::jobs::{self, Change, LeaderRecord, Ledger, MachineRecord, Phase, keys};
-use crate::leader::{CloudWish, Context, HireRequest, Leader, LeaderWrite, View};
+use crate::leader::{CloudRequest, Context, Leader, LeaderWrite, ScaleOutRequest, View};
 use crate::limits::StoreLimits;
 use crate::liveness::LivenessMonitor;
 use crate::peer::{Envelope, Message, UnleasedReport};
@@ -104,7 +104,7 @@
     LeaderWrites(u64, Vec<LeaderWrite>),
     /// The record of a term's standby replicas.
     StandbyRecord(u64),
-    Cloud(u64, CloudWish),
+    Cloud(u64, CloudRequest),
     Flavors,
     WorkerCall(MachineId),
     Probe(MachineId),
@@ -193,10 +193,10 @@
             calls: BTreeMap::new(),
             incarnation: incarnation.max(2),
             replica_sync: ReplicaSync::default(),
-            pending: PendingRequests::new(limits.changes_per_s * 0.9 / n, limits.requests_per_s / n, now),
+            pending: PendingRequests::new(limits.writes_per_s * 0.9 / n, limits.requests_per_s / n, now),
             status: ServiceStatus::new(now),
             cancellations: Cancellations::default(),
-            leadership: Leadership::new(&operator, limits.changes_per_s, now),
+            leadership: Leadership::new(&operator, limits.writes_per_s, now),
             peers: Peers::new(members.names.len()),
             relay: Relay::default(),
             catalogue: Catalogue::new(d.cloud.rps, now),
--- a/crates/core/src/node/pending_requests.rs
+++ b/crates/core/src/node/pending_requests.rs
@@ -3,7 +3,7 @@
 //! in the budget.
 use crate::RequestId;
 use crate::extension::OperationId;
-use crate::rate::Bucket;
+use crate::token_bucket::TokenBucket;
 use gorseshore_protocol::ids::{JobId, Micros};
 use gorseshore_protocol::job::JobSpec;
 use gorseshore_protocol::state::Multi;
@@ -50,10 +50,10 @@
     pub waiters: Vec<(Waiter, Micros)>,
     /// Writes that wait for their turn in the write budget, and until when.
     pub writes: VecDeque<(PendingWrite, Micros)>,
-    pub write_bucket: Bucket,
+    pub write_bucket: TokenBucket,
     /// A read barrier is in flight.
     pub barrier_in_flight: bool,
-    pub barrier_bucket: Bucket,
+    pub barrier_bucket: TokenBucket,
 }
 
 impl PendingRequests {
@@ -62,9 +62,9 @@
         PendingRequests {
             waiters: Vec::new(),
             writes: VecDeque::new(),
-            write_bucket: Bucket::new(writes_per_s, writes_per_s, now),
+            write_bucket: TokenBucket::new(writes_per_s, writes_per_s, now),
             barrier_in_flight: false,
-            barrier_bucket: Bucket::new(requests_per_s * 0.45, requests_per_s * 0.2, now),
+            barrier_bucket: TokenBucket::new(requests_per_s * 0.45, requests_per_s * 0.2, now),
         }
     }
 
--- a/crates/core/src/node/requests.rs
+++ b/crates/core/src/node/requests.rs
@@ -368,7 +368,7 @@
                 self.await_read_barrier(Waiter::Abort(id, job), Micros::millis(1500));
             }
             (PendingWrite::Extension(t, m, as_leader), CallResult::Response { status: 429, .. }) => {
-                self.pending.write_bucket.force(self.now, 1.0);
+                self.pending.write_bucket.take_unconditionally(self.now, 1.0);
                 self.pending
                     .writes
                     .push_back((PendingWrite::Extension(t, m, as_leader), self.now + Micros::millis(2000)));
@@ -378,7 +378,7 @@
             }
             (w, CallResult::Response { status: 429, .. }) => {
                 let pause = Micros::millis(100 + self.rng.u64(0..100));
-                self.pending.write_bucket.force(self.now, 1.0);
+                self.pending.write_bucket.take_unconditionally(self.now, 1.0);
                 self.pending.writes.push_back((w, self.now + Micros::millis(2000) - pause));
             }
             (PendingWrite::Submit(id, _) | PendingWrite::Abort(id, ..), _) => {
--- a/crates/standins/src/scale.rs
+++ b/crates/standins/src/scale.rs
@@ -290,7 +290,7 @@
         }
         let t = Instant::now();
         let before = self.now;
-        while self.leader.array_slots() < TIMED_ASSIGNMENTS as u64 {
+        while self.leader.active_array_tasks() < TIMED_ASSIGNMENTS as u64 {
             self.now = self.now + Micros::millis(25);
             self.leader.tick(&self.state_replica, self.now);
             self.exchange();
@@ -320,7 +320,7 @@
             // Interval of decisions; no machine is actually rented.
             self.now = self.now + Micros::millis(410);
             let t = Instant::now();
-            self.leader.fleet(&flavors, self.now);
+            self.leader.autoscale(&flavors, self.now);
             elapsed += t.elapsed().as_secs_f64();
         }
         Ok(elapsed * 1e3 / TIMED_ROUNDS as f64)
@@ -337,8 +337,8 @@
         b.submit_job("array", 1, CPUS / 2.0)?;
     }
     let mut before = u64::MAX;
-    while b.leader.array_slots() != before {
-        before = b.leader.array_slots();
+    while b.leader.active_array_tasks() != before {
+        before = b.leader.active_array_tasks();
         b.run_leader();
         b.send_heartbeats();
     }
@@ -362,7 +362,7 @@
         passes += t.elapsed().as_secs_f64();
         if i % 20 == 0 {
             let t = Instant::now();
-            b.leader.fleet(&flavors, b.now);
+            b.leader.autoscale(&flavors, b.now);
             rentals += t.elapsed().as_secs_f64();
             b.exchange();
         }
--- a/tests/nomad.rs
+++ b/tests/nomad.rs
@@ -20,7 +20,8 @@
 }
 
 fn get(a: SocketAddr, path: &str) -> Response {
-    send_request(a, "GET", path, "", "", Duration::from_secs(30)).unwrap_or_else(|| panic!("GET {path}: no answer"))
+    send_request(a, "GET", path, "", "", Duration::from_secs(30))
+        .unwrap_or_else(|| panic!("GET {path}: no answer"))
 }
 
 fn send(a: SocketAddr, method: &str, path: &str, body: &Value) -> Response {
@@ -185,7 +186,8 @@
     }
     // Native jobs and these never meet.
     let guess = s.state_keys("g/j/").first().and_then(|k| k.strip_prefix("g/j/").map(str::to_owned)).unwrap();
-    let native = |method: &str, path: String, body: &Value| send(s.user_addresses[0], method, &path, body).status;
+    let native =
+        |method: &str, path: String, body: &Value| send(s.user_addresses[0], method, &path, body).status;
     let stolen = json!({"ref": guess, "lot":"l","crew":"default","manner":"array","rank":"standard","pieces":1,
         "cpus":1,"gpus":0,"memory_gb":1,"bundle":"i","image_gb":0.1,"same_place":false,"apart":false,
         "loaners":false,"guess_s":1,"mark_s":0,"stow_s":0});
@@ -220,11 +222,16 @@
         let waiting =
             std::thread::spawn(move || get(reader, &format!("/v1/jobs?index={from}&wait=20s&prefix=more")));
         std::thread::sleep(Duration::from_millis(100));
-        let t = send(s.nomad_addresses[(i + 1) % 3], "PUT", "/v1/jobs", &job(&format!("more-{i}"), "batch", 1, "i"));
+        let t = send(
+            s.nomad_addresses[(i + 1) % 3],
+            "PUT",
+            "/v1/jobs",
+            &job(&format!("more-{i}"), "batch", 1, "i"),
+        );
         assert_eq!(t.status, 200, "{}", t.text());
         let mut told = waiting.join().unwrap();
         assert!(told.index >= from, "{} after {from}", told.index);
-        // It may have been woken by something else that changed: ask on.
+        // It may have been woken by something else that changed: send_request on.
         let began = Instant::now();
         while told.json().as_array().unwrap().len() <= i {
             assert!(began.elapsed() < Duration::from_secs(20));
@@ -278,7 +285,8 @@
     assert_eq!(now["Version"].as_u64(), Some(accepted.len() as u64));
     let want = now["TaskGroups"][0]["Count"].as_u64().unwrap();
     until("the last one runs alone", || {
-        summary(s.nomad_addresses[0], "race")["Running"].as_u64() == Some(want) && s.running_tasks().len() as u64 == want
+        summary(s.nomad_addresses[0], "race")["Running"].as_u64() == Some(want)
+            && s.running_tasks().len() as u64 == want
     });
 
     s.set_state_unavailable(true);
@@ -293,7 +301,9 @@
         assert_eq!(t.status, 503, "{method} {path}: {}", t.text());
     }
     s.set_state_unavailable(false);
-    until("back", || send(s.nomad_addresses[0], "PUT", "/v1/jobs", &job("up", "batch", 1, "i")).status == 200);
+    until("back", || {
+        send(s.nomad_addresses[0], "PUT", "/v1/jobs", &job("up", "batch", 1, "i")).status == 200
+    });
     assert_eq!(get(s.nomad_addresses[1], "/v1/job/race").json()["Version"], now["Version"]);
 }
 
@@ -398,7 +408,8 @@
         let mut last = String::new();
         until(&format!("{id} {group}"), || {
             let native = get(s.user_addresses[1], &format!("/submissions/j-{number:06}")).json();
-            let own = get(s.nomad_addresses[1], &format!("/v1/job/{id}/summary")).json()["Summary"][&group].clone();
+            let own =
+                get(s.nomad_addresses[1], &format!("/v1/job/{id}/summary")).json()["Summary"][&group].clone();
             last = format!("{native} {own}");
             let ended = native["stage"] == "done" && own["Complete"] == tasks;
             let serves = native["running"] == tasks && own["Running"] == tasks;
--- a/tests/rolling.rs
+++ b/tests/rolling.rs
@@ -34,7 +34,8 @@
     };
     let submit = |to: usize, body: &str| {
         until("accepted", || {
-            call(site.user_addresses[to], "POST", "/submissions", body).is_some_and(|r| matches!(r.0, 200 | 201))
+            call(site.user_addresses[to], "POST", "/submissions", body)
+                .is_some_and(|r| matches!(r.0, 200 | 201))
         });
     };
     submit(0, &job(1, "standing", 0));
@@ -67,7 +68,9 @@
     let site = Site::start(&Options { controllers: 1, ..Options::default() }).unwrap();
     let nothing = Path::new("/nothing/there");
     for controller in [0, 7] {
-        assert!(matches!(site.replace_controller(controller, nothing), Err(SiteError::NoProcess(n)) if n == controller));
+        assert!(
+            matches!(site.replace_controller(controller, nothing), Err(SiteError::NoProcess(n)) if n == controller)
+        );
     }
     let programs = BTreeMap::from([(0, nothing.to_owned())]);
     let started = Site::start(&Options { controllers: 1, programs, ..Options::default() });
--- a/tests/smoke.rs
+++ b/tests/smoke.rs
@@ -175,8 +175,8 @@
 fn workers_come_in_where_users_fill_all_connections() {
     let site = Site::start(&Options { controllers: 0, ..Options::default() }).unwrap();
     let (public, cluster) = (free_address().unwrap(), free_address().unwrap());
-    let text =
-        settings(public, cluster, site.cloud_address, site.state_address) + "[deployment.machine_limits]\nsockets = 200\n";
+    let text = settings(public, cluster, site.cloud_address, site.state_address)
+        + "[deployment.machine_limits]\nsockets = 200\n";
     let file = std::env::temp_dir().join(format!("gorseshore-crowd-{}.toml", std::process::id()));
     std::fs::write(&file, text).unwrap();
     let _node =
--- a/tests/world/desk.rs
+++ b/tests/world/desk.rs
@@ -139,7 +139,9 @@
                     }
                     ExtensionOutput::Write { ticket, mut multi, as_leader } => {
                         if as_leader {
-                            multi.when.push(When { path: LEADER.into(), stamp: self.state.key_revision(LEADER) });
+                            multi
+                                .when
+                                .push(When { path: LEADER.into(), stamp: self.state.key_revision(LEADER) });
                         }
                         if as_leader && self.hold {
                             self.held.push(multi);
--- a/tests/world/main.rs
+++ b/tests/world/main.rs
@@ -30,7 +30,7 @@
 use state::{Outcome, StateService};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
-use worker::{TaskProfile, Machine, Stage};
+use worker::{Machine, Stage, TaskProfile};
 
 const S: u64 = 1_000_000;
 const MS: u64 = 1_000;
@@ -744,7 +744,8 @@
                 m.target_controller = (m.target_controller + 1) % nodes;
                 m.next_report_at = now + S;
             }
-            let due = now >= m.next_report_at || m.has_changes && now >= m.last_report_at + S / 2 && m.next_report_at > now;
+            let due = now >= m.next_report_at
+                || m.has_changes && now >= m.last_report_at + S / 2 && m.next_report_at > now;
             if m.outstanding_report.is_none() && due && (now >= m.next_report_at || m.has_changes) {
                 m.has_changes = false;
                 m.last_report_at = now;
@@ -1219,7 +1220,10 @@
         });
         let machines = self.machines.values().map(|m| {
             let up = m.up_at <= self.now;
-            format!("{} {} {} spot={} up={up} sick={} {:?}", m.name, m.machine_type, m.zone, m.spot, m.fails_all_tasks, m.tasks)
+            format!(
+                "{} {} {} spot={} up={up} sick={} {:?}",
+                m.name, m.machine_type, m.zone, m.spot, m.fails_all_tasks, m.tasks
+            )
         });
         (jobs.collect(), machines.collect())
     }
--- a/tests/world/nomad.rs
+++ b/tests/world/nomad.rs
@@ -103,7 +103,9 @@
         let names = self.state.keys_with_prefix("g/n/j/");
         names
             .iter()
-            .filter_map(|n| Some((serde_json::from_value(self.state.value(n)?).ok()?, self.state.key_revision(n))))
+            .filter_map(|n| {
+                Some((serde_json::from_value(self.state.value(n)?).ok()?, self.state.key_revision(n)))
+            })
             .collect()
     }
 
--- a/tests/world/oncall.rs
+++ b/tests/world/oncall.rs
@@ -408,8 +408,9 @@
             let mut missing = watch(&mut w, 60);
             // Its workers are with others by then: here, new ones too.
             let there = w.machines.values().filter(|m| w.now > m.up_at + 12 * S);
-            let there =
-                there.filter(|m| alone.contains(&m.target_controller) && w.oncall.alone_until[m.target_controller] > w.now);
+            let there = there.filter(|m| {
+                alone.contains(&m.target_controller) && w.oncall.alone_until[m.target_controller] > w.now
+            });
             let stay: Vec<(&str, usize)> = there.map(|m| (m.name.as_str(), m.tasks.len())).collect();
             assert!(
                 stay.is_empty(),
--- a/tests/world/scenes.rs
+++ b/tests/world/scenes.rs
@@ -357,7 +357,8 @@
             CancelAndHang(w, l) => {
                 self.act(leader, Cancel(w));
                 let t = until(l);
-                let cancelled = |t: &worker::Task| t.is_running() && Self::job_of(&t.name).0.is_multiple_of(2);
+                let cancelled =
+                    |t: &worker::Task| t.is_running() && Self::job_of(&t.name).0.is_multiple_of(2);
                 let theirs = self.machines.values_mut().filter(|m| m.tasks.iter().any(cancelled));
                 theirs.take(8).for_each(|m| m.hung_until = t);
             }
