--- a/tests/nomad.rs
+++ b/tests/nomad.rs
@@ -231,7 +231,7 @@
         assert_eq!(t.status, 200, "{}", t.text());
         let mut told = waiting.join().unwrap();
         assert!(told.index >= from, "{} after {from}", told.index);
-        // It may have been woken by something else that changed: send_request on.
+        // It may have been woken by something else that changed: ask on.
         let began = Instant::now();
         while told.json().as_array().unwrap().len() <= i {
             assert!(began.elapsed() < Duration::from_secs(20));
