--- a/crates/standins/src/main.rs
+++ b/crates/standins/src/main.rs
@@ -34,7 +34,7 @@
     Site(SiteArgs),
     /// Compare Nomad's interface with native submissions of the same work.
     MeasureNomad(MeasureArgs),
-    /// Measure the CPU cost of scheduling decisions at several cluster sizes, with slopes.
+    /// Measure the processing time of scheduling decisions at several cluster sizes, with slopes.
     Scale(ScaleArgs),
     /// Inject random faults into real controllers and check what users, workers and cloud observed.
     ///
--- a/crates/standins/src/process.rs
+++ b/crates/standins/src/process.rs
@@ -113,7 +113,7 @@
     if let Some(log) = log {
         command.stderr(File::options().create(true).append(true).open(log)?);
     }
-    // SAFETY: between fork and exec the closure makes one system call, which takes no lock.
+    // SAFETY: between fork and exec the closure makes only a system call, which takes no lock.
     unsafe {
         command.pre_exec(|| set_parent_process_death_signal(Some(Signal::KILL)).map_err(io::Error::from));
     }
--- a/crates/standins/src/scale.rs
+++ b/crates/standins/src/scale.rs
@@ -1,4 +1,4 @@
-//! Measures the CPU cost of the core's decisions at several cluster sizes: a task
+//! Measures the processing time of the core's decisions at several cluster sizes: a task
 //! assignment, a worker heartbeat, an autoscaling decision, and a new leader's start
 //! with past jobs. Leader and controllers are driven directly in one thread. Messages
 //! are delivered at once and are not encoded, so that only their processing is measured.
