--- a/crates/core/src/leader/autoscaling.rs
+++ b/crates/core/src/leader/autoscaling.rs
@@ -22,46 +22,46 @@
     /// Decides which machines to rent and delete, and returns the calls to make to the cloud now.
     pub fn autoscale(&mut self, flavors: &[Flavor], now: Micros) -> Vec<CloudRequest> {
         let mut requests = Vec::new();
-        if !self.granted {
+        if !self.grants_started {
             return requests;
         }
-        if now >= self.fleet_at {
-            let passed = now.since(self.measured);
-            self.measured = now;
-            self.fleet_at = now + Micros::millis(400);
+        if now >= self.next_autoscale_at {
+            let passed = now.since(self.usage_measured_at);
+            self.usage_measured_at = now;
+            self.next_autoscale_at = now + Micros::millis(400);
             self.refresh_usage();
             for m in self.machines.values_mut() {
-                m.busy += m.used.cpu as u128 * passed.0 as u128;
+                m.used_cpu_time += m.used.cpu as u128 * passed.0 as u128;
             }
             self.save_tasks_before_reclaim(now);
             let suspects = self.machines.iter().filter(|(_, m)| !m.failed_jobs.is_empty());
             let suspects: Vec<MachineId> = suspects.map(|(id, _)| id.clone()).collect();
-            suspects.iter().for_each(|id| self.take_out_if_guilty(id));
+            suspects.iter().for_each(|id| self.drain_if_faulty(id));
             self.update_zone_health(now);
             self.delete_idle(flavors, now);
             self.log_longest_pending(now);
             if now >= self.rent_not_before {
                 self.plan_scale_out(flavors, now);
             }
-            let forgotten = &mut self.forgotten;
-            self.gone.retain(|_, (t, stamp)| {
+            let forgotten = &mut self.min_update_base;
+            self.deleted_machines.retain(|_, (t, stamp)| {
                 let keep = now.since(*t) < Micros::secs(600);
                 *forgotten = if keep { *forgotten } else { (*forgotten).max(*stamp) };
                 keep
             });
         }
         requests.extend(self.due_deletions(now));
-        for (req, stage, _) in self.hires.values() {
+        for (req, stage, _) in self.scale_out_requests.values() {
             if *stage == ScaleOutStage::Recorded {
                 requests.push(CloudRequest::Rent(req.clone()));
             }
         }
-        let interval = match self.list_from {
-            Some(_) => scaling_limits::list_page_interval(self.ctx.cloud_rps),
+        let interval = match self.list_cursor {
+            Some(_) => scaling_limits::list_page_interval(self.config.cloud_rps),
             None => scaling_limits::LIST_INTERVAL,
         };
-        if !self.listing && now.since(self.listed) >= interval {
-            requests.push(CloudRequest::List(self.list_from.clone()));
+        if !self.list_pending && now.since(self.listed_at) >= interval {
+            requests.push(CloudRequest::List(self.list_cursor.clone()));
         }
         requests
     }
@@ -73,7 +73,7 @@
             .machines
             .iter()
             .filter(|(_, m)| {
-                m.stage == Stage::Deleting && m.delete_sent.is_none_or(|t| now.since(t) > Micros::secs(3))
+                m.stage == Stage::Deleting && m.delete_sent_at.is_none_or(|t| now.since(t) > Micros::secs(3))
             })
             .map(|(id, _)| id.clone())
             .take(scaling_limits::MAX_MACHINES_PER_DELETION)
@@ -87,24 +87,24 @@
             CloudRequest::Delete(ids) => {
                 for id in ids {
                     if let Some(m) = self.machines.get_mut(id) {
-                        m.delete_sent = Some(now);
+                        m.delete_sent_at = Some(now);
                     }
                 }
             }
             CloudRequest::Rent(r) => {
-                if let Some(h) = self.hires.get_mut(&r.name) {
+                if let Some(h) = self.scale_out_requests.get_mut(&r.name) {
                     h.1 = ScaleOutStage::Requested;
                     h.2 = now;
                 }
             }
-            CloudRequest::List(_) => self.listing = true,
+            CloudRequest::List(_) => self.list_pending = true,
         }
     }
 
     /// Removes machines whose deletion the cloud confirmed.
     pub fn deletion_confirmed(&mut self, ids: &[MachineId], now: Micros) {
         for id in ids {
-            self.machine_gone(id, now);
+            self.remove_machine(id, now);
         }
     }
 
@@ -113,7 +113,7 @@
         for id in ids {
             if let Some(m) = self.machines.get_mut(id) {
                 // Due in 0.5 s instead of the usual 3 s.
-                m.delete_sent = Some(now - Micros::millis(2500));
+                m.delete_sent_at = Some(now - Micros::millis(2500));
             }
         }
     }
@@ -129,17 +129,17 @@
     ) {
         let Some(hosts) = result else {
             // Sent again under the same name, for which the cloud returns the same machines.
-            if let Some(h) = self.hires.get_mut(&req.name) {
+            if let Some(h) = self.scale_out_requests.get_mut(&req.name) {
                 h.1 = ScaleOutStage::Recorded;
             }
             return;
         };
-        self.hires.remove(&req.name);
+        self.scale_out_requests.remove(&req.name);
         if req.spot && !hosts.is_empty() {
-            self.spot_had.push_back((now, hosts.len()));
+            self.recent_spot_rentals.push_back((now, hosts.len()));
         }
         if hosts.len() < req.count as usize {
-            self.refused.insert((req.machine_type.clone(), req.zone.clone(), req.spot), now);
+            self.refused_offers.insert((req.machine_type.clone(), req.zone.clone(), req.spot), now);
         }
         info!(
             "rented {} of {} {} in {}{}",
@@ -151,7 +151,7 @@
         );
         for h in hosts {
             let id = MachineId::from(&**h);
-            if self.gone.contains_key(&id) || self.machines.contains_key(&id) {
+            if self.deleted_machines.contains_key(&id) || self.machines.contains_key(&id) {
                 continue;
             }
             let rec = MachineRecord {
@@ -167,14 +167,14 @@
 
     /// Applies a page of the cloud's machine list; `None` if the call failed.
     pub fn list_page_received(&mut self, page: Option<&Rentals>, sizes: &MachineSizes, now: Micros) {
-        self.listing = false;
-        self.listed = now;
+        self.list_pending = false;
+        self.listed_at = now;
         let Some(page) = page else { return };
         let last = page.hosts.last().filter(|_| page.truncated);
-        self.list_from = last.map(|r| r.name.clone());
+        self.list_cursor = last.map(|r| r.name.clone());
         for r in &page.hosts {
             let id = MachineId::from(&*r.name);
-            if self.gone.contains_key(&id) {
+            if self.deleted_machines.contains_key(&id) {
                 continue;
             }
             match self.machines.get_mut(&id) {
@@ -182,7 +182,7 @@
                     let (failed, deleting) = (r.stage == "failed", m.stage == Stage::Deleting);
                     if m.addr.is_empty() {
                         m.addr = r.addr.clone();
-                        self.tell(&id);
+                        self.mark_changed(&id);
                     }
                     if failed && !deleting {
                         self.delete(&id, "the cloud reports that it failed", now);
@@ -198,7 +198,7 @@
                     };
                     info!("{id}: adopted from the cloud's list ({} in {}, {})", r.build, rec.zone, r.stage);
                     let mut m = Machine::new(&rec, *size, Stage::Booting, now);
-                    m.since = now - Micros::from_secs_f64(r.held_s);
+                    m.stage_since = now - Micros::from_secs_f64(r.held_s);
                     self.machines.insert(id.clone(), m);
                     if r.stage == "failed" {
                         self.delete(&id, "the cloud reports that it failed", now);
@@ -220,13 +220,13 @@
             observation.up += (m.stage == Stage::Up) as u32;
             // Contact with a machine that is being deleted counts too, because it shows that the
             // network path is open.
-            observation.last_contact = observation.last_contact.max(m.heard.max(seen));
+            observation.last_contact = observation.last_contact.max(m.last_contact.max(seen));
         }
         // All workers of a zone send a heartbeat within 1.25 times the report interval.
-        let max_silence = self.ctx.report.max(Micros::secs(4)) + Micros::secs(2);
-        let silence_from = self.lateness.silence_start(self.began + Micros::secs(2));
-        for transition in self.health.update(&observations, silence_from, max_silence, now) {
-            self.dirty = true;
+        let max_silence = self.config.report_interval.max(Micros::secs(4)) + Micros::secs(2);
+        let silence_from = self.lateness.silence_start(self.term_start + Micros::secs(2));
+        for transition in self.zone_health.update(&observations, silence_from, max_silence, now) {
+            self.needs_scheduling = true;
             match transition {
                 ZoneTransition::Closed(zone, up, silent) => warn!(
                     "zone {zone} closed to renting: no contact with its {up} machines for {:.1} s, while other zones respond",
@@ -241,10 +241,10 @@
 
     /// Machines that may still be requested in a zone; `None` if it is open, which means no bound.
     fn probes_left(&self, zone: &str, now: Micros) -> Option<u32> {
-        let allowance = self.health.probe_allowance(zone, now)?;
+        let allowance = self.zone_health.probe_allowance(zone, now)?;
         let booting = self.machines.values().filter(|m| m.stage == Stage::Booting && m.zone == zone).count();
         let requested: u32 =
-            self.hires.values().filter(|(r, ..)| r.zone == zone).map(|(r, ..)| r.count).sum();
+            self.scale_out_requests.values().filter(|(r, ..)| r.zone == zone).map(|(r, ..)| r.count).sum();
         Some(allowance.saturating_sub(booting as u32 + requested))
     }
 
@@ -253,7 +253,7 @@
     pub(super) fn save_tasks_before_reclaim(&mut self, now: Micros) {
         let mut stops = Vec::new();
         for (id, m) in &self.machines {
-            let Some(until) = m.warning else { continue };
+            let Some(until) = m.preemption_at else { continue };
             for (t, (a, s)) in &m.tasks {
                 let Some(r) = self.jobs.get(&t.job) else { continue };
                 let save = Micros::from_secs_f64(r.spec.save_s);
@@ -263,7 +263,7 @@
                     && *s == TaskState::Running
                     && left.scale(1, 2) <= save + Micros::millis(2500)
                     && left > save
-                    && !self.stops.contains_key(&(*t, *a))
+                    && !self.pending_stops.contains_key(&(*t, *a))
                 {
                     stops.push((*t, *a, id.clone(), save.scale(3, 2) + Micros::millis(1000)));
                 }
@@ -274,7 +274,7 @@
             self.request_stop(t, a, &id, grace, now);
         }
         let machines = &self.machines;
-        self.stops.retain(|(t, a), (r, _)| {
+        self.pending_stops.retain(|(t, a), (r, _)| {
             machines.get(&r.machine).is_some_and(|m| m.tasks.get(t).is_some_and(|x| x.0 == *a))
         });
     }
@@ -286,28 +286,28 @@
         let any_pending = self.jobs.values().any(|r| !r.ended && !r.held && r.pending_tasks() > 0);
         // Spare CPUs for new replicas by zone; only on-demand machines count.
         let mut spare: BTreeMap<String, u64> = BTreeMap::new();
-        for m in self.machines.values().filter(|m| !m.spot && m.usable()) {
+        for m in self.machines.values().filter(|m| !m.spot && m.is_usable()) {
             *spare.entry(m.zone.clone()).or_default() += m.free().cpu;
         }
         let targets = self.spare_cpu_targets(now);
-        let least = (self.ctx.operator.spare_cpus * 1000.0) as u64;
+        let least = (self.config.operator.spare_cpus * 1000.0) as u64;
         let ids: Vec<MachineId> = self.machines.keys().cloned().collect();
         for id in ids {
             let Some(m) = self.machines.get_mut(&id) else { continue };
             match m.stage {
                 Stage::Booting => {
-                    let boot = flavors.iter().find(|f| f.sku == m.build).map_or(60.0, |f| f.boot_s);
-                    if now.since(m.since) > Micros::from_secs_f64(boot * 4.0 + 20.0) {
+                    let boot = flavors.iter().find(|f| f.sku == m.machine_type).map_or(60.0, |f| f.boot_s);
+                    if now.since(m.stage_since) > Micros::from_secs_f64(boot * 4.0 + 20.0) {
                         to_delete.push((id, "it did not boot in time"));
                     }
                 }
-                Stage::Up if m.confirmed && m.empty() => {
+                Stage::Up if m.confirmed && m.is_empty() => {
                     let idle = now.since(*m.idle_since.get_or_insert(now));
                     if m.draining.is_some() {
                         to_delete.push((id, "it is drained and empty"));
                         continue;
                     }
-                    if idle < self.ctx.operator.idle_return || m.warning.is_some() {
+                    if idle < self.config.operator.idle_return || m.preemption_at.is_some() {
                         continue;
                     }
                     if !m.spot {
@@ -318,7 +318,7 @@
                         }
                         *s -= m.size.cpu;
                     }
-                    if any_pending && idle < self.ctx.operator.idle_return.scale(3, 1) {
+                    if any_pending && idle < self.config.operator.idle_return.scale(3, 1) {
                         continue;
                     }
                     to_delete.push((id, "idle"));
@@ -344,9 +344,9 @@
     /// last minute's new replicas, divided among the zones. The estimate never exceeds a tenth of
     /// the running replicas, because otherwise a start from nothing would count as the usual rate.
     fn spare_cpu_targets(&self, now: Micros) -> BTreeMap<String, u64> {
-        let least = (self.ctx.operator.spare_cpus * 1000.0) as u64;
+        let least = (self.config.operator.spare_cpus * 1000.0) as u64;
         let all = self.machines.values().map(|m| &m.zone);
-        let zones: BTreeSet<&String> = all.filter(|z| !self.health.is_closed(z)).collect();
+        let zones: BTreeSet<&String> = all.filter(|z| !self.zone_health.is_closed(z)).collect();
         let minute_ago = self.wall_ms(now).saturating_sub(60_000);
         let (mut largest, mut recent, mut running) = (0, 0, 0);
         let services = |r: &&JobRun| {
@@ -368,8 +368,8 @@
 
     /// Creates scale-out requests for the pending tasks.
     pub(super) fn plan_scale_out(&mut self, flavors: &[Flavor], now: Micros) {
-        let open = scaling_limits::max_open_rentals(self.ctx.cloud_rps);
-        if self.hires.len() >= open {
+        let open = scaling_limits::max_open_rentals(self.config.cloud_rps);
+        if self.scale_out_requests.len() >= open {
             return;
         }
         let mut offers = Vec::new();
@@ -380,9 +380,10 @@
                     let price = if spot { f.spot_price } else { Some(f.hourly) };
                     let Some(price) = price else { continue };
                     let key = (f.sku.clone(), z.clone(), spot);
-                    let refused = self.refused.get(&key).is_some_and(|t| now.since(*t) < Micros::secs(8));
+                    let refused =
+                        self.refused_offers.get(&key).is_some_and(|t| now.since(*t) < Micros::secs(8));
                     if self
-                        .hires
+                        .scale_out_requests
                         .values()
                         .any(|(r, ..)| (&r.machine_type, &r.zone, r.spot) == (&f.sku, z, spot))
                     {
@@ -403,16 +404,20 @@
         let mut capacities: Vec<MachineCapacity> = self
             .machines
             .values()
-            .filter(|m| m.draining.is_none() && m.warning.is_none() && !self.health.is_closed(&m.zone))
-            .filter(|m| m.stage == Stage::Booting || (m.stage == Stage::Up && (m.confirmed || !m.unknown)))
-            .filter(|m| !m.hearing.unacknowledged_for(Micros::secs(5), now))
+            .filter(|m| {
+                m.draining.is_none() && m.preemption_at.is_none() && !self.zone_health.is_closed(&m.zone)
+            })
+            .filter(|m| {
+                m.stage == Stage::Booting || (m.stage == Stage::Up && (m.confirmed || !m.tasks_unknown))
+            })
+            .filter(|m| !m.command_reachability.unacknowledged_for(Micros::secs(5), now))
             .filter(|m| {
                 // A machine that is late to boot may never come up.
-                let boot = flavors.iter().find(|f| f.sku == m.build).map_or(60.0, |f| f.boot_s);
-                m.stage == Stage::Up || now.since(m.since) < Micros::from_secs_f64(boot * 1.8 + 5.0)
+                let boot = flavors.iter().find(|f| f.sku == m.machine_type).map_or(60.0, |f| f.boot_s);
+                m.stage == Stage::Up || now.since(m.stage_since) < Micros::from_secs_f64(boot * 1.8 + 5.0)
             })
             .map(|m| MachineCapacity {
-                machine_type: m.build.clone(),
+                machine_type: m.machine_type.clone(),
                 zone: m.zone.clone(),
                 spot: m.spot,
                 size: m.size,
@@ -420,7 +425,8 @@
                 preemptible_cpu: if m.spot { 0 } else { self.preemptible_cpu(m) },
             })
             .collect();
-        for (r, ..) in self.hires.values().filter(|(r, ..)| !self.health.is_closed(&r.zone)) {
+        for (r, ..) in self.scale_out_requests.values().filter(|(r, ..)| !self.zone_health.is_closed(&r.zone))
+        {
             if let Some(f) = flavors.iter().find(|f| f.sku == r.machine_type) {
                 let size = Resources::have(f.cpus, f.gpus, f.memory_gb);
                 for _ in 0..r.count {
@@ -475,7 +481,7 @@
             running_arrays: running,
             on_demand_for_arrays: self.on_demand_for_arrays(long_pending_tasks, now),
             max_new: self
-                .ctx
+                .config
                 .operator
                 .max_machines
                 .saturating_sub(self.machines.len())
@@ -488,9 +494,9 @@
         // A closed zone is probed with a few machines, and only if the plan over all zones would
         // rent machines there.
         let mut rentals = BTreeMap::new();
-        if self.health.any_closed() {
+        if self.zone_health.any_closed() {
             let (closed, open): (Vec<Offer>, Vec<Offer>) =
-                offers.iter().cloned().partition(|o| self.health.is_closed(&o.zone));
+                offers.iter().cloned().partition(|o| self.zone_health.is_closed(&o.zone));
             let zones: BTreeSet<&String> = closed.iter().map(|o| &o.zone).collect();
             let mut left: BTreeMap<String, u32> =
                 zones.into_iter().filter_map(|z| Some((z.clone(), self.probes_left(z, now)?))).collect();
@@ -522,8 +528,8 @@
         let mut left = machines;
         loop {
             let count = left.min(scaling_limits::MAX_MACHINES_PER_RENTAL);
-            self.hire_count += 1;
-            let name = format!("g-{}-{}", self.term, self.hire_count);
+            self.scale_out_count += 1;
+            let name = format!("g-{}-{}", self.term, self.scale_out_count);
             let req = ScaleOutRequest {
                 name: name.clone(),
                 machine_type: kind.machine_type.clone(),
@@ -531,9 +537,9 @@
                 spot: kind.spot,
                 count,
             };
-            self.hires.insert(name, (req, ScaleOutStage::Unrecorded, now));
+            self.scale_out_requests.insert(name, (req, ScaleOutStage::Unrecorded, now));
             left -= count;
-            if left == 0 || self.hires.len() >= open {
+            if left == 0 || self.scale_out_requests.len() >= open {
                 return;
             }
         }
@@ -544,12 +550,12 @@
     /// at most one in `ON_DEMAND_PER_ARRAY_MACHINE` of all on-demand machines. New replicas
     /// preempt tasks on these machines as on any other.
     fn on_demand_for_arrays(&mut self, long_pending_tasks: usize, now: Micros) -> usize {
-        while self.spot_had.front().is_some_and(|(t, _)| now.since(*t) >= SPOT_SOLD_OUT_WINDOW) {
-            self.spot_had.pop_front();
+        while self.recent_spot_rentals.front().is_some_and(|(t, _)| now.since(*t) >= SPOT_SOLD_OUT_WINDOW) {
+            self.recent_spot_rentals.pop_front();
         }
-        let rented: usize = self.spot_had.iter().map(|(_, n)| n).sum();
+        let rented: usize = self.recent_spot_rentals.iter().map(|(_, n)| n).sum();
         if long_pending_tasks <= rented * PENDING_PER_SPOT_RENTAL
-            || now.since(self.began) < SPOT_SOLD_OUT_WINDOW
+            || now.since(self.term_start) < SPOT_SOLD_OUT_WINDOW
         {
             return 0;
         }
@@ -570,10 +576,11 @@
     /// Bound tasks of an array whose end can be reported. Tasks whose machines are all in closed
     /// zones are left out.
     fn tasks_expected_to_end(&self, r: &JobRun) -> usize {
-        if !self.health.any_closed() {
+        if !self.zone_health.any_closed() {
             return r.bound.len();
         }
-        let lost = |id: &MachineId| self.machines.get(id).is_some_and(|m| self.health.is_closed(&m.zone));
+        let lost =
+            |id: &MachineId| self.machines.get(id).is_some_and(|m| self.zone_health.is_closed(&m.zone));
         r.bound.values().filter(|b| b.reported_on.is_empty() || !b.reported_on.iter().all(lost)).count()
     }
 
@@ -581,12 +588,12 @@
     /// limits let start: machines rented for the rest would be idle.
     pub(super) fn cap_demand_to_team_limits(&self, demands: &mut Vec<Demand>) {
         let mut left: BTreeMap<&str, Resources> = BTreeMap::new();
-        for team in &self.ctx.teams {
+        for team in &self.config.teams {
             let max = Resources::have(team.cpus_max, team.gpus_max, 0.0);
             if max.cpu == 0 && max.gpu == 0 {
                 continue;
             }
-            let (cpu, gpu) = self.sums.teams.get(&team.name).copied().unwrap_or_default();
+            let (cpu, gpu) = self.bound_totals.teams.get(&team.name).copied().unwrap_or_default();
             // 0 means no limit.
             let remaining = |max: u64, used: u64| if max == 0 { u64::MAX } else { max.saturating_sub(used) };
             left.insert(
--- a/crates/core/src/leader/job_run.rs
+++ b/crates/core/src/leader/job_run.rs
@@ -8,7 +8,7 @@
 pub(super) struct Binding {
     pub(super) attempt: Attempt,
     /// The assignment, until its outcome is known.
-    pub(super) unresolved_assignment: Option<Handed>,
+    pub(super) unresolved_assignment: Option<UnresolvedAssignment>,
     /// Machines that have the attempt.
     pub(super) reported_on: BTreeSet<MachineId>,
 }
--- a/crates/core/src/leader/starvation.rs
+++ b/crates/core/src/leader/starvation.rs
@@ -30,11 +30,11 @@
     /// Assigns one task of each starved job that fits on a machine, and reserves machines for
     /// the others.
     pub(super) fn serve_starved(&mut self, now: Micros) {
-        if self.waiting.starved.is_empty() {
+        if self.pending_jobs.starved.is_empty() {
             return;
         }
-        let starved = std::mem::take(&mut self.waiting.starved);
-        let accumulating = self.machines.values().filter(|m| m.gathers_for(now).is_some()).count();
+        let starved = std::mem::take(&mut self.pending_jobs.starved);
+        let accumulating = self.machines.values().filter(|m| m.accumulating_job(now).is_some()).count();
         let mut left = (self.machines.len() / MACHINES_PER_ACCUMULATION + 1).saturating_sub(accumulating);
         for id in &starved {
             let Some(run) = self.jobs.get_mut(id) else { continue };
@@ -55,24 +55,27 @@
                 self.assign(TaskId { job: *id, index }, machine);
                 let w = self.weight(&team);
                 let queue = self.queues.entry(priority).or_default();
-                queue.set_waiting(&team, true, self.ctx.operator.task_cost, w);
+                queue.set_waiting(&team, true, self.config.operator.task_cost, w);
                 queue.serve(&team);
-                for m in self.machines.values_mut().filter(|m| m.gathers.is_some_and(|(j, _)| j == *id)) {
-                    m.gathers = None;
+                for m in
+                    self.machines.values_mut().filter(|m| m.accumulates_for.is_some_and(|(j, _)| j == *id))
+                {
+                    m.accumulates_for = None;
                 }
             } else if left > 0 && self.accumulate_capacity(*id, now) {
                 left -= 1;
             }
         }
-        self.waiting.starved = starved;
+        self.pending_jobs.starved = starved;
     }
 
     /// Reserves a machine until it has free capacity for a task of the job; false if one is
     /// reserved already, or none is suitable.
     fn accumulate_capacity(&mut self, id: JobId, now: Micros) -> bool {
         let Some(run) = self.jobs.get(&id) else { return false };
-        let (spec, zones, contact) = (run.spec.clone(), self.tasks_per_zone(run), self.contacts(now));
-        if self.machines.values().any(|m| m.gathers_for(now) == Some(id)) {
+        let (spec, zones, contact) =
+            (run.spec.clone(), self.tasks_per_zone(run), self.controllers_in_contact(now));
+        if self.machines.values().any(|m| m.accumulating_job(now) == Some(id)) {
             return false;
         }
         // Replicas do not exit, so their resources do not become free.
@@ -87,7 +90,7 @@
         let best = self
             .machines
             .iter()
-            .filter(|(_, m)| m.in_reach(&contact) && m.gathers_for(now).is_none())
+            .filter(|(_, m)| m.is_reachable(&contact) && m.accumulating_job(now).is_none())
             .filter(|(_, m)| m.suits(&spec))
             .filter(|(_, m)| fleet::zone_allows_task(&spec, &m.zone, &zones))
             .filter(|(_, m)| m.size.minus(lasting(m)).fits(&spec.need))
@@ -97,7 +100,7 @@
         let Some(best) = best.map(|(id, _)| id.clone()) else { return false };
         debug!("{id} is starved: {best} is reserved for it until a task fits");
         if let Some(m) = self.machines.get_mut(&best) {
-            m.gathers = Some((id, now + ACCUMULATION_TIMEOUT));
+            m.accumulates_for = Some((id, now + ACCUMULATION_TIMEOUT));
         }
         true
     }
--- a/crates/core/src/node/cancellation_enforcement.rs
+++ b/crates/core/src/node/cancellation_enforcement.rs
@@ -93,7 +93,7 @@
     }
 
     fn enforce_cancellations(&mut self, suspects: &BTreeMap<MachineId, Suspect>, machines: usize) {
-        for act in self.enforcer.tick(suspects, self.leader_config.cancel, machines, self.now) {
+        for act in self.enforcer.tick(suspects, self.leader_config.cancel_timeout, machines, self.now) {
             match act {
                 EnforcementAction::Probe(ids) => ids.into_iter().for_each(|id| self.probe_suspect(id)),
                 EnforcementAction::Delete(ids) => self.delete_suspects(ids),
@@ -144,7 +144,15 @@
         let job = self.replica_sync.replica.jobs.get(&id)?;
         let is_unsettled = job.phase == Phase::Aborted && !job.settled;
         is_unsettled.then(|| {
-            (cancellation_deadline(job.ended_ms, self.wall_ms, self.leader_config.cancel, self.now), job)
+            (
+                cancellation_deadline(
+                    job.ended_ms,
+                    self.wall_ms,
+                    self.leader_config.cancel_timeout,
+                    self.now,
+                ),
+                job,
+            )
         })
     }
 
@@ -164,16 +172,19 @@
             true => Some(self.members.own_id),
             false => self.controller.holders.get(id).copied(),
         };
-        let unsettled: Vec<(Micros, &Job)> = match self.log_replicas.all().any(|b| !b.unknown.is_empty()) {
-            true => self.replica_sync.replica.jobs.keys().filter_map(|id| self.unsettled_job(*id)).collect(),
-            false => Vec::new(),
-        };
-        for log in self.log_replicas.all() {
+        let unsettled: Vec<(Micros, &Job)> =
+            match self.log_replicas.iter().any(|b| !b.unknown_machines.is_empty()) {
+                true => {
+                    self.replica_sync.replica.jobs.keys().filter_map(|id| self.unsettled_job(*id)).collect()
+                }
+                false => Vec::new(),
+            };
+        for log in self.log_replicas.iter() {
             for (task, e) in &log.tasks {
                 let Some((deadline, job)) = self.unsettled_job(task.job) else { continue };
                 let start = (*task, e.attempt);
-                e.on.iter().for_each(|id| add(id, deadline, e.starting.then_some(start)));
-                let Some((preferred, zone)) = &e.handed else { continue };
+                e.machines.iter().for_each(|id| add(id, deadline, e.starting.then_some(start)));
+                let Some((preferred, zone)) = &e.unresolved_assignment else { continue };
                 add(preferred, deadline, Some(start));
                 let to = holder(preferred);
                 let in_block = machines.iter().filter(|(id, _)| to.is_some() && holder(id) == to);
@@ -184,7 +195,7 @@
                     }
                 }
             }
-            for id in &log.unknown {
+            for id in &log.unknown_machines {
                 let Some(m) = machines.get(id) else { continue };
                 for (deadline, _) in unsettled.iter().filter(|(_, job)| self.may_hold(job, m)) {
                     add(id, *deadline, None);
--- a/crates/core/src/node/control_loop.rs
+++ b/crates/core/src/node/control_loop.rs
@@ -1,7 +1,7 @@
 //! Periodic work: the state replica's list and watch, the election, the leader's work.
 use super::*;
-use crate::books::Page;
-use crate::leader::changes::{Changes, Recording};
+use crate::leader::changes::{Changes, RecordContext};
+use crate::placement_log::LogUpdate;
 
 /// Size limit of a transaction with several records, in bytes; the state service accepts 64 KiB.
 const MAX_TXN_BYTES: usize = 50_000;
@@ -315,7 +315,7 @@
         self.fetch_placement_log();
         let lease_confirmed = self.leadership.election.may_lead(self.now);
         let Some(l) = self.leadership.leader.as_mut() else { return };
-        if l.exhausted() {
+        if l.tokens_exhausted() {
             return self.step_down("fencing tokens of the term exhausted");
         }
         if lease_confirmed {
@@ -323,7 +323,7 @@
         } else {
             l.stop_cancelled(&self.replica_sync.replica, self.now);
         }
-        let messages = l.messages(self.now, lease_confirmed);
+        let messages = l.due_messages(self.now, lease_confirmed);
         for (to, m) in messages {
             self.send(to, m);
         }
@@ -338,12 +338,12 @@
     /// replica, else from another standby.
     fn fetch_placement_log(&mut self) {
         let Some(l) = self.leadership.leader.as_mut() else { return };
-        let Some(w) = l.books_wanted() else { return };
+        let Some(w) = l.wanted_log() else { return };
         let term = w.term;
         let me = &self.members.names[self.members.own_id.0 as usize];
         let is_standby = w.nodes.iter().any(|(name, process)| name == me && *process == self.incarnation);
         if is_standby && let Some(log_replica) = self.log_replicas.get(term) {
-            return l.inherit(term, log_replica, &self.replica_sync.replica);
+            return l.adopt_log(term, log_replica, &self.replica_sync.replica);
         }
         if self.now.since(self.log_requested_at) < Micros::millis(200) {
             return;
@@ -357,9 +357,9 @@
     }
 
     /// Handles the placement log that another controller sent on request.
-    pub(super) fn placement_log_received(&mut self, from: NodeId, incarnation: u64, page: Page) {
+    pub(super) fn placement_log_received(&mut self, from: NodeId, incarnation: u64, page: LogUpdate) {
         let Some(l) = self.leadership.leader.as_mut() else { return };
-        let Some(w) = l.books_wanted() else { return };
+        let Some(w) = l.wanted_log() else { return };
         // Only from the very process on record: a later process of that controller has not kept the
         // log up to date.
         let name = self.members.names.get(from.0 as usize);
@@ -367,9 +367,9 @@
         let term = page.term;
         if holds
             && term == w.term
-            && let Some(log_replica) = Book::of(page)
+            && let Some(log_replica) = LogReplica::from_full_update(page)
         {
-            l.inherit(term, &log_replica, &self.replica_sync.replica);
+            l.adopt_log(term, &log_replica, &self.replica_sync.replica);
         }
     }
 
@@ -379,7 +379,8 @@
         let Some(l) = self.leadership.leader.as_mut() else { return };
         let all = (0..self.peers.states.len()).map(|i| NodeId(i as u8));
         let down: Vec<NodeId> = all.filter(|n| self.peers.is_process_down(*n, self.now)).collect();
-        let Some((record, record_revision)) = l.books_record(&self.replica_sync.replica, &down, self.now)
+        let Some((record, record_revision)) =
+            l.due_replica_record(&self.replica_sync.replica, &down, self.now)
         else {
             return;
         };
@@ -407,11 +408,11 @@
         }
         self.leadership.last_scan_at = self.now;
         let Some(l) = self.leadership.leader.as_mut() else { return };
-        l.note_unrecorded(&self.replica_sync.replica, self.now);
-        l.note_recorded(&self.replica_sync.replica);
+        l.mark_unrecorded_progress(&self.replica_sync.replica, self.now);
+        l.mark_late_records(&self.replica_sync.replica);
         let Some(l) = self.leadership.leader.as_ref() else { return };
         let pending: Vec<LeaderWrite> = l
-            .writes(&self.replica_sync.replica, self.limits.value_bytes, self.now)
+            .due_writes(&self.replica_sync.replica, self.limits.value_bytes, self.now)
             .into_iter()
             .filter(|w| !self.leadership.inflight.contains(w))
             .filter(|w| !self.leadership.rejected.is_paused(w, self.now))
@@ -462,7 +463,7 @@
             return;
         }
         if let Some(l) = self.leadership.leader.as_mut() {
-            included.iter().for_each(|w| l.writing(w, true));
+            included.iter().for_each(|w| l.set_write_pending(w, true));
         }
         self.leadership.inflight.extend(included.iter().cloned());
         self.leadership.open_txns += 1;
@@ -473,8 +474,8 @@
     /// The conditions and writes of a leader's record, if there are any.
     fn changes_of(&self, write: &LeaderWrite) -> Option<Changes> {
         let may_create = |key: &str| self.leadership.may_create(key, self.now);
-        let recording = Recording {
-            ledger: &self.replica_sync.replica,
+        let recording = RecordContext {
+            state_replica: &self.replica_sync.replica,
             limits: &self.limits,
             wall_ms: self.wall_ms,
             may_create: &may_create,
@@ -495,12 +496,12 @@
         self.leadership.txn_completed(&writes);
         let Some(l) = self.leadership.leader.as_mut() else { return };
         for w in &writes {
-            l.writing(w, false);
+            l.set_write_pending(w, false);
         }
         match result {
             CallResult::Response { status: 200, .. } => {
                 for w in &writes {
-                    l.written(w);
+                    l.write_succeeded(w);
                 }
                 self.leadership.rejected.record_success(&writes);
                 self.run_leader();
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -28,16 +28,16 @@
 use replica_sync::{ReadProgress, ReplicaSync};
 use status::{Gauges, RefusalReason, ServiceStatus};
 
-use crate::books::{Book, Kept};
 use crate::cancellation_enforcer::CancellationEnforcer;
 use crate::controller::{Controller, HeartbeatReply, parse_tasks};
 use crate::election::Role;
 use crate::extension::{Extension, ExtensionContext, ExtensionInput, ExtensionOutput, OperationId};
 use crate::jobs::{self, Change, LeaderRecord, Ledger, MachineRecord, Phase, keys};
-use crate::leader::{CloudRequest, Context, Leader, LeaderWrite, ScaleOutRequest, View};
+use crate::leader::{CloudRequest, Leader, LeaderConfig, LeaderWrite, ScaleOutRequest, SyncView};
 use crate::limits::StoreLimits;
 use crate::liveness::LivenessMonitor;
 use crate::peer::{Envelope, Message, UnleasedReport};
+use crate::placement_log::{LogReplica, LogReplicas};
 use crate::{Call, CallId, CallResult, Input, Outbox, Output, RequestId, Target};
 use gorseshore_protocol::cloud::{Flavors, Hosts, Rentals};
 use gorseshore_protocol::ids::{Attempt, JobId, MachineId, Micros, NodeId, OWN_IDS, Resources, TaskId};
@@ -124,7 +124,7 @@
     members: ClusterMembers,
     operator: Operator,
     teams: Vec<Team>,
-    leader_config: Context,
+    leader_config: LeaderConfig,
     limits: StoreLimits,
     now: Micros,
     /// When this process started, and when it could last learn of new cancellations.
@@ -148,7 +148,7 @@
     deferred_heartbeats: DeferredHeartbeats,
     controller: Controller,
     /// Leaders' placement logs of which this node is a standby replica.
-    log_replicas: Kept,
+    log_replicas: LogReplicas,
     enforcer: CancellationEnforcer,
     liveness: LivenessMonitor,
     liveness_logged_at: Micros,
@@ -165,16 +165,16 @@
         let members = ClusterMembers::new(p);
         let d = &p.deployment;
         let n = members.names.len() as f64;
-        let leader_config = Context {
-            me: members.own_id,
+        let leader_config = LeaderConfig {
+            node_id: members.own_id,
             names: members.names.clone(),
             zones: members.zones.clone(),
             operator: operator.clone(),
             teams: d.teams.clone(),
             objectives: d.objectives.clone(),
-            lease: Micros::from_secs_f64(d.workers.lease_s),
-            report: Micros::from_secs_f64(d.workers.report_s),
-            cancel: Micros::from_secs_f64(d.workers.cancel_s),
+            worker_lease: Micros::from_secs_f64(d.workers.lease_s),
+            report_interval: Micros::from_secs_f64(d.workers.report_s),
+            cancel_timeout: Micros::from_secs_f64(d.workers.cancel_s),
             list_lag: Micros::from_secs_f64(d.cloud.list_lag_s),
             cloud_rps: d.cloud.rps,
         };
@@ -202,7 +202,7 @@
             catalogue: Catalogue::new(d.cloud.rps, now),
             deferred_heartbeats: DeferredHeartbeats::default(),
             controller: Controller::default(),
-            log_replicas: Kept::default(),
+            log_replicas: LogReplicas::default(),
             enforcer: CancellationEnforcer::new(incarnation),
             liveness: LivenessMonitor::new(
                 &p.domain,
@@ -294,7 +294,7 @@
 
     /// For tests: compares the sums that are updated incrementally with a recount.
     pub fn check_aggregates(&self) -> Result<(), String> {
-        self.leadership.leader.as_ref().map_or(Ok(()), Leader::check_sums)
+        self.leadership.leader.as_ref().map_or(Ok(()), Leader::check_totals)
     }
 
     fn call_completed(&mut self, id: CallId, result: CallResult) {
@@ -378,7 +378,7 @@
                             writes: vec![
                                 Write::Put {
                                     put: keys::BOOKS.into(),
-                                    v: json!(self.replica_sync.replica.books.0.taken_over(term + 1)),
+                                    v: json!(self.replica_sync.replica.books.0.for_new_term(term + 1)),
                                     hold: None,
                                 },
                                 Write::Put { put: keys::TERM.into(), v: json!(term + 1), hold: None },
@@ -432,7 +432,7 @@
             CallPurpose::LeaderWrites(term, w) => self.leader_writes_completed(term, w, &result),
             CallPurpose::StandbyRecord(term) => {
                 if let Some(l) = self.leadership.leader.as_mut().filter(|l| l.term == term) {
-                    l.books_record_ended();
+                    l.replica_record_write_ended();
                 }
             }
             CallPurpose::Cloud(term, w) => self.cloud_call_completed(term, w, &result),
--- a/crates/core/src/node/placement_knowledge.rs
+++ b/crates/core/src/node/placement_knowledge.rs
@@ -58,7 +58,9 @@
         let unsettled =
             self.replica_sync.replica.jobs.values().filter(|j| j.phase == Phase::Aborted && !j.settled);
         unsettled
-            .map(|job| cancellation_deadline(job.ended_ms, self.wall_ms, self.leader_config.cancel, self.now))
+            .map(|job| {
+                cancellation_deadline(job.ended_ms, self.wall_ms, self.leader_config.cancel_timeout, self.now)
+            })
             .filter(|by| *by > self.now)
             .min()
     }
@@ -71,8 +73,8 @@
             .all()
             .any(|n| self.in_contact(n, PEER_TIMEOUT) && self.peers.states[n.0 as usize].loaded);
         let since = self.informed_at.unwrap_or(self.started_at);
-        let may_be_left = self.now.since(since) < self.leader_config.cancel;
+        let may_be_left = self.now.since(since) < self.leader_config.cancel_timeout;
         (!peer_knows && may_be_left)
-            .then(|| since + self.leader_config.cancel.scale(UNKNOWN_DEADLINE_PERCENT, 100))
+            .then(|| since + self.leader_config.cancel_timeout.scale(UNKNOWN_DEADLINE_PERCENT, 100))
     }
 }
--- a/crates/core/src/peer.rs
+++ b/crates/core/src/peer.rs
@@ -1,6 +1,6 @@
 //! Messages between controllers: encoded with borsh, framed by a length and a version, and sent one
 //! way on a connection that the sender opens.
-use crate::books::Page;
+use crate::placement_log::LogUpdate;
 use borsh::{BorshDeserialize, BorshSerialize};
 use gorseshore_protocol::ids::{Attempt, Baton, JobId, MachineId, Micros, NodeId, TaskId};
 use gorseshore_protocol::workers::ReportNo;
@@ -260,7 +260,7 @@
         addr: String,
     },
     /// From the leader to a standby replica: its placement log.
-    PlacementLogUpdate(Page),
+    PlacementLogUpdate(LogUpdate),
     /// From a standby replica: it has applied the placement log of a term up to this change.
     PlacementLogAck {
         /// Term.
@@ -274,7 +274,7 @@
         term: u64,
     },
     /// To the new leader: the complete placement log of that term.
-    PlacementLogSnapshot(Page),
+    PlacementLogSnapshot(LogUpdate),
 }
 
 /// A frame's content.
--- a/crates/standins/src/scale.rs
+++ b/crates/standins/src/scale.rs
@@ -4,11 +4,11 @@
 //! are delivered at once and are not encoded, so that only their processing is measured.
 use crate::cloud::flavor;
 use crate::worker::{Machine, TaskProfile};
-use gorseshore_core::books::Kept;
 use gorseshore_core::controller::{Controller, HeartbeatReply, MachineSizes, parse_tasks};
 use gorseshore_core::jobs::{Ledger, job_value, keys, machines_value};
-use gorseshore_core::leader::{Context, Leader, View};
+use gorseshore_core::leader::{Leader, LeaderConfig, SyncView};
 use gorseshore_core::peer::Message;
+use gorseshore_core::placement_log::LogReplicas;
 use gorseshore_protocol::ids::{JobId, MachineId, Micros, NodeId, Resources, TaskId};
 use gorseshore_protocol::users::parse_submission;
 use gorseshore_settings::{Operator, Team};
@@ -77,24 +77,24 @@
     sizes: MachineSizes,
     leader: Leader,
     controllers: Vec<Controller>,
-    log_replica: Kept,
+    log_replica: LogReplicas,
     workers: Vec<Machine>,
     now: Micros,
     revision: u64,
     jobs: u64,
 }
 
-fn leader_config(controllers: usize) -> Context {
-    Context {
-        me: NodeId(0),
+fn leader_config(controllers: usize) -> LeaderConfig {
+    LeaderConfig {
+        node_id: NodeId(0),
         names: (0..controllers).map(|i| format!("n{i}")).collect(),
         zones: (0..controllers).map(|i| ZONES[i % 3].to_owned()).collect(),
         operator: Operator { block_size: 100_000, max_machines: 100_000, ..Operator::default() },
         teams: vec![Team { name: "t".into(), cpus: 0.0, cpus_max: 0.0, gpus: 0.0, gpus_max: 0.0 }],
         objectives: Vec::new(),
-        lease: Micros::secs(26),
-        report: Micros::secs(5),
-        cancel: Micros::secs(46),
+        worker_lease: Micros::secs(26),
+        report_interval: Micros::secs(5),
+        cancel_timeout: Micros::secs(46),
         list_lag: Micros::secs(5),
         cloud_rps: 10.0,
     }
@@ -129,7 +129,7 @@
             sizes: machine_sizes(),
             leader,
             controllers: (0..controllers).map(|_| Controller::default()).collect(),
-            log_replica: Kept::default(),
+            log_replica: LogReplicas::default(),
             workers,
             now,
             revision: 20,
@@ -173,12 +173,12 @@
 
     /// Delivers the leader's messages to the controllers and their responses to the leader.
     fn exchange(&mut self) {
-        if let Some((record, _)) = self.leader.books_record(&self.state_replica, &[], self.now) {
+        if let Some((record, _)) = self.leader.due_replica_record(&self.state_replica, &[], self.now) {
             self.revision += 1;
             self.state_replica.apply(keys::BOOKS, Some(&json!(record)), self.revision);
-            self.leader.books_record_ended();
+            self.leader.replica_record_write_ended();
         }
-        for (to, m) in self.leader.messages(self.now, true) {
+        for (to, m) in self.leader.due_messages(self.now, true) {
             match m {
                 Message::Update {
                     term,
@@ -204,16 +204,16 @@
                     c.apply_stops(&stops);
                 }
                 Message::PlacementLogUpdate(page) => {
-                    let seq = self.log_replica.take(page);
-                    self.leader.books_taken(to, 1, seq, self.now);
+                    let seq = self.log_replica.apply(page);
+                    self.leader.log_acknowledged(to, 1, seq, self.now);
                 }
                 _ => {}
             }
         }
         for i in 0..self.controllers.len() {
             let m = self.controllers[i].sync(1, Vec::new(), &self.state_replica, self.now);
-            if let Some((_, view)) = View::of(&m) {
-                self.leader.sync(NodeId(i as u8), 1, &view, &self.state_replica, self.now);
+            if let Some((_, view)) = SyncView::of(&m) {
+                self.leader.apply_sync(NodeId(i as u8), 1, &view, &self.state_replica, self.now);
             }
         }
     }
@@ -356,7 +356,7 @@
     for i in 0..50 * TIMED_ROUNDS {
         b.now = b.now + Micros::millis(20);
         // Heartbeats arrive continuously, so that every tick has something to schedule.
-        b.leader.dirty = true;
+        b.leader.needs_scheduling = true;
         let t = Instant::now();
         b.leader.tick(&b.state_replica, b.now);
         passes += t.elapsed().as_secs_f64();
