--- a/tests/nomad.rs
+++ b/tests/nomad.rs
@@ -1,6 +1,6 @@
 //! Nomad API against controllers on loopback.
 use gorseshore_protocol::job::Kind;
-use gorseshore_standins::net::{Told, ask};
+use gorseshore_standins::net::{Response, send_request};
 use gorseshore_standins::site::{Options, Site};
 use serde_json::{Value, json};
 use std::io::{Read, Write};
@@ -11,20 +11,21 @@
 
 fn start_site(options: Options) -> Site {
     let s = Site::start(&options).unwrap();
-    assert!(s.ready(Duration::from_secs(30)), "not ready");
+    assert!(s.wait_until_ready(Duration::from_secs(30)), "not ready");
     s
 }
 
 fn options() -> Options {
-    Options { operator: SETTINGS.into(), pace: 0.01, ..Options::default() }
+    Options { operator: SETTINGS.into(), time_scale: 0.01, ..Options::default() }
 }
 
-fn get(a: SocketAddr, path: &str) -> Told {
-    ask(a, "GET", path, "", "", Duration::from_secs(30)).unwrap_or_else(|| panic!("GET {path}: no response"))
+fn get(a: SocketAddr, path: &str) -> Response {
+    send_request(a, "GET", path, "", "", Duration::from_secs(30))
+        .unwrap_or_else(|| panic!("GET {path}: no response"))
 }
 
-fn send(a: SocketAddr, method: &str, path: &str, body: &Value) -> Told {
-    ask(a, method, path, "", &body.to_string(), Duration::from_secs(40))
+fn send(a: SocketAddr, method: &str, path: &str, body: &Value) -> Response {
+    send_request(a, method, path, "", &body.to_string(), Duration::from_secs(40))
         .unwrap_or_else(|| panic!("{method} {path}: no response"))
 }
 
@@ -56,7 +57,7 @@
 #[test]
 fn job_lifecycle_through_the_nomad_api() {
     let s = start_site(options());
-    let (a, b) = (s.nomad[0], s.nomad[1]);
+    let (a, b) = (s.nomad_addresses[0], s.nomad_addresses[1]);
     wait_until("machine types known", || {
         let t = send(a, "PUT", "/v1/jobs", &job("first", "batch", 2, "i"));
         assert!(t.status == 200 || t.status == 503, "{} {}", t.status, t.text());
@@ -73,7 +74,7 @@
     let again = send(b, "PUT", "/v1/jobs", &web);
     assert_eq!(again.json()["JobModifyIndex"].as_u64(), Some(index), "{}", again.text());
     wait_until("web runs", || summary(b, "web")["Running"] == 2);
-    assert_eq!(s.running().len(), 2);
+    assert_eq!(s.running_tasks().len(), 2);
 
     // EnforceIndex rejects a stale index; errors have the form of the Nomad API.
     let mut stale = job("web", "service", 3, "i");
@@ -106,24 +107,24 @@
     }
 
     // Scaling changes the job in place: scaling out keeps the running tasks.
-    let before = s.running();
+    let before = s.running_tasks();
     assert_eq!(
         send(b, "POST", "/v1/job/web/scale", &json!({"Target": {"Group": "g"}, "Count": 4})).status,
         200
     );
     wait_until("web has four", || summary(a, "web")["Running"] == 4);
-    assert!(before.iter().all(|t| s.running().contains(t)), "the first two tasks keep running");
+    assert!(before.iter().all(|t| s.running_tasks().contains(t)), "the first two tasks keep running");
     assert_eq!(
         send(a, "POST", "/v1/job/web/scale", &json!({"Target": {"Group": "g"}, "Count": 1})).status,
         200
     );
-    wait_until("web has one", || s.running().len() == 1);
+    wait_until("web has one", || s.running_tasks().len() == 1);
 
     // Another image makes another version, which starts after the old task is terminated.
-    let old = s.running();
+    let old = s.running_tasks();
     assert_eq!(send(a, "PUT", "/v1/jobs", &job("web", "service", 1, "i2")).status, 200);
     wait_until("replaced", || {
-        let now = s.running();
+        let now = s.running_tasks();
         assert!(now.len() <= 1, "{now:?}");
         now.len() == 1 && now != old
     });
@@ -133,7 +134,7 @@
     // Stop, then purge.
     assert_eq!(send(b, "DELETE", "/v1/job/web", &json!(null)).status, 200);
     assert_eq!(status(a, "web"), "dead");
-    wait_until("nothing runs", || s.running().is_empty());
+    wait_until("nothing runs", || s.running_tasks().is_empty());
     assert_eq!(send(b, "DELETE", "/v1/job/web?purge=true", &json!(null)).status, 200);
     wait_until("purged", || get(a, "/v1/job/web").status == 404);
 
@@ -194,8 +195,10 @@
         assert_eq!(get(b, path).status, 200, "{path}");
     }
     // Native requests can neither submit nor cancel the ids of Nomad jobs, but can query them.
-    let nomad_id = s.keys("g/j/").first().and_then(|k| k.strip_prefix("g/j/").map(str::to_owned)).unwrap();
-    let native = |method: &str, path: String, body: &Value| send(s.users[0], method, &path, body).status;
+    let nomad_id =
+        s.state_keys("g/j/").first().and_then(|k| k.strip_prefix("g/j/").map(str::to_owned)).unwrap();
+    let native =
+        |method: &str, path: String, body: &Value| send(s.user_addresses[0], method, &path, body).status;
     let native_job = json!({"ref": nomad_id, "lot":"l","crew":"default","manner":"array","rank":"standard","pieces":1,
         "cpus":1,"gpus":0,"memory_gb":1,"bundle":"i","image_gb":0.1,"same_place":false,"apart":false,
         "loaners":false,"guess_s":1,"mark_s":0,"stow_s":0});
@@ -209,7 +212,7 @@
 #[test]
 fn blocking_queries_wait_and_streams_report_changes() {
     let s = start_site(options());
-    let a = s.nomad[0];
+    let a = s.nomad_addresses[0];
     wait_until("registered", || send(a, "PUT", "/v1/jobs", &job("one", "service", 1, "i")).status == 200);
     let mut index = get(a, "/v1/jobs").index;
     assert!(index > 0);
@@ -217,20 +220,25 @@
     wait_until("one runs", || summary(a, "one")["Running"] == 1);
     let unchanged = get(a, "/v1/job/one/summary").index;
     let began = Instant::now();
-    let t = get(s.nomad[1], &format!("/v1/job/one/summary?index={unchanged}&wait=1s"));
+    let t = get(s.nomad_addresses[1], &format!("/v1/job/one/summary?index={unchanged}&wait=1s"));
     assert!(t.status == 200 && t.index >= unchanged, "{} {unchanged}", t.index);
     assert!(began.elapsed() < Duration::from_secs(8));
     // Each change ends the query, on any controller.
-    let mut stream = TcpStream::connect(s.nomad[2]).unwrap();
+    let mut stream = TcpStream::connect(s.nomad_addresses[2]).unwrap();
     stream.write_all(b"GET /v1/event/stream?topic=Job HTTP/1.1\r\nHost: x\r\n\r\n").unwrap();
     stream.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
     for i in 0..6 {
-        let reader = s.nomad[i % 3];
+        let reader = s.nomad_addresses[i % 3];
         let from = index;
         let waiting =
             std::thread::spawn(move || get(reader, &format!("/v1/jobs?index={from}&wait=20s&prefix=more")));
         std::thread::sleep(Duration::from_millis(100));
-        let t = send(s.nomad[(i + 1) % 3], "PUT", "/v1/jobs", &job(&format!("more-{i}"), "batch", 1, "i"));
+        let t = send(
+            s.nomad_addresses[(i + 1) % 3],
+            "PUT",
+            "/v1/jobs",
+            &job(&format!("more-{i}"), "batch", 1, "i"),
+        );
         assert_eq!(t.status, 200, "{}", t.text());
         let mut changed = waiting.join().unwrap();
         assert!(changed.index >= from, "{} after {from}", changed.index);
@@ -260,17 +268,17 @@
 fn concurrent_registrations_and_state_outage() {
     let s = start_site(options());
     wait_until("registered", || {
-        send(s.nomad[0], "PUT", "/v1/jobs", &job("race", "service", 1, "i")).status == 200
+        send(s.nomad_addresses[0], "PUT", "/v1/jobs", &job("race", "service", 1, "i")).status == 200
     });
     let threads: Vec<_> = (0..9u32)
         .map(|i| {
-            let a = s.nomad[i as usize % 3];
+            let a = s.nomad_addresses[i as usize % 3];
             std::thread::spawn(move || {
                 send(a, "PUT", "/v1/jobs", &job("race", "service", 1 + i % 4, &format!("i{i}")))
             })
         })
         .collect();
-    let responses: Vec<Told> = threads.into_iter().map(|t| t.join().unwrap()).collect();
+    let responses: Vec<Response> = threads.into_iter().map(|t| t.join().unwrap()).collect();
     let accepted: Vec<u64> = responses
         .iter()
         .filter(|t| t.status == 200)
@@ -285,16 +293,16 @@
     distinct.sort();
     distinct.dedup();
     assert_eq!(distinct.len(), accepted.len());
-    let now = get(s.nomad[2], "/v1/job/race").json();
+    let now = get(s.nomad_addresses[2], "/v1/job/race").json();
     assert_eq!(now["JobModifyIndex"].as_u64(), accepted.iter().max().copied());
     assert_eq!(now["Version"].as_u64(), Some(accepted.len() as u64));
     let expected = now["TaskGroups"][0]["Count"].as_u64().unwrap();
     wait_until("only the last version runs", || {
-        summary(s.nomad[0], "race")["Running"].as_u64() == Some(expected)
-            && s.running().len() as u64 == expected
+        summary(s.nomad_addresses[0], "race")["Running"].as_u64() == Some(expected)
+            && s.running_tasks().len() as u64 == expected
     });
 
-    s.state_down(true);
+    s.set_state_unavailable(true);
     std::thread::sleep(Duration::from_millis(200));
     for (method, path, body) in [
         ("PUT", "/v1/jobs", job("down", "batch", 1, "i")),
@@ -302,14 +310,14 @@
         ("DELETE", "/v1/job/race", json!(null)),
         ("POST", "/v1/job/race/scale", json!({"Target": {"Group": "g"}, "Count": 2})),
     ] {
-        let t = send(s.nomad[0], method, path, &body);
+        let t = send(s.nomad_addresses[0], method, path, &body);
         assert_eq!(t.status, 503, "{method} {path}: {}", t.text());
     }
-    s.state_down(false);
+    s.set_state_unavailable(false);
     wait_until("registered after the outage", || {
-        send(s.nomad[0], "PUT", "/v1/jobs", &job("up", "batch", 1, "i")).status == 200
+        send(s.nomad_addresses[0], "PUT", "/v1/jobs", &job("up", "batch", 1, "i")).status == 200
     });
-    assert_eq!(get(s.nomad[1], "/v1/job/race").json()["Version"], now["Version"]);
+    assert_eq!(get(s.nomad_addresses[1], "/v1/job/race").json()["Version"], now["Version"]);
 }
 
 /// A job that exceeds the limits of a value and of a transaction is stored as parts first and
@@ -317,21 +325,21 @@
 /// It reads back whole. A job over the size limit is rejected.
 #[test]
 fn job_longer_than_a_transaction_is_registered_in_one_step() {
-    let s = start_site(Options { value_kb: 4.0, changes_at_once: 8, changes: 60.0, ..options() });
+    let s = start_site(Options { max_value_kib: 4.0, max_txn_writes: 8, writes_per_s: 60.0, ..options() });
     let mut long = job("long", "batch", 2, "i");
     long["Job"]["Meta"] = json!({"text": "é\"\\\n".repeat(4000)});
     wait_until("registered", || {
-        let t = send(s.nomad[0], "PUT", "/v1/jobs", &long);
+        let t = send(s.nomad_addresses[0], "PUT", "/v1/jobs", &long);
         assert!(matches!(t.status, 200 | 503), "{} {}", t.status, t.text());
         t.status == 200
     });
-    let parts = s.keys("g/n/p/").len();
+    let parts = s.state_keys("g/n/p/").len();
     assert!(parts > 8, "{parts} parts");
-    let back = get(s.nomad[1], "/v1/job/long").json();
+    let back = get(s.nomad_addresses[1], "/v1/job/long").json();
     assert!(back["Meta"]["text"] == long["Job"]["Meta"]["text"], "the stored job equals the registered one");
-    wait_until("completed", || status(s.nomad[2], "long") == "dead");
+    wait_until("completed", || status(s.nomad_addresses[2], "long") == "dead");
     long["Job"]["Meta"]["text"] = json!("x".repeat(300_000));
-    let t = send(s.nomad[0], "PUT", "/v1/jobs", &long);
+    let t = send(s.nomad_addresses[0], "PUT", "/v1/jobs", &long);
     assert!(t.status == 400 && t.text().contains("at most"), "{} {}", t.status, t.text());
 }
 
@@ -346,10 +354,10 @@
     );
     let operator = SETTINGS.replacen("nomad {", &format!("nomad {{ {tokens}"), 1);
     let s = start_site(Options { operator, controllers: 1, ..options() });
-    let a = s.nomad[0];
+    let a = s.nomad_addresses[0];
     let with = |token: &str, method: &str, path: &str, body: &Value| {
         let head = if token.is_empty() { String::new() } else { format!("X-Nomad-Token: {token}\r\n") };
-        ask(a, method, path, &head, &body.to_string(), Duration::from_secs(20)).unwrap()
+        send_request(a, method, path, &head, &body.to_string(), Duration::from_secs(20)).unwrap()
     };
     wait_until("registered", || with("mine", "PUT", "/v1/jobs", &job("j", "service", 1, "i")).status == 200);
     let cases = [
@@ -376,8 +384,8 @@
 /// the same specification.
 #[test]
 fn samples_end_like_native_jobs() {
-    let s = start_site(Options { pace: 0.005, ..options() });
-    let a = s.nomad[0];
+    let s = start_site(Options { time_scale: 0.005, ..options() });
+    let a = s.nomad_addresses[0];
     wait_until("machine types known", || {
         send(a, "PUT", "/v1/jobs", &job("warm", "batch", 1, "i")).status == 200
     });
@@ -406,7 +414,7 @@
                 "memory_gb": x.need.mem as f64 / 1000.0, "bundle": x.image, "image_gb": x.image_gb,
                 "builds": x.types, "yard": null, "same_place": false, "apart": x.spread, "loaners": x.spot,
                 "guess_s": x.estimate_s, "mark_s": x.checkpoint_s, "stow_s": x.save_s});
-            let t = send(s.users[0], "POST", "/submissions", &native);
+            let t = send(s.user_addresses[0], "POST", "/submissions", &native);
             assert!(t.status == 201, "{file:?}: {} {}", t.status, t.text());
             pairs.push((job.id.clone(), p.group.clone(), x.tasks, number, x.kind));
         }
@@ -415,8 +423,9 @@
     for (id, group, tasks, number, kind) in pairs {
         let mut last = String::new();
         wait_until(&format!("{id} {group}"), || {
-            let native = get(s.users[1], &format!("/submissions/j-{number:06}")).json();
-            let own = get(s.nomad[1], &format!("/v1/job/{id}/summary")).json()["Summary"][&group].clone();
+            let native = get(s.user_addresses[1], &format!("/submissions/j-{number:06}")).json();
+            let own =
+                get(s.nomad_addresses[1], &format!("/v1/job/{id}/summary")).json()["Summary"][&group].clone();
             last = format!("{native} {own}");
             let ended = native["stage"] == "done" && own["Complete"] == tasks;
             let running = native["running"] == tasks && own["Running"] == tasks;
--- a/tests/rolling.rs
+++ b/tests/rolling.rs
@@ -23,7 +23,7 @@
     let program = PathBuf::from(env!("CARGO_BIN_EXE_gorseshore"));
     let programs: BTreeMap<usize, PathBuf> = (0..3).map(|i| (i, program.clone())).collect();
     let site = Site::start(&Options { programs, ..Options::default() }).unwrap();
-    assert!(site.ready(LIMIT), "not ready");
+    assert!(site.wait_until_ready(LIMIT), "not ready");
     let job = |number: u32, kind: &str, seconds: u32| {
         json!({"ref": format!("j-{number:06}"), "lot": "l", "crew": "default", "manner": kind,
             "rank": "standard", "pieces": 3, "cpus": 1, "gpus": 0, "memory_gb": 1, "bundle": "i",
@@ -33,26 +33,27 @@
     };
     let submit = |to: usize, body: &str| {
         wait_until("accepted", || {
-            call(site.users[to], "POST", "/submissions", body).is_some_and(|r| matches!(r.0, 200 | 201))
+            call(site.user_addresses[to], "POST", "/submissions", body)
+                .is_some_and(|r| matches!(r.0, 200 | 201))
         });
     };
     submit(0, &job(1, "standing", 0));
     submit(1, &job(2, "array", 40));
     let mut replicas = Vec::new();
     wait_until("replicas run", || {
-        replicas = site.running().into_iter().filter(|t| t.starts_with("j-000001/")).collect();
+        replicas = site.running_tasks().into_iter().filter(|t| t.starts_with("j-000001/")).collect();
         replicas.len() == 3
     });
     for controller in 0..3 {
-        site.roll(controller, &program).unwrap();
+        site.replace_controller(controller, &program).unwrap();
         // Another controller serves users meanwhile, and this one does again within LIMIT.
         submit((controller + 1) % 3, &job(10 + controller as u32, "array", 1));
-        assert!(site.controller_ready(controller, LIMIT).is_some(), "controller {controller}");
-        let running = site.running();
+        assert!(site.wait_until_controller_ready(controller, LIMIT).is_some(), "controller {controller}");
+        let running = site.running_tasks();
         assert!(replicas.iter().all(|t| running.contains(t)), "{replicas:?} in {running:?}");
     }
     for number in [2, 10, 11, 12] {
-        for user in &site.users {
+        for user in &site.user_addresses {
             wait_until("done on every controller", || {
                 call(*user, "GET", &format!("/submissions/j-{number:06}"), "")
                     .is_some_and(|r| r.1["stage"] == "done")
@@ -67,7 +68,7 @@
     let missing_program = Path::new("/nothing/there");
     for controller in [0, 7] {
         assert!(
-            matches!(site.roll(controller, missing_program), Err(SiteError::NoProcess(n)) if n == controller)
+            matches!(site.replace_controller(controller, missing_program), Err(SiteError::NoProcess(n)) if n == controller)
         );
     }
     let programs = BTreeMap::from([(0, missing_program.to_owned())]);
--- a/tests/site_records.rs
+++ b/tests/site_records.rs
@@ -3,7 +3,7 @@
 use gorseshore_core::jobs::description;
 use gorseshore_protocol::ids::JobId;
 use gorseshore_protocol::state::News;
-use gorseshore_standins::net::{Told, ask};
+use gorseshore_standins::net::{Response, send_request};
 use gorseshore_standins::site::{Options, Site};
 use production::Record;
 use serde_json::{Value, json};
@@ -17,8 +17,8 @@
 const LIMIT: Duration = Duration::from_secs(120);
 const OPERATOR_SETTINGS: &str = include_str!("../deploy/nomad.txtpb");
 
-fn send(a: SocketAddr, method: &str, path: &str, body: &Value) -> Told {
-    ask(a, method, path, "", &body.to_string(), Duration::from_secs(20))
+fn send(a: SocketAddr, method: &str, path: &str, body: &Value) -> Response {
+    send_request(a, method, path, "", &body.to_string(), Duration::from_secs(20))
         .unwrap_or_else(|| panic!("{method} {path}: no response"))
 }
 
@@ -138,10 +138,11 @@
 fn production_reads_all_records_of_a_site() {
     // The team limit makes an array run long enough for its progress to be recorded.
     let teams = vec![("default".to_owned(), 20.0)];
-    let options = Options { operator: OPERATOR_SETTINGS.into(), pace: 0.02, teams, ..Options::default() };
+    let options =
+        Options { operator: OPERATOR_SETTINGS.into(), time_scale: 0.02, teams, ..Options::default() };
     let site = Site::start(&options).unwrap();
-    assert!(site.ready(Duration::from_secs(30)), "not ready");
-    let (user_addr, nomad_addr) = (site.users[0], site.nomad[0]);
+    assert!(site.wait_until_ready(Duration::from_secs(30)), "not ready");
+    let (user_addr, nomad_addr) = (site.user_addresses[0], site.nomad_addresses[0]);
     let submit = |job: &Value| send(user_addr, "POST", "/submissions", job).status;
     wait_until("accepted", || submit(&native_job(1, "array", 40)) == 201);
     assert_eq!(submit(&native_job(2, "standing", 2)), 201);
@@ -162,7 +163,7 @@
     let launched = send(nomad_addr, "POST", "/v1/job/often/periodic/force", &Value::Null);
     assert_eq!(launched.status, 200, "{}", launched.text());
 
-    let mut records = Records { state: site.state, revision: 0, seen: BTreeSet::new() };
+    let mut records = Records { state: site.state_address, revision: 0, seen: BTreeSet::new() };
     records.read_until(&["progress", "failures"]);
     let cancelled = send(user_addr, "POST", "/submissions/j-000002/abort", &Value::Null);
     assert_eq!(cancelled.status, 200, "{}", cancelled.text());
--- a/tests/smoke.rs
+++ b/tests/smoke.rs
@@ -1,5 +1,5 @@
 //! The program on loopback, against test doubles of the external systems.
-use gorseshore_standins::net::{call, free_address, raw};
+use gorseshore_standins::net::{call, free_address, send_raw};
 use gorseshore_standins::site::{Options, Site};
 use serde_json::json;
 use std::io::{Read, Write};
@@ -44,8 +44,8 @@
 fn job_runs_and_its_end_survives_a_restart() {
     let site = Site::start(&Options { controllers: 0, ..Options::default() }).unwrap();
     let (public, cluster) = (free_address().unwrap(), free_address().unwrap());
-    site.report_to(&[public]);
-    let text = settings(public, cluster, site.cloud, site.state);
+    site.set_worker_targets(&[public]);
+    let text = settings(public, cluster, site.cloud_address, site.state_address);
     let file = std::env::temp_dir().join(format!("gorseshore-smoke-{}.toml", std::process::id()));
     std::fs::write(&file, text).unwrap();
     let path = file.to_str().unwrap().to_owned();
@@ -78,7 +78,7 @@
     wait_until("machine types known", || {
         call(public, "POST", "/submissions", &unknown_team.to_string()).unwrap().0 == 422
     });
-    let raw_status = |bytes: &[u8]| raw(public, bytes, Duration::from_secs(10)).unwrap().status;
+    let raw_status = |bytes: &[u8]| send_raw(public, bytes, Duration::from_secs(10)).unwrap().status;
     assert_eq!(raw_status(big.as_bytes()), 413);
     assert_eq!(raw_status(b"nonsense\r\n\r\n"), 400);
 
@@ -107,8 +107,8 @@
 fn quick_restarts_lose_no_job() {
     let site = Site::start(&Options { controllers: 0, ..Options::default() }).unwrap();
     let (public, cluster) = (free_address().unwrap(), free_address().unwrap());
-    site.report_to(&[public]);
-    let text = settings(public, cluster, site.cloud, site.state);
+    site.set_worker_targets(&[public]);
+    let text = settings(public, cluster, site.cloud_address, site.state_address);
     let file = std::env::temp_dir().join(format!("gorseshore-restart-{}.toml", std::process::id()));
     std::fs::write(&file, text).unwrap();
     let path = file.to_str().unwrap().to_owned();
@@ -125,7 +125,7 @@
     wait_until("accepted", || {
         call(public, "POST", "/submissions", &job(1, "standing")).is_some_and(|r| r.0 == 201)
     });
-    let replicas = || site.running().iter().filter(|t| t.starts_with("j-000001/")).count();
+    let replicas = || site.running_tasks().iter().filter(|t| t.starts_with("j-000001/")).count();
     wait_until("replicas run", || replicas() == 2);
     for (i, downtime_ms) in [0, 20, 100, 300].into_iter().cycle().take(12).enumerate() {
         // A submission sent just before the process is killed may or may not take effect.
@@ -175,8 +175,8 @@
 fn workers_are_admitted_while_users_hold_all_connections() {
     let site = Site::start(&Options { controllers: 0, ..Options::default() }).unwrap();
     let (public, cluster) = (free_address().unwrap(), free_address().unwrap());
-    let text =
-        settings(public, cluster, site.cloud, site.state) + "[deployment.machine_limits]\nsockets = 200\n";
+    let text = settings(public, cluster, site.cloud_address, site.state_address)
+        + "[deployment.machine_limits]\nsockets = 200\n";
     let file = std::env::temp_dir().join(format!("gorseshore-connections-{}.toml", std::process::id()));
     std::fs::write(&file, text).unwrap();
     let _node = RunningProcess(
