--- a/crates/nomad/src/hcl.rs
+++ b/crates/nomad/src/hcl.rs
@@ -174,13 +174,13 @@
         let mut vars: Vec<(String, Node)> = Vec::new();
         for b in body.get_blocks("variable") {
             let p = offset_of(&b.ident, 0);
-            let [(name, place)] = &self.labels(b)[..] else {
+            let [(name, name_offset)] = &self.labels(b)[..] else {
                 self.diagnostics.unreadable(p, "variable", "a variable has one name");
                 continue;
             };
             let path = format!("variable.{name}");
             if vars.iter().any(|(k, _)| k == name) {
-                self.diagnostics.unreadable(*place, &path, "declared twice");
+                self.diagnostics.unreadable(*name_offset, &path, "declared twice");
                 continue;
             }
             let mut kind = VariableType::Any;
@@ -222,7 +222,7 @@
                 None if self.stopped => {}
                 None => {
                     let text = "it has no value: give one with --var or --var-file, or set a default";
-                    self.diagnostics.unreadable(*place, &path, text);
+                    self.diagnostics.unreadable(*name_offset, &path, text);
                 }
                 Some(n) => match kind.convert(n.datum) {
                     Ok(datum) => vars.push((name.clone(), Node { at: n.at, datum })),
--- a/crates/nomad/src/service/api.rs
+++ b/crates/nomad/src/service/api.rs
@@ -296,8 +296,8 @@
         }
         // The remaining routes depend on state, so a read barrier confirms that the replica is up
         // to date before they are answered.
-        let ticket = self.new_operation(PendingOperation::Request(r));
-        self.outputs.push(ExtensionOutput::ReadBarrier(ticket));
+        let operation = self.new_operation(PendingOperation::Request(r));
+        self.outputs.push(ExtensionOutput::ReadBarrier(operation));
     }
 
     /// Answers a request whose read barrier has passed.
@@ -518,8 +518,8 @@
 
     pub(crate) fn read_content(&mut self, key: &JobKey, nonce: String, request: Request) {
         let prefix = super::records::names::chunk_prefix(key, &nonce);
-        let ticket = self.new_operation(PendingOperation::Content { request, nonce });
-        self.outputs.push(ExtensionOutput::Read(ticket, prefix));
+        let operation = self.new_operation(PendingOperation::Content { request, nonce });
+        self.outputs.push(ExtensionOutput::Read(operation, prefix));
     }
 
     /// `POST /v1/jobs/parse`: converts an HCL file to the JSON form of the interface.
--- a/crates/nomad/src/service/launches.rs
+++ b/crates/nomad/src/service/launches.rs
@@ -58,7 +58,7 @@
             let base = last.unwrap_or(0).max(registered.record.at);
             // The next launch time is cached until the last launch or the registration changes.
             let next = match self.next_launch.get(&key) {
-                Some((b, stamp, next)) if (*b, *stamp) == (base, registered.modify_revision) => *next,
+                Some((b, revision, next)) if (*b, *revision) == (base, registered.modify_revision) => *next,
                 _ => {
                     let p = registered.record.periodic.as_ref();
                     let next = p.and_then(|p| cron::next(&p.crons, &p.time_zone, base)).unwrap_or(u64::MAX);
--- a/crates/nomad/src/service/mod.rs
+++ b/crates/nomad/src/service/mod.rs
@@ -199,38 +199,38 @@
         Some(content)
     }
 
-    fn mark_changed(&mut self, key: &JobKey, stamp: u64) {
-        self.last_change_revision = self.last_change_revision.max(stamp);
+    fn mark_changed(&mut self, key: &JobKey, revision: u64) {
+        self.last_change_revision = self.last_change_revision.max(revision);
         if let Some(k) = self.jobs.get_mut(key) {
-            k.last_change_revision = k.last_change_revision.max(stamp);
+            k.last_change_revision = k.last_change_revision.max(revision);
         }
         self.reconcile_queue.entry(key.clone()).or_insert(Micros(0));
     }
 
-    fn apply_job_record(&mut self, key: JobKey, record: Option<JobRecord>, stamp: u64) {
+    fn apply_job_record(&mut self, key: JobKey, record: Option<JobRecord>, revision: u64) {
         let Some(record) = record else {
             if let Some(old) = self.jobs.remove(&key) {
-                self.last_change_revision = self.last_change_revision.max(stamp);
+                self.last_change_revision = self.last_change_revision.max(revision);
                 self.next_launch.remove(&key);
-                self.publish_event("JobDeregistered", &old.record, stamp);
+                self.publish_event("JobDeregistered", &old.record, revision);
             }
             return;
         };
         for id in record.native_jobs() {
             self.jobs_by_native_id.insert(id, key.clone());
         }
-        let created = record.create_revision.unwrap_or(stamp);
+        let created = record.create_revision.unwrap_or(revision);
         let registered = RegisteredJob {
             record: Rc::new(record),
-            modify_revision: stamp,
+            modify_revision: revision,
             create_revision: created,
-            last_change_revision: stamp,
+            last_change_revision: revision,
         };
         let record = registered.record.clone();
         self.jobs.insert(key.clone(), registered);
-        let what = if record.stop { "JobDeregistered" } else { "JobRegistered" };
-        self.publish_event(what, &record, stamp);
-        self.mark_changed(&key, stamp);
+        let kind = if record.stop { "JobDeregistered" } else { "JobRegistered" };
+        self.publish_event(kind, &record, revision);
+        self.mark_changed(&key, revision);
     }
 
     /// Refreshes machine types and teams from the scheduler's context.
@@ -249,8 +249,13 @@
         self.site = Site { machines, teams: ctx.teams.iter().map(|t| t.name.clone()).collect() };
     }
 
-    fn operation_completed(&mut self, ctx: &ExtensionContext<'_>, ticket: OperationId, result: CallResult) {
-        match self.pending.remove(&ticket) {
+    fn operation_completed(
+        &mut self,
+        ctx: &ExtensionContext<'_>,
+        operation: OperationId,
+        result: CallResult,
+    ) {
+        match self.pending.remove(&operation) {
             Some(PendingOperation::Register(r)) => self.change_write_ended(ctx, *r, &result),
             Some(PendingOperation::Content { request, nonce }) => {
                 match self.decode_content(&nonce, &result) {
@@ -262,14 +267,14 @@
             }
             Some(PendingOperation::Reconcile(key)) => {
                 self.operations_in_flight.remove(&key);
-                let again = match result {
+                let retry_at = match result {
                     CallResult::Response { status: 200, .. } => Micros(0),
                     // The replica is behind or another node leads; the next update of the replica
                     // shows which.
                     CallResult::Response { status: 409, .. } => ctx.now + Micros::millis(100),
                     _ => ctx.now + Micros::millis(500 + self.rng.u64(0..500)),
                 };
-                self.reconcile_queue.insert(key, again);
+                self.reconcile_queue.insert(key, retry_at);
             }
             Some(PendingOperation::Load(key, nonce)) => {
                 self.operations_in_flight.remove(&key);
@@ -297,8 +302,8 @@
 }
 
 /// A write, with or without the leader's key as a precondition.
-pub(crate) fn write(ticket: OperationId, multi: Multi, as_leader: bool) -> ExtensionOutput {
-    ExtensionOutput::Write { ticket, multi, as_leader }
+pub(crate) fn write(operation: OperationId, multi: Multi, as_leader: bool) -> ExtensionOutput {
+    ExtensionOutput::Write { ticket: operation, multi, as_leader }
 }
 
 impl Extension for Service {
@@ -320,20 +325,20 @@
         self.last_change_revision = self.last_change_revision.max(floor);
     }
 
-    fn apply(&mut self, name: &str, value: Option<&Value>, stamp: u64) {
+    fn apply(&mut self, name: &str, value: Option<&Value>, revision: u64) {
         let Some((space, rest)) = name.split_once('/') else { return };
         let key = || JobKey(rest.to_owned());
         match space {
             "j" => {
                 let record = value.and_then(|v| serde_json::from_value::<JobRecord>(v.clone()).ok());
-                self.apply_job_record(key(), record, stamp);
+                self.apply_job_record(key(), record, revision);
             }
             "l" => {
                 match value.and_then(Value::as_u64) {
-                    Some(ms) => drop(self.last_launches.insert(key(), (ms, stamp))),
+                    Some(ms) => drop(self.last_launches.insert(key(), (ms, revision))),
                     None => drop(self.last_launches.remove(&key())),
                 }
-                self.mark_changed(&key(), stamp);
+                self.mark_changed(&key(), revision);
             }
             "i" => match value.and_then(Value::as_str) {
                 Some(id) => drop(self.jobs_by_dispatch_token.insert(key(), id.to_owned())),
@@ -347,9 +352,9 @@
         }
     }
 
-    fn job_changed(&mut self, id: JobId, stamp: u64) {
+    fn job_changed(&mut self, id: JobId, revision: u64) {
         if let Some(key) = self.jobs_by_native_id.get(&id).cloned() {
-            self.mark_changed(&key, stamp);
+            self.mark_changed(&key, revision);
         }
     }
 
@@ -375,7 +380,7 @@
                 self.blocked_queries.retain(|b| b.request.id != id);
                 self.streams.remove(&id);
             }
-            ExtensionInput::ReadBarrierDone(ticket, good) => match self.pending.remove(&ticket) {
+            ExtensionInput::ReadBarrierDone(operation, good) => match self.pending.remove(&operation) {
                 Some(PendingOperation::Request(r)) if good => self.serve(ctx, r),
                 Some(PendingOperation::Request(r)) => {
                     self.answer_error(r.id, 503, "the state service can't be asked now")
@@ -386,8 +391,8 @@
                 }
                 _ => {}
             },
-            ExtensionInput::OperationCompleted(ticket, result) => {
-                self.operation_completed(ctx, ticket, result)
+            ExtensionInput::OperationCompleted(operation, result) => {
+                self.operation_completed(ctx, operation, result)
             }
         }
         std::mem::take(&mut self.outputs)
--- a/crates/nomad/src/service/reconcile.rs
+++ b/crates/nomad/src/service/reconcile.rs
@@ -148,25 +148,24 @@
             return;
         }
         self.operations_in_flight.insert(key.clone());
-        let ticket = self.new_operation(PendingOperation::Reconcile(key.clone()));
-        self.outputs.push(write(ticket, m, true));
+        let operation = self.new_operation(PendingOperation::Reconcile(key.clone()));
+        self.outputs.push(write(operation, m, true));
     }
 
     /// Starts to read a job's content for the leader's work on the job.
     pub(crate) fn load_content(&mut self, key: &JobKey, nonce: &str) {
         self.operations_in_flight.insert(key.clone());
-        let ticket = self.new_operation(PendingOperation::Load(key.clone(), nonce.to_owned()));
-        self.outputs.push(ExtensionOutput::Read(ticket, names::chunk_prefix(key, nonce)));
+        let operation = self.new_operation(PendingOperation::Load(key.clone(), nonce.to_owned()));
+        self.outputs.push(ExtensionOutput::Read(operation, names::chunk_prefix(key, nonce)));
     }
 
     /// Removes chunks that no job record references: of unfinished registrations, of versions that
     /// are no longer kept and of deleted jobs.
     fn remove_orphaned_chunks(&mut self, ctx: &ExtensionContext<'_>) {
-        let is_referenced = |heads: &BTreeMap<JobKey, RegisteredJob>, name: &str| {
+        let is_referenced = |jobs: &BTreeMap<JobKey, RegisteredJob>, name: &str| {
             let mut s = name.split('/');
             let (Some(key), Some(nonce)) = (s.next(), s.next()) else { return false };
-            heads
-                .get(&JobKey(key.to_owned()))
+            jobs.get(&JobKey(key.to_owned()))
                 .is_some_and(|k: &RegisteredJob| JobRecord::references(&k.record, nonce))
         };
         let mut orphaned = Vec::new();
@@ -184,22 +183,22 @@
             return;
         }
         let writes = orphaned.into_iter().map(|n| remove(&format!("p/{n}"))).collect();
-        let ticket = self.new_operation(PendingOperation::Sweep);
-        self.outputs.push(write(ticket, Multi { when: Vec::new(), writes }, true));
+        let operation = self.new_operation(PendingOperation::Sweep);
+        self.outputs.push(write(operation, Multi { when: Vec::new(), writes }, true));
     }
 
     /// Records a launch time as handled without launching the job.
     pub(crate) fn skip_launch(&mut self, key: &JobKey, registered: &RegisteredJob, ms: u64) {
-        let stamp = self.last_launches.get(key).map_or(0, |l| l.1);
+        let revision = self.last_launches.get(key).map_or(0, |l| l.1);
         let m = Multi {
             when: vec![
                 precondition(names::job_record(key), registered.modify_revision),
-                precondition(names::last_launch(key), stamp),
+                precondition(names::last_launch(key), revision),
             ],
             writes: vec![put(&names::last_launch(key), json!(ms))],
         };
         self.operations_in_flight.insert(key.clone());
-        let ticket = self.new_operation(PendingOperation::SkipLaunch(key.clone()));
-        self.outputs.push(write(ticket, m, true));
+        let operation = self.new_operation(PendingOperation::SkipLaunch(key.clone()));
+        self.outputs.push(write(operation, m, true));
     }
 }
--- a/crates/nomad/src/service/records.rs
+++ b/crates/nomad/src/service/records.rs
@@ -169,13 +169,13 @@
     pub periodic: Option<PeriodicRecord>,
     /// Dispatch rules, for a parameterized job.
     #[serde(rename = "pa", default, skip_serializing_if = "Option::is_none")]
-    pub param: Option<ParameterizedRecord>,
+    pub parameterized: Option<ParameterizedRecord>,
     /// Id of the periodic or parameterized job that created this one.
     #[serde(rename = "up", default, skip_serializing_if = "Option::is_none")]
     pub parent: Option<String>,
     /// Previous versions, latest first.
     #[serde(rename = "vs", default)]
-    pub earlier: Vec<PreviousVersion>,
+    pub previous_versions: Vec<PreviousVersion>,
 }
 
 /// Most previous versions that a record keeps.
@@ -190,11 +190,11 @@
     }
     /// Whether the job only creates other jobs and runs no tasks itself.
     pub fn is_template(&self) -> bool {
-        self.periodic.is_some() || self.param.is_some()
+        self.periodic.is_some() || self.parameterized.is_some()
     }
     /// Whether the current or a kept previous version uses the chunks of `nonce`.
     pub fn references(&self, nonce: &str) -> bool {
-        self.nonce == nonce || self.earlier.iter().any(|e| e.nonce == nonce)
+        self.nonce == nonce || self.previous_versions.iter().any(|e| e.nonce == nonce)
     }
     /// Native jobs of the current version and of earlier ones.
     pub fn native_jobs(&self) -> impl Iterator<Item = JobId> + '_ {
@@ -299,12 +299,12 @@
         let text = serde_json::to_string(v).unwrap_or_default();
         hex::encode(&Sha256::digest(text)[..16])
     };
-    let mut shape = content.clone();
-    if let Some(groups) = shape.job["TaskGroups"].as_array_mut() {
+    let mut uncounted = content.clone();
+    if let Some(groups) = uncounted.job["TaskGroups"].as_array_mut() {
         groups.iter_mut().for_each(|g| g["Count"] = Value::Null);
     }
-    shape.specs.values_mut().for_each(|s| s["d"]["n"] = Value::Null);
-    (hash(content), hash(&shape))
+    uncounted.specs.values_mut().for_each(|s| s["d"]["n"] = Value::Null);
+    (hash(content), hash(&uncounted))
 }
 
 #[cfg(test)]
--- a/crates/nomad/src/service/register.rs
+++ b/crates/nomad/src/service/register.rs
@@ -205,7 +205,7 @@
         content: &Content,
         body: &Value,
     ) -> Result<(JobChange, Option<Value>), String> {
-        let Some(rules) = registered.record.param.as_ref().filter(|_| !registered.record.stop) else {
+        let Some(rules) = registered.record.parameterized.as_ref().filter(|_| !registered.record.stop) else {
             return Err("the job is not parameterized, or it is stopped".into());
         };
         let payload = body["Payload"].as_str().filter(|p| !p.is_empty()).map(str::to_owned);
@@ -241,8 +241,8 @@
         let token = token.map(|t| JobKey::of(&registered.record.key().0, t));
         if let Some(id) = token.as_ref().and_then(|t| self.jobs_by_dispatch_token.get(t)) {
             let key = JobKey::of(&registered.record.namespace, id);
-            let stamp = self.jobs.get(&key).map_or(0, |k| k.create_revision);
-            let done = dispatch_response(id, &key, stamp);
+            let revision = self.jobs.get(&key).map_or(0, |k| k.create_revision);
+            let done = dispatch_response(id, &key, revision);
             return Ok((JobChange::Stop { purge: false }, Some(done)));
         }
         let id = format!("{}/dispatch-{}-{:08x}", registered.record.id, ctx.wall_ms / 1000, self.rng.u32(..));
@@ -269,7 +269,7 @@
             request,
             by_leader,
             key,
-            change: change,
+            change,
             step: Step::Rebuild,
             record: None,
             expected_revision: 0,
@@ -321,7 +321,7 @@
                         return self.fail_change(&r, 409, &text);
                     }
                 }
-                let (hash, shape) = hashes(content);
+                let (hash, hash_without_counts) = hashes(content);
                 if let Some(k) = &registered
                     && !k.record.stop
                     && k.record.hash == hash
@@ -329,7 +329,13 @@
                     let answer = registration_response(&r.key, &k.record, k.modify_revision, &r.change);
                     return self.answer(r.request.id, 200, ctx.replica.applied, &answer);
                 }
-                match self.next_job_record(ctx, registered.as_ref(), job, (class, team), (hash, shape)) {
+                match self.next_job_record(
+                    ctx,
+                    registered.as_ref(),
+                    job,
+                    (class, team),
+                    (hash, hash_without_counts),
+                ) {
                     Ok(h) => (h, Some(content.clone())),
                     Err(text) => return self.fail_change(&r, 503, &text),
                 }
@@ -398,14 +404,14 @@
                     return self.fail_change(&r, 409, "the job was stopped meanwhile");
                 };
                 let parent = &k.record;
-                let (hash, shape) = hashes(content);
+                let (hash, hash_without_counts) = hashes(content);
                 let groups = parent.groups.iter().map(|g| (g.name.clone(), g.count)).collect::<Vec<_>>();
                 let h = JobRecord {
                     id: id.clone(),
                     name: id.clone(),
                     version: 0,
                     hash,
-                    hash_without_counts: shape,
+                    hash_without_counts,
                     at: ctx.wall_ms,
                     create_revision: None,
                     stop: false,
@@ -415,9 +421,9 @@
                         .collect(),
                     superseded_jobs: Vec::new(),
                     periodic: None,
-                    param: None,
+                    parameterized: None,
                     parent: Some(parent.id.clone()),
-                    earlier: Vec::new(),
+                    previous_versions: Vec::new(),
                     ..JobRecord::clone(parent)
                 };
                 (h, Some(content.clone()))
@@ -434,7 +440,7 @@
         registered: Option<&RegisteredJob>,
         job: &Job,
         (class, team): (&str, &str),
-        (hash, shape): (String, String),
+        (hash, hash_without_counts): (String, String),
     ) -> Result<JobRecord, String> {
         let mut record = JobRecord {
             namespace: job.namespace.clone(),
@@ -442,7 +448,7 @@
             name: job.name.clone(),
             version: 0,
             hash,
-            hash_without_counts: shape,
+            hash_without_counts,
             nonce: String::new(),
             at: ctx.wall_ms,
             create_revision: None,
@@ -466,13 +472,13 @@
                 prohibit_overlap: p.prohibit_overlap,
                 enabled: p.enabled,
             }),
-            param: job.parameterized.as_ref().map(|p| ParameterizedRecord {
+            parameterized: job.parameterized.as_ref().map(|p| ParameterizedRecord {
                 payload: payload_word(p.payload).into(),
                 required: p.required.clone(),
                 optional: p.optional.clone(),
             }),
             parent: None,
-            earlier: Vec::new(),
+            previous_versions: Vec::new(),
         };
         let Some(k) = registered else { return Ok(record) };
         let active = |id: u64| ctx.replica.jobs.get(&JobId(id)).is_none_or(|j| j.phase == Phase::Active);
@@ -539,7 +545,7 @@
         // A record that exceeds the value limit drops its oldest previous versions.
         let too_long =
             |record: &JobRecord| value_len(&json!(record)) + RECORD_SIZE_MARGIN_BYTES > ctx.max_value_bytes;
-        while too_long(&record) && record.earlier.pop().is_some() {}
+        while too_long(&record) && record.previous_versions.pop().is_some() {}
         if too_long(&record) {
             return self.fail_change(
                 &r,
@@ -568,20 +574,21 @@
                 writes.push(put(name, json!(text)));
             }
             r.chunks_in_flight = writes.len();
-            let ticket = self.new_operation(PendingOperation::Register(Box::new(r)));
-            return self.outputs.push(write(ticket, Multi { when: Vec::new(), writes }, false));
+            let operation = self.new_operation(PendingOperation::Register(Box::new(r)));
+            return self.outputs.push(write(operation, Multi { when: Vec::new(), writes }, false));
         }
         r.step = Step::JobRecord;
         let Some(record) = &r.record else { return };
         let target = record.key();
         let mut conditions = vec![precondition(names::job_record(&r.key), r.expected_revision)];
         let mut writes = vec![put(&names::job_record(&target), json!(record))];
-        conditions.extend(r.written_chunks.iter().map(|(name, stamp)| precondition(name.clone(), *stamp)));
+        conditions
+            .extend(r.written_chunks.iter().map(|(name, revision)| precondition(name.clone(), *revision)));
         if let JobChange::Child { launched, token, id, .. } = &r.change {
             conditions.push(precondition(names::job_record(&target), 0));
             if let Some(ms) = launched {
-                let stamp = self.last_launches.get(&r.key).map_or(0, |l| l.1);
-                conditions.push(precondition(names::last_launch(&r.key), stamp));
+                let revision = self.last_launches.get(&r.key).map_or(0, |l| l.1);
+                conditions.push(precondition(names::last_launch(&r.key), revision));
                 writes.push(put(&names::last_launch(&r.key), json!(ms)));
             }
             if let Some(t) = token {
@@ -590,8 +597,8 @@
             }
         }
         let by_leader = r.by_leader;
-        let ticket = self.new_operation(PendingOperation::Register(Box::new(r)));
-        self.outputs.push(write(ticket, Multi { when: conditions, writes }, by_leader));
+        let operation = self.new_operation(PendingOperation::Register(Box::new(r)));
+        self.outputs.push(write(operation, Multi { when: conditions, writes }, by_leader));
     }
 
     /// Handles the end of a write of a change.
@@ -602,18 +609,18 @@
         result: &CallResult,
     ) {
         match (r.step, committed_revision(result), result) {
-            (Step::Chunks, Some(stamp), _) => {
+            (Step::Chunks, Some(revision), _) => {
                 let done = r.written_chunks.len();
                 let in_flight = r.chunks_in_flight;
                 let names: Vec<String> =
                     r.chunks[done..done + in_flight].iter().map(|p| p.0.clone()).collect();
-                r.written_chunks.extend(names.into_iter().map(|n| (n, stamp)));
+                r.written_chunks.extend(names.into_iter().map(|n| (n, revision)));
                 self.write_next(ctx, r);
             }
             // Writing chunks twice is harmless: the preconditions of the job record check which
             // write is stored.
             (Step::Chunks, None, _) => self.retry_chunks(ctx, r),
-            (_, Some(stamp), _) => self.complete_change(ctx, &r, stamp),
+            (_, Some(revision), _) => self.complete_change(ctx, &r, revision),
             (_, None, CallResult::NotSent) => {
                 self.fail_change(&r, 503, "the state service can't be asked now")
             }
@@ -637,8 +644,8 @@
 
     fn request_read_barrier(&mut self, mut r: PendingChange, step: Step) {
         r.step = step;
-        let ticket = self.new_operation(PendingOperation::Register(Box::new(r)));
-        self.outputs.push(ExtensionOutput::ReadBarrier(ticket));
+        let operation = self.new_operation(PendingOperation::Register(Box::new(r)));
+        self.outputs.push(ExtensionOutput::ReadBarrier(operation));
     }
 
     /// Continues a change after its read barrier; the replica is up to date.
@@ -651,17 +658,18 @@
         let committed =
             target.as_ref().and_then(|k| self.jobs.get(k)).filter(|k| Some(&*k.record) == r.record.as_ref());
         match committed.map(|k| k.modify_revision) {
-            Some(stamp) => self.complete_change(ctx, &r, stamp),
+            Some(revision) => self.complete_change(ctx, &r, revision),
             // The write may still be applied later, so its outcome is unknown.
             None => self.fail_change(&r, 503, "the state service did not confirm it: ask again"),
         }
     }
 
-    /// Answers the client of a committed change.
-    fn complete_change(&mut self, ctx: &ExtensionContext<'_>, r: &PendingChange, stamp: u64) {
+    /// Ends a committed change: answers its client, or queues the job for reconciling if the leader
+    /// made the change.
+    fn complete_change(&mut self, ctx: &ExtensionContext<'_>, r: &PendingChange, revision: u64) {
         let Some(record) = &r.record else { return };
         log::info!(
-            "job version recorded namespace={} job={} version={} revision={stamp}",
+            "job version recorded namespace={} job={} version={} revision={revision}",
             record.namespace,
             record.id,
             record.version
@@ -671,10 +679,10 @@
             return self.queue_reconcile(&r.key);
         }
         let answer = match &r.change {
-            JobChange::Child { id, .. } => dispatch_response(id, &record.key(), stamp),
-            w => registration_response(&r.key, record, stamp, w),
+            JobChange::Child { id, .. } => dispatch_response(id, &record.key(), revision),
+            w => registration_response(&r.key, record, revision, w),
         };
-        self.answer(r.request.id, 200, ctx.replica.applied.max(stamp), &answer);
+        self.answer(r.request.id, 200, ctx.replica.applied.max(revision), &answer);
     }
 
     /// Whether a child job of `parent` is still alive.
@@ -693,14 +701,16 @@
     record.version = k.version + 1;
     record.create_revision = Some(registered.create_revision);
     record.at = wall_ms;
-    record.earlier = k.earlier.clone();
-    record.earlier.insert(0, PreviousVersion { version: k.version, nonce: k.nonce.clone(), at: k.at });
-    record.earlier.truncate(MAX_PREVIOUS_VERSIONS);
+    record.previous_versions = k.previous_versions.clone();
+    record
+        .previous_versions
+        .insert(0, PreviousVersion { version: k.version, nonce: k.nonce.clone(), at: k.at });
+    record.previous_versions.truncate(MAX_PREVIOUS_VERSIONS);
 }
 
 /// A precondition on a key below the extension's prefix.
-pub(crate) fn precondition(name: String, stamp: u64) -> When {
-    When { path: format!("{}{name}", keys::GUEST), stamp }
+pub(crate) fn precondition(name: String, revision: u64) -> When {
+    When { path: format!("{}{name}", keys::GUEST), stamp: revision }
 }
 
 /// A put of a key below the extension's prefix.
@@ -742,16 +752,16 @@
     c
 }
 
-fn registration_response(key: &JobKey, record: &JobRecord, stamp: u64, change: &JobChange) -> Value {
+fn registration_response(key: &JobKey, record: &JobRecord, revision: u64, change: &JobChange) -> Value {
     let warnings = match change {
         JobChange::Content { warnings, .. } => warnings.as_str(),
         _ => "",
     };
-    json!({"EvalID": views::evaluation_id(key, record.version), "EvalCreateIndex": stamp,
-        "JobModifyIndex": stamp, "Warnings": warnings, "Index": stamp})
+    json!({"EvalID": views::evaluation_id(key, record.version), "EvalCreateIndex": revision,
+        "JobModifyIndex": revision, "Warnings": warnings, "Index": revision})
 }
 
-fn dispatch_response(id: &str, key: &JobKey, stamp: u64) -> Value {
-    json!({"DispatchedJobID": id, "EvalID": views::evaluation_id(key, 0), "EvalCreateIndex": stamp,
-        "JobCreateIndex": stamp, "Index": stamp})
+fn dispatch_response(id: &str, key: &JobKey, revision: u64) -> Value {
+    json!({"DispatchedJobID": id, "EvalID": views::evaluation_id(key, 0), "EvalCreateIndex": revision,
+        "JobCreateIndex": revision, "Index": revision})
 }
--- a/crates/nomad/src/service/views.rs
+++ b/crates/nomad/src/service/views.rs
@@ -120,7 +120,7 @@
     let h = &k.record;
     json!({"ID": h.id, "ParentID": h.parent.as_deref().unwrap_or(""), "Name": h.name, "Namespace": h.namespace,
         "Datacenters": h.datacenters, "Type": h.kind, "Priority": h.priority, "Periodic": h.periodic.is_some(),
-        "ParameterizedJob": h.param.is_some(), "Stop": h.stop, "Status": status(ctx, h),
+        "ParameterizedJob": h.parameterized.is_some(), "Stop": h.stop, "Status": status(ctx, h),
         "StatusDescription": failure(ctx, h).unwrap_or_default(), "JobSummary": summary(ctx, k),
         "CreateIndex": k.create_revision, "ModifyIndex": k.last_change_revision, "JobModifyIndex": k.modify_revision, "Version": h.version,
         "SubmitTime": h.at * 1_000_000})
@@ -147,10 +147,10 @@
 
 /// Versions of a job: the current one in full, previous ones by number and time.
 pub(crate) fn versions(ctx: &ExtensionContext<'_>, k: &RegisteredJob, c: &Content) -> Value {
-    let earlier = k.record.earlier.iter().map(|e| {
+    let previous = k.record.previous_versions.iter().map(|e| {
         json!({"ID": k.record.id, "Namespace": k.record.namespace, "Version": e.version, "SubmitTime": e.at * 1_000_000})
     });
-    let all: Vec<Value> = [job(ctx, k, c)].into_iter().chain(earlier).collect();
+    let all: Vec<Value> = [job(ctx, k, c)].into_iter().chain(previous).collect();
     json!({"Versions": all, "Diffs": null})
 }
 
--- a/crates/nomad/tests/record_compatibility.rs
+++ b/crates/nomad/tests/record_compatibility.rs
@@ -42,9 +42,9 @@
         groups: vec![],
         superseded_jobs: vec![],
         periodic: None,
-        param: None,
+        parameterized: None,
         parent: None,
-        earlier: vec![],
+        previous_versions: vec![],
     };
     let most = JobRecord {
         namespace: "n".into(),
@@ -66,13 +66,13 @@
             prohibit_overlap: true,
             enabled: false,
         }),
-        param: Some(ParameterizedRecord {
+        parameterized: Some(ParameterizedRecord {
             payload: "required".into(),
             required: vec!["a".into()],
             optional: vec!["b".into()],
         }),
         parent: Some("night".into()),
-        earlier: vec![PreviousVersion { version: 2, nonce: "beef".into(), at: 4 }],
+        previous_versions: vec![PreviousVersion { version: 2, nonce: "beef".into(), at: 4 }],
         ..least.clone()
     };
     [(LEAST, least), (MOST, most)]
@@ -89,8 +89,14 @@
         };
         assert_eq!((&read.id, read.version, &read.nonce), (&record.id, record.version, &record.nonce));
         assert_eq!((read.stop, read.purge, &read.old), (record.stop, record.purge, &record.superseded_jobs));
-        assert_eq!((read.periodic, read.parameterized), (record.periodic.is_some(), record.param.is_some()));
-        assert_eq!((read.groups.len(), read.earlier.len()), (record.groups.len(), record.earlier.len()));
+        assert_eq!(
+            (read.periodic, read.parameterized),
+            (record.periodic.is_some(), record.parameterized.is_some())
+        );
+        assert_eq!(
+            (read.groups.len(), read.earlier.len()),
+            (record.groups.len(), record.previous_versions.len())
+        );
     }
 }
 
