--- a/crates/nomad/src/functions.rs
+++ b/crates/nomad/src/functions.rs
@@ -6,7 +6,7 @@
 use base64::engine::general_purpose::STANDARD;
 use sha2::{Digest, Sha256, Sha512};
 
-type Out = Result<Datum, String>;
+type FunctionResult = Result<Datum, String>;
 
 /// Longest list that `range` returns.
 const MAX_RANGE: usize = 100_000;
@@ -47,7 +47,7 @@
 }
 
 /// Calls a function; the error is the reason without its location.
-pub fn call(name: &str, a: &[Datum], at: usize) -> Out {
+pub fn call(name: &str, a: &[Datum], at: usize) -> FunctionResult {
     let text_of = |i: usize| to_text(&a[i]);
     let check_arg_count = |min: usize, max: usize| {
         if (min..=max).contains(&a.len()) {
@@ -521,7 +521,7 @@
     Ok(out)
 }
 
-fn cidr(name: &str, a: &[Datum]) -> Out {
+fn cidr(name: &str, a: &[Datum]) -> FunctionResult {
     let want = match name {
         "cidrnetmask" => 1,
         "cidrhost" => 2,
--- a/crates/nomad/src/model.rs
+++ b/crates/nomad/src/model.rs
@@ -51,9 +51,9 @@
     /// Offset of the count, or of the group if it sets none.
     pub count_at: usize,
     /// Constraints of job, group and task.
-    pub constraints: Vec<Match>,
+    pub constraints: Vec<Condition>,
     /// Affinities of job, group and task, with their weights.
-    pub affinities: Vec<(Match, f64)>,
+    pub affinities: Vec<(Condition, f64)>,
     /// Whether tasks are spread over zones.
     pub spread: bool,
     /// Restarts of a failed task on the same machine; `None` for unlimited.
@@ -101,7 +101,7 @@
 
 /// The condition of a constraint or an affinity.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Match {
+pub struct Condition {
     /// Left operand, such as `${node.class}`.
     pub attribute: String,
     /// Comparison operator.
@@ -214,7 +214,7 @@
         let text = format!("there is no node pool {pool}: default and all are every machine");
         r.diagnostics.refused(position_of(t, "node_pool"), &format!("{path}.node_pool"), text);
     }
-    let constraints = r.matches(t, "constraint", &path);
+    let constraints = r.conditions(t, "constraint", &path);
     let affinities = r.affinities(t, &path);
     let spread = r.spread(t, &path);
     let reschedule = t.block("reschedule");
@@ -479,11 +479,11 @@
         out
     }
 
-    fn matches(&mut self, t: &Tree, stanza: &str, path: &str) -> Vec<Match> {
-        t.blocks_named(stanza).filter_map(|b| self.parse_match(b, &format!("{path}.{stanza}"))).collect()
+    fn conditions(&mut self, t: &Tree, stanza: &str, path: &str) -> Vec<Condition> {
+        t.blocks_named(stanza).filter_map(|b| self.parse_condition(b, &format!("{path}.{stanza}"))).collect()
     }
 
-    fn parse_match(&mut self, b: &Block, path: &str) -> Option<Match> {
+    fn parse_condition(&mut self, b: &Block, path: &str) -> Option<Condition> {
         let t = &b.body;
         let any = |name: &str| t.attr(name).and_then(|a| a.value.datum.text());
         let mut operator = any("operator").unwrap_or_else(|| "=".into());
@@ -510,10 +510,10 @@
             }
             return None;
         }
-        Some(Match { attribute, operator, value, at: b.at, path: path.to_owned() })
+        Some(Condition { attribute, operator, value, at: b.at, path: path.to_owned() })
     }
 
-    fn affinities(&mut self, t: &Tree, path: &str) -> Vec<(Match, f64)> {
+    fn affinities(&mut self, t: &Tree, path: &str) -> Vec<(Condition, f64)> {
         let mut out = Vec::new();
         for b in t.blocks_named("affinity") {
             let here = format!("{path}.affinity");
@@ -525,7 +525,7 @@
                     continue;
                 }
             };
-            out.extend(self.parse_match(b, &here).map(|m| (m, weight)));
+            out.extend(self.parse_condition(b, &here).map(|m| (m, weight)));
         }
         out
     }
@@ -604,8 +604,8 @@
         }
         let task = self.task(first, &path)?;
         let task_path = format!("{path}.task.{}", task.name);
-        let mut constraints = self.matches(t, "constraint", &path);
-        constraints.extend(self.matches(&first.body, "constraint", &task_path));
+        let mut constraints = self.conditions(t, "constraint", &path);
+        constraints.extend(self.conditions(&first.body, "constraint", &task_path));
         let mut affinities = self.affinities(t, &path);
         affinities.extend(self.affinities(&first.body, &task_path));
         let (restarts, reschedules) = match kind {
--- a/crates/nomad/src/translate.rs
+++ b/crates/nomad/src/translate.rs
@@ -4,7 +4,7 @@
 //! Invariant: the native priority of a job is bounded by its class, and no class of batch jobs has
 //! the priority of services (checked by the settings), so a batch file can never outrank or preempt
 //! a service.
-use crate::model::{Group, Job, Match};
+use crate::model::{Condition, Group, Job};
 use crate::tree::{Datum, Diagnostics};
 use globset::Glob;
 use gorseshore_protocol::ids::{JobId, Resources};
@@ -57,7 +57,7 @@
 }
 
 /// Whether a text matches a glob pattern.
-pub fn matches(pattern: &str, text: &str) -> bool {
+pub fn glob_matches(pattern: &str, text: &str) -> bool {
     Glob::new(pattern).is_ok_and(|g| g.compile_matcher().is_match(text))
 }
 
@@ -66,9 +66,9 @@
     settings.classes.iter().find(|c| {
         let zones = &job.datacenters;
         c.kind.is_none_or(|k| k == job.kind)
-            && matches(&c.job, &job.id)
-            && matches(&c.namespace, &job.namespace)
-            && (c.datacenter == "*" || zones.iter().any(|(z, _)| matches(&c.datacenter, z)))
+            && glob_matches(&c.job, &job.id)
+            && glob_matches(&c.namespace, &job.namespace)
+            && (c.datacenter == "*" || zones.iter().any(|(z, _)| glob_matches(&c.datacenter, z)))
     })
 }
 
@@ -166,14 +166,14 @@
         diagnostics.refused(task.kill_at, &format!("{task_path}.kill_timeout"), text);
     }
     let attempts = attempts(job, g, class, diagnostics);
-    let constraints: Vec<&Match> = g.constraints.iter().collect();
+    let constraints: Vec<&Condition> = g.constraints.iter().collect();
     let allowed = eligible_machines(job, g, &constraints, settings, site, diagnostics)?;
     let need = Resources::need(cpus, 0.0, memory_gb);
-    if !allowed.kinds.is_empty() {
+    if !allowed.machines.is_empty() {
         let fits = |k: &&MachineType| Resources::have(k.cpus, 0.0, k.memory_gb).fits(&need);
-        if !allowed.kinds.iter().any(fits) {
+        if !allowed.machines.iter().any(fits) {
             let max_machine = allowed
-                .kinds
+                .machines
                 .iter()
                 .map(|k| (k.cpus, k.memory_gb))
                 .fold((0.0, 0.0), |a: (f64, f64), b| (a.0.max(b.0), a.1.max(b.1)));
@@ -197,9 +197,9 @@
     let image_gb = class
         .images
         .iter()
-        .find(|(p, _)| matches(p, &image) || matches(p, &task.driver))
+        .find(|(p, _)| glob_matches(p, &image) || glob_matches(p, &task.driver))
         .map_or(class.image_gb, |(_, gb)| *gb);
-    let prefer = preferences(g, &allowed.kinds, settings, diagnostics);
+    let prefer = preferences(g, &allowed.machines, settings, diagnostics);
     let spec = JobSpec {
         id: JobId(0),
         class: class.lot.clone(),
@@ -259,7 +259,7 @@
 }
 
 struct EligibleMachines<'a> {
-    kinds: Vec<&'a MachineType>,
+    machines: Vec<&'a MachineType>,
     types: Option<Vec<String>>,
     zones: Option<Vec<String>>,
     spot: bool,
@@ -271,7 +271,7 @@
 fn eligible_machines<'a>(
     job: &Job,
     g: &Group,
-    constraints: &[&Match],
+    constraints: &[&Condition],
     settings: &Nomad,
     site: &'a Site,
     diagnostics: &mut Diagnostics,
@@ -282,7 +282,7 @@
     let mut zones = all_zones.clone();
     let patterns = &job.datacenters;
     if !patterns.is_empty() && !site.machines.is_empty() {
-        zones.retain(|z| patterns.iter().any(|(p, _)| matches(p, z)));
+        zones.retain(|z| patterns.iter().any(|(p, _)| glob_matches(p, z)));
         if zones.is_empty() {
             let names: Vec<&str> = all_zones.iter().copied().collect();
             let text = format!("none of them is here: there are {}", names.join(", "));
@@ -350,18 +350,18 @@
     if !valid {
         return None;
     }
-    let kinds: Vec<&MachineType> = site
+    let machines: Vec<&MachineType> = site
         .machines
         .iter()
         .filter(|k| types.contains(k.name.as_str()) && zones.contains(k.zone.as_str()))
         .collect();
-    if kinds.is_empty() && !site.machines.is_empty() {
+    if machines.is_empty() && !site.machines.is_empty() {
         diagnostics.refused(g.at, &g.path, "no machine type is left in the zones that are left");
         return None;
     }
     let to_vec = |s: &BTreeSet<&str>| s.iter().map(|x| (*x).to_owned()).collect::<Vec<_>>();
     Some(EligibleMachines {
-        kinds,
+        machines,
         types: (types != all_types).then(|| to_vec(&types)),
         zones: (zones != all_zones).then(|| to_vec(&zones)),
         spot,
@@ -429,7 +429,7 @@
 }
 
 /// Whether a value satisfies a condition; the error concerns the condition itself.
-fn compare(m: &Match, values: &[&str]) -> Result<bool, String> {
+fn compare(m: &Condition, values: &[&str]) -> Result<bool, String> {
     let value = values[0];
     let order = |want: fn(std::cmp::Ordering) -> bool| {
         // As in the specification, numbers are compared as numbers and anything else as text.
@@ -464,7 +464,7 @@
 /// Placement preferences: the weights of the affinities, summed by machine type and zone.
 fn preferences(
     g: &Group,
-    kinds: &[&MachineType],
+    machines: &[&MachineType],
     settings: &Nomad,
     diagnostics: &mut Diagnostics,
 ) -> Vec<Preference> {
@@ -483,7 +483,7 @@
             diagnostics.warning(m.at, &m.path, text);
             continue;
         }
-        for k in kinds {
+        for k in machines {
             if compare(m, &[&property_value(p, k, settings)]).unwrap_or(false) {
                 *sums.entry((&k.name, &k.zone)).or_default() += *weight as i32;
             }
