--- a/crates/protocol/src/cloud.rs
+++ b/crates/protocol/src/cloud.rs
@@ -1,40 +1,40 @@
-//! The cloud's interface.
+//! Messages of the cloud provider's API. Attributes map the API's field names to the code's.
 use serde::{Deserialize, Serialize};
 
 /// `GET /flavors`.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Flavors {
-    /// Machine types.
+    /// All machine types on offer.
     pub builds: Vec<Flavor>,
 }
 
 /// A machine type.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Flavor {
-    /// Name.
+    /// Name of the machine type.
     pub sku: String,
-    /// CPUs.
+    /// Number of CPUs.
     pub cpus: f64,
-    /// GPUs.
+    /// Number of GPUs.
     #[serde(default)]
     pub gpus: f64,
-    /// Memory.
+    /// Memory in GB.
     pub memory_gb: f64,
-    /// Image cache.
+    /// Size of the image cache in GB.
     #[serde(default)]
     pub cache_gb: f64,
-    /// Fetch rate.
+    /// Image pull rate in GB per second.
     #[serde(default)]
     pub pull_gb_per_s: f64,
-    /// Ordinary price an hour.
+    /// On-demand price per hour.
     pub hourly: f64,
-    /// Spot price an hour.
+    /// Spot price per hour.
     #[serde(default)]
     pub spot_price: Option<f64>,
-    /// Usual boot time.
+    /// Usual boot time in seconds.
     #[serde(default)]
     pub boot_s: f64,
-    /// Zones that have it.
+    /// Zones that offer the machine type.
     #[serde(default)]
     pub yards: Vec<String>,
 }
@@ -42,54 +42,54 @@
 /// `POST /rentals`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Hire {
-    /// Request name, never reused.
+    /// Unique id of the request, never reused.
     pub hire: String,
-    /// Type.
+    /// Machine type.
     pub build: String,
-    /// Zone.
+    /// Zone to rent in.
     pub yard: String,
-    /// Spot.
+    /// Whether to rent spot machines.
     pub loaners: bool,
-    /// How many.
+    /// Number of machines.
     pub number: u32,
 }
 
-/// Names of machines: the answer to a rental, and the body of a deletion.
+/// Machine names: the response to a rental, and the body of a deletion.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Hosts {
-    /// Machine names.
+    /// Names that the cloud gave the machines.
     pub hosts: Vec<String>,
 }
 
 /// `GET /rentals`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Rentals {
-    /// Machines, in the order of their names.
+    /// Machines, sorted by name.
     pub hosts: Vec<Rental>,
-    /// More follow.
+    /// The list continues on a further page.
     #[serde(default)]
     pub truncated: bool,
 }
 
-/// A machine in the list.
+/// A rented machine in `GET /rentals`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Rental {
-    /// Name.
+    /// Machine name.
     #[serde(rename = "ref")]
     pub name: String,
-    /// Worker address.
+    /// Address of the machine's worker.
     #[serde(default)]
     pub addr: String,
-    /// Type.
+    /// Machine type.
     pub build: String,
-    /// Zone.
+    /// Zone of the machine.
     pub yard: String,
-    /// Spot.
+    /// Whether it is a spot machine.
     #[serde(default)]
     pub loaners: bool,
     /// `starting`, `running` or `failed`.
     pub stage: String,
-    /// Age.
+    /// Age of the rental in seconds.
     #[serde(default)]
     pub held_s: f64,
 }
--- a/crates/protocol/src/ids.rs
+++ b/crates/protocol/src/ids.rs
@@ -1,37 +1,37 @@
-//! Newtypes for identities, times and amounts.
+//! Newtypes for ids, times and resource amounts.
 use borsh::{BorshDeserialize, BorshSerialize};
 use std::ops::{Add, Sub};
 use std::rc::Rc;
 use std::{fmt, io};
 
-/// Whole microseconds: a point on a node's steady clock, or a span.
+/// Whole microseconds: a point on a controller's monotonic clock, or a duration.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize,
 )]
 pub struct Micros(pub u64);
 
 impl Micros {
-    /// A span of whole milliseconds.
+    /// A duration of whole milliseconds.
     pub const fn millis(ms: u64) -> Self {
         Micros(ms * 1_000)
     }
-    /// A span of whole seconds.
+    /// A duration of whole seconds.
     pub const fn secs(s: u64) -> Self {
         Micros(s * 1_000_000)
     }
-    /// A span given in decimal seconds; negative and absurd values are clamped.
+    /// A duration given in decimal seconds, clamped to 0 to 1e9 seconds.
     pub fn from_secs_f64(s: f64) -> Self {
         Micros((s.clamp(0.0, 1e9) * 1e6) as u64)
     }
-    /// The span in decimal seconds, for display and arithmetic on prices.
+    /// The duration in decimal seconds, for display and arithmetic on prices.
     pub fn as_secs_f64(self) -> f64 {
         self.0 as f64 / 1e6
     }
-    /// How long ago `earlier` was, zero if it lies ahead.
+    /// Time elapsed since `earlier`; zero if `earlier` is in the future.
     pub fn since(self, earlier: Micros) -> Micros {
         Micros(self.0.saturating_sub(earlier.0))
     }
-    /// `self` times `num / den`.
+    /// Multiplies by the fraction `num / den`; a zero `den` counts as 1.
     pub fn scale(self, num: u64, den: u64) -> Micros {
         Micros((self.0 as u128 * num as u128 / den.max(1) as u128) as u64)
     }
@@ -49,17 +49,18 @@
     }
 }
 
-/// A job's number; users write it `j-000412`.
+/// Number of a job; its text form is `j-000412`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize)]
 pub struct JobId(pub u64);
 
-/// Ids from here on are given by the service itself, to jobs that came in
-/// another form. No user can submit one: theirs have at most 18 digits.
+/// Lowest id that the service generates itself, for jobs that an extension
+/// translates from another format. Users can't submit such an id: theirs have
+/// at most 18 digits.
 pub const OWN_IDS: u64 = 1_000_000_000_000_000_000;
 
 impl JobId {
-    /// Reads the written form. Only the canonical spelling is an id, so that
-    /// two different texts never name one job.
+    /// Parses the text form. Only the canonical spelling is an id, so that two
+    /// different texts never name the same job.
     pub fn parse(s: &str) -> Option<Self> {
         let digits = s.strip_prefix("j-")?;
         if digits.len() < 6 || digits.len() > 20 || !digits.bytes().all(|b| b.is_ascii_digit()) {
@@ -70,11 +71,11 @@
         }
         digits.parse().ok().map(JobId)
     }
-    /// Reads an id that a user chose.
+    /// Parses an id that a user may submit: any but those that the service generates.
     pub fn of_user(s: &str) -> Option<Self> {
         JobId::parse(s).filter(|id| !id.own())
     }
-    /// Whether the service gave it.
+    /// Whether the service generated the id.
     pub fn own(self) -> bool {
         self.0 >= OWN_IDS
     }
@@ -85,16 +86,16 @@
     }
 }
 
-/// One task (or replica) of a job.
+/// One task of a job; for a service, one replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize)]
 pub struct TaskId {
-    /// The job.
+    /// Job that the task belongs to.
     pub job: JobId,
-    /// Numbered from 0.
+    /// Index within the job, from 0.
     pub index: u32,
 }
 impl TaskId {
-    /// Reads the workers' form, `j-000412/3`.
+    /// Parses the text form that workers use, `j-000412/3`.
     pub fn parse(s: &str) -> Option<Self> {
         let (job, index) = s.split_once('/')?;
         Some(TaskId { job: JobId::parse(job)?, index: index.parse().ok()? })
@@ -106,8 +107,8 @@
     }
 }
 
-/// The name the cloud gave a machine. The cloud never uses one twice. Names are
-/// passed about much more often than made, so a copy shares the text.
+/// Name that the cloud gave a machine; the cloud never reuses one. Ids are
+/// cloned much more often than created, so clones share the text.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MachineId(Rc<str>);
 impl MachineId {
@@ -137,39 +138,40 @@
     }
 }
 
-/// A controller, by its place in the sorted list of all controllers' names.
+/// Identifies a controller by its index in the sorted list of all controllers' names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize)]
 pub struct NodeId(pub u8);
 
-/// The worker-facing token: the term in the high bits, below it a number that
-/// the leader of that term counts up. Attempts are drawn from the same count,
-/// so "granted before this hand-out" is a comparison.
+/// Fencing token presented to workers: the term in the high bits, and below it
+/// a sequence number that the leader of that term increments. Attempt ids are
+/// drawn from the same sequence, so comparing the two tells whether a token
+/// was granted before an assignment.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize,
 )]
 pub struct Baton(pub u64);
 
-/// Bits below the term in tokens and attempts.
+/// Bits below the term in fencing tokens and attempt ids.
 pub const EPOCH_BITS: u32 = 28;
 
 impl Baton {
-    /// Builds a token of `term`.
+    /// Creates the token of `term` with a sequence number.
     pub fn new(term: u64, epoch: u64) -> Self {
         Baton((term << EPOCH_BITS) | epoch)
     }
-    /// The term it belongs to.
+    /// Term of the leader that granted the token.
     pub fn term(self) -> u64 {
         self.0 >> EPOCH_BITS
     }
 }
 
-/// An attempt at a task: drawn by the leader from the count that gives tokens,
-/// so it is never reused.
+/// Id of an attempt at a task. The leader draws it from the sequence of the
+/// fencing tokens, so it is never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize)]
 pub struct Attempt(pub u64);
 
-/// An amount of a machine, in thousandths; what is needed is rounded up and
-/// what is there is rounded down, so that sums never overfill a machine.
+/// Amount of machine resources, in thousandths. Requests are rounded up and
+/// capacities are rounded down, so that the sum of requests never exceeds a machine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct Resources {
     /// Thousandths of a CPU.
@@ -180,25 +182,25 @@
     pub mem: u64,
 }
 impl Resources {
-    /// What a task needs.
+    /// Resources that a task requests, rounded up.
     pub fn need(cpus: f64, gpus: f64, mem: f64) -> Self {
-        let up = |v: f64| (v * 1000.0 - 1e-6).ceil().max(0.0) as u64;
-        Resources { cpu: up(cpus), gpu: up(gpus), mem: up(mem) }
+        let round_up = |v: f64| (v * 1000.0 - 1e-6).ceil().max(0.0) as u64;
+        Resources { cpu: round_up(cpus), gpu: round_up(gpus), mem: round_up(mem) }
     }
-    /// What a machine has.
+    /// Resources that a machine has, rounded down.
     pub fn have(cpus: f64, gpus: f64, mem: f64) -> Self {
-        let down = |v: f64| (v * 1000.0 + 1e-6).floor().max(0.0) as u64;
-        Resources { cpu: down(cpus), gpu: down(gpus), mem: down(mem) }
+        let round_down = |v: f64| (v * 1000.0 + 1e-6).floor().max(0.0) as u64;
+        Resources { cpu: round_down(cpus), gpu: round_down(gpus), mem: round_down(mem) }
     }
-    /// Whether `need` fits.
+    /// Whether `need` fits into these resources.
     pub fn fits(&self, need: &Resources) -> bool {
         need.cpu <= self.cpu && need.gpu <= self.gpu && need.mem <= self.mem
     }
-    /// Adds.
+    /// Adds each resource.
     pub fn plus(self, o: Resources) -> Self {
         Resources { cpu: self.cpu + o.cpu, gpu: self.gpu + o.gpu, mem: self.mem + o.mem }
     }
-    /// Subtracts, stopping at zero.
+    /// Subtracts each resource, saturating at zero.
     pub fn minus(self, o: Resources) -> Self {
         Resources {
             cpu: self.cpu.saturating_sub(o.cpu),
@@ -206,10 +208,10 @@
             mem: self.mem.saturating_sub(o.mem),
         }
     }
-    /// How many of `need` fit, at most `cap`.
+    /// Number of requests of size `need` that fit, at most `cap`.
     pub fn count(&self, need: &Resources, cap: u64) -> u64 {
-        let per = |have: u64, n: u64| have.checked_div(n).unwrap_or(cap);
-        per(self.cpu, need.cpu).min(per(self.gpu, need.gpu)).min(per(self.mem, need.mem)).min(cap)
+        let copies = |available: u64, requested: u64| available.checked_div(requested).unwrap_or(cap);
+        copies(self.cpu, need.cpu).min(copies(self.gpu, need.gpu)).min(copies(self.mem, need.mem)).min(cap)
     }
 }
 
@@ -243,7 +245,7 @@
     }
 
     #[test]
-    fn no_user_names_one_of_the_services_own_ids() {
+    fn generated_job_ids_are_rejected_from_users() {
         for (text, user) in [
             ("j-000412", true),
             ("j-999999999999999999", true),
@@ -259,7 +261,7 @@
     }
 
     #[test]
-    fn needs_round_up_and_machines_round_down() {
+    fn requests_round_up_and_capacities_round_down() {
         assert_eq!(Resources::need(4.0, 0.0, 5.3).mem, 5300);
         assert_eq!(Resources::need(0.0001, 0.0, 0.0).cpu, 1);
         assert_eq!(Resources::have(3.9999, 0.0, 8.0).cpu, 3999);
--- a/crates/protocol/src/job.rs
+++ b/crates/protocol/src/job.rs
@@ -1,14 +1,14 @@
-//! Jobs as their owners describe them.
+//! Job specifications.
 use crate::ids::{JobId, Resources};
 use serde::{Deserialize, Serialize};
 
-/// What a job's tasks do.
+/// Whether a job's tasks end by themselves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Kind {
     /// Each task runs to completion.
     #[serde(rename = "array")]
     Array,
-    /// Replicas run until the job is cancelled.
+    /// Each task is a replica that runs until the job is cancelled.
     #[serde(rename = "standing")]
     Service,
 }
@@ -16,7 +16,7 @@
 /// Priority, lowest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Rank {
-    /// Lowest.
+    /// Lowest priority.
     #[serde(rename = "idle")]
     Low,
     /// Ordinary work.
@@ -30,69 +30,70 @@
     Production,
 }
 
-/// All ranks, highest first.
+/// All priorities, highest first.
 pub const RANKS: [Rank; 4] = [Rank::Production, Rank::High, Rank::Normal, Rank::Low];
 
-/// A checked job description.
+/// A validated job specification.
 #[derive(Debug, Clone, PartialEq)]
 pub struct JobSpec {
-    /// Id.
+    /// Id that its user chose or the service generated.
     pub id: JobId,
-    /// Class of jobs.
+    /// Job class, to which objectives apply.
     pub class: String,
-    /// Team.
+    /// Team that owns the job.
     pub team: String,
     /// Array or service.
     pub kind: Kind,
-    /// Priority.
+    /// Scheduling priority.
     pub rank: Rank,
     /// Number of tasks.
     pub tasks: u32,
-    /// What one task takes.
+    /// Resources that one task requests.
     pub need: Resources,
-    /// Allowed machine types.
+    /// Allowed machine types; `None` allows all.
     pub types: Option<Vec<String>>,
-    /// Allowed zones.
+    /// Allowed zones; `None` allows all.
     pub zones: Option<Vec<String>>,
-    /// All tasks in one zone.
+    /// All tasks must run in the same zone.
     pub one_zone: bool,
-    /// At most half of the tasks, rounded up, in one zone.
+    /// At most half of the tasks, rounded up, may run in the same zone.
     pub spread: bool,
-    /// Spot machines are allowed.
+    /// Tasks may run on spot machines.
     pub spot: bool,
-    /// Image.
+    /// Image that the tasks run.
     pub image: String,
-    /// Its size.
+    /// Size of the image in GB.
     pub image_gb: f64,
-    /// The owner's estimate of a task's run time.
+    /// The user's estimate of a task's run time, in seconds.
     pub estimate_s: f64,
-    /// Interval of checkpoints, 0 for none.
+    /// Interval between checkpoints in seconds, 0 for none.
     pub checkpoint_s: f64,
-    /// Time to save.
+    /// Time that a task takes to save a checkpoint, in seconds.
     pub save_s: f64,
-    /// Deadline, from the submission.
+    /// Deadline, in seconds from the submission.
     pub deadline_s: Option<f64>,
-    /// Failed attempts after which a task, and with it its job, has failed for
-    /// good; without end natively.
+    /// Number of failed attempts after which a task, and with it its job, fails
+    /// permanently; `None` retries without limit, as all natively submitted jobs do.
     pub attempts: Option<u32>,
-    /// Machines that come first or last where there is a choice.
+    /// Preferred and avoided machines, where there is a choice.
     pub prefer: Vec<Preference>,
-    /// Jobs that it replaces: nothing of it starts before nothing is left of them.
+    /// Jobs that this one replaces: none of its tasks starts while a task of theirs is
+    /// left on a machine.
     pub after: Vec<JobId>,
-    /// Jobs that have to be done before any task of this one starts; each once.
+    /// Jobs that must be done before any task of this one starts, without duplicates.
     pub dependencies: Vec<JobId>,
 }
 
-/// How much a kind of machine is preferred.
+/// Preference for one machine type in one zone.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Preference {
-    /// Type.
+    /// Machine type.
     #[serde(rename = "t")]
     pub build: String,
-    /// Zone.
+    /// Zone of the machine.
     #[serde(rename = "z")]
     pub zone: String,
-    /// More is better; below 0 it is avoided.
+    /// Higher is preferred; negative is avoided.
     #[serde(rename = "w")]
     pub weight: i32,
 }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,6 +1,6 @@
-//! The users' protocol as types: ids, times, amounts, jobs, and the messages
-//! of users, workers, cloud and state service. The wire's own names stay in
-//! this package; the rest of the program uses the field's terms.
+//! Wire protocol types: ids, times, resource amounts, job specifications, and the
+//! messages exchanged with users, workers, the cloud and the state service. Names that
+//! exist only on the wire are mapped to the code's terms in this crate.
 #![warn(missing_docs)]
 pub mod cloud;
 pub mod ids;
--- a/crates/protocol/src/state.rs
+++ b/crates/protocol/src/state.rs
@@ -1,15 +1,15 @@
-//! The state service's interface.
+//! Messages of the state service's API. Attributes map the API's field names to the code's.
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// A key in a listing.
+/// A key of a listing with its value.
 #[derive(Debug, Clone, PartialEq, Deserialize, Serialize)]
 pub struct Pair {
-    /// Key.
+    /// Full key.
     pub path: String,
-    /// Value.
+    /// Value at the key.
     pub v: Value,
-    /// Revision of its last change.
+    /// Revision at which the key last changed.
     pub stamp: u64,
 }
 
@@ -18,27 +18,27 @@
 pub struct Listing {
     /// Keys in order.
     pub pairs: Vec<Pair>,
-    /// More follow.
+    /// The listing continues on a further page.
     #[serde(default)]
     pub truncated: bool,
-    /// Revision of the answer.
+    /// Store revision of the listing.
     pub ledger: u64,
 }
 
-/// `GET /follow`.
+/// Response to `GET /follow`, a watch.
 #[derive(Debug, Clone, PartialEq, Deserialize, Serialize)]
 pub struct News {
-    /// Revision of the answer.
+    /// Store revision of the response.
     pub ledger: u64,
     /// Changes in order.
     #[serde(default)]
     pub news: Vec<Event>,
 }
 
-/// One change.
+/// One change of a key.
 #[derive(Debug, Clone, PartialEq, Deserialize, Serialize)]
 pub struct Event {
-    /// Key that was put.
+    /// Key that was set.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub put: Option<String>,
     /// Key that was removed.
@@ -47,63 +47,63 @@
     /// New value.
     #[serde(default)]
     pub v: Value,
-    /// Revision.
+    /// Revision of the change.
     pub stamp: u64,
 }
 
-/// Body of `POST /multi`.
+/// Body of `POST /multi`, a transaction.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, Default)]
 pub struct Multi {
-    /// Conditions.
+    /// Conditions that must all hold.
     pub when: Vec<When>,
-    /// Changes.
+    /// Changes to apply.
     pub writes: Vec<Write>,
 }
 
-/// A condition: the key has this version; 0: it does not exist.
+/// Condition that a key's last change has the given revision; 0: the key does not exist.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct When {
-    /// Key.
+    /// Key to compare.
     pub path: String,
-    /// Version.
+    /// Expected revision.
     pub stamp: u64,
 }
 
-/// A change.
+/// A change in a transaction.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Write {
     /// Sets a key.
     Put {
-        /// Key.
+        /// Key to set.
         put: String,
-        /// Value.
+        /// New value.
         v: Value,
-        /// Lease that it hangs on.
+        /// Lease that the key is attached to: the key is removed when the lease ends.
         #[serde(skip_serializing_if = "Option::is_none")]
         hold: Option<u64>,
     },
     /// Removes a key.
     Remove {
-        /// Key.
+        /// Key to remove.
         remove: String,
     },
 }
 
-/// Answer to `POST /multi`.
+/// Response to `POST /multi`.
 #[derive(Debug, Clone, PartialEq, Deserialize, Serialize)]
 pub struct MultiAnswer {
-    /// Revision.
+    /// Store revision after the transaction.
     #[serde(default)]
     pub ledger: u64,
-    /// Keys whose condition failed.
+    /// Keys whose conditions failed.
     #[serde(default)]
     pub failed: Vec<String>,
 }
 
-/// Answer to `POST /grants`.
+/// Response to `POST /grants`.
 #[derive(Debug, Clone, PartialEq, Deserialize, Serialize)]
 pub struct Grant {
-    /// Lease.
+    /// Id of the granted lease.
     pub hold: u64,
 }
--- a/crates/protocol/src/users.rs
+++ b/crates/protocol/src/users.rs
@@ -1,11 +1,11 @@
-//! Users: submissions and answers.
+//! Messages of the users' API: job submissions and responses.
 use crate::ids::{JobId, Resources};
 use crate::job::{JobSpec, Kind, Rank};
 use serde::Deserialize;
 use serde_json::{Map, Value, json};
 use std::collections::BTreeSet;
 
-/// A submission as users write it.
+/// A submission under the API's field names, before validation.
 #[derive(Debug, Deserialize)]
 struct Submission {
     #[serde(rename = "ref")]
@@ -36,17 +36,17 @@
     awaits: Option<Vec<String>>,
 }
 
-/// Most tasks that a job may have.
+/// Maximum number of tasks in a job.
 pub const MAX_TASKS: u32 = 100_000;
 
-/// The job id of a body, when it can be read at all: a job that is known is
-/// answered 200 whatever else the retry says.
+/// Extracts the job id from a submission without validating the rest: a retried
+/// submission of a known job is answered 200 whatever else its body holds.
 pub fn ref_of(body: &[u8]) -> Option<JobId> {
     let map: Map<String, Value> = serde_json::from_slice(body).ok()?;
     JobId::of_user(map.get("ref")?.as_str()?)
 }
 
-/// Reads and checks a submission; the error is the reason for a 400.
+/// Parses and validates a submission; the error is the reason of a 400 response.
 pub fn parse_submission(body: &[u8]) -> Result<JobSpec, String> {
     let value: Value = serde_json::from_slice(body).map_err(|e| format!("not JSON: {e}"))?;
     if !value.is_object() {
@@ -111,7 +111,7 @@
     })
 }
 
-/// Reads the ids of the jobs that a submission depends on; a repeated id counts once.
+/// Parses the ids of the jobs that a submission depends on and drops duplicates.
 fn parse_dependencies(names: &[String]) -> Result<Vec<JobId>, String> {
     let mut ids = BTreeSet::new();
     for name in names {
@@ -121,19 +121,20 @@
     Ok(ids.into_iter().collect())
 }
 
-/// The state of a job as users see it.
+/// JSON body with the state of a job; `done` and `running` count tasks.
 pub fn job_answer(id: JobId, stage: &str, done: u32, running: u32) -> Vec<u8> {
     json!({"ref": id.to_string(), "stage": stage, "done": done, "running": running}).to_string().into_bytes()
 }
 
-/// The state of a job that has failed for good: what its users see, and why.
+/// JSON body with the state of a permanently failed job, which users see as
+/// `aborted`, and the cause.
 pub fn failed_answer(id: JobId, cause: &str) -> Vec<u8> {
     json!({"ref": id.to_string(), "stage": "aborted", "done": 0, "running": 0, "cause": cause})
         .to_string()
         .into_bytes()
 }
 
-/// A short reason.
+/// JSON body of an error response.
 pub fn error(reason: &str) -> Vec<u8> {
     json!({ "error": reason }).to_string().into_bytes()
 }
@@ -142,7 +143,7 @@
 mod tests {
     use super::*;
 
-    fn good() -> Value {
+    fn valid_submission() -> Value {
         json!({"ref":"j-000412","lot":"train","crew":"vision","manner":"array","rank":"high",
             "pieces":16,"cpus":8.0,"gpus":1.0,"memory_gb":64.0,"bundle":"img-07","image_gb":6.2,
             "builds":["g8"],"yard":null,"same_place":true,"apart":false,"loaners":true,
@@ -150,10 +151,10 @@
     }
 
     #[test]
-    fn submissions_are_checked() {
-        assert!(parse_submission(good().to_string().as_bytes()).is_ok());
-        // (field, value that makes it invalid; null removes a required one)
-        let bad = [
+    fn invalid_submissions_are_rejected() {
+        assert!(parse_submission(valid_submission().to_string().as_bytes()).is_ok());
+        // (field, invalid value; null stands for a missing required field)
+        let invalid = [
             ("ref", json!("x")),
             ("ref", json!(7)),
             ("lot", json!("")),
@@ -179,8 +180,8 @@
             ("awaits", json!({"j-000398": 1})),
             ("awaits", json!(["j-1000000000000000000"])),
         ];
-        for (field, v) in bad {
-            let mut s = good();
+        for (field, v) in invalid {
+            let mut s = valid_submission();
             s[field] = v.clone();
             assert!(parse_submission(s.to_string().as_bytes()).is_err(), "{field}={v}");
         }
@@ -190,8 +191,8 @@
     }
 
     #[test]
-    fn optional_fields_may_be_missing_and_unknown_ones_ignored() {
-        let mut s = good();
+    fn optional_fields_may_be_missing_and_unknown_fields_are_ignored() {
+        let mut s = valid_submission();
         let m = s.as_object_mut().unwrap();
         for f in ["builds", "yard", "due_s", "awaits"] {
             m.remove(f);
@@ -201,7 +202,7 @@
     }
 
     #[test]
-    fn dependencies_are_read_once_each() {
+    fn duplicate_dependencies_are_dropped() {
         // (field, ids)
         let cases = [
             (Value::Null, vec![]),
@@ -210,7 +211,7 @@
             (json!(["j-000398", "j-000398"]), vec![JobId(398)]),
         ];
         for (awaits, ids) in cases {
-            let mut s = good();
+            let mut s = valid_submission();
             s["awaits"] = awaits;
             assert_eq!(parse_submission(s.to_string().as_bytes()).unwrap().dependencies, ids);
         }
--- a/crates/protocol/src/workers.rs
+++ b/crates/protocol/src/workers.rs
@@ -1,38 +1,38 @@
-//! Workers: check-ins, orders.
+//! Messages of the workers' API: reports (heartbeats) and commands.
 use borsh::{BorshDeserialize, BorshSerialize};
 use serde::{Deserialize, Serialize};
 
-/// The order of a worker's messages: the session, then the number. A report with a
-/// number that is not above one that is known is a copy, or was held up on the way.
+/// Order of a worker's reports: by agent epoch, then by heartbeat sequence. A report
+/// whose number is not above the last known one is a duplicate or was delayed in transit.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, BorshSerialize, BorshDeserialize)]
 pub struct ReportNo {
-    /// Session.
+    /// Agent epoch.
     pub shift: u64,
-    /// Message number.
+    /// Heartbeat sequence within the agent epoch.
     pub tally: u64,
 }
 
-/// A worker's report.
+/// A worker's report of its machine and tasks.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Report {
-    /// Machine name.
+    /// Name of the worker's machine.
     pub host: String,
-    /// Where it takes direct orders.
+    /// Address at which the worker accepts commands.
     pub addr: String,
     /// Machine type.
     pub build: String,
-    /// Zone.
+    /// Zone of the machine.
     pub yard: String,
-    /// Spot machine.
+    /// Whether it is a spot machine.
     #[serde(default)]
     pub loaners: bool,
-    /// Session.
+    /// Agent epoch.
     pub shift: u64,
-    /// Message number.
+    /// Heartbeat sequence within the agent epoch.
     pub tally: u64,
-    /// Highest token seen.
+    /// Highest fencing token that the worker has seen.
     pub baton: u64,
-    /// Spot notice.
+    /// Seconds until the cloud preempts the machine, if the cloud announced it.
     #[serde(default)]
     pub warning_s: Option<f64>,
     /// Tasks on the machine.
@@ -41,7 +41,7 @@
 }
 
 impl Report {
-    /// Its place among the worker's messages.
+    /// Position among the worker's reports.
     pub fn number(&self) -> ReportNo {
         ReportNo { shift: self.shift, tally: self.tally }
     }
@@ -50,52 +50,52 @@
 /// A task in a report.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Piece {
-    /// Task name.
+    /// Task id in its text form.
     pub piece: String,
-    /// Attempt.
+    /// Attempt id.
     #[serde(rename = "try")]
     pub attempt: u64,
-    /// State.
+    /// Task state.
     pub stage: String,
-    /// Why it ended.
+    /// Why the task ended.
     #[serde(default)]
     pub cause: Option<String>,
-    /// Its progress was saved.
+    /// Whether the task's progress was saved.
     #[serde(default)]
     pub kept: Option<bool>,
 }
 
-/// An order to a worker.
+/// A command to a worker.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Order {
     /// `run`, `halt` or `clear`.
     pub verb: String,
-    /// Task name.
+    /// Task id in its text form.
     pub piece: String,
-    /// Attempt.
+    /// Attempt id.
     #[serde(rename = "try")]
     pub attempt: u64,
-    /// Time to save.
+    /// Seconds that the task has to save its progress.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub wind_down_s: Option<f64>,
 }
 
-/// Answer to a report.
+/// Response to a report.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct CheckinAnswer {
-    /// Token.
+    /// Fencing token under which the commands are sent.
     pub baton: u64,
-    /// Orders.
+    /// Commands for the worker to carry out.
     pub orders: Vec<Order>,
 }
 
-/// Body of `POST /do`.
+/// Body of `POST /do`, by which a controller sends commands without waiting for a report.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Direct {
-    /// Token.
+    /// Fencing token under which the commands are sent.
     pub baton: u64,
-    /// Session.
+    /// Agent epoch that the commands are meant for.
     pub shift: u64,
-    /// Orders.
+    /// Commands for the worker to carry out.
     pub orders: Vec<Order>,
 }
