--- a/crates/core/src/dependencies.rs
+++ b/crates/core/src/dependencies.rs
@@ -1,20 +1,20 @@
-//! The graph of dependencies between jobs.
+//! Dependency graph of jobs.
 //!
-//! Pure: no clock, no keys, no messages. It is built from records alone, and whatever
-//! follows from a dependency is asked here: whether a job is released, and which jobs are
-//! cancelled together with another one. Replica, user answers and leader ask this one type.
+//! The graph is pure: it uses no clock, no store keys and no messages, and is built from
+//! records alone. It decides whether a job is released and which jobs are cancelled
+//! together with another one. State replica, user responses and leader all query this type.
 //!
 //! Invariants:
-//! - A job is released only when each job that it depends on has a recorded end `Done`, and
-//!   all records that name its dependencies are there.
-//! - A job without an end of its own is cancelled as soon as one that it depends on,
-//!   directly or through others, is. Ends never change, so this never changes either.
-//! - A recorded end of a job wins over what follows from others.
+//! - A job is released only when each of its dependencies has the recorded outcome `Done`
+//!   and all records that name its dependencies have been read.
+//! - A job without a recorded end is cancelled as soon as one of its direct or transitive
+//!   dependencies is. Recorded ends never change, so this cancellation never changes either.
+//! - A job's own recorded end takes precedence over a cancellation through dependencies.
 use gorseshore_protocol::ids::JobId;
 use gorseshore_protocol::job::Rank;
 use std::collections::{BTreeMap, VecDeque};
 
-/// How far a job is, as far as jobs that depend on it are concerned.
+/// Outcome of a job as its dependents see it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Outcome {
     /// Neither done nor cancelled.
@@ -22,31 +22,31 @@
     Open,
     /// All of its tasks are recorded as done.
     Done,
-    /// Cancelled by its user, or with a job that it depends on.
+    /// Cancelled by its user, or together with one of its dependencies.
     Cancelled,
 }
 
-/// A job that depends on others, or that others depend on.
+/// A job that has dependencies or dependents.
 #[derive(Debug, Default)]
 struct Vertex {
     dependencies: Vec<JobId>,
     dependents: Vec<JobId>,
     outcome: Outcome,
-    /// Dependencies that are not done.
+    /// Number of dependencies that are not done.
     unfinished: usize,
     /// Some of the records that name its dependencies have not been read.
     incomplete: bool,
 }
 
-/// The graph.
+/// Jobs with dependencies or dependents, and the edges between them.
 #[derive(Debug, Default)]
 pub struct DependencyGraph {
     vertices: BTreeMap<JobId, Vertex>,
 }
 
 impl DependencyGraph {
-    /// Adds dependencies of a job; `outcome_of` tells how far a job is that the graph does
-    /// not hold yet. Returns the jobs that are cancelled by this, the job itself first.
+    /// Adds dependencies of a job; `outcome_of` returns the outcome of a job that is not in
+    /// the graph yet. Returns the jobs that this cancels, the job itself first.
     pub fn add(
         &mut self,
         job: JobId,
@@ -58,9 +58,9 @@
             if self.dependencies(job).contains(dependency) {
                 continue;
             }
-            let below = self.vertex(*dependency, &outcome_of);
-            below.dependents.push(job);
-            let outcome = below.outcome;
+            let dependency_vertex = self.vertex(*dependency, &outcome_of);
+            dependency_vertex.dependents.push(job);
+            let outcome = dependency_vertex.outcome;
             let vertex = self.vertex(job, &outcome_of);
             vertex.dependencies.push(*dependency);
             vertex.unfinished += (outcome != Outcome::Done) as usize;
@@ -73,19 +73,19 @@
         self.vertices.entry(job).or_insert_with(|| Vertex { outcome: outcome_of(job), ..Vertex::default() })
     }
 
-    /// Notes whether records that name dependencies of the job are still missing.
+    /// Sets whether records that name dependencies of the job are still missing.
     pub fn set_incomplete(&mut self, job: JobId, incomplete: bool) {
         if incomplete || self.vertices.contains_key(&job) {
             self.vertices.entry(job).or_default().incomplete = incomplete;
         }
     }
 
-    /// An end of the job was recorded. Returns the jobs that are cancelled with it, those
-    /// that depend on it first; the job itself is not among them.
+    /// Stores the outcome of a job whose end was recorded. Returns the jobs that are
+    /// cancelled with it, direct dependents first; the job itself is not among them.
     pub fn ended(&mut self, job: JobId, outcome: Outcome) -> Vec<JobId> {
         let Some(vertex) = self.vertices.get_mut(&job) else { return Vec::new() };
-        let before = std::mem::replace(&mut vertex.outcome, outcome);
-        if before == outcome {
+        let previous = std::mem::replace(&mut vertex.outcome, outcome);
+        if previous == outcome {
             return Vec::new();
         }
         let dependents = vertex.dependents.clone();
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Cancels those of the jobs that are open, and all open jobs after them.
+    /// Cancels those of the jobs that are open, and their open transitive dependents.
     fn cancel(&mut self, jobs: Vec<JobId>) -> Vec<JobId> {
         let mut cancelled = Vec::new();
         let mut queue = VecDeque::from(jobs);
@@ -119,38 +119,39 @@
         cancelled
     }
 
-    /// Whether all that the job depends on is done.
+    /// Whether all dependencies of the job are known and done.
     pub fn released(&self, job: JobId) -> bool {
         self.vertices.get(&job).is_none_or(|v| v.unfinished == 0 && !v.incomplete)
     }
 
-    /// What the job depends on directly.
+    /// Direct dependencies of the job.
     pub fn dependencies(&self, job: JobId) -> &[JobId] {
         self.vertices.get(&job).map_or(&[], |v| &v.dependencies)
     }
 
-    /// The jobs that depend on it directly.
+    /// Jobs that depend directly on the job.
     pub fn dependents(&self, job: JobId) -> &[JobId] {
         self.vertices.get(&job).map_or(&[], |v| &v.dependents)
     }
 }
 
-/// How a job stands among others that wait: its priority and its times, its own or those
-/// of a job that depends on it.
+/// Order of a job among waiting jobs: its priority and times, its own or inherited from a
+/// dependent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Urgency {
-    /// Priority.
+    /// Scheduling priority.
     pub rank: Rank,
-    /// When it should be complete, in milliseconds of the time of day.
+    /// Wall-clock time by which the job should complete, in milliseconds.
     pub due_ms: u64,
-    /// When its lateness can't be helped any more.
+    /// Latest completion that still meets the objective, in milliseconds of wall-clock time.
     pub last_ms: u64,
     /// The times come from a deadline that a user set.
     pub deadline: bool,
 }
 
 impl Urgency {
-    /// With that of a dependent, which takes `span_ms` once this one is done.
+    /// Combines this urgency with that of a dependent, which takes `span_ms` once this job
+    /// is done.
     pub fn inherit(self, dependent: &Urgency, span_ms: u64) -> Urgency {
         let rank = self.rank.max(dependent.rank);
         if !dependent.deadline {
--- a/crates/core/src/dependencies/tests.rs
+++ b/crates/core/src/dependencies/tests.rs
@@ -1,4 +1,4 @@
-//! The graph of dependencies, from tables of edges and ends.
+//! Tests of the dependency graph, from tables of edges and recorded ends.
 use super::*;
 
 /// A change of the graph.
@@ -11,13 +11,13 @@
 }
 use Step::{Add, Cancelled, Done};
 
-/// The graph after these steps, and all jobs that were cancelled with others.
-fn play(steps: &[Step]) -> (DependencyGraph, Vec<u64>) {
+/// Returns the graph after the steps, and all jobs that were cancelled through dependencies.
+fn apply_steps(steps: &[Step]) -> (DependencyGraph, Vec<u64>) {
     let mut graph = DependencyGraph::default();
     let mut ends: BTreeMap<JobId, Outcome> = BTreeMap::new();
     let mut cancelled = Vec::new();
     for step in steps {
-        let with = match step {
+        let cancelled_by_step = match step {
             Add(job, dependencies) => {
                 let ids: Vec<JobId> = dependencies.iter().copied().map(JobId).collect();
                 graph.add(JobId(*job), &ids, |id| ends.get(&id).copied().unwrap_or_default())
@@ -31,10 +31,10 @@
                 graph.ended(JobId(*job), Outcome::Cancelled)
             }
         };
-        for id in &with {
+        for id in &cancelled_by_step {
             ends.insert(*id, Outcome::Cancelled);
         }
-        cancelled.extend(with.into_iter().map(|id| id.0));
+        cancelled.extend(cancelled_by_step.into_iter().map(|id| id.0));
     }
     (graph, cancelled)
 }
@@ -42,31 +42,31 @@
 const DIAMOND: [Step; 3] = [Add(2, &[1]), Add(3, &[1]), Add(4, &[2, 3])];
 
 #[test]
-fn a_job_is_released_when_all_that_it_depends_on_is_done() {
+fn a_job_is_released_when_all_its_dependencies_are_done() {
     // (steps, job, released)
     let cases: [(&[Step], u64, bool); 10] = [
         (&[], 1, true),
         (&[Add(2, &[1])], 1, true),
         (&[Add(2, &[1])], 2, false),
         (&[Add(2, &[1]), Done(1)], 2, true),
-        // Done before it was named.
+        // The dependency is done before it is added.
         (&[Done(1), Add(2, &[1])], 2, true),
         (&[Add(3, &[1, 2]), Done(1)], 3, false),
         (&[Add(3, &[1, 2]), Done(1), Done(1)], 3, false),
         (&[Add(3, &[1, 2]), Done(1), Done(2)], 3, true),
-        // Named twice, as a record that is read again does.
+        // The same dependency is added twice, as happens when a record is read again.
         (&[Add(2, &[1, 1]), Add(2, &[1]), Done(1)], 2, true),
         (&[Add(2, &[1]), Cancelled(1)], 2, false),
     ];
     for (steps, job, released) in cases {
-        assert_eq!(play(steps).0.released(JobId(job)), released, "{steps:?}: {job}");
+        assert_eq!(apply_steps(steps).0.released(JobId(job)), released, "{steps:?}: {job}");
     }
 }
 
 #[test]
-fn jobs_are_cancelled_with_what_they_depend_on() {
+fn cancellation_follows_dependencies() {
     let after = |steps: &[Step]| [&DIAMOND[..], steps].concat();
-    // (steps, cancelled with others)
+    // (steps, jobs cancelled through dependencies)
     let cases: [(Vec<Step>, &[u64]); 8] = [
         (after(&[Cancelled(1)]), &[2, 3, 4]),
         (after(&[Cancelled(2)]), &[4]),
@@ -74,18 +74,18 @@
         (after(&[Done(1), Cancelled(3)]), &[4]),
         (after(&[Cancelled(4)]), &[]),
         (after(&[Done(1), Done(2), Done(3), Done(4)]), &[]),
-        // Named when it was cancelled already, directly or with another.
+        // The dependency is cancelled, directly or through another, before it is added.
         (vec![Cancelled(1), Add(2, &[1]), Add(3, &[2])], &[2, 3]),
-        // The end of the job itself is on record: it stands, and what is after it goes on.
+        // Job 2's own recorded end takes precedence over the cancellation of its dependency.
         (after(&[Done(2), Cancelled(1)]), &[3, 4]),
     ];
     for (steps, want) in cases {
-        assert_eq!(play(&steps).1, want, "{steps:?}");
+        assert_eq!(apply_steps(&steps).1, want, "{steps:?}");
     }
 }
 
 #[test]
-fn a_long_chain_and_a_wide_fan_are_cancelled_whole() {
+fn a_long_chain_and_a_wide_fan_out_are_cancelled_completely() {
     let mut graph = DependencyGraph::default();
     let open = |_: JobId| Outcome::Open;
     for i in 1..1000 {
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_job_whose_dependencies_are_not_all_read_is_not_released() {
+fn a_job_with_unread_dependency_records_is_not_released() {
     let mut graph = DependencyGraph::default();
     graph.set_incomplete(JobId(2), true);
     assert!(!graph.released(JobId(2)));
@@ -105,13 +105,13 @@
 }
 
 #[test]
-fn urgency_is_joined() {
+fn urgency_is_inherited_from_dependents() {
     let urgency = |rank, due_ms, deadline| Urgency { rank, due_ms, last_ms: 2 * due_ms, deadline };
-    let late = u64::MAX / 4;
-    // (own, dependent's, joined) with 10 ms after it
+    let no_deadline_ms = u64::MAX / 4;
+    // (own, dependent's, combined), where the dependent takes 10 ms
     let cases = [
         (
-            urgency(Rank::Low, late, false),
+            urgency(Rank::Low, no_deadline_ms, false),
             urgency(Rank::High, 100, true),
             Urgency { rank: Rank::High, due_ms: 90, last_ms: 190, deadline: true },
         ),
@@ -131,7 +131,7 @@
             Urgency { rank: Rank::Production, due_ms: 90, last_ms: 190, deadline: true },
         ),
     ];
-    for (own, dependent, joined) in cases {
-        assert_eq!(own.inherit(&dependent, 10), joined, "{own:?} {dependent:?}");
+    for (own, dependent, combined) in cases {
+        assert_eq!(own.inherit(&dependent, 10), combined, "{own:?} {dependent:?}");
     }
 }
