--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs, and the mirror of the state service that every controller keeps.
+//! Job records, and the replica of the state service's records that every controller keeps.
 use crate::books::Witnesses;
 use crate::dependencies::{DependencyGraph, Outcome};
 use crate::limits::{StoreLimits, value_len};
@@ -10,11 +10,11 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
-/// A job's description as it is stored. New fields get a default, so that
-/// records of versions before still read; versions before 3 wrote a row of 17
-/// places, which [`DescriptionRecord::read`] takes as well.
+/// A job specification as it is stored. New fields get a default, so that records of
+/// earlier versions still parse. Versions before 3 wrote an array of 17 positional
+/// values, which [`JobSpecRecord::parse`] accepts as well.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
-struct DescriptionRecord {
+struct JobSpecRecord {
     #[serde(rename = "l")]
     class: String,
     #[serde(rename = "t")]
@@ -25,7 +25,7 @@
     rank: Rank,
     #[serde(rename = "n")]
     tasks: u32,
-    /// Thousandths of CPUs, GPUs and GB.
+    /// Thousandths of CPUs, GPUs and GB of memory.
     #[serde(rename = "u")]
     need: [u64; 3],
     #[serde(rename = "b", default, skip_serializing_if = "Option::is_none")]
@@ -54,21 +54,22 @@
     attempts: Option<u32>,
     #[serde(rename = "p", default, skip_serializing_if = "Vec::is_empty")]
     prefer: Vec<Preference>,
-    /// Jobs that it replaces; if it depends on others, its own id, and jobs that it
-    /// depends on. Versions without dependencies hold a job back until all of these are
-    /// over, and so never start one that waits for itself.
+    /// Jobs that it replaces, followed, if it has dependencies, by its own id and its
+    /// dependencies. Versions without support for dependencies delay a job until all of
+    /// these jobs are over, so they never start a job that waits for itself.
     #[serde(rename = "x", default, skip_serializing_if = "Vec::is_empty")]
     after: Vec<u64>,
-    /// How many of `after`, at its end, are dependencies.
+    /// Number of ids at the end of `after` that are dependencies.
     #[serde(rename = "q", default, skip_serializing_if = "is_default")]
     dependencies: usize,
-    /// Number of further keys with dependencies (`keys::dependencies`).
+    /// Number of additional keys that hold dependencies (`keys::dependencies`).
     #[serde(rename = "qk", default, skip_serializing_if = "is_default")]
     dependency_keys: u32,
 }
 
-/// Stands in the record of a job that depends on others, among the jobs that it replaces.
-fn own_id(s: &JobSpec) -> Option<&JobId> {
+/// The job's own id if it has dependencies; its record lists it among the jobs that it
+/// replaces.
+fn own_id_if_dependent(s: &JobSpec) -> Option<&JobId> {
     (!s.dependencies.is_empty()).then_some(&s.id)
 }
 
@@ -76,9 +77,9 @@
     *v == T::default()
 }
 
-impl DescriptionRecord {
-    fn of(s: &JobSpec) -> Self {
-        DescriptionRecord {
+impl JobSpecRecord {
+    fn from_spec(s: &JobSpec) -> Self {
+        JobSpecRecord {
             class: s.class.clone(),
             team: s.team.clone(),
             kind: s.kind,
@@ -98,7 +99,7 @@
             deadline_s: s.deadline_s,
             attempts: s.attempts,
             prefer: s.prefer.clone(),
-            after: s.after.iter().chain(own_id(s)).chain(&s.dependencies).map(|j| j.0).collect(),
+            after: s.after.iter().chain(own_id_if_dependent(s)).chain(&s.dependencies).map(|j| j.0).collect(),
             dependencies: s.dependencies.len(),
             dependency_keys: 0,
         }
@@ -146,7 +147,7 @@
         fn at<'a, T: Deserialize<'a>>(row: &'a [Value], i: usize) -> Option<T> {
             T::deserialize(row.get(i)?).ok()
         }
-        Some(DescriptionRecord {
+        Some(JobSpecRecord {
             class: at(row, 0)?,
             team: at(row, 1)?,
             kind: at(row, 2)?,
@@ -173,25 +174,25 @@
     }
 }
 
-/// Where a job stands according to its records.
+/// Phase of a job according to its records.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
     /// Accepted, neither done nor cancelled.
     Active,
     /// All tasks are done.
     Done,
-    /// Cancelled.
+    /// Cancelled by its user or through a dependency, or failed permanently.
     Aborted,
 }
 
-/// A set of task numbers.
+/// A set of task indexes.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct TaskSet {
     words: Vec<u64>,
     count: u32,
 }
 impl TaskSet {
-    /// Adds; true if it was new.
+    /// Adds a task and returns whether it was new.
     pub fn insert(&mut self, i: u32) -> bool {
         let (w, b) = (i as usize / 64, i % 64);
         if self.words.len() <= w {
@@ -202,27 +203,27 @@
         self.count += new as u32;
         new
     }
-    /// Whether it holds `i`.
+    /// Whether task `i` is in the set.
     pub fn contains(&self, i: u32) -> bool {
         self.words.get(i as usize / 64).is_some_and(|w| w & (1 << (i % 64)) != 0)
     }
-    /// How many it holds.
+    /// Number of tasks in the set.
     pub fn len(&self) -> u32 {
         self.count
     }
-    /// Whether it is empty.
+    /// Whether the set has no tasks.
     pub fn is_empty(&self) -> bool {
         self.count == 0
     }
-    /// How many below `n` it holds.
+    /// Number of tasks in the set whose index is below `n`.
     pub fn below(&self, n: u32) -> u32 {
-        let at = n as usize / 64;
+        let word = n as usize / 64;
         let mask = (1u64 << (n % 64)) - 1;
-        let beyond = self.words.get(at).map_or(0, |w| (w & !mask).count_ones())
-            + self.words.iter().skip(at + 1).map(|w| w.count_ones()).sum::<u32>();
-        self.count - beyond
+        let not_below = self.words.get(word).map_or(0, |w| (w & !mask).count_ones())
+            + self.words.iter().skip(word + 1).map(|w| w.count_ones()).sum::<u32>();
+        self.count - not_below
     }
-    /// Adds all of `other`.
+    /// Adds all tasks of `other`.
     pub fn union(&mut self, other: &TaskSet) {
         for (i, w) in other.words.iter().enumerate() {
             let mut w = *w;
@@ -232,7 +233,8 @@
             }
         }
     }
-    /// The part of a chunk as text: words in hexadecimal.
+    /// Encodes the tasks of a chunk as comma-separated 64-bit words in hexadecimal,
+    /// without trailing zero words.
     pub fn chunk_text(&self, chunk: u32) -> String {
         let from = (chunk * CHUNK / 64) as usize;
         let to = (from + CHUNK as usize / 64).min(self.words.len());
@@ -242,7 +244,7 @@
         }
         words.iter().map(|w| format!("{w:x}")).collect::<Vec<_>>().join(",")
     }
-    /// Adds the tasks of a chunk's text.
+    /// Adds the tasks of a chunk encoded by [`TaskSet::chunk_text`].
     pub fn add_chunk(&mut self, chunk: u32, text: &str) {
         for (i, part) in text.split(',').enumerate().take(CHUNK as usize / 64) {
             let mut w = u64::from_str_radix(part, 16).unwrap_or(0);
@@ -254,168 +256,167 @@
     }
 }
 
-/// A chunk's text in values of at most `room` bytes: each holds words of the
-/// text in their places, with empty words for those of the parts before it.
-pub fn split_words(text: &str, room: usize) -> Vec<Value> {
+/// Splits the text of a progress chunk into values of at most `max_bytes` bytes. Each
+/// value keeps its words at their positions, with empty words for those of earlier parts.
+pub fn split_words(text: &str, max_bytes: usize) -> Vec<Value> {
     const QUOTES: usize = 2;
     const SEPARATOR: usize = 1;
     let mut parts = vec![String::new()];
-    for (place, word) in text.split(',').enumerate() {
+    for (position, word) in text.split(',').enumerate() {
         let Some(part) = parts.last_mut() else { break };
-        if place == 0 {
+        if position == 0 {
             part.push_str(word);
-        } else if part.len() + SEPARATOR + word.len() + QUOTES <= room {
+        } else if part.len() + SEPARATOR + word.len() + QUOTES <= max_bytes {
             part.push(',');
             part.push_str(word);
         } else {
-            parts.push(",".repeat(place) + word);
+            parts.push(",".repeat(position) + word);
         }
     }
     parts.into_iter().map(Value::from).collect()
 }
 
-/// Tasks in one progress record: at most 128 words of 17 bytes, 2.2 KB, spread
-/// over several values where one doesn't hold them ([`split_words`]).
+/// Tasks in one progress record: at most 128 words of 17 bytes, 2.2 KB, split over
+/// several values where one value is too small ([`split_words`]).
 pub const CHUNK: u32 = 8192;
 
-/// A job as recorded.
+/// A job according to its records.
 #[derive(Debug, Clone)]
 pub struct Job {
-    /// Description; dropped some time after the job is over.
+    /// Specification; dropped some time after the job has ended.
     pub spec: Option<Rc<JobSpec>>,
     /// Revision of the job's record.
     pub stamp: u64,
-    /// Time of day of the submission, in milliseconds.
+    /// Wall-clock time of the submission, in milliseconds.
     pub submitted_ms: u64,
-    /// State.
+    /// Phase according to the records read so far.
     pub phase: Phase,
-    /// Time of day of the end, in milliseconds.
+    /// Wall-clock time of the end, in milliseconds.
     pub ended_ms: u64,
-    /// Version of the record of the end.
+    /// Revision of the record of the end; 0 if no end is recorded.
     pub end_stamp: u64,
-    /// Cancelled, and nothing of it is left on any machine.
+    /// The job is cancelled and none of its tasks is left on any machine.
     pub settled: bool,
     /// Tasks recorded as done.
     pub done: TaskSet,
-    /// Versions of the progress records.
+    /// Revisions of the progress records, by chunk.
     pub chunks: BTreeMap<u32, u64>,
     /// Number of tasks.
     pub tasks: u32,
-    /// Its tasks run until it is cancelled.
+    /// The job is a service: its tasks run until it is cancelled.
     pub service: bool,
-    /// Failed attempts of tasks whose number is bounded: how many, and the last
-    /// one that counted.
+    /// Failed attempts by task, for jobs that limit their number.
     pub failed: BTreeMap<u32, Failures>,
-    /// Versions of the records of failures.
+    /// Revisions of the failure records, by chunk.
     pub failed_stamps: BTreeMap<u32, u64>,
-    /// Keys of further parts of its progress and failures.
+    /// Keys of further parts of its progress and failure records.
     pub further_parts: BTreeSet<String>,
-    /// Why it was ended by the service.
+    /// Why the service ended the job, if it did.
     pub cause: Option<String>,
 }
 
-/// How often a task has failed.
+/// Failed attempts of a task.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Failures {
-    /// Number of attempts.
+    /// Number of failed attempts.
     #[serde(rename = "n")]
     pub count: u32,
-    /// The last attempt that counted: one report of it counts once, however
-    /// often and to whomever it comes.
+    /// The last attempt that was counted. An attempt counts once, however often and to
+    /// whichever controller its failure is reported.
     #[serde(rename = "a")]
     pub last: u64,
 }
 
-/// Tasks in one record of failures: at most 2.6 KB, spread over several values
-/// where one doesn't hold them.
+/// Tasks in one failure record: at most 2.6 KB, split over several values where one
+/// value is too small.
 pub const FAILED_CHUNK: u32 = 64;
 
-/// A machine on which tasks may be started.
+/// A recorded machine: tasks may be started on it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineRecord {
-    /// Type.
+    /// Machine type.
     #[serde(rename = "t")]
     pub build: String,
-    /// Zone.
+    /// Zone of the machine.
     #[serde(rename = "z")]
     pub zone: String,
-    /// Spot.
+    /// Whether it is a spot machine.
     #[serde(rename = "s")]
     pub spot: bool,
-    /// Worker address.
+    /// Address of the machine's worker.
     #[serde(rename = "a")]
     pub addr: String,
 }
 
 impl MachineRecord {
-    /// As its worker reports it.
+    /// Creates the record of the machine that sent the report.
     pub fn of(r: &Report) -> Self {
         MachineRecord { build: r.build.clone(), zone: r.yard.clone(), spot: r.loaners, addr: r.addr.clone() }
     }
-    /// Whether a report is of such a machine.
+    /// Whether the report shows the same machine type, zone and spot flag.
     pub fn is_kind_of(&self, r: &Report) -> bool {
         (&self.build, &self.zone, self.spot) == (&r.build, &r.yard, r.loaners)
     }
 }
 
-/// Who leads.
+/// Record of the current leader.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LeaderRecord {
-    /// Controller name.
+    /// Name of the leading controller.
     pub node: String,
-    /// Term.
+    /// Leader's term.
     pub term: u64,
-    /// The lease it hangs on.
+    /// State service lease that the record is attached to.
     pub lease: u64,
 }
 
-/// What an applied change was about.
+/// What an applied change concerns.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Change {
     /// A job's record, progress or end.
     Job {
-        /// The job.
+        /// Job that the record belongs to.
         id: JobId,
-        /// Jobs that depend on it and are cancelled with it, or the job itself where one
-        /// that it depends on is cancelled.
+        /// Dependents that are cancelled with the job, or the job itself where one of its
+        /// dependencies is cancelled.
         cancelled: Vec<JobId>,
     },
-    /// A key of the guest's space.
+    /// A key of the extension's key space.
     Aside,
-    /// The leader's key.
+    /// The leader record.
     Leader,
-    /// A message for the node of this name.
+    /// A relayed message to the controller of this name.
     Mail(String),
-    /// Anything else.
+    /// Any other key.
     Other,
 }
 
 /// Keys in the state service.
 pub mod keys {
     use super::*;
-    /// The guest's space.
+    /// Key space of the extension.
     pub const GUEST: &str = "g/n/";
-    /// All keys start with this.
+    /// Prefix of all keys.
     pub const ROOT: &str = "g/";
-    /// The leader.
+    /// The leader record.
     pub const LEADER: &str = "g/leader";
     /// The last term.
     pub const TERM: &str = "g/term";
-    /// Who holds the leaders' books.
+    /// Which controllers hold replicas of the leader's placement log.
     pub const BOOKS: &str = "g/books";
-    /// Records of several machines start with this.
+    /// Prefix of the records that hold several machines.
     pub const MACHINES: &str = "g/h/";
-    /// The last rental request's name.
+    /// Id of the last rental request.
     pub const HIRE: &str = "g/hire";
-    /// A job.
+    /// A job's record.
     pub fn job(id: JobId) -> String {
         format!("g/j/{id}")
     }
-    /// A job's end.
+    /// The record of a job's end.
     pub fn end(id: JobId) -> String {
         format!("g/x/{id}")
     }
-    /// Further dependencies of a job that did not fit into its record.
+    /// A part of a job's dependencies that don't fit into its record.
     pub fn dependencies(id: JobId, part: u32) -> String {
         format!("g/d/{id}/{part}")
     }
@@ -423,52 +424,53 @@
     pub fn progress(id: JobId, chunk: u32) -> String {
         format!("g/p/{id}/{chunk}")
     }
-    /// A chunk of a job's failures. Listings come in the order of keys, and a
-    /// job has to come before its failures and they before its end: `r` is
-    /// between `j` and `x`.
+    /// A chunk of a job's failures. Listings are sorted by key, and a job must be listed
+    /// before its failures and those before its end: `r` sorts between `j` and `x`.
     pub fn failed(id: JobId, chunk: u32) -> String {
         format!("g/r/{id}/{chunk}")
     }
-    /// A part of a chunk's progress. The first is [`progress`]; each further one
-    /// has a zero more before the chunk's number, which versions that know one
-    /// key a chunk read as the same number: they add up what all parts say.
+    /// A part of a chunk's progress. The first part has the key [`progress`]; each further
+    /// part prepends one more zero to the chunk number. Versions that expect one key per
+    /// chunk parse this as the same number and merge the tasks of all parts.
     pub fn progress_part(id: JobId, chunk: u32, part: usize) -> String {
         format!("g/p/{id}/{}{chunk}", "0".repeat(part))
     }
-    /// A part of a chunk's failures, named in the same way.
+    /// A part of a chunk's failures, named in the same way as [`progress_part`].
     pub fn failed_part(id: JobId, chunk: u32, part: usize) -> String {
         format!("g/r/{id}/{}{chunk}", "0".repeat(part))
     }
-    /// Whether a key of progress or failures is of a further part.
+    /// Whether a progress or failure key names a further part of a chunk.
     pub fn is_further_part(name: &str) -> bool {
         name.rsplit_once('/').is_some_and(|(_, chunk)| chunk.len() > 1 && chunk.starts_with('0'))
     }
-    /// Job and chunk of a key of progress or failures, without its space; of any part.
+    /// Parses job and chunk from a progress or failure key, of any part, without its prefix;
+    /// also job and part from a key of further dependencies.
     pub fn of_chunk(name: &str) -> Option<(JobId, u32)> {
         let (id, chunk) = name.split_once('/')?;
         Some((JobId::parse(id)?, chunk.parse().ok()?))
     }
-    /// The mailbox of one node for another, used when no way between them is left.
+    /// Messages from one controller to another that are relayed through the state service
+    /// when no network path between the two is left.
     pub fn mail(to: &str, from: &str) -> String {
         format!("g/c/{to}/{from}")
     }
-    /// A machine, as versions before 2 recorded it; still read.
+    /// A single machine, as versions before 2 recorded it; still read.
     pub fn machine(id: &MachineId) -> String {
         format!("g/m/{id}")
     }
-    /// Machines of one kind that were recorded together, by the first one.
+    /// Machines of the same type, zone and spot flag in one record, keyed by the first one.
     pub fn machines(first: &MachineId) -> String {
         format!("{MACHINES}{first}")
     }
 }
 
-/// A job's record.
+/// Value of a job's record.
 pub fn job_value(spec: &JobSpec, submitted_ms: u64) -> Value {
-    json!({"d": DescriptionRecord::of(spec), "at": submitted_ms})
+    json!({"d": JobSpecRecord::from_spec(spec), "at": submitted_ms})
 }
 
-/// The record of a cancelled job's end: when, why if the service ended it, and whether
-/// nothing of it is left on any machine.
+/// Value of the record of a cancelled job's end: the time, the cause if the service ended
+/// the job, and whether none of its tasks is left on any machine.
 pub fn cancelled_value(at_ms: u64, cause: Option<&str>, settled: bool) -> Value {
     let mut end = json!({"end": "aborted", "at": at_ms});
     if let Some(why) = cause {
@@ -480,57 +482,57 @@
     end
 }
 
-/// Bytes of a job's record kept free for the time of day, and for what is counted beside
-/// the text.
-const RECORD_SLACK: usize = 64;
+/// Bytes of a job's record reserved for the submission time and for the overhead that the
+/// state service counts beside the text.
+const RECORD_OVERHEAD_BYTES: usize = 64;
 
-/// The records of a job, its own first: dependencies that don't fit there go into further
-/// keys. `None` if they take more than a transaction may hold.
+/// Builds the records of a job, its own first. Dependencies that don't fit there go into
+/// further keys. `None` if the records exceed what one transaction may write.
 pub fn job_records(spec: &JobSpec, submitted_ms: u64, limits: &StoreLimits) -> Option<Vec<(String, Value)>> {
-    let room = limits.value_bytes.saturating_sub(RECORD_SLACK);
-    let fits = |v: &Value| value_len(v) <= room;
+    let max_bytes = limits.value_bytes.saturating_sub(RECORD_OVERHEAD_BYTES);
+    let fits = |v: &Value| value_len(v) <= max_bytes;
     let whole = job_value(spec, submitted_ms);
     if fits(&whole) {
         return Some(vec![(keys::job(spec.id), whole)]);
     }
-    let mut record = DescriptionRecord::of(&JobSpec { dependencies: Vec::new(), ..spec.clone() });
-    record.after.extend(own_id(spec).map(|id| id.0));
+    let mut record = JobSpecRecord::from_spec(&JobSpec { dependencies: Vec::new(), ..spec.clone() });
+    record.after.extend(own_id_if_dependent(spec).map(|id| id.0));
     let mut values: Vec<Value> = Vec::new();
     let mut rest = &spec.dependencies[..];
     while !rest.is_empty() {
-        let (ids, left) = rest.split_at(ids_that_fit(rest, room));
+        let (ids, remaining) = rest.split_at(count_ids_that_fit(rest, max_bytes));
         if ids.is_empty() || values.len() + 2 > limits.txn_ops {
             return None;
         }
         values.push(json!(ids.iter().map(|id| id.0).collect::<Vec<u64>>()));
-        rest = left;
+        rest = remaining;
     }
     record.dependency_keys = values.len() as u32;
-    let own = json!({"d": record, "at": submitted_ms});
-    if !fits(&own) {
+    let job_record = json!({"d": record, "at": submitted_ms});
+    if !fits(&job_record) {
         return None;
     }
     let parts = values.into_iter().zip(0..).map(|(v, part)| (keys::dependencies(spec.id, part), v));
-    Some(std::iter::once((keys::job(spec.id), own)).chain(parts).collect())
+    Some(std::iter::once((keys::job(spec.id), job_record)).chain(parts).collect())
 }
 
-/// How many of the ids, from the first on, fit into a JSON array of so many bytes.
-fn ids_that_fit(ids: &[JobId], bytes: usize) -> usize {
+/// Number of leading ids that fit into a JSON array of at most `max_bytes` bytes.
+fn count_ids_that_fit(ids: &[JobId], max_bytes: usize) -> usize {
     let mut length = 2;
     let fits = |id: &&JobId| {
         length += id.0.to_string().len() + 2;
-        length <= bytes
+        length <= max_bytes
     };
     ids.iter().take_while(fits).count()
 }
 
-/// A description as [`job_value`] wrote it.
+/// Parses the job specification in a record that [`job_value`] built.
 pub fn description(id: JobId, record: &Value) -> Option<JobSpec> {
-    Some(DescriptionRecord::parse(&record["d"])?.into_spec(id))
+    Some(JobSpecRecord::parse(&record["d"])?.into_spec(id))
 }
 
-/// The record of machines of one kind: type, zone, kind, and for each its name
-/// and its worker's address.
+/// Value of the record of machines of one `kind` (machine type, zone, spot flag), with the
+/// name and worker address of each machine.
 pub fn machines_value<'a>(
     kind: (&str, &str, bool),
     machines: impl Iterator<Item = (&'a MachineId, &'a str)>,
@@ -539,56 +541,56 @@
     json!({"t": kind.0, "z": kind.1, "s": kind.2, "m": list})
 }
 
-/// Quotes, brackets and separators of a machine in such a record, as
-/// [`crate::limits::value_len`] counts them.
-const MACHINE_OVERHEAD: usize = 12;
+/// Bytes of quotes, brackets and separators of a machine in a record of several machines,
+/// as [`crate::limits::value_len`] counts them.
+const MACHINE_ENTRY_OVERHEAD_BYTES: usize = 12;
 
-/// What a machine takes in such a record.
+/// Bytes that a machine takes in a record of several machines.
 pub fn machine_room(id: &MachineId, addr: &str) -> usize {
-    id.as_str().len() + addr.len() + MACHINE_OVERHEAD
+    id.as_str().len() + addr.len() + MACHINE_ENTRY_OVERHEAD_BYTES
 }
 
-/// The mirror.
+/// A controller's replica of the records in the state service.
 #[derive(Debug, Default)]
 pub struct Ledger {
-    /// Jobs.
+    /// Recorded jobs.
     pub jobs: BTreeMap<JobId, Job>,
-    /// Machines.
+    /// Recorded machines.
     pub machines: BTreeMap<MachineId, MachineRecord>,
-    /// Which machines each key holds, and its version.
+    /// Machines that each machine record holds, and its revision, by key.
     pub records: BTreeMap<String, (Vec<MachineId>, u64)>,
-    /// The leader's key and its version.
+    /// The leader record and its revision.
     pub leader: Option<(LeaderRecord, u64)>,
-    /// The term and its version.
+    /// The last term and its record's revision.
     pub term: (u64, u64),
-    /// Who holds the leaders' books, and the record's version.
+    /// Holders of replicas of the leader's placement log, and the record's revision.
     pub books: (Witnesses, u64),
     /// Everything up to this revision is applied.
     pub applied: u64,
-    /// Keys of the guest's space that a listing came by, if there is a guest.
+    /// Entries of the extension's key space found in a listing; `None` without an extension.
     pub aside: Option<Vec<(String, Value, u64)>>,
-    /// Which jobs depend on which.
+    /// Dependency graph of the recorded jobs.
     pub dependencies: DependencyGraph,
-    /// Dependencies in keys of their own whose job's record, or the rest of which, has
-    /// not been read.
+    /// Dependencies in further keys, where the job's record or another of these keys has
+    /// not been read yet.
     dependency_parts: BTreeMap<JobId, DependencyParts>,
-    /// Jobs that are over and whose description is still here.
-    over: VecDeque<JobId>,
+    /// Ended jobs whose specification is still held, oldest first.
+    ended_with_spec: VecDeque<JobId>,
 }
 
-/// What has been read of a job's dependencies in keys of their own.
+/// Further dependency keys of a job that have been read.
 #[derive(Debug, Default)]
 struct DependencyParts {
-    /// How many there are, once the job's record has been read.
+    /// Number of these keys, once the job's record has been read.
     expected: Option<u32>,
     read: BTreeMap<u32, Vec<JobId>>,
 }
 
-/// Descriptions kept of jobs that are over.
-const SPECS_KEPT: usize = 2000;
+/// Maximum number of ended jobs whose specification is held.
+const MAX_ENDED_SPECS: usize = 2000;
 
 impl Ledger {
-    /// Applies one key; `value` is `None` for a removal.
+    /// Applies a change of one key; `value` is `None` if the key was removed.
     pub fn apply(&mut self, path: &str, value: Option<&Value>, stamp: u64) -> Change {
         if path == keys::LEADER {
             self.leader = value.and_then(|v| LeaderRecord::deserialize(v).ok()).map(|r| (r, stamp));
@@ -599,7 +601,7 @@
             return Change::Other;
         }
         if path == keys::BOOKS {
-            // What can't be read counts as nobody.
+            // An unreadable record counts as one without replicas.
             let record = value.and_then(|v| Witnesses::deserialize(v).ok()).unwrap_or_default();
             self.books = (record, stamp);
             return Change::Other;
@@ -608,22 +610,22 @@
         let Some((space, name)) = rest.split_once('/') else { return Change::Other };
         match space {
             "h" => {
-                self.take_machines(path, value.and_then(|v| Batch::deserialize(v).ok()), stamp);
+                self.replace_machines(path, value.and_then(|v| MachineBatch::deserialize(v).ok()), stamp);
                 Change::Other
             }
             "m" => {
-                let one = value.and_then(|v| MachineRecord::deserialize(v).ok()).map(|r| Batch {
+                let one = value.and_then(|v| MachineRecord::deserialize(v).ok()).map(|r| MachineBatch {
                     build: r.build,
                     zone: r.zone,
                     spot: r.spot,
                     machines: vec![(name.to_owned(), r.addr)],
                 });
-                self.take_machines(path, one, stamp);
+                self.replace_machines(path, one, stamp);
                 Change::Other
             }
             "j" => {
                 let (Some(id), Some(v)) = (JobId::parse(name), value) else { return Change::Other };
-                let record = DescriptionRecord::parse(&v["d"]);
+                let record = JobSpecRecord::parse(&v["d"]);
                 let keys = record.as_ref().map_or(0, |r| r.dependency_keys);
                 let spec = record.map(|r| Rc::new(r.into_spec(id)));
                 let job = self.jobs.entry(id).or_insert_with(Job::empty);
@@ -632,11 +634,11 @@
                 job.tasks = spec.as_ref().map_or(0, |s| s.tasks);
                 job.service = spec.as_ref().is_some_and(|s| s.kind == Kind::Service);
                 job.spec = spec.clone();
-                let listed = spec.as_ref().map_or(&[][..], |s| &s.dependencies);
-                let mut cancelled = self.add_dependencies(id, listed);
+                let in_record = spec.as_ref().map_or(&[][..], |s| &s.dependencies);
+                let mut cancelled = self.add_dependencies(id, in_record);
                 if keys > 0 {
                     self.dependency_parts.entry(id).or_default().expected = Some(keys);
-                    cancelled.extend(self.join_parts(id));
+                    cancelled.extend(self.add_dependency_parts(id));
                 }
                 Change::Job { id, cancelled }
             }
@@ -645,29 +647,29 @@
                 let ids = Vec::<u64>::deserialize(v).unwrap_or_default();
                 let parts = self.dependency_parts.entry(id).or_default();
                 parts.read.insert(part, ids.into_iter().map(JobId).collect());
-                let cancelled = self.join_parts(id);
+                let cancelled = self.add_dependency_parts(id);
                 Change::Job { id, cancelled }
             }
             "x" => {
                 let (Some(id), Some(v)) = (JobId::parse(name), value) else { return Change::Other };
                 let job = self.jobs.entry(id).or_insert_with(Job::empty);
-                let was = job.phase;
-                let by_another = job.cancelled_by_another();
+                let previous_phase = job.phase;
+                let cancelled_by_dependency = job.cancelled_by_another();
                 job.phase = if v["end"] == "done" { Phase::Done } else { Phase::Aborted };
                 job.ended_ms = v["at"].as_u64().unwrap_or(0);
                 job.end_stamp = stamp;
-                // What was cancelled with a job that it depends on was never started.
-                job.settled = v["gone"] == true || by_another && job.phase == Phase::Aborted;
+                // No task of a job that was cancelled with a dependency was ever started.
+                job.settled = v["gone"] == true || cancelled_by_dependency && job.phase == Phase::Aborted;
                 job.done = TaskSet::default();
                 job.chunks.clear();
                 job.failed.clear();
                 job.failed_stamps.clear();
                 job.further_parts.clear();
                 job.cause = v["why"].as_str().map(str::to_owned);
-                if was == Phase::Active {
-                    self.note_over(id);
+                if previous_phase == Phase::Active {
+                    self.retain_ended_spec(id);
                 }
-                let cancelled = self.note_end(id);
+                let cancelled = self.propagate_end(id);
                 Change::Job { id, cancelled }
             }
             "p" => {
@@ -691,7 +693,7 @@
                     && job.phase == Phase::Active
                     && let Ok(failed) = BTreeMap::<u32, Failures>::deserialize(v)
                 {
-                    job.note_failures(failed);
+                    job.merge_failures(failed);
                     if keys::is_further_part(name) {
                         job.further_parts.insert(path.to_owned());
                     } else {
@@ -701,8 +703,8 @@
                 Change::Job { id, cancelled: Vec::new() }
             }
             "n" => {
-                if let (Some(aside), Some(v)) = (self.aside.as_mut(), value) {
-                    aside.push((name.to_owned(), v.clone(), stamp));
+                if let (Some(entries), Some(v)) = (self.aside.as_mut(), value) {
+                    entries.push((name.to_owned(), v.clone(), stamp));
                 }
                 Change::Aside
             }
@@ -715,8 +717,9 @@
     }
 }
 
+/// Stored form of the record of several machines of one kind.
 #[derive(Deserialize)]
-struct Batch {
+struct MachineBatch {
     #[serde(rename = "t")]
     build: String,
     #[serde(rename = "z")]
@@ -728,32 +731,34 @@
 }
 
 impl Ledger {
-    /// Tasks of a job that is over may still be on machines, so its needs are kept for a
-    /// while; only the end is kept for ever.
-    fn note_over(&mut self, id: JobId) {
-        self.over.push_back(id);
-        if self.over.len() > SPECS_KEPT
-            && let Some(old) = self.over.pop_front()
-            && let Some(job) = self.jobs.get_mut(&old)
+    /// Retains the specification of an ended job, because its tasks may still be on
+    /// machines, and drops the oldest one beyond [`MAX_ENDED_SPECS`]. Only the end is kept
+    /// forever.
+    fn retain_ended_spec(&mut self, id: JobId) {
+        self.ended_with_spec.push_back(id);
+        if self.ended_with_spec.len() > MAX_ENDED_SPECS
+            && let Some(oldest) = self.ended_with_spec.pop_front()
+            && let Some(job) = self.jobs.get_mut(&oldest)
         {
             job.spec = None;
         }
     }
 
-    /// Adds dependencies of a job whose record is here; the jobs that this cancels.
+    /// Adds dependencies of a job whose record has been read; returns the jobs that this
+    /// cancels.
     fn add_dependencies(&mut self, id: JobId, dependencies: &[JobId]) -> Vec<JobId> {
         let jobs = &self.jobs;
         let outcome_of = |id: JobId| jobs.get(&id).map_or(Outcome::Open, |j| j.phase.outcome());
         let cancelled = self.dependencies.add(id, dependencies, outcome_of);
         let ends = dependencies.iter().filter_map(|d| jobs.get(d)).filter(|j| j.phase == Phase::Aborted);
         let at_ms = ends.map(|j| j.ended_ms).max().unwrap_or(0);
-        self.cancel_with(&cancelled, at_ms);
+        self.cancel_dependents(&cancelled, at_ms);
         cancelled
     }
 
-    /// Adds what has been read of a job's dependencies in keys of their own, once its
-    /// record and all of them are here; the jobs that this cancels.
-    fn join_parts(&mut self, id: JobId) -> Vec<JobId> {
+    /// Adds a job's dependencies from its further keys, once its record and all of these
+    /// keys have been read; returns the jobs that this cancels.
+    fn add_dependency_parts(&mut self, id: JobId) -> Vec<JobId> {
         let Some(parts) = self.dependency_parts.get(&id) else { return Vec::new() };
         let Some(expected) = parts.expected else { return Vec::new() };
         if (0..expected).any(|part| !parts.read.contains_key(&part)) {
@@ -766,37 +771,38 @@
         self.add_dependencies(id, &all)
     }
 
-    /// An end of a job was recorded; the jobs that are cancelled with it.
-    fn note_end(&mut self, id: JobId) -> Vec<JobId> {
+    /// Propagates the recorded end of a job to its dependents; returns the jobs that are
+    /// cancelled with it.
+    fn propagate_end(&mut self, id: JobId) -> Vec<JobId> {
         let Some(job) = self.jobs.get(&id) else { return Vec::new() };
         let (outcome, at_ms) = (job.phase.outcome(), job.ended_ms);
         let cancelled = self.dependencies.ended(id, outcome);
-        self.cancel_with(&cancelled, at_ms);
+        self.cancel_dependents(&cancelled, at_ms);
         cancelled
     }
 
-    /// Ends jobs that are cancelled with one that they depend on: nothing of them was
-    /// ever started, so there is nothing to stop and nobody who has to be told first.
-    fn cancel_with(&mut self, jobs: &[JobId], at_ms: u64) {
+    /// Cancels jobs together with one of their dependencies. None of their tasks was ever
+    /// started, so there is nothing to stop and no controller or worker to notify first.
+    fn cancel_dependents(&mut self, jobs: &[JobId], at_ms: u64) {
         for id in jobs {
             let Some(job) = self.jobs.get_mut(id) else { continue };
             job.phase = Phase::Aborted;
             job.ended_ms = at_ms;
             job.settled = true;
-            self.note_over(*id);
+            self.retain_ended_spec(*id);
         }
     }
 
-    /// When the last job that this one depends on was recorded as done, in milliseconds
-    /// of the time of day; its own submission if it depends on none.
+    /// Wall-clock time at which the last of the job's dependencies ended, in milliseconds;
+    /// its own submission time if it has none or was submitted later.
     pub fn released_ms(&self, id: JobId) -> u64 {
         let submitted = self.jobs.get(&id).map_or(0, |j| j.submitted_ms);
         let ends = self.dependencies.dependencies(id).iter().filter_map(|d| self.jobs.get(d));
         ends.map(|j| j.ended_ms).fold(submitted, u64::max)
     }
 
-    /// What a key says of machines, in place of what it said before.
-    fn take_machines(&mut self, key: &str, batch: Option<Batch>, stamp: u64) {
+    /// Replaces the machines that a key held by those that it holds now.
+    fn replace_machines(&mut self, key: &str, batch: Option<MachineBatch>, stamp: u64) {
         let (old, _) = self.records.remove(key).unwrap_or_default();
         let mut ids = Vec::new();
         if let Some(b) = batch {
@@ -808,8 +814,8 @@
             }
             self.records.insert(key.to_owned(), (ids.clone(), stamp));
         }
-        // A write whose answer was lost may have been repeated under another
-        // key: a machine is forgotten when no key holds it.
+        // A write whose response was lost may have been retried under another
+        // key, so a machine is removed only when no key holds it.
         for id in old.into_iter().filter(|id| !ids.contains(id)) {
             if !self.records.values().any(|(v, _)| v.contains(&id)) {
                 self.machines.remove(&id);
@@ -829,14 +835,14 @@
 }
 
 impl Job {
-    /// Whether it is cancelled with a job that it depends on and has no recorded end.
+    /// Whether the job was cancelled with a dependency and has no recorded end of its own.
     pub fn cancelled_by_another(&self) -> bool {
         self.phase == Phase::Aborted && self.end_stamp == 0
     }
 
-    /// Takes recorded failures. A part may be older than another that holds the
-    /// same task: the later attempt counts.
-    fn note_failures(&mut self, failures: BTreeMap<u32, Failures>) {
+    /// Merges recorded failures. A part may be older than another one that holds the same
+    /// task: the entry with the later attempt counts.
+    fn merge_failures(&mut self, failures: BTreeMap<u32, Failures>) {
         for (index, failure) in failures {
             let known = self.failed.entry(index).or_default();
             if failure.last >= known.last {
@@ -874,36 +880,36 @@
     use super::*;
 
     #[test]
-    fn progress_chunks_round_trip_and_stay_small() {
+    fn progress_chunks_round_trip_within_2300_bytes() {
         for set in [vec![], vec![0], vec![63, 64, 8191], vec![8192, 99_999], (0..100_000).collect()] {
             let mut s = TaskSet::default();
             set.iter().for_each(|i| assert!(s.insert(*i)));
-            let mut back = TaskSet::default();
+            let mut decoded = TaskSet::default();
             for c in 0..13 {
                 let text = s.chunk_text(c);
                 assert!(text.len() <= 2300, "{}", text.len());
-                back.add_chunk(c, &text);
+                decoded.add_chunk(c, &text);
             }
-            assert_eq!(back.len(), set.len() as u32);
+            assert_eq!(decoded.len(), set.len() as u32);
             for n in [0, 1, 63, 64, 65, 8192, 50_000, 100_000] {
-                assert_eq!(back.below(n), set.iter().filter(|i| **i < n).count() as u32, "{n}");
+                assert_eq!(decoded.below(n), set.iter().filter(|i| **i < n).count() as u32, "{n}");
             }
-            assert!(set.iter().all(|i| back.contains(*i)));
+            assert!(set.iter().all(|i| decoded.contains(*i)));
         }
     }
 
     #[test]
-    fn machines_are_known_while_a_key_holds_them() {
+    fn a_machine_is_removed_when_no_key_holds_it() {
         let batch = |names: &[&str]| {
             let ids: Vec<MachineId> = names.iter().map(|n| MachineId::from(*n)).collect();
             machines_value(("big", "east", true), ids.iter().map(|id| (id, "addr")))
         };
         let mut l = Ledger::default();
-        // (key, what it holds from now on, machines known then)
+        // (key, its new value, machines known afterwards)
         let steps: [(&str, Option<Value>, &[&str]); 7] = [
             ("g/h/a", Some(batch(&["a", "b"])), &["a", "b"]),
             ("g/m/old", Some(json!({"t":"big","z":"east","s":false,"a":"x"})), &["a", "b", "old"]),
-            // Written again with another after its answer was lost.
+            // Retried together with another machine after the response was lost.
             ("g/h/b", Some(batch(&["b", "c"])), &["a", "b", "c", "old"]),
             ("g/h/a", Some(batch(&["a"])), &["a", "b", "c", "old"]),
             ("g/h/b", Some(batch(&["c"])), &["a", "c", "old"]),
@@ -918,10 +924,11 @@
         assert_eq!(l.machines[&MachineId::from("c")].addr, "addr");
     }
 
-    /// A controller that reads the state anew gets keys in their order; a world
-    /// with planners stood still for a leader that had lost the failures so.
+    /// A controller that reads the state service from the start gets the keys in sorted
+    /// order. A simulated cluster with Nomad jobs once made no progress because its leader
+    /// had lost the recorded failures this way.
     #[test]
-    fn a_listing_in_order_of_keys_is_read_whole() {
+    fn a_listing_sorted_by_key_is_read_completely() {
         let spec = r#"{"l":"l","t":"t","k":"array","r":"high","n":3,"u":[1000,0,500],"i":"i","f":4}"#;
         let record = json!({"d": serde_json::from_str::<Value>(spec).unwrap(), "at": 1});
         let id = JobId(7);
@@ -942,7 +949,7 @@
     }
 
     #[test]
-    fn an_end_is_kept_whatever_comes_after() {
+    fn a_recorded_end_is_final() {
         let mut l = Ledger::default();
         l.apply("g/x/j-000001", Some(&json!({"end":"aborted"})), 5);
         l.apply("g/p/j-000001/0", Some(&json!("1")), 6);
@@ -951,7 +958,7 @@
     }
 
     #[test]
-    fn records_of_versions_before_are_read() {
+    fn records_of_earlier_versions_are_read() {
         // As version 2 wrote them.
         let rows = [
             (
@@ -969,9 +976,9 @@
             l.apply("g/j/j-000412", Some(&v), 9);
             let s = l.jobs[&JobId(412)].spec.clone().expect(row);
             assert_eq!((s.kind, s.rank, s.tasks, s.zones.clone(), s.deadline_s), want, "{row}");
-            // Written anew, it says the same.
-            let again = job_value(&s, 77);
-            assert_eq!(description(JobId(412), &again).as_ref(), Some(&*s), "{row}");
+            // Writing it in the current format preserves the specification.
+            let rewritten = job_value(&s, 77);
+            assert_eq!(description(JobId(412), &rewritten).as_ref(), Some(&*s), "{row}");
         }
         for broken in ["[]", r#"["t","v","array"]"#, "{}", "7"] {
             let record = json!({"d": serde_json::from_str::<Value>(broken).unwrap()});
@@ -980,7 +987,7 @@
     }
 
     #[test]
-    fn a_job_record_reads_back() {
+    fn a_job_record_round_trips() {
         let body = br#"{"ref":"j-000412","lot":"t","crew":"v","manner":"standing","rank":"prod",
             "pieces":3,"cpus":1.5,"gpus":0,"memory_gb":2.1,"bundle":"i","image_gb":0.5,
             "builds":["g8"],"yard":"a","same_place":false,"apart":true,"loaners":false,
--- a/crates/core/src/jobs/dependency_records.rs
+++ b/crates/core/src/jobs/dependency_records.rs
@@ -1,8 +1,9 @@
-//! Records of jobs with dependencies: written within the limits, read in any order.
+//! Tests of the records of jobs with dependencies: they are written within the state
+//! service's limits and can be read in any order.
 use super::*;
 use gorseshore_protocol::users::parse_submission;
 
-/// A submission that depends on so many jobs, numbered from 1,000,000 on.
+/// A submission with the given number of dependencies, whose ids start at 1,000,000.
 fn submission(dependencies: usize) -> JobSpec {
     let names: Vec<String> = (0..dependencies).map(|i| JobId(1_000_000 + i as u64).to_string()).collect();
     let body = json!({"ref":"j-000412","lot":"t","crew":"v","manner":"array","rank":"high",
@@ -18,7 +19,8 @@
 
 #[test]
 fn dependencies_are_written_within_the_limits() {
-    // (dependencies, longest value, changes at once; keys written, `None` if it can't be)
+    // (dependencies, maximum value bytes, maximum changes per transaction; number of keys
+    // written, `None` if the limits are too small)
     let cases = [
         (0, 2000, 4, Some(1)),
         (3, 2000, 4, Some(1)),
@@ -30,10 +32,10 @@
         (5000, 2000, 4, None),
         (3, 100, 4, None),
     ];
-    for (dependencies, value_limit, changes, keys) in cases {
-        let limits = limits(value_limit, changes);
+    for (dependencies, value_bytes, txn_ops, keys) in cases {
+        let limits = limits(value_bytes, txn_ops);
         let records = job_records(&submission(dependencies), 1_700_000_000_000, &limits);
-        assert_eq!(records.as_ref().map(Vec::len), keys, "{dependencies} in {value_limit}, {changes}");
+        assert_eq!(records.as_ref().map(Vec::len), keys, "{dependencies} in {value_bytes}, {txn_ops}");
         for (key, value) in records.unwrap_or_default() {
             assert!(limits.fits(&value), "{key}: {}", value_len(&value));
         }
@@ -41,7 +43,7 @@
 }
 
 #[test]
-fn dependencies_are_read_in_any_order_of_their_keys() {
+fn dependency_keys_can_be_read_in_any_order() {
     let spec = submission(500);
     let records = job_records(&spec, 77, &limits(2000, 4)).unwrap();
     let ends = |ledger: &mut Ledger, from: u64| {
@@ -57,24 +59,24 @@
         }
         assert_eq!(ledger.dependencies.dependencies(spec.id).len(), 500);
         ends(&mut ledger, 1_000_001);
-        assert!(!ledger.dependencies.released(spec.id), "one is not done");
+        assert!(!ledger.dependencies.released(spec.id), "one dependency is not done");
         ends(&mut ledger, 1_000_000);
         assert!(ledger.dependencies.released(spec.id));
         assert_eq!(ledger.released_ms(spec.id), 80);
-        // Without one of the keys nobody knows.
+        // While one of the dependency keys is missing, the job is not released.
         let mut ledger = Ledger::default();
         ends(&mut ledger, 1_000_000);
-        let job_first = records.iter().filter(|(key, _)| *key != records[first.max(1)].0);
-        for (key, value) in job_first {
+        let without_one = records.iter().filter(|(key, _)| *key != records[first.max(1)].0);
+        for (key, value) in without_one {
             ledger.apply(key, Some(value), 5);
         }
         assert!(!ledger.dependencies.released(spec.id), "a key is missing");
     }
 }
 
-/// The job on one that was cancelled, as a replica sees it: phase, settled, and whether
-/// its cancellation is on record.
-fn of_dependent(records: &[(String, Value)]) -> (Phase, bool, bool) {
+/// State of the dependent job in a replica that applied the records: its phase, whether it
+/// is fully stopped, and whether its own end is recorded.
+fn dependent_state(records: &[(String, Value)]) -> (Phase, bool, bool) {
     let mut ledger = Ledger::default();
     for (stamp, (key, value)) in records.iter().enumerate() {
         ledger.apply(key, Some(value), 1 + stamp as u64);
@@ -84,26 +86,26 @@
 }
 
 #[test]
-fn a_job_is_cancelled_by_the_records_of_those_it_depends_on() {
-    let needed = (keys::job(JobId(1_000_000)), job_value(&submission(0), 1));
+fn a_job_is_cancelled_by_the_records_of_its_dependencies() {
+    let dependency = (keys::job(JobId(1_000_000)), job_value(&submission(0), 1));
     let job = (keys::job(JobId(412)), job_value(&submission(1), 2));
     let end = |id: u64, v: Value| (keys::end(JobId(id)), v);
     let aborted = |id| end(id, json!({"end": "aborted", "at": 3}));
     let done = |id| end(id, json!({"end": "done", "at": 3}));
-    // (records in the order in which they are read; phase, settled, recorded)
+    // (records in the order in which they are read; phase, fully stopped, end recorded)
     let cases = [
-        (vec![needed.clone(), job.clone()], (Phase::Active, false, false)),
-        (vec![needed.clone(), job.clone(), done(1_000_000)], (Phase::Active, false, false)),
-        (vec![needed.clone(), job.clone(), aborted(1_000_000)], (Phase::Aborted, true, false)),
-        (vec![needed.clone(), aborted(1_000_000), job.clone()], (Phase::Aborted, true, false)),
-        // A listing gives the job before the one that it depends on.
-        (vec![job.clone(), needed.clone(), aborted(1_000_000)], (Phase::Aborted, true, false)),
-        // Its user cancels it, too: nothing of it was ever started.
+        (vec![dependency.clone(), job.clone()], (Phase::Active, false, false)),
+        (vec![dependency.clone(), job.clone(), done(1_000_000)], (Phase::Active, false, false)),
+        (vec![dependency.clone(), job.clone(), aborted(1_000_000)], (Phase::Aborted, true, false)),
+        (vec![dependency.clone(), aborted(1_000_000), job.clone()], (Phase::Aborted, true, false)),
+        // A listing holds the job before its dependency.
+        (vec![job.clone(), dependency.clone(), aborted(1_000_000)], (Phase::Aborted, true, false)),
+        // The user cancels the job as well; none of its tasks was ever started.
         (vec![job.clone(), aborted(1_000_000), aborted(412)], (Phase::Aborted, true, true)),
         (vec![job.clone(), aborted(412), aborted(1_000_000)], (Phase::Aborted, false, true)),
         (vec![job.clone(), done(1_000_000), done(412)], (Phase::Done, false, true)),
     ];
     for (i, (records, want)) in cases.into_iter().enumerate() {
-        assert_eq!(of_dependent(&records), want, "case {i}");
+        assert_eq!(dependent_state(&records), want, "case {i}");
     }
 }
