--- a/crates/core/tests/production/mod.rs
+++ b/crates/core/tests/production/mod.rs
@@ -1,25 +1,25 @@
-//! A reader of the state service's records as the program in production (commit
-//! dc723f6) reads them, written field by field after its sources and sharing
-//! nothing with the code beside it: what is recorded now has to pass it.
+//! Reference parser of the state service's records as the program in production
+//! (commit dc723f6) reads them. It is written field by field after that program's
+//! sources and shares no code with the workspace. Records written now must pass it.
 //!
-//! As there, fields, keys and spaces that it doesn't know are passed over. It is
-//! stricter in one thing: where production would lose a record without a word
-//! (a job without its description, a leader or witnesses that count as nobody),
-//! it returns an error.
+//! Like production, it ignores unknown fields, keys and key spaces. It is stricter
+//! in one respect: it returns an error where production would silently drop a
+//! record (a job without its specification, or a leader or standby replicas that
+//! production would treat as absent).
 //!
-//! Used by several test programs, none of which needs all of it.
+//! Several test binaries include this module; none of them uses all of it.
 #![allow(dead_code)]
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// Tasks in one record of progress.
-const PROGRESS_CHUNK: u32 = 8192;
-/// Bits of a word of progress.
+/// Tasks in one progress record.
+const PROGRESS_CHUNK_TASKS: u32 = 8192;
+/// Bits in a word of a progress record.
 const WORD_BITS: u32 = 64;
-/// Places of a job's row as it was written before fields had names.
-const ROW_PLACES: usize = 17;
+/// Values in a positional job row, the format before named fields.
+const ROW_LEN: usize = 17;
 
-/// A job's description.
+/// A job's specification.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Job {
     pub class: String,
@@ -40,13 +40,13 @@
     pub save_s: f64,
     pub deadline_s: Option<f64>,
     pub attempts: Option<u32>,
-    /// Type, zone, weight.
+    /// Machine type, zone, weight.
     pub prefer: Vec<(String, String, i32)>,
-    /// Jobs that have to be over before anything of this one starts.
+    /// Jobs that must be over before any task of this one starts.
     pub after: Vec<u64>,
 }
 
-/// What a record says to production.
+/// A record as production understands it.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Record {
     Job {
@@ -66,13 +66,13 @@
         chunk: u32,
         tasks: Vec<u32>,
     },
-    /// By task: how many, and the last attempt that counted.
+    /// By task: number of failed attempts, and the last attempt that was counted.
     Failures {
         id: u64,
         chunk: u32,
         tasks: BTreeMap<u32, (u32, u64)>,
     },
-    /// Name and address of each.
+    /// Name and worker address of each machine.
     Machines {
         kind: (String, String, bool),
         machines: Vec<(String, String)>,
@@ -100,11 +100,11 @@
     NomadPart(String),
     NomadLaunch(u64),
     NomadToken(String),
-    /// Production reads nothing of it.
+    /// Production ignores the key.
     PassedOver,
 }
 
-/// A Nomad job's head.
+/// The head record of a Nomad job.
 #[derive(Debug, Clone, PartialEq)]
 pub struct NomadHead {
     pub namespace: String,
@@ -113,7 +113,7 @@
     pub nonce: String,
     pub stop: bool,
     pub purge: bool,
-    /// Name, native job, repeats.
+    /// Name, native job, count.
     pub groups: Vec<(String, u64, u32)>,
     pub old: Vec<u64>,
     pub periodic: bool,
@@ -122,15 +122,15 @@
     pub earlier: Vec<(u64, String, u64)>,
 }
 
-type Read<T> = Result<T, String>;
+type Parsed<T> = Result<T, String>;
 
-/// What production reads at a key.
-pub fn read(key: &str, v: &Value) -> Read<Record> {
-    let fault = |e: String| format!("{key}: {e}: {v}");
+/// Parses the record at a key as production does.
+pub fn read(key: &str, v: &Value) -> Parsed<Record> {
+    let with_key = |e: String| format!("{key}: {e}: {v}");
     match key {
-        "g/leader" => return leader(v).map_err(fault),
-        "g/term" => return number(v).map(Record::Term).map_err(fault),
-        "g/books" => return books(v).map_err(fault),
+        "g/leader" => return leader(v).map_err(with_key),
+        "g/term" => return number(v).map(Record::Term).map_err(with_key),
+        "g/books" => return placement_replicas(v).map_err(with_key),
         _ => {}
     }
     let Some(rest) = key.strip_prefix("g/") else { return Ok(Record::PassedOver) };
@@ -142,156 +142,156 @@
         "r" => failures(name, v),
         "h" => machines(v),
         "m" => machine(name, v),
-        "c" => mail(name, v),
+        "c" => relayed_message(name, v),
         "n" => nomad(name, v),
         _ => Ok(Record::PassedOver),
     }
-    .map_err(fault)
+    .map_err(with_key)
 }
 
-/// A field that has to be there.
-fn field<'a>(v: &'a Value, name: &str) -> Read<&'a Value> {
+/// A required field.
+fn field<'a>(v: &'a Value, name: &str) -> Parsed<&'a Value> {
     v.as_object().ok_or("not an object")?.get(name).ok_or_else(|| format!("no {name}"))
 }
 
-/// A field that may be missing, with its value then.
-fn field_or<T>(v: &Value, name: &str, missing: T, read: impl Fn(&Value) -> Read<T>) -> Read<T> {
-    v.get(name).map_or(Ok(missing), |x| read(x).map_err(|e| format!("{name}: {e}")))
+/// An optional field with a default.
+fn field_or<T>(v: &Value, name: &str, default: T, read: impl Fn(&Value) -> Parsed<T>) -> Parsed<T> {
+    v.get(name).map_or(Ok(default), |x| read(x).map_err(|e| format!("{name}: {e}")))
 }
 
-/// A field that may be missing or null.
-fn field_if<T>(v: &Value, name: &str, read: impl Fn(&Value) -> Read<T>) -> Read<Option<T>> {
+/// An optional field that may also be null.
+fn optional_field<T>(v: &Value, name: &str, read: impl Fn(&Value) -> Parsed<T>) -> Parsed<Option<T>> {
     field_or(v, name, None, |x| optional(x, &read))
 }
 
-fn optional<T>(v: &Value, read: impl Fn(&Value) -> Read<T>) -> Read<Option<T>> {
+fn optional<T>(v: &Value, read: impl Fn(&Value) -> Parsed<T>) -> Parsed<Option<T>> {
     if v.is_null() { Ok(None) } else { read(v).map(Some) }
 }
 
-fn text(v: &Value) -> Read<String> {
-    v.as_str().map(str::to_owned).ok_or_else(|| format!("{v} is not a text"))
+fn text(v: &Value) -> Parsed<String> {
+    v.as_str().map(str::to_owned).ok_or_else(|| format!("{v} is not a string"))
 }
 
-fn number(v: &Value) -> Read<u64> {
+fn number(v: &Value) -> Parsed<u64> {
     v.as_u64().ok_or_else(|| format!("{v} is not a whole number"))
 }
 
-fn small(v: &Value) -> Read<u32> {
+fn number_u32(v: &Value) -> Parsed<u32> {
     u32::try_from(number(v)?).map_err(|e| e.to_string())
 }
 
-fn weight(v: &Value) -> Read<i32> {
+fn weight(v: &Value) -> Parsed<i32> {
     let n = v.as_i64().ok_or_else(|| format!("{v} is not a whole number"))?;
     i32::try_from(n).map_err(|e| e.to_string())
 }
 
-fn decimal(v: &Value) -> Read<f64> {
+fn decimal(v: &Value) -> Parsed<f64> {
     v.as_f64().ok_or_else(|| format!("{v} is not a number"))
 }
 
-fn flag(v: &Value) -> Read<bool> {
+fn boolean(v: &Value) -> Parsed<bool> {
     v.as_bool().ok_or_else(|| format!("{v} is neither true nor false"))
 }
 
-fn list<T>(v: &Value, read: impl Fn(&Value) -> Read<T>) -> Read<Vec<T>> {
-    v.as_array().ok_or_else(|| format!("{v} is not a list"))?.iter().map(read).collect()
+fn list<T>(v: &Value, read: impl Fn(&Value) -> Parsed<T>) -> Parsed<Vec<T>> {
+    v.as_array().ok_or_else(|| format!("{v} is not an array"))?.iter().map(read).collect()
 }
 
-fn pair(v: &Value) -> Read<(&Value, &Value)> {
+fn pair(v: &Value) -> Parsed<(&Value, &Value)> {
     match v.as_array().map(Vec::as_slice) {
         Some([a, b]) => Ok((a, b)),
         _ => Err(format!("{v} is not a pair")),
     }
 }
 
-fn word_of(v: &Value, words: &[&str]) -> Read<String> {
-    text(v).and_then(|t| if words.contains(&t.as_str()) { Ok(t) } else { Err(format!("unknown: {t}")) })
+fn one_of(v: &Value, allowed: &[&str]) -> Parsed<String> {
+    text(v).and_then(|t| if allowed.contains(&t.as_str()) { Ok(t) } else { Err(format!("unknown: {t}")) })
 }
 
-fn kind(v: &Value) -> Read<String> {
-    word_of(v, &["array", "standing"])
+fn kind(v: &Value) -> Parsed<String> {
+    one_of(v, &["array", "standing"])
 }
 
-fn rank(v: &Value) -> Read<String> {
-    word_of(v, &["idle", "standard", "high", "prod"])
+fn priority(v: &Value) -> Parsed<String> {
+    one_of(v, &["idle", "standard", "high", "prod"])
 }
 
-fn need(v: &Value) -> Read<[u64; 3]> {
+fn task_resources(v: &Value) -> Parsed<[u64; 3]> {
     list(v, number)?.try_into().map_err(|_| format!("{v} is not three numbers"))
 }
 
-/// Only the canonical spelling is an id: six digits, or more without a zero first.
-fn job_id(name: &str) -> Read<u64> {
-    let digits = name.strip_prefix("j-").ok_or("not a job's id")?;
+/// Only the canonical spelling is an id: six digits, or more without a leading zero.
+fn job_id(name: &str) -> Parsed<u64> {
+    let digits = name.strip_prefix("j-").ok_or("not a job id")?;
     let all_digits = digits.bytes().all(|b| b.is_ascii_digit());
     let canonical = digits.len() == 6 || digits.len() > 6 && digits.len() <= 20 && !digits.starts_with('0');
     if !all_digits || !canonical {
-        return Err("not a job's id".into());
+        return Err("not a job id".into());
     }
-    digits.parse().map_err(|_| "not a job's id".to_owned())
+    digits.parse().map_err(|_| "not a job id".to_owned())
 }
 
-fn job_and_chunk(name: &str) -> Read<(u64, u32)> {
+fn job_and_chunk(name: &str) -> Parsed<(u64, u32)> {
     let (id, chunk) = name.split_once('/').ok_or("no chunk")?;
     Ok((job_id(id)?, chunk.parse().map_err(|_| "not a chunk")?))
 }
 
-fn job_record(name: &str, v: &Value) -> Read<Record> {
-    let description = field(v, "d")?;
-    let job = match description.as_array() {
-        Some(row) => job_of_row(row)?,
-        None => job_of_fields(description)?,
+fn job_record(name: &str, v: &Value) -> Parsed<Record> {
+    let spec = field(v, "d")?;
+    let job = match spec.as_array() {
+        Some(row) => job_from_row(row)?,
+        None => job_from_fields(spec)?,
     };
     Ok(Record::Job { id: job_id(name)?, job: Box::new(job), submitted_ms: number(field(v, "at")?)? })
 }
 
-fn job_of_fields(d: &Value) -> Read<Job> {
+fn job_from_fields(d: &Value) -> Parsed<Job> {
     let texts = |v: &Value| list(v, text);
     Ok(Job {
         class: text(field(d, "l")?)?,
         team: text(field(d, "t")?)?,
         kind: kind(field(d, "k")?)?,
-        rank: rank(field(d, "r")?)?,
-        tasks: small(field(d, "n")?)?,
-        need: need(field(d, "u")?)?,
-        types: field_if(d, "b", texts)?,
-        zones: field_if(d, "z", texts)?,
-        one_zone: field_or(d, "o", false, flag)?,
-        spread: field_or(d, "a", false, flag)?,
-        spot: field_or(d, "s", false, flag)?,
+        rank: priority(field(d, "r")?)?,
+        tasks: number_u32(field(d, "n")?)?,
+        need: task_resources(field(d, "u")?)?,
+        types: optional_field(d, "b", texts)?,
+        zones: optional_field(d, "z", texts)?,
+        one_zone: field_or(d, "o", false, boolean)?,
+        spread: field_or(d, "a", false, boolean)?,
+        spot: field_or(d, "s", false, boolean)?,
         image: text(field(d, "i")?)?,
         image_gb: field_or(d, "ig", 0.0, decimal)?,
         estimate_s: field_or(d, "e", 0.0, decimal)?,
         checkpoint_s: field_or(d, "c", 0.0, decimal)?,
         save_s: field_or(d, "w", 0.0, decimal)?,
-        deadline_s: field_if(d, "d", decimal)?,
-        attempts: field_if(d, "f", small)?,
+        deadline_s: optional_field(d, "d", decimal)?,
+        attempts: optional_field(d, "f", number_u32)?,
         prefer: field_or(d, "p", Vec::new(), |p| list(p, preference))?,
         after: field_or(d, "x", Vec::new(), |x| list(x, number))?,
     })
 }
 
-fn preference(v: &Value) -> Read<(String, String, i32)> {
+fn preference(v: &Value) -> Parsed<(String, String, i32)> {
     Ok((text(field(v, "t")?)?, text(field(v, "z")?)?, weight(field(v, "w")?)?))
 }
 
-/// The row of places of earlier versions; places after the last are passed over.
-fn job_of_row(row: &[Value]) -> Read<Job> {
-    if row.len() < ROW_PLACES {
-        return Err(format!("{} places of {ROW_PLACES}", row.len()));
+/// Parses the positional row of earlier versions; values beyond the last position are ignored.
+fn job_from_row(row: &[Value]) -> Parsed<Job> {
+    if row.len() < ROW_LEN {
+        return Err(format!("row has {} of {ROW_LEN} values", row.len()));
     }
     Ok(Job {
         class: text(&row[0])?,
         team: text(&row[1])?,
         kind: kind(&row[2])?,
-        rank: rank(&row[3])?,
-        tasks: small(&row[4])?,
-        need: need(&row[5])?,
+        rank: priority(&row[3])?,
+        tasks: number_u32(&row[4])?,
+        need: task_resources(&row[5])?,
         types: optional(&row[6], |v| list(v, text))?,
         zones: optional(&row[7], text)?.map(|zone| vec![zone]),
-        one_zone: flag(&row[8])?,
-        spread: flag(&row[9])?,
-        spot: flag(&row[10])?,
+        one_zone: boolean(&row[8])?,
+        spread: boolean(&row[9])?,
+        spot: boolean(&row[10])?,
         image: text(&row[11])?,
         image_gb: decimal(&row[12])?,
         estimate_s: decimal(&row[13])?,
@@ -304,9 +304,9 @@
     })
 }
 
-fn end(name: &str, v: &Value) -> Read<Record> {
-    // Production takes every other word for "aborted".
-    let done = word_of(field(v, "end")?, &["done", "aborted"])? == "done";
+fn end(name: &str, v: &Value) -> Parsed<Record> {
+    // Production treats every word but "done" as "aborted".
+    let done = one_of(field(v, "end")?, &["done", "aborted"])? == "done";
     Ok(Record::End {
         id: job_id(name)?,
         done,
@@ -316,38 +316,38 @@
     })
 }
 
-/// Words in hexadecimal, commas between them; the lowest bit is the first task.
-fn progress(name: &str, v: &Value) -> Read<Record> {
+/// Comma-separated words in hexadecimal; the lowest bit is the first task.
+fn progress(name: &str, v: &Value) -> Parsed<Record> {
     let (id, chunk) = job_and_chunk(name)?;
     let words = text(v)?;
     let mut tasks = Vec::new();
-    for (place, word) in words.split(',').enumerate() {
-        if place as u32 >= PROGRESS_CHUNK / WORD_BITS {
-            return Err("a word too many".into());
+    for (position, word) in words.split(',').enumerate() {
+        if position as u32 >= PROGRESS_CHUNK_TASKS / WORD_BITS {
+            return Err("too many words".into());
         }
         let bits =
             if word.is_empty() { 0 } else { u64::from_str_radix(word, 16).map_err(|e| e.to_string())? };
-        let first = chunk * PROGRESS_CHUNK + place as u32 * WORD_BITS;
+        let first = chunk * PROGRESS_CHUNK_TASKS + position as u32 * WORD_BITS;
         tasks.extend((0..WORD_BITS).filter(|bit| bits >> bit & 1 == 1).map(|bit| first + bit));
     }
     Ok(Record::Progress { id, chunk, tasks })
 }
 
-fn failures(name: &str, v: &Value) -> Read<Record> {
+fn failures(name: &str, v: &Value) -> Parsed<Record> {
     let (id, chunk) = job_and_chunk(name)?;
     let mut tasks = BTreeMap::new();
     for (index, f) in v.as_object().ok_or("not an object")? {
-        let index = index.parse().map_err(|_| "not a task's number")?;
-        tasks.insert(index, (small(field(f, "n")?)?, number(field(f, "a")?)?));
+        let index = index.parse().map_err(|_| "not a task index")?;
+        tasks.insert(index, (number_u32(field(f, "n")?)?, number(field(f, "a")?)?));
     }
     Ok(Record::Failures { id, chunk, tasks })
 }
 
-fn machine_kind(v: &Value) -> Read<(String, String, bool)> {
-    Ok((text(field(v, "t")?)?, text(field(v, "z")?)?, flag(field(v, "s")?)?))
+fn machine_kind(v: &Value) -> Parsed<(String, String, bool)> {
+    Ok((text(field(v, "t")?)?, text(field(v, "z")?)?, boolean(field(v, "s")?)?))
 }
 
-fn machines(v: &Value) -> Read<Record> {
+fn machines(v: &Value) -> Parsed<Record> {
     let name_and_address = |m: &Value| {
         let (name, address) = pair(m)?;
         Ok((text(name)?, text(address)?))
@@ -355,13 +355,13 @@
     Ok(Record::Machines { kind: machine_kind(v)?, machines: list(field(v, "m")?, name_and_address)? })
 }
 
-/// A machine by itself, as earlier versions recorded them.
-fn machine(name: &str, v: &Value) -> Read<Record> {
+/// A record of a single machine, as earlier versions wrote them.
+fn machine(name: &str, v: &Value) -> Parsed<Record> {
     let address = text(field(v, "a")?)?;
     Ok(Record::Machines { kind: machine_kind(v)?, machines: vec![(name.to_owned(), address)] })
 }
 
-fn leader(v: &Value) -> Read<Record> {
+fn leader(v: &Value) -> Parsed<Record> {
     Ok(Record::Leader {
         node: text(field(v, "node")?)?,
         term: number(field(v, "term")?)?,
@@ -369,7 +369,7 @@
     })
 }
 
-fn books(v: &Value) -> Read<Record> {
+fn placement_replicas(v: &Value) -> Parsed<Record> {
     let name_and_process = |n: &Value| {
         let (name, process) = pair(n)?;
         Ok((text(name)?, number(process)?))
@@ -381,23 +381,23 @@
     })
 }
 
-fn mail(name: &str, v: &Value) -> Read<Record> {
+fn relayed_message(name: &str, v: &Value) -> Parsed<Record> {
     let (to, _) = name.split_once('/').ok_or("no sender")?;
-    let Some([process, count, part, parts, words]) = v.as_array().map(Vec::as_slice) else {
-        return Err("not five places".into());
+    let Some([process, message_number, part, parts, part_text]) = v.as_array().map(Vec::as_slice) else {
+        return Err("not an array of five values".into());
     };
     Ok(Record::Mail {
         to: to.to_owned(),
         process: number(process)?,
-        number: number(count)?,
+        number: number(message_number)?,
         part: number(part)? as usize,
         parts: number(parts)? as usize,
-        text: text(words)?,
+        text: text(part_text)?,
     })
 }
 
-fn nomad(name: &str, v: &Value) -> Read<Record> {
-    match name.split_once('/').ok_or("no space")?.0 {
+fn nomad(name: &str, v: &Value) -> Parsed<Record> {
+    match name.split_once('/').ok_or("no key space")?.0 {
         "j" => nomad_head(v).map(|h| Record::NomadHead(Box::new(h))),
         "p" => text(v).map(Record::NomadPart),
         "l" => number(v).map(Record::NomadLaunch),
@@ -406,41 +406,41 @@
     }
 }
 
-fn nomad_head(v: &Value) -> Read<NomadHead> {
+fn nomad_head(v: &Value) -> Parsed<NomadHead> {
     for name in ["nm", "h", "hc", "k", "cl", "t"] {
         text(field(v, name)?)?;
     }
     number(field(v, "at")?)?;
-    small(field(v, "pr")?)?;
-    field_if(v, "ci", number)?;
+    number_u32(field(v, "pr")?)?;
+    optional_field(v, "ci", number)?;
     field_or(v, "dc", Vec::new(), |d| list(d, text))?;
-    let group = |g: &Value| Ok((text(field(g, "g")?)?, number(field(g, "j")?)?, small(field(g, "n")?)?));
+    let group = |g: &Value| Ok((text(field(g, "g")?)?, number(field(g, "j")?)?, number_u32(field(g, "n")?)?));
     let earlier = |e: &Value| Ok((number(field(e, "v")?)?, text(field(e, "w")?)?, number(field(e, "at")?)?));
     Ok(NomadHead {
         namespace: text(field(v, "ns")?)?,
         id: text(field(v, "id")?)?,
         version: number(field(v, "v")?)?,
         nonce: text(field(v, "w")?)?,
-        stop: field_or(v, "s", false, flag)?,
-        purge: field_or(v, "pg", false, flag)?,
+        stop: field_or(v, "s", false, boolean)?,
+        purge: field_or(v, "pg", false, boolean)?,
         groups: list(field(v, "gr")?, group)?,
         old: field_or(v, "o", Vec::new(), |o| list(o, number))?,
-        periodic: field_if(v, "pe", nomad_periodic)?.is_some(),
-        parameterized: field_if(v, "pa", nomad_parameterized)?.is_some(),
-        parent: field_if(v, "up", text)?,
+        periodic: optional_field(v, "pe", nomad_periodic)?.is_some(),
+        parameterized: optional_field(v, "pa", nomad_parameterized)?.is_some(),
+        parent: optional_field(v, "up", text)?,
         earlier: field_or(v, "vs", Vec::new(), |e| list(e, earlier))?,
     })
 }
 
-fn nomad_periodic(v: &Value) -> Read<()> {
+fn nomad_periodic(v: &Value) -> Parsed<()> {
     list(field(v, "c")?, text)?;
     text(field(v, "z")?)?;
-    field_or(v, "o", false, flag)?;
-    flag(field(v, "e")?)?;
+    field_or(v, "o", false, boolean)?;
+    boolean(field(v, "e")?)?;
     Ok(())
 }
 
-fn nomad_parameterized(v: &Value) -> Read<()> {
+fn nomad_parameterized(v: &Value) -> Parsed<()> {
     text(field(v, "p")?)?;
     field_or(v, "r", Vec::new(), |r| list(r, text))?;
     field_or(v, "o", Vec::new(), |o| list(o, text))?;
--- a/crates/core/tests/record_compatibility.rs
+++ b/crates/core/tests/record_compatibility.rs
@@ -1,6 +1,7 @@
-//! Records in the state service: rows as the program in production (commit
-//! dc723f6) writes them are read, and what is written passes its reader
-//! ([`production`]). A literal here is never changed together with the code.
+//! Compatibility of the records in the state service with the program in production
+//! (commit dc723f6): records as production writes them are read, and records written
+//! now pass its reference parser ([`production`]). Literals in this file never change
+//! together with the code.
 mod production;
 
 use data_encoding::BASE64;
@@ -17,7 +18,7 @@
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
-/// Jobs' records of all shapes, with named fields.
+/// Job records of all shapes, with named fields.
 const JOBS: &[(&str, &str)] = &[
     (
         "least",
@@ -44,8 +45,8 @@
     ),
 ];
 
-/// Rows of places, as versions before the named fields wrote them and production
-/// reads them still.
+/// Job records with a positional row, as versions before the named fields wrote them.
+/// Production still reads them.
 const ROWS: &[&str] = &[
     r#"{"at":77,"d":["t","v","standing","prod",3,[1500,0,2100],["g8"],"a",false,true,false,"i",0.5,0.0,0.0,0.0,null]}"#,
     r#"{"at":77,"d":["t","v","array","idle",65,[4000,1000,5300],null,null,true,false,true,"img-07",1.5,30.0,15.0,2.0,900.0]}"#,
@@ -55,17 +56,17 @@
     serde_json::from_str(text).unwrap_or_else(|e| panic!("{e}: {text}"))
 }
 
-fn word(v: impl serde::Serialize) -> String {
+fn wire_name(v: impl serde::Serialize) -> String {
     serde_json::to_value(v).unwrap().as_str().unwrap().to_owned()
 }
 
-/// A description in the form in which production's reader returns it.
-fn as_production_sees(s: &JobSpec) -> production::Job {
+/// Converts a job specification to the form that production's parser returns.
+fn to_production_job(s: &JobSpec) -> production::Job {
     production::Job {
         class: s.class.clone(),
         team: s.team.clone(),
-        kind: word(s.kind),
-        rank: word(s.rank),
+        kind: wire_name(s.kind),
+        rank: wire_name(s.rank),
         tasks: s.tasks,
         need: [s.need.cpu, s.need.gpu, s.need.mem],
         types: s.types.clone(),
@@ -100,9 +101,9 @@
     ledger
 }
 
-/// The reader itself, against one row worked out by hand.
+/// Checks the reference parser itself against one record whose fields were determined by hand.
 #[test]
-fn the_reader_of_production_reads_a_row_worked_out_by_hand() {
+fn the_reference_parser_reads_a_record_checked_by_hand() {
     let (_, text) = JOBS[3];
     let job = production_job(&parse(text));
     assert_eq!((job.class.as_str(), job.team.as_str(), job.tasks), ("batch", "v", 65));
@@ -110,7 +111,7 @@
     assert_eq!(job.zones, Some(vec!["east".to_owned(), "west".to_owned()]));
     assert_eq!(job.prefer[1], ("g8".to_owned(), "west".to_owned(), -100));
     assert_eq!((job.attempts, job.after.len()), (Some(3), 2));
-    for lost in [
+    for invalid in [
         r#"{"at":7}"#,
         r#"{"at":7,"d":[]}"#,
         r#"{"at":7,"d":{"l":"l"}}"#,
@@ -118,12 +119,12 @@
         r#"{"at":7,"d":{"l":"l","t":"t","k":"array","r":"idle","n":1,"u":[0,0],"i":"i"}}"#,
         r#"{"at":7,"d":{"l":"l","t":"t","k":"array","r":"idle","n":1,"u":[0,0,0],"i":"i","x":["j-000001"]}}"#,
     ] {
-        assert!(production::read("g/j/j-000412", &parse(lost)).is_err(), "{lost}");
+        assert!(production::read("g/j/j-000412", &parse(invalid)).is_err(), "{invalid}");
     }
 }
 
 #[test]
-fn jobs_of_production_are_read_and_written_again_as_they_were() {
+fn job_records_of_production_round_trip() {
     for (name, text) in JOBS {
         let record = parse(text);
         let ledger = ledger(&[("g/j/j-000412", text)]);
@@ -131,34 +132,34 @@
         let spec = job.spec.as_deref().unwrap_or_else(|| panic!("{name}: lost"));
         assert_eq!(Some(job.submitted_ms), record["at"].as_u64(), "{name}");
         assert_eq!((job.phase, job.tasks, job.stamp), (Phase::Active, spec.tasks, 10), "{name}");
-        assert_eq!(as_production_sees(spec), production_job(&record), "{name}");
+        assert_eq!(to_production_job(spec), production_job(&record), "{name}");
         assert_eq!(description(JobId(412), &record).as_ref(), Some(spec), "{name}");
         assert_eq!(job_value(spec, job.submitted_ms), record, "{name}");
     }
 }
 
 #[test]
-fn rows_of_places_are_read_and_written_with_names() {
+fn positional_rows_are_read_and_rewritten_with_named_fields() {
     for text in ROWS {
         let record = parse(text);
         let spec = description(JobId(412), &record).expect(text);
-        let as_written = production_job(&record);
-        assert_eq!(as_production_sees(&spec), as_written, "{text}");
-        assert_eq!(production_job(&job_value(&spec, 77)), as_written, "{text}");
+        let expected = production_job(&record);
+        assert_eq!(to_production_job(&spec), expected, "{text}");
+        assert_eq!(production_job(&job_value(&spec, 77)), expected, "{text}");
     }
 }
 
 #[test]
-fn all_kinds_and_ranks_have_productions_words() {
+fn all_kinds_and_priorities_keep_productions_wire_names() {
     let kinds = [(Kind::Array, "array"), (Kind::Service, "standing")];
-    let ranks =
+    let priorities =
         [(Rank::Low, "idle"), (Rank::Normal, "standard"), (Rank::High, "high"), (Rank::Production, "prod")];
-    kinds.iter().for_each(|(k, want)| assert_eq!(word(k), *want));
-    ranks.iter().for_each(|(r, want)| assert_eq!(word(r), *want));
+    kinds.iter().for_each(|(k, want)| assert_eq!(wire_name(k), *want));
+    priorities.iter().for_each(|(p, want)| assert_eq!(wire_name(p), *want));
 }
 
 #[test]
-fn ends_of_production_are_read() {
+fn end_records_of_production_are_read() {
     // (record, phase, settled, cause)
     let ends = [
         (r#"{"end":"done","at":5}"#, Phase::Done, false, None),
@@ -177,19 +178,19 @@
         let job = &ledger.jobs[&JobId(412)];
         let read = (job.phase, job.ended_ms, job.end_stamp, job.settled, job.cause.as_deref());
         assert_eq!(read, (phase, 5, 11, settled, cause), "{text}");
-        let by_production = Record::End {
+        let expected = Record::End {
             id: 412,
             done: phase == Phase::Done,
             at_ms: 5,
             settled,
             cause: cause.map(str::to_owned),
         };
-        assert_eq!(production::read("g/x/j-000412", &parse(text)), Ok(by_production), "{text}");
+        assert_eq!(production::read("g/x/j-000412", &parse(text)), Ok(expected), "{text}");
     }
 }
 
 #[test]
-fn progress_of_production_is_read_and_written_as_it_was() {
+fn progress_records_of_production_round_trip() {
     // (chunk, record, tasks)
     let chunks: [(u32, &str, Vec<u32>); 4] = [
         (0, "", vec![]),
@@ -208,13 +209,13 @@
         assert!(tasks.iter().all(|t| job.done.contains(*t)), "{text}");
         assert_eq!((job.done.len() as usize, job.chunks.get(&chunk)), (tasks.len(), Some(&11)), "{text}");
         assert_eq!(set.chunk_text(chunk), text);
-        let by_production = Record::Progress { id: 412, chunk, tasks };
-        assert_eq!(production::read(&key, &value), Ok(by_production), "{text}");
+        let expected = Record::Progress { id: 412, chunk, tasks };
+        assert_eq!(production::read(&key, &value), Ok(expected), "{text}");
     }
 }
 
 #[test]
-fn failures_of_production_are_read_and_written_as_they_were() {
+fn failure_records_of_production_round_trip() {
     let text = r#"{"2":{"n":3,"a":1879048193},"63":{"n":1,"a":1879048199}}"#;
     let failures: BTreeMap<u32, Failures> = BTreeMap::from([
         (2, Failures { count: 3, last: 1_879_048_193 }),
@@ -226,15 +227,15 @@
     assert_eq!(keys::failed(JobId(412), 0), "g/r/j-000412/0");
     assert_eq!(json!(failures), parse(text));
     let tasks = failures.iter().map(|(task, f)| (*task, (f.count, f.last))).collect();
-    let by_production = Record::Failures { id: 412, chunk: 0, tasks };
-    assert_eq!(production::read("g/r/j-000412/0", &json!(failures)), Ok(by_production));
+    let expected = Record::Failures { id: 412, chunk: 0, tasks };
+    assert_eq!(production::read("g/r/j-000412/0", &json!(failures)), Ok(expected));
 }
 
 #[test]
-fn machines_of_production_are_read_and_written_as_they_were() {
-    let together = r#"{"t":"big","z":"east","s":true,"m":[["host-000001","10.0.0.1:80"],["host-000002","10.0.0.2:80"]]}"#;
-    let alone = r#"{"t":"g8","z":"west","s":false,"a":"10.0.0.3:80"}"#;
-    let ledger = ledger(&[("g/h/host-000001", together), ("g/m/host-000003", alone)]);
+fn machine_records_of_production_round_trip() {
+    let batch = r#"{"t":"big","z":"east","s":true,"m":[["host-000001","10.0.0.1:80"],["host-000002","10.0.0.2:80"]]}"#;
+    let single = r#"{"t":"g8","z":"west","s":false,"a":"10.0.0.3:80"}"#;
+    let ledger = ledger(&[("g/h/host-000001", batch), ("g/m/host-000003", single)]);
     // (name, type, zone, spot, address)
     for (name, build, zone, spot, addr) in [
         ("host-000001", "big", "east", true, "10.0.0.1:80"),
@@ -247,17 +248,17 @@
     let ids = ["host-000001", "host-000002"].map(MachineId::from);
     assert_eq!(keys::machines(&ids[0]), "g/h/host-000001");
     let written = machines_value(("big", "east", true), ids.iter().zip(["10.0.0.1:80", "10.0.0.2:80"]));
-    assert_eq!(written, parse(together));
+    assert_eq!(written, parse(batch));
     let machines = [("host-000001", "10.0.0.1:80"), ("host-000002", "10.0.0.2:80")];
-    let by_production = Record::Machines {
+    let expected = Record::Machines {
         kind: ("big".into(), "east".into(), true),
         machines: machines.map(|(name, addr)| (name.to_owned(), addr.to_owned())).to_vec(),
     };
-    assert_eq!(production::read("g/h/host-000001", &written), Ok(by_production));
+    assert_eq!(production::read("g/h/host-000001", &written), Ok(expected));
 }
 
 #[test]
-fn leader_term_and_books_of_production_are_read() {
+fn leader_term_and_placement_replica_records_of_production_are_read() {
     let ledger = ledger(&[
         ("g/leader", r#"{"node":"n1","term":7,"lease":42}"#),
         ("g/term", "7"),
@@ -270,7 +271,7 @@
         Witnesses { term: 6, led: 7, nodes: vec![("n0".into(), 451_737_600_031_523), ("n2".into(), 9)] };
     assert_eq!(ledger.books, (books.clone(), 12));
 
-    // (key, as it is written, as production reads it)
+    // (key, value written now, record that production reads)
     let written = [
         ("g/leader", json!(leader), Record::Leader { node: "n1".into(), term: 7, lease: 42 }),
         ("g/books", json!(books), Record::Books { term: 6, led: 7, nodes: books.nodes.clone() }),
@@ -281,7 +282,7 @@
         ),
         ("g/books", json!(books.taken_over(9)), Record::Books { term: 0, led: 9, nodes: vec![] }),
         ("g/term", json!(8), Record::Term(8)),
-        // Written for the names of rentals; production never reads it.
+        // Id of the last rental request; production never reads it.
         ("g/hire", json!("7-12"), Record::PassedOver),
     ];
     for (key, value, want) in written {
@@ -289,17 +290,17 @@
     }
 }
 
-/// Keys and spaces that nobody knows yet change nothing.
+/// Fields, keys and key spaces that later versions may add change nothing.
 #[test]
-fn unknown_fields_keys_and_spaces_are_passed_over() {
-    let plain = [("g/j/j-000412", JOBS[1].1), ("g/x/j-000413", r#"{"end":"done","at":5}"#)];
+fn unknown_fields_keys_and_key_spaces_are_ignored() {
+    let known = [("g/j/j-000412", JOBS[1].1), ("g/x/j-000413", r#"{"end":"done","at":5}"#)];
     let later_job = {
         let mut v = parse(JOBS[1].1);
         v["later"] = json!([1]);
         v["d"]["later"] = json!({"a": 1});
         v.to_string()
     };
-    let further = [
+    let with_unknown = [
         ("g/d/j-000412/0", "[1,2,3]"),
         ("g/later", "{}"),
         ("g/later/j-000412", "7"),
@@ -307,9 +308,9 @@
         ("g/x/j-000413", r#"{"end":"done","at":5,"later":true}"#),
         ("g/j/j-000412", later_job.as_str()),
     ];
-    let before = ledger(&plain);
-    let mut after = ledger(&plain);
-    for (key, text) in further {
+    let before = ledger(&known);
+    let mut after = ledger(&known);
+    for (key, text) in with_unknown {
         after.apply(key, Some(&parse(text)), 50);
     }
     assert_eq!(after.jobs.len(), before.jobs.len());
@@ -321,22 +322,23 @@
     assert_eq!(production_job(&parse(&later_job)), production_job(&parse(JOBS[1].1)));
 }
 
-/// A job that awaits others, as it is to be recorded: `x` holds the jobs that it
-/// replaces and behind them those that it awaits, `q` is how many of `x` are
-/// awaited; further ids are in `qk` keys `g/d/ID/N`, from 0 up.
+/// Recorded form of a job with dependencies: `x` holds the jobs that it replaces, followed
+/// by its own id and its dependencies, and `q` is the number of dependencies in `x`. Further
+/// dependencies are in `qk` keys `g/d/ID/N`, with N from 0.
 struct Dependent {
     /// The job's record.
     record: &'static str,
-    /// Its further keys.
+    /// Further keys with dependencies, and their values.
     further: &'static [(&'static str, &'static str)],
-    /// What production takes as jobs that have to be over first.
+    /// Jobs that must be over first according to production.
     after: &'static [u64],
-    /// What is meant.
+    /// Jobs that the job replaces.
     replaced: &'static [u64],
+    /// Jobs that the job depends on.
     awaited: &'static [u64],
 }
 
-/// Rows are added here as what writes them comes.
+/// Extend this table together with each new writer of such records.
 const DEPENDENTS: &[Dependent] = &[
     Dependent {
         record: r#"{"at":7,"d":{"l":"l","t":"t","k":"array","r":"idle","n":1,"u":[1,0,1],"i":"i","x":[412,411],"q":1}}"#,
@@ -360,7 +362,7 @@
         replaced: &[],
         awaited: &[409, 410, 1, 2, 3, 999_999_999_999_999_999],
     },
-    // All of them in further keys.
+    // All dependencies are in further keys.
     Dependent {
         record: r#"{"at":7,"d":{"l":"l","t":"t","k":"array","r":"high","n":2,"u":[1,0,1],"i":"i","x":[5,412],"qk":1}}"#,
         further: &[("g/d/j-000412/0", "[1]")],
@@ -370,7 +372,8 @@
     },
 ];
 
-/// Replaced and awaited jobs, by the words of [`Dependent`] alone.
+/// Decodes replaced jobs and dependencies as documented at [`Dependent`], without the code
+/// under test.
 fn dependencies(record: &Value, further: &BTreeMap<&str, Value>) -> (Vec<u64>, Vec<u64>) {
     let numbers = |v: &Value| -> Vec<u64> { serde_json::from_value(v.clone()).unwrap() };
     let d = &record["d"];
@@ -385,16 +388,16 @@
 }
 
 #[test]
-fn production_reads_jobs_that_await_others() {
+fn production_reads_jobs_with_dependencies() {
     for row in DEPENDENTS {
         let record = parse(row.record);
         let further: BTreeMap<&str, Value> = row.further.iter().map(|(k, t)| (*k, parse(t))).collect();
-        let meant = dependencies(&record, &further);
-        assert_eq!(meant, (row.replaced.to_vec(), row.awaited.to_vec()), "{}", row.record);
-        // But for these fields the record is one of production's own.
+        let decoded = dependencies(&record, &further);
+        assert_eq!(decoded, (row.replaced.to_vec(), row.awaited.to_vec()), "{}", row.record);
+        // Apart from the fields `q` and `qk`, the record has production's own format.
         let job = production_job(&record);
         assert_eq!(job.after, row.after, "{}", row.record);
-        // It waits for itself there, so it never starts.
+        // In production the job waits for itself, so it never starts.
         assert!(job.after.contains(&412), "{}", row.record);
         let mut without = record.clone();
         for name in ["q", "qk"] {
@@ -408,7 +411,7 @@
 }
 
 #[test]
-fn the_present_code_reads_and_writes_jobs_that_await_others() {
+fn jobs_with_dependencies_are_read_and_written() {
     for row in DEPENDENTS {
         let record = parse(row.record);
         let mut ledger = Ledger::default();
@@ -428,58 +431,60 @@
     }
 }
 
-/// The end of a job that was cancelled with another one.
 #[test]
-fn production_reads_ends_of_jobs_cancelled_with_another() {
+fn production_reads_ends_of_jobs_cancelled_with_a_dependency() {
     let end = parse(r#"{"end":"aborted","at":1764600000123,"gone":true}"#);
-    let by_production =
-        Record::End { id: 412, done: false, at_ms: 1_764_600_000_123, settled: true, cause: None };
-    assert_eq!(production::read("g/x/j-000412", &end), Ok(by_production));
+    let expected = Record::End { id: 412, done: false, at_ms: 1_764_600_000_123, settled: true, cause: None };
+    assert_eq!(production::read("g/x/j-000412", &end), Ok(expected));
 }
 
-/// A message that production relayed through the state service, in two parts.
-const MAIL: [(&str, &str); 2] = [
+/// A message that production relayed through the state service in two parts.
+const RELAYED_PARTS: [(&str, &str); 2] = [
     ("g/c/n1/n0/0", r#"[72623859790382856,4,0,2,"BQMIBwYFBAMCAQkHAAAAAAAAA"]"#),
     ("g/c/n1/n0/1", r#"[72623859790382856,4,1,2,"OgDAAAAAAAA"]"#),
 ];
 
 #[test]
-fn the_reader_of_production_reads_relayed_messages() {
+fn the_reference_parser_reads_relayed_messages() {
     let message = Message::BooksTaken { term: 7, seq: 1000 };
     let want = Envelope { from: NodeId(3), incarnation: 0x0102_0304_0506_0708, message };
-    assert_eq!(opened(MAIL.iter().map(|(key, text)| ((*key).to_owned(), parse(text)))), vec![want]);
+    assert_eq!(
+        reassemble(RELAYED_PARTS.iter().map(|(key, text)| ((*key).to_owned(), parse(text)))),
+        vec![want]
+    );
 }
 
-/// The messages that production puts together from parts.
-fn opened(rows: impl Iterator<Item = (String, Value)>) -> Vec<Envelope> {
-    let mut whole = Vec::new();
+/// Reassembles relayed messages from their parts as production does.
+fn reassemble(rows: impl Iterator<Item = (String, Value)>) -> Vec<Envelope> {
+    let mut envelopes = Vec::new();
     let mut text = String::new();
     for (key, value) in rows {
-        let Ok(Record::Mail { part, parts, text: more, .. }) = production::read(&key, &value) else {
+        let Ok(Record::Mail { part, parts, text: part_text, .. }) = production::read(&key, &value) else {
             panic!("{key}: {value}");
         };
         if part == 0 {
             text.clear();
         }
-        text += &more;
+        text += &part_text;
         if part + 1 == parts {
             let packed = BASE64.decode(text.as_bytes()).unwrap();
-            whole.push(Envelope::unpack(&packed).expect("an envelope of production's version"));
+            envelopes.push(Envelope::unpack(&packed).expect("an envelope of production's version"));
         }
     }
-    whole
+    envelopes
 }
 
-/// A controller beside a state service with a fixed content; it hears nobody.
-struct Alone {
+/// A controller with a state service of fixed content. It receives no messages from other
+/// controllers.
+struct IsolatedController {
     node: Node,
     now: Micros,
     rows: Vec<(String, Value)>,
-    /// What it put there, in order.
+    /// Keys and values that it wrote to the state service, in order.
     puts: Vec<(String, Value)>,
 }
 
-impl Alone {
+impl IsolatedController {
     fn start(rows: &[(&str, &str)]) -> Self {
         let settings = "host_name = \"n0\"\ndomain = \"east\"\npublic_addr = \"127.0.0.1:1\"\n\
             cluster_listen = \"127.0.0.1:2\"\n[[peers]]\nhost_name = \"n1\"\ndomain = \"west\"\n\
@@ -492,11 +497,11 @@
         let now = Micros::secs(1);
         let node = Node::new(&platform, Operator::default(), 1, 1_000, now);
         let rows = rows.iter().map(|(key, text)| ((*key).to_owned(), parse(text))).collect();
-        Alone { node, now, rows, puts: Vec::new() }
+        IsolatedController { node, now, rows, puts: Vec::new() }
     }
 
-    fn run(&mut self, span: Micros) {
-        let end = self.now + span;
+    fn run(&mut self, duration: Micros) {
+        let end = self.now + duration;
         while self.now < end {
             self.now = self.now + Micros::millis(20);
             let mut outputs = self.input(Input::Tick);
@@ -514,7 +519,7 @@
         self.node.handle(self.now, 1_764_600_000_000 + self.now.0 / 1000, input)
     }
 
-    /// The state service's answer; a watch gets none, as nothing changes.
+    /// The state service's response. A watch gets none, because nothing changes.
     fn answer(&mut self, call: &Call) -> Option<CallResult> {
         if call.target != Target::State {
             return Some(CallResult::NotSent);
@@ -547,20 +552,20 @@
 fn relayed_messages_are_written_as_production_reads_them() {
     let machines: Vec<String> = (1..60).map(|i| format!("[\"host-{i:06}\",\"10.0.0.1:80\"]")).collect();
     let machines = format!(r#"{{"t":"big","z":"east","s":false,"m":[{}]}}"#, machines.join(","));
-    let mut alone = Alone::start(&[
+    let mut controller = IsolatedController::start(&[
         ("g/h/host-000001", &machines),
         ("g/leader", r#"{"node":"n1","term":7,"lease":42}"#),
         ("g/term", "7"),
     ]);
-    alone.run(Micros::secs(8));
-    let mail = alone.puts.iter().filter(|(key, _)| key.starts_with("g/c/")).cloned();
-    let envelopes = opened(mail);
-    assert!(!envelopes.is_empty(), "nothing was relayed: {:?}", alone.puts);
+    controller.run(Micros::secs(8));
+    let relayed = controller.puts.iter().filter(|(key, _)| key.starts_with("g/c/")).cloned();
+    let envelopes = reassemble(relayed);
+    assert!(!envelopes.is_empty(), "nothing was relayed: {:?}", controller.puts);
     for e in envelopes {
         assert_eq!((e.from, e.incarnation), (NodeId(0), 1_000));
         assert!(matches!(e.message, Message::Sync { term: 7, .. }), "{:?}", e.message);
     }
-    for (key, value) in &alone.puts {
+    for (key, value) in &controller.puts {
         assert!(key.starts_with("g/c/n1/n0/"), "{key}");
         assert!(value.to_string().len() <= 1000, "{key}");
     }
