--- a/crates/core/tests/production/mod.rs
+++ b/crates/core/tests/production/mod.rs
@@ -83,12 +83,12 @@
         lease: u64,
     },
     Term(u64),
-    Books {
+    PlacementReplicas {
         term: u64,
         led: u64,
         nodes: Vec<(String, u64)>,
     },
-    Mail {
+    RelayedMessage {
         to: String,
         process: u64,
         number: u64,
@@ -101,7 +101,7 @@
     NomadLaunch(u64),
     NomadToken(String),
     /// Production ignores the key.
-    PassedOver,
+    Ignored,
 }
 
 /// The head record of a Nomad job.
@@ -133,8 +133,8 @@
         "g/books" => return placement_replicas(v).map_err(with_key),
         _ => {}
     }
-    let Some(rest) = key.strip_prefix("g/") else { return Ok(Record::PassedOver) };
-    let Some((space, name)) = rest.split_once('/') else { return Ok(Record::PassedOver) };
+    let Some(rest) = key.strip_prefix("g/") else { return Ok(Record::Ignored) };
+    let Some((space, name)) = rest.split_once('/') else { return Ok(Record::Ignored) };
     match space {
         "j" => job_record(name, v),
         "x" => end(name, v),
@@ -144,7 +144,7 @@
         "m" => machine(name, v),
         "c" => relayed_message(name, v),
         "n" => nomad(name, v),
-        _ => Ok(Record::PassedOver),
+        _ => Ok(Record::Ignored),
     }
     .map_err(with_key)
 }
@@ -374,7 +374,7 @@
         let (name, process) = pair(n)?;
         Ok((text(name)?, number(process)?))
     };
-    Ok(Record::Books {
+    Ok(Record::PlacementReplicas {
         term: number(field(v, "term")?)?,
         led: number(field(v, "led")?)?,
         nodes: list(field(v, "nodes")?, name_and_process)?,
@@ -386,7 +386,7 @@
     let Some([process, message_number, part, parts, part_text]) = v.as_array().map(Vec::as_slice) else {
         return Err("not an array of five values".into());
     };
-    Ok(Record::Mail {
+    Ok(Record::RelayedMessage {
         to: to.to_owned(),
         process: number(process)?,
         number: number(message_number)?,
@@ -402,7 +402,7 @@
         "p" => text(v).map(Record::NomadPart),
         "l" => number(v).map(Record::NomadLaunch),
         "i" => text(v).map(Record::NomadToken),
-        _ => Ok(Record::PassedOver),
+        _ => Ok(Record::Ignored),
     }
 }
 
--- a/crates/core/tests/record_compatibility.rs
+++ b/crates/core/tests/record_compatibility.rs
@@ -274,16 +274,16 @@
     // (key, value written now, record that production reads)
     let written = [
         ("g/leader", json!(leader), Record::Leader { node: "n1".into(), term: 7, lease: 42 }),
-        ("g/books", json!(books), Record::Books { term: 6, led: 7, nodes: books.nodes.clone() }),
+        ("g/books", json!(books), Record::PlacementReplicas { term: 6, led: 7, nodes: books.nodes.clone() }),
         (
             "g/books",
             json!(books.taken_over(8)),
-            Record::Books { term: 6, led: 8, nodes: books.nodes.clone() },
+            Record::PlacementReplicas { term: 6, led: 8, nodes: books.nodes.clone() },
         ),
-        ("g/books", json!(books.taken_over(9)), Record::Books { term: 0, led: 9, nodes: vec![] }),
+        ("g/books", json!(books.taken_over(9)), Record::PlacementReplicas { term: 0, led: 9, nodes: vec![] }),
         ("g/term", json!(8), Record::Term(8)),
         // Id of the last rental request; production never reads it.
-        ("g/hire", json!("7-12"), Record::PassedOver),
+        ("g/hire", json!("7-12"), Record::Ignored),
     ];
     for (key, value, want) in written {
         assert_eq!(production::read(key, &value), Ok(want), "{key}");
@@ -317,7 +317,7 @@
     assert_eq!(after.jobs[&JobId(412)].spec, before.jobs[&JobId(412)].spec);
     assert_eq!(after.jobs[&JobId(413)].phase, Phase::Done);
     for (key, text) in [("g/d/j-000412/0", "[1,2,3]"), ("g/later", "{}"), ("g/later/j-000412", "7")] {
-        assert_eq!(production::read(key, &parse(text)), Ok(Record::PassedOver), "{key}");
+        assert_eq!(production::read(key, &parse(text)), Ok(Record::Ignored), "{key}");
     }
     assert_eq!(production_job(&parse(&later_job)), production_job(&parse(JOBS[1].1)));
 }
@@ -405,7 +405,7 @@
         }
         assert_eq!(production_job(&without), job, "{}", row.record);
         for (key, value) in &further {
-            assert_eq!(production::read(key, value), Ok(Record::PassedOver), "{key}");
+            assert_eq!(production::read(key, value), Ok(Record::Ignored), "{key}");
         }
     }
 }
@@ -459,7 +459,7 @@
     let mut envelopes = Vec::new();
     let mut text = String::new();
     for (key, value) in rows {
-        let Ok(Record::Mail { part, parts, text: part_text, .. }) = production::read(&key, &value) else {
+        let Ok(Record::RelayedMessage { part, parts, text: part_text, .. }) = production::read(&key, &value) else {
             panic!("{key}: {value}");
         };
         if part == 0 {
--- a/tests/site_records.rs
+++ b/tests/site_records.rs
@@ -77,14 +77,14 @@
         Record::Machines { .. } => "machines",
         Record::Leader { .. } => "leader",
         Record::Term(_) => "term",
-        Record::Books { .. } => "books",
-        Record::Mail { .. } => "mail",
+        Record::PlacementReplicas { .. } => "books",
+        Record::RelayedMessage { .. } => "mail",
         Record::NomadHead(_) => "nomad head",
         Record::NomadPart(_) => "nomad part",
         Record::NomadLaunch(_) => "nomad launch",
         Record::NomadToken(_) => "nomad token",
-        Record::PassedOver if key == "g/hire" => "hire",
-        Record::PassedOver => "passed over",
+        Record::Ignored if key == "g/hire" => "hire",
+        Record::Ignored => "passed over",
     }
 }
 
