--- a/crates/core/tests/record_compatibility.rs
+++ b/crates/core/tests/record_compatibility.rs
@@ -459,7 +459,8 @@
     let mut envelopes = Vec::new();
     let mut text = String::new();
     for (key, value) in rows {
-        let Ok(Record::RelayedMessage { part, parts, text: part_text, .. }) = production::read(&key, &value) else {
+        let Ok(Record::RelayedMessage { part, parts, text: part_text, .. }) = production::read(&key, &value)
+        else {
             panic!("{key}: {value}");
         };
         if part == 0 {
