--- a/crates/core/tests/wire_compatibility.rs
+++ b/crates/core/tests/wire_compatibility.rs
@@ -1,11 +1,11 @@
-//! Messages between controllers, byte for byte as version 5 of them is written by
-//! the program in production (commit dc723f6). Controllers of two versions work
-//! side by side only while both directions of this table hold: what production
-//! sends is understood, and what is sent is what production understands.
+//! Compatibility of the messages between controllers, byte for byte with protocol
+//! version 5 of the program in production (commit dc723f6). Controllers of the two
+//! versions can run side by side only while both directions hold: messages from
+//! production are decoded, and messages sent now are encoded as production does.
 //!
-//! A literal here is never changed together with the code. A message that
-//! production doesn't know may only go to processes that have said that they know
-//! it (`docs/operations.md`).
+//! Literals in this file never change together with the code. A message that
+//! production doesn't know may be sent only to processes that have announced that
+//! they know it (`docs/operations.md`).
 use data_encoding::HEXLOWER;
 use gorseshore_core::books::{Entry, Page};
 use gorseshore_core::peer::{
@@ -15,11 +15,12 @@
 use gorseshore_protocol::ids::{Attempt, Baton, JobId, MachineId, Micros, NodeId, TaskId};
 use gorseshore_protocol::workers::ReportNo;
 
-/// Sender and process of all frames of the table.
+/// Sender of all frames in the table.
 const SENDER: NodeId = NodeId(3);
+/// Incarnation (process id) of that sender.
 const INCARNATION: u64 = 0x0102_0304_0506_0708;
 
-/// Frames, heads included, by the names of [`messages`].
+/// Frames with their headers, by the names in [`messages`].
 const FRAMES: &[(&str, &str)] = &[
     ("ping", "160000000503080706050403020100010200000000021100000000"),
     ("ping, hears nobody", "14000000050308070605040302010000000000000000000001"),
@@ -126,7 +127,7 @@
 }
 
 fn machine_states() -> Vec<MachineState> {
-    let silent = MachineState {
+    let unresponsive = MachineState {
         id: MachineId::from("host-000001"),
         baton: Baton::new(7, 12),
         seen_baton: Baton::new(6, 99),
@@ -154,20 +155,20 @@
         warning: Some(Micros::secs(30)),
         want_baton: false,
         tasks: all_states.into_iter().enumerate().map(|(i, s)| held(i as u32, s)).collect(),
-        ..silent.clone()
+        ..unresponsive.clone()
     };
-    vec![silent, busy]
+    vec![unresponsive, busy]
 }
 
 fn page(base: u64) -> Page {
-    let on_machines = Entry {
+    let starting = Entry {
         attempt: Attempt(0x7000_0001),
         on: vec![MachineId::from("host-000001"), MachineId::from("host-000002")],
         starting: true,
         done: false,
         handed: None,
     };
-    let handed = |zone: Option<&str>| Entry {
+    let assigned = |zone: Option<&str>| Entry {
         attempt: Attempt(0x7000_0002),
         on: Vec::new(),
         starting: false,
@@ -179,9 +180,9 @@
         seq: 1000,
         base,
         tasks: vec![
-            (task(412, 0), Some(on_machines)),
-            (task(412, 1), Some(handed(None))),
-            (task(412, 2), Some(handed(Some("east")))),
+            (task(412, 0), Some(starting)),
+            (task(412, 1), Some(assigned(None))),
+            (task(412, 2), Some(assigned(Some("east")))),
             (task(1_000_000_000_000_000_007, 3), None),
         ],
         unknown: vec![MachineId::from("host-000009")],
@@ -205,7 +206,7 @@
 }
 
 fn update() -> Message {
-    let hand_out = |zone: Option<&str>| HandOut {
+    let assignment = |zone: Option<&str>| HandOut {
         task: task(412, 9),
         attempt: Attempt(0x7000_0003),
         zone: zone.map(str::to_owned),
@@ -229,7 +230,7 @@
             (MachineId::from("host-000006"), Some(NodeId(2))),
             (MachineId::from("host-000007"), None),
         ],
-        handouts: vec![hand_out(None), hand_out(Some("west"))],
+        handouts: vec![assignment(None), assignment(Some("west"))],
         stops: vec![StopRequest {
             task: task(412, 4),
             attempt: Attempt(0x7000_0004),
@@ -251,7 +252,7 @@
     }
 }
 
-/// Every sort of message, with each of its optional parts there and not there.
+/// All message types, with each optional part present and absent.
 fn messages() -> Vec<(&'static str, Message)> {
     vec![
         (
@@ -305,17 +306,18 @@
 }
 
 fn frame(name: &str) -> Vec<u8> {
-    let (_, hex) = FRAMES.iter().find(|(n, _)| *n == name).unwrap_or_else(|| panic!("{name}: no bytes"));
+    let (_, hex) = FRAMES.iter().find(|(n, _)| *n == name).unwrap_or_else(|| panic!("{name}: no frame"));
     bytes(hex)
 }
 
 fn split(frame: &[u8]) -> ([u8; HEAD], &[u8]) {
-    let (head, body) = frame.split_first_chunk().unwrap();
-    (*head, body)
+    let (header, body) = frame.split_first_chunk().unwrap();
+    (*header, body)
 }
 
-/// Place of a message's sort among all; a sort that the table lacks doesn't compile.
-fn sort(m: &Message) -> usize {
+/// Encoded number of a message's type. The match is exhaustive, so a new type must be added
+/// here to compile.
+fn type_number(m: &Message) -> usize {
     match m {
         Message::Ping { .. } => 0,
         Message::Cancelled(_) => 1,
@@ -331,48 +333,48 @@
         Message::BooksOf(_) => 11,
     }
 }
-const SORTS: usize = 12;
+const MESSAGE_TYPES: usize = 12;
 
 #[test]
-fn the_table_has_every_sort_of_message() {
-    let mut there = [false; SORTS];
-    messages().iter().for_each(|(_, m)| there[sort(m)] = true);
-    assert_eq!(there, [true; SORTS]);
+fn the_table_has_all_message_types() {
+    let mut present = [false; MESSAGE_TYPES];
+    messages().iter().for_each(|(_, m)| present[type_number(m)] = true);
+    assert_eq!(present, [true; MESSAGE_TYPES]);
     assert_eq!(messages().len(), FRAMES.len());
 }
 
 #[test]
-fn frames_of_production_are_understood() {
+fn frames_of_production_are_decoded() {
     for (name, message) in messages() {
         let frame = frame(name);
-        let (head, body) = split(&frame);
-        assert_eq!(decode_head(head).unwrap(), body.len(), "{name}");
+        let (header, body) = split(&frame);
+        assert_eq!(decode_head(header).unwrap(), body.len(), "{name}");
         assert_eq!(decode_body(body).unwrap(), envelope(message), "{name}");
     }
 }
 
 #[test]
-fn frames_are_written_as_production_writes_them() {
+fn frames_are_encoded_as_production_does() {
     for (name, message) in messages() {
-        let written = encode(&envelope(message)).unwrap();
-        assert_eq!(HEXLOWER.encode(&written), HEXLOWER.encode(&frame(name)), "{name}");
+        let encoded = encode(&envelope(message)).unwrap();
+        assert_eq!(HEXLOWER.encode(&encoded), HEXLOWER.encode(&frame(name)), "{name}");
     }
 }
 
-/// The byte of the body the sender and its process tells the sort.
+/// The byte of the body after the sender and its incarnation is the message type.
 #[test]
-fn sorts_keep_their_numbers() {
+fn message_types_keep_their_numbers() {
     for (name, message) in messages() {
         let frame = frame(name);
         let (_, body) = split(&frame);
-        assert_eq!(usize::from(body[size_of::<u8>() + size_of::<u64>()]), sort(&message), "{name}");
+        assert_eq!(usize::from(body[size_of::<u8>() + size_of::<u64>()]), type_number(&message), "{name}");
     }
 }
 
-/// Relayed messages, through a third controller or the state service, have the
-/// version before them in place of a head.
+/// Messages relayed through a third controller or the state service start with the
+/// protocol version in place of a frame header.
 #[test]
-fn packed_envelopes_are_those_of_production() {
+fn packed_envelopes_match_production() {
     for (name, message) in messages() {
         let mut packed = vec![5];
         packed.extend_from_slice(split(&frame(name)).1);
@@ -384,32 +386,32 @@
 }
 
 #[test]
-fn heads_are_those_of_production() {
+fn frame_headers_match_production() {
     assert_eq!((VERSION, HEAD, MAX_FRAME), (5, 5, 16_777_216));
-    // (head, length of the body)
-    let taken: [(&str, usize); 3] = [("0000000005", 0), ("0102000005", 513), ("0000000105", 16_777_216)];
-    for (head, length) in taken {
-        assert_eq!(decode_head(split(&bytes(head)).0).unwrap(), length, "{head}");
+    // (header, length of the body)
+    let accepted: [(&str, usize); 3] = [("0000000005", 0), ("0102000005", 513), ("0000000105", 16_777_216)];
+    for (header, length) in accepted {
+        assert_eq!(decode_head(split(&bytes(header)).0).unwrap(), length, "{header}");
     }
     for version in (0..=u8::MAX).filter(|v| *v != 5) {
-        let refused = decode_head([9, 0, 0, 0, version]);
-        assert!(matches!(refused, Err(FrameError::Version(v)) if v == version), "{version}");
+        let result = decode_head([9, 0, 0, 0, version]);
+        assert!(matches!(result, Err(FrameError::Version(v)) if v == version), "{version}");
     }
     let too_long = decode_head(split(&bytes("0100000105")).0);
     assert!(matches!(too_long, Err(FrameError::TooLong(16_777_217))));
 }
 
-/// Why messages can't be extended in place: production refuses a frame that has a
-/// sort it doesn't know or a byte more than it expects.
+/// Existing messages can't be extended in place, because production rejects a frame with an
+/// unknown message type or with more bytes than it expects.
 #[test]
-fn unknown_sorts_and_further_bytes_are_refused() {
+fn unknown_message_types_and_trailing_bytes_are_rejected() {
     for (name, _) in messages() {
         let frame = frame(name);
         let mut longer = split(&frame).1.to_vec();
         longer.push(0);
         assert!(matches!(decode_body(&longer), Err(FrameError::Malformed(_))), "{name}");
         let mut unknown = split(&frame).1.to_vec();
-        unknown[size_of::<u8>() + size_of::<u64>()] = SORTS as u8;
+        unknown[size_of::<u8>() + size_of::<u64>()] = MESSAGE_TYPES as u8;
         assert!(matches!(decode_body(&unknown), Err(FrameError::Malformed(_))), "{name}");
     }
 }
