--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -40,7 +40,9 @@
 use crate::peer::{Envelope, Message, Sighting};
 use crate::{Call, CallId, CallResult, Input, Outbox, Output, RequestId, Target};
 use gorseshore_protocol::cloud::{Flavors, Hosts, Rentals};
-use gorseshore_protocol::ids::{Attempt, JobId, MachineId, Micros, NodeId, OWN_IDS, Resources, TaskId};
+use gorseshore_protocol::ids::{
+    Attempt, JobId, MIN_INTERNAL_JOB_ID, MachineId, Micros, NodeId, Resources, TaskId,
+};
 use gorseshore_protocol::job::JobSpec;
 use gorseshore_protocol::state::{Grant, Listing, Multi, MultiAnswer, News, When, Write};
 use gorseshore_protocol::users;
@@ -505,7 +507,7 @@
             for (name, v, stamp) in &aside {
                 g.apply(name, Some(v), *stamp);
             }
-            for (id, job) in self.mirror.ledger.jobs.range(JobId(OWN_IDS)..) {
+            for (id, job) in self.mirror.ledger.jobs.range(JobId(MIN_INTERNAL_JOB_ID)..) {
                 g.job_changed(*id, job.stamp.max(job.end_stamp));
             }
         }
--- a/crates/nomad/src/service/register.rs
+++ b/crates/nomad/src/service/register.rs
@@ -18,7 +18,7 @@
 use gorseshore_core::guest::{GuestOutput, Host};
 use gorseshore_core::jobs::{Phase, job_value, keys};
 use gorseshore_core::limits::value_len;
-use gorseshore_protocol::ids::{JobId, Micros, OWN_IDS};
+use gorseshore_protocol::ids::{JobId, MIN_INTERNAL_JOB_ID, Micros};
 use gorseshore_protocol::state::{Multi, When, Write};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -89,7 +89,7 @@
 
 impl Service {
     fn native(&mut self) -> u64 {
-        OWN_IDS + self.rng.u64(0..8 * OWN_IDS)
+        MIN_INTERNAL_JOB_ID + self.rng.u64(0..8 * MIN_INTERNAL_JOB_ID)
     }
 
     /// `POST /v1/jobs`.
--- a/crates/protocol/src/ids.rs
+++ b/crates/protocol/src/ids.rs
@@ -56,7 +56,7 @@
 /// Lowest id that the service generates itself, for jobs that an extension
 /// translates from another format. Users can't submit such an id: theirs have
 /// at most 18 digits.
-pub const OWN_IDS: u64 = 1_000_000_000_000_000_000;
+pub const MIN_INTERNAL_JOB_ID: u64 = 1_000_000_000_000_000_000;
 
 impl JobId {
     /// Parses the text form. Only the canonical spelling is an id, so that two
@@ -77,7 +77,7 @@
     }
     /// Whether the service generated the id.
     pub fn own(self) -> bool {
-        self.0 >= OWN_IDS
+        self.0 >= MIN_INTERNAL_JOB_ID
     }
 }
 impl fmt::Display for JobId {
