--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -46,7 +46,7 @@
 use crate::placement::{self, Candidate};
 use gorseshore_protocol::cloud::{Flavor, Rentals};
 use gorseshore_protocol::ids::{
-    Attempt, Baton, EPOCH_BITS, JobId, MachineId, Micros, NodeId, Resources, TaskId,
+    Attempt, Baton, JobId, MachineId, Micros, NodeId, Resources, TOKEN_SEQUENCE_BITS, TaskId,
 };
 use gorseshore_protocol::job::{JobSpec, Kind, RANKS, Rank};
 use gorseshore_protocol::workers::ReportNo;
@@ -417,7 +417,7 @@
 
     /// Whether the term's numbers are used up; the leader must step down.
     pub fn exhausted(&self) -> bool {
-        self.epoch + 100_000 >= 1 << EPOCH_BITS
+        self.epoch + 100_000 >= 1 << TOKEN_SEQUENCE_BITS
     }
 
     /// A job's record changed.
--- a/crates/protocol/src/ids.rs
+++ b/crates/protocol/src/ids.rs
@@ -152,16 +152,16 @@
 pub struct Baton(pub u64);
 
 /// Bits below the term in fencing tokens and attempt ids.
-pub const EPOCH_BITS: u32 = 28;
+pub const TOKEN_SEQUENCE_BITS: u32 = 28;
 
 impl Baton {
     /// Creates the token of `term` with a sequence number.
     pub fn new(term: u64, epoch: u64) -> Self {
-        Baton((term << EPOCH_BITS) | epoch)
+        Baton((term << TOKEN_SEQUENCE_BITS) | epoch)
     }
     /// Term of the leader that granted the token.
     pub fn term(self) -> u64 {
-        self.0 >> EPOCH_BITS
+        self.0 >> TOKEN_SEQUENCE_BITS
     }
 }
 
