--- a/crates/core/src/controller/late.rs
+++ b/crates/core/src/controller/late.rs
@@ -56,7 +56,7 @@
 
 fn controller() -> Controller {
     let mut c = Controller::default();
-    let g = GrantedMachine { id: "m".into(), baton: Baton(7), addr: "m:1".into(), draining: false };
+    let g = GrantedMachine { id: "m".into(), baton: FencingToken(7), addr: "m:1".into(), draining: false };
     assert!(c.accept_update(1, 1, 0));
     c.take_block(true, &[g], &[]);
     c
@@ -85,7 +85,7 @@
         for i in &order {
             let reply = give(&mut c, &history[i % history.len()], 90);
             // A copy draws no order.
-            prop_assert_eq!(reply, CheckinReply::Orders(Baton(7), Vec::new()));
+            prop_assert_eq!(reply, CheckinReply::Orders(FencingToken(7), Vec::new()));
         }
         prop_assert_eq!(format!("{:?}", seen(&c)), before);
         prop_assert_eq!((c.sync_seq, c.dirty), (sync, dirty), "a copy is no news");
--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -19,7 +19,7 @@
 };
 use crate::placement::{self, Candidate};
 use crate::{Call, CallId, CallResult, Outbox, Target};
-use gorseshore_protocol::ids::{Attempt, Baton, JobId, MachineId, Micros, NodeId, Resources, TaskId};
+use gorseshore_protocol::ids::{Attempt, FencingToken, JobId, MachineId, Micros, NodeId, Resources, TaskId};
 use gorseshore_protocol::job::JobSpec;
 use gorseshore_protocol::workers::{Direct, Order, Report, ReportNo};
 use log::{debug, info, warn};
@@ -96,7 +96,7 @@
 #[derive(Debug, PartialEq)]
 pub enum CheckinReply {
     /// 200 with these orders.
-    Orders(Baton, Vec<Order>),
+    Orders(FencingToken, Vec<Order>),
     /// 421, naming the holder if it is known.
     Elsewhere(Option<NodeId>),
     /// The same, and the worker has a token from somebody who reaches it.
@@ -125,7 +125,7 @@
         let Some(w) = self.workers.get_mut(&id) else {
             return CheckinReply::Elsewhere(self.directory.get(&id).copied());
         };
-        if Baton(r.baton) > w.baton {
+        if FencingToken(r.baton) > w.baton {
             // Somebody holds it under a higher token: this node's word is void.
             info!("{id}: lost to a higher token {}", r.baton);
             self.workers.remove(&id);
@@ -169,7 +169,7 @@
     use super::*;
 
     fn granted(id: &str, baton: u64) -> GrantedMachine {
-        GrantedMachine { id: id.into(), baton: Baton(baton), addr: format!("{id}:1"), draining: false }
+        GrantedMachine { id: id.into(), baton: FencingToken(baton), addr: format!("{id}:1"), draining: false }
     }
 
     #[test]
--- a/crates/core/src/controller/orders.rs
+++ b/crates/core/src/controller/orders.rs
@@ -228,7 +228,7 @@
                     self.touch(id);
                     return;
                 }
-                if Baton(r.baton) > w.baton {
+                if FencingToken(r.baton) > w.baton {
                     info!("{id}: lost to a higher token {}", r.baton);
                     self.workers.remove(id);
                     return;
--- a/crates/core/src/controller/stops.rs
+++ b/crates/core/src/controller/stops.rs
@@ -26,7 +26,7 @@
 /// A controller with a machine that runs a task of a job cancelled since.
 fn controller(heard: Micros) -> (Controller, Ledger) {
     let mut c = Controller::default();
-    let g = GrantedMachine { id: "m".into(), baton: Baton(7), addr: "m:1".into(), draining: false };
+    let g = GrantedMachine { id: "m".into(), baton: FencingToken(7), addr: "m:1".into(), draining: false };
     assert!(c.accept_update(1, 1, 0));
     c.take_block(true, &[g], &[]);
     let mut ledger = Ledger::default();
--- a/crates/core/src/controller/worker.rs
+++ b/crates/core/src/controller/worker.rs
@@ -17,7 +17,7 @@
 /// A start that this controller decided on.
 #[derive(Debug, Clone)]
 pub(super) struct Start {
-    pub(super) baton: Baton,
+    pub(super) baton: FencingToken,
     pub(super) shift: u64,
     pub(super) need: Resources,
     pub(super) seen: bool,
@@ -45,12 +45,12 @@
 /// A machine of the block.
 #[derive(Debug)]
 pub(super) struct Worker {
-    pub(super) baton: Baton,
+    pub(super) baton: FencingToken,
     pub(super) addr: String,
     pub(super) draining: bool,
     pub(super) shift: u64,
     pub(super) tally: u64,
-    pub(super) seen_baton: Baton,
+    pub(super) seen_baton: FencingToken,
     /// The last report shows that the worker hears what it is told: it may arrive
     /// while no answer and no command gets back.
     pub(super) obeys: bool,
@@ -79,7 +79,7 @@
             draining: g.draining,
             shift: 0,
             tally: 0,
-            seen_baton: Baton(0),
+            seen_baton: FencingToken(0),
             obeys: false,
             heard: None,
             warning: None,
@@ -114,11 +114,11 @@
         // next message comes here was answered; so does it show by the token that was
         // raised. The answer to a call is a proof by itself.
         let follows = r.shift == self.shift && r.tally == self.tally + 1;
-        let raised = self.seen_baton < self.baton && Baton(r.baton) == self.baton;
+        let raised = self.seen_baton < self.baton && FencingToken(r.baton) == self.baton;
         self.obeys = !checkin || follows || raised;
         self.shift = r.shift;
         self.tally = r.tally;
-        self.seen_baton = self.seen_baton.max(Baton(r.baton));
+        self.seen_baton = self.seen_baton.max(FencingToken(r.baton));
         self.heard = Some(now);
         self.addr = r.addr.clone();
         self.warning = r.warning_s.map(|s| (now, Micros::from_secs_f64(s)));
@@ -128,7 +128,7 @@
                 s.seen = true;
             }
         }
-        let (shift, tally, baton) = (r.shift, r.tally, Baton(r.baton));
+        let (shift, tally, baton) = (r.shift, r.tally, FencingToken(r.baton));
         let present: BTreeSet<(TaskId, Attempt)> = self.tasks.iter().map(|t| (t.task, t.attempt)).collect();
         self.starts.retain(|k, s| {
             if present.contains(k) {
@@ -161,7 +161,7 @@
     }
 
     /// What a report can change that the leader has to hear at once.
-    pub(super) fn outline(&self) -> (u64, (Baton, bool), bool, Vec<Held>, usize) {
+    pub(super) fn outline(&self) -> (u64, (FencingToken, bool), bool, Vec<Held>, usize) {
         let told = (self.seen_baton, self.obeys);
         (self.shift, told, self.warning.is_some(), self.tasks.clone(), self.starts.len())
     }
--- a/crates/core/src/leader/bindings.rs
+++ b/crates/core/src/leader/bindings.rs
@@ -317,7 +317,7 @@
 
     /// The machine's task list is known under `token` (or it is gone): no
     /// hand-out from before can be started on it any more.
-    pub(super) fn clear_handed(&mut self, id: &MachineId, token: Option<Baton>) {
+    pub(super) fn clear_handed(&mut self, id: &MachineId, token: Option<FencingToken>) {
         if let (Some(token), Some(m)) = (token, self.machines.get_mut(id)) {
             m.task_list_token = m.task_list_token.max(token);
         }
--- a/crates/core/src/leader/blocks.rs
+++ b/crates/core/src/leader/blocks.rs
@@ -60,7 +60,7 @@
     }
 
     pub(super) fn grant(&mut self, id: &MachineId, to: NodeId, why: &str, now: Micros) {
-        let baton = Baton(self.draw());
+        let baton = FencingToken(self.draw());
         let Some(m) = self.machines.get_mut(id) else { return };
         if m.holder.is_some_and(|h| h != to) {
             info!("{id}: block moves from controller {} to {}: {why}", m.holder.map_or(0, |h| h.0), to.0);
--- a/crates/core/src/leader/machine.rs
+++ b/crates/core/src/leader/machine.rs
@@ -34,9 +34,9 @@
     pub(super) unknown: bool,
     pub(super) holder: Option<NodeId>,
     pub(super) last_holder: Option<NodeId>,
-    pub(super) baton: Baton,
+    pub(super) baton: FencingToken,
     /// The last token under which its task list was seen whole.
-    pub(super) task_list_token: Baton,
+    pub(super) task_list_token: FencingToken,
     /// The holder has seen a report under `baton`: its task list is whole.
     pub(super) confirmed: bool,
     pub(super) tasks: BTreeMap<TaskId, (Attempt, TaskState)>,
@@ -96,8 +96,8 @@
             unknown: false,
             holder: None,
             last_holder: None,
-            baton: Baton(0),
-            task_list_token: Baton(0),
+            baton: FencingToken(0),
+            task_list_token: FencingToken(0),
             confirmed: false,
             tasks: BTreeMap::new(),
             started: BTreeMap::new(),
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -46,7 +46,7 @@
 use crate::placement::{self, Candidate};
 use gorseshore_protocol::cloud::{Flavor, Rentals};
 use gorseshore_protocol::ids::{
-    Attempt, Baton, JobId, MachineId, Micros, NodeId, Resources, TOKEN_SEQUENCE_BITS, TaskId,
+    Attempt, FencingToken, JobId, MachineId, Micros, NodeId, Resources, TOKEN_SEQUENCE_BITS, TaskId,
 };
 use gorseshore_protocol::job::{JobSpec, Kind, RANKS, Rank};
 use gorseshore_protocol::workers::ReportNo;
@@ -412,7 +412,7 @@
     /// A number never used before in this deployment.
     fn draw(&mut self) -> u64 {
         self.epoch += 1;
-        Baton::new(self.term, self.epoch).0
+        FencingToken::new(self.term, self.epoch).0
     }
 
     /// Whether the term's numbers are used up; the leader must step down.
--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -110,7 +110,8 @@
         // The end comes twice, the first time under an older token, which
         // leaves what was known before.
         let token = self.token("m0");
-        let told = [(token, TaskState::Running), (Baton(0), TaskState::Failed), (token, TaskState::Failed)];
+        let told =
+            [(token, TaskState::Running), (FencingToken(0), TaskState::Failed), (token, TaskState::Failed)];
         for (seen, state) in told {
             let s = self.state("m0", seen, &[(task(id, index), a, state)]);
             self.sync(A, &[s], &[]);
@@ -160,7 +161,7 @@
         self.leader.sync(from, self.incarnation[i], &view, &self.ledger, self.now);
     }
 
-    fn state(&self, id: &str, seen: Baton, tasks: &[(TaskId, Attempt, TaskState)]) -> MachineState {
+    fn state(&self, id: &str, seen: FencingToken, tasks: &[(TaskId, Attempt, TaskState)]) -> MachineState {
         MachineState {
             id: m(id),
             baton: self.leader.machines[&m(id)].baton,
@@ -174,7 +175,7 @@
         }
     }
 
-    fn token(&self, id: &str) -> Baton {
+    fn token(&self, id: &str) -> FencingToken {
         self.leader.machines[&m(id)].baton
     }
 
@@ -219,7 +220,7 @@
             |b, a| {
                 b.sync(A, &[], &[Outcome { attempt: a, machine: Some(m("m0")) }]);
                 b.leader.grant(&m("m0"), A, "test", b.now);
-                let s = b.state("m0", Baton(0), &[]);
+                let s = b.state("m0", FencingToken(0), &[]);
                 b.sync(A, &[s], &[]);
             },
             false,
--- a/crates/core/src/peer.rs
+++ b/crates/core/src/peer.rs
@@ -2,7 +2,7 @@
 //! a version, one way on a connection that the sender opens.
 use crate::books::Page;
 use borsh::{BorshDeserialize, BorshSerialize};
-use gorseshore_protocol::ids::{Attempt, Baton, JobId, MachineId, Micros, NodeId, TaskId};
+use gorseshore_protocol::ids::{Attempt, FencingToken, JobId, MachineId, Micros, NodeId, TaskId};
 use gorseshore_protocol::workers::ReportNo;
 use thiserror::Error;
 
@@ -58,9 +58,9 @@
     /// Machine.
     pub id: MachineId,
     /// Token under which the sender holds it.
-    pub baton: Baton,
+    pub baton: FencingToken,
     /// Highest token its worker was seen to know.
-    pub seen_baton: Baton,
+    pub seen_baton: FencingToken,
     /// Its last report.
     pub last: ReportNo,
     /// That report shows that the worker hears: it came in answer to a call, stayed
@@ -104,7 +104,7 @@
     /// Machine.
     pub id: MachineId,
     /// Token.
-    pub baton: Baton,
+    pub baton: FencingToken,
     /// Worker address.
     pub addr: String,
     /// Draining: start nothing on it.
--- a/crates/core/tests/wire_compatibility.rs
+++ b/crates/core/tests/wire_compatibility.rs
@@ -12,7 +12,7 @@
     Cancellation, Envelope, FrameError, GrantedMachine, HEAD, HandOut, Held, MAX_FRAME, MachineState,
     Message, Outcome, Sighting, StopRequest, TaskState, VERSION, decode_body, decode_head, encode,
 };
-use gorseshore_protocol::ids::{Attempt, Baton, JobId, MachineId, Micros, NodeId, TaskId};
+use gorseshore_protocol::ids::{Attempt, FencingToken, JobId, MachineId, Micros, NodeId, TaskId};
 use gorseshore_protocol::workers::ReportNo;
 
 /// Sender of all frames in the table.
@@ -129,8 +129,8 @@
 fn machine_states() -> Vec<MachineState> {
     let unresponsive = MachineState {
         id: MachineId::from("host-000001"),
-        baton: Baton::new(7, 12),
-        seen_baton: Baton::new(6, 99),
+        baton: FencingToken::new(7, 12),
+        seen_baton: FencingToken::new(6, 99),
         last: report(2, 41),
         obeys: false,
         heard_ago: None,
@@ -214,7 +214,7 @@
     };
     let granted = |id: &str, draining| GrantedMachine {
         id: MachineId::from(id),
-        baton: Baton::new(7, 13),
+        baton: FencingToken::new(7, 13),
         addr: "10.0.0.7:8040".into(),
         draining,
     };
--- a/crates/protocol/src/ids.rs
+++ b/crates/protocol/src/ids.rs
@@ -149,15 +149,15 @@
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, BorshSerialize, BorshDeserialize,
 )]
-pub struct Baton(pub u64);
+pub struct FencingToken(pub u64);
 
 /// Bits below the term in fencing tokens and attempt ids.
 pub const TOKEN_SEQUENCE_BITS: u32 = 28;
 
-impl Baton {
+impl FencingToken {
     /// Creates the token of `term` with a sequence number.
     pub fn new(term: u64, epoch: u64) -> Self {
-        Baton((term << TOKEN_SEQUENCE_BITS) | epoch)
+        FencingToken((term << TOKEN_SEQUENCE_BITS) | epoch)
     }
     /// Term of the leader that granted the token.
     pub fn term(self) -> u64 {
