--- a/crates/core/src/dependencies.rs
+++ b/crates/core/src/dependencies.rs
@@ -11,7 +11,7 @@
 //!   dependencies is. Recorded ends never change, so this cancellation never changes either.
 //! - A job's own recorded end takes precedence over a cancellation through dependencies.
 use gorseshore_protocol::ids::JobId;
-use gorseshore_protocol::job::Rank;
+use gorseshore_protocol::job::Priority;
 use std::collections::{BTreeMap, VecDeque};
 
 /// Outcome of a job as its dependents see it.
@@ -140,7 +140,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Urgency {
     /// Scheduling priority.
-    pub rank: Rank,
+    pub rank: Priority,
     /// Wall-clock time by which the job should complete, in milliseconds.
     pub due_ms: u64,
     /// Latest completion that still meets the objective, in milliseconds of wall-clock time.
--- a/crates/core/src/dependencies/tests.rs
+++ b/crates/core/src/dependencies/tests.rs
@@ -111,24 +111,24 @@
     // (own, dependent's, combined), where the dependent takes 10 ms
     let cases = [
         (
-            urgency(Rank::Low, no_deadline_ms, false),
-            urgency(Rank::High, 100, true),
-            Urgency { rank: Rank::High, due_ms: 90, last_ms: 190, deadline: true },
+            urgency(Priority::Low, no_deadline_ms, false),
+            urgency(Priority::High, 100, true),
+            Urgency { rank: Priority::High, due_ms: 90, last_ms: 190, deadline: true },
         ),
         (
-            urgency(Rank::High, 50, true),
-            urgency(Rank::Low, 100, true),
-            Urgency { rank: Rank::High, due_ms: 50, last_ms: 100, deadline: true },
+            urgency(Priority::High, 50, true),
+            urgency(Priority::Low, 100, true),
+            Urgency { rank: Priority::High, due_ms: 50, last_ms: 100, deadline: true },
         ),
         (
-            urgency(Rank::Normal, 80, false),
-            urgency(Rank::Low, 90, false),
-            Urgency { rank: Rank::Normal, due_ms: 80, last_ms: 160, deadline: false },
+            urgency(Priority::Normal, 80, false),
+            urgency(Priority::Low, 90, false),
+            Urgency { rank: Priority::Normal, due_ms: 80, last_ms: 160, deadline: false },
         ),
         (
-            urgency(Rank::Low, 95, true),
-            urgency(Rank::Production, 100, true),
-            Urgency { rank: Rank::Production, due_ms: 90, last_ms: 190, deadline: true },
+            urgency(Priority::Low, 95, true),
+            urgency(Priority::Production, 100, true),
+            Urgency { rank: Priority::Production, due_ms: 90, last_ms: 190, deadline: true },
         ),
     ];
     for (own, dependent, combined) in cases {
--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -3,7 +3,7 @@
 use crate::dependencies::{DependencyGraph, Outcome};
 use crate::limits::{StoreLimits, value_len};
 use gorseshore_protocol::ids::{JobId, MachineId, Resources};
-use gorseshore_protocol::job::{JobSpec, Kind, Preference, Rank};
+use gorseshore_protocol::job::{JobSpec, Kind, Preference, Priority};
 use gorseshore_protocol::workers::Report;
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
@@ -22,7 +22,7 @@
     #[serde(rename = "k")]
     kind: Kind,
     #[serde(rename = "r")]
-    rank: Rank,
+    rank: Priority,
     #[serde(rename = "n")]
     tasks: u32,
     /// Thousandths of CPUs, GPUs and GB of memory.
@@ -963,11 +963,11 @@
         let rows = [
             (
                 r#"["t","v","standing","prod",3,[1500,0,2100],["g8"],"a",false,true,false,"i",0.5,0.0,0.0,0.0,null]"#,
-                (Kind::Service, Rank::Production, 3, Some(vec!["a".to_owned()]), None),
+                (Kind::Service, Priority::Production, 3, Some(vec!["a".to_owned()]), None),
             ),
             (
                 r#"["t","v","array","idle",65,[4000,1000,5300],null,null,true,false,true,"img-07",1.5,30.0,15.0,2.0,900.0]"#,
-                (Kind::Array, Rank::Low, 65, None, Some(900.0)),
+                (Kind::Array, Priority::Low, 65, None, Some(900.0)),
             ),
         ];
         for (row, want) in rows {
--- a/crates/core/src/leader/machine.rs
+++ b/crates/core/src/leader/machine.rs
@@ -67,7 +67,7 @@
     pub(super) failures: u32,
     pub(super) images: BTreeSet<String>,
     pub(super) probed: Option<Micros>,
-    pub(super) kept_for: Option<(Rank, Micros)>,
+    pub(super) kept_for: Option<(Priority, Micros)>,
     /// Room is gathered on it for this job, until then.
     pub(super) gathers: Option<(JobId, Micros)>,
     pub(super) want_baton: bool,
--- a/crates/core/src/leader/machines.rs
+++ b/crates/core/src/leader/machines.rs
@@ -319,7 +319,8 @@
 
     /// CPUs of a machine that work below the highest priority takes.
     fn lent(&self, m: &Machine) -> u64 {
-        let lower = |t: &&TaskId| self.jobs.get(&t.job).is_some_and(|r| r.urgency.rank < Rank::Production);
+        let lower =
+            |t: &&TaskId| self.jobs.get(&t.job).is_some_and(|r| r.urgency.rank < Priority::Production);
         m.tasks.keys().filter(lower).map(|t| self.jobs[&t.job].spec.need.cpu).sum()
     }
 
@@ -333,8 +334,9 @@
         let zones: BTreeSet<&String> = all.filter(|z| !self.health.is_closed(z)).collect();
         let minute_ago = self.wall_ms(now).saturating_sub(60_000);
         let (mut largest, mut recent, mut running) = (0, 0, 0);
-        let services =
-            |r: &&Run| r.spec.kind == Kind::Service && r.spec.rank == Rank::Production && !r.over && !r.held;
+        let services = |r: &&Run| {
+            r.spec.kind == Kind::Service && r.spec.rank == Priority::Production && !r.over && !r.held
+        };
         for r in self.jobs.values().filter(services) {
             largest = largest.max(r.spec.need.cpu * r.spec.zone_cap() as u64);
             running += r.spec.need.cpu * r.bound.len() as u64;
@@ -414,7 +416,7 @@
             }
         }
         let (wall_ms, slots) = (self.wall_ms(now), self.array_slots());
-        let mut list: Vec<(Rank, (bool, u64, u64), Demand)> = Vec::new();
+        let mut list: Vec<(Priority, (bool, u64, u64), Demand)> = Vec::new();
         let mut thirsty = 0;
         let mut running = 0.0;
         for r in self.jobs.values() {
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -48,7 +48,7 @@
 use gorseshore_protocol::ids::{
     Attempt, FencingToken, JobId, MachineId, Micros, NodeId, Resources, TOKEN_SEQUENCE_BITS, TaskId,
 };
-use gorseshore_protocol::job::{JobSpec, Kind, RANKS, Rank};
+use gorseshore_protocol::job::{JobSpec, Kind, Priority, RANKS};
 use gorseshore_protocol::workers::ReportNo;
 use gorseshore_settings::{Objective, Operator, Team};
 use log::{debug, error, info, warn};
@@ -181,7 +181,7 @@
     began_stamp: u64,
     lateness: Lateness,
     granted: bool,
-    queues: BTreeMap<Rank, FairQueue>,
+    queues: BTreeMap<Priority, FairQueue>,
     nodes: Vec<Node>,
     machines: BTreeMap<MachineId, Machine>,
     /// Deleted machines, when, and the update that first tells of it.
--- a/crates/core/src/leader/room.rs
+++ b/crates/core/src/leader/room.rs
@@ -198,7 +198,7 @@
             let m = self.machines.get(id)?;
             let gathers = m.gathers_for(now).is_some_and(|job| job != spec.id);
             let kept = m.kept_for.is_some_and(|(r, until)| run.urgency.rank < r && now < until)
-                || gathers && run.urgency.rank < Rank::Production;
+                || gathers && run.urgency.rank < Priority::Production;
             let failed = !again && run.failed_on.contains(id);
             let free = m.free();
             (!kept && !failed && free.fits(&spec.need)).then_some(free)
--- a/crates/core/src/leader/schedule.rs
+++ b/crates/core/src/leader/schedule.rs
@@ -18,8 +18,8 @@
 /// they are served, and the least that one of their tasks takes.
 #[derive(Debug, Default)]
 pub(super) struct Waiting {
-    ranks: BTreeMap<Rank, BTreeMap<String, Rc<[JobId]>>>,
-    least_cpu: BTreeMap<Rank, u64>,
+    ranks: BTreeMap<Priority, BTreeMap<String, Rc<[JobId]>>>,
+    least_cpu: BTreeMap<Priority, u64>,
     /// Those that nothing ran of for very long, the earliest first.
     pub(super) overdue: Vec<JobId>,
     made: Micros,
@@ -170,7 +170,7 @@
         let wall_ms = self.wall_ms(now);
         let slots = self.array_slots();
         let mut waiting = Waiting { made: now, unsure: self.unsure(), ..Waiting::default() };
-        let mut ranks: BTreeMap<Rank, BTreeMap<String, Vec<((bool, u64, u64), JobId)>>> = BTreeMap::new();
+        let mut ranks: BTreeMap<Priority, BTreeMap<String, Vec<((bool, u64, u64), JobId)>>> = BTreeMap::new();
         let mut ready: Vec<JobId> = Vec::new();
         let (mut overdue, mut begun): (Vec<(u64, JobId)>, Vec<JobId>) = Default::default();
         for (id, run) in self.jobs.iter_mut().filter(|(_, r)| !r.over && !r.held) {
@@ -223,7 +223,7 @@
         self.ctx.operator.team_weights.get(team).copied().unwrap_or(1.0)
     }
 
-    fn serve_rank(&mut self, rank: Rank, pass: &mut Pass) {
+    fn serve_rank(&mut self, rank: Priority, pass: &mut Pass) {
         let teams = self.waiting.ranks.get(&rank).cloned().unwrap_or_default();
         let least = self.waiting.least_cpu.get(&rank).copied().unwrap_or(0);
         let mut queue = self.queues.remove(&rank).unwrap_or_default();
@@ -234,7 +234,7 @@
         let mut next: BTreeMap<&str, usize> = BTreeMap::new();
         let mut stuck: BTreeSet<String> = BTreeSet::new();
         let need = Resources { cpu: least, gpu: 0, mem: 0 };
-        let preempts = pass.guaranteed || rank == Rank::Production;
+        let preempts = pass.guaranteed || rank == Priority::Production;
         'rank: while let Some((_, team)) = queue.order().into_iter().find(|(_, t)| !stuck.contains(t)) {
             let Some((team, list)) = teams.get_key_value(&team) else { break };
             let at = next.entry(team).or_default();
@@ -265,7 +265,8 @@
         let now = pass.now;
         let Some(run) = self.jobs.get_mut(&id).filter(|r| !r.over) else { return false };
         let Some(index) = run.peek() else { return false };
-        let may_preempt = (pass.guaranteed || run.urgency.rank == Rank::Production) && now >= run.room_until;
+        let may_preempt =
+            (pass.guaranteed || run.urgency.rank == Priority::Production) && now >= run.room_until;
         let need = run.spec.need;
         if !(self.rooms.any(need.cpu) || may_preempt && pass.lendable.any(&need)) {
             return false;
@@ -385,7 +386,7 @@
     pub(super) fn better_with_image(&self, id: JobId, found: &MachineId, now: Micros) -> bool {
         let Some(run) = self.jobs.get(&id) else { return false };
         run.spec.kind == Kind::Service
-            && run.spec.rank == Rank::Production
+            && run.spec.rank == Priority::Production
             && run.patience.is_none_or(|until| now < until)
             && self.machines.get(found).is_some_and(|m| !m.images.contains(&run.spec.image))
             && self.machines.values().any(|m| m.images.contains(&run.spec.image))
@@ -488,7 +489,7 @@
             let mut some = false;
             for (t, _) in m.tasks.iter().filter(|(_, (_, s))| *s != TaskState::Starting) {
                 let Some(r) = self.jobs.get(&t.job) else { continue };
-                if guaranteed || r.urgency.rank < Rank::Production {
+                if guaranteed || r.urgency.rank < Priority::Production {
                     room = room.plus(r.spec.need);
                     some = true;
                 }
--- a/crates/core/src/leader/tests/pipelines.rs
+++ b/crates/core/src/leader/tests/pipelines.rs
@@ -97,19 +97,19 @@
     b.stage(1, "idle", 1, &[], None);
     b.stage(2, "idle", 1, &[1], None);
     let urgency = |b: &Bench, id| b.leader.jobs[&JobId(id)].urgency;
-    assert_eq!(urgency(&b, 1).rank, Rank::Low);
+    assert_eq!(urgency(&b, 1).rank, Priority::Low);
     // The last job comes late; what is before it waits for less long the deeper it is.
     b.stage(3, "high", 1, &[2], Some(100.0));
-    assert_eq!((urgency(&b, 1).rank, urgency(&b, 2).rank), (Rank::High, Rank::High));
+    assert_eq!((urgency(&b, 1).rank, urgency(&b, 2).rank), (Priority::High, Priority::High));
     assert!(urgency(&b, 1).due_ms < urgency(&b, 2).due_ms);
     assert!(urgency(&b, 2).due_ms < urgency(&b, 3).due_ms);
     assert_eq!(urgency(&b, 3).due_ms, 1_100_000);
     // A second one is due sooner, until it is cancelled.
     b.stage(4, "prod", 1, &[2], Some(50.0));
-    assert_eq!(urgency(&b, 1).rank, Rank::Production);
+    assert_eq!(urgency(&b, 1).rank, Priority::Production);
     assert!(urgency(&b, 2).due_ms < 1_050_000);
     b.end(4, "aborted");
-    assert_eq!((urgency(&b, 1).rank, urgency(&b, 2).rank), (Rank::High, Rank::High));
+    assert_eq!((urgency(&b, 1).rank, urgency(&b, 2).rank), (Priority::High, Priority::High));
     assert!(urgency(&b, 2).due_ms > 1_050_000);
 }
 
@@ -163,7 +163,7 @@
     b.stage(2, "high", 50, &[1], None);
     b.tick(300);
     assert_eq!(b.leader.team_use("t"), one_handed);
-    assert!(b.leader.queues.get(&Rank::High).is_none_or(|q| q.order().is_empty()));
+    assert!(b.leader.queues.get(&Priority::High).is_none_or(|q| q.order().is_empty()));
 }
 
 #[test]
--- a/crates/core/tests/record_compatibility.rs
+++ b/crates/core/tests/record_compatibility.rs
@@ -11,7 +11,7 @@
 use gorseshore_core::peer::{Envelope, Message};
 use gorseshore_core::{Call, CallResult, Input, Output, Target};
 use gorseshore_protocol::ids::{JobId, MachineId, Micros, NodeId};
-use gorseshore_protocol::job::{JobSpec, Kind, Rank};
+use gorseshore_protocol::job::{JobSpec, Kind, Priority};
 use gorseshore_protocol::state::{Multi, Write};
 use gorseshore_settings::{Operator, Platform};
 use production::Record;
@@ -152,8 +152,12 @@
 #[test]
 fn all_kinds_and_priorities_keep_productions_wire_names() {
     let kinds = [(Kind::Array, "array"), (Kind::Service, "standing")];
-    let priorities =
-        [(Rank::Low, "idle"), (Rank::Normal, "standard"), (Rank::High, "high"), (Rank::Production, "prod")];
+    let priorities = [
+        (Priority::Low, "idle"),
+        (Priority::Normal, "standard"),
+        (Priority::High, "high"),
+        (Priority::Production, "prod"),
+    ];
     kinds.iter().for_each(|(k, want)| assert_eq!(wire_name(k), *want));
     priorities.iter().for_each(|(p, want)| assert_eq!(wire_name(p), *want));
 }
--- a/crates/nomad/src/translate.rs
+++ b/crates/nomad/src/translate.rs
@@ -8,7 +8,7 @@
 use crate::tree::{Datum, Faults};
 use globset::Glob;
 use gorseshore_protocol::ids::{JobId, Resources};
-use gorseshore_protocol::job::{JobSpec, Kind, Preference, Rank};
+use gorseshore_protocol::job::{JobSpec, Kind, Preference, Priority};
 use gorseshore_settings::{Nomad, NomadClass, NomadMachine};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -111,11 +111,11 @@
 
 /// The rank of a job of a class: the class's, or for low priorities one or two
 /// below it, never above.
-pub fn rank(class: &NomadClass, kind: Kind, priority: u32) -> Rank {
+pub fn rank(class: &NomadClass, kind: Kind, priority: u32) -> Priority {
     if kind == Kind::Service {
         return class.rank;
     }
-    let order = [Rank::Low, Rank::Normal, Rank::High, Rank::Production];
+    let order = [Priority::Low, Priority::Normal, Priority::High, Priority::Production];
     let top = order.iter().position(|r| *r == class.rank).unwrap_or(0);
     // Beyond doubt, whatever the settings said.
     let top = top.min(2);
--- a/crates/nomad/tests/samples.rs
+++ b/crates/nomad/tests/samples.rs
@@ -3,7 +3,7 @@
 use gorseshore_nomad::translate::{Site, rank};
 use gorseshore_nomad::tree::Severity;
 use gorseshore_nomad::{Inputs, Judgement, judge};
-use gorseshore_protocol::job::{Kind, Rank};
+use gorseshore_protocol::job::{Kind, Priority};
 use gorseshore_settings::{Nomad, Operator};
 use proptest::prelude::*;
 use serde_json::{Value, json};
@@ -31,36 +31,39 @@
 #[test]
 fn samples_are_accepted_as_they_are_meant() {
     // (file, class, groups: name, count, thousandths of a CPU, rank, attempts)
-    type Group = (&'static str, u32, u64, Rank, Option<u32>);
+    type Group = (&'static str, u32, u64, Priority, Option<u32>);
     let cases: [(&str, &str, &[Group]); 16] = [
-        ("01-service.nomad.hcl", "service", &[("api", 3, 2000, Rank::Production, None)]),
-        ("02-batch.nomad.hcl", "night", &[("recompute", 50, 4000, Rank::Low, Some(6))]),
-        ("03-variables.nomad.hcl", "service", &[("desk", 4, 1000, Rank::Production, None)]),
+        ("01-service.nomad.hcl", "service", &[("api", 3, 2000, Priority::Production, None)]),
+        ("02-batch.nomad.hcl", "night", &[("recompute", 50, 4000, Priority::Low, Some(6))]),
+        ("03-variables.nomad.hcl", "service", &[("desk", 4, 1000, Priority::Production, None)]),
         (
             "04-dynamic.nomad.hcl",
             "batch",
-            &[("plan-howrah", 3, 50, Rank::High, Some(8)), ("plan-saltlake", 2, 50, Rank::High, Some(8))],
+            &[
+                ("plan-howrah", 3, 50, Priority::High, Some(8)),
+                ("plan-saltlake", 2, 50, Priority::High, Some(8)),
+            ],
         ),
-        ("05-heredoc.nomad.hcl", "batch", &[("report", 1, 50, Rank::High, Some(8))]),
-        ("06-constraints.nomad.hcl", "service", &[("model", 2, 6000, Rank::Production, None)]),
-        ("07-periodic.nomad.hcl", "night", &[("copy", 1, 50, Rank::Normal, Some(8))]),
-        ("08-parameterized.nomad.hcl", "batch", &[("route", 1, 500, Rank::High, Some(8))]),
+        ("05-heredoc.nomad.hcl", "batch", &[("report", 1, 50, Priority::High, Some(8))]),
+        ("06-constraints.nomad.hcl", "service", &[("model", 2, 6000, Priority::Production, None)]),
+        ("07-periodic.nomad.hcl", "night", &[("copy", 1, 50, Priority::Normal, Some(8))]),
+        ("08-parameterized.nomad.hcl", "batch", &[("route", 1, 500, Priority::High, Some(8))]),
         (
             "09-groups.nomad.hcl",
             "service",
             &[
-                ("front", 4, 50, Rank::Production, None),
-                ("back", 2, 250, Rank::Production, None),
-                ("spare", 0, 50, Rank::Production, None),
+                ("front", 4, 50, Priority::Production, None),
+                ("back", 2, 250, Priority::Production, None),
+                ("spare", 0, 50, Priority::Production, None),
             ],
         ),
-        ("10-warnings.nomad.hcl", "service", &[("web", 2, 50, Rank::Production, None)]),
-        ("11-api.json", "service", &[("api", 2, 750, Rank::Production, None)]),
-        ("12-file.json", "night", &[("work", 12, 1000, Rank::Normal, Some(4))]),
-        ("13-bare.json", "batch", &[("g", 3, 50, Rank::High, Some(8))]),
-        ("14-expressions.nomad.hcl", "batch", &[("g", 2, 600, Rank::High, Some(8))]),
-        ("15-zero.nomad.hcl", "night", &[("work", 0, 50, Rank::Normal, Some(8))]),
-        ("16-low.nomad.hcl", "batch", &[("sweep", 2, 100, Rank::Low, Some(8))]),
+        ("10-warnings.nomad.hcl", "service", &[("web", 2, 50, Priority::Production, None)]),
+        ("11-api.json", "service", &[("api", 2, 750, Priority::Production, None)]),
+        ("12-file.json", "night", &[("work", 12, 1000, Priority::Normal, Some(4))]),
+        ("13-bare.json", "batch", &[("g", 3, 50, Priority::High, Some(8))]),
+        ("14-expressions.nomad.hcl", "batch", &[("g", 2, 600, Priority::High, Some(8))]),
+        ("15-zero.nomad.hcl", "night", &[("work", 0, 50, Priority::Normal, Some(8))]),
+        ("16-low.nomad.hcl", "batch", &[("sweep", 2, 100, Priority::Low, Some(8))]),
     ];
     for (file, class, groups) in cases {
         let j = judged(&sample(file), &Inputs::default());
@@ -485,7 +488,7 @@
     let n = settings();
     for class in &n.classes {
         for priority in 1..=100 {
-            assert!(rank(class, Kind::Array, priority) < Rank::Production, "{} {priority}", class.name);
+            assert!(rank(class, Kind::Array, priority) < Priority::Production, "{} {priority}", class.name);
         }
     }
     // Not even by the operators' file.
@@ -495,8 +498,8 @@
         assert!(e.0.iter().any(|f| f.contains("nomad.class[0].rank")), "{e}");
     }
     let mut wrong = n.classes[0].clone();
-    wrong.rank = Rank::Production;
-    assert_eq!(rank(&wrong, Kind::Array, 100), Rank::High);
+    wrong.rank = Priority::Production;
+    assert_eq!(rank(&wrong, Kind::Array, 100), Priority::High);
 }
 
 #[test]
--- a/crates/protocol/src/job.rs
+++ b/crates/protocol/src/job.rs
@@ -15,7 +15,7 @@
 
 /// Priority, lowest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Rank {
+pub enum Priority {
     /// Lowest priority.
     #[serde(rename = "idle")]
     Low,
@@ -31,7 +31,7 @@
 }
 
 /// All priorities, highest first.
-pub const RANKS: [Rank; 4] = [Rank::Production, Rank::High, Rank::Normal, Rank::Low];
+pub const RANKS: [Priority; 4] = [Priority::Production, Priority::High, Priority::Normal, Priority::Low];
 
 /// A validated job specification.
 #[derive(Debug, Clone, PartialEq)]
@@ -45,7 +45,7 @@
     /// Array or service.
     pub kind: Kind,
     /// Scheduling priority.
-    pub rank: Rank,
+    pub rank: Priority,
     /// Number of tasks.
     pub tasks: u32,
     /// Resources that one task requests.
--- a/crates/protocol/src/users.rs
+++ b/crates/protocol/src/users.rs
@@ -1,6 +1,6 @@
 //! Messages of the users' API: job submissions and responses.
 use crate::ids::{JobId, Resources};
-use crate::job::{JobSpec, Kind, Rank};
+use crate::job::{JobSpec, Kind, Priority};
 use serde::Deserialize;
 use serde_json::{Map, Value, json};
 use std::collections::BTreeSet;
@@ -13,7 +13,7 @@
     lot: String,
     crew: String,
     manner: Kind,
-    rank: Rank,
+    rank: Priority,
     pieces: u32,
     cpus: f64,
     gpus: f64,
--- a/crates/settings/src/nomad.rs
+++ b/crates/settings/src/nomad.rs
@@ -1,5 +1,5 @@
 //! The operators' settings for Nomad's job files: classes and their bounds.
-use gorseshore_protocol::job::{Kind, Rank};
+use gorseshore_protocol::job::{Kind, Priority};
 use prost_reflect::{DynamicMessage, Value};
 use std::net::SocketAddr;
 
@@ -40,7 +40,7 @@
     /// Team.
     pub team: String,
     /// Highest priority that such a job may have.
-    pub rank: Rank,
+    pub rank: Priority,
     /// Class of jobs in the aims.
     pub lot: String,
     /// May run on spot machines.
@@ -216,18 +216,18 @@
             }
         };
         let rank = match f.set("rank").as_ref().and_then(Value::as_str) {
-            None | Some("standard") => Rank::Normal,
-            Some("idle") => Rank::Low,
-            Some("high") => Rank::High,
-            Some("prod") => Rank::Production,
+            None | Some("standard") => Priority::Normal,
+            Some("idle") => Priority::Low,
+            Some("high") => Priority::High,
+            Some("prod") => Priority::Production,
             Some(other) => {
                 f.fault("rank", format!("\"{other}\" must be idle, standard, high or prod"));
-                Rank::Normal
+                Priority::Normal
             }
         };
         // The services' own priority has first claim on machines: no batch job
         // may have it, whatever its file says.
-        if rank == Rank::Production && kind != Some(Kind::Service) {
+        if rank == Priority::Production && kind != Some(Kind::Service) {
             f.fault("rank", "prod is for classes of type \"service\" only".into());
         }
         let deadline_s = f.set("deadline_s").map(|_| f.number("deadline_s", 1.0, 1.0, 1e8));
