--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -48,7 +48,7 @@
 use gorseshore_protocol::ids::{
     Attempt, FencingToken, JobId, MachineId, Micros, NodeId, Resources, TOKEN_SEQUENCE_BITS, TaskId,
 };
-use gorseshore_protocol::job::{JobSpec, Kind, Priority, RANKS};
+use gorseshore_protocol::job::{JobSpec, Kind, PRIORITIES, Priority};
 use gorseshore_protocol::workers::ReportNo;
 use gorseshore_settings::{Objective, Operator, Team};
 use log::{debug, error, info, warn};
--- a/crates/core/src/leader/schedule.rs
+++ b/crates/core/src/leader/schedule.rs
@@ -154,7 +154,7 @@
         let borrowing = self.ctx.teams.iter().any(|t| t.cpus > 0.0 || t.gpus > 0.0);
         for guaranteed in [true, false].into_iter().filter(|g| borrowing || !g) {
             let mut pass = Pass { guaranteed, lendable: Lendable::default(), now };
-            for rank in RANKS {
+            for rank in PRIORITIES {
                 self.serve_rank(rank, &mut pass);
             }
         }
--- a/crates/protocol/src/job.rs
+++ b/crates/protocol/src/job.rs
@@ -31,7 +31,7 @@
 }
 
 /// All priorities, highest first.
-pub const RANKS: [Priority; 4] = [Priority::Production, Priority::High, Priority::Normal, Priority::Low];
+pub const PRIORITIES: [Priority; 4] = [Priority::Production, Priority::High, Priority::Normal, Priority::Low];
 
 /// A validated job specification.
 #[derive(Debug, Clone, PartialEq)]
