--- a/crates/core/src/leader/books.rs
+++ b/crates/core/src/leader/books.rs
@@ -40,7 +40,7 @@
                 return done.then_some(nowhere);
             };
             let handed = b.handed.as_ref().map(|h| {
-                let zone = run.spec.has_zone_rule().then(|| h.zone.clone());
+                let zone = run.spec.has_zone_constraint().then(|| h.zone.clone());
                 (h.hint.clone(), zone)
             });
             let starting = b.on.iter().any(|id| {
--- a/crates/core/src/leader/schedule.rs
+++ b/crates/core/src/leader/schedule.rs
@@ -114,7 +114,7 @@
 
     pub(super) fn zones_of(&self, run: &Run) -> BTreeMap<String, u32> {
         let mut zones: BTreeMap<String, u32> = BTreeMap::new();
-        if !run.spec.has_zone_rule() {
+        if !run.spec.has_zone_constraint() {
             return zones;
         }
         for b in run.bound.values() {
@@ -354,7 +354,7 @@
         let incarnation = self.nodes.get(node.0 as usize).map_or(0, |n| n.incarnation);
         let image = if m.images.contains(&run.spec.image) { "has" } else { "fetches" };
         debug!("{task}: handed out for {hint}, which {image} its image, attempt {}", attempt.0);
-        let fixed = run.spec.has_zone_rule();
+        let fixed = run.spec.has_zone_constraint();
         let out = HandOut { task, attempt, zone: fixed.then(|| zone.clone()), hint: hint.clone() };
         let need = run.spec.need;
         run.again.remove(&task.index);
--- a/crates/protocol/src/job.rs
+++ b/crates/protocol/src/job.rs
@@ -116,7 +116,7 @@
         (1_000_000 - here.clamp(-1_000_000, 1_000_000)) as u64
     }
     /// Whether it matters to the job's other tasks in which zone one is.
-    pub fn has_zone_rule(&self) -> bool {
+    pub fn has_zone_constraint(&self) -> bool {
         self.spread || self.one_zone
     }
     /// Most tasks that may be in one zone.
