--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -196,7 +196,7 @@
 pub fn zone_ok(spec: &JobSpec, zone: &str, zones: &BTreeMap<String, u32>) -> bool {
     let here = zones.get(zone).copied().unwrap_or(0);
     let elsewhere = zones.iter().any(|(z, n)| z != zone && *n > 0);
-    !(spec.one_zone && elsewhere) && here < spec.zone_cap()
+    !(spec.one_zone && elsewhere) && here < spec.max_tasks_per_zone()
 }
 
 /// Needs that no room fits: as rooms only get smaller, a task that takes as much
@@ -273,7 +273,8 @@
         return 0;
     }
     let here = zones.get(&room.zone).copied().unwrap_or(0);
-    let n = (room.free.count(&spec.need, left as u64) as u32).min(spec.zone_cap().saturating_sub(here));
+    let n =
+        (room.free.count(&spec.need, left as u64) as u32).min(spec.max_tasks_per_zone().saturating_sub(here));
     for _ in 0..n {
         room.free = room.free.minus(spec.need);
     }
--- a/crates/core/src/leader/machines.rs
+++ b/crates/core/src/leader/machines.rs
@@ -338,7 +338,7 @@
             r.spec.kind == Kind::Service && r.spec.rank == Priority::Production && !r.over && !r.held
         };
         for r in self.jobs.values().filter(services) {
-            largest = largest.max(r.spec.need.cpu * r.spec.zone_cap() as u64);
+            largest = largest.max(r.spec.need.cpu * r.spec.max_tasks_per_zone() as u64);
             running += r.spec.need.cpu * r.bound.len() as u64;
             if r.ready_ms > minute_ago {
                 recent += r.spec.need.cpu * r.spec.tasks as u64;
--- a/crates/core/src/leader/schedule.rs
+++ b/crates/core/src/leader/schedule.rs
@@ -475,7 +475,7 @@
         let m = self.machines.get_mut(&mid)?;
         m.kept_for = Some((rank, now + Micros::secs(2)));
         let here = zones.get(&m.zone).copied().unwrap_or(0);
-        Some((m.zone.clone(), room.min(spec.zone_cap().saturating_sub(here)).max(1)))
+        Some((m.zone.clone(), room.min(spec.max_tasks_per_zone().saturating_sub(here)).max(1)))
     }
 
     /// Machines with work that replicas, or a team within its guarantee, may
--- a/crates/protocol/src/job.rs
+++ b/crates/protocol/src/job.rs
@@ -120,7 +120,7 @@
         self.spread || self.one_zone
     }
     /// Most tasks that may be in one zone.
-    pub fn zone_cap(&self) -> u32 {
+    pub fn max_tasks_per_zone(&self) -> u32 {
         if self.spread { self.tasks.div_ceil(2) } else { self.tasks }
     }
 }
