--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -21,7 +21,7 @@
 use crate::{Call, CallId, CallResult, Outbox, Target};
 use gorseshore_protocol::ids::{Attempt, FencingToken, JobId, MachineId, Micros, NodeId, Resources, TaskId};
 use gorseshore_protocol::job::JobSpec;
-use gorseshore_protocol::workers::{Direct, Order, Report, ReportNo};
+use gorseshore_protocol::workers::{Direct, HeartbeatSeq, Order, Report};
 use log::{debug, info, warn};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/core/src/controller/worker.rs
+++ b/crates/core/src/controller/worker.rs
@@ -96,8 +96,8 @@
         }
     }
 
-    pub(super) fn number(&self) -> ReportNo {
-        ReportNo { shift: self.shift, tally: self.tally }
+    pub(super) fn number(&self) -> HeartbeatSeq {
+        HeartbeatSeq { shift: self.shift, tally: self.tally }
     }
 
     pub(super) fn has(&self, key: &(TaskId, Attempt)) -> bool {
--- a/crates/core/src/leader/machine.rs
+++ b/crates/core/src/leader/machine.rs
@@ -49,7 +49,7 @@
     pub(super) bound: BTreeSet<TaskId>,
     pub(super) heard: Option<Micros>,
     /// The newest report of its worker that anybody told of, and who.
-    pub(super) newest: ReportNo,
+    pub(super) newest: HeartbeatSeq,
     pub(super) newest_from: Option<NodeId>,
     pub(super) hearing: deaf::Hearing,
     pub(super) held_heard: Micros,
@@ -106,7 +106,7 @@
             stale: true,
             bound: BTreeSet::new(),
             heard: None,
-            newest: ReportNo::default(),
+            newest: HeartbeatSeq::default(),
             newest_from: None,
             hearing: deaf::Hearing::new(now),
             held_heard: Micros(0),
@@ -143,7 +143,7 @@
     }
     /// Whether a report is news, told by `from`: not a copy of one that others told
     /// of, nor one that was held up.
-    pub(super) fn is_news(&mut self, report: ReportNo, from: NodeId) -> bool {
+    pub(super) fn is_news(&mut self, report: HeartbeatSeq, from: NodeId) -> bool {
         if report > self.newest {
             (self.newest, self.newest_from) = (report, Some(from));
             return true;
@@ -152,7 +152,7 @@
     }
     /// It was heard by a controller; `from` its holder, that is proof that the
     /// way between them is open. Copies of reports prove nothing.
-    pub(super) fn heard_at(&mut self, at: Micros, from: NodeId, report: ReportNo) {
+    pub(super) fn heard_at(&mut self, at: Micros, from: NodeId, report: HeartbeatSeq) {
         if !self.is_news(report, from) {
             return;
         }
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -49,7 +49,7 @@
     Attempt, FencingToken, JobId, MachineId, Micros, NodeId, Resources, TOKEN_SEQUENCE_BITS, TaskId,
 };
 use gorseshore_protocol::job::{JobSpec, Kind, PRIORITIES, Priority};
-use gorseshore_protocol::workers::ReportNo;
+use gorseshore_protocol::workers::HeartbeatSeq;
 use gorseshore_settings::{Objective, Operator, Team};
 use log::{debug, error, info, warn};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -121,7 +121,7 @@
     /// Machines that changed.
     pub machines: &'a [MachineState],
     /// Machines that were heard, and how long ago.
-    pub heard: &'a [(MachineId, Micros, ReportNo)],
+    pub heard: &'a [(MachineId, Micros, HeartbeatSeq)],
     /// Machines of others whose workers report to it.
     pub strangers: &'a [Sighting],
     /// Hand-outs that were decided on.
--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -166,7 +166,7 @@
             id: m(id),
             baton: self.leader.machines[&m(id)].baton,
             seen_baton: seen,
-            last: ReportNo { shift: 1, tally: self.now.0 },
+            last: HeartbeatSeq { shift: 1, tally: self.now.0 },
             obeys: true,
             heard_ago: Some(Micros(0)),
             warning: None,
@@ -871,14 +871,14 @@
         spot: false,
         addr: "a:1".into(),
     };
-    let no = |tally| ReportNo { shift: 1, tally };
+    let no = |tally| HeartbeatSeq { shift: 1, tally };
     // (machine, its kind, number of the report, whether it was asked; whether it counts
     // as seen by B, whether it is on the books then)
     let cases = [
         ("m0", "big", no(5), false, false, true),
         ("m0", "big", no(1), true, false, true),
-        ("m0", "big", ReportNo { shift: 1, tally: u64::MAX }, false, true, true),
-        ("m0", "small", ReportNo { shift: 2, tally: 1 }, false, false, true),
+        ("m0", "big", HeartbeatSeq { shift: 1, tally: u64::MAX }, false, true, true),
+        ("m0", "small", HeartbeatSeq { shift: 2, tally: 1 }, false, false, true),
         ("m9", "big", no(7), false, true, false),
         ("m9", "big", no(7), true, true, true),
     ];
--- a/crates/core/src/liveness.rs
+++ b/crates/core/src/liveness.rs
@@ -14,7 +14,7 @@
 use crate::lateness::Lateness;
 use gorseshore_protocol::cloud::Rental;
 use gorseshore_protocol::ids::{MachineId, Micros};
-use gorseshore_protocol::workers::ReportNo;
+use gorseshore_protocol::workers::HeartbeatSeq;
 use instance_list::InstanceList;
 use reachability::{FEW_MACHINES, ProbeOutcomes, Reachability, answers_needed};
 use silence::Silence;
@@ -61,7 +61,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Heard {
     at: Micros,
-    number: ReportNo,
+    number: HeartbeatSeq,
     has_tasks: bool,
 }
 
@@ -182,7 +182,7 @@
     }
 
     /// A machine sent a heartbeat. Copies and late ones change nothing.
-    pub fn heartbeat(&mut self, id: MachineId, number: ReportNo, has_tasks: bool, now: Micros) {
+    pub fn heartbeat(&mut self, id: MachineId, number: HeartbeatSeq, has_tasks: bool, now: Micros) {
         self.observations.entry(id).or_default().hear(Heard { at: now, number, has_tasks });
     }
 
@@ -191,7 +191,7 @@
     pub fn answered(
         &mut self,
         id: MachineId,
-        number: ReportNo,
+        number: HeartbeatSeq,
         has_tasks: bool,
         sent: Micros,
         now: Micros,
--- a/crates/core/src/liveness/tests.rs
+++ b/crates/core/src/liveness/tests.rs
@@ -66,7 +66,7 @@
             if silences.iter().any(|(i, when)| id(*i) == machine && when.contains(&ms)) {
                 open.push((ms + 1_200, machine, ms));
             } else {
-                monitor.answered(machine, ReportNo { shift: 1, tally: ms + 1 }, !idle, now, now);
+                monitor.answered(machine, HeartbeatSeq { shift: 1, tally: ms + 1 }, !idle, now, now);
             }
         }
     }
--- a/crates/core/src/liveness/tests/orders.rs
+++ b/crates/core/src/liveness/tests/orders.rs
@@ -220,9 +220,9 @@
 }
 
 /// Numbers rise throughout: no message here is a copy.
-fn next_message(messages: &mut u64) -> ReportNo {
+fn next_message(messages: &mut u64) -> HeartbeatSeq {
     *messages += 1;
-    ReportNo { shift: 1, tally: *messages }
+    HeartbeatSeq { shift: 1, tally: *messages }
 }
 
 fn rental_of(i: usize, m: &Machine) -> Rental {
--- a/crates/core/src/node/held_check_ins.rs
+++ b/crates/core/src/node/held_check_ins.rs
@@ -1,7 +1,7 @@
 //! Workers' check-ins that need a second look.
 use crate::RequestId;
 use gorseshore_protocol::ids::{MachineId, Micros};
-use gorseshore_protocol::workers::{Report, ReportNo};
+use gorseshore_protocol::workers::{HeartbeatSeq, Report};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Check-ins that wait, and workers of others that report here.
@@ -11,13 +11,13 @@
     pub held: BTreeMap<MachineId, (RequestId, Report, Micros)>,
     /// Machines of others that reported here: when, by which report, and whether they
     /// were asked.
-    pub strangers: BTreeMap<MachineId, (Micros, ReportNo, bool)>,
+    pub strangers: BTreeMap<MachineId, (Micros, HeartbeatSeq, bool)>,
     /// Machines whose reports contradict their records, and the log said so.
     pub apart: BTreeSet<MachineId>,
     /// The token with which workers of others were kept alive here.
     pub kept: BTreeMap<MachineId, u64>,
     /// The newest report of each machine of others.
-    newest: BTreeMap<MachineId, ReportNo>,
+    newest: BTreeMap<MachineId, HeartbeatSeq>,
     /// Workers that were sent to the holder of their machine, when.
     pub redirected: BTreeMap<MachineId, Micros>,
 }
@@ -37,7 +37,7 @@
 
     /// Whether a report is newer than all of this machine that came here: copies of
     /// reports move nothing and are held for nothing.
-    pub fn is_news(&mut self, machine: &MachineId, report: ReportNo) -> bool {
+    pub fn is_news(&mut self, machine: &MachineId, report: HeartbeatSeq) -> bool {
         if self.newest.get(machine).is_some_and(|n| report <= *n) {
             return false;
         }
--- a/crates/core/src/node/workers.rs
+++ b/crates/core/src/node/workers.rs
@@ -108,7 +108,13 @@
         self.out.answer(id, 421, body.to_string().into_bytes());
     }
 
-    pub(super) fn tell_seen(&mut self, id: &MachineId, rec: MachineRecord, report: ReportNo, asked: bool) {
+    pub(super) fn tell_seen(
+        &mut self,
+        id: &MachineId,
+        rec: MachineRecord,
+        report: HeartbeatSeq,
+        asked: bool,
+    ) {
         if self.mirror.ledger.machines.contains_key(id) {
             // The leader knows it: the next `Sync` names it.
             self.held_check_ins.strangers.insert(id.clone(), (self.now, report, asked));
--- a/crates/core/src/peer.rs
+++ b/crates/core/src/peer.rs
@@ -3,7 +3,7 @@
 use crate::books::Page;
 use borsh::{BorshDeserialize, BorshSerialize};
 use gorseshore_protocol::ids::{Attempt, FencingToken, JobId, MachineId, Micros, NodeId, TaskId};
-use gorseshore_protocol::workers::ReportNo;
+use gorseshore_protocol::workers::HeartbeatSeq;
 use thiserror::Error;
 
 pub mod inbox;
@@ -62,7 +62,7 @@
     /// Highest token its worker was seen to know.
     pub seen_baton: FencingToken,
     /// Its last report.
-    pub last: ReportNo,
+    pub last: HeartbeatSeq,
     /// That report shows that the worker hears: it came in answer to a call, stayed
     /// with its controller, or has the grant's token for the first time.
     pub obeys: bool,
@@ -83,7 +83,7 @@
     /// Machine.
     pub id: MachineId,
     /// The report.
-    pub report: ReportNo,
+    pub report: HeartbeatSeq,
     /// The worker answered the sender's question, so that it is well now; a
     /// check-in may be a copy of one that is long past.
     pub asked: bool,
@@ -200,7 +200,7 @@
         machines: Vec<MachineState>,
         /// Machines that were heard and did not change, how long ago, and by which
         /// report.
-        heard: Vec<(MachineId, Micros, ReportNo)>,
+        heard: Vec<(MachineId, Micros, HeartbeatSeq)>,
         /// Recorded machines whose workers lately reported to the sender, which
         /// does not hold them.
         strangers: Vec<Sighting>,
@@ -248,7 +248,7 @@
         /// Worker address.
         addr: String,
         /// The report.
-        report: ReportNo,
+        report: HeartbeatSeq,
         /// The worker was asked, and answered.
         asked: bool,
     },
--- a/crates/core/tests/wire_compatibility.rs
+++ b/crates/core/tests/wire_compatibility.rs
@@ -13,7 +13,7 @@
     Message, Outcome, Sighting, StopRequest, TaskState, VERSION, decode_body, decode_head, encode,
 };
 use gorseshore_protocol::ids::{Attempt, FencingToken, JobId, MachineId, Micros, NodeId, TaskId};
-use gorseshore_protocol::workers::ReportNo;
+use gorseshore_protocol::workers::HeartbeatSeq;
 
 /// Sender of all frames in the table.
 const SENDER: NodeId = NodeId(3);
@@ -118,8 +118,8 @@
     TaskId { job: JobId(job), index }
 }
 
-fn report(shift: u64, tally: u64) -> ReportNo {
-    ReportNo { shift, tally }
+fn report(shift: u64, tally: u64) -> HeartbeatSeq {
+    HeartbeatSeq { shift, tally }
 }
 
 fn held(index: u32, state: TaskState) -> Held {
--- a/crates/protocol/src/workers.rs
+++ b/crates/protocol/src/workers.rs
@@ -5,7 +5,7 @@
 /// Order of a worker's reports: by agent epoch, then by heartbeat sequence. A report
 /// whose number is not above the last known one is a duplicate or was delayed in transit.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, BorshSerialize, BorshDeserialize)]
-pub struct ReportNo {
+pub struct HeartbeatSeq {
     /// Agent epoch.
     pub shift: u64,
     /// Heartbeat sequence within the agent epoch.
@@ -42,8 +42,8 @@
 
 impl Report {
     /// Position among the worker's reports.
-    pub fn number(&self) -> ReportNo {
-        ReportNo { shift: self.shift, tally: self.tally }
+    pub fn number(&self) -> HeartbeatSeq {
+        HeartbeatSeq { shift: self.shift, tally: self.tally }
     }
 }
 
