--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -46,7 +46,7 @@
 use gorseshore_protocol::job::JobSpec;
 use gorseshore_protocol::state::{Grant, Listing, Multi, MultiAnswer, News, When, Write};
 use gorseshore_protocol::users;
-use gorseshore_protocol::workers::{CheckinAnswer, HeartbeatSeq, Order, Report};
+use gorseshore_protocol::workers::{HeartbeatResponse, HeartbeatSeq, Order, Report};
 use gorseshore_settings::{Operator, Platform, Team};
 use log::{debug, error, info, warn};
 use serde_json::json;
--- a/crates/core/src/node/workers.rs
+++ b/crates/core/src/node/workers.rs
@@ -90,7 +90,7 @@
         if !self.may_renew() {
             return self.send_elsewhere(id, None);
         }
-        let body = serde_json::to_vec(&CheckinAnswer { baton, orders }).unwrap_or_default();
+        let body = serde_json::to_vec(&HeartbeatResponse { baton, orders }).unwrap_or_default();
         self.out.answer(id, 200, body);
     }
 
--- a/crates/protocol/src/workers.rs
+++ b/crates/protocol/src/workers.rs
@@ -82,7 +82,7 @@
 
 /// Response to a report.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct CheckinAnswer {
+pub struct HeartbeatResponse {
     /// Fencing token under which the commands are sent.
     pub baton: u64,
     /// Commands for the worker to carry out.
--- a/crates/standins/src/site.rs
+++ b/crates/standins/src/site.rs
@@ -13,7 +13,7 @@
 use gorseshore_protocol::cloud::{Flavor, Flavors, Hire, Hosts, Rental, Rentals};
 use gorseshore_protocol::ids::{JobId, TaskId};
 use gorseshore_protocol::job::Kind;
-use gorseshore_protocol::workers::{CheckinAnswer, Direct};
+use gorseshore_protocol::workers::{Direct, HeartbeatResponse};
 use gorseshore_settings::{Operator, Platform};
 use gorseshore_shell::Sockets;
 use std::collections::BTreeMap;
@@ -632,7 +632,7 @@
         let Ok(mut m) = machine.lock() else { return };
         match answer {
             Some((200, v)) => {
-                if let Ok(a) = serde_json::from_value::<CheckinAnswer>(v)
+                if let Ok(a) = serde_json::from_value::<HeartbeatResponse>(v)
                     && a.baton >= m.baton
                 {
                     m.changed |= a.baton > m.baton;
--- a/tests/world/main.rs
+++ b/tests/world/main.rs
@@ -24,7 +24,7 @@
 use gorseshore_core::{Call, CallId, CallResult, Input, Output, RequestId, Target};
 use gorseshore_protocol::cloud::{Flavor, Flavors, Hire, Hosts, Rental, Rentals};
 use gorseshore_protocol::ids::{Micros, TaskId};
-use gorseshore_protocol::workers::{CheckinAnswer, Direct};
+use gorseshore_protocol::workers::{Direct, HeartbeatResponse};
 use gorseshore_settings::{Operator, Platform};
 use serde_json::{Value, json};
 use state::{Outcome, State};
@@ -799,7 +799,7 @@
         m.check_lease(now, self.size.lease);
         match status {
             200 => {
-                let a: CheckinAnswer = serde_json::from_slice(body).unwrap();
+                let a: HeartbeatResponse = serde_json::from_slice(body).unwrap();
                 if a.baton < m.baton || shift != m.shift {
                     return;
                 }
--- a/tests/world/oncall.rs
+++ b/tests/world/oncall.rs
@@ -98,7 +98,7 @@
         let Some(Asker::Worker(name, _)) = asker else { return false };
         let name = name.clone();
         if status == 200
-            && let Ok(a) = serde_json::from_slice::<CheckinAnswer>(body)
+            && let Ok(a) = serde_json::from_slice::<HeartbeatResponse>(body)
         {
             for o in a.orders.iter().filter(|o| o.verb == "run") {
                 self.note_start(&name, &o.piece, o.attempt);
--- a/tests/world/scenes.rs
+++ b/tests/world/scenes.rs
@@ -196,7 +196,7 @@
                 }
             }
             Some(Asker::Worker(..)) if status == 200 => {
-                let a: CheckinAnswer = serde_json::from_slice(body).unwrap();
+                let a: HeartbeatResponse = serde_json::from_slice(body).unwrap();
                 self.check_orders(n, &a.orders);
             }
             _ => {}
