--- a/crates/core/src/node/duties.rs
+++ b/crates/core/src/node/duties.rs
@@ -457,7 +457,7 @@
             }
             CallResult::Answer { status: 409, body } => {
                 let failed =
-                    serde_json::from_slice::<MultiAnswer>(body).map(|a| a.failed).unwrap_or_default();
+                    serde_json::from_slice::<TransactionResponse>(body).map(|a| a.failed).unwrap_or_default();
                 if failed.iter().any(|k| k == keys::LEADER) {
                     return self.step_down("another took the key");
                 }
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -44,7 +44,7 @@
     Attempt, JobId, MIN_INTERNAL_JOB_ID, MachineId, Micros, NodeId, Resources, TaskId,
 };
 use gorseshore_protocol::job::JobSpec;
-use gorseshore_protocol::state::{Grant, Listing, Multi, MultiAnswer, News, When, Write};
+use gorseshore_protocol::state::{Grant, Listing, Multi, News, TransactionResponse, When, Write};
 use gorseshore_protocol::users;
 use gorseshore_protocol::workers::{HeartbeatResponse, HeartbeatSeq, Order, Report};
 use gorseshore_settings::{Operator, Platform, Team};
@@ -395,7 +395,7 @@
             }
             Purpose::TakeKey { asked, lease, term } => match &result {
                 CallResult::Answer { status: 200, body } => {
-                    let stamp = serde_json::from_slice::<MultiAnswer>(body).map_or(0, |a| a.ledger);
+                    let stamp = serde_json::from_slice::<TransactionResponse>(body).map_or(0, |a| a.ledger);
                     self.leadership.election.won(term, lease, stamp, asked);
                     self.leadership.had_peers = false;
                     self.leadership.won = Some((term, stamp));
--- a/crates/core/src/node/requests.rs
+++ b/crates/core/src/node/requests.rs
@@ -325,7 +325,7 @@
         match (w, result) {
             (UserWrite::Submit(id, spec), CallResult::Answer { status: 200, body }) => {
                 let job = spec.id;
-                let stamp = serde_json::from_slice::<MultiAnswer>(body).map_or(0, |a| a.ledger);
+                let stamp = serde_json::from_slice::<TransactionResponse>(body).map_or(0, |a| a.ledger);
                 debug!("{job}: accepted at {stamp}");
                 let cancelled =
                     |id: &JobId| self.mirror.ledger.jobs.get(id).is_some_and(|j| j.phase == Phase::Aborted);
@@ -335,12 +335,12 @@
             }
             (UserWrite::Abort(id, job, end), CallResult::Answer { status: 200, body }) => {
                 info!("{job}: cancelled");
-                let stamp = serde_json::from_slice::<MultiAnswer>(body).map_or(0, |a| a.ledger);
+                let stamp = serde_json::from_slice::<TransactionResponse>(body).map_or(0, |a| a.ledger);
                 self.ended_by(&[Write::Put { put: keys::end(job), v: end, hold: None }], stamp);
                 self.tell_user(id, job);
             }
             (UserWrite::Guest(t, m, _), CallResult::Answer { status: 200, body }) => {
-                let stamp = serde_json::from_slice::<MultiAnswer>(body).map_or(0, |a| a.ledger);
+                let stamp = serde_json::from_slice::<TransactionResponse>(body).map_or(0, |a| a.ledger);
                 let ended = self.ended_by(&m.writes, stamp);
                 self.tell_guest(t, &ended, result.clone());
             }
--- a/crates/nomad/src/service/mod.rs
+++ b/crates/nomad/src/service/mod.rs
@@ -21,7 +21,7 @@
 use gorseshore_core::guest::{Answer, Guest, GuestInput, GuestOutput, Host, Ticket};
 use gorseshore_core::{CallResult, RequestId};
 use gorseshore_protocol::ids::{JobId, Micros};
-use gorseshore_protocol::state::{Multi, MultiAnswer};
+use gorseshore_protocol::state::{Multi, TransactionResponse};
 use gorseshore_settings::Nomad;
 use records::{Content, Head, JobKey};
 use serde_json::Value;
@@ -275,7 +275,7 @@
 pub(crate) fn revision(result: &CallResult) -> Option<u64> {
     match result {
         CallResult::Answer { status: 200, body } => {
-            Some(serde_json::from_slice::<MultiAnswer>(body).ok()?.ledger)
+            Some(serde_json::from_slice::<TransactionResponse>(body).ok()?.ledger)
         }
         _ => None,
     }
--- a/crates/protocol/src/state.rs
+++ b/crates/protocol/src/state.rs
@@ -92,7 +92,7 @@
 
 /// Response to `POST /multi`.
 #[derive(Debug, Clone, PartialEq, Deserialize, Serialize)]
-pub struct MultiAnswer {
+pub struct TransactionResponse {
     /// Store revision after the transaction.
     #[serde(default)]
     pub ledger: u64,
