--- a/crates/core/src/node/requests.rs
+++ b/crates/core/src/node/requests.rs
@@ -128,7 +128,7 @@
         let parsed = users::parse_submission(body);
         let job = match &parsed {
             Ok(spec) => Some(spec.id),
-            Err(_) => users::ref_of(body),
+            Err(_) => users::peek_job_id(body),
         };
         let Some(job) = job else {
             let reason = parsed.err().unwrap_or_default();
--- a/crates/protocol/src/users.rs
+++ b/crates/protocol/src/users.rs
@@ -41,7 +41,7 @@
 
 /// Extracts the job id from a submission without validating the rest: a retried
 /// submission of a known job is answered 200 whatever else its body holds.
-pub fn ref_of(body: &[u8]) -> Option<JobId> {
+pub fn peek_job_id(body: &[u8]) -> Option<JobId> {
     let map: Map<String, Value> = serde_json::from_slice(body).ok()?;
     JobId::of_user(map.get("ref")?.as_str()?)
 }
