--- a/crates/core/src/node/requests.rs
+++ b/crates/core/src/node/requests.rs
@@ -62,7 +62,7 @@
         match j.phase {
             Phase::Active => return false,
             Phase::Done => {
-                let answer = users::job_answer(job, "done", j.tasks, 0);
+                let answer = users::job_status_body(job, "done", j.tasks, 0);
                 self.out.answer(id, 200, answer);
             }
             Phase::Aborted if self.may_tell(job) => self.aborted_answer(id, job),
@@ -75,7 +75,7 @@
         let cause = self.mirror.ledger.jobs.get(&job).and_then(|j| j.cause.as_ref());
         let answer = match cause {
             Some(cause) => users::failed_answer(job, cause),
-            None => users::job_answer(job, "aborted", 0, 0),
+            None => users::job_status_body(job, "aborted", 0, 0),
         };
         self.out.answer(id, 200, answer);
     }
@@ -89,7 +89,7 @@
         };
         let running = self.ctl.running.get(&job).copied().unwrap_or(0);
         let stage = if running > 0 { "running" } else { "queued" };
-        self.out.answer(id, 200, users::job_answer(job, stage, j.done.below(j.tasks), running));
+        self.out.answer(id, 200, users::job_status_body(job, stage, j.done.below(j.tasks), running));
     }
 
     pub(super) fn wait(&mut self, w: Waiter, limit: Micros) {
@@ -331,7 +331,7 @@
                     |id: &JobId| self.mirror.ledger.jobs.get(id).is_some_and(|j| j.phase == Phase::Aborted);
                 // Accepted all the same, and cancelled with what it depends on.
                 let stage = if spec.dependencies.iter().any(cancelled) { "aborted" } else { "queued" };
-                self.out.answer(id, 201, users::job_answer(job, stage, 0, 0));
+                self.out.answer(id, 201, users::job_status_body(job, stage, 0, 0));
             }
             (UserWrite::Abort(id, job, end), CallResult::Answer { status: 200, body }) => {
                 info!("{job}: cancelled");
--- a/crates/protocol/src/users.rs
+++ b/crates/protocol/src/users.rs
@@ -122,7 +122,7 @@
 }
 
 /// JSON body with the state of a job; `done` and `running` count tasks.
-pub fn job_answer(id: JobId, stage: &str, done: u32, running: u32) -> Vec<u8> {
+pub fn job_status_body(id: JobId, stage: &str, done: u32, running: u32) -> Vec<u8> {
     json!({"ref": id.to_string(), "stage": stage, "done": done, "running": running}).to_string().into_bytes()
 }
 
