--- a/crates/core/src/node/requests.rs
+++ b/crates/core/src/node/requests.rs
@@ -74,7 +74,7 @@
     pub(super) fn aborted_answer(&mut self, id: RequestId, job: JobId) {
         let cause = self.mirror.ledger.jobs.get(&job).and_then(|j| j.cause.as_ref());
         let answer = match cause {
-            Some(cause) => users::failed_answer(job, cause),
+            Some(cause) => users::failed_job_body(job, cause),
             None => users::job_status_body(job, "aborted", 0, 0),
         };
         self.out.answer(id, 200, answer);
--- a/crates/protocol/src/users.rs
+++ b/crates/protocol/src/users.rs
@@ -128,7 +128,7 @@
 
 /// JSON body with the state of a permanently failed job, which users see as
 /// `aborted`, and the cause.
-pub fn failed_answer(id: JobId, cause: &str) -> Vec<u8> {
+pub fn failed_job_body(id: JobId, cause: &str) -> Vec<u8> {
     json!({"ref": id.to_string(), "stage": "aborted", "done": 0, "running": 0, "cause": cause})
         .to_string()
         .into_bytes()
