--- a/crates/core/src/controller/late.rs
+++ b/crates/core/src/controller/late.rs
@@ -51,7 +51,7 @@
 }
 
 fn give(c: &mut Controller, r: &Report, at: u64) -> CheckinReply {
-    c.checkin(r, read_tasks(r).unwrap(), &Ledger::default(), Micros::secs(at))
+    c.checkin(r, read_tasks(r).unwrap(), &StateReplica::default(), Micros::secs(at))
 }
 
 fn controller() -> Controller {
--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -12,7 +12,7 @@
 
 use worker::{DirectCall, Sending, Start, Stop, Worker, over};
 
-use crate::jobs::{Job, Ledger, Phase};
+use crate::jobs::{Job, Phase, StateReplica};
 use crate::peer::pacing::Pacer;
 use crate::peer::{
     GrantedMachine, HandOut, Held, MachineState, Message, Outcome, Sighting, StopRequest, TaskState,
@@ -120,7 +120,13 @@
     }
 
     /// A check-in.
-    pub fn checkin(&mut self, r: &Report, tasks: Vec<Held>, ledger: &Ledger, now: Micros) -> CheckinReply {
+    pub fn checkin(
+        &mut self,
+        r: &Report,
+        tasks: Vec<Held>,
+        ledger: &StateReplica,
+        now: Micros,
+    ) -> CheckinReply {
         let id = MachineId::from(&*r.host);
         let Some(w) = self.workers.get_mut(&id) else {
             return CheckinReply::Elsewhere(self.directory.get(&id).copied());
@@ -152,7 +158,7 @@
 
     /// Stops what is over on a machine that this controller does not hold:
     /// nothing else may be ordered there.
-    pub fn stops_for_stranger(tasks: &[Held], ledger: &Ledger) -> Vec<Order> {
+    pub fn stops_for_stranger(tasks: &[Held], ledger: &StateReplica) -> Vec<Order> {
         let unwanted = |t: &&Held| !t.state.exited() && over(ledger.jobs.get(&t.task.job), t.task.index);
         let halt = |t: &Held| Order {
             verb: "halt".into(),
@@ -197,7 +203,7 @@
 
     #[test]
     fn a_sync_tells_what_was_not_acknowledged() {
-        let (ledger, now) = (Ledger::default(), Micros::secs(9));
+        let (ledger, now) = (StateReplica::default(), Micros::secs(9));
         let told = |c: &mut Controller, term| match c.sync(term, Vec::new(), &ledger, now) {
             Message::Sync { seq, base, machines, .. } => {
                 (seq, base, machines.iter().map(|m| m.id.to_string()).collect::<Vec<_>>().join(","))
@@ -225,7 +231,7 @@
     fn a_stranger_is_only_told_to_stop_what_is_over() {
         let held =
             |job, state| Held { task: TaskId { job: JobId(job), index: 0 }, attempt: Attempt(job), state };
-        let mut ledger = Ledger::default();
+        let mut ledger = StateReplica::default();
         ledger.apply("g/x/j-000001", Some(&serde_json::json!({"end": "aborted", "at": 1})), 1);
         let tasks = [
             held(1, TaskState::Running),
--- a/crates/core/src/controller/orders.rs
+++ b/crates/core/src/controller/orders.rs
@@ -8,7 +8,7 @@
     pub(super) fn orders(
         &mut self,
         id: &MachineId,
-        ledger: &Ledger,
+        ledger: &StateReplica,
         answer: bool,
         may_start: bool,
     ) -> Vec<Order> {
@@ -99,7 +99,7 @@
     }
 
     /// Drops starts that nobody wants and that can't have arrived.
-    pub(super) fn drop_unwanted(&mut self, id: &MachineId, ledger: &Ledger) {
+    pub(super) fn drop_unwanted(&mut self, id: &MachineId, ledger: &StateReplica) {
         let Some(w) = self.workers.get_mut(id) else { return };
         let before = w.starts.len();
         let (stops, tasks) = (&w.stops, &w.tasks);
@@ -114,7 +114,12 @@
     }
 
     /// Sends what is due to the workers, one call at a time to each.
-    pub fn drive(&mut self, ledger: &Ledger, now: Micros, out: &mut Outbox) -> Vec<(CallId, MachineId)> {
+    pub fn drive(
+        &mut self,
+        ledger: &StateReplica,
+        now: Micros,
+        out: &mut Outbox,
+    ) -> Vec<(CallId, MachineId)> {
         let may_start = now < self.lease_until;
         // All are looked at now and then, for what time alone changes.
         let ids: Vec<MachineId> = if now.since(self.swept) >= SWEEP {
--- a/crates/core/src/controller/placing.rs
+++ b/crates/core/src/controller/placing.rs
@@ -4,7 +4,7 @@
 
 impl Controller {
     /// Takes hand-outs, starting what fits.
-    pub fn take_handouts(&mut self, handouts: &[HandOut], ledger: &Ledger, sizes: &Sizes, now: Micros) {
+    pub fn take_handouts(&mut self, handouts: &[HandOut], ledger: &StateReplica, sizes: &Sizes, now: Micros) {
         for h in handouts {
             if self.outcomes.contains_key(&h.attempt) {
                 continue;
@@ -22,7 +22,7 @@
     pub(super) fn place(
         &mut self,
         h: &HandOut,
-        ledger: &Ledger,
+        ledger: &StateReplica,
         sizes: &Sizes,
         now: Micros,
     ) -> Option<MachineId> {
@@ -62,7 +62,7 @@
         spec: &JobSpec,
         id: &MachineId,
         w: &Worker,
-        ledger: &Ledger,
+        ledger: &StateReplica,
         sizes: &Sizes,
         now: Micros,
     ) -> Option<placement::Score> {
--- a/crates/core/src/controller/stops.rs
+++ b/crates/core/src/controller/stops.rs
@@ -24,12 +24,12 @@
 }
 
 /// A controller with a machine that runs a task of a job cancelled since.
-fn controller(heard: Micros) -> (Controller, Ledger) {
+fn controller(heard: Micros) -> (Controller, StateReplica) {
     let mut c = Controller::default();
     let g = GrantedMachine { id: "m".into(), baton: FencingToken(7), addr: "m:1".into(), draining: false };
     assert!(c.accept_update(1, 1, 0));
     c.take_block(true, &[g], &[]);
-    let mut ledger = Ledger::default();
+    let mut ledger = StateReplica::default();
     for tally in [1, 2] {
         c.checkin(&report(tally), read_tasks(&report(tally)).unwrap(), &ledger, heard);
     }
@@ -44,7 +44,7 @@
 }
 
 /// The paths of the calls that go out, and whether they stop the task.
-fn driven(c: &mut Controller, ledger: &Ledger, now: Micros) -> Vec<(CallId, String, bool)> {
+fn driven(c: &mut Controller, ledger: &StateReplica, now: Micros) -> Vec<(CallId, String, bool)> {
     let mut out = Outbox::default();
     c.drive(ledger, now, &mut out);
     let calls = out.items.into_iter().filter_map(|o| match o {
@@ -92,6 +92,6 @@
     assert!(calls.len() == 1 && calls[0].1 == "/do" && calls[0].2, "{calls:?}");
     // One with nothing to stop is asked how it is.
     let (mut c, _) = controller(start);
-    let calls = driven(&mut c, &Ledger::default(), start + ASKED_AFTER + Micros::secs(1));
+    let calls = driven(&mut c, &StateReplica::default(), start + ASKED_AFTER + Micros::secs(1));
     assert!(calls.len() == 1 && calls[0].1 == "/status", "{calls:?}");
 }
--- a/crates/core/src/controller/view.rs
+++ b/crates/core/src/controller/view.rs
@@ -4,7 +4,13 @@
 
 impl Controller {
     /// What the leader of `term` has not acknowledged of this controller's view.
-    pub fn sync(&mut self, term: u64, strangers: Vec<Sighting>, ledger: &Ledger, now: Micros) -> Message {
+    pub fn sync(
+        &mut self,
+        term: u64,
+        strangers: Vec<Sighting>,
+        ledger: &StateReplica,
+        now: Micros,
+    ) -> Message {
         self.sync_seq += 1;
         let seq = self.sync_seq;
         self.sync_sent.insert(seq, now);
--- a/crates/core/src/controller/worker.rs
+++ b/crates/core/src/controller/worker.rs
@@ -166,7 +166,7 @@
         (self.shift, told, self.warning.is_some(), self.tasks.clone(), self.starts.len())
     }
 
-    pub(super) fn used(&self, ledger: &Ledger) -> Resources {
+    pub(super) fn used(&self, ledger: &StateReplica) -> Resources {
         let mut used = Resources::default();
         for t in self.tasks.iter().filter(|t| !t.state.exited()) {
             used = used.plus(need_of(ledger, t.task.job));
@@ -179,7 +179,7 @@
 }
 
 /// What a task of the job takes; a machine's worth if nobody knows.
-pub(super) fn need_of(ledger: &Ledger, job: JobId) -> Resources {
+pub(super) fn need_of(ledger: &StateReplica, job: JobId) -> Resources {
     ledger
         .jobs
         .get(&job)
--- a/crates/core/src/guest.rs
+++ b/crates/core/src/guest.rs
@@ -4,7 +4,7 @@
 //!
 //! Invariant: a guest changes nothing of the scheduler's but through writes
 //! with conditions, which go through the users' budget.
-use crate::jobs::Ledger;
+use crate::jobs::StateReplica;
 use crate::{CallResult, RequestId};
 use gorseshore_protocol::cloud::Flavor;
 use gorseshore_protocol::ids::{JobId, Micros};
@@ -24,7 +24,7 @@
     /// Time of day in milliseconds.
     pub wall_ms: u64,
     /// The mirror.
-    pub ledger: &'a Ledger,
+    pub ledger: &'a StateReplica,
     /// Running tasks of jobs, for display.
     pub running: &'a BTreeMap<JobId, u32>,
     /// Machine types; empty until they are known.
--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -552,7 +552,7 @@
 
 /// A controller's replica of the records in the state service.
 #[derive(Debug, Default)]
-pub struct Ledger {
+pub struct StateReplica {
     /// Recorded jobs.
     pub jobs: BTreeMap<JobId, Job>,
     /// Recorded machines.
@@ -589,7 +589,7 @@
 /// Maximum number of ended jobs whose specification is held.
 const MAX_ENDED_SPECS: usize = 2000;
 
-impl Ledger {
+impl StateReplica {
     /// Applies a change of one key; `value` is `None` if the key was removed.
     pub fn apply(&mut self, path: &str, value: Option<&Value>, stamp: u64) -> Change {
         if path == keys::LEADER {
@@ -730,7 +730,7 @@
     machines: Vec<(String, String)>,
 }
 
-impl Ledger {
+impl StateReplica {
     /// Retains the specification of an ended job, because its tasks may still be on
     /// machines, and drops the oldest one beyond [`MAX_ENDED_SPECS`]. Only the end is kept
     /// forever.
@@ -904,7 +904,7 @@
             let ids: Vec<MachineId> = names.iter().map(|n| MachineId::from(*n)).collect();
             machines_value(("big", "east", true), ids.iter().map(|id| (id, "addr")))
         };
-        let mut l = Ledger::default();
+        let mut l = StateReplica::default();
         // (key, its new value, machines known afterwards)
         let steps: [(&str, Option<Value>, &[&str]); 7] = [
             ("g/h/a", Some(batch(&["a", "b"])), &["a", "b"]),
@@ -938,7 +938,7 @@
             (keys::progress(id, 0), json!("1")),
         ];
         keys.sort_by(|a, b| a.0.cmp(&b.0));
-        let mut l = Ledger::default();
+        let mut l = StateReplica::default();
         for (i, (k, v)) in keys.iter().enumerate() {
             l.apply(k, Some(v), 10 + i as u64);
         }
@@ -950,7 +950,7 @@
 
     #[test]
     fn a_recorded_end_is_final() {
-        let mut l = Ledger::default();
+        let mut l = StateReplica::default();
         l.apply("g/x/j-000001", Some(&json!({"end":"aborted"})), 5);
         l.apply("g/p/j-000001/0", Some(&json!("1")), 6);
         let j = &l.jobs[&JobId(1)];
@@ -971,7 +971,7 @@
             ),
         ];
         for (row, want) in rows {
-            let mut l = Ledger::default();
+            let mut l = StateReplica::default();
             let v = json!({"d": serde_json::from_str::<Value>(row).unwrap(), "at": 77});
             l.apply("g/j/j-000412", Some(&v), 9);
             let s = l.jobs[&JobId(412)].spec.clone().expect(row);
@@ -993,7 +993,7 @@
             "builds":["g8"],"yard":"a","same_place":false,"apart":true,"loaners":false,
             "guess_s":0,"mark_s":0,"stow_s":0,"due_s":null}"#;
         let spec = gorseshore_protocol::users::parse_submission(body).unwrap();
-        let mut l = Ledger::default();
+        let mut l = StateReplica::default();
         l.apply("g/j/j-000412", Some(&job_value(&spec, 77)), 9);
         let j = &l.jobs[&JobId(412)];
         assert_eq!((j.spec.as_deref(), j.submitted_ms, j.tasks), (Some(&spec), 77, 3));
--- a/crates/core/src/jobs/dependency_records.rs
+++ b/crates/core/src/jobs/dependency_records.rs
@@ -46,13 +46,13 @@
 fn dependency_keys_can_be_read_in_any_order() {
     let spec = submission(500);
     let records = job_records(&spec, 77, &limits(2000, 4)).unwrap();
-    let ends = |ledger: &mut Ledger, from: u64| {
+    let ends = |ledger: &mut StateReplica, from: u64| {
         for id in from..1_000_500 {
             ledger.apply(&keys::end(JobId(id)), Some(&json!({"end": "done", "at": 80})), 9);
         }
     };
     for first in 0..records.len() {
-        let mut ledger = Ledger::default();
+        let mut ledger = StateReplica::default();
         let order = records.iter().cycle().skip(first).take(records.len());
         for (key, value) in order {
             ledger.apply(key, Some(value), 5);
@@ -64,7 +64,7 @@
         assert!(ledger.dependencies.released(spec.id));
         assert_eq!(ledger.released_ms(spec.id), 80);
         // While one of the dependency keys is missing, the job is not released.
-        let mut ledger = Ledger::default();
+        let mut ledger = StateReplica::default();
         ends(&mut ledger, 1_000_000);
         let without_one = records.iter().filter(|(key, _)| *key != records[first.max(1)].0);
         for (key, value) in without_one {
@@ -77,7 +77,7 @@
 /// State of the dependent job in a replica that applied the records: its phase, whether it
 /// is fully stopped, and whether its own end is recorded.
 fn dependent_state(records: &[(String, Value)]) -> (Phase, bool, bool) {
-    let mut ledger = Ledger::default();
+    let mut ledger = StateReplica::default();
     for (stamp, (key, value)) in records.iter().enumerate() {
         ledger.apply(key, Some(value), 1 + stamp as u64);
     }
--- a/crates/core/src/leader/bindings.rs
+++ b/crates/core/src/leader/bindings.rs
@@ -5,7 +5,14 @@
 
 impl Leader {
     /// A controller's view. Stale ones are dropped.
-    pub fn sync(&mut self, from: NodeId, incarnation: u64, view: &View<'_>, ledger: &Ledger, now: Micros) {
+    pub fn sync(
+        &mut self,
+        from: NodeId,
+        incarnation: u64,
+        view: &View<'_>,
+        ledger: &StateReplica,
+        now: Micros,
+    ) {
         let Some(node) = self.nodes.get_mut(from.0 as usize) else { return };
         if incarnation < node.incarnation {
             // Held up on the way since before the node's restart.
@@ -92,7 +99,13 @@
         self.free_if_nowhere(h.task);
     }
 
-    pub(super) fn machine_state(&mut self, from: NodeId, s: &MachineState, ledger: &Ledger, now: Micros) {
+    pub(super) fn machine_state(
+        &mut self,
+        from: NodeId,
+        s: &MachineState,
+        ledger: &StateReplica,
+        now: Micros,
+    ) {
         let Some(m) = self.machines.get_mut(&s.id) else { return };
         if !self.granted {
             // What the controllers know already is no news when it comes again.
@@ -214,7 +227,7 @@
         id: &MachineId,
         task: TaskId,
         state: TaskState,
-        ledger: &Ledger,
+        ledger: &StateReplica,
         now: Micros,
     ) {
         let Some(run) = self.jobs.get_mut(&task.job) else { return };
--- a/crates/core/src/leader/blocks.rs
+++ b/crates/core/src/leader/blocks.rs
@@ -88,7 +88,7 @@
 
     /// Grants, moves, watches and decides. Called about every 20 ms while
     /// this node may lead.
-    pub fn tick(&mut self, ledger: &Ledger, now: Micros) {
+    pub fn tick(&mut self, ledger: &StateReplica, now: Micros) {
         self.lateness.works(now);
         if !self.granted {
             let all = self.contacts(now).into_iter().all(|c| c);
@@ -307,7 +307,7 @@
     /// Stops what is left of cancelled jobs. Also called while the lease is not
     /// confirmed: a stop does no harm, and a cancellation doesn't wait for the
     /// state service.
-    pub fn stop_cancelled(&mut self, ledger: &Ledger, now: Micros) {
+    pub fn stop_cancelled(&mut self, ledger: &StateReplica, now: Micros) {
         if now.since(self.stops_at) < STOPS_EVERY {
             return;
         }
@@ -331,7 +331,7 @@
     }
 
     /// A cancelled job's task that can't be stopped goes with its machine.
-    pub(super) fn watch_cancelled(&mut self, ledger: &Ledger, now: Micros) {
+    pub(super) fn watch_cancelled(&mut self, ledger: &StateReplica, now: Micros) {
         let mut doomed = Vec::new();
         let mut over = Vec::new();
         for (job, by) in &self.aborted {
--- a/crates/core/src/leader/books.rs
+++ b/crates/core/src/leader/books.rs
@@ -73,7 +73,7 @@
     /// controllers whose hosts say that their process is gone.
     pub fn books_record(
         &mut self,
-        ledger: &Ledger,
+        ledger: &StateReplica,
         ended: &[NodeId],
         now: Micros,
     ) -> Option<(Witnesses, u64)> {
@@ -98,7 +98,7 @@
     /// Takes over the books of the leader before. They hold all places where a
     /// task may be, so that a machine that nobody heard holds what they say and
     /// nothing else.
-    pub fn inherit(&mut self, term: u64, book: &Book, ledger: &Ledger) {
+    pub fn inherit(&mut self, term: u64, book: &Book, ledger: &StateReplica) {
         if self.granted || !self.wants_books || self.books.record().term != term {
             return;
         }
--- a/crates/core/src/leader/changes.rs
+++ b/crates/core/src/leader/changes.rs
@@ -4,7 +4,7 @@
 //! each value within that of a value, whatever is to be recorded; what doesn't
 //! fit into one value goes over several keys, which change together.
 use super::{Leader, LeaderWrite};
-use crate::jobs::{Failures, Ledger, cancelled_value, keys, split_words};
+use crate::jobs::{Failures, StateReplica, cancelled_value, keys, split_words};
 use crate::limits::{StoreLimits, value_len};
 use gorseshore_protocol::ids::{JobId, MachineId};
 use gorseshore_protocol::state::{When, Write};
@@ -57,7 +57,7 @@
 /// What changes are made from beside the leader's own knowledge.
 pub struct Recording<'a> {
     /// What is on record.
-    pub ledger: &'a Ledger,
+    pub ledger: &'a StateReplica,
     /// What a change and a transaction may hold.
     pub limits: &'a StoreLimits,
     /// Time of day in milliseconds.
--- a/crates/core/src/leader/dependents.rs
+++ b/crates/core/src/leader/dependents.rs
@@ -8,7 +8,7 @@
 impl Leader {
     /// Joins the urgency of a job anew, and of those before it as far as that changes
     /// something. The graph has no cycles: a job names only such as were accepted before.
-    pub(super) fn inherit_urgency(&mut self, id: JobId, ledger: &Ledger) {
+    pub(super) fn inherit_urgency(&mut self, id: JobId, ledger: &StateReplica) {
         let mut queue = VecDeque::from([id]);
         while let Some(next) = queue.pop_front() {
             let changed = self.join_urgency(next, ledger);
@@ -19,7 +19,7 @@
     }
 
     /// Joins the urgency of one job; whether that changed it.
-    fn join_urgency(&mut self, id: JobId, ledger: &Ledger) -> bool {
+    fn join_urgency(&mut self, id: JobId, ledger: &StateReplica) -> bool {
         let Some(run) = self.jobs.get(&id).filter(|r| !r.over) else { return false };
         let dependents = ledger.dependencies.dependents(id).iter().filter_map(|d| self.jobs.get(d));
         let urgency = dependents
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -36,7 +36,7 @@
 use crate::dependencies::Urgency;
 use crate::fair_queue::FairQueue;
 use crate::fleet::{self, Demand, Offer, Policy, Room, Want};
-use crate::jobs::{Failures, Job, Ledger, MachineRecord, Phase, TaskSet};
+use crate::jobs::{Failures, Job, MachineRecord, Phase, StateReplica, TaskSet};
 use crate::leader::health::{Health, Sight, Turn};
 use crate::leader::ways::Ways;
 use crate::peer::pacing::Pacer;
@@ -262,7 +262,7 @@
         ctx: Context,
         term: u64,
         stamp: u64,
-        ledger: &Ledger,
+        ledger: &StateReplica,
         sizes: &Sizes,
         now: Micros,
         wall_ms: u64,
@@ -421,7 +421,7 @@
     }
 
     /// A job's record changed.
-    pub fn job_changed(&mut self, id: JobId, ledger: &Ledger, now: Micros) {
+    pub fn job_changed(&mut self, id: JobId, ledger: &StateReplica, now: Micros) {
         let Some(job) = ledger.jobs.get(&id) else { return };
         self.dirty = true;
         self.requeue = true;
@@ -470,14 +470,14 @@
 
     /// A controller asks, before it tells a user, whether this leader acts on a
     /// cancellation: also one that was on record for long.
-    pub fn told_cancelled(&mut self, id: JobId, ledger: &Ledger, now: Micros) {
+    pub fn told_cancelled(&mut self, id: JobId, ledger: &StateReplica, now: Micros) {
         if ledger.jobs.get(&id).is_some_and(|j| j.phase == Phase::Aborted && !j.settled) {
             self.aborted.entry(id).or_insert(now + self.ctx.cancel);
         }
     }
 
     /// Lets go of jobs that wait for the end of others.
-    fn release(&mut self, ledger: &Ledger) {
+    fn release(&mut self, ledger: &StateReplica) {
         let done = std::mem::take(&mut self.dependency_done);
         let free = |id: &JobId| {
             let Some(run) = self.jobs.get(id) else { return true };
@@ -501,7 +501,7 @@
 
     /// Whether nothing of a job is on any machine, nor can come there: it is over, no
     /// task of it is bound, and if it was cancelled, that is on record.
-    fn gone_for_good(&self, id: JobId, ledger: &Ledger) -> bool {
+    fn gone_for_good(&self, id: JobId, ledger: &StateReplica) -> bool {
         let bound = self.jobs.get(&id).is_some_and(|r| !r.bound.is_empty());
         let settled = |job: &Job| match job.phase {
             Phase::Active => false,
--- a/crates/core/src/leader/records.rs
+++ b/crates/core/src/leader/records.rs
@@ -8,7 +8,7 @@
 
 impl Leader {
     /// What should be written, most urgent first.
-    pub fn writes(&self, ledger: &Ledger, value_limit: usize, now: Micros) -> Vec<LeaderWrite> {
+    pub fn writes(&self, ledger: &StateReplica, value_limit: usize, now: Micros) -> Vec<LeaderWrite> {
         let mut v = Vec::new();
         let active = |id: &JobId| ledger.jobs.get(id).is_some_and(|j| j.phase == Phase::Active);
         for (id, r) in self.progressed.iter().filter_map(|id| Some((id, self.jobs.get(id)?))) {
@@ -76,7 +76,7 @@
 
     /// The record of machines of one kind; those that are gone are left out,
     /// and `None` if none is left.
-    pub fn machines_record(&self, ids: &[MachineId], ledger: &Ledger) -> Option<Value> {
+    pub fn machines_record(&self, ids: &[MachineId], ledger: &StateReplica) -> Option<Value> {
         let there: Vec<(&MachineId, MachineRecord)> = ids
             .iter()
             .filter(|id| !self.gone.contains_key(*id))
@@ -153,7 +153,7 @@
     }
 
     /// Machines whose record turned up after its write was given up.
-    pub fn note_recorded(&mut self, ledger: &Ledger) {
+    pub fn note_recorded(&mut self, ledger: &StateReplica) {
         let mut news = false;
         for (id, m) in self.machines.iter_mut().filter(|(_, m)| m.stage == Stage::Up && !m.recorded) {
             m.recorded = ledger.machines.contains_key(id);
@@ -168,7 +168,7 @@
     /// Progress that came in while a record was being written. Jobs that are
     /// over, and those whose progress is on record, are not looked at again
     /// before more of them is done.
-    pub fn note_unrecorded(&mut self, ledger: &Ledger, now: Micros) {
+    pub fn note_unrecorded(&mut self, ledger: &StateReplica, now: Micros) {
         let jobs = &mut self.jobs;
         self.progressed.retain(|id| {
             let active = ledger.jobs.get(id).filter(|j| j.phase == Phase::Active);
--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -49,7 +49,7 @@
 
 /// A leader over recorded machines `m0` (and `m1`), with both controllers in contact.
 struct Bench {
-    ledger: Ledger,
+    ledger: StateReplica,
     leader: Leader,
     now: Micros,
     seq: [u64; 2],
@@ -58,7 +58,7 @@
 
 impl Bench {
     fn new(machines: usize) -> Self {
-        let mut ledger = Ledger::default();
+        let mut ledger = StateReplica::default();
         for i in 0..machines {
             let v = json!({"t": "big", "z": "east", "s": false, "a": format!("addr{i}")});
             ledger.apply(&keys::machine(&m(&format!("m{i}"))), Some(&v), 1);
--- a/crates/core/src/leader/tests/limits.rs
+++ b/crates/core/src/leader/tests/limits.rs
@@ -60,7 +60,7 @@
     b.leader.changes(write, &recording)
 }
 
-fn apply(ledger: &mut Ledger, changes: &Changes, stamp: u64) {
+fn apply(ledger: &mut StateReplica, changes: &Changes, stamp: u64) {
     for write in &changes.writes {
         match write {
             Write::Put { put, v, .. } => ledger.apply(put, Some(v), stamp),
--- a/crates/core/src/node/duties.rs
+++ b/crates/core/src/node/duties.rs
@@ -61,7 +61,7 @@
         if !self.mirror.listed {
             if !self.mirror.listing && self.now >= self.mirror.retry_list_at {
                 let (from, first, ledger) = self.mirror.so_far.take().unwrap_or_else(|| {
-                    let mut ledger = Box::<Ledger>::default();
+                    let mut ledger = Box::<StateReplica>::default();
                     ledger.aside = self.has_guest.then(Vec::new);
                     (None, None, ledger)
                 });
@@ -78,7 +78,7 @@
         }
     }
 
-    pub(super) fn list(&mut self, from: Option<String>, first: Option<u64>, ledger: Box<Ledger>) {
+    pub(super) fn list(&mut self, from: Option<String>, first: Option<u64>, ledger: Box<StateReplica>) {
         self.mirror.listing = true;
         if from.is_none() {
             self.mirror.reading = StateReading { began: self.now, ..StateReading::default() };
--- a/crates/core/src/node/mirror.rs
+++ b/crates/core/src/node/mirror.rs
@@ -1,5 +1,5 @@
 //! The mirror of the state service, and what is known of the service itself.
-use crate::jobs::Ledger;
+use crate::jobs::StateReplica;
 use gorseshore_protocol::ids::Micros;
 
 /// A reading of all keys, page by page.
@@ -14,7 +14,7 @@
 /// The mirror.
 #[derive(Debug, Default)]
 pub(super) struct Mirror {
-    pub ledger: Ledger,
+    pub ledger: StateReplica,
     /// All keys were read.
     pub listed: bool,
     /// It was up to date once.
@@ -29,7 +29,7 @@
     pub retry_list_at: Micros,
     /// A listing that was interrupted: after which key it goes on, the revision
     /// of its first page, and what was read.
-    pub so_far: Option<(Option<String>, Option<u64>, Box<Ledger>)>,
+    pub so_far: Option<(Option<String>, Option<u64>, Box<StateReplica>)>,
     /// The service's last good and last bad answers.
     pub ok_at: Option<Micros>,
     pub fail_at: Option<Micros>,
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -33,7 +33,7 @@
 use crate::deputy::Deputy;
 use crate::election::Role;
 use crate::guest::{Guest, GuestInput, GuestOutput, Host, Ticket};
-use crate::jobs::{self, Change, LeaderRecord, Ledger, MachineRecord, Phase, keys};
+use crate::jobs::{self, Change, LeaderRecord, MachineRecord, Phase, StateReplica, keys};
 use crate::leader::{CloudWish, Context, HireRequest, Leader, LeaderWrite, View};
 use crate::limits::StoreLimits;
 use crate::liveness::LivenessMonitor;
@@ -82,7 +82,7 @@
     List {
         from: Option<String>,
         first: Option<u64>,
-        ledger: Box<Ledger>,
+        ledger: Box<StateReplica>,
     },
     Follow,
     Barrier(Vec<(Waiter, Micros)>),
@@ -465,7 +465,7 @@
         &mut self,
         from: Option<String>,
         first: Option<u64>,
-        mut ledger: Box<Ledger>,
+        mut ledger: Box<StateReplica>,
         result: CallResult,
     ) {
         self.mirror.listing = false;
--- a/crates/core/tests/record_compatibility.rs
+++ b/crates/core/tests/record_compatibility.rs
@@ -6,7 +6,9 @@
 
 use data_encoding::BASE64;
 use gorseshore_core::books::Witnesses;
-use gorseshore_core::jobs::{Failures, Ledger, Phase, TaskSet, description, job_value, keys, machines_value};
+use gorseshore_core::jobs::{
+    Failures, Phase, StateReplica, TaskSet, description, job_value, keys, machines_value,
+};
 use gorseshore_core::node::Node;
 use gorseshore_core::peer::{Envelope, Message};
 use gorseshore_core::{Call, CallResult, Input, Output, Target};
@@ -93,8 +95,8 @@
     }
 }
 
-fn ledger(rows: &[(&str, &str)]) -> Ledger {
-    let mut ledger = Ledger::default();
+fn ledger(rows: &[(&str, &str)]) -> StateReplica {
+    let mut ledger = StateReplica::default();
     for (i, (key, text)) in rows.iter().enumerate() {
         ledger.apply(key, Some(&parse(text)), 10 + i as u64);
     }
@@ -418,7 +420,7 @@
 fn jobs_with_dependencies_are_read_and_written() {
     for row in DEPENDENTS {
         let record = parse(row.record);
-        let mut ledger = Ledger::default();
+        let mut ledger = StateReplica::default();
         ledger.apply("g/j/j-000412", Some(&record), 5);
         for (key, value) in row.further {
             assert!(!ledger.dependencies.released(JobId(412)), "{key} is missing");
--- a/crates/standins/src/scale.rs
+++ b/crates/standins/src/scale.rs
@@ -6,7 +6,7 @@
 use crate::worker::{Facts, Machine};
 use gorseshore_core::books::Kept;
 use gorseshore_core::controller::{CheckinReply, Controller, Sizes, read_tasks};
-use gorseshore_core::jobs::{Ledger, job_value, keys, machines_value};
+use gorseshore_core::jobs::{StateReplica, job_value, keys, machines_value};
 use gorseshore_core::leader::{Context, Leader, View};
 use gorseshore_core::peer::Message;
 use gorseshore_protocol::ids::{JobId, MachineId, Micros, NodeId, Resources, TaskId};
@@ -72,7 +72,7 @@
 
 /// Leader, controllers and workers, and their clock.
 struct Bench {
-    ledger: Ledger,
+    ledger: StateReplica,
     sizes: Sizes,
     leader: Leader,
     controllers: Vec<Controller>,
@@ -103,7 +103,7 @@
     Sizes::from([("big".into(), Resources::have(CPUS, 0.0, CPUS * 4.0))])
 }
 
-fn machine_records(ledger: &mut Ledger, machines: usize) -> Vec<Machine> {
+fn machine_records(ledger: &mut StateReplica, machines: usize) -> Vec<Machine> {
     let mut workers = Vec::new();
     for i in 0..machines {
         let name = format!("host-{i:06}");
@@ -118,7 +118,7 @@
 
 impl Bench {
     fn new(machines: usize, controllers: usize) -> Result<Self, ScaleError> {
-        let mut ledger = Ledger::default();
+        let mut ledger = StateReplica::default();
         let workers = machine_records(&mut ledger, machines);
         let now = Micros::secs(100);
         let leader = Leader::new(context(controllers), 1, 10, &ledger, &sizes(), now, 1_000_000);
@@ -369,7 +369,7 @@
     for i in 0..300 {
         rows.push((keys::job(JobId(i)), spec(i, "standing", 10, 1.0)?.to_string()));
     }
-    let mut ledger = Ledger::default();
+    let mut ledger = StateReplica::default();
     machine_records(&mut ledger, machines);
     let t = Instant::now();
     for (i, (key, text)) in rows.iter().enumerate() {
--- a/tests/world/desk.rs
+++ b/tests/world/desk.rs
@@ -2,7 +2,7 @@
 //! for attacks that need a certain order, and for requests of any kind.
 use super::*;
 use gorseshore_core::guest::{Answer, Guest, GuestInput, GuestOutput, Host};
-use gorseshore_core::jobs::{Ledger, keys};
+use gorseshore_core::jobs::{StateReplica, keys};
 use gorseshore_nomad::service::Service;
 use gorseshore_protocol::state::{Listing, Multi, News, When};
 use gorseshore_settings::Team;
@@ -13,7 +13,7 @@
 struct Desk {
     state: State,
     service: Service,
-    ledger: Ledger,
+    ledger: StateReplica,
     flavors: Vec<Flavor>,
     teams: Vec<Team>,
     now: Micros,
@@ -37,7 +37,7 @@
         let mut d = Desk {
             state,
             service: Service::new(settings, 1),
-            ledger: Ledger::default(),
+            ledger: StateReplica::default(),
             flavors: World::flavors(),
             teams: vec![team("free"), team("tight")],
             now: Micros::secs(1),
@@ -57,7 +57,7 @@
     /// Another process takes over: it knows only what is recorded.
     fn restart(&mut self, seed: u64) {
         self.service = Service::new(nomad::operator().nomad.unwrap(), seed);
-        self.ledger = Ledger::default();
+        self.ledger = StateReplica::default();
         self.service.begin(0);
         self.held.clear();
         self.catch_up();
