--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -329,7 +329,7 @@
 
 /// Tasks in one failure record: at most 2.6 KB, split over several values where one
 /// value is too small.
-pub const FAILED_CHUNK: u32 = 64;
+pub const FAILURES_CHUNK_TASKS: u32 = 64;
 
 /// A recorded machine: tasks may be started on it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
--- a/crates/core/src/leader/records.rs
+++ b/crates/core/src/leader/records.rs
@@ -1,6 +1,6 @@
 //! What the leader records.
 use super::*;
-use crate::jobs::{FAILED_CHUNK, machine_room, machines_value};
+use crate::jobs::{FAILURES_CHUNK_TASKS, machine_room, machines_value};
 use serde_json::Value;
 
 /// Records of jobs cancelled with others that are offered at a time: they are in no hurry.
@@ -22,7 +22,7 @@
             if let Some(i) = r.used_up().filter(|i| !r.unsaved.contains(i)) {
                 v.push(LeaderWrite::Fail(*id, i));
             }
-            let chunks: BTreeSet<u32> = r.unsaved.iter().map(|i| i / FAILED_CHUNK).collect();
+            let chunks: BTreeSet<u32> = r.unsaved.iter().map(|i| i / FAILURES_CHUNK_TASKS).collect();
             v.extend(chunks.into_iter().map(|c| LeaderWrite::Failures(*id, c)));
         }
         v.sort();
@@ -109,7 +109,7 @@
     /// The record of a chunk of failures.
     pub fn failures(&self, id: JobId, chunk: u32) -> Option<BTreeMap<u32, Failures>> {
         let run = self.jobs.get(&id)?;
-        let range = chunk * FAILED_CHUNK..(chunk + 1) * FAILED_CHUNK;
+        let range = chunk * FAILURES_CHUNK_TASKS..(chunk + 1) * FAILURES_CHUNK_TASKS;
         Some(run.fails.range(range).map(|(i, f)| (*i, *f)).collect())
     }
 
--- a/crates/core/src/leader/tests/limits.rs
+++ b/crates/core/src/leader/tests/limits.rs
@@ -1,6 +1,6 @@
 //! Every record of the leader within the limits of the state service.
 use super::*;
-use crate::jobs::{CHUNK, FAILED_CHUNK};
+use crate::jobs::{CHUNK, FAILURES_CHUNK_TASKS};
 use crate::leader::changes::{Changes, Recording};
 use crate::limits::{StoreLimits, value_len};
 use gorseshore_protocol::state::Write;
@@ -48,7 +48,7 @@
         long.done.insert(i);
     }
     let failing = b.leader.jobs.get_mut(&FAILING).unwrap();
-    for i in 0..FAILED_CHUNK {
+    for i in 0..FAILURES_CHUNK_TASKS {
         failing.fails.insert(i, Failures { count: 8, last: (700 << 28) + u64::from(i) });
     }
     b
