--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -258,7 +258,7 @@
 
 /// Splits the text of a progress chunk into values of at most `max_bytes` bytes. Each
 /// value keeps its words at their positions, with empty words for those of earlier parts.
-pub fn split_words(text: &str, max_bytes: usize) -> Vec<Value> {
+pub fn split_progress_text(text: &str, max_bytes: usize) -> Vec<Value> {
     const QUOTES: usize = 2;
     const SEPARATOR: usize = 1;
     let mut parts = vec![String::new()];
@@ -277,7 +277,7 @@
 }
 
 /// Tasks in one progress record: at most 128 words of 17 bytes, 2.2 KB, split over
-/// several values where one value is too small ([`split_words`]).
+/// several values where one value is too small ([`split_progress_text`]).
 pub const CHUNK: u32 = 8192;
 
 /// A job according to its records.
--- a/crates/core/src/leader/changes.rs
+++ b/crates/core/src/leader/changes.rs
@@ -4,7 +4,7 @@
 //! each value within that of a value, whatever is to be recorded; what doesn't
 //! fit into one value goes over several keys, which change together.
 use super::{Leader, LeaderWrite};
-use crate::jobs::{Failures, StateReplica, cancelled_value, keys, split_words};
+use crate::jobs::{Failures, StateReplica, cancelled_value, keys, split_progress_text};
 use crate::limits::{StoreLimits, value_len};
 use gorseshore_protocol::ids::{JobId, MachineId};
 use gorseshore_protocol::state::{When, Write};
@@ -96,7 +96,7 @@
                 Some(changes.put(keys::end(*id), cancelled_value(wall_ms, Some(&why), false)))
             }
             LeaderWrite::Progress(id, chunk) => {
-                let parts = split_words(&self.progress(*id, *chunk)?, limits.value_bytes);
+                let parts = split_progress_text(&self.progress(*id, *chunk)?, limits.value_bytes);
                 let job = ledger.jobs.get(id);
                 let stamp = job.and_then(|j| j.chunks.get(chunk).copied()).unwrap_or(0);
                 let key = |part| keys::progress_part(*id, *chunk, part);
