--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -546,7 +546,7 @@
 const MACHINE_ENTRY_OVERHEAD_BYTES: usize = 12;
 
 /// Bytes that a machine takes in a record of several machines.
-pub fn machine_room(id: &MachineId, addr: &str) -> usize {
+pub fn machine_entry_len(id: &MachineId, addr: &str) -> usize {
     id.as_str().len() + addr.len() + MACHINE_ENTRY_OVERHEAD_BYTES
 }
 
--- a/crates/core/src/leader/records.rs
+++ b/crates/core/src/leader/records.rs
@@ -1,6 +1,6 @@
 //! What the leader records.
 use super::*;
-use crate::jobs::{FAILURES_CHUNK_TASKS, machine_room, machines_value};
+use crate::jobs::{FAILURES_CHUNK_TASKS, machine_entry_len, machines_value};
 use serde_json::Value;
 
 /// Records of jobs cancelled with others that are offered at a time: they are in no hurry.
@@ -30,7 +30,7 @@
         for (id, m) in &self.machines {
             if m.stage == Stage::Up && !m.recorded && !m.recording {
                 let (room, list) = kinds.entry((&m.build, &m.zone, m.spot)).or_default();
-                *room += machine_room(id, &m.addr);
+                *room += machine_entry_len(id, &m.addr);
                 if *room < value_limit.saturating_sub(200) || list.is_empty() {
                     list.push(id.clone());
                 }
