--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -354,7 +354,7 @@
         MachineRecord { build: r.build.clone(), zone: r.yard.clone(), spot: r.loaners, addr: r.addr.clone() }
     }
     /// Whether the report shows the same machine type, zone and spot flag.
-    pub fn is_kind_of(&self, r: &Report) -> bool {
+    pub fn matches_report(&self, r: &Report) -> bool {
         (&self.build, &self.zone, self.spot) == (&r.build, &r.yard, r.loaners)
     }
 }
--- a/crates/core/src/node/workers.rs
+++ b/crates/core/src/node/workers.rs
@@ -13,7 +13,7 @@
         let machine = MachineId::from(&*r.host);
         // What contradicts the records is no report of that machine: two workers under
         // one name, or one that is set up wrongly. It is neither used nor kept alive.
-        if self.mirror.ledger.machines.get(&machine).is_some_and(|rec| !rec.is_kind_of(&r)) {
+        if self.mirror.ledger.machines.get(&machine).is_some_and(|rec| !rec.matches_report(&r)) {
             if self.held_check_ins.apart.insert(machine.clone()) {
                 warn!("{machine}: reports as {} in {}, which its record contradicts", r.build, r.yard);
             }
