--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -308,7 +308,7 @@
     /// Failed attempts by task, for jobs that limit their number.
     pub failed: BTreeMap<u32, Failures>,
     /// Revisions of the failure records, by chunk.
-    pub failed_stamps: BTreeMap<u32, u64>,
+    pub failure_revisions: BTreeMap<u32, u64>,
     /// Keys of further parts of its progress and failure records.
     pub further_parts: BTreeSet<String>,
     /// Why the service ended the job, if it did.
@@ -663,7 +663,7 @@
                 job.done = TaskSet::default();
                 job.chunks.clear();
                 job.failed.clear();
-                job.failed_stamps.clear();
+                job.failure_revisions.clear();
                 job.further_parts.clear();
                 job.cause = v["why"].as_str().map(str::to_owned);
                 if previous_phase == Phase::Active {
@@ -697,7 +697,7 @@
                     if keys::is_further_part(name) {
                         job.further_parts.insert(path.to_owned());
                     } else {
-                        job.failed_stamps.insert(chunk, stamp);
+                        job.failure_revisions.insert(chunk, stamp);
                     }
                 }
                 Change::Job { id, cancelled: Vec::new() }
@@ -865,7 +865,7 @@
             tasks: 0,
             service: false,
             failed: BTreeMap::new(),
-            failed_stamps: BTreeMap::new(),
+            failure_revisions: BTreeMap::new(),
             further_parts: BTreeSet::new(),
             cause: None,
         }
@@ -945,7 +945,7 @@
         let j = &l.jobs[&id];
         assert_eq!((j.tasks, j.done.len()), (3, 1));
         assert_eq!(j.failed.get(&2), Some(&Failures { count: 3, last: 99 }));
-        assert!(j.failed_stamps.contains_key(&0) && j.chunks.contains_key(&0));
+        assert!(j.failure_revisions.contains_key(&0) && j.chunks.contains_key(&0));
     }
 
     #[test]
--- a/crates/core/src/leader/changes.rs
+++ b/crates/core/src/leader/changes.rs
@@ -84,7 +84,7 @@
             LeaderWrite::Failures(id, chunk) => {
                 let parts = split_failures(self.failures(*id, *chunk)?, limits.value_bytes);
                 let job = ledger.jobs.get(id);
-                let stamp = job.and_then(|j| j.failed_stamps.get(chunk).copied()).unwrap_or(0);
+                let stamp = job.and_then(|j| j.failure_revisions.get(chunk).copied()).unwrap_or(0);
                 let key = |part| keys::failed_part(*id, *chunk, part);
                 Some(chunk_changes(*id, stamp, key, parts, limits))
             }
@@ -187,7 +187,7 @@
 fn end_changes(id: JobId, recording: &Recording<'_>) -> Changes {
     let job = recording.ledger.jobs.get(&id);
     let progress = job.iter().flat_map(|j| j.chunks.keys()).map(|c| keys::progress(id, *c));
-    let failed = job.iter().flat_map(|j| j.failed_stamps.keys()).map(|c| keys::failed(id, *c));
+    let failed = job.iter().flat_map(|j| j.failure_revisions.keys()).map(|c| keys::failed(id, *c));
     let further = job.iter().flat_map(|j| j.further_parts.iter().cloned());
     let mut changes = Changes::default().given(keys::end(id), 0);
     for key in progress.chain(failed).chain(further).take(recording.limits.txn_ops - 1) {
--- a/crates/core/src/leader/tests/limits.rs
+++ b/crates/core/src/leader/tests/limits.rs
@@ -137,7 +137,7 @@
         assert_eq!((long.chunks[&0], long.chunks[&1]), (70, 63), "{limit:?}");
         let failing = &b.ledger.jobs[&FAILING];
         assert_eq!(failing.failed, b.leader.jobs[&FAILING].fails, "{limit:?}");
-        assert_eq!(failing.failed_stamps[&0], 71, "{limit:?}");
+        assert_eq!(failing.failure_revisions[&0], 71, "{limit:?}");
         // A further write is over what was read.
         let again = changes(&b, &listings[0], &limits).unwrap();
         assert_eq!(again.conditions[0].stamp, 70, "{limit:?}");
--- a/crates/core/tests/record_compatibility.rs
+++ b/crates/core/tests/record_compatibility.rs
@@ -229,7 +229,7 @@
     ]);
     let ledger = ledger(&[("g/j/j-000412", JOBS[3].1), ("g/r/j-000412/0", text)]);
     let job = &ledger.jobs[&JobId(412)];
-    assert_eq!((&job.failed, job.failed_stamps.get(&0)), (&failures, Some(&11)));
+    assert_eq!((&job.failed, job.failure_revisions.get(&0)), (&failures, Some(&11)));
     assert_eq!(keys::failed(JobId(412), 0), "g/r/j-000412/0");
     assert_eq!(json!(failures), parse(text));
     let tasks = failures.iter().map(|(task, f)| (*task, (f.count, f.last))).collect();
