--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -294,7 +294,7 @@
     /// Wall-clock time of the end, in milliseconds.
     pub ended_ms: u64,
     /// Revision of the record of the end; 0 if no end is recorded.
-    pub end_stamp: u64,
+    pub end_revision: u64,
     /// The job is cancelled and none of its tasks is left on any machine.
     pub settled: bool,
     /// Tasks recorded as done.
@@ -657,7 +657,7 @@
                 let cancelled_by_dependency = job.cancelled_by_another();
                 job.phase = if v["end"] == "done" { Phase::Done } else { Phase::Aborted };
                 job.ended_ms = v["at"].as_u64().unwrap_or(0);
-                job.end_stamp = stamp;
+                job.end_revision = stamp;
                 // No task of a job that was cancelled with a dependency was ever started.
                 job.settled = v["gone"] == true || cancelled_by_dependency && job.phase == Phase::Aborted;
                 job.done = TaskSet::default();
@@ -837,7 +837,7 @@
 impl Job {
     /// Whether the job was cancelled with a dependency and has no recorded end of its own.
     pub fn cancelled_by_another(&self) -> bool {
-        self.phase == Phase::Aborted && self.end_stamp == 0
+        self.phase == Phase::Aborted && self.end_revision == 0
     }
 
     /// Merges recorded failures. A part may be older than another one that holds the same
@@ -858,7 +858,7 @@
             submitted_ms: 0,
             phase: Phase::Active,
             ended_ms: 0,
-            end_stamp: 0,
+            end_revision: 0,
             settled: false,
             done: TaskSet::default(),
             chunks: BTreeMap::new(),
--- a/crates/core/src/jobs/dependency_records.rs
+++ b/crates/core/src/jobs/dependency_records.rs
@@ -82,7 +82,7 @@
         ledger.apply(key, Some(value), 1 + stamp as u64);
     }
     let job = &ledger.jobs[&JobId(412)];
-    (job.phase, job.settled, job.end_stamp > 0)
+    (job.phase, job.settled, job.end_revision > 0)
 }
 
 #[test]
--- a/crates/core/src/leader/changes.rs
+++ b/crates/core/src/leader/changes.rs
@@ -105,7 +105,7 @@
             LeaderWrite::Settle(id) => {
                 let job = ledger.jobs.get(id)?;
                 let end = cancelled_value(job.ended_ms, job.cause.as_deref(), true);
-                Some(changes.given(keys::end(*id), job.end_stamp).put(keys::end(*id), end))
+                Some(changes.given(keys::end(*id), job.end_revision).put(keys::end(*id), end))
             }
             // Whatever end is on record stands.
             LeaderWrite::CancelledWith(id) => {
--- a/crates/core/src/leader/records.rs
+++ b/crates/core/src/leader/records.rs
@@ -58,7 +58,7 @@
         // A later leader, which doesn't know what became of a cancelled job's
         // tasks, would delete what machines it can't hear for its sake.
         for (id, by) in &self.aborted {
-            let job = ledger.jobs.get(id).filter(|j| !j.settled && j.end_stamp > 0);
+            let job = ledger.jobs.get(id).filter(|j| !j.settled && j.end_revision > 0);
             let known_for = (now + self.ctx.cancel).since(*by);
             if known_for > Micros::secs(1) && job.is_some_and(|j| self.nowhere(*id, j)) {
                 v.push(LeaderWrite::Settle(*id));
--- a/crates/core/src/node/cancellations.rs
+++ b/crates/core/src/node/cancellations.rs
@@ -147,7 +147,7 @@
         let record = Cancellation {
             job,
             at_ms: j.ended_ms,
-            stamp: j.end_stamp,
+            stamp: j.end_revision,
             cause: j.cause.clone(),
             told: false,
             known_by: Vec::new(),
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -508,7 +508,7 @@
                 g.apply(name, Some(v), *stamp);
             }
             for (id, job) in self.mirror.ledger.jobs.range(JobId(MIN_INTERNAL_JOB_ID)..) {
-                g.job_changed(*id, job.stamp.max(job.end_stamp));
+                g.job_changed(*id, job.stamp.max(job.end_revision));
             }
         }
         self.mirror.listed = true;
--- a/crates/core/tests/record_compatibility.rs
+++ b/crates/core/tests/record_compatibility.rs
@@ -182,7 +182,7 @@
     for (text, phase, settled, cause) in ends {
         let ledger = ledger(&[("g/j/j-000412", JOBS[0].1), ("g/x/j-000412", text)]);
         let job = &ledger.jobs[&JobId(412)];
-        let read = (job.phase, job.ended_ms, job.end_stamp, job.settled, job.cause.as_deref());
+        let read = (job.phase, job.ended_ms, job.end_revision, job.settled, job.cause.as_deref());
         assert_eq!(read, (phase, 5, 11, settled, cause), "{text}");
         let expected = Record::End {
             id: 412,
--- a/crates/nomad/src/service/views.rs
+++ b/crates/nomad/src/service/views.rs
@@ -215,7 +215,7 @@
             "JobVersion": h.version, "DesiredStatus": desired, "ClientStatus": client,
             "ClientDescription": j.cause.as_deref().unwrap_or(""),
             "FailedAttempts": failed, "MostAttempts": most,
-            "CreateIndex": j.stamp, "ModifyIndex": j.stamp.max(j.end_stamp)}));
+            "CreateIndex": j.stamp, "ModifyIndex": j.stamp.max(j.end_revision)}));
     }
 }
 
