--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -310,7 +310,7 @@
     /// Revisions of the failure records, by chunk.
     pub failure_revisions: BTreeMap<u32, u64>,
     /// Keys of further parts of its progress and failure records.
-    pub further_parts: BTreeSet<String>,
+    pub further_part_keys: BTreeSet<String>,
     /// Why the service ended the job, if it did.
     pub cause: Option<String>,
 }
@@ -664,7 +664,7 @@
                 job.chunks.clear();
                 job.failed.clear();
                 job.failure_revisions.clear();
-                job.further_parts.clear();
+                job.further_part_keys.clear();
                 job.cause = v["why"].as_str().map(str::to_owned);
                 if previous_phase == Phase::Active {
                     self.retain_ended_spec(id);
@@ -680,7 +680,7 @@
                 {
                     job.done.add_chunk(chunk, v.as_str().unwrap_or(""));
                     if keys::is_further_part(name) {
-                        job.further_parts.insert(path.to_owned());
+                        job.further_part_keys.insert(path.to_owned());
                     } else {
                         job.chunks.insert(chunk, stamp);
                     }
@@ -695,7 +695,7 @@
                 {
                     job.merge_failures(failed);
                     if keys::is_further_part(name) {
-                        job.further_parts.insert(path.to_owned());
+                        job.further_part_keys.insert(path.to_owned());
                     } else {
                         job.failure_revisions.insert(chunk, stamp);
                     }
@@ -866,7 +866,7 @@
             service: false,
             failed: BTreeMap::new(),
             failure_revisions: BTreeMap::new(),
-            further_parts: BTreeSet::new(),
+            further_part_keys: BTreeSet::new(),
             cause: None,
         }
     }
--- a/crates/core/src/leader/changes.rs
+++ b/crates/core/src/leader/changes.rs
@@ -188,7 +188,7 @@
     let job = recording.ledger.jobs.get(&id);
     let progress = job.iter().flat_map(|j| j.chunks.keys()).map(|c| keys::progress(id, *c));
     let failed = job.iter().flat_map(|j| j.failure_revisions.keys()).map(|c| keys::failed(id, *c));
-    let further = job.iter().flat_map(|j| j.further_parts.iter().cloned());
+    let further = job.iter().flat_map(|j| j.further_part_keys.iter().cloned());
     let mut changes = Changes::default().given(keys::end(id), 0);
     for key in progress.chain(failed).chain(further).take(recording.limits.txn_ops - 1) {
         changes = changes.remove(key);
--- a/crates/core/src/leader/tests/limits.rs
+++ b/crates/core/src/leader/tests/limits.rs
@@ -215,5 +215,5 @@
     apply(&mut b.ledger, &end, 71);
     apply(&mut b.ledger, &progress, 70);
     let job = &b.ledger.jobs[&LONG];
-    assert_eq!((job.phase, job.done.len(), job.further_parts.len()), (Phase::Done, 0, 0));
+    assert_eq!((job.phase, job.done.len(), job.further_part_keys.len()), (Phase::Done, 0, 0));
 }
