--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -654,7 +654,7 @@
                 let (Some(id), Some(v)) = (JobId::parse(name), value) else { return Change::Other };
                 let job = self.jobs.entry(id).or_insert_with(Job::empty);
                 let previous_phase = job.phase;
-                let cancelled_by_dependency = job.cancelled_by_another();
+                let cancelled_by_dependency = job.cancelled_by_dependency();
                 job.phase = if v["end"] == "done" { Phase::Done } else { Phase::Aborted };
                 job.ended_ms = v["at"].as_u64().unwrap_or(0);
                 job.end_revision = stamp;
@@ -836,7 +836,7 @@
 
 impl Job {
     /// Whether the job was cancelled with a dependency and has no recorded end of its own.
-    pub fn cancelled_by_another(&self) -> bool {
+    pub fn cancelled_by_dependency(&self) -> bool {
         self.phase == Phase::Aborted && self.end_revision == 0
     }
 
--- a/crates/core/src/leader/dependents.rs
+++ b/crates/core/src/leader/dependents.rs
@@ -38,7 +38,7 @@
     /// Keeps in mind that the cancellation of a job with another one has to be recorded,
     /// for versions that don't know of dependencies.
     pub(super) fn note_cancelled_by_another(&mut self, id: JobId, job: &Job) {
-        match job.cancelled_by_another() {
+        match job.cancelled_by_dependency() {
             true => self.unrecorded_cancellations.insert(id),
             false => self.unrecorded_cancellations.remove(&id),
         };
