--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -445,7 +445,7 @@
     }
     /// Parses job and chunk from a progress or failure key, of any part, without its prefix;
     /// also job and part from a key of further dependencies.
-    pub fn of_chunk(name: &str) -> Option<(JobId, u32)> {
+    pub fn parse_chunk(name: &str) -> Option<(JobId, u32)> {
         let (id, chunk) = name.split_once('/')?;
         Some((JobId::parse(id)?, chunk.parse().ok()?))
     }
@@ -643,7 +643,9 @@
                 Change::Job { id, cancelled }
             }
             "d" => {
-                let (Some((id, part)), Some(v)) = (keys::of_chunk(name), value) else { return Change::Other };
+                let (Some((id, part)), Some(v)) = (keys::parse_chunk(name), value) else {
+                    return Change::Other;
+                };
                 let ids = Vec::<u64>::deserialize(v).unwrap_or_default();
                 let parts = self.dependency_parts.entry(id).or_default();
                 parts.read.insert(part, ids.into_iter().map(JobId).collect());
@@ -673,7 +675,7 @@
                 Change::Job { id, cancelled }
             }
             "p" => {
-                let Some((id, chunk)) = keys::of_chunk(name) else { return Change::Other };
+                let Some((id, chunk)) = keys::parse_chunk(name) else { return Change::Other };
                 if let (Some(v), Some(job)) = (value, self.jobs.get_mut(&id))
                     && job.phase == Phase::Active
                     && chunk < u32::MAX / CHUNK
@@ -688,7 +690,7 @@
                 Change::Job { id, cancelled: Vec::new() }
             }
             "r" => {
-                let Some((id, chunk)) = keys::of_chunk(name) else { return Change::Other };
+                let Some((id, chunk)) = keys::parse_chunk(name) else { return Change::Other };
                 if let (Some(v), Some(job)) = (value, self.jobs.get_mut(&id))
                     && job.phase == Phase::Active
                     && let Ok(failed) = BTreeMap::<u32, Failures>::deserialize(v)
