--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -436,7 +436,7 @@
         format!("g/p/{id}/{}{chunk}", "0".repeat(part))
     }
     /// A part of a chunk's failures, named in the same way as [`progress_part`].
-    pub fn failed_part(id: JobId, chunk: u32, part: usize) -> String {
+    pub fn failures_part(id: JobId, chunk: u32, part: usize) -> String {
         format!("g/r/{id}/{}{chunk}", "0".repeat(part))
     }
     /// Whether a progress or failure key names a further part of a chunk.
--- a/crates/core/src/leader/changes.rs
+++ b/crates/core/src/leader/changes.rs
@@ -85,7 +85,7 @@
                 let parts = split_failures(self.failures(*id, *chunk)?, limits.value_bytes);
                 let job = ledger.jobs.get(id);
                 let stamp = job.and_then(|j| j.failure_revisions.get(chunk).copied()).unwrap_or(0);
-                let key = |part| keys::failed_part(*id, *chunk, part);
+                let key = |part| keys::failures_part(*id, *chunk, part);
                 Some(chunk_changes(*id, stamp, key, parts, limits))
             }
             LeaderWrite::Fail(id, index) => {
