--- a/crates/core/src/dependencies.rs
+++ b/crates/core/src/dependencies.rs
@@ -144,7 +144,7 @@
     /// Wall-clock time by which the job should complete, in milliseconds.
     pub due_ms: u64,
     /// Latest completion that still meets the objective, in milliseconds of wall-clock time.
-    pub last_ms: u64,
+    pub latest_ms: u64,
     /// The times come from a deadline that a user set.
     pub deadline: bool,
 }
@@ -157,12 +157,12 @@
         if !dependent.deadline {
             return Urgency { rank, ..self };
         }
-        let (due_ms, last_ms) =
-            (dependent.due_ms.saturating_sub(span_ms), dependent.last_ms.saturating_sub(span_ms));
+        let (due_ms, latest_ms) =
+            (dependent.due_ms.saturating_sub(span_ms), dependent.latest_ms.saturating_sub(span_ms));
         if self.deadline && self.due_ms <= due_ms {
             return Urgency { rank, ..self };
         }
-        Urgency { rank, due_ms, last_ms, deadline: true }
+        Urgency { rank, due_ms, latest_ms, deadline: true }
     }
 }
 
--- a/crates/core/src/dependencies/tests.rs
+++ b/crates/core/src/dependencies/tests.rs
@@ -106,29 +106,29 @@
 
 #[test]
 fn urgency_is_inherited_from_dependents() {
-    let urgency = |rank, due_ms, deadline| Urgency { rank, due_ms, last_ms: 2 * due_ms, deadline };
+    let urgency = |rank, due_ms, deadline| Urgency { rank, due_ms, latest_ms: 2 * due_ms, deadline };
     let no_deadline_ms = u64::MAX / 4;
     // (own, dependent's, combined), where the dependent takes 10 ms
     let cases = [
         (
             urgency(Priority::Low, no_deadline_ms, false),
             urgency(Priority::High, 100, true),
-            Urgency { rank: Priority::High, due_ms: 90, last_ms: 190, deadline: true },
+            Urgency { rank: Priority::High, due_ms: 90, latest_ms: 190, deadline: true },
         ),
         (
             urgency(Priority::High, 50, true),
             urgency(Priority::Low, 100, true),
-            Urgency { rank: Priority::High, due_ms: 50, last_ms: 100, deadline: true },
+            Urgency { rank: Priority::High, due_ms: 50, latest_ms: 100, deadline: true },
         ),
         (
             urgency(Priority::Normal, 80, false),
             urgency(Priority::Low, 90, false),
-            Urgency { rank: Priority::Normal, due_ms: 80, last_ms: 160, deadline: false },
+            Urgency { rank: Priority::Normal, due_ms: 80, latest_ms: 160, deadline: false },
         ),
         (
             urgency(Priority::Low, 95, true),
             urgency(Priority::Production, 100, true),
-            Urgency { rank: Priority::Production, due_ms: 90, last_ms: 190, deadline: true },
+            Urgency { rank: Priority::Production, due_ms: 90, latest_ms: 190, deadline: true },
         ),
     ];
     for (own, dependent, combined) in cases {
--- a/crates/core/src/leader/run.rs
+++ b/crates/core/src/leader/run.rs
@@ -81,7 +81,7 @@
         let own_urgency = Urgency {
             rank: spec.rank,
             due_ms: job.submitted_ms + millis(due),
-            last_ms: job.submitted_ms + millis(due * times),
+            latest_ms: job.submitted_ms + millis(due * times),
             deadline: spec.deadline_s.is_some(),
         };
         let mut run = Run {
@@ -119,7 +119,7 @@
         self.ready_ms = ready_ms;
         if let (Some(within), false) = (self.within_ms, self.own_urgency.deadline) {
             self.own_urgency.due_ms = ready_ms + within;
-            self.own_urgency.last_ms = ready_ms + within;
+            self.own_urgency.latest_ms = ready_ms + within;
         }
     }
     /// What it takes from its release to its record as done, by its owner's estimate, in
@@ -201,11 +201,11 @@
     /// those that can't be in time any more, until they have waited very long.
     /// `slots` is how many such tasks run at a time.
     pub(super) fn order(&self, wall_ms: u64, slots: u64) -> (bool, u64, u64) {
-        let Urgency { due_ms, last_ms, deadline, .. } = self.urgency;
-        let span = last_ms.saturating_sub(self.ready_ms);
+        let Urgency { due_ms, latest_ms, deadline, .. } = self.urgency;
+        let span = latest_ms.saturating_sub(self.ready_ms);
         let waves = 1.0 + self.waiting() as f64 / slots.max(1) as f64;
         let end = wall_ms + (self.spec.estimate_s * waves * 1000.0) as u64;
-        let late = end > last_ms && wall_ms < last_ms + 3 * span;
+        let late = end > latest_ms && wall_ms < latest_ms + 3 * span;
         // A large job holds up many small ones that could still be in time: it
         // goes behind them by its part of the slots. A deadline of its owner's
         // is kept to as it is.
