--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,4 +1,4 @@
-//! Settings: the platform's TOML file and the operators' own file.
+//! Settings: the platform's TOML file and the operators' protobuf text file.
 #![warn(missing_docs)]
 mod nomad;
 mod operator;
@@ -11,7 +11,7 @@
 
 use thiserror::Error;
 
-/// What is wrong with the settings, field by field.
+/// Errors in a settings file, one line per field.
 #[derive(Debug, Error)]
 #[error("{}", .0.join("\n"))]
 pub struct SettingsError(pub Vec<String>);
--- a/crates/settings/src/nomad.rs
+++ b/crates/settings/src/nomad.rs
@@ -1,157 +1,158 @@
-//! The operators' settings for Nomad's job files: classes and their bounds.
+//! Operators' settings for jobs in Nomad's format: the Nomad API, job classes and their limits.
 use gorseshore_protocol::job::{Kind, Priority};
 use prost_reflect::{DynamicMessage, Value};
 use std::net::SocketAddr;
 
-/// Settings; `docs/nomad.md` documents them with defaults and ranges.
+/// Settings for Nomad's job format; `docs/nomad.md` documents them with defaults and ranges.
 #[derive(Debug, Clone)]
 pub struct Nomad {
-    /// Address of the interface; none if only files are checked.
+    /// Address that the Nomad API listens on; `None` if only files are checked.
     pub listen: Option<SocketAddr>,
-    /// The region's name besides `global`.
+    /// Region name that is accepted besides `global`.
     pub region: String,
-    /// What a CPU counts in MHz.
+    /// MHz that count as one CPU.
     pub mhz_per_cpu: f64,
-    /// Most blocking queries that wait at a time.
+    /// Maximum number of blocking queries that wait at the same time.
     pub max_waiters: usize,
-    /// Most event streams at a time.
+    /// Maximum number of concurrent event streams.
     pub max_streams: usize,
-    /// Classes in the order in which they are tried.
+    /// Classes in the order in which they are matched.
     pub classes: Vec<NomadClass>,
-    /// Tokens of teams.
+    /// API tokens of teams.
     pub tokens: Vec<NomadToken>,
-    /// Machine types for checks without a service.
+    /// Machine types for checking files without a running service.
     pub machines: Vec<NomadMachine>,
 }
 
-/// Jobs that are treated alike.
+/// Class of Nomad jobs: which jobs it matches, and their team, defaults and limits.
 #[derive(Debug, Clone)]
 pub struct NomadClass {
-    /// Name, for faults and logs.
+    /// Class name, shown in errors and logs.
     pub name: String,
     /// Pattern of job ids.
     pub job: String,
     /// Pattern of namespaces.
     pub namespace: String,
-    /// Pattern that one of the datacenters matches.
+    /// Pattern that at least one of the job's datacenters must match.
     pub datacenter: String,
-    /// The only type of job, if any.
+    /// Only job kind that the class matches; `None` matches all kinds.
     pub kind: Option<Kind>,
-    /// Team.
+    /// Team that owns the jobs.
     pub team: String,
     /// Highest priority that such a job may have.
     pub rank: Priority,
-    /// Class of jobs in the aims.
+    /// Job class to which the objectives apply.
     pub lot: String,
-    /// May run on spot machines.
+    /// Tasks may run on spot machines.
     pub spot: bool,
-    /// Estimate of a task's run time, in seconds.
+    /// Estimated run time of a task, in seconds.
     pub estimate_s: f64,
-    /// Deadline from submission, in seconds.
+    /// Deadline, in seconds from the submission.
     pub deadline_s: Option<f64>,
-    /// Interval of checkpoints in seconds, 0 for none.
+    /// Interval between checkpoints in seconds, 0 for none.
     pub checkpoint_s: f64,
-    /// Sizes of images in GB, by pattern of name or driver.
+    /// Image sizes in GB, by pattern of image name or driver.
     pub images: Vec<(String, f64)>,
-    /// Size of other images.
+    /// Size of all other images, in GB.
     pub image_gb: f64,
-    /// Most repeats over all groups.
+    /// Maximum sum of the counts of all groups.
     pub max_count: u32,
-    /// Most restarts of a task on a machine.
+    /// Maximum number of restarts of a task on the same machine.
     pub max_restarts: u32,
-    /// Most moves of a task to another machine.
+    /// Maximum number of reschedules of a task to another machine.
     pub max_reschedules: u32,
-    /// Largest task, in CPUs.
+    /// Maximum CPUs of a task.
     pub max_cpus: f64,
-    /// Largest task, in GB.
+    /// Maximum memory of a task, in GB.
     pub max_memory_gb: f64,
-    /// Largest disk of a group, in MB.
+    /// Maximum disk of a group, in MB.
     pub max_disk_mb: u32,
-    /// Longest time to end, in seconds.
+    /// Maximum kill timeout of a task, in seconds.
     pub max_kill_timeout_s: f64,
 }
 
-/// A team's token.
+/// API token of a team.
 #[derive(Debug, Clone)]
 pub struct NomadToken {
-    /// Team.
+    /// Team that the token authenticates.
     pub team: String,
-    /// Salted hash, as `salt$hash` in hexadecimal.
+    /// Salted hash of the token, as `salt$hash` in hexadecimal.
     pub hash: String,
 }
 
 /// A machine type in a zone.
 #[derive(Debug, Clone)]
 pub struct NomadMachine {
-    /// Name.
+    /// Name of the machine type.
     pub name: String,
-    /// Zone.
+    /// Zone that offers it.
     pub zone: String,
-    /// CPUs.
+    /// Number of CPUs.
     pub cpus: f64,
-    /// Memory.
+    /// Memory in GB.
     pub memory_gb: f64,
 }
 
-/// The fields of a message, with their path for faults.
-struct Fields<'a> {
+/// Reader of a message's fields that collects errors with the field's path.
+struct FieldReader<'a> {
     msg: &'a DynamicMessage,
     path: String,
-    faults: &'a mut Vec<String>,
+    errors: &'a mut Vec<String>,
 }
 
-impl Fields<'_> {
-    fn set(&self, name: &str) -> Option<Value> {
+impl FieldReader<'_> {
+    /// Value of a field that is set.
+    fn get(&self, name: &str) -> Option<Value> {
         self.msg.has_field_by_name(name).then(|| self.msg.get_field_by_name(name))?.map(|v| v.into_owned())
     }
-    fn fault(&mut self, name: &str, text: String) {
+    fn error(&mut self, name: &str, text: String) {
         let dot = if name.is_empty() { "" } else { "." };
-        self.faults.push(format!("{}{dot}{name}: {text}", self.path));
+        self.errors.push(format!("{}{dot}{name}: {text}", self.path));
     }
-    fn number(&mut self, name: &str, default: f64, lo: f64, hi: f64) -> f64 {
-        let v = match self.set(name) {
+    fn number(&mut self, name: &str, default: f64, min: f64, max: f64) -> f64 {
+        let v = match self.get(name) {
             Some(Value::U32(v)) => v as f64,
             Some(Value::F64(v)) => v,
             _ => return default,
         };
-        if !(lo..=hi).contains(&v) {
-            self.fault(name, format!("{v} must be from {lo} to {hi}"));
+        if !(min..=max).contains(&v) {
+            self.error(name, format!("{v} must be from {min} to {max}"));
             return default;
         }
         v
     }
     fn text(&mut self, name: &str, default: &str) -> String {
-        match self.set(name) {
+        match self.get(name) {
             Some(Value::String(s)) if !s.is_empty() && s.len() <= 256 => s,
             Some(_) => {
-                self.fault(name, "must have 1 to 256 bytes".into());
+                self.error(name, "must have 1 to 256 bytes".into());
                 default.to_owned()
             }
             None => default.to_owned(),
         }
     }
-    fn needed(&mut self, name: &str) -> String {
-        if self.set(name).is_none() {
-            self.fault(name, "is missing".into());
+    fn required_text(&mut self, name: &str) -> String {
+        if self.get(name).is_none() {
+            self.error(name, "is missing".into());
         }
         self.text(name, "")
     }
     fn pattern(&mut self, name: &str) -> String {
         let p = self.text(name, "*");
         if let Err(e) = globset::Glob::new(&p) {
-            self.fault(name, format!("not a pattern: {e}"));
+            self.error(name, format!("not a pattern: {e}"));
             return "*".into();
         }
         p
     }
-    /// The messages of a repeated field, each with its path.
-    fn each<T>(&mut self, name: &str, mut read: impl FnMut(&mut Fields<'_>) -> T) -> Vec<T> {
-        let Some(Value::List(list)) = self.set(name) else { return Vec::new() };
+    /// Reads each message of a repeated field.
+    fn read_repeated<T>(&mut self, name: &str, mut read: impl FnMut(&mut FieldReader<'_>) -> T) -> Vec<T> {
+        let Some(Value::List(list)) = self.get(name) else { return Vec::new() };
         let mut out = Vec::new();
         for (i, v) in list.iter().enumerate() {
             if let Some(msg) = v.as_message() {
                 let path = format!("{}.{name}[{i}]", self.path);
-                out.push(read(&mut Fields { msg, path, faults: self.faults }));
+                out.push(read(&mut FieldReader { msg, path, errors: self.errors }));
             }
         }
         out
@@ -159,34 +160,34 @@
 }
 
 impl Nomad {
-    /// Reads and checks the message; every fault is reported with its field.
-    pub fn read(msg: &DynamicMessage, faults: &mut Vec<String>) -> Self {
-        let mut f = Fields { msg, path: "nomad".into(), faults };
-        let listen = f.set("listen").and_then(|v| v.as_str().map(str::to_owned));
+    /// Reads and validates the message; every error names its field.
+    pub fn read(msg: &DynamicMessage, errors: &mut Vec<String>) -> Self {
+        let mut f = FieldReader { msg, path: "nomad".into(), errors };
+        let listen = f.get("listen").and_then(|v| v.as_str().map(str::to_owned));
         let listen = listen.and_then(|l| match l.parse() {
             Ok(a) => Some(a),
             Err(_) => {
-                f.fault("listen", format!("\"{l}\" is not an IP address with a port"));
+                f.error("listen", format!("\"{l}\" is not an IP address with a port"));
                 None
             }
         });
-        let classes = f.each("class", NomadClass::read);
+        let classes = f.read_repeated("class", NomadClass::read);
         for (i, c) in classes.iter().enumerate() {
             if classes[..i].iter().any(|x| x.name == c.name) {
-                f.fault(&format!("class[{i}].name"), format!("{} stands twice", c.name));
+                f.error(&format!("class[{i}].name"), format!("{} stands twice", c.name));
             }
         }
-        let tokens = f.each("token", |f| {
-            let t = NomadToken { team: f.needed("team"), hash: f.needed("hash") };
+        let tokens = f.read_repeated("token", |f| {
+            let t = NomadToken { team: f.required_text("team"), hash: f.required_text("hash") };
             let hex = |s: &str, n: usize| s.len() == n && s.bytes().all(|b| b.is_ascii_hexdigit());
             if !t.hash.split_once('$').is_some_and(|(salt, h)| hex(salt, 32) && hex(h, 64)) {
-                f.fault("hash", "must be what `gorseshore nomad token` prints".into());
+                f.error("hash", "must be what `gorseshore nomad token` prints".into());
             }
             t
         });
-        let machines = f.each("machine", |f| NomadMachine {
-            name: f.needed("name"),
-            zone: f.needed("zone"),
+        let machines = f.read_repeated("machine", |f| NomadMachine {
+            name: f.required_text("name"),
+            zone: f.required_text("zone"),
             cpus: f.number("cpus", 1.0, 0.001, 100_000.0),
             memory_gb: f.number("memory_gb", 1.0, 0.001, 1_000_000.0),
         });
@@ -204,43 +205,43 @@
 }
 
 impl NomadClass {
-    fn read(f: &mut Fields<'_>) -> Self {
-        let name = f.needed("name");
-        let kind = match f.set("type").as_ref().and_then(Value::as_str) {
+    fn read(f: &mut FieldReader<'_>) -> Self {
+        let name = f.required_text("name");
+        let kind = match f.get("type").as_ref().and_then(Value::as_str) {
             None => None,
             Some("service") => Some(Kind::Service),
             Some("batch") => Some(Kind::Array),
             Some(other) => {
-                f.fault("type", format!("\"{other}\" must be \"service\" or \"batch\""));
+                f.error("type", format!("\"{other}\" must be \"service\" or \"batch\""));
                 None
             }
         };
-        let rank = match f.set("rank").as_ref().and_then(Value::as_str) {
+        let max_priority = match f.get("rank").as_ref().and_then(Value::as_str) {
             None | Some("standard") => Priority::Normal,
             Some("idle") => Priority::Low,
             Some("high") => Priority::High,
             Some("prod") => Priority::Production,
             Some(other) => {
-                f.fault("rank", format!("\"{other}\" must be idle, standard, high or prod"));
+                f.error("rank", format!("\"{other}\" must be idle, standard, high or prod"));
                 Priority::Normal
             }
         };
-        // The services' own priority has first claim on machines: no batch job
-        // may have it, whatever its file says.
-        if rank == Priority::Production && kind != Some(Kind::Service) {
-            f.fault("rank", "prod is for classes of type \"service\" only".into());
+        // The production priority is reserved for services, which get machines first: no
+        // batch job may have it, whatever priority its file sets.
+        if max_priority == Priority::Production && kind != Some(Kind::Service) {
+            f.error("rank", "prod is for classes of type \"service\" only".into());
         }
-        let deadline_s = f.set("deadline_s").map(|_| f.number("deadline_s", 1.0, 1.0, 1e8));
-        let images = f.each("image", |f| (f.pattern("name"), f.number("gb", 1.0, 0.0, 10_000.0)));
+        let deadline_s = f.get("deadline_s").map(|_| f.number("deadline_s", 1.0, 1.0, 1e8));
+        let images = f.read_repeated("image", |f| (f.pattern("name"), f.number("gb", 1.0, 0.0, 10_000.0)));
         NomadClass {
             job: f.pattern("job"),
             namespace: f.pattern("namespace"),
             datacenter: f.pattern("datacenter"),
             kind,
-            team: f.needed("team"),
-            rank,
+            team: f.required_text("team"),
+            rank: max_priority,
             lot: f.text("lot", &name),
-            spot: f.set("spot").and_then(|v| v.as_bool()).unwrap_or(false),
+            spot: f.get("spot").and_then(|v| v.as_bool()).unwrap_or(false),
             estimate_s: f.number("estimate_s", 60.0, 0.0, 1e8),
             deadline_s,
             checkpoint_s: f.number("checkpoint_s", 0.0, 0.0, 1e6),
--- a/crates/settings/src/operator.rs
+++ b/crates/settings/src/operator.rs
@@ -1,43 +1,43 @@
-//! The operators' own file, in protobuf text format.
+//! The operators' settings file, in protobuf text format.
 use super::SettingsError;
 use super::nomad::Nomad;
 use gorseshore_protocol::ids::Micros;
 use prost_reflect::{DescriptorPool, DynamicMessage, Value};
 use std::collections::HashMap;
 
-/// How log lines look.
+/// Format of log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LogFormat {
-    /// Text.
+    /// Plain text.
     Plain,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// Settings with their defaults; `docs/operator.example.txtpb` documents them.
+/// Operators' settings; `docs/operator.example.txtpb` documents them with their defaults.
 #[derive(Debug, Clone)]
 pub struct Operator {
-    /// Weights in the fair queue; 1 for a team that is not named.
+    /// Weights of teams in the fair queue; 1 for a team that is not listed.
     pub team_weights: HashMap<String, f64>,
-    /// Block lease.
+    /// Duration of a controller's machine lease (its block) without renewal.
     pub block_lease: Micros,
-    /// Most machines in a block; unbounded unless an operator says otherwise.
+    /// Maximum number of machines that one controller leases; unlimited by default.
     pub block_size: usize,
-    /// Cost of a task.
+    /// Cost of a task in the fair queue.
     pub task_cost: f64,
-    /// Leadership lease.
+    /// Duration of the leadership lease in the state service.
     pub leader_lease: Micros,
-    /// Idle time before a machine is returned.
+    /// Idle time after which a machine is returned to the cloud.
     pub idle_return: Micros,
-    /// Silence after which a machine is deleted.
+    /// Time without contact after which a machine is deleted.
     pub silent_delete: Micros,
-    /// Most machines; unbounded unless an operator says otherwise.
+    /// Maximum number of rented machines; unlimited by default.
     pub max_machines: usize,
-    /// Spare room for replicas, in CPUs.
+    /// Free capacity reserved for service replicas, in CPUs.
     pub spare_cpus: f64,
-    /// Log format.
+    /// Format of log lines.
     pub log_format: LogFormat,
-    /// Nomad's job files and interface, if they are served.
+    /// Settings for Nomad's job format; `None` disables it.
     pub nomad: Option<Nomad>,
 }
 
@@ -60,18 +60,19 @@
 }
 
 impl Operator {
-    /// Reads and checks the file; an unknown field is an error with its place.
+    /// Parses and validates the file; an unknown field is an error with its position.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
-        let one = |e: String| SettingsError(vec![e]);
+        let single_error = |e: String| SettingsError(vec![e]);
         let bytes = &include_bytes!(concat!(env!("OUT_DIR"), "/operator.bin"))[..];
-        let pool = DescriptorPool::decode(bytes).map_err(|e| one(e.to_string()))?;
+        let pool = DescriptorPool::decode(bytes).map_err(|e| single_error(e.to_string()))?;
         let desc = pool
             .get_message_by_name("gorseshore.Operator")
-            .ok_or_else(|| one("schema lacks gorseshore.Operator".into()))?;
-        let msg = DynamicMessage::parse_text_format(desc, text).map_err(|e| one(place(text, &e)))?;
+            .ok_or_else(|| single_error("schema has no message gorseshore.Operator".into()))?;
+        let msg = DynamicMessage::parse_text_format(desc, text)
+            .map_err(|e| single_error(with_position(text, &e)))?;
         let mut o = Operator::default();
-        let mut faults = Vec::new();
-        let mut number = |field: &str, lo: f64, hi: f64| -> Option<f64> {
+        let mut errors = Vec::new();
+        let mut number = |field: &str, min: f64, max: f64| -> Option<f64> {
             if !msg.has_field_by_name(field) {
                 return None;
             }
@@ -81,10 +82,10 @@
                 Value::F64(v) => *v,
                 _ => return None,
             };
-            if (lo..=hi).contains(&v) {
+            if (min..=max).contains(&v) {
                 return Some(v);
             }
-            faults.push(format!("{field}: {v} must be from {lo} to {hi}"));
+            errors.push(format!("{field}: {v} must be from {min} to {max}"));
             None
         };
         let ms = |v: f64| Micros::millis(v as u64);
@@ -116,7 +117,7 @@
             match f.as_str() {
                 Some("plain") => o.log_format = LogFormat::Plain,
                 Some("json") => o.log_format = LogFormat::Json,
-                _ => faults.push("log_format: must be \"plain\" or \"json\"".into()),
+                _ => errors.push("log_format: must be \"plain\" or \"json\"".into()),
             }
         }
         if let Some(list) = msg.get_field_by_name("team_weight")
@@ -130,9 +131,8 @@
                     Some(t) if !t.is_empty() && (0.001..=1000.0).contains(&weight) => {
                         o.team_weights.insert(t, weight);
                     }
-                    _ => {
-                        faults.push(format!("team_weight[{i}]: needs a team and a weight from 0.001 to 1000"))
-                    }
+                    _ => errors
+                        .push(format!("team_weight[{i}]: must have a team and a weight from 0.001 to 1000")),
                 }
             }
         }
@@ -140,20 +140,21 @@
             && let Some(v) = msg.get_field_by_name("nomad")
             && let Some(m) = v.as_message()
         {
-            o.nomad = Some(Nomad::read(m, &mut faults));
+            o.nomad = Some(Nomad::read(m, &mut errors));
         }
-        if faults.is_empty() { Ok(o) } else { Err(SettingsError(faults)) }
+        if errors.is_empty() { Ok(o) } else { Err(SettingsError(errors)) }
     }
 }
 
-/// The parser's errors with line and column.
-fn place(text: &str, e: &prost_reflect::text_format::ParseError) -> String {
-    let span = format!("{e:?}");
-    let offset = span
+/// Formats a parser error with line and column. The parser exposes the offset only in the
+/// error's debug output.
+fn with_position(text: &str, e: &prost_reflect::text_format::ParseError) -> String {
+    let debug = format!("{e:?}");
+    let offset = debug
         .find("offset: ")
-        .or_else(|| span.find("span: "))
+        .or_else(|| debug.find("span: "))
         .and_then(|i| {
-            let digits: String = span[i..]
+            let digits: String = debug[i..]
                 .chars()
                 .skip_while(|c| !c.is_ascii_digit())
                 .take_while(|c| c.is_ascii_digit())
--- a/crates/settings/src/platform.rs
+++ b/crates/settings/src/platform.rs
@@ -1,4 +1,4 @@
-//! The file that the platform hands over.
+//! The settings file that the platform provides.
 use super::SettingsError;
 use super::state_limits::StateLimits;
 use gorseshore_protocol::ids::Resources;
@@ -6,28 +6,28 @@
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// A team.
+/// A team with its guaranteed and maximum resources.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Team {
-    /// Name.
+    /// Team name.
     pub name: String,
     /// Guaranteed CPUs.
     #[serde(default)]
     pub cpus: f64,
-    /// Limit, 0 for none.
+    /// Maximum CPUs, 0 for no limit.
     #[serde(default)]
     pub cpus_max: f64,
     /// Guaranteed GPUs.
     #[serde(default)]
     pub gpus: f64,
-    /// Limit, 0 for none.
+    /// Maximum GPUs, 0 for no limit.
     #[serde(default)]
     pub gpus_max: f64,
 }
 
 impl Team {
-    /// Whether a job could ever run within the team's limit: one task of an
-    /// array, all of a service. 0 is no limit.
+    /// Whether a job could ever run within the team's limits: one task of an array, all
+    /// tasks of a service.
     pub fn could_run(&self, s: &JobSpec) -> bool {
         let n = if s.kind == Kind::Service { s.tasks as u64 } else { 1 };
         let max = Resources::have(self.cpus_max, self.gpus_max, 0.0);
@@ -35,18 +35,18 @@
     }
 }
 
-/// What is expected of a class of jobs.
+/// Service objective of a job class.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Objective {
     /// `finished`, `deadline`, `wait` and others.
     pub kind: String,
-    /// Class of jobs.
+    /// Job class that the objective applies to.
     #[serde(default)]
     pub class: String,
-    /// Time allowed.
+    /// Time allowed, in seconds.
     #[serde(default)]
     pub within_s: Option<f64>,
-    /// Multiple of the job's deadline.
+    /// Multiple of the job's deadline within which the job must complete.
     #[serde(default)]
     pub times: Option<f64>,
 }
@@ -54,47 +54,47 @@
 /// Another controller.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Peer {
-    /// Name.
+    /// Name of the controller.
     pub host_name: String,
-    /// Zone.
+    /// Zone of the controller.
     pub domain: String,
-    /// Where it listens for controllers.
+    /// Address at which it listens for other controllers.
     pub peer_addr: String,
 }
 
-/// Outside services.
+/// Addresses of the external services.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Endpoints {
-    /// Cloud.
+    /// Address of the cloud's API.
     pub cloud: String,
-    /// State service.
+    /// Address of the state service.
     pub state: String,
 }
 
-/// Limits of the cloud.
+/// Limits of the cloud's API.
 #[derive(Debug, Clone, Deserialize)]
 pub struct CloudLimits {
-    /// Calls a second.
+    /// Maximum requests per second.
     pub rps: f64,
-    /// How old a list may be.
+    /// Maximum age of the data in a machine list, in seconds.
     pub list_lag_s: f64,
 }
 
-/// Workers' timing.
+/// Timing of workers.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Workers {
-    /// Time between reports.
+    /// Interval between a worker's heartbeats, in seconds.
     pub report_s: f64,
-    /// Lease.
+    /// Duration of a worker's lease, in seconds.
     pub lease_s: f64,
-    /// Time for a cancellation.
+    /// Time within which the tasks of a cancelled job must be stopped, in seconds.
     pub cancel_s: f64,
 }
 
 /// Limits of the controller's own machine.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Limits {
-    /// Sockets.
+    /// Maximum number of open sockets.
     #[serde(default = "default_sockets")]
     pub sockets: usize,
 }
@@ -107,28 +107,28 @@
     }
 }
 
-/// The deployment.
+/// Settings that all controllers of a deployment share.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Deployment {
-    /// Zones.
+    /// Zones that the deployment uses.
     #[serde(default)]
     pub zones: Vec<String>,
-    /// Teams.
+    /// Teams that may submit jobs.
     #[serde(default)]
     pub teams: Vec<Team>,
-    /// What is expected of classes of jobs.
+    /// Service objectives of job classes.
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    /// Workers.
+    /// Timing of workers.
     pub workers: Workers,
-    /// State service.
+    /// Limits of the state service.
     pub state: StateLimits,
-    /// Cloud.
+    /// Limits of the cloud's API.
     pub cloud: CloudLimits,
-    /// Own machine.
+    /// Limits of the controller's own machine.
     #[serde(default)]
     pub machine_limits: Limits,
-    /// How far a time of day may be from true time, in milliseconds.
+    /// Maximum difference between a machine's wall clock and true time, in milliseconds.
     #[serde(default = "default_clock_off")]
     pub clock_off_ms: f64,
 }
@@ -136,42 +136,42 @@
     25.0
 }
 
-/// The whole file. Unknown fields are ignored.
+/// The platform's settings file. Unknown fields are ignored.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Platform {
-    /// Own name.
+    /// Name of this controller.
     pub host_name: String,
-    /// Own zone.
+    /// Zone of this controller.
     pub domain: String,
-    /// For users and workers.
+    /// Listen address for users and workers.
     pub public_addr: String,
-    /// For controllers.
+    /// Listen address for other controllers.
     pub cluster_listen: String,
-    /// Other controllers.
+    /// All other controllers.
     #[serde(default)]
     pub peers: Vec<Peer>,
-    /// Outside services.
+    /// Addresses of the external services.
     pub endpoints: Endpoints,
-    /// The deployment.
+    /// Settings of the deployment.
     pub deployment: Deployment,
 }
 
 impl Platform {
-    /// Reads and checks; every fault is reported with its field.
+    /// Parses and validates the file; every error names its field.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
         let p: Platform = toml::from_str(text).map_err(|e| SettingsError(vec![e.to_string()]))?;
-        let mut faults = Vec::new();
-        let mut addr = |field: String, v: &str| {
+        let mut errors = Vec::new();
+        let mut check_addr = |field: String, v: &str| {
             if v.parse::<SocketAddr>().is_err() {
-                faults.push(format!("{field}: \"{v}\" is not an IP address with a port"));
+                errors.push(format!("{field}: \"{v}\" is not an IP address with a port"));
             }
         };
-        addr("public_addr".into(), &p.public_addr);
-        addr("cluster_listen".into(), &p.cluster_listen);
-        addr("endpoints.cloud".into(), &p.endpoints.cloud);
-        addr("endpoints.state".into(), &p.endpoints.state);
+        check_addr("public_addr".into(), &p.public_addr);
+        check_addr("cluster_listen".into(), &p.cluster_listen);
+        check_addr("endpoints.cloud".into(), &p.endpoints.cloud);
+        check_addr("endpoints.state".into(), &p.endpoints.state);
         for (i, peer) in p.peers.iter().enumerate() {
-            addr(format!("peers[{i}].peer_addr"), &peer.peer_addr);
+            check_addr(format!("peers[{i}].peer_addr"), &peer.peer_addr);
         }
         let d = &p.deployment;
         let positive = [
@@ -182,34 +182,34 @@
         ];
         for (field, v) in positive {
             if !(v.is_finite() && v > 0.0) {
-                faults.push(format!("{field}: {v} must be above 0"));
+                errors.push(format!("{field}: {v} must be above 0"));
             }
         }
         if !(d.cloud.list_lag_s.is_finite() && d.cloud.list_lag_s >= 0.0) {
-            faults.push(format!("deployment.cloud.list_lag_s: {} must not be negative", d.cloud.list_lag_s));
+            errors.push(format!("deployment.cloud.list_lag_s: {} must not be negative", d.cloud.list_lag_s));
         }
         if !(0.0..=10_000.0).contains(&d.clock_off_ms) {
-            faults.push(format!("deployment.clock_off_ms: {} must be from 0 to 10000", d.clock_off_ms));
+            errors.push(format!("deployment.clock_off_ms: {} must be from 0 to 10000", d.clock_off_ms));
         }
-        d.state.check("deployment.state", &mut faults);
+        d.state.check("deployment.state", &mut errors);
         if d.machine_limits.sockets < 64 {
-            faults.push("deployment.machine_limits.sockets: must be at least 64".into());
+            errors.push("deployment.machine_limits.sockets: must be at least 64".into());
         }
         let mut names: Vec<&str> = p.peers.iter().map(|x| x.host_name.as_str()).collect();
         names.push(&p.host_name);
         names.sort();
         if names.windows(2).any(|w| w[0] == w[1]) || names.len() > 200 {
-            faults.push("peers: names must differ, at most 199".into());
+            errors.push("peers: names must differ, at most 199".into());
         }
         for (i, t) in d.teams.iter().enumerate() {
             for (f, v) in
                 [("cpus", t.cpus), ("cpus_max", t.cpus_max), ("gpus", t.gpus), ("gpus_max", t.gpus_max)]
             {
                 if !(v.is_finite() && v >= 0.0) {
-                    faults.push(format!("deployment.teams[{i}].{f}: {v} must not be negative"));
+                    errors.push(format!("deployment.teams[{i}].{f}: {v} must not be negative"));
                 }
             }
         }
-        if faults.is_empty() { Ok(p) } else { Err(SettingsError(faults)) }
+        if errors.is_empty() { Ok(p) } else { Err(SettingsError(errors)) }
     }
 }
--- a/crates/settings/src/state_limits.rs
+++ b/crates/settings/src/state_limits.rs
@@ -1,56 +1,56 @@
-//! Limits of the state service: those of now, and those announced for a later
-//! moment that nobody is told of.
+//! Limits of the state service: the current ones, and those announced to apply from a later
+//! time that is not announced.
 use serde::Deserialize;
 
-/// Fewest changes a transaction must allow: a leader takes its key, its term
-/// and the record of its placements together.
+/// Minimum number of changes that a transaction must allow, because a new leader writes the
+/// leader record, the term and the record of its placement log's replicas in one transaction.
 const MIN_TXN_OPS: usize = 3;
 
 /// Limits of the state service (`deployment.state`).
 #[derive(Debug, Clone, Deserialize)]
 pub struct StateLimits {
-    /// Requests a second.
+    /// Maximum requests per second.
     pub rps: f64,
-    /// Changes a second.
+    /// Maximum changes per second.
     pub write_rps: f64,
-    /// Largest value, in KiB.
+    /// Maximum size of a value, in KiB.
     pub value_kb: f64,
-    /// Most changes in a transaction.
+    /// Maximum number of changes in a transaction.
     pub txn_ops: usize,
-    /// What applies from some later moment.
+    /// Limits that apply from an unknown later time.
     #[serde(default)]
     pub next: NextStateLimits,
 }
 
-/// Limits announced for a later moment (`deployment.state.next`); what is
-/// missing stays as it is.
+/// Limits announced for a later time (`deployment.state.next`); a missing limit doesn't
+/// change.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
 pub struct NextStateLimits {
-    /// Requests a second.
+    /// Maximum requests per second.
     pub rps: Option<f64>,
-    /// Changes a second.
+    /// Maximum changes per second.
     pub write_rps: Option<f64>,
-    /// Largest value, in KiB.
+    /// Maximum size of a value, in KiB.
     pub value_kb: Option<f64>,
-    /// Most changes in a transaction.
+    /// Maximum number of changes in a transaction.
     pub txn_ops: Option<usize>,
 }
 
-/// Limits that hold now and later: the smaller of both in each field.
+/// Limits that satisfy the current and the next limits: the smaller of both in each field.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EffectiveStateLimits {
-    /// Requests a second.
+    /// Maximum requests per second.
     pub rps: f64,
-    /// Changes a second.
+    /// Maximum changes per second.
     pub write_rps: f64,
-    /// Largest value, in KiB.
+    /// Maximum size of a value, in KiB.
     pub value_kb: f64,
-    /// Most changes in a transaction.
+    /// Maximum number of changes in a transaction.
     pub txn_ops: usize,
 }
 
 impl StateLimits {
-    /// What a writer keeps to, so that it needn't know when the limits change.
+    /// Limits for a writer that doesn't know when the next limits take effect.
     pub fn effective(&self) -> EffectiveStateLimits {
         let smaller = |now: f64, next: Option<f64>| next.map_or(now, |n| n.min(now));
         EffectiveStateLimits {
@@ -61,9 +61,8 @@
         }
     }
 
-    /// Adds a line for each field that can't be worked with; `path` is the
-    /// block's.
-    pub(crate) fn check(&self, path: &str, faults: &mut Vec<String>) {
+    /// Adds an error line for each invalid field; `path` is the path of the settings block.
+    pub(crate) fn check(&self, path: &str, errors: &mut Vec<String>) {
         let next = &self.next;
         let amounts = [
             ("rps", Some(self.rps)),
@@ -77,12 +76,12 @@
             if let Some(amount) = amount
                 && !(amount.is_finite() && amount > 0.0)
             {
-                faults.push(format!("{path}.{field}: {amount} must be above 0"));
+                errors.push(format!("{path}.{field}: {amount} must be above 0"));
             }
         }
         for (field, ops) in [("txn_ops", Some(self.txn_ops)), ("next.txn_ops", next.txn_ops)] {
             if ops.is_some_and(|n| n < MIN_TXN_OPS) {
-                faults.push(format!("{path}.{field}: must be at least {MIN_TXN_OPS}"));
+                errors.push(format!("{path}.{field}: must be at least {MIN_TXN_OPS}"));
             }
         }
     }
@@ -99,10 +98,10 @@
     }
 
     #[test]
-    fn the_smaller_of_both_limits_holds() {
+    fn the_smaller_of_both_limits_is_effective() {
         let of =
             |rps, write_rps, value_kb, txn_ops| EffectiveStateLimits { rps, write_rps, value_kb, txn_ops };
-        // (the block of the next limits, what holds)
+        // (settings of the next limits, effective limits)
         let cases = [
             ("", of(100.0, 40.0, 4.0, 8)),
             ("[next]\n", of(100.0, 40.0, 4.0, 8)),
@@ -123,8 +122,8 @@
     }
 
     #[test]
-    fn every_field_has_its_own_fault() {
-        // (edit of the limits, the fields found fault with)
+    fn every_invalid_field_is_reported() {
+        // (edit of the limits, the fields reported as invalid)
         type Edit = fn(&mut StateLimits);
         let cases: [(Edit, &[&str]); 11] = [
             (|_| (), &[]),
@@ -142,9 +141,9 @@
         for (i, (edit, want)) in cases.into_iter().enumerate() {
             let mut l = limits("");
             edit(&mut l);
-            let mut faults = Vec::new();
-            l.check("state", &mut faults);
-            let fields: Vec<&str> = faults.iter().filter_map(|f| f.split(':').next()).collect();
+            let mut errors = Vec::new();
+            l.check("state", &mut errors);
+            let fields: Vec<&str> = errors.iter().filter_map(|f| f.split(':').next()).collect();
             assert_eq!(fields, want, "case {i}");
         }
     }
