--- a/crates/settings/src/platform.rs
+++ b/crates/settings/src/platform.rs
@@ -107,13 +107,13 @@
     }
 }
 
-/// Settings that all controllers of a deployment share.
+/// Settings of the deployment.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Deployment {
     /// Zones that the deployment uses.
     #[serde(default)]
     pub zones: Vec<String>,
-    /// Teams that may submit jobs.
+    /// Teams and their resource limits.
     #[serde(default)]
     pub teams: Vec<Team>,
     /// Service objectives of job classes.
