--- a/crates/core/src/controller/late.rs
+++ b/crates/core/src/controller/late.rs
@@ -1,7 +1,7 @@
 //! Late, repeated and reordered reports: whatever comes after the newest one changes
 //! nothing, and what comes before it is overtaken by it.
 use super::*;
-use gorseshore_protocol::workers::Piece;
+use gorseshore_protocol::workers::ReportedTask;
 use proptest::prelude::*;
 
 /// Reports of one worker in the order in which it sent them: its session ends now and
@@ -9,7 +9,7 @@
 fn history() -> impl Strategy<Value = Vec<Report>> {
     let step = (0u8..8, 0u64..4, 0usize..4);
     proptest::collection::vec(step, 2..20).prop_map(|steps| {
-        let (mut shift, mut baton, mut pieces) = (1, 0, Vec::<Piece>::new());
+        let (mut shift, mut baton, mut pieces) = (1, 0, Vec::<ReportedTask>::new());
         let mut reports = Vec::new();
         for (n, (what, task, stage)) in steps.into_iter().enumerate() {
             let stages =
@@ -23,20 +23,26 @@
                     let (stage, cause) = stages[stage];
                     let piece = format!("j-00000{task}/0");
                     let cause = cause.map(str::to_owned);
-                    pieces.push(Piece { piece, attempt: task, stage: stage.into(), cause, kept: None });
+                    pieces.push(ReportedTask {
+                        task: piece,
+                        attempt: task,
+                        state: stage.into(),
+                        cause,
+                        checkpointed: None,
+                    });
                 }
             }
             reports.push(Report {
-                host: "m".into(),
+                machine: "m".into(),
                 addr: "m:1".into(),
-                build: "b".into(),
-                yard: "z".into(),
-                loaners: false,
-                shift,
-                tally: n as u64 + 1,
-                baton,
-                warning_s: (what == 3).then_some(9.0),
-                pieces: pieces.clone(),
+                machine_type: "b".into(),
+                zone: "z".into(),
+                spot: false,
+                agent_epoch: shift,
+                sequence: n as u64 + 1,
+                fencing_token: baton,
+                preemption_notice_s: (what == 3).then_some(9.0),
+                tasks: pieces.clone(),
             });
         }
         reports
--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -21,7 +21,7 @@
 use crate::{Call, CallId, CallResult, Outbox, Target};
 use gorseshore_protocol::ids::{Attempt, FencingToken, JobId, MachineId, Micros, NodeId, Resources, TaskId};
 use gorseshore_protocol::job::JobSpec;
-use gorseshore_protocol::workers::{Direct, HeartbeatSeq, Order, Report};
+use gorseshore_protocol::workers::{Command, CommandRequest, HeartbeatSeq, Report};
 use log::{debug, info, warn};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -73,10 +73,10 @@
 
 /// Reads the tasks of a report; `None` if the report makes no sense.
 pub fn read_tasks(r: &Report) -> Option<Vec<Held>> {
-    r.pieces
+    r.tasks
         .iter()
         .map(|p| {
-            let state = match (p.stage.as_str(), p.cause.as_deref()) {
+            let state = match (p.state.as_str(), p.cause.as_deref()) {
                 ("pulling", _) => TaskState::Fetching,
                 ("running", _) => TaskState::Running,
                 ("flushing", _) => TaskState::Saving,
@@ -87,7 +87,7 @@
                 // An unknown state is something that is there.
                 _ => TaskState::Running,
             };
-            Some(Held { task: TaskId::parse(&p.piece)?, attempt: Attempt(p.attempt), state })
+            Some(Held { task: TaskId::parse(&p.task)?, attempt: Attempt(p.attempt), state })
         })
         .collect()
 }
@@ -96,7 +96,7 @@
 #[derive(Debug, PartialEq)]
 pub enum CheckinReply {
     /// 200 with these orders.
-    Orders(FencingToken, Vec<Order>),
+    Orders(FencingToken, Vec<Command>),
     /// 421, naming the holder if it is known.
     Elsewhere(Option<NodeId>),
     /// The same, and the worker has a token from somebody who reaches it.
@@ -127,13 +127,13 @@
         ledger: &StateReplica,
         now: Micros,
     ) -> CheckinReply {
-        let id = MachineId::from(&*r.host);
+        let id = MachineId::from(&*r.machine);
         let Some(w) = self.workers.get_mut(&id) else {
             return CheckinReply::Elsewhere(self.directory.get(&id).copied());
         };
-        if FencingToken(r.baton) > w.baton {
+        if FencingToken(r.fencing_token) > w.baton {
             // Somebody holds it under a higher token: this node's word is void.
-            info!("{id}: lost to a higher token {}", r.baton);
+            info!("{id}: lost to a higher token {}", r.fencing_token);
             self.workers.remove(&id);
             let to = self.directory.remove(&id);
             return CheckinReply::Lost(to);
@@ -158,13 +158,13 @@
 
     /// Stops what is over on a machine that this controller does not hold:
     /// nothing else may be ordered there.
-    pub fn stops_for_stranger(tasks: &[Held], ledger: &StateReplica) -> Vec<Order> {
+    pub fn stops_for_stranger(tasks: &[Held], ledger: &StateReplica) -> Vec<Command> {
         let unwanted = |t: &&Held| !t.state.exited() && over(ledger.jobs.get(&t.task.job), t.task.index);
-        let halt = |t: &Held| Order {
-            verb: "halt".into(),
-            piece: t.task.to_string(),
+        let halt = |t: &Held| Command {
+            action: "halt".into(),
+            task: t.task.to_string(),
             attempt: t.attempt.0,
-            wind_down_s: Some(0.0),
+            grace_period_s: Some(0.0),
         };
         tasks.iter().filter(unwanted).map(halt).collect()
     }
@@ -240,7 +240,7 @@
             held(2, TaskState::Done),
         ];
         let orders = Controller::stops_for_stranger(&tasks, &ledger);
-        let got: Vec<(&str, &str)> = orders.iter().map(|o| (o.verb.as_str(), o.piece.as_str())).collect();
+        let got: Vec<(&str, &str)> = orders.iter().map(|o| (o.action.as_str(), o.task.as_str())).collect();
         assert_eq!(got, [("halt", "j-000001/0")]);
     }
 }
--- a/crates/core/src/controller/orders.rs
+++ b/crates/core/src/controller/orders.rs
@@ -11,15 +11,15 @@
         ledger: &StateReplica,
         answer: bool,
         may_start: bool,
-    ) -> Vec<Order> {
+    ) -> Vec<Command> {
         let acked = self.acked;
         let Some(w) = self.workers.get_mut(id) else { return Vec::new() };
         let mut out = Vec::new();
-        let order = |verb: &str, k: &(TaskId, Attempt), grace: Option<f64>| Order {
-            verb: verb.into(),
-            piece: k.0.to_string(),
+        let order = |verb: &str, k: &(TaskId, Attempt), grace: Option<f64>| Command {
+            action: verb.into(),
+            task: k.0.to_string(),
             attempt: k.1.0,
-            wind_down_s: grace,
+            grace_period_s: grace,
         };
         for t in &w.tasks {
             let k = (t.task, t.attempt);
@@ -167,8 +167,8 @@
             }
             w.announce = false;
             let sent = |verb: &str| -> Vec<(TaskId, Attempt)> {
-                let of_verb = orders.iter().filter(|o| o.verb == verb);
-                of_verb.filter_map(|o| Some((TaskId::parse(&o.piece)?, Attempt(o.attempt)))).collect()
+                let of_verb = orders.iter().filter(|o| o.action == verb);
+                of_verb.filter_map(|o| Some((TaskId::parse(&o.task)?, Attempt(o.attempt)))).collect()
             };
             let (runs, stops) = (sent("run"), sent("halt"));
             for k in &runs {
@@ -176,7 +176,7 @@
                     s.sending = Sending::InFlight;
                 }
             }
-            let body = Direct { baton: w.baton.0, shift: w.shift, orders };
+            let body = CommandRequest { fencing_token: w.baton.0, agent_epoch: w.shift, commands: orders };
             let call = out.call(Call {
                 target: Target::Worker(w.addr.clone()),
                 method: "POST",
@@ -227,14 +227,14 @@
                     self.touch(id);
                     return;
                 };
-                if r.host != id.as_str() {
+                if r.machine != id.as_str() {
                     // Another machine has the address now.
                     w.not_before = now + Micros::secs(1);
                     self.touch(id);
                     return;
                 }
-                if FencingToken(r.baton) > w.baton {
-                    info!("{id}: lost to a higher token {}", r.baton);
+                if FencingToken(r.fencing_token) > w.baton {
+                    info!("{id}: lost to a higher token {}", r.fencing_token);
                     self.workers.remove(id);
                     return;
                 }
--- a/crates/core/src/controller/placing.rs
+++ b/crates/core/src/controller/placing.rs
@@ -45,7 +45,7 @@
             Start {
                 baton: w.baton,
                 shift: w.shift,
-                need: spec.need,
+                need: spec.task_resources,
                 seen: false,
                 sending: Sending::Settled,
                 in_answer_to: None,
@@ -76,13 +76,13 @@
             return None;
         }
         let m = ledger.machines.get(id)?;
-        let size = sizes.get(&m.build)?;
+        let size = sizes.get(&m.machine_type)?;
         let c = Candidate {
-            build: &m.build,
+            build: &m.machine_type,
             zone: &m.zone,
             spot: m.spot,
             size,
-            free: size.minus(w.used(ledger)),
+            free: size.saturating_sub(w.used(ledger)),
             image: w.images.contains(&spec.image),
             zone_cpu: 0,
         };
--- a/crates/core/src/controller/stops.rs
+++ b/crates/core/src/controller/stops.rs
@@ -4,22 +4,27 @@
 use super::*;
 use crate::Output;
 use crate::jobs::keys;
-use gorseshore_protocol::workers::Piece;
+use gorseshore_protocol::workers::ReportedTask;
 
 fn report(tally: u64) -> Report {
-    let piece =
-        Piece { piece: "j-000001/0".into(), attempt: 3, stage: "running".into(), cause: None, kept: None };
+    let piece = ReportedTask {
+        task: "j-000001/0".into(),
+        attempt: 3,
+        state: "running".into(),
+        cause: None,
+        checkpointed: None,
+    };
     Report {
-        host: "m".into(),
+        machine: "m".into(),
         addr: "m:1".into(),
-        build: "b".into(),
-        yard: "z".into(),
-        loaners: false,
-        shift: 1,
-        tally,
-        baton: 7,
-        warning_s: None,
-        pieces: vec![piece],
+        machine_type: "b".into(),
+        zone: "z".into(),
+        spot: false,
+        agent_epoch: 1,
+        sequence: tally,
+        fencing_token: 7,
+        preemption_notice_s: None,
+        tasks: vec![piece],
     }
 }
 
@@ -49,8 +54,9 @@
     c.drive(ledger, now, &mut out);
     let calls = out.items.into_iter().filter_map(|o| match o {
         Output::Call { id, call } => {
-            let orders = serde_json::from_slice::<Direct>(&call.body).map(|d| d.orders).unwrap_or_default();
-            Some((id, call.path, orders.iter().any(|o| o.verb == "halt" && o.piece == "j-000001/0")))
+            let orders =
+                serde_json::from_slice::<CommandRequest>(&call.body).map(|d| d.commands).unwrap_or_default();
+            Some((id, call.path, orders.iter().any(|o| o.action == "halt" && o.task == "j-000001/0")))
         }
         _ => None,
     });
--- a/crates/core/src/controller/worker.rs
+++ b/crates/core/src/controller/worker.rs
@@ -97,7 +97,7 @@
     }
 
     pub(super) fn number(&self) -> HeartbeatSeq {
-        HeartbeatSeq { shift: self.shift, tally: self.tally }
+        HeartbeatSeq { agent_epoch: self.shift, sequence: self.tally }
     }
 
     pub(super) fn has(&self, key: &(TaskId, Attempt)) -> bool {
@@ -107,28 +107,28 @@
     /// Takes a report that is newer than what is known. `checkin` is true if
     /// it came as a check-in, which proves earlier answers settled.
     pub(super) fn take(&mut self, r: &Report, tasks: Vec<Held>, checkin: bool, now: Micros) -> bool {
-        if r.number() <= self.number() {
+        if r.heartbeat_seq() <= self.number() {
             return false;
         }
         // A worker that got no answer turns to the next controller, so that one whose
         // next message comes here was answered; so does it show by the token that was
         // raised. The answer to a call is a proof by itself.
-        let follows = r.shift == self.shift && r.tally == self.tally + 1;
-        let raised = self.seen_baton < self.baton && FencingToken(r.baton) == self.baton;
+        let follows = r.agent_epoch == self.shift && r.sequence == self.tally + 1;
+        let raised = self.seen_baton < self.baton && FencingToken(r.fencing_token) == self.baton;
         self.obeys = !checkin || follows || raised;
-        self.shift = r.shift;
-        self.tally = r.tally;
-        self.seen_baton = self.seen_baton.max(FencingToken(r.baton));
+        self.shift = r.agent_epoch;
+        self.tally = r.sequence;
+        self.seen_baton = self.seen_baton.max(FencingToken(r.fencing_token));
         self.heard = Some(now);
         self.addr = r.addr.clone();
-        self.warning = r.warning_s.map(|s| (now, Micros::from_secs_f64(s)));
+        self.warning = r.preemption_notice_s.map(|s| (now, Micros::from_secs_f64(s)));
         self.tasks = tasks;
         for t in &self.tasks {
             if let Some(s) = self.starts.get_mut(&(t.task, t.attempt)) {
                 s.seen = true;
             }
         }
-        let (shift, tally, baton) = (r.shift, r.tally, FencingToken(r.baton));
+        let (shift, tally, baton) = (r.agent_epoch, r.sequence, FencingToken(r.fencing_token));
         let present: BTreeSet<(TaskId, Attempt)> = self.tasks.iter().map(|t| (t.task, t.attempt)).collect();
         self.starts.retain(|k, s| {
             if present.contains(k) {
@@ -184,7 +184,7 @@
         .jobs
         .get(&job)
         .and_then(|j| j.spec.as_ref())
-        .map_or(Resources { cpu: 1_000_000, gpu: 0, mem: 1_000_000 }, |s| s.need)
+        .map_or(Resources { cpu: 1_000_000, gpu: 0, mem: 1_000_000 }, |s| s.task_resources)
 }
 
 pub(super) fn over(job: Option<&Job>, index: u32) -> bool {
--- a/crates/core/src/dependencies.rs
+++ b/crates/core/src/dependencies.rs
@@ -82,7 +82,7 @@
 
     /// Stores the outcome of a job whose end was recorded. Returns the jobs that are
     /// cancelled with it, direct dependents first; the job itself is not among them.
-    pub fn ended(&mut self, job: JobId, outcome: Outcome) -> Vec<JobId> {
+    pub fn record_outcome(&mut self, job: JobId, outcome: Outcome) -> Vec<JobId> {
         let Some(vertex) = self.vertices.get_mut(&job) else { return Vec::new() };
         let previous = std::mem::replace(&mut vertex.outcome, outcome);
         if previous == outcome {
@@ -120,7 +120,7 @@
     }
 
     /// Whether all dependencies of the job are known and done.
-    pub fn released(&self, job: JobId) -> bool {
+    pub fn is_released(&self, job: JobId) -> bool {
         self.vertices.get(&job).is_none_or(|v| v.unfinished == 0 && !v.incomplete)
     }
 
@@ -140,29 +140,29 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Urgency {
     /// Scheduling priority.
-    pub rank: Priority,
+    pub priority: Priority,
     /// Wall-clock time by which the job should complete, in milliseconds.
     pub due_ms: u64,
     /// Latest completion that still meets the objective, in milliseconds of wall-clock time.
     pub latest_ms: u64,
     /// The times come from a deadline that a user set.
-    pub deadline: bool,
+    pub has_user_deadline: bool,
 }
 
 impl Urgency {
     /// Combines this urgency with that of a dependent, which takes `span_ms` once this job
     /// is done.
     pub fn inherit(self, dependent: &Urgency, span_ms: u64) -> Urgency {
-        let rank = self.rank.max(dependent.rank);
-        if !dependent.deadline {
-            return Urgency { rank, ..self };
+        let rank = self.priority.max(dependent.priority);
+        if !dependent.has_user_deadline {
+            return Urgency { priority: rank, ..self };
         }
         let (due_ms, latest_ms) =
             (dependent.due_ms.saturating_sub(span_ms), dependent.latest_ms.saturating_sub(span_ms));
-        if self.deadline && self.due_ms <= due_ms {
-            return Urgency { rank, ..self };
+        if self.has_user_deadline && self.due_ms <= due_ms {
+            return Urgency { priority: rank, ..self };
         }
-        Urgency { rank, due_ms, latest_ms, deadline: true }
+        Urgency { priority: rank, due_ms, latest_ms, has_user_deadline: true }
     }
 }
 
--- a/crates/core/src/dependencies/tests.rs
+++ b/crates/core/src/dependencies/tests.rs
@@ -24,11 +24,11 @@
             }
             Done(job) => {
                 ends.insert(JobId(*job), Outcome::Done);
-                graph.ended(JobId(*job), Outcome::Done)
+                graph.record_outcome(JobId(*job), Outcome::Done)
             }
             Cancelled(job) => {
                 ends.insert(JobId(*job), Outcome::Cancelled);
-                graph.ended(JobId(*job), Outcome::Cancelled)
+                graph.record_outcome(JobId(*job), Outcome::Cancelled)
             }
         };
         for id in &cancelled_by_step {
@@ -59,7 +59,7 @@
         (&[Add(2, &[1]), Cancelled(1)], 2, false),
     ];
     for (steps, job, released) in cases {
-        assert_eq!(apply_steps(steps).0.released(JobId(job)), released, "{steps:?}: {job}");
+        assert_eq!(apply_steps(steps).0.is_released(JobId(job)), released, "{steps:?}: {job}");
     }
 }
 
@@ -92,43 +92,48 @@
         graph.add(JobId(i), &[JobId(i - 1)], open);
         graph.add(JobId(10_000 + i), &[JobId(0)], open);
     }
-    assert_eq!(graph.ended(JobId(0), Outcome::Cancelled).len(), 2 * 999);
+    assert_eq!(graph.record_outcome(JobId(0), Outcome::Cancelled).len(), 2 * 999);
 }
 
 #[test]
 fn a_job_with_unread_dependency_records_is_not_released() {
     let mut graph = DependencyGraph::default();
     graph.set_incomplete(JobId(2), true);
-    assert!(!graph.released(JobId(2)));
+    assert!(!graph.is_released(JobId(2)));
     graph.set_incomplete(JobId(2), false);
-    assert!(graph.released(JobId(2)));
+    assert!(graph.is_released(JobId(2)));
 }
 
 #[test]
 fn urgency_is_inherited_from_dependents() {
-    let urgency = |rank, due_ms, deadline| Urgency { rank, due_ms, latest_ms: 2 * due_ms, deadline };
+    let urgency = |rank, due_ms, deadline| Urgency {
+        priority: rank,
+        due_ms,
+        latest_ms: 2 * due_ms,
+        has_user_deadline: deadline,
+    };
     let no_deadline_ms = u64::MAX / 4;
     // (own, dependent's, combined), where the dependent takes 10 ms
     let cases = [
         (
             urgency(Priority::Low, no_deadline_ms, false),
             urgency(Priority::High, 100, true),
-            Urgency { rank: Priority::High, due_ms: 90, latest_ms: 190, deadline: true },
+            Urgency { priority: Priority::High, due_ms: 90, latest_ms: 190, has_user_deadline: true },
         ),
         (
             urgency(Priority::High, 50, true),
             urgency(Priority::Low, 100, true),
-            Urgency { rank: Priority::High, due_ms: 50, latest_ms: 100, deadline: true },
+            Urgency { priority: Priority::High, due_ms: 50, latest_ms: 100, has_user_deadline: true },
         ),
         (
             urgency(Priority::Normal, 80, false),
             urgency(Priority::Low, 90, false),
-            Urgency { rank: Priority::Normal, due_ms: 80, latest_ms: 160, deadline: false },
+            Urgency { priority: Priority::Normal, due_ms: 80, latest_ms: 160, has_user_deadline: false },
         ),
         (
             urgency(Priority::Low, 95, true),
             urgency(Priority::Production, 100, true),
-            Urgency { rank: Priority::Production, due_ms: 90, latest_ms: 190, deadline: true },
+            Urgency { priority: Priority::Production, due_ms: 90, latest_ms: 190, has_user_deadline: true },
         ),
     ];
     for (own, dependent, combined) in cases {
--- a/crates/core/src/deputy.rs
+++ b/crates/core/src/deputy.rs
@@ -9,7 +9,7 @@
 //! without the task proves it gone, except where its start may still be on the way: then
 //! the worker has to have shown that very attempt.
 use gorseshore_protocol::ids::{Attempt, MachineId, Micros, TaskId};
-use gorseshore_protocol::workers::{Direct, Order, Report};
+use gorseshore_protocol::workers::{Command, CommandRequest, Report};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -340,12 +340,16 @@
 
     /// A machine answered: the stops for what is over there, under the token and the
     /// session that it showed, so that a newer grant is not touched.
-    pub fn answered(&mut self, r: &Report, unwanted: Vec<Order>) -> Option<Direct> {
-        let p = self.places.get_mut(&MachineId::from(&*r.host))?;
-        let shown = r.pieces.iter().filter_map(|t| Some((TaskId::parse(&t.piece)?, Attempt(t.attempt))));
+    pub fn answered(&mut self, r: &Report, unwanted: Vec<Command>) -> Option<CommandRequest> {
+        let p = self.places.get_mut(&MachineId::from(&*r.machine))?;
+        let shown = r.tasks.iter().filter_map(|t| Some((TaskId::parse(&t.task)?, Attempt(t.attempt))));
         p.shown.extend(shown);
         p.clean = unwanted.is_empty();
-        (!p.clean).then_some(Direct { baton: r.baton, shift: r.shift, orders: unwanted })
+        (!p.clean).then_some(CommandRequest {
+            fencing_token: r.fencing_token,
+            agent_epoch: r.agent_epoch,
+            commands: unwanted,
+        })
     }
 
     /// A deletion ended: it was carried out, or refused, or nobody knows.
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -120,7 +120,7 @@
     let work: f64 = unmet
         .iter()
         .filter(|(s, ..)| s.kind == Kind::Array)
-        .map(|(s, n, ..)| *n as f64 * s.estimate_s.max(1.0))
+        .map(|(s, n, ..)| *n as f64 * s.estimated_runtime_s.max(1.0))
         .sum();
     let mut slots = (work / policy.drain_s).ceil() - policy.running_arrays - placed_arrays;
     let mut ordinary_left = policy.ordinary_for_arrays;
@@ -149,7 +149,7 @@
                 .filter(|o| o.spot || ordinary)
                 .filter(|o| zone_ok(&spec, &o.zone, &zones))
                 .map(|o| {
-                    let k = o.size.count(&spec.need, 10_000).max(1);
+                    let k = o.size.max_copies(&spec.task_resources, 10_000).max(1);
                     let used = k.min((left as u64).max(k.div_ceil(4)));
                     (o.price * (1.0 + o.boot_s / 120.0) / used as f64, o)
                 })
@@ -228,11 +228,11 @@
     zones: &mut BTreeMap<String, u32>,
     left: u32,
 ) -> u32 {
-    if nowhere.covers(&spec.need) {
+    if nowhere.covers(&spec.task_resources) {
         return 0;
     }
-    if !rooms.iter().any(|r| r.free.fits(&spec.need)) {
-        nowhere.add(spec.need);
+    if !rooms.iter().any(|r| r.free.fits(&spec.task_resources)) {
+        nowhere.add(spec.task_resources);
         return 0;
     }
     let zone_cpu = |z: &str| match spec.kind {
@@ -242,7 +242,7 @@
     let mut order: Vec<(placement::Score, usize)> = rooms
         .iter()
         .enumerate()
-        .filter(|(_, r)| r.free.fits(&spec.need))
+        .filter(|(_, r)| r.free.fits(&spec.task_resources))
         .filter_map(|(i, r)| {
             let c = Candidate {
                 build: &r.build,
@@ -273,10 +273,10 @@
         return 0;
     }
     let here = zones.get(&room.zone).copied().unwrap_or(0);
-    let n =
-        (room.free.count(&spec.need, left as u64) as u32).min(spec.max_tasks_per_zone().saturating_sub(here));
+    let n = (room.free.max_copies(&spec.task_resources, left as u64) as u32)
+        .min(spec.max_tasks_per_zone().saturating_sub(here));
     for _ in 0..n {
-        room.free = room.free.minus(spec.need);
+        room.free = room.free.saturating_sub(spec.task_resources);
     }
     if n > 0 {
         *zones.entry(room.zone.clone()).or_default() += n;
@@ -289,7 +289,7 @@
     use super::*;
 
     fn offer(build: &str, zone: &str, spot: bool, cpus: f64, price: f64) -> Offer {
-        let size = Resources::have(cpus, 0.0, cpus * 4.0);
+        let size = Resources::capacity(cpus, 0.0, cpus * 4.0);
         Offer { build: build.into(), zone: zone.into(), spot, size, price, refused: false, boot_s: 30.0 }
     }
 
@@ -388,7 +388,7 @@
             zone: "a".into(),
             spot,
             size: offers[1].size,
-            free: Resources::have(free, 0.0, 64.0),
+            free: Resources::capacity(free, 0.0, 64.0),
             lent,
         };
         // (room there, target in CPUs, machines rented in zone a by type)
--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -83,23 +83,29 @@
             class: s.class.clone(),
             team: s.team.clone(),
             kind: s.kind,
-            rank: s.rank,
+            rank: s.priority,
             tasks: s.tasks,
-            need: [s.need.cpu, s.need.gpu, s.need.mem],
-            types: s.types.clone(),
+            need: [s.task_resources.cpu, s.task_resources.gpu, s.task_resources.mem],
+            types: s.machine_types.clone(),
             zones: s.zones.clone(),
             one_zone: s.one_zone,
             spread: s.spread,
             spot: s.spot,
             image: s.image.clone(),
             image_gb: s.image_gb,
-            estimate_s: s.estimate_s,
-            checkpoint_s: s.checkpoint_s,
-            save_s: s.save_s,
+            estimate_s: s.estimated_runtime_s,
+            checkpoint_s: s.checkpoint_interval_s,
+            save_s: s.checkpoint_save_s,
             deadline_s: s.deadline_s,
-            attempts: s.attempts,
-            prefer: s.prefer.clone(),
-            after: s.after.iter().chain(own_id_if_dependent(s)).chain(&s.dependencies).map(|j| j.0).collect(),
+            attempts: s.max_attempts,
+            prefer: s.preferences.clone(),
+            after: s
+                .replaces
+                .iter()
+                .chain(own_id_if_dependent(s))
+                .chain(&s.dependencies)
+                .map(|j| j.0)
+                .collect(),
             dependencies: s.dependencies.len(),
             dependency_keys: 0,
         }
@@ -122,23 +128,23 @@
             class: r.class,
             team: r.team,
             kind: r.kind,
-            rank: r.rank,
+            priority: r.rank,
             tasks: r.tasks,
-            need: Resources { cpu: r.need[0], gpu: r.need[1], mem: r.need[2] },
-            types: r.types,
+            task_resources: Resources { cpu: r.need[0], gpu: r.need[1], mem: r.need[2] },
+            machine_types: r.types,
             zones: r.zones,
             one_zone: r.one_zone,
             spread: r.spread,
             spot: r.spot,
             image: r.image,
             image_gb: r.image_gb,
-            estimate_s: r.estimate_s,
-            checkpoint_s: r.checkpoint_s,
-            save_s: r.save_s,
+            estimated_runtime_s: r.estimate_s,
+            checkpoint_interval_s: r.checkpoint_s,
+            checkpoint_save_s: r.save_s,
             deadline_s: r.deadline_s,
-            attempts: r.attempts,
-            prefer: r.prefer,
-            after,
+            max_attempts: r.attempts,
+            preferences: r.prefer,
+            replaces: after,
             dependencies,
         }
     }
@@ -182,7 +188,7 @@
     /// All tasks are done.
     Done,
     /// Cancelled by its user or through a dependency, or failed permanently.
-    Aborted,
+    Cancelled,
 }
 
 /// A set of task indexes.
@@ -216,7 +222,7 @@
         self.count == 0
     }
     /// Number of tasks in the set whose index is below `n`.
-    pub fn below(&self, n: u32) -> u32 {
+    pub fn count_below(&self, n: u32) -> u32 {
         let word = n as usize / 64;
         let mask = (1u64 << (n % 64)) - 1;
         let not_below = self.words.get(word).map_or(0, |w| (w & !mask).count_ones())
@@ -236,8 +242,8 @@
     /// Encodes the tasks of a chunk as comma-separated 64-bit words in hexadecimal,
     /// without trailing zero words.
     pub fn chunk_text(&self, chunk: u32) -> String {
-        let from = (chunk * CHUNK / 64) as usize;
-        let to = (from + CHUNK as usize / 64).min(self.words.len());
+        let from = (chunk * PROGRESS_CHUNK_TASKS / 64) as usize;
+        let to = (from + PROGRESS_CHUNK_TASKS as usize / 64).min(self.words.len());
         let mut words = self.words.get(from.min(to)..to).unwrap_or(&[]);
         while let [rest @ .., 0] = words {
             words = rest;
@@ -246,10 +252,10 @@
     }
     /// Adds the tasks of a chunk encoded by [`TaskSet::chunk_text`].
     pub fn add_chunk(&mut self, chunk: u32, text: &str) {
-        for (i, part) in text.split(',').enumerate().take(CHUNK as usize / 64) {
+        for (i, part) in text.split(',').enumerate().take(PROGRESS_CHUNK_TASKS as usize / 64) {
             let mut w = u64::from_str_radix(part, 16).unwrap_or(0);
             while w != 0 {
-                self.insert(chunk * CHUNK + i as u32 * 64 + w.trailing_zeros());
+                self.insert(chunk * PROGRESS_CHUNK_TASKS + i as u32 * 64 + w.trailing_zeros());
                 w &= w - 1;
             }
         }
@@ -278,7 +284,7 @@
 
 /// Tasks in one progress record: at most 128 words of 17 bytes, 2.2 KB, split over
 /// several values where one value is too small ([`split_progress_text`]).
-pub const CHUNK: u32 = 8192;
+pub const PROGRESS_CHUNK_TASKS: u32 = 8192;
 
 /// A job according to its records.
 #[derive(Debug, Clone)]
@@ -286,7 +292,7 @@
     /// Specification; dropped some time after the job has ended.
     pub spec: Option<Rc<JobSpec>>,
     /// Revision of the job's record.
-    pub stamp: u64,
+    pub revision: u64,
     /// Wall-clock time of the submission, in milliseconds.
     pub submitted_ms: u64,
     /// Phase according to the records read so far.
@@ -296,17 +302,17 @@
     /// Revision of the record of the end; 0 if no end is recorded.
     pub end_revision: u64,
     /// The job is cancelled and none of its tasks is left on any machine.
-    pub settled: bool,
+    pub fully_stopped: bool,
     /// Tasks recorded as done.
     pub done: TaskSet,
     /// Revisions of the progress records, by chunk.
-    pub chunks: BTreeMap<u32, u64>,
+    pub progress_revisions: BTreeMap<u32, u64>,
     /// Number of tasks.
     pub tasks: u32,
     /// The job is a service: its tasks run until it is cancelled.
-    pub service: bool,
+    pub is_service: bool,
     /// Failed attempts by task, for jobs that limit their number.
-    pub failed: BTreeMap<u32, Failures>,
+    pub failures: BTreeMap<u32, Failures>,
     /// Revisions of the failure records, by chunk.
     pub failure_revisions: BTreeMap<u32, u64>,
     /// Keys of further parts of its progress and failure records.
@@ -324,7 +330,7 @@
     /// The last attempt that was counted. An attempt counts once, however often and to
     /// whichever controller its failure is reported.
     #[serde(rename = "a")]
-    pub last: u64,
+    pub last_attempt: u64,
 }
 
 /// Tasks in one failure record: at most 2.6 KB, split over several values where one
@@ -336,7 +342,7 @@
 pub struct MachineRecord {
     /// Machine type.
     #[serde(rename = "t")]
-    pub build: String,
+    pub machine_type: String,
     /// Zone of the machine.
     #[serde(rename = "z")]
     pub zone: String,
@@ -350,12 +356,17 @@
 
 impl MachineRecord {
     /// Creates the record of the machine that sent the report.
-    pub fn of(r: &Report) -> Self {
-        MachineRecord { build: r.build.clone(), zone: r.yard.clone(), spot: r.loaners, addr: r.addr.clone() }
+    pub fn from_report(r: &Report) -> Self {
+        MachineRecord {
+            machine_type: r.machine_type.clone(),
+            zone: r.zone.clone(),
+            spot: r.spot,
+            addr: r.addr.clone(),
+        }
     }
     /// Whether the report shows the same machine type, zone and spot flag.
     pub fn matches_report(&self, r: &Report) -> bool {
-        (&self.build, &self.zone, self.spot) == (&r.build, &r.yard, r.loaners)
+        (&self.machine_type, &self.zone, self.spot) == (&r.machine_type, &r.zone, r.spot)
     }
 }
 
@@ -382,11 +393,11 @@
         cancelled: Vec<JobId>,
     },
     /// A key of the extension's key space.
-    Aside,
+    Extension,
     /// The leader record.
     Leader,
     /// A relayed message to the controller of this name.
-    Mail(String),
+    RelayedMessage(String),
     /// Any other key.
     Other,
 }
@@ -395,19 +406,19 @@
 pub mod keys {
     use super::*;
     /// Key space of the extension.
-    pub const GUEST: &str = "g/n/";
+    pub const EXTENSION_PREFIX: &str = "g/n/";
     /// Prefix of all keys.
-    pub const ROOT: &str = "g/";
+    pub const ROOT_PREFIX: &str = "g/";
     /// The leader record.
     pub const LEADER: &str = "g/leader";
     /// The last term.
     pub const TERM: &str = "g/term";
     /// Which controllers hold replicas of the leader's placement log.
-    pub const BOOKS: &str = "g/books";
+    pub const STANDBY_REPLICAS: &str = "g/books";
     /// Prefix of the records that hold several machines.
-    pub const MACHINES: &str = "g/h/";
+    pub const MACHINES_PREFIX: &str = "g/h/";
     /// Id of the last rental request.
-    pub const HIRE: &str = "g/hire";
+    pub const LAST_RENTAL_REQUEST: &str = "g/hire";
     /// A job's record.
     pub fn job(id: JobId) -> String {
         format!("g/j/{id}")
@@ -426,7 +437,7 @@
     }
     /// A chunk of a job's failures. Listings are sorted by key, and a job must be listed
     /// before its failures and those before its end: `r` sorts between `j` and `x`.
-    pub fn failed(id: JobId, chunk: u32) -> String {
+    pub fn failures(id: JobId, chunk: u32) -> String {
         format!("g/r/{id}/{chunk}")
     }
     /// A part of a chunk's progress. The first part has the key [`progress`]; each further
@@ -451,7 +462,7 @@
     }
     /// Messages from one controller to another that are relayed through the state service
     /// when no network path between the two is left.
-    pub fn mail(to: &str, from: &str) -> String {
+    pub fn relayed_messages(to: &str, from: &str) -> String {
         format!("g/c/{to}/{from}")
     }
     /// A single machine, as versions before 2 recorded it; still read.
@@ -460,7 +471,7 @@
     }
     /// Machines of the same type, zone and spot flag in one record, keyed by the first one.
     pub fn machines(first: &MachineId) -> String {
-        format!("{MACHINES}{first}")
+        format!("{MACHINES_PREFIX}{first}")
     }
 }
 
@@ -527,7 +538,7 @@
 }
 
 /// Parses the job specification in a record that [`job_value`] built.
-pub fn description(id: JobId, record: &Value) -> Option<JobSpec> {
+pub fn parse_job_spec(id: JobId, record: &Value) -> Option<JobSpec> {
     Some(JobSpecRecord::parse(&record["d"])?.into_spec(id))
 }
 
@@ -558,17 +569,17 @@
     /// Recorded machines.
     pub machines: BTreeMap<MachineId, MachineRecord>,
     /// Machines that each machine record holds, and its revision, by key.
-    pub records: BTreeMap<String, (Vec<MachineId>, u64)>,
+    pub machine_records: BTreeMap<String, (Vec<MachineId>, u64)>,
     /// The leader record and its revision.
     pub leader: Option<(LeaderRecord, u64)>,
     /// The last term and its record's revision.
     pub term: (u64, u64),
     /// Holders of replicas of the leader's placement log, and the record's revision.
-    pub books: (Witnesses, u64),
+    pub standby_replicas: (Witnesses, u64),
     /// Everything up to this revision is applied.
-    pub applied: u64,
+    pub applied_revision: u64,
     /// Entries of the extension's key space found in a listing; `None` without an extension.
-    pub aside: Option<Vec<(String, Value, u64)>>,
+    pub extension_entries: Option<Vec<(String, Value, u64)>>,
     /// Dependency graph of the recorded jobs.
     pub dependencies: DependencyGraph,
     /// Dependencies in further keys, where the job's record or another of these keys has
@@ -600,13 +611,13 @@
             self.term = (value.and_then(Value::as_u64).unwrap_or(0), stamp);
             return Change::Other;
         }
-        if path == keys::BOOKS {
+        if path == keys::STANDBY_REPLICAS {
             // An unreadable record counts as one without replicas.
             let record = value.and_then(|v| Witnesses::deserialize(v).ok()).unwrap_or_default();
-            self.books = (record, stamp);
+            self.standby_replicas = (record, stamp);
             return Change::Other;
         }
-        let Some(rest) = path.strip_prefix(keys::ROOT) else { return Change::Other };
+        let Some(rest) = path.strip_prefix(keys::ROOT_PREFIX) else { return Change::Other };
         let Some((space, name)) = rest.split_once('/') else { return Change::Other };
         match space {
             "h" => {
@@ -615,7 +626,7 @@
             }
             "m" => {
                 let one = value.and_then(|v| MachineRecord::deserialize(v).ok()).map(|r| MachineBatch {
-                    build: r.build,
+                    build: r.machine_type,
                     zone: r.zone,
                     spot: r.spot,
                     machines: vec![(name.to_owned(), r.addr)],
@@ -629,10 +640,10 @@
                 let keys = record.as_ref().map_or(0, |r| r.dependency_keys);
                 let spec = record.map(|r| Rc::new(r.into_spec(id)));
                 let job = self.jobs.entry(id).or_insert_with(Job::empty);
-                job.stamp = stamp;
+                job.revision = stamp;
                 job.submitted_ms = v["at"].as_u64().unwrap_or(0);
                 job.tasks = spec.as_ref().map_or(0, |s| s.tasks);
-                job.service = spec.as_ref().is_some_and(|s| s.kind == Kind::Service);
+                job.is_service = spec.as_ref().is_some_and(|s| s.kind == Kind::Service);
                 job.spec = spec.clone();
                 let in_record = spec.as_ref().map_or(&[][..], |s| &s.dependencies);
                 let mut cancelled = self.add_dependencies(id, in_record);
@@ -657,14 +668,15 @@
                 let job = self.jobs.entry(id).or_insert_with(Job::empty);
                 let previous_phase = job.phase;
                 let cancelled_by_dependency = job.cancelled_by_dependency();
-                job.phase = if v["end"] == "done" { Phase::Done } else { Phase::Aborted };
+                job.phase = if v["end"] == "done" { Phase::Done } else { Phase::Cancelled };
                 job.ended_ms = v["at"].as_u64().unwrap_or(0);
                 job.end_revision = stamp;
                 // No task of a job that was cancelled with a dependency was ever started.
-                job.settled = v["gone"] == true || cancelled_by_dependency && job.phase == Phase::Aborted;
+                job.fully_stopped =
+                    v["gone"] == true || cancelled_by_dependency && job.phase == Phase::Cancelled;
                 job.done = TaskSet::default();
-                job.chunks.clear();
-                job.failed.clear();
+                job.progress_revisions.clear();
+                job.failures.clear();
                 job.failure_revisions.clear();
                 job.further_part_keys.clear();
                 job.cause = v["why"].as_str().map(str::to_owned);
@@ -678,13 +690,13 @@
                 let Some((id, chunk)) = keys::parse_chunk(name) else { return Change::Other };
                 if let (Some(v), Some(job)) = (value, self.jobs.get_mut(&id))
                     && job.phase == Phase::Active
-                    && chunk < u32::MAX / CHUNK
+                    && chunk < u32::MAX / PROGRESS_CHUNK_TASKS
                 {
                     job.done.add_chunk(chunk, v.as_str().unwrap_or(""));
                     if keys::is_further_part(name) {
                         job.further_part_keys.insert(path.to_owned());
                     } else {
-                        job.chunks.insert(chunk, stamp);
+                        job.progress_revisions.insert(chunk, stamp);
                     }
                 }
                 Change::Job { id, cancelled: Vec::new() }
@@ -705,13 +717,13 @@
                 Change::Job { id, cancelled: Vec::new() }
             }
             "n" => {
-                if let (Some(entries), Some(v)) = (self.aside.as_mut(), value) {
+                if let (Some(entries), Some(v)) = (self.extension_entries.as_mut(), value) {
                     entries.push((name.to_owned(), v.clone(), stamp));
                 }
-                Change::Aside
+                Change::Extension
             }
             "c" => match name.split_once('/') {
-                Some((to, _)) => Change::Mail(to.to_owned()),
+                Some((to, _)) => Change::RelayedMessage(to.to_owned()),
                 None => Change::Other,
             },
             _ => Change::Other,
@@ -752,7 +764,7 @@
         let jobs = &self.jobs;
         let outcome_of = |id: JobId| jobs.get(&id).map_or(Outcome::Open, |j| j.phase.outcome());
         let cancelled = self.dependencies.add(id, dependencies, outcome_of);
-        let ends = dependencies.iter().filter_map(|d| jobs.get(d)).filter(|j| j.phase == Phase::Aborted);
+        let ends = dependencies.iter().filter_map(|d| jobs.get(d)).filter(|j| j.phase == Phase::Cancelled);
         let at_ms = ends.map(|j| j.ended_ms).max().unwrap_or(0);
         self.cancel_dependents(&cancelled, at_ms);
         cancelled
@@ -778,7 +790,7 @@
     fn propagate_end(&mut self, id: JobId) -> Vec<JobId> {
         let Some(job) = self.jobs.get(&id) else { return Vec::new() };
         let (outcome, at_ms) = (job.phase.outcome(), job.ended_ms);
-        let cancelled = self.dependencies.ended(id, outcome);
+        let cancelled = self.dependencies.record_outcome(id, outcome);
         self.cancel_dependents(&cancelled, at_ms);
         cancelled
     }
@@ -788,9 +800,9 @@
     fn cancel_dependents(&mut self, jobs: &[JobId], at_ms: u64) {
         for id in jobs {
             let Some(job) = self.jobs.get_mut(id) else { continue };
-            job.phase = Phase::Aborted;
+            job.phase = Phase::Cancelled;
             job.ended_ms = at_ms;
-            job.settled = true;
+            job.fully_stopped = true;
             self.retain_ended_spec(*id);
         }
     }
@@ -805,21 +817,22 @@
 
     /// Replaces the machines that a key held by those that it holds now.
     fn replace_machines(&mut self, key: &str, batch: Option<MachineBatch>, stamp: u64) {
-        let (old, _) = self.records.remove(key).unwrap_or_default();
+        let (old, _) = self.machine_records.remove(key).unwrap_or_default();
         let mut ids = Vec::new();
         if let Some(b) = batch {
             for (name, addr) in b.machines {
                 let id = MachineId::from(&*name);
                 let (build, zone) = (b.build.clone(), b.zone.clone());
-                self.machines.insert(id.clone(), MachineRecord { build, zone, spot: b.spot, addr });
+                self.machines
+                    .insert(id.clone(), MachineRecord { machine_type: build, zone, spot: b.spot, addr });
                 ids.push(id);
             }
-            self.records.insert(key.to_owned(), (ids.clone(), stamp));
+            self.machine_records.insert(key.to_owned(), (ids.clone(), stamp));
         }
         // A write whose response was lost may have been retried under another
         // key, so a machine is removed only when no key holds it.
         for id in old.into_iter().filter(|id| !ids.contains(id)) {
-            if !self.records.values().any(|(v, _)| v.contains(&id)) {
+            if !self.machine_records.values().any(|(v, _)| v.contains(&id)) {
                 self.machines.remove(&id);
             }
         }
@@ -831,7 +844,7 @@
         match self {
             Phase::Active => Outcome::Open,
             Phase::Done => Outcome::Done,
-            Phase::Aborted => Outcome::Cancelled,
+            Phase::Cancelled => Outcome::Cancelled,
         }
     }
 }
@@ -839,15 +852,15 @@
 impl Job {
     /// Whether the job was cancelled with a dependency and has no recorded end of its own.
     pub fn cancelled_by_dependency(&self) -> bool {
-        self.phase == Phase::Aborted && self.end_revision == 0
+        self.phase == Phase::Cancelled && self.end_revision == 0
     }
 
     /// Merges recorded failures. A part may be older than another one that holds the same
     /// task: the entry with the later attempt counts.
     fn merge_failures(&mut self, failures: BTreeMap<u32, Failures>) {
         for (index, failure) in failures {
-            let known = self.failed.entry(index).or_default();
-            if failure.last >= known.last {
+            let known = self.failures.entry(index).or_default();
+            if failure.last_attempt >= known.last_attempt {
                 *known = failure;
             }
         }
@@ -856,17 +869,17 @@
     fn empty() -> Self {
         Job {
             spec: None,
-            stamp: 0,
+            revision: 0,
             submitted_ms: 0,
             phase: Phase::Active,
             ended_ms: 0,
             end_revision: 0,
-            settled: false,
+            fully_stopped: false,
             done: TaskSet::default(),
-            chunks: BTreeMap::new(),
+            progress_revisions: BTreeMap::new(),
             tasks: 0,
-            service: false,
-            failed: BTreeMap::new(),
+            is_service: false,
+            failures: BTreeMap::new(),
             failure_revisions: BTreeMap::new(),
             further_part_keys: BTreeSet::new(),
             cause: None,
@@ -894,7 +907,7 @@
             }
             assert_eq!(decoded.len(), set.len() as u32);
             for n in [0, 1, 63, 64, 65, 8192, 50_000, 100_000] {
-                assert_eq!(decoded.below(n), set.iter().filter(|i| **i < n).count() as u32, "{n}");
+                assert_eq!(decoded.count_below(n), set.iter().filter(|i| **i < n).count() as u32, "{n}");
             }
             assert!(set.iter().all(|i| decoded.contains(*i)));
         }
@@ -935,7 +948,7 @@
         let record = json!({"d": serde_json::from_str::<Value>(spec).unwrap(), "at": 1});
         let id = JobId(7);
         let mut keys = [
-            (keys::failed(id, 0), json!({"2": {"n": 3, "a": 99}})),
+            (keys::failures(id, 0), json!({"2": {"n": 3, "a": 99}})),
             (keys::job(id), record),
             (keys::progress(id, 0), json!("1")),
         ];
@@ -946,8 +959,8 @@
         }
         let j = &l.jobs[&id];
         assert_eq!((j.tasks, j.done.len()), (3, 1));
-        assert_eq!(j.failed.get(&2), Some(&Failures { count: 3, last: 99 }));
-        assert!(j.failure_revisions.contains_key(&0) && j.chunks.contains_key(&0));
+        assert_eq!(j.failures.get(&2), Some(&Failures { count: 3, last_attempt: 99 }));
+        assert!(j.failure_revisions.contains_key(&0) && j.progress_revisions.contains_key(&0));
     }
 
     #[test]
@@ -956,7 +969,7 @@
         l.apply("g/x/j-000001", Some(&json!({"end":"aborted"})), 5);
         l.apply("g/p/j-000001/0", Some(&json!("1")), 6);
         let j = &l.jobs[&JobId(1)];
-        assert_eq!((j.phase, j.done.len()), (Phase::Aborted, 0));
+        assert_eq!((j.phase, j.done.len()), (Phase::Cancelled, 0));
     }
 
     #[test]
@@ -977,14 +990,14 @@
             let v = json!({"d": serde_json::from_str::<Value>(row).unwrap(), "at": 77});
             l.apply("g/j/j-000412", Some(&v), 9);
             let s = l.jobs[&JobId(412)].spec.clone().expect(row);
-            assert_eq!((s.kind, s.rank, s.tasks, s.zones.clone(), s.deadline_s), want, "{row}");
+            assert_eq!((s.kind, s.priority, s.tasks, s.zones.clone(), s.deadline_s), want, "{row}");
             // Writing it in the current format preserves the specification.
             let rewritten = job_value(&s, 77);
-            assert_eq!(description(JobId(412), &rewritten).as_ref(), Some(&*s), "{row}");
+            assert_eq!(parse_job_spec(JobId(412), &rewritten).as_ref(), Some(&*s), "{row}");
         }
         for broken in ["[]", r#"["t","v","array"]"#, "{}", "7"] {
             let record = json!({"d": serde_json::from_str::<Value>(broken).unwrap()});
-            assert_eq!(description(JobId(1), &record), None);
+            assert_eq!(parse_job_spec(JobId(1), &record), None);
         }
     }
 
--- a/crates/core/src/jobs/dependency_records.rs
+++ b/crates/core/src/jobs/dependency_records.rs
@@ -59,9 +59,9 @@
         }
         assert_eq!(ledger.dependencies.dependencies(spec.id).len(), 500);
         ends(&mut ledger, 1_000_001);
-        assert!(!ledger.dependencies.released(spec.id), "one dependency is not done");
+        assert!(!ledger.dependencies.is_released(spec.id), "one dependency is not done");
         ends(&mut ledger, 1_000_000);
-        assert!(ledger.dependencies.released(spec.id));
+        assert!(ledger.dependencies.is_released(spec.id));
         assert_eq!(ledger.released_ms(spec.id), 80);
         // While one of the dependency keys is missing, the job is not released.
         let mut ledger = StateReplica::default();
@@ -70,7 +70,7 @@
         for (key, value) in without_one {
             ledger.apply(key, Some(value), 5);
         }
-        assert!(!ledger.dependencies.released(spec.id), "a key is missing");
+        assert!(!ledger.dependencies.is_released(spec.id), "a key is missing");
     }
 }
 
@@ -82,7 +82,7 @@
         ledger.apply(key, Some(value), 1 + stamp as u64);
     }
     let job = &ledger.jobs[&JobId(412)];
-    (job.phase, job.settled, job.end_revision > 0)
+    (job.phase, job.fully_stopped, job.end_revision > 0)
 }
 
 #[test]
@@ -96,13 +96,13 @@
     let cases = [
         (vec![dependency.clone(), job.clone()], (Phase::Active, false, false)),
         (vec![dependency.clone(), job.clone(), done(1_000_000)], (Phase::Active, false, false)),
-        (vec![dependency.clone(), job.clone(), aborted(1_000_000)], (Phase::Aborted, true, false)),
-        (vec![dependency.clone(), aborted(1_000_000), job.clone()], (Phase::Aborted, true, false)),
+        (vec![dependency.clone(), job.clone(), aborted(1_000_000)], (Phase::Cancelled, true, false)),
+        (vec![dependency.clone(), aborted(1_000_000), job.clone()], (Phase::Cancelled, true, false)),
         // A listing holds the job before its dependency.
-        (vec![job.clone(), dependency.clone(), aborted(1_000_000)], (Phase::Aborted, true, false)),
+        (vec![job.clone(), dependency.clone(), aborted(1_000_000)], (Phase::Cancelled, true, false)),
         // The user cancels the job as well; none of its tasks was ever started.
-        (vec![job.clone(), aborted(1_000_000), aborted(412)], (Phase::Aborted, true, true)),
-        (vec![job.clone(), aborted(412), aborted(1_000_000)], (Phase::Aborted, false, true)),
+        (vec![job.clone(), aborted(1_000_000), aborted(412)], (Phase::Cancelled, true, true)),
+        (vec![job.clone(), aborted(412), aborted(1_000_000)], (Phase::Cancelled, false, true)),
         (vec![job.clone(), done(1_000_000), done(412)], (Phase::Done, false, true)),
     ];
     for (i, (records, want)) in cases.into_iter().enumerate() {
--- a/crates/core/src/leader/bindings.rs
+++ b/crates/core/src/leader/bindings.rs
@@ -250,12 +250,12 @@
             }
             TaskState::Failed if known => {
                 let mut again = run.failures + 1;
-                if run.spec.attempts.is_some()
+                if run.spec.max_attempts.is_some()
                     && let Some(attempt) = run.bound.get(&task.index).map(|b| b.attempt.0)
                 {
                     let f = run.fails.entry(task.index).or_default();
-                    if attempt > f.last {
-                        *f = Failures { count: f.count + 1, last: attempt };
+                    if attempt > f.last_attempt {
+                        *f = Failures { count: f.count + 1, last_attempt: attempt };
                         run.unsaved.insert(task.index);
                     }
                     again = f.count;
@@ -397,17 +397,17 @@
                 }
             }
             None => {
-                let Some(size) = sizes.get(&rec.build) else { return };
-                info!("{id}: adopted ({} in {})", rec.build, rec.zone);
+                let Some(size) = sizes.get(&rec.machine_type) else { return };
+                info!("{id}: adopted ({} in {})", rec.machine_type, rec.zone);
                 self.last_seen.insert(id.clone(), (from, now));
                 self.machines.insert(id.clone(), Machine::new(rec, *size, Stage::Up, now));
                 self.dirty = true;
             }
-            Some(m) if (&m.build, &m.zone, m.spot) != (&rec.build, &rec.zone, rec.spot) => {
+            Some(m) if (&m.build, &m.zone, m.spot) != (&rec.machine_type, &rec.zone, rec.spot) => {
                 if self.apart.insert(id.clone()) {
                     warn!(
                         "{id}: reports as {} in {}, is {} in {}: left aside",
-                        rec.build, rec.zone, m.build, m.zone
+                        rec.machine_type, rec.zone, m.build, m.zone
                     );
                 }
             }
--- a/crates/core/src/leader/blocks.rs
+++ b/crates/core/src/leader/blocks.rs
@@ -338,7 +338,7 @@
             let run = self.jobs.get(job);
             // What is not recorded as gone stays here until it is: a machine that could
             // hold it may turn up at any later time.
-            let record = ledger.jobs.get(job).filter(|j| !j.settled);
+            let record = ledger.jobs.get(job).filter(|j| !j.fully_stopped);
             if run.is_none_or(|r| r.bound.is_empty()) && record.is_none() && now > *by + self.ctx.cancel {
                 over.push(*job);
             }
--- a/crates/core/src/leader/books.rs
+++ b/crates/core/src/leader/books.rs
@@ -77,7 +77,7 @@
         ended: &[NodeId],
         now: Micros,
     ) -> Option<(Witnesses, u64)> {
-        self.books.recorded(&ledger.books.0, ledger.books.1);
+        self.books.recorded(&ledger.standby_replicas.0, ledger.standby_replicas.1);
         if !self.granted {
             return None;
         }
--- a/crates/core/src/leader/changes.rs
+++ b/crates/core/src/leader/changes.rs
@@ -7,7 +7,7 @@
 use crate::jobs::{Failures, StateReplica, cancelled_value, keys, split_progress_text};
 use crate::limits::{StoreLimits, value_len};
 use gorseshore_protocol::ids::{JobId, MachineId};
-use gorseshore_protocol::state::{When, Write};
+use gorseshore_protocol::state::{Precondition, Write};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
@@ -18,32 +18,32 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Changes {
     /// Conditions, beside that of the leader's key.
-    pub conditions: Vec<When>,
+    pub conditions: Vec<Precondition>,
     /// Puts and removals.
     pub writes: Vec<Write>,
 }
 
 impl Changes {
     fn given(mut self, path: String, stamp: u64) -> Self {
-        self.conditions.push(When { path, stamp });
+        self.conditions.push(Precondition { key: path, revision: stamp });
         self
     }
 
     fn put(mut self, key: String, value: Value) -> Self {
-        self.writes.push(Write::Put { put: key, v: value, hold: None });
+        self.writes.push(Write::Put { key, value, lease: None });
         self
     }
 
     fn remove(mut self, key: String) -> Self {
-        self.writes.push(Write::Remove { remove: key });
+        self.writes.push(Write::Remove { key });
         self
     }
 
     /// What it takes of a transaction's length, about.
     pub fn len(&self) -> usize {
         let length = |write: &Write| match write {
-            Write::Put { put, v, .. } => put.len() * 2 + v.to_string().len() + CHANGE_OVERHEAD,
-            Write::Remove { remove } => remove.len() + CHANGE_OVERHEAD,
+            Write::Put { key: put, value: v, .. } => put.len() * 2 + v.to_string().len() + CHANGE_OVERHEAD,
+            Write::Remove { key: remove } => remove.len() + CHANGE_OVERHEAD,
         };
         self.writes.iter().map(length).sum()
     }
@@ -80,7 +80,7 @@
                 // A late repetition must not undo what was written since.
                 Some(changes.given(key.clone(), 0).put(key, value))
             }
-            LeaderWrite::Hire(name) => Some(changes.put(keys::HIRE.into(), json!(name))),
+            LeaderWrite::Hire(name) => Some(changes.put(keys::LAST_RENTAL_REQUEST.into(), json!(name))),
             LeaderWrite::Failures(id, chunk) => {
                 let parts = split_failures(self.failures(*id, *chunk)?, limits.value_bytes);
                 let job = ledger.jobs.get(id);
@@ -92,13 +92,13 @@
                 let job = ledger.jobs.get(id)?;
                 let why = self.failure_cause(*id, *index);
                 // The record as it was judged: a change of it since counts.
-                let changes = changes.given(keys::job(*id), job.stamp).given(keys::end(*id), 0);
+                let changes = changes.given(keys::job(*id), job.revision).given(keys::end(*id), 0);
                 Some(changes.put(keys::end(*id), cancelled_value(wall_ms, Some(&why), false)))
             }
             LeaderWrite::Progress(id, chunk) => {
                 let parts = split_progress_text(&self.progress(*id, *chunk)?, limits.value_bytes);
                 let job = ledger.jobs.get(id);
-                let stamp = job.and_then(|j| j.chunks.get(chunk).copied()).unwrap_or(0);
+                let stamp = job.and_then(|j| j.progress_revisions.get(chunk).copied()).unwrap_or(0);
                 let key = |part| keys::progress_part(*id, *chunk, part);
                 Some(chunk_changes(*id, stamp, key, parts, limits))
             }
@@ -128,9 +128,9 @@
     /// stays as it is if they are more than a transaction holds.
     fn forget_changes(&self, key: &str, recording: &Recording<'_>) -> Option<Changes> {
         let Recording { ledger, limits, .. } = *recording;
-        let (ids, stamp) = ledger.records.get(key)?;
+        let (ids, stamp) = ledger.machine_records.get(key)?;
         let changes = Changes::default().given(key.to_owned(), *stamp);
-        let mut lists = match key.starts_with(keys::MACHINES) {
+        let mut lists = match key.starts_with(keys::MACHINES_PREFIX) {
             true => self.lists_that_fit(ids, recording),
             false => Vec::new(),
         };
@@ -146,7 +146,7 @@
         for list in &rest {
             let free = |id: &&MachineId| {
                 let name = keys::machines(id);
-                !ledger.records.contains_key(&name) && (recording.may_create)(&name)
+                !ledger.machine_records.contains_key(&name) && (recording.may_create)(&name)
             };
             let new_key = keys::machines(list.iter().find(free)?);
             let value = self.machines_record(list, ledger)?;
@@ -186,8 +186,8 @@
 /// counts whatever else is on record.
 fn end_changes(id: JobId, recording: &Recording<'_>) -> Changes {
     let job = recording.ledger.jobs.get(&id);
-    let progress = job.iter().flat_map(|j| j.chunks.keys()).map(|c| keys::progress(id, *c));
-    let failed = job.iter().flat_map(|j| j.failure_revisions.keys()).map(|c| keys::failed(id, *c));
+    let progress = job.iter().flat_map(|j| j.progress_revisions.keys()).map(|c| keys::progress(id, *c));
+    let failed = job.iter().flat_map(|j| j.failure_revisions.keys()).map(|c| keys::failures(id, *c));
     let further = job.iter().flat_map(|j| j.further_part_keys.iter().cloned());
     let mut changes = Changes::default().given(keys::end(id), 0);
     for key in progress.chain(failed).chain(further).take(recording.limits.txn_ops - 1) {
--- a/crates/core/src/leader/machine.rs
+++ b/crates/core/src/leader/machine.rs
@@ -84,7 +84,7 @@
     }
     pub(super) fn new(rec: &MachineRecord, size: Resources, stage: Stage, now: Micros) -> Self {
         Machine {
-            build: rec.build.clone(),
+            build: rec.machine_type.clone(),
             zone: rec.zone.clone(),
             spot: rec.spot,
             addr: rec.addr.clone(),
@@ -132,14 +132,14 @@
     /// What a record of it says.
     pub fn record(&self) -> MachineRecord {
         MachineRecord {
-            build: self.build.clone(),
+            machine_type: self.build.clone(),
             zone: self.zone.clone(),
             spot: self.spot,
             addr: self.addr.clone(),
         }
     }
     pub(super) fn free(&self) -> Resources {
-        self.reserved.values().fold(self.size.minus(self.used), |f, r| f.minus(*r))
+        self.reserved.values().fold(self.size.saturating_sub(self.used), |f, r| f.saturating_sub(*r))
     }
     /// Whether a report is news, told by `from`: not a copy of one that others told
     /// of, nor one that was held up.
--- a/crates/core/src/leader/machines.rs
+++ b/crates/core/src/leader/machines.rs
@@ -145,7 +145,7 @@
                 continue;
             }
             let rec = MachineRecord {
-                build: req.build.clone(),
+                machine_type: req.build.clone(),
                 zone: req.zone.clone(),
                 spot: req.spot,
                 addr: String::new(),
@@ -160,16 +160,16 @@
         self.listing = false;
         self.listed = now;
         let Some(page) = page else { return };
-        let last = page.hosts.last().filter(|_| page.truncated);
+        let last = page.machines.last().filter(|_| page.truncated);
         self.list_from = last.map(|r| r.name.clone());
-        for r in &page.hosts {
+        for r in &page.machines {
             let id = MachineId::from(&*r.name);
             if self.gone.contains_key(&id) {
                 continue;
             }
             match self.machines.get_mut(&id) {
                 Some(m) => {
-                    let (failed, deleting) = (r.stage == "failed", m.stage == Stage::Deleting);
+                    let (failed, deleting) = (r.state == "failed", m.stage == Stage::Deleting);
                     if m.addr.is_empty() {
                         m.addr = r.addr.clone();
                         self.tell(&id);
@@ -179,18 +179,18 @@
                     }
                 }
                 None => {
-                    let Some(size) = sizes.get(&r.build) else { continue };
+                    let Some(size) = sizes.get(&r.machine_type) else { continue };
                     let rec = MachineRecord {
-                        build: r.build.clone(),
-                        zone: r.yard.clone(),
-                        spot: r.loaners,
+                        machine_type: r.machine_type.clone(),
+                        zone: r.zone.clone(),
+                        spot: r.spot,
                         addr: r.addr.clone(),
                     };
-                    info!("{id}: found in the list ({} in {}, {})", r.build, rec.zone, r.stage);
+                    info!("{id}: found in the list ({} in {}, {})", r.machine_type, rec.zone, r.state);
                     let mut m = Machine::new(&rec, *size, Stage::Booting, now);
-                    m.since = now - Micros::from_secs_f64(r.held_s);
+                    m.since = now - Micros::from_secs_f64(r.age_s);
                     self.machines.insert(id.clone(), m);
-                    if r.stage == "failed" {
+                    if r.state == "failed" {
                         self.delete(&id, "it failed", now);
                     }
                 }
@@ -243,10 +243,10 @@
             let Some(until) = m.warning else { continue };
             for (t, (a, s)) in &m.tasks {
                 let Some(r) = self.jobs.get(&t.job) else { continue };
-                let save = Micros::from_secs_f64(r.spec.save_s);
+                let save = Micros::from_secs_f64(r.spec.checkpoint_save_s);
                 let left = until - now;
                 // The notice may be half as long as it says.
-                if r.spec.checkpoint_s > 0.0
+                if r.spec.checkpoint_interval_s > 0.0
                     && *s == TaskState::Running
                     && left.scale(1, 2) <= save + Micros::millis(2500)
                     && left > save
@@ -281,7 +281,7 @@
             let Some(m) = self.machines.get_mut(&id) else { continue };
             match m.stage {
                 Stage::Booting => {
-                    let boot = flavors.iter().find(|f| f.sku == m.build).map_or(60.0, |f| f.boot_s);
+                    let boot = flavors.iter().find(|f| f.name == m.build).map_or(60.0, |f| f.boot_s);
                     if now.since(m.since) > Micros::from_secs_f64(boot * 4.0 + 20.0) {
                         back.push((id, "it never came up"));
                     }
@@ -320,8 +320,8 @@
     /// CPUs of a machine that work below the highest priority takes.
     fn lent(&self, m: &Machine) -> u64 {
         let lower =
-            |t: &&TaskId| self.jobs.get(&t.job).is_some_and(|r| r.urgency.rank < Priority::Production);
-        m.tasks.keys().filter(lower).map(|t| self.jobs[&t.job].spec.need.cpu).sum()
+            |t: &&TaskId| self.jobs.get(&t.job).is_some_and(|r| r.urgency.priority < Priority::Production);
+        m.tasks.keys().filter(lower).map(|t| self.jobs[&t.job].spec.task_resources.cpu).sum()
     }
 
     /// Room that should be there for production replicas that come, by zone:
@@ -335,13 +335,13 @@
         let minute_ago = self.wall_ms(now).saturating_sub(60_000);
         let (mut largest, mut recent, mut running) = (0, 0, 0);
         let services = |r: &&Run| {
-            r.spec.kind == Kind::Service && r.spec.rank == Priority::Production && !r.over && !r.held
+            r.spec.kind == Kind::Service && r.spec.priority == Priority::Production && !r.over && !r.held
         };
         for r in self.jobs.values().filter(services) {
-            largest = largest.max(r.spec.need.cpu * r.spec.max_tasks_per_zone() as u64);
-            running += r.spec.need.cpu * r.bound.len() as u64;
+            largest = largest.max(r.spec.task_resources.cpu * r.spec.max_tasks_per_zone() as u64);
+            running += r.spec.task_resources.cpu * r.bound.len() as u64;
             if r.ready_ms > minute_ago {
-                recent += r.spec.need.cpu * r.spec.tasks as u64;
+                recent += r.spec.task_resources.cpu * r.spec.tasks as u64;
             }
         }
         if largest == 0 {
@@ -358,18 +358,18 @@
         }
         let mut offers = Vec::new();
         for f in flavors {
-            let size = Resources::have(f.cpus, f.gpus, f.memory_gb);
-            for z in &f.yards {
+            let size = Resources::capacity(f.cpus, f.gpus, f.memory_gb);
+            for z in &f.zones {
                 for spot in [false, true] {
-                    let price = if spot { f.spot_price } else { Some(f.hourly) };
+                    let price = if spot { f.spot_price } else { Some(f.hourly_price) };
                     let Some(price) = price else { continue };
-                    let key = (f.sku.clone(), z.clone(), spot);
+                    let key = (f.name.clone(), z.clone(), spot);
                     let refused = self.refused.get(&key).is_some_and(|t| now.since(*t) < Micros::secs(8));
-                    if self.hires.values().any(|(r, ..)| (&r.build, &r.zone, r.spot) == (&f.sku, z, spot)) {
+                    if self.hires.values().any(|(r, ..)| (&r.build, &r.zone, r.spot) == (&f.name, z, spot)) {
                         continue;
                     }
                     offers.push(Offer {
-                        build: f.sku.clone(),
+                        build: f.name.clone(),
                         zone: z.clone(),
                         spot,
                         size,
@@ -388,7 +388,7 @@
             .filter(|m| !m.hearing.doubted_for(Micros::secs(5), now))
             .filter(|m| {
                 // One that is late may never come.
-                let boot = flavors.iter().find(|f| f.sku == m.build).map_or(60.0, |f| f.boot_s);
+                let boot = flavors.iter().find(|f| f.name == m.build).map_or(60.0, |f| f.boot_s);
                 m.stage == Stage::Up || now.since(m.since) < Micros::from_secs_f64(boot * 1.8 + 5.0)
             })
             .map(|m| Room {
@@ -401,8 +401,8 @@
             })
             .collect();
         for (r, ..) in self.hires.values().filter(|(r, ..)| !self.health.is_closed(&r.zone)) {
-            if let Some(f) = flavors.iter().find(|f| f.sku == r.build) {
-                let size = Resources::have(f.cpus, f.gpus, f.memory_gb);
+            if let Some(f) = flavors.iter().find(|f| f.name == r.build) {
+                let size = Resources::capacity(f.cpus, f.gpus, f.memory_gb);
                 for _ in 0..r.count {
                     rooms.push(Room {
                         build: r.build.clone(),
@@ -426,7 +426,7 @@
             let waiting = r.may_start();
             // A job that fails wherever it is gets no more machines; one whose
             // attempts are bounded comes to its end the sooner.
-            let hopeless = r.failures > 5 && !r.proven && r.spec.attempts.is_none();
+            let hopeless = r.failures > 5 && !r.proven && r.spec.max_attempts.is_none();
             if waiting == 0 || r.over || r.held || self.blocked(r) || hopeless {
                 continue;
             }
@@ -434,7 +434,7 @@
             let (starving, dry) = (waited(90_000), waited(THIRSTY_MS) && r.spec.kind == Kind::Array);
             thirsty += if dry { waiting as usize } else { 0 };
             list.push((
-                r.urgency.rank,
+                r.urgency.priority,
                 r.order(wall_ms, slots),
                 Demand { spec: r.spec.clone(), waiting, starving, thirsty: dry, zones: self.zones_of(r) },
             ));
@@ -546,7 +546,7 @@
     pub(super) fn keep_to_limits(&self, demands: &mut Vec<Demand>) {
         let mut left: BTreeMap<&str, Resources> = BTreeMap::new();
         for team in &self.ctx.teams {
-            let max = Resources::have(team.cpus_max, team.gpus_max, 0.0);
+            let max = Resources::capacity(team.cpus_max, team.gpus_max, 0.0);
             if max.cpu == 0 && max.gpu == 0 {
                 continue;
             }
@@ -560,9 +560,9 @@
         }
         demands.retain_mut(|d| {
             let Some(room) = left.get_mut(d.spec.team.as_str()) else { return true };
-            d.waiting = room.count(&d.spec.need, d.waiting as u64) as u32;
+            d.waiting = room.max_copies(&d.spec.task_resources, d.waiting as u64) as u32;
             for _ in 0..d.waiting {
-                *room = room.minus(d.spec.need);
+                *room = room.saturating_sub(d.spec.task_resources);
             }
             d.waiting > 0
         });
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -71,12 +71,12 @@
             Some(t) => t,
             None => self.teams.entry(spec.team.clone()).or_default(),
         };
-        (*c, *g) = (*c + spec.need.cpu, *g + spec.need.gpu);
+        (*c, *g) = (*c + spec.task_resources.cpu, *g + spec.task_resources.gpu);
     }
     fn freed(&mut self, spec: &JobSpec) {
         self.arrays -= (spec.kind == Kind::Array) as u64;
         if let Some((c, g)) = self.teams.get_mut(&spec.team) {
-            (*c, *g) = (*c - spec.need.cpu, *g - spec.need.gpu);
+            (*c, *g) = (*c - spec.task_resources.cpu, *g - spec.task_resources.gpu);
         }
     }
 }
@@ -269,7 +269,7 @@
     ) -> Self {
         let nodes = vec![Node::default(); ctx.zones.len()];
         let lag = ctx.list_lag;
-        let (record, stamp_of) = ledger.books.clone();
+        let (record, stamp_of) = ledger.standby_replicas.clone();
         let books = Ledgers::new(term, ctx.me, ctx.names.clone(), ctx.zones.clone(), record, stamp_of);
         let mut l = Leader {
             term,
@@ -290,7 +290,7 @@
             aborted: BTreeMap::new(),
             handouts: BTreeMap::new(),
             books,
-            wants_books: ledger.books.0.term > 0 && !ledger.books.0.nodes.is_empty(),
+            wants_books: ledger.standby_replicas.0.term > 0 && !ledger.standby_replicas.0.nodes.is_empty(),
             held: BTreeSet::new(),
             dependency_done: true,
             unrecorded_cancellations: BTreeSet::new(),
@@ -331,7 +331,7 @@
             apart: BTreeSet::new(),
         };
         for (id, rec) in &ledger.machines {
-            let size = sizes.get(&rec.build).copied().unwrap_or_default();
+            let size = sizes.get(&rec.machine_type).copied().unwrap_or_default();
             let mut m = Machine::new(rec, size, Stage::Up, now);
             m.recorded = true;
             m.unknown = true;
@@ -342,8 +342,8 @@
             // user may have been told long after its record, and whatever is left of it
             // breaks the rule at any later time.
             match job.phase {
-                Phase::Aborted if job.settled => l.note_cancelled_by_another(*id, job),
-                Phase::Aborted => {
+                Phase::Cancelled if job.fully_stopped => l.note_cancelled_by_another(*id, job),
+                Phase::Cancelled => {
                     let by = crate::deputy::gone_by(job.ended_ms, wall_ms, l.ctx.cancel, now);
                     l.aborted.insert(*id, by);
                 }
@@ -434,7 +434,7 @@
                 match self.jobs.get_mut(&id) {
                     None => {
                         let mut run = Run::new(job, spec.clone(), &self.ctx.objectives);
-                        run.held = !spec.after.is_empty() || !ledger.dependencies.released(id);
+                        run.held = !spec.replaces.is_empty() || !ledger.dependencies.is_released(id);
                         if run.held {
                             self.held.insert(id);
                         } else {
@@ -450,8 +450,8 @@
                     }
                 }
             }
-            Phase::Aborted if job.settled => self.note_cancelled_by_another(id, job),
-            Phase::Aborted => {
+            Phase::Cancelled if job.fully_stopped => self.note_cancelled_by_another(id, job),
+            Phase::Cancelled => {
                 self.aborted.entry(id).or_insert(now + self.ctx.cancel);
                 self.stops_at = Micros(0);
             }
@@ -471,7 +471,7 @@
     /// A controller asks, before it tells a user, whether this leader acts on a
     /// cancellation: also one that was on record for long.
     pub fn told_cancelled(&mut self, id: JobId, ledger: &StateReplica, now: Micros) {
-        if ledger.jobs.get(&id).is_some_and(|j| j.phase == Phase::Aborted && !j.settled) {
+        if ledger.jobs.get(&id).is_some_and(|j| j.phase == Phase::Cancelled && !j.fully_stopped) {
             self.aborted.entry(id).or_insert(now + self.ctx.cancel);
         }
     }
@@ -481,10 +481,11 @@
         let done = std::mem::take(&mut self.dependency_done);
         let free = |id: &JobId| {
             let Some(run) = self.jobs.get(id) else { return true };
-            if run.spec.after.is_empty() && !done {
+            if run.spec.replaces.is_empty() && !done {
                 return false;
             }
-            ledger.dependencies.released(*id) && run.spec.after.iter().all(|a| self.gone_for_good(*a, ledger))
+            ledger.dependencies.is_released(*id)
+                && run.spec.replaces.iter().all(|a| self.gone_for_good(*a, ledger))
         };
         let free: Vec<JobId> = self.held.iter().filter(|id| free(id)).copied().collect();
         for id in free {
@@ -506,7 +507,7 @@
         let settled = |job: &Job| match job.phase {
             Phase::Active => false,
             Phase::Done => true,
-            Phase::Aborted => job.settled,
+            Phase::Cancelled => job.fully_stopped,
         };
         !bound && ledger.jobs.get(&id).is_none_or(settled)
     }
--- a/crates/core/src/leader/overdue.rs
+++ b/crates/core/src/leader/overdue.rs
@@ -44,7 +44,8 @@
             }
             let zones = self.zones_of(run);
             if let Some(machine) = self.find(run, &zones, now) {
-                let (rank, team, class) = (run.urgency.rank, run.spec.team.clone(), run.spec.class.clone());
+                let (rank, team, class) =
+                    (run.urgency.priority, run.spec.team.clone(), run.spec.class.clone());
                 info!("{id} of class {class} waited too long: its first task goes before others");
                 self.hand_out(TaskId { job: *id, index }, machine);
                 let w = self.weight(&team);
@@ -74,7 +75,7 @@
         let lasting = |m: &Machine| {
             let mut sum = Resources::default();
             for t in m.tasks.keys().filter(|t| !ends(t)) {
-                sum = sum.plus(self.jobs.get(&t.job).map_or(m.size, |r| r.spec.need));
+                sum = sum.plus(self.jobs.get(&t.job).map_or(m.size, |r| r.spec.task_resources));
             }
             sum
         };
@@ -84,9 +85,9 @@
             .filter(|(_, m)| m.in_reach(&contact) && m.gathers_for(now).is_none())
             .filter(|(_, m)| m.suits(&spec))
             .filter(|(_, m)| fleet::zone_ok(&spec, &m.zone, &zones))
-            .filter(|(_, m)| m.size.minus(lasting(m)).fits(&spec.need))
+            .filter(|(_, m)| m.size.saturating_sub(lasting(m)).fits(&spec.task_resources))
             // The least has to end; among equals the one that is cheapest to keep.
-            .min_by_key(|(_, m)| (spec.need.minus(m.free()).cpu, !m.spot, m.size.cpu));
+            .min_by_key(|(_, m)| (spec.task_resources.saturating_sub(m.free()).cpu, !m.spot, m.size.cpu));
         let Some(best) = best.map(|(id, _)| id.clone()) else { return false };
         debug!("{id} waited too long: room is gathered for it on {best}");
         if let Some(m) = self.machines.get_mut(&best) {
--- a/crates/core/src/leader/records.rs
+++ b/crates/core/src/leader/records.rs
@@ -12,12 +12,12 @@
         let mut v = Vec::new();
         let active = |id: &JobId| ledger.jobs.get(id).is_some_and(|j| j.phase == Phase::Active);
         for (id, r) in self.progressed.iter().filter_map(|id| Some((id, self.jobs.get(id)?))) {
-            if r.spec.kind == Kind::Array && r.done.below(r.spec.tasks) >= r.spec.tasks && active(id) {
+            if r.spec.kind == Kind::Array && r.done.count_below(r.spec.tasks) >= r.spec.tasks && active(id) {
                 v.push(LeaderWrite::End(*id));
             }
         }
         // A job is failed by what is recorded, never by what one leader saw.
-        let bounded = self.jobs.iter().filter(|(id, r)| r.spec.attempts.is_some() && active(id));
+        let bounded = self.jobs.iter().filter(|(id, r)| r.spec.max_attempts.is_some() && active(id));
         for (id, r) in bounded {
             if let Some(i) = r.used_up().filter(|i| !r.unsaved.contains(i)) {
                 v.push(LeaderWrite::Fail(*id, i));
@@ -43,14 +43,14 @@
             }
         }
         for (id, r) in self.progressed.iter().filter_map(|id| Some((id, self.jobs.get(id)?))) {
-            if r.done.below(r.spec.tasks) < r.spec.tasks
+            if r.done.count_below(r.spec.tasks) < r.spec.tasks
                 && active(id)
                 && r.unrecorded_since.is_some_and(|t| now.since(t) > Micros::millis(1500))
             {
                 let recorded = &ledger.jobs[id].done;
                 let chunks: BTreeSet<u32> = (0..r.spec.tasks)
                     .filter(|i| r.done.contains(*i) && !recorded.contains(*i))
-                    .map(|i| i / crate::jobs::CHUNK)
+                    .map(|i| i / crate::jobs::PROGRESS_CHUNK_TASKS)
                     .collect();
                 v.extend(chunks.into_iter().map(|c| LeaderWrite::Progress(*id, c)));
             }
@@ -58,7 +58,7 @@
         // A later leader, which doesn't know what became of a cancelled job's
         // tasks, would delete what machines it can't hear for its sake.
         for (id, by) in &self.aborted {
-            let job = ledger.jobs.get(id).filter(|j| !j.settled && j.end_revision > 0);
+            let job = ledger.jobs.get(id).filter(|j| !j.fully_stopped && j.end_revision > 0);
             let known_for = (now + self.ctx.cancel).since(*by);
             if known_for > Micros::secs(1) && job.is_some_and(|j| self.nowhere(*id, j)) {
                 v.push(LeaderWrite::Settle(*id));
@@ -66,7 +66,7 @@
         }
         let unrecorded = self.unrecorded_cancellations.iter().take(CANCELLATIONS_AT_ONCE);
         v.extend(unrecorded.map(|id| LeaderWrite::CancelledWith(*id)));
-        for (key, (ids, _)) in &ledger.records {
+        for (key, (ids, _)) in &ledger.machine_records {
             if ids.iter().any(|id| self.gone.contains_key(id)) {
                 v.push(LeaderWrite::Forget(key.clone()));
             }
@@ -86,7 +86,7 @@
             })
             .collect();
         let (_, first) = there.first()?;
-        let kind = (first.build.as_str(), first.zone.as_str(), first.spot);
+        let kind = (first.machine_type.as_str(), first.zone.as_str(), first.spot);
         Some(machines_value(kind, there.iter().map(|(id, r)| (*id, r.addr.as_str()))))
     }
 
@@ -177,7 +177,7 @@
                 r.unrecorded_since.get_or_insert(now);
                 return true;
             }
-            r.done.below(r.spec.tasks) >= r.spec.tasks
+            r.done.count_below(r.spec.tasks) >= r.spec.tasks
         });
     }
 }
--- a/crates/core/src/leader/room.rs
+++ b/crates/core/src/leader/room.rs
@@ -149,7 +149,7 @@
             // image, by the room that is left.
             for (set, image) in with_image.map(|s| (s, true)).into_iter().chain([(&k.all, false)]) {
                 for failed in [false, true] {
-                    let enough = self.from(failed, spec.need.cpu);
+                    let enough = self.from(failed, spec.task_resources.cpu);
                     let first = set.range(enough).find_map(|(_, _, id)| Some((fits(id)?, id)));
                     let Some((free, id)) = first else { continue };
                     let c = Candidate {
@@ -197,11 +197,11 @@
         self.rooms.best(&Asked { spec, zones }, |id| {
             let m = self.machines.get(id)?;
             let gathers = m.gathers_for(now).is_some_and(|job| job != spec.id);
-            let kept = m.kept_for.is_some_and(|(r, until)| run.urgency.rank < r && now < until)
-                || gathers && run.urgency.rank < Priority::Production;
+            let kept = m.kept_for.is_some_and(|(r, until)| run.urgency.priority < r && now < until)
+                || gathers && run.urgency.priority < Priority::Production;
             let failed = !again && run.failed_on.contains(id);
             let free = m.free();
-            (!kept && !failed && free.fits(&spec.need)).then_some(free)
+            (!kept && !failed && free.fits(&spec.task_resources)).then_some(free)
         })
     }
 
@@ -274,12 +274,12 @@
         for i in 0..60 {
             let cpus = [4.0, 8.0, 64.0][rng.usize(0..3)];
             let rec = MachineRecord {
-                build: format!("t{cpus}"),
+                machine_type: format!("t{cpus}"),
                 zone: zones[rng.usize(0..3)].into(),
                 spot: rng.bool(),
                 addr: String::new(),
             };
-            let size = Resources::have(cpus, 0.0, cpus * 2.0);
+            let size = Resources::capacity(cpus, 0.0, cpus * 2.0);
             let m = Machine::new(&rec, size, Stage::Up, Micros(0));
             machines.insert(MachineId::from(&*format!("host-{i:06}")), m);
         }
@@ -303,9 +303,10 @@
             let s = spec(kind, rng.u64(1..9), rng.u64(1..20), images[rng.usize(0..4)], rng.bool());
             let taken = BTreeMap::from([(zones[rng.usize(0..3)].to_owned(), rng.u32(0..6))]);
             let asked = Asked { spec: &s, zones: &taken };
-            let got = rooms.best(&asked, |id| Some(machines[id].free()).filter(|f| f.fits(&s.need)));
+            let got =
+                rooms.best(&asked, |id| Some(machines[id].free()).filter(|f| f.fits(&s.task_resources)));
             assert_eq!(got, by_looking(&machines, &rooms, &asked), "step {step}: {s:?}");
-            assert!(got.is_none() || rooms.any(s.need.cpu), "step {step}");
+            assert!(got.is_none() || rooms.any(s.task_resources.cpu), "step {step}");
             found += got.is_some() as u32;
         }
         assert!(found > 1000, "{found} found a machine");
--- a/crates/core/src/leader/run.rs
+++ b/crates/core/src/leader/run.rs
@@ -75,17 +75,17 @@
     pub(super) fn new(job: &Job, spec: Rc<JobSpec>, objectives: &[Objective]) -> Self {
         let of_class = || objectives.iter().filter(|o| o.class == spec.class);
         let within = of_class().filter(|o| o.kind == "finished").filter_map(|o| o.within_s).reduce(f64::max);
-        let times = of_class().filter_map(|o| o.times).fold(1.0, f64::max);
+        let times = of_class().filter_map(|o| o.deadline_multiple).fold(1.0, f64::max);
         let millis = |s: f64| (s.max(0.0) * 1000.0) as u64;
         let due = spec.deadline_s.unwrap_or(NEVER_DUE_S);
         let own_urgency = Urgency {
-            rank: spec.rank,
+            priority: spec.priority,
             due_ms: job.submitted_ms + millis(due),
             latest_ms: job.submitted_ms + millis(due * times),
-            deadline: spec.deadline_s.is_some(),
+            has_user_deadline: spec.deadline_s.is_some(),
         };
         let mut run = Run {
-            stamp: job.stamp,
+            stamp: job.revision,
             own_urgency,
             urgency: own_urgency,
             ready_ms: job.submitted_ms,
@@ -106,7 +106,7 @@
             room_until: Micros(0),
             patience: None,
             over: job.phase != Phase::Active,
-            fails: job.failed.clone(),
+            fails: job.failures.clone(),
             unsaved: BTreeSet::new(),
             shown: (0, 0),
         };
@@ -117,7 +117,7 @@
     /// its submission.
     pub(super) fn ready_at(&mut self, ready_ms: u64) {
         self.ready_ms = ready_ms;
-        if let (Some(within), false) = (self.within_ms, self.own_urgency.deadline) {
+        if let (Some(within), false) = (self.within_ms, self.own_urgency.has_user_deadline) {
             self.own_urgency.due_ms = ready_ms + within;
             self.own_urgency.latest_ms = ready_ms + within;
         }
@@ -125,11 +125,11 @@
     /// What it takes from its release to its record as done, by its owner's estimate, in
     /// milliseconds: as far as jobs that it depends on have to be over before.
     pub(super) fn span_ms(&self) -> u64 {
-        (self.spec.estimate_s * 1000.0) as u64 + STAGE_OVERHEAD_MS
+        (self.spec.estimated_runtime_s * 1000.0) as u64 + STAGE_OVERHEAD_MS
     }
     /// A task whose attempts are used up.
     pub(super) fn used_up(&self) -> Option<u32> {
-        let most = self.spec.attempts?;
+        let most = self.spec.max_attempts?;
         self.fails.iter().find(|(_, f)| f.count >= most).map(|(i, _)| *i)
     }
     /// The record says so: number of tasks, progress and failures. The tasks that
@@ -145,9 +145,9 @@
             s.tasks = spec.tasks;
             self.spec = Rc::new(s);
         }
-        for (i, f) in &job.failed {
+        for (i, f) in &job.failures {
             let mine = self.fails.entry(*i).or_default();
-            if f.last >= mine.last {
+            if f.last_attempt >= mine.last_attempt {
                 *mine = *f;
                 self.unsaved.remove(i);
             }
@@ -158,19 +158,22 @@
     /// Then one task at a time is tried, after growing pauses; one that runs well shows
     /// that the machines were at fault. Bounded attempts are used up as they are.
     pub(super) fn mistaken(&self) -> bool {
-        !self.proven && self.spec.attempts.is_none() && self.failures > MISTAKEN && self.failed_on.len() > 1
+        !self.proven
+            && self.spec.max_attempts.is_none()
+            && self.failures > MISTAKEN
+            && self.failed_on.len() > 1
     }
     /// Whether its tasks may go to machines on which some have failed: it runs well
     /// elsewhere, so that the machine is judged by others' failures too, or it has failed
     /// on several. Bounded attempts were once used up within a second by a faulty machine;
     /// but a job's end is put off for a time only.
     pub(super) fn may_go_back(&self, now: Micros) -> bool {
-        let waited = self.spec.attempts.is_some() && now >= self.retry_at + ELSEWHERE;
+        let waited = self.spec.max_attempts.is_some() && now >= self.retry_at + ELSEWHERE;
         self.proven || self.failed_on.len() > 3 || waited
     }
     /// When it may, if that is a matter of time.
     pub(super) fn goes_back_at(&self, now: Micros) -> Option<Micros> {
-        let waits = self.spec.attempts.is_some() && !self.failed_on.is_empty() && !self.may_go_back(now);
+        let waits = self.spec.max_attempts.is_some() && !self.failed_on.is_empty() && !self.may_go_back(now);
         waits.then(|| self.retry_at + ELSEWHERE)
     }
     /// How many of its tasks may be handed out now.
@@ -201,10 +204,10 @@
     /// those that can't be in time any more, until they have waited very long.
     /// `slots` is how many such tasks run at a time.
     pub(super) fn order(&self, wall_ms: u64, slots: u64) -> (bool, u64, u64) {
-        let Urgency { due_ms, latest_ms, deadline, .. } = self.urgency;
+        let Urgency { due_ms, latest_ms, has_user_deadline: deadline, .. } = self.urgency;
         let span = latest_ms.saturating_sub(self.ready_ms);
         let waves = 1.0 + self.waiting() as f64 / slots.max(1) as f64;
-        let end = wall_ms + (self.spec.estimate_s * waves * 1000.0) as u64;
+        let end = wall_ms + (self.spec.estimated_runtime_s * waves * 1000.0) as u64;
         let late = end > latest_ms && wall_ms < latest_ms + 3 * span;
         // A large job holds up many small ones that could still be in time: it
         // goes behind them by its part of the slots. A deadline of its owner's
@@ -218,6 +221,6 @@
     pub(super) fn waiting(&self) -> u32 {
         let n = self.spec.tasks;
         let bound = self.bound.keys().filter(|i| **i < n && !self.done.contains(**i)).count() as u32;
-        n.saturating_sub(self.done.below(n)).saturating_sub(bound)
+        n.saturating_sub(self.done.count_below(n)).saturating_sub(bound)
     }
 }
--- a/crates/core/src/leader/schedule.rs
+++ b/crates/core/src/leader/schedule.rs
@@ -7,7 +7,7 @@
     let mut sum = Resources::default();
     for t in m.tasks.keys() {
         match jobs.get(&t.job) {
-            Some(r) => sum = sum.plus(r.spec.need),
+            Some(r) => sum = sum.plus(r.spec.task_resources),
             None => return m.size,
         }
     }
@@ -95,8 +95,9 @@
             return true;
         }
         let (c, g) = self.team_use(&spec.team);
-        let max = Resources::have(team.cpus_max, team.gpus_max, 0.0);
-        (max.cpu > 0 && c + spec.need.cpu > max.cpu) || (max.gpu > 0 && g + spec.need.gpu > max.gpu)
+        let max = Resources::capacity(team.cpus_max, team.gpus_max, 0.0);
+        (max.cpu > 0 && c + spec.task_resources.cpu > max.cpu)
+            || (max.gpu > 0 && g + spec.task_resources.gpu > max.gpu)
     }
 
     /// Whether there are machines that nobody heard in this term. Once there are
@@ -193,7 +194,7 @@
                     false => overdue.push((run.ready_ms, id)),
                 }
             }
-            let (rank, cpu) = (run.urgency.rank, run.spec.need.cpu);
+            let (rank, cpu) = (run.urgency.priority, run.spec.task_resources.cpu);
             let least = waiting.least_cpu.entry(rank).or_insert(cpu);
             *least = cpu.min(*least);
             let teams = ranks.entry(rank).or_default();
@@ -266,8 +267,8 @@
         let Some(run) = self.jobs.get_mut(&id).filter(|r| !r.over) else { return false };
         let Some(index) = run.peek() else { return false };
         let may_preempt =
-            (pass.guaranteed || run.urgency.rank == Priority::Production) && now >= run.room_until;
-        let need = run.spec.need;
+            (pass.guaranteed || run.urgency.priority == Priority::Production) && now >= run.room_until;
+        let need = run.spec.task_resources;
         if !(self.rooms.any(need.cpu) || may_preempt && pass.lendable.any(&need)) {
             return false;
         }
@@ -322,16 +323,16 @@
     fn within_guarantee(&self, spec: &JobSpec) -> bool {
         let Some(team) = self.ctx.teams.iter().find(|t| t.name == spec.team) else { return false };
         let (c, g) = self.team_use(&spec.team);
-        let own = Resources::have(team.cpus, team.gpus, 0.0);
-        (c + spec.need.cpu <= own.cpu || spec.need.cpu == 0)
-            && (g + spec.need.gpu <= own.gpu || spec.need.gpu == 0)
+        let own = Resources::capacity(team.cpus, team.gpus, 0.0);
+        (c + spec.task_resources.cpu <= own.cpu || spec.task_resources.cpu == 0)
+            && (g + spec.task_resources.gpu <= own.gpu || spec.task_resources.gpu == 0)
     }
 
     /// Teams that use more than their guarantee, and by how much.
     fn borrowed(&self) -> BTreeMap<String, (u64, u64)> {
         let teams = self.ctx.teams.iter().map(|t| {
             let (c, g) = self.team_use(&t.name);
-            let own = Resources::have(t.cpus, t.gpus, 0.0);
+            let own = Resources::capacity(t.cpus, t.gpus, 0.0);
             (t.name.clone(), (c.saturating_sub(own.cpu), g.saturating_sub(own.gpu)))
         });
         teams.filter(|(_, b)| *b != (0, 0)).collect()
@@ -356,7 +357,7 @@
         debug!("{task}: handed out for {hint}, which {image} its image, attempt {}", attempt.0);
         let fixed = run.spec.has_zone_constraint();
         let out = HandOut { task, attempt, zone: fixed.then(|| zone.clone()), hint: hint.clone() };
-        let need = run.spec.need;
+        let need = run.spec.task_resources;
         run.again.remove(&task.index);
         self.sums.bound(&run.spec);
         let watched = first_watched(&machines, &run.spec, attempt, &self.machines);
@@ -386,7 +387,7 @@
     pub(super) fn better_with_image(&self, id: JobId, found: &MachineId, now: Micros) -> bool {
         let Some(run) = self.jobs.get(&id) else { return false };
         run.spec.kind == Kind::Service
-            && run.spec.rank == Priority::Production
+            && run.spec.priority == Priority::Production
             && run.patience.is_none_or(|until| now < until)
             && self.machines.get(found).is_some_and(|m| !m.images.contains(&run.spec.image))
             && self.machines.values().any(|m| m.images.contains(&run.spec.image))
@@ -404,17 +405,17 @@
     ) -> Option<(String, u32)> {
         let (guaranteed, now) = (pass.guaranteed, pass.now);
         let run = self.jobs.get(&id)?;
-        let (spec, rank) = (run.spec.clone(), run.urgency.rank);
+        let (spec, rank) = (run.spec.clone(), run.urgency.priority);
         if pass.lendable.machines.is_none() {
             pass.lendable = self.lendable(guaranteed, now);
         }
         let Lendable { machines: Some(lent), most, looked } = &mut pass.lendable else { return None };
-        if !most.fits(&spec.need) {
+        if !most.fits(&spec.task_resources) {
             return None;
         }
         let borrowed = if guaranteed { self.borrowed() } else { BTreeMap::new() };
         let mut best: Option<(u64, MachineId, Vec<(TaskId, Attempt)>, u32)> = None;
-        for (mid, _) in lent.iter().filter(|(_, room)| room.fits(&spec.need)) {
+        for (mid, _) in lent.iter().filter(|(_, room)| room.fits(&spec.task_resources)) {
             *looked += 1;
             let Some(m) = self.machines.get(mid) else { continue };
             if image && !m.images.contains(&spec.image)
@@ -442,27 +443,27 @@
             let mut free = m.free();
             let (mut lost, mut chosen) = (0, Vec::new());
             for (_, ran, t, a) in victims {
-                if free.fits(&spec.need) {
+                if free.fits(&spec.task_resources) {
                     break;
                 }
                 let Some(r) = self.jobs.get(&t.job) else { continue };
-                let lower = r.urgency.rank < rank;
+                let lower = r.urgency.priority < rank;
                 let lent = r.spec.team != spec.team
-                    && lendable
-                        .get(&r.spec.team)
-                        .is_some_and(|(c, g)| r.spec.need.cpu <= *c && r.spec.need.gpu <= *g);
+                    && lendable.get(&r.spec.team).is_some_and(|(c, g)| {
+                        r.spec.task_resources.cpu <= *c && r.spec.task_resources.gpu <= *g
+                    });
                 if !lower && !lent {
                     continue;
                 }
                 if let Some((c, g)) = lendable.get_mut(&r.spec.team) {
-                    *c = c.saturating_sub(r.spec.need.cpu);
-                    *g = g.saturating_sub(r.spec.need.gpu);
+                    *c = c.saturating_sub(r.spec.task_resources.cpu);
+                    *g = g.saturating_sub(r.spec.task_resources.gpu);
                 }
-                free = free.plus(r.spec.need);
+                free = free.plus(r.spec.task_resources);
                 lost += ran + 1;
                 chosen.push((t, a));
             }
-            let room = free.count(&spec.need, 1000) as u32;
+            let room = free.max_copies(&spec.task_resources, 1000) as u32;
             if room > 0 && !chosen.is_empty() && best.as_ref().is_none_or(|(l, ..)| lost < *l) {
                 best = Some((lost, mid.clone(), chosen, room));
             }
@@ -489,8 +490,8 @@
             let mut some = false;
             for (t, _) in m.tasks.iter().filter(|(_, (_, s))| *s != TaskState::Starting) {
                 let Some(r) = self.jobs.get(&t.job) else { continue };
-                if guaranteed || r.urgency.rank < Priority::Production {
-                    room = room.plus(r.spec.need);
+                if guaranteed || r.urgency.priority < Priority::Production {
+                    room = room.plus(r.spec.task_resources);
                     some = true;
                 }
             }
--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -63,7 +63,7 @@
             let v = json!({"t": "big", "z": "east", "s": false, "a": format!("addr{i}")});
             ledger.apply(&keys::machine(&m(&format!("m{i}"))), Some(&v), 1);
         }
-        let sizes = Sizes::from([("big".into(), Resources::have(8.0, 0.0, 32.0))]);
+        let sizes = Sizes::from([("big".into(), Resources::capacity(8.0, 0.0, 32.0))]);
         let now = Micros::secs(100);
         let leader = Leader::new(context(), TERM, 50, &ledger, &sizes, now, 1_000_000);
         let mut b = Bench { ledger, leader, now, seq: [0; 2], incarnation: [5, 6] };
@@ -97,7 +97,7 @@
         for w in self.leader.writes(&self.ledger, 4000, self.now) {
             if let LeaderWrite::Failures(id, chunk) = w {
                 let v = json!(self.leader.failures(id, chunk).unwrap());
-                self.ledger.apply(&keys::failed(id, chunk), Some(&v), stamp);
+                self.ledger.apply(&keys::failures(id, chunk), Some(&v), stamp);
                 self.leader.job_changed(id, &self.ledger, self.now);
             }
         }
@@ -166,7 +166,7 @@
             id: m(id),
             baton: self.leader.machines[&m(id)].baton,
             seen_baton: seen,
-            last: HeartbeatSeq { shift: 1, tally: self.now.0 },
+            last: HeartbeatSeq { agent_epoch: 1, sequence: self.now.0 },
             obeys: true,
             heard_ago: Some(Micros(0)),
             warning: None,
@@ -424,7 +424,7 @@
         b.job(1, 40, "t", "standing", "prod", 1, 4.0);
         let end = json!({"end": "aborted", "at": 1_000_000, "gone": settled});
         b.ledger.apply(&keys::end(JobId(1)), Some(&end), 45);
-        let sizes = Sizes::from([("big".into(), Resources::have(8.0, 0.0, 32.0))]);
+        let sizes = Sizes::from([("big".into(), Resources::capacity(8.0, 0.0, 32.0))]);
         // No controller is in the machine's zone, so its silence may be a cut.
         let away = Context { zones: vec!["west".into(), "west".into()], ..context() };
         b.leader = Leader::new(away, TERM + 1, 80, &b.ledger, &sizes, b.now, 1_000_000);
@@ -443,16 +443,16 @@
 #[test]
 fn nothing_is_rented_for_what_a_limit_forbids() {
     let flavors = [Flavor {
-        sku: "big".into(),
+        name: "big".into(),
         cpus: 8.0,
         gpus: 0.0,
         memory_gb: 32.0,
-        cache_gb: 10.0,
-        pull_gb_per_s: 1.0,
-        hourly: 1.0,
+        image_cache_gb: 10.0,
+        image_pull_gb_per_s: 1.0,
+        hourly_price: 1.0,
         spot_price: None,
         boot_s: 10.0,
-        yards: vec!["east".into()],
+        zones: vec!["east".into()],
     }];
     // (jobs as team, tasks, CPUs; tasks that may start)
     let cases: [(&[(&str, u32, f64)], u32); 4] = [
@@ -493,7 +493,7 @@
     let mut b = Bench::new(1);
     b.confirm("m0", &[]);
     b.job(1, 60, "t", "array", "standard", 2, 2.0);
-    b.edit(1, 61, |s| s.attempts = Some(2));
+    b.edit(1, 61, |s| s.max_attempts = Some(2));
     // The change of the record is not a new job: made anew here, as at a start.
     b.leader.jobs.clear();
     b.leader.job_changed(JobId(1), &b.ledger, b.now);
@@ -512,7 +512,7 @@
     };
     assert_eq!(fails(&b), 0);
     // A new leader goes on from the record.
-    let sizes = Sizes::from([("big".into(), Resources::have(8.0, 0.0, 32.0))]);
+    let sizes = Sizes::from([("big".into(), Resources::capacity(8.0, 0.0, 32.0))]);
     b.leader = Leader::new(context(), TERM + 1, 80, &b.ledger, &sizes, b.now, 1_000_000);
     b.sync(A, &[], &[]);
     b.sync(B, &[], &[]);
@@ -533,7 +533,7 @@
     b.leader.job_changed(JobId(1), &b.ledger, b.now);
     b.pass(10);
     let job = &b.ledger.jobs[&JobId(1)];
-    assert_eq!((job.phase, job.cause.as_deref()), (Phase::Aborted, Some("attempts used up")));
+    assert_eq!((job.phase, job.cause.as_deref()), (Phase::Cancelled, Some("attempts used up")));
     assert_eq!((fails(&b), b.attempt(task(1, 0))), (0, None));
 }
 
@@ -553,7 +553,7 @@
         let mut b = Bench::new(1);
         b.confirm("m0", &[]);
         b.job(1, 60, "t", "array", "standard", 1, 8.0);
-        b.edit(1, 61, |s| s.attempts = Some(4));
+        b.edit(1, 61, |s| s.max_attempts = Some(4));
         b.leader.jobs.clear();
         b.leader.job_changed(JobId(1), &b.ledger, b.now);
         b.tick(30);
@@ -564,7 +564,7 @@
         if machines == 2 {
             let v = json!({"t": "big", "z": "east", "s": false, "a": "addr1"});
             b.ledger.apply(&keys::machine(&m("m1")), Some(&v), 71);
-            let sizes = Sizes::from([("big".into(), Resources::have(8.0, 0.0, 32.0))]);
+            let sizes = Sizes::from([("big".into(), Resources::capacity(8.0, 0.0, 32.0))]);
             let mut new = Machine::new(&b.ledger.machines[&m("m1")], sizes["big"], Stage::Up, b.now);
             new.recorded = true;
             b.leader.machines.insert(m("m1"), new);
@@ -621,7 +621,7 @@
         let on = b.state("m0", b.token("m0"), &[(task(1, 0), a, TaskState::Running)]);
         b.sync(A, &[on], &[]);
         b.job(2, 61, "t", "standing", "prod", 1, 1.0);
-        b.edit(2, 62, |s| s.after = vec![JobId(1)]);
+        b.edit(2, 62, |s| s.replaces = vec![JobId(1)]);
         b.leader.jobs.remove(&JobId(2));
         b.leader.job_changed(JobId(2), &b.ledger, b.now);
         let started = |b: &mut Bench| {
@@ -707,7 +707,7 @@
         before(&mut b);
         b.job(9, if want == Why::Unheard { 40 } else { 61 }, team, "array", "standard", tasks, cpus);
         if want == Why::Held {
-            b.edit(9, 62, |s| s.after = vec![JobId(8)]);
+            b.edit(9, 62, |s| s.replaces = vec![JobId(8)]);
             b.leader.jobs.remove(&JobId(9));
             b.leader.job_changed(JobId(9), &b.ledger, b.now);
         }
@@ -723,16 +723,16 @@
 #[test]
 fn sold_out_spot_machines_are_replaced_by_a_bounded_number_of_ordinary_ones() {
     let flavor = |price| Flavor {
-        sku: "big".into(),
+        name: "big".into(),
         cpus: 8.0,
         gpus: 0.0,
         memory_gb: 32.0,
-        cache_gb: 100.0,
-        pull_gb_per_s: 1.0,
-        hourly: 1.0,
+        image_cache_gb: 100.0,
+        image_pull_gb_per_s: 1.0,
+        hourly_price: 1.0,
         spot_price: price,
         boot_s: 20.0,
-        yards: vec!["east".into()],
+        zones: vec!["east".into()],
     };
     // (ordinary machines there, seconds since the term began, spot machines had
     // ten seconds before, rented: ordinary ones, one of them the room that is
@@ -864,21 +864,21 @@
 /// Copies of reports come late, to anybody; a new leader has nothing to compare with.
 #[test]
 fn copies_of_reports_prove_nothing() {
-    let sizes = Sizes::from([("big".into(), Resources::have(8.0, 0.0, 32.0))]);
+    let sizes = Sizes::from([("big".into(), Resources::capacity(8.0, 0.0, 32.0))]);
     let rec = |build: &str| MachineRecord {
-        build: build.into(),
+        machine_type: build.into(),
         zone: "east".into(),
         spot: false,
         addr: "a:1".into(),
     };
-    let no = |tally| HeartbeatSeq { shift: 1, tally };
+    let no = |tally| HeartbeatSeq { agent_epoch: 1, sequence: tally };
     // (machine, its kind, number of the report, whether it was asked; whether it counts
     // as seen by B, whether it is on the books then)
     let cases = [
         ("m0", "big", no(5), false, false, true),
         ("m0", "big", no(1), true, false, true),
-        ("m0", "big", HeartbeatSeq { shift: 1, tally: u64::MAX }, false, true, true),
-        ("m0", "small", HeartbeatSeq { shift: 2, tally: 1 }, false, false, true),
+        ("m0", "big", HeartbeatSeq { agent_epoch: 1, sequence: u64::MAX }, false, true, true),
+        ("m0", "small", HeartbeatSeq { agent_epoch: 2, sequence: 1 }, false, false, true),
         ("m9", "big", no(7), false, true, false),
         ("m9", "big", no(7), true, true, true),
     ];
@@ -959,10 +959,10 @@
     b.confirm("m0", &[]);
     let mut s = b.state("m0", b.token("m0"), &[]);
     s.obeys = false;
-    s.last.tally += 1;
+    s.last.sequence += 1;
     b.sync(A, &[s.clone()], &[]);
     b.now = b.now + Micros::secs(30);
-    s.last.tally += 1;
+    s.last.sequence += 1;
     b.sync(A, &[s], &[]);
     b.sync(B, &[], &[]);
     b.tick(100);
--- a/crates/core/src/leader/tests/limits.rs
+++ b/crates/core/src/leader/tests/limits.rs
@@ -1,6 +1,6 @@
 //! Every record of the leader within the limits of the state service.
 use super::*;
-use crate::jobs::{CHUNK, FAILURES_CHUNK_TASKS};
+use crate::jobs::{FAILURES_CHUNK_TASKS, PROGRESS_CHUNK_TASKS};
 use crate::leader::changes::{Changes, Recording};
 use crate::limits::{StoreLimits, value_len};
 use gorseshore_protocol::state::Write;
@@ -35,12 +35,12 @@
     let length = record.to_string().len();
     assert!((3500..4096).contains(&length), "{length}");
     b.ledger.apply(RECORD, Some(&record), 1);
-    let sizes = Sizes::from([("sedlo".into(), Resources::have(8.0, 0.0, 32.0))]);
+    let sizes = Sizes::from([("sedlo".into(), Resources::capacity(8.0, 0.0, 32.0))]);
     b.leader = Leader::new(context(), TERM, 50, &b.ledger, &sizes, b.now, 1_000_000);
     b.job(LONG.0, 60, "t", "array", "standard", TASKS, 1.0);
     b.job(FAILING.0, 61, "t", "array", "standard", 100, 1.0);
-    b.edit(FAILING.0, 62, |spec| spec.attempts = Some(9));
-    for chunk in 0..TASKS / CHUNK {
+    b.edit(FAILING.0, 62, |spec| spec.max_attempts = Some(9));
+    for chunk in 0..TASKS / PROGRESS_CHUNK_TASKS {
         b.ledger.apply(&keys::progress(LONG, chunk), Some(&json!("ff")), 63);
     }
     let long = b.leader.jobs.get_mut(&LONG).unwrap();
@@ -49,7 +49,7 @@
     }
     let failing = b.leader.jobs.get_mut(&FAILING).unwrap();
     for i in 0..FAILURES_CHUNK_TASKS {
-        failing.fails.insert(i, Failures { count: 8, last: (700 << 28) + u64::from(i) });
+        failing.fails.insert(i, Failures { count: 8, last_attempt: (700 << 28) + u64::from(i) });
     }
     b
 }
@@ -63,8 +63,8 @@
 fn apply(ledger: &mut StateReplica, changes: &Changes, stamp: u64) {
     for write in &changes.writes {
         match write {
-            Write::Put { put, v, .. } => ledger.apply(put, Some(v), stamp),
-            Write::Remove { remove } => ledger.apply(remove, None, stamp),
+            Write::Put { key: put, value: v, .. } => ledger.apply(put, Some(v), stamp),
+            Write::Remove { key: remove } => ledger.apply(remove, None, stamp),
         };
     }
 }
@@ -75,7 +75,7 @@
     assert!(changes.conditions.len() < limits.txn_conditions(), "{what}");
     assert!(changes.len() < 60_000, "{what}: {} bytes", changes.len());
     for write in &changes.writes {
-        if let Write::Put { put, v, .. } = write {
+        if let Write::Put { key: put, value: v, .. } = write {
             assert!(value_len(v) <= limits.value_bytes, "{what}: {put} takes {}", value_len(v));
         }
     }
@@ -96,7 +96,7 @@
             machines,
             LeaderWrite::Hire("t0000000003-000000001".into()),
             LeaderWrite::Progress(LONG, 0),
-            LeaderWrite::Progress(LONG, TASKS / CHUNK),
+            LeaderWrite::Progress(LONG, TASKS / PROGRESS_CHUNK_TASKS),
             LeaderWrite::Failures(FAILING, 0),
             LeaderWrite::Fail(FAILING, 7),
             LeaderWrite::Settle(LONG),
@@ -125,22 +125,25 @@
             // In the order of the transaction, and in that of the keys.
             let mut sorted = changes.clone();
             sorted.writes.sort_by_key(|w| match w {
-                Write::Put { put, .. } => put.clone(),
-                Write::Remove { remove } => remove.clone(),
+                Write::Put { key: put, .. } => put.clone(),
+                Write::Remove { key: remove } => remove.clone(),
             });
             apply(&mut b.ledger, &sorted, stamp);
             apply(&mut b.ledger, &changes, stamp);
         }
         let long = &b.ledger.jobs[&LONG];
-        assert!((0..CHUNK).all(|i| long.done.contains(i)), "{limit:?}");
-        assert!(!long.done.contains(CHUNK + 8) && long.done.contains(CHUNK + 7), "{limit:?}");
-        assert_eq!((long.chunks[&0], long.chunks[&1]), (70, 63), "{limit:?}");
+        assert!((0..PROGRESS_CHUNK_TASKS).all(|i| long.done.contains(i)), "{limit:?}");
+        assert!(
+            !long.done.contains(PROGRESS_CHUNK_TASKS + 8) && long.done.contains(PROGRESS_CHUNK_TASKS + 7),
+            "{limit:?}"
+        );
+        assert_eq!((long.progress_revisions[&0], long.progress_revisions[&1]), (70, 63), "{limit:?}");
         let failing = &b.ledger.jobs[&FAILING];
-        assert_eq!(failing.failed, b.leader.jobs[&FAILING].fails, "{limit:?}");
+        assert_eq!(failing.failures, b.leader.jobs[&FAILING].fails, "{limit:?}");
         assert_eq!(failing.failure_revisions[&0], 71, "{limit:?}");
         // A further write is over what was read.
         let again = changes(&b, &listings[0], &limits).unwrap();
-        assert_eq!(again.conditions[0].stamp, 70, "{limit:?}");
+        assert_eq!(again.conditions[0].revision, 70, "{limit:?}");
     }
 }
 
@@ -153,7 +156,7 @@
     assert_eq!(changes.writes.len(), 2);
     let mut done = TaskSet::default();
     for write in &changes.writes {
-        let Write::Put { put, v: Value::String(text), .. } = write else { panic!("{write:?}") };
+        let Write::Put { key: put, value: Value::String(text), .. } = write else { panic!("{write:?}") };
         let (id, chunk) = put.strip_prefix("g/p/").unwrap().split_once('/').unwrap();
         assert_eq!((JobId::parse(id), chunk.parse::<u32>()), (Some(LONG), Ok(0)));
         for (place, word) in text.split(',').enumerate().take(128) {
@@ -163,7 +166,7 @@
             });
         }
     }
-    assert_eq!(done.len(), CHUNK);
+    assert_eq!(done.len(), PROGRESS_CHUNK_TASKS);
 }
 
 /// A record of the version before is written anew within the limits, over
@@ -178,7 +181,7 @@
         let records = if limit.0 == 4000 { 1 } else { 3 };
         assert_eq!((changes.writes.len(), changes.conditions.len()), (records, records), "{limit:?}");
         for write in &changes.writes {
-            let Write::Put { put, v, .. } = write else { panic!("{write:?}") };
+            let Write::Put { key: put, value: v, .. } = write else { panic!("{write:?}") };
             b.ledger.apply(put, Some(v), 80);
             let known = b.ledger.machines.len();
             assert!(known >= MACHINES - 1, "{limit:?}: {known} machines known after {put}");
@@ -193,11 +196,11 @@
     b.leader.gone.insert(name(3), (b.now, 0));
     let small = limits((2000, 4));
     let first = changes(&b, &LeaderWrite::Forget(RECORD.into()), &small).unwrap();
-    let taken = first.conditions[1].path.clone();
+    let taken = first.conditions[1].key.clone();
     let free = |key: &str| key != taken;
     let recording = Recording { ledger: &b.ledger, limits: &small, wall_ms: 0, may_create: &free };
     let second = b.leader.changes(&LeaderWrite::Forget(RECORD.into()), &recording).unwrap();
-    assert!(second.conditions.iter().all(|c| c.path != taken));
+    assert!(second.conditions.iter().all(|c| c.key != taken));
     assert_eq!(second.writes.len(), first.writes.len());
 }
 
--- a/crates/core/src/leader/tests/pipelines.rs
+++ b/crates/core/src/leader/tests/pipelines.rs
@@ -24,8 +24,8 @@
 
     /// A record as the replica and the leader see it.
     fn record(&mut self, key: &str, value: serde_json::Value) {
-        self.ledger.applied += 1;
-        let change = self.ledger.apply(key, Some(&value), 100 + self.ledger.applied);
+        self.ledger.applied_revision += 1;
+        let change = self.ledger.apply(key, Some(&value), 100 + self.ledger.applied_revision);
         let crate::jobs::Change::Job { id, cancelled } = change else { panic!("{change:?}") };
         for id in std::iter::once(id).chain(cancelled) {
             self.leader.job_changed(id, &self.ledger, self.now);
@@ -38,7 +38,7 @@
 
     /// Another leader over the same records, ready to hand out.
     fn next_leader(&mut self) {
-        let sizes = Sizes::from([("big".into(), Resources::have(8.0, 0.0, 32.0))]);
+        let sizes = Sizes::from([("big".into(), Resources::capacity(8.0, 0.0, 32.0))]);
         self.leader = Leader::new(context(), TERM + 1, 500, &self.ledger, &sizes, self.now, 1_000_000);
     }
 }
@@ -97,19 +97,19 @@
     b.stage(1, "idle", 1, &[], None);
     b.stage(2, "idle", 1, &[1], None);
     let urgency = |b: &Bench, id| b.leader.jobs[&JobId(id)].urgency;
-    assert_eq!(urgency(&b, 1).rank, Priority::Low);
+    assert_eq!(urgency(&b, 1).priority, Priority::Low);
     // The last job comes late; what is before it waits for less long the deeper it is.
     b.stage(3, "high", 1, &[2], Some(100.0));
-    assert_eq!((urgency(&b, 1).rank, urgency(&b, 2).rank), (Priority::High, Priority::High));
+    assert_eq!((urgency(&b, 1).priority, urgency(&b, 2).priority), (Priority::High, Priority::High));
     assert!(urgency(&b, 1).due_ms < urgency(&b, 2).due_ms);
     assert!(urgency(&b, 2).due_ms < urgency(&b, 3).due_ms);
     assert_eq!(urgency(&b, 3).due_ms, 1_100_000);
     // A second one is due sooner, until it is cancelled.
     b.stage(4, "prod", 1, &[2], Some(50.0));
-    assert_eq!(urgency(&b, 1).rank, Priority::Production);
+    assert_eq!(urgency(&b, 1).priority, Priority::Production);
     assert!(urgency(&b, 2).due_ms < 1_050_000);
     b.end(4, "aborted");
-    assert_eq!((urgency(&b, 1).rank, urgency(&b, 2).rank), (Priority::High, Priority::High));
+    assert_eq!((urgency(&b, 1).priority, urgency(&b, 2).priority), (Priority::High, Priority::High));
     assert!(urgency(&b, 2).due_ms > 1_050_000);
 }
 
--- a/crates/core/src/leader/waits.rs
+++ b/crates/core/src/leader/waits.rs
@@ -67,7 +67,7 @@
             any = true;
             let ok = fleet::zone_ok(spec, &m.zone, &zones);
             zone |= ok;
-            room |= ok && m.free().fits(&spec.need);
+            room |= ok && m.free().fits(&spec.task_resources);
         }
         if any && !zone {
             return Why::Zones;
@@ -77,7 +77,7 @@
         }
         let recent = |t: &Micros| now.since(*t) < Micros::secs(20);
         let in_zones = |z: &str| spec.zones.as_ref().is_none_or(|l| l.iter().any(|x| x == z));
-        let of_types = |b: &str| spec.types.as_ref().is_none_or(|l| l.iter().any(|x| x == b));
+        let of_types = |b: &str| spec.machine_types.as_ref().is_none_or(|l| l.iter().any(|x| x == b));
         let refused = self
             .refused
             .iter()
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -183,7 +183,7 @@
     }
     /// Adds an answer that asks the user to come back.
     pub fn later(&mut self, id: RequestId, reason: &str) {
-        let body = gorseshore_protocol::users::error(reason);
+        let body = gorseshore_protocol::users::error_body(reason);
         self.items.push(Output::Answer { id, status: 503, body, retry_after: Some(1) });
     }
     /// Adds a message.
--- a/crates/core/src/liveness/instance_list.rs
+++ b/crates/core/src/liveness/instance_list.rs
@@ -129,8 +129,8 @@
         }
         let instance = Instance {
             address: rental.addr.clone(),
-            zone: rental.yard.clone(),
-            running: rental.stage == "running",
+            zone: rental.zone.clone(),
+            running: rental.state == "running",
         };
         self.incoming.insert(id.clone(), instance.clone());
         self.instances.insert(id, instance);
--- a/crates/core/src/liveness/tests.rs
+++ b/crates/core/src/liveness/tests.rs
@@ -13,17 +13,17 @@
     Rental {
         name: format!("host-{i:06}"),
         addr: format!("address-{i}"),
-        build: "b".into(),
-        yard: match i {
+        machine_type: "b".into(),
+        zone: match i {
             0 => "south",
             1 => "west",
             _ if i.is_multiple_of(2) => "east",
             _ => "north",
         }
         .into(),
-        loaners: false,
-        stage: if i == 19 { "starting" } else { "running" }.into(),
-        held_s: 100.0,
+        spot: false,
+        state: if i == 19 { "starting" } else { "running" }.into(),
+        age_s: 100.0,
     }
 }
 
@@ -66,7 +66,7 @@
             if silences.iter().any(|(i, when)| id(*i) == machine && when.contains(&ms)) {
                 open.push((ms + 1_200, machine, ms));
             } else {
-                monitor.answered(machine, HeartbeatSeq { shift: 1, tally: ms + 1 }, !idle, now, now);
+                monitor.answered(machine, HeartbeatSeq { agent_epoch: 1, sequence: ms + 1 }, !idle, now, now);
             }
         }
     }
--- a/crates/core/src/liveness/tests/evidence.rs
+++ b/crates/core/src/liveness/tests/evidence.rs
@@ -52,7 +52,7 @@
     let mut monitor = LivenessMonitor::new("west", REPORT, LEASE, BEGAN);
     let rentals: Vec<Rental> = (0..20).map(rental).collect();
     monitor.listed(Some((&rentals, false)), BEGAN);
-    monitor.heartbeat(id(4), HeartbeatSeq { shift: 3, tally: 7 }, true, BEGAN);
+    monitor.heartbeat(id(4), HeartbeatSeq { agent_epoch: 3, sequence: 7 }, true, BEGAN);
     monitor.works(at(1_900));
     monitor.works(at(2_000));
     monitor.unanswered(&id(4), at(900), at(2_000));
@@ -70,11 +70,17 @@
     // The message, and how many machines don't answer after it.
     for (shift, tally, unanswering) in [(3, 7, 1), (3, 6, 1), (2, 90, 1), (3, 8, 0), (4, 1, 0)] {
         let mut monitor = monitor_with_one_unanswered();
-        monitor.heartbeat(id(4), HeartbeatSeq { shift, tally }, true, at(3_300));
+        monitor.heartbeat(id(4), HeartbeatSeq { agent_epoch: shift, sequence: tally }, true, at(3_300));
         let summary = monitor.summary(at(3_300));
         assert_eq!(summary.unanswering, unanswering, "heartbeat {shift} {tally}");
         let mut monitor = monitor_with_one_unanswered();
-        let news = monitor.answered(id(4), HeartbeatSeq { shift, tally }, true, at(3_300), at(3_350));
+        let news = monitor.answered(
+            id(4),
+            HeartbeatSeq { agent_epoch: shift, sequence: tally },
+            true,
+            at(3_300),
+            at(3_350),
+        );
         assert_eq!(news, unanswering == 0, "answer {shift} {tally}");
         assert_eq!(monitor.summary(at(3_350)).unanswering, unanswering, "answer {shift} {tally}");
     }
@@ -142,7 +148,7 @@
         let rentals: Vec<Rental> = (0..20).map(rental).collect();
         monitor.listed(Some((&rentals, false)), BEGAN);
         (0..=3_200).step_by(100).for_each(|ms| monitor.works(at(ms)));
-        monitor.heartbeat(id(4), HeartbeatSeq { shift: 1, tally: 1 }, true, at(heard));
+        monitor.heartbeat(id(4), HeartbeatSeq { agent_epoch: 1, sequence: 1 }, true, at(heard));
         monitor.unanswered(&id(4), at(2_000), at(3_200));
         assert_eq!(monitor.summary(at(3_200)).unanswering, unanswering, "heard at {heard}");
     }
@@ -161,7 +167,13 @@
             monitor.works(at(ms));
             if ms >= 1_200 && ms % 1_000 == 200 {
                 monitor.unanswered(&id(0), at(ms - 1_200), at(ms));
-                monitor.answered(id(4), HeartbeatSeq { shift: 1, tally: ms }, true, at(ms - 50), at(ms));
+                monitor.answered(
+                    id(4),
+                    HeartbeatSeq { agent_epoch: 1, sequence: ms },
+                    true,
+                    at(ms - 50),
+                    at(ms),
+                );
             }
             evidence = monitor.suspects(at(9_000), at(ms)).remove(&id(0)).map(|suspect| suspect.evidence);
         }
--- a/crates/core/src/liveness/tests/orders.rs
+++ b/crates/core/src/liveness/tests/orders.rs
@@ -222,11 +222,11 @@
 /// Numbers rise throughout: no message here is a copy.
 fn next_message(messages: &mut u64) -> HeartbeatSeq {
     *messages += 1;
-    HeartbeatSeq { shift: 1, tally: *messages }
+    HeartbeatSeq { agent_epoch: 1, sequence: *messages }
 }
 
 fn rental_of(i: usize, m: &Machine) -> Rental {
-    Rental { name: name(i).to_string(), yard: m.zone.into(), stage: "running".into(), ..rental(i) }
+    Rental { name: name(i).to_string(), zone: m.zone.into(), state: "running".into(), ..rental(i) }
 }
 
 /// What the monitor knew after a look.
--- a/crates/core/src/node/cancellations.rs
+++ b/crates/core/src/node/cancellations.rs
@@ -88,7 +88,7 @@
     pub(super) fn ended_by(&mut self, writes: &[Write], stamp: u64) -> Vec<JobId> {
         let mut ended = Vec::new();
         for w in writes {
-            let Write::Put { put, v, .. } = w else { continue };
+            let Write::Put { key: put, value: v, .. } = w else { continue };
             if v["end"] == "aborted"
                 && let change @ Change::Job { id, .. } = self.mirror.ledger.apply(put, Some(v), stamp)
             {
@@ -143,7 +143,9 @@
 
     /// Takes a cancellation from the mirror.
     fn note_cancelled(&mut self, job: JobId) {
-        let Some(j) = self.mirror.ledger.jobs.get(&job).filter(|j| j.phase == Phase::Aborted) else { return };
+        let Some(j) = self.mirror.ledger.jobs.get(&job).filter(|j| j.phase == Phase::Cancelled) else {
+            return;
+        };
         let record = Cancellation {
             job,
             at_ms: j.ended_ms,
@@ -158,7 +160,7 @@
     /// Whether a user may be told that a job is cancelled.
     pub(super) fn may_tell(&self, job: JobId) -> bool {
         // Nothing of it is on any machine: there is nothing that anybody has to know.
-        if self.mirror.ledger.jobs.get(&job).is_some_and(|j| j.settled) {
+        if self.mirror.ledger.jobs.get(&job).is_some_and(|j| j.fully_stopped) {
             return true;
         }
         let Some(k) = self.cancellations.jobs.get(&job) else { return false };
@@ -169,7 +171,7 @@
     fn all_know(&self, k: &Known) -> bool {
         // A leader that took its key before the record has to be told; whether there is
         // one, only a mirror that holds the record knows.
-        let applied = self.mirror.ledger.applied >= k.record.stamp;
+        let applied = self.mirror.ledger.applied_revision >= k.record.stamp;
         let heard_know = self.peers.all().filter(|n| *n != self.nodes.me && self.hears(*n, HEARD)).all(|n| {
             let process = self.peers.states[n.0 as usize].incarnation;
             k.record.known_by[n.0 as usize] >= process
@@ -201,7 +203,7 @@
         let (keep, ledger) = (self.ctx.cancel.scale(4, 1), &self.mirror.ledger);
         self.cancellations.jobs.retain(|job, k| {
             !k.askers.is_empty()
-                || now.since(k.since) < keep && ledger.jobs.get(job).is_none_or(|j| !j.settled)
+                || now.since(k.since) < keep && ledger.jobs.get(job).is_none_or(|j| !j.fully_stopped)
         });
         if self.cancellations.jobs.is_empty() {
             return;
@@ -295,7 +297,7 @@
         let phase = self.mirror.ledger.jobs.get(&c.job).map(|j| j.phase);
         match phase {
             Some(Phase::Done) => return warn!("{}: cancelled and done", c.job),
-            Some(Phase::Aborted) => {}
+            Some(Phase::Cancelled) => {}
             Some(Phase::Active) | None => {
                 debug!("{}: told of its cancellation", c.job);
                 let end = jobs::cancelled_value(c.at_ms, c.cause.as_deref(), false);
--- a/crates/core/src/node/catalogue.rs
+++ b/crates/core/src/node/catalogue.rs
@@ -4,7 +4,7 @@
 use crate::leader::growth::LIST_PAGE;
 use crate::rate::Bucket;
 use crate::{Call, Target};
-use gorseshore_protocol::cloud::{Flavor, Flavors, Hire, Hosts};
+use gorseshore_protocol::cloud::{Flavor, Flavors, MachineNames, RentalRequest};
 use gorseshore_protocol::ids::{Micros, Resources};
 
 /// Machine types and the calls that may be made.
@@ -43,9 +43,9 @@
 
     /// The cloud's answer.
     pub fn take(&mut self, f: Flavors) {
-        let size = |b: &Flavor| Resources::have(b.cpus, b.gpus, b.memory_gb);
-        self.sizes = f.builds.iter().map(|b| (b.sku.clone(), size(b))).collect();
-        self.flavors = f.builds;
+        let size = |b: &Flavor| Resources::capacity(b.cpus, b.gpus, b.memory_gb);
+        self.sizes = f.flavors.iter().map(|b| (b.name.clone(), size(b))).collect();
+        self.flavors = f.flavors;
     }
 }
 
@@ -58,19 +58,19 @@
 
 /// Rents machines.
 pub(super) fn rent_call(request: &HireRequest) -> Call {
-    let body = Hire {
-        hire: request.name.clone(),
-        build: request.build.clone(),
-        yard: request.zone.clone(),
-        loaners: request.spot,
-        number: request.count,
+    let body = RentalRequest {
+        request_id: request.name.clone(),
+        machine_type: request.build.clone(),
+        zone: request.zone.clone(),
+        spot: request.spot,
+        count: request.count,
     };
     cloud_call("POST", "/rentals".into(), serde_json::to_vec(&body).unwrap_or_default())
 }
 
 /// Deletes machines.
 pub(super) fn delete_call(names: Vec<String>) -> Call {
-    let body = Hosts { hosts: names };
+    let body = MachineNames { names };
     cloud_call("POST", "/rentals/delete".into(), serde_json::to_vec(&body).unwrap_or_default())
 }
 
--- a/crates/core/src/node/duties.rs
+++ b/crates/core/src/node/duties.rs
@@ -62,7 +62,7 @@
             if !self.mirror.listing && self.now >= self.mirror.retry_list_at {
                 let (from, first, ledger) = self.mirror.so_far.take().unwrap_or_else(|| {
                     let mut ledger = Box::<StateReplica>::default();
-                    ledger.aside = self.has_guest.then(Vec::new);
+                    ledger.extension_entries = self.has_guest.then(Vec::new);
                     (None, None, ledger)
                 });
                 self.list(from, first, ledger);
@@ -70,8 +70,11 @@
             return;
         }
         if !self.mirror.following && self.now >= self.mirror.follow_at {
-            let path =
-                format!("/follow?prefix={}&from={}&hold_ms=10000", keys::ROOT, self.mirror.ledger.applied);
+            let path = format!(
+                "/follow?prefix={}&from={}&hold_ms=10000",
+                keys::ROOT_PREFIX,
+                self.mirror.ledger.applied_revision
+            );
             let id = self.state("GET", path, Vec::new(), Micros::secs(13));
             self.calls.insert(id, Purpose::Follow);
             self.mirror.following = true;
@@ -83,7 +86,7 @@
         if from.is_none() {
             self.mirror.reading = StateReading { began: self.now, ..StateReading::default() };
         }
-        let mut path = format!("/store?prefix={}&limit=1000", keys::ROOT);
+        let mut path = format!("/store?prefix={}&limit=1000", keys::ROOT_PREFIX);
         if let Some(f) = &from {
             path.push_str("&from=");
             path.push_str(f);
@@ -92,18 +95,18 @@
         self.calls.insert(id, Purpose::List { from, first, ledger });
     }
 
-    pub(super) fn apply(&mut self, news: News) {
-        let base = self.mirror.ledger.applied;
+    pub(super) fn apply(&mut self, news: WatchResponse) {
+        let base = self.mirror.ledger.applied_revision;
         let mut messages = Vec::new();
-        for e in &news.news {
-            if e.stamp <= base {
+        for e in &news.events {
+            if e.revision <= base {
                 continue;
             }
             let change = match (&e.put, &e.remove) {
-                (Some(k), _) => match self.mirror.ledger.apply(k, Some(&e.v), e.stamp) {
-                    Change::Mail(to) => {
+                (Some(k), _) => match self.mirror.ledger.apply(k, Some(&e.value), e.revision) {
+                    Change::RelayedMessage(to) => {
                         if to == self.nodes.names[self.nodes.me.0 as usize]
-                            && let Some(p) = self.relay.open(&e.v)
+                            && let Some(p) = self.relay.open(&e.value)
                         {
                             messages.push(p);
                         }
@@ -111,33 +114,33 @@
                     }
                     c => c,
                 },
-                (None, Some(k)) => self.mirror.ledger.apply(k, None, e.stamp),
+                (None, Some(k)) => self.mirror.ledger.apply(k, None, e.revision),
                 _ => continue,
             };
             if let Some(g) = self.guest.as_mut() {
                 match &change {
-                    Change::Aside => {
+                    Change::Extension => {
                         let (key, v) = match (&e.put, &e.remove) {
-                            (Some(k), _) => (k, Some(&e.v)),
+                            (Some(k), _) => (k, Some(&e.value)),
                             (None, Some(k)) => (k, None),
                             (None, None) => continue,
                         };
-                        if let Some(name) = key.strip_prefix(keys::GUEST) {
-                            g.apply(name, v, e.stamp);
+                        if let Some(name) = key.strip_prefix(keys::EXTENSION_PREFIX) {
+                            g.apply(name, v, e.revision);
                         }
                     }
-                    Change::Job { id, .. } if id.own() => g.job_changed(*id, e.stamp),
+                    Change::Job { id, .. } if id.is_internal() => g.job_changed(*id, e.revision),
                     _ => {}
                 }
             }
             self.changed(change);
         }
-        self.mirror.ledger.applied = base.max(news.ledger);
+        self.mirror.ledger.applied_revision = base.max(news.revision);
         // Only now: a hand-out may be of a job whose end came with it.
         for p in messages {
             self.peer(p.from, p.incarnation, p.message);
         }
-        if !news.news.is_empty() {
+        if !news.events.is_empty() {
             self.lead();
             self.drive();
             self.ask_guest(GuestInput::News);
@@ -194,7 +197,7 @@
             },
             Role::Candidate => {}
             Role::Leader { lease, stamp, term } => {
-                if self.mirror.ledger.applied >= stamp
+                if self.mirror.ledger.applied_revision >= stamp
                     && self.mirror.ledger.leader.as_ref().is_none_or(|(r, s)| *s != stamp || r.term != term)
                 {
                     return self.step_down("its key is gone");
@@ -256,7 +259,7 @@
     pub(super) fn lead(&mut self) {
         // The mirror must hold everything that was there when the key was taken.
         if let Some((term, stamp)) = self.leadership.won
-            && self.mirror.ledger.applied >= stamp
+            && self.mirror.ledger.applied_revision >= stamp
             && !self.catalogue.sizes.is_empty()
         {
             self.leadership.won = None;
@@ -343,10 +346,12 @@
         let names: Vec<&str> = record.nodes.iter().map(|(n, _)| n.as_str()).collect();
         debug!("witnesses of term {term}: {}", names.join(", "));
         self.leadership.bucket.force(self.now, 1.0);
-        let when =
-            vec![When { path: keys::LEADER.into(), stamp: mine }, When { path: keys::BOOKS.into(), stamp }];
-        let put = Write::Put { put: keys::BOOKS.into(), v: json!(record), hold: None };
-        let id = self.multi(&Multi { when, writes: vec![put] });
+        let when = vec![
+            Precondition { key: keys::LEADER.into(), revision: mine },
+            Precondition { key: keys::STANDBY_REPLICAS.into(), revision: stamp },
+        ];
+        let put = Write::Put { key: keys::STANDBY_REPLICAS.into(), value: json!(record), lease: None };
+        let id = self.multi(&Transaction { preconditions: when, writes: vec![put] });
         self.calls.insert(id, Purpose::BooksRecord(term));
     }
 
@@ -373,7 +378,10 @@
             .filter(|w| !self.leadership.refused.waits(w, self.now))
             .filter_map(|w| self.leadership.uncontested(w, self.now))
             .collect();
-        let mut m = Multi { when: vec![When { path: keys::LEADER.into(), stamp: mine }], writes: Vec::new() };
+        let mut m = Transaction {
+            preconditions: vec![Precondition { key: keys::LEADER.into(), revision: mine }],
+            writes: Vec::new(),
+        };
         let mut taken = Vec::new();
         let mut size = 0;
         for w in todo {
@@ -383,7 +391,7 @@
             }
             let Some(changes) = self.changes_of(&w) else { continue };
             let ops = m.writes.len() + changes.writes.len();
-            let conditions = m.when.len() + changes.conditions.len();
+            let conditions = m.preconditions.len() + changes.conditions.len();
             let too_long = !taken.is_empty() && size + changes.len() > MAX_TXN_BYTES;
             if ops > self.limits.txn_ops || conditions > self.limits.txn_conditions() || too_long {
                 break;
@@ -402,7 +410,7 @@
                 info!("{id}: {}", l.failure_cause(*id, *index));
             }
             size += changes.len();
-            m.when.extend(changes.conditions);
+            m.preconditions.extend(changes.conditions);
             m.writes.extend(changes.writes);
             // One name a transaction: they share a key.
             let full = alone
@@ -456,8 +464,9 @@
                 self.lead();
             }
             CallResult::Answer { status: 409, body } => {
-                let failed =
-                    serde_json::from_slice::<TransactionResponse>(body).map(|a| a.failed).unwrap_or_default();
+                let failed = serde_json::from_slice::<TransactionResponse>(body)
+                    .map(|a| a.failed_keys)
+                    .unwrap_or_default();
                 if failed.iter().any(|k| k == keys::LEADER) {
                     return self.step_down("another took the key");
                 }
@@ -530,7 +539,7 @@
         let Some(l) = self.leadership.leader.as_mut() else { return };
         match result {
             CallResult::Answer { status: 200, body } => {
-                let hosts = serde_json::from_slice::<Hosts>(body).map(|h| h.hosts).unwrap_or_default();
+                let hosts = serde_json::from_slice::<MachineNames>(body).map(|h| h.names).unwrap_or_default();
                 l.hired(&req, Some(&hosts), &self.catalogue.sizes, self.now);
             }
             CallResult::Answer { status: 503, body } if body.windows(11).any(|w| w == b"no capacity") => {
--- a/crates/core/src/node/host.rs
+++ b/crates/core/src/node/host.rs
@@ -48,8 +48,8 @@
             GuestOutput::Close(id) => self.out.items.push(Output::Close(id)),
             GuestOutput::Prove(t) => self.wait(Waiter::Guest(t), Micros::millis(1500)),
             GuestOutput::Read(t, prefix) => {
-                let none = Listing { pairs: Vec::new(), truncated: false, ledger: 0 };
-                self.read_page(t, format!("{}{prefix}", keys::GUEST), none);
+                let none = Listing { entries: Vec::new(), truncated: false, revision: 0 };
+                self.read_page(t, format!("{}{prefix}", keys::EXTENSION_PREFIX), none);
             }
             GuestOutput::Write { ticket, multi, as_leader } => {
                 if self.users.writes.len() >= MAX_WAITING {
@@ -63,7 +63,7 @@
     }
 
     fn read_page(&mut self, t: Ticket, prefix: String, so_far: Listing) {
-        let from = so_far.pairs.last().map_or(String::new(), |p| format!("&from={}", p.path));
+        let from = so_far.entries.last().map_or(String::new(), |p| format!("&from={}", p.key));
         let path = format!("/store?prefix={prefix}{from}&limit=1000");
         let id = self.state("GET", path, Vec::new(), Micros::millis(2500));
         self.calls.insert(id, Purpose::GuestRead(t, prefix, so_far));
@@ -76,9 +76,9 @@
             _ => None,
         };
         let Some(page) = page else { return self.ask_guest(GuestInput::Called(t, CallResult::NotSent)) };
-        so_far.pairs.extend(page.pairs);
-        so_far.ledger = page.ledger;
-        if page.truncated && so_far.pairs.len() < MAX_READ {
+        so_far.entries.extend(page.entries);
+        so_far.revision = page.revision;
+        if page.truncated && so_far.entries.len() < MAX_READ {
             return self.read_page(t, prefix, so_far);
         }
         let body = serde_json::to_vec(&so_far).unwrap_or_default();
--- a/crates/core/src/node/knowledge.rs
+++ b/crates/core/src/node/knowledge.rs
@@ -22,7 +22,7 @@
 
     /// Whether a controller is in touch and on record as a holder of the leader's placements.
     fn holds_placements(&self, n: NodeId) -> bool {
-        let (record, _) = &self.mirror.ledger.books;
+        let (record, _) = &self.mirror.ledger.standby_replicas;
         let process = if n == self.nodes.me {
             self.incarnation
         } else if self.hears(n, HEARD) {
@@ -50,7 +50,8 @@
         if self.now.since(self.placements_at) < HEARD {
             return None;
         }
-        let open = self.mirror.ledger.jobs.values().filter(|j| j.phase == Phase::Aborted && !j.settled);
+        let open =
+            self.mirror.ledger.jobs.values().filter(|j| j.phase == Phase::Cancelled && !j.fully_stopped);
         open.map(|job| gone_by(job.ended_ms, self.wall_ms, self.ctx.cancel, self.now))
             .filter(|by| *by > self.now)
             .min()
--- a/crates/core/src/node/leadership.rs
+++ b/crates/core/src/node/leadership.rs
@@ -101,7 +101,7 @@
             }
             LeaderWrite::Fail(id, _) => free(keys::end(*id)) && free(keys::job(*id)),
             LeaderWrite::Progress(id, c) => free(keys::progress(*id, *c)) && free(keys::end(*id)),
-            LeaderWrite::Failures(id, c) => free(keys::failed(*id, *c)) && free(keys::end(*id)),
+            LeaderWrite::Failures(id, c) => free(keys::failures(*id, *c)) && free(keys::end(*id)),
             LeaderWrite::Forget(key) => free(key.clone()),
             LeaderWrite::Hire(_) => true,
         };
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -39,14 +39,16 @@
 use crate::liveness::LivenessMonitor;
 use crate::peer::{Envelope, Message, Sighting};
 use crate::{Call, CallId, CallResult, Input, Outbox, Output, RequestId, Target};
-use gorseshore_protocol::cloud::{Flavors, Hosts, Rentals};
+use gorseshore_protocol::cloud::{Flavors, MachineNames, Rentals};
 use gorseshore_protocol::ids::{
     Attempt, JobId, MIN_INTERNAL_JOB_ID, MachineId, Micros, NodeId, Resources, TaskId,
 };
 use gorseshore_protocol::job::JobSpec;
-use gorseshore_protocol::state::{Grant, Listing, Multi, News, TransactionResponse, When, Write};
+use gorseshore_protocol::state::{
+    LeaseGrant, Listing, Precondition, Transaction, TransactionResponse, WatchResponse, Write,
+};
 use gorseshore_protocol::users;
-use gorseshore_protocol::workers::{HeartbeatResponse, HeartbeatSeq, Order, Report};
+use gorseshore_protocol::workers::{Command, HeartbeatResponse, HeartbeatSeq, Report};
 use gorseshore_settings::{Operator, Platform, Team};
 use log::{debug, error, info, warn};
 use serde_json::json;
@@ -265,7 +267,7 @@
     /// The `status` line of a controller, if one is due.
     pub fn status_line(&mut self) -> Option<String> {
         let gauges = Gauges {
-            revision: self.mirror.ledger.applied,
+            revision: self.mirror.ledger.applied_revision,
             ready: self.ready(),
             machines_held: self.ctl.held(),
             leader: self.leader_node().map(|n| n.0),
@@ -327,21 +329,23 @@
             Purpose::Follow => {
                 self.mirror.following = false;
                 match result {
-                    CallResult::Answer { status: 200, body } => match serde_json::from_slice::<News>(&body) {
-                        Ok(n) => {
-                            self.mirror.ok_at = Some(self.now);
-                            self.status.caught_up(self.now);
-                            self.apply(n);
-                        }
-                        Err(e) => {
-                            warn!("unreadable news: {e}");
-                            self.mirror.follow_at = self.now + Micros::millis(500);
+                    CallResult::Answer { status: 200, body } => {
+                        match serde_json::from_slice::<WatchResponse>(&body) {
+                            Ok(n) => {
+                                self.mirror.ok_at = Some(self.now);
+                                self.status.caught_up(self.now);
+                                self.apply(n);
+                            }
+                            Err(e) => {
+                                warn!("unreadable news: {e}");
+                                self.mirror.follow_at = self.now + Micros::millis(500);
+                            }
                         }
-                    },
+                    }
                     CallResult::Answer { status: 410, .. } => {
                         info!(
                             "watch expired revision={}: reading the state anew",
-                            self.mirror.ledger.applied
+                            self.mirror.ledger.applied_revision
                         );
                         self.mirror.listed = false;
                     }
@@ -354,7 +358,9 @@
             Purpose::GuestRead(t, prefix, so_far) => self.guest_page(t, prefix, so_far, result),
             Purpose::GrantNew { asked } => {
                 let lease = match &result {
-                    CallResult::Answer { status: 200, body } => serde_json::from_slice::<Grant>(body).ok(),
+                    CallResult::Answer { status: 200, body } => {
+                        serde_json::from_slice::<LeaseGrant>(body).ok()
+                    }
                     _ => None,
                 };
                 match lease {
@@ -363,30 +369,37 @@
                         let rec = LeaderRecord {
                             node: self.nodes.names[self.nodes.me.0 as usize].clone(),
                             term: term + 1,
-                            lease: g.hold,
+                            lease: g.lease,
                         };
-                        let m = Multi {
-                            when: vec![
-                                When { path: keys::LEADER.into(), stamp: 0 },
-                                When { path: keys::TERM.into(), stamp },
-                                When { path: keys::BOOKS.into(), stamp: self.mirror.ledger.books.1 },
+                        let m = Transaction {
+                            preconditions: vec![
+                                Precondition { key: keys::LEADER.into(), revision: 0 },
+                                Precondition { key: keys::TERM.into(), revision: stamp },
+                                Precondition {
+                                    key: keys::STANDBY_REPLICAS.into(),
+                                    revision: self.mirror.ledger.standby_replicas.1,
+                                },
                             ],
                             writes: vec![
                                 Write::Put {
-                                    put: keys::BOOKS.into(),
-                                    v: json!(self.mirror.ledger.books.0.taken_over(term + 1)),
-                                    hold: None,
+                                    key: keys::STANDBY_REPLICAS.into(),
+                                    value: json!(self.mirror.ledger.standby_replicas.0.taken_over(term + 1)),
+                                    lease: None,
+                                },
+                                Write::Put { key: keys::TERM.into(), value: json!(term + 1), lease: None },
+                                Write::Put {
+                                    key: keys::LEADER.into(),
+                                    value: json!(rec),
+                                    lease: Some(g.lease),
                                 },
-                                Write::Put { put: keys::TERM.into(), v: json!(term + 1), hold: None },
-                                Write::Put { put: keys::LEADER.into(), v: json!(rec), hold: Some(g.hold) },
                             ],
                         };
                         let id = self.multi(&m);
-                        self.calls.insert(id, Purpose::TakeKey { asked, lease: g.hold, term: term + 1 });
+                        self.calls.insert(id, Purpose::TakeKey { asked, lease: g.lease, term: term + 1 });
                     }
                     lease => {
                         if let Some(g) = lease {
-                            self.end_lease(g.hold);
+                            self.end_lease(g.lease);
                         }
                         let pause = Micros::millis(150 + self.rng.u64(0..300));
                         self.leadership.election.lost(self.now, pause);
@@ -395,7 +408,7 @@
             }
             Purpose::TakeKey { asked, lease, term } => match &result {
                 CallResult::Answer { status: 200, body } => {
-                    let stamp = serde_json::from_slice::<TransactionResponse>(body).map_or(0, |a| a.ledger);
+                    let stamp = serde_json::from_slice::<TransactionResponse>(body).map_or(0, |a| a.revision);
                     self.leadership.election.won(term, lease, stamp, asked);
                     self.leadership.had_peers = false;
                     self.leadership.won = Some((term, stamp));
@@ -448,9 +461,9 @@
             Purpose::Probe(m) => {
                 if let CallResult::Answer { status: 200, body } = &result
                     && let Ok(r) = serde_json::from_slice::<Report>(body)
-                    && r.host == m.as_str()
+                    && r.machine == m.as_str()
                 {
-                    self.tell_seen(&m, MachineRecord::of(&r), r.number(), true);
+                    self.tell_seen(&m, MachineRecord::from_report(&r), r.heartbeat_seq(), true);
                 }
             }
         }
@@ -489,17 +502,17 @@
         if let CallResult::Answer { body, .. } = &result {
             self.mirror.reading.bytes += body.len();
         }
-        for p in &page.pairs {
-            ledger.apply(&p.path, Some(&p.v), p.stamp);
+        for p in &page.entries {
+            ledger.apply(&p.key, Some(&p.value), p.revision);
         }
         // Later pages are newer: the news from the first page's revision on
         // is applied over them.
-        let first = first.unwrap_or(page.ledger);
-        if let (true, Some(last)) = (page.truncated, page.pairs.last()) {
-            return self.list(Some(last.path.clone()), Some(first), ledger);
+        let first = first.unwrap_or(page.revision);
+        if let (true, Some(last)) = (page.truncated, page.entries.last()) {
+            return self.list(Some(last.key.clone()), Some(first), ledger);
         }
-        ledger.applied = first;
-        let aside = ledger.aside.take().unwrap_or_default();
+        ledger.applied_revision = first;
+        let aside = ledger.extension_entries.take().unwrap_or_default();
         self.mirror.ledger = *ledger;
         self.reapply_cancellations();
         if let Some(g) = self.guest.as_mut() {
@@ -508,7 +521,7 @@
                 g.apply(name, Some(v), *stamp);
             }
             for (id, job) in self.mirror.ledger.jobs.range(JobId(MIN_INTERNAL_JOB_ID)..) {
-                g.job_changed(*id, job.stamp.max(job.end_revision));
+                g.job_changed(*id, job.revision.max(job.end_revision));
             }
         }
         self.mirror.listed = true;
@@ -524,7 +537,7 @@
         info!(
             "state read revision={first} last_revision={} pages={pages} bytes={bytes} interruptions={interruptions} \
              duration_ms={} jobs={} machines={}",
-            page.ledger,
+            page.revision,
             self.now.since(began).0 / 1000,
             self.mirror.ledger.jobs.len(),
             self.mirror.ledger.machines.len()
@@ -536,10 +549,13 @@
     fn barrier_done(&mut self, waiting: Vec<(Waiter, Micros)>, result: CallResult) {
         self.users.barrier_open = false;
         self.status.proof_ended(&result, self.now);
-        let news: Option<News> = match &result {
+        let news: Option<WatchResponse> = match &result {
             CallResult::Answer { status: 200, body } => serde_json::from_slice(body).ok(),
             CallResult::Answer { status: 410, .. } => {
-                info!("proof expired revision={}: reading the state anew", self.mirror.ledger.applied);
+                info!(
+                    "proof expired revision={}: reading the state anew",
+                    self.mirror.ledger.applied_revision
+                );
                 self.mirror.listed = false;
                 None
             }
--- a/crates/core/src/node/peers.rs
+++ b/crates/core/src/node/peers.rs
@@ -133,7 +133,7 @@
             }
             Message::Seen { id, build, zone, spot, addr, report, asked } => {
                 if let Some(l) = self.leadership.leader.as_mut() {
-                    let rec = MachineRecord { build, zone, spot, addr };
+                    let rec = MachineRecord { machine_type: build, zone, spot, addr };
                     let s = Sighting { id, report, asked };
                     l.seen(from, &s, &rec, &self.catalogue.sizes, self.now);
                 }
@@ -169,7 +169,7 @@
                 self.sync(false);
             }
             Message::Books(page) => {
-                let (on_record, _) = &self.mirror.ledger.books;
+                let (on_record, _) = &self.mirror.ledger.standby_replicas;
                 self.kept.drop_before(on_record.term);
                 // A leader that another has followed is kept no books for.
                 if page.term < self.mirror.ledger.term.0 {
--- a/crates/core/src/node/refusals.rs
+++ b/crates/core/src/node/refusals.rs
@@ -77,9 +77,9 @@
         | LeaderWrite::CancelledWith(id)
         | LeaderWrite::Fail(id, _) => keys::end(*id),
         LeaderWrite::Machines(ids) => ids.first().map(keys::machines).unwrap_or_default(),
-        LeaderWrite::Hire(_) => keys::HIRE.into(),
+        LeaderWrite::Hire(_) => keys::LAST_RENTAL_REQUEST.into(),
         LeaderWrite::Progress(id, chunk) => keys::progress(*id, *chunk),
-        LeaderWrite::Failures(id, chunk) => keys::failed(*id, *chunk),
+        LeaderWrite::Failures(id, chunk) => keys::failures(*id, *chunk),
         LeaderWrite::Forget(key) => key.clone(),
     }
 }
--- a/crates/core/src/node/relay.rs
+++ b/crates/core/src/node/relay.rs
@@ -5,7 +5,7 @@
 use crate::peer::{Envelope, Message};
 use data_encoding::BASE64;
 use gorseshore_protocol::ids::{Micros, NodeId};
-use gorseshore_protocol::state::{Multi, Write};
+use gorseshore_protocol::state::{Transaction, Write};
 use serde::Deserialize;
 use serde_json::json;
 use std::collections::{BTreeMap, VecDeque};
@@ -29,7 +29,7 @@
     pub next_at: Micros,
     count: u64,
     /// Transactions of the message that is being posted, after the one under way.
-    rest: VecDeque<Multi>,
+    rest: VecDeque<Transaction>,
     /// Messages of which parts have come, by the sender's process: number, text
     /// so far, parts so far.
     open: BTreeMap<u64, (u64, String, usize)>,
@@ -67,12 +67,12 @@
         }
         self.count += 1;
         let put = |(i, part): (usize, &&str)| Write::Put {
-            put: keys::mail(to, &format!("{from}/{i}")),
-            v: json!([envelope.incarnation, self.count, i, parts.len(), part]),
-            hold: None,
+            key: keys::relayed_messages(to, &format!("{from}/{i}")),
+            value: json!([envelope.incarnation, self.count, i, parts.len(), part]),
+            lease: None,
         };
         let writes: Vec<Write> = parts.iter().enumerate().map(put).collect();
-        let txn = |writes: &[Write]| Multi { when: Vec::new(), writes: writes.to_vec() };
+        let txn = |writes: &[Write]| Transaction { preconditions: Vec::new(), writes: writes.to_vec() };
         self.rest = writes.chunks(limits.txn_ops.max(1)).map(txn).collect();
         Some(parts.len())
     }
@@ -83,7 +83,7 @@
     }
 
     /// The next transaction of message `number`, if the one before was taken.
-    pub fn next_txn(&mut self, number: u64, taken: bool) -> Option<Multi> {
+    pub fn next_txn(&mut self, number: u64, taken: bool) -> Option<Transaction> {
         if number != self.count {
             return None;
         }
@@ -129,15 +129,15 @@
     }
 
     /// All transactions of the message that was cut last.
-    fn transactions(relay: &mut Relay) -> Vec<Multi> {
+    fn transactions(relay: &mut Relay) -> Vec<Transaction> {
         let number = relay.number();
         std::iter::from_fn(|| relay.next_txn(number, true)).collect()
     }
 
-    fn receive(relay: &mut Relay, transactions: &[Multi]) -> Option<Envelope> {
+    fn receive(relay: &mut Relay, transactions: &[Transaction]) -> Option<Envelope> {
         let parts = transactions.iter().flat_map(|txn| &txn.writes);
         parts.fold(None, |whole, write| match write {
-            Write::Put { v, .. } => whole.or(relay.open(v)),
+            Write::Put { value: v, .. } => whole.or(relay.open(v)),
             Write::Remove { .. } => whole,
         })
     }
@@ -167,7 +167,7 @@
                 assert!(txn.writes.len() <= txn_ops, "{what}");
                 assert!(serde_json::to_vec(txn).unwrap().len() < 64 * 1024, "{what}");
                 for write in &txn.writes {
-                    let Write::Put { v, .. } = write else { panic!("{write:?}") };
+                    let Write::Put { value: v, .. } = write else { panic!("{write:?}") };
                     assert!(limits.fits(v), "{what}");
                 }
             }
--- a/crates/core/src/node/requests.rs
+++ b/crates/core/src/node/requests.rs
@@ -16,7 +16,7 @@
             ("POST", "/checkin", _) => self.checkin(id, body),
             ("POST", "/submissions", _) => self.submit(id, body),
             (_, "/ready" | "/checkin" | "/submissions", _) => {
-                self.out.answer(id, 405, users::error("wrong method"))
+                self.out.answer(id, 405, users::error_body("wrong method"))
             }
             (m, _, Some(rest)) => {
                 let (job, abort) = match rest.strip_suffix("/abort") {
@@ -24,12 +24,12 @@
                     None => (rest, false),
                 };
                 if m != if abort { "POST" } else { "GET" } {
-                    return self.out.answer(id, 405, users::error("wrong method"));
+                    return self.out.answer(id, 405, users::error_body("wrong method"));
                 }
                 // Jobs with an id of the service's own can be looked at; they end
                 // by the interface that they came by.
-                match JobId::parse(job).filter(|j| !(abort && j.own())) {
-                    None => self.out.answer(id, 404, users::error("no such job")),
+                match JobId::parse(job).filter(|j| !(abort && j.is_internal())) {
+                    None => self.out.answer(id, 404, users::error_body("no such job")),
                     Some(j) if abort => self.wait(Waiter::Abort(id, j), Micros::millis(3500)),
                     Some(j) => {
                         self.status.poll_came(id, self.now);
@@ -37,7 +37,7 @@
                     }
                 }
             }
-            _ => self.out.answer(id, 404, users::error("no such path")),
+            _ => self.out.answer(id, 404, users::error_body("no such path")),
         }
     }
 
@@ -65,8 +65,8 @@
                 let answer = users::job_status_body(job, "done", j.tasks, 0);
                 self.out.answer(id, 200, answer);
             }
-            Phase::Aborted if self.may_tell(job) => self.aborted_answer(id, job),
-            Phase::Aborted => self.tell_user(id, job),
+            Phase::Cancelled if self.may_tell(job) => self.aborted_answer(id, job),
+            Phase::Cancelled => self.tell_user(id, job),
         }
         true
     }
@@ -85,11 +85,11 @@
             return;
         }
         let Some(j) = self.mirror.ledger.jobs.get(&job) else {
-            return self.out.answer(id, 404, users::error("no such job"));
+            return self.out.answer(id, 404, users::error_body("no such job"));
         };
         let running = self.ctl.running.get(&job).copied().unwrap_or(0);
         let stage = if running > 0 { "running" } else { "queued" };
-        self.out.answer(id, 200, users::job_status_body(job, stage, j.done.below(j.tasks), running));
+        self.out.answer(id, 200, users::job_status_body(job, stage, j.done.count_below(j.tasks), running));
     }
 
     pub(super) fn wait(&mut self, w: Waiter, limit: Micros) {
@@ -132,7 +132,7 @@
         };
         let Some(job) = job else {
             let reason = parsed.err().unwrap_or_default();
-            return self.out.answer(id, 400, users::error(&reason));
+            return self.out.answer(id, 400, users::error_body(&reason));
         };
         let checked = parsed.map_err(|e| (400, e)).and_then(|s| self.check(s));
         let known = self.mirror.ledger.jobs.contains_key(&job);
@@ -161,8 +161,8 @@
             return Err((503, RefusalReason::MachineTypesUnknown.sentence().into()));
         }
         let fits = self.catalogue.flavors.iter().any(|f| {
-            let size = Resources::have(f.cpus, f.gpus, f.memory_gb);
-            f.yards.iter().any(|z| s.allows(&f.sku, z, false, &size))
+            let size = Resources::capacity(f.cpus, f.gpus, f.memory_gb);
+            f.zones.iter().any(|z| s.allows(&f.name, z, false, &size))
         });
         if !fits {
             return Err((422, "a task fits no allowed machine type".into()));
@@ -173,7 +173,7 @@
         if s.dependencies.contains(&s.id) {
             return Err((422, "awaits: the job itself".into()));
         }
-        let service = |id: &&JobId| self.mirror.ledger.jobs.get(*id).is_some_and(|j| j.service);
+        let service = |id: &&JobId| self.mirror.ledger.jobs.get(*id).is_some_and(|j| j.is_service);
         if let Some(id) = s.dependencies.iter().find(service) {
             return Err((422, format!("awaits: {id} is a service, which is never done")));
         }
@@ -195,7 +195,11 @@
             return;
         }
         let waiting = std::mem::take(&mut self.users.waiters);
-        let path = format!("/follow?prefix={}&from={}&hold_ms=0", keys::ROOT, self.mirror.ledger.applied);
+        let path = format!(
+            "/follow?prefix={}&from={}&hold_ms=0",
+            keys::ROOT_PREFIX,
+            self.mirror.ledger.applied_revision
+        );
         let id = self.state("GET", path, Vec::new(), Micros::millis(1200));
         self.calls.insert(id, Purpose::Barrier(waiting));
         self.users.barrier_open = true;
@@ -212,7 +216,7 @@
         self.out.call(Call { target: Target::State, method, path, body, timeout })
     }
 
-    pub(super) fn multi(&mut self, m: &Multi) -> CallId {
+    pub(super) fn multi(&mut self, m: &Transaction) -> CallId {
         let body = serde_json::to_vec(m).unwrap_or_default();
         self.state("POST", "/multi".into(), body, Micros::millis(2500))
     }
@@ -233,14 +237,14 @@
                     Ok(spec) => {
                         if let Some(dependency) = self.unknown_dependency(&spec) {
                             let reason = format!("awaits: {dependency} was never accepted");
-                            return self.out.answer(id, 422, users::error(&reason));
+                            return self.out.answer(id, 422, users::error_body(&reason));
                         }
                         let until = self.now + Micros::millis(3000);
                         self.users.writes.push_back((UserWrite::Submit(id, Box::new(spec)), until));
                         self.write_users();
                     }
                     Err((503, _)) => self.refuse(id, RefusalReason::MachineTypesUnknown),
-                    Err((status, reason)) => self.out.answer(id, status, users::error(&reason)),
+                    Err((status, reason)) => self.out.answer(id, status, users::error_body(&reason)),
                 }
             }
             Waiter::Abort(id, job) => {
@@ -248,7 +252,7 @@
                     return;
                 }
                 if !self.mirror.ledger.jobs.contains_key(&job) {
-                    return self.out.answer(id, 404, users::error("no such job"));
+                    return self.out.answer(id, 404, users::error_body("no such job"));
                 }
                 let until = self.now + Micros::millis(3000);
                 let end = jobs::cancelled_value(self.wall_ms, None, false);
@@ -289,11 +293,12 @@
             }
             let (when, writes) = match &w {
                 UserWrite::Guest(t, m, as_leader) => {
-                    let mut m = Multi::clone(m);
+                    let mut m = Transaction::clone(m);
                     if *as_leader {
                         match self.leadership.election.role {
                             Role::Leader { stamp, .. } if self.leadership.leader.is_some() => {
-                                m.when.push(When { path: keys::LEADER.into(), stamp });
+                                m.preconditions
+                                    .push(Precondition { key: keys::LEADER.into(), revision: stamp });
                             }
                             _ => {
                                 let t = *t;
@@ -306,17 +311,22 @@
                     self.calls.insert(call, Purpose::Write(w));
                     continue;
                 }
-                UserWrite::Submit(_, spec) => (vec![When { path: keys::job(spec.id), stamp: 0 }], records),
+                UserWrite::Submit(_, spec) => {
+                    (vec![Precondition { key: keys::job(spec.id), revision: 0 }], records)
+                }
                 UserWrite::Abort(_, job, end) => {
                     let key = keys::end(*job);
-                    let stamp = self.mirror.ledger.jobs.get(job).map_or(0, |j| j.stamp);
-                    let when =
-                        vec![When { path: key.clone(), stamp: 0 }, When { path: keys::job(*job), stamp }];
+                    let stamp = self.mirror.ledger.jobs.get(job).map_or(0, |j| j.revision);
+                    let when = vec![
+                        Precondition { key: key.clone(), revision: 0 },
+                        Precondition { key: keys::job(*job), revision: stamp },
+                    ];
                     (when, vec![(key, end.clone())])
                 }
             };
-            let writes = writes.into_iter().map(|(put, v)| Write::Put { put, v, hold: None }).collect();
-            let call = self.multi(&Multi { when, writes });
+            let writes =
+                writes.into_iter().map(|(put, v)| Write::Put { key: put, value: v, lease: None }).collect();
+            let call = self.multi(&Transaction { preconditions: when, writes });
             self.calls.insert(call, Purpose::Write(w));
         }
     }
@@ -325,22 +335,22 @@
         match (w, result) {
             (UserWrite::Submit(id, spec), CallResult::Answer { status: 200, body }) => {
                 let job = spec.id;
-                let stamp = serde_json::from_slice::<TransactionResponse>(body).map_or(0, |a| a.ledger);
+                let stamp = serde_json::from_slice::<TransactionResponse>(body).map_or(0, |a| a.revision);
                 debug!("{job}: accepted at {stamp}");
                 let cancelled =
-                    |id: &JobId| self.mirror.ledger.jobs.get(id).is_some_and(|j| j.phase == Phase::Aborted);
+                    |id: &JobId| self.mirror.ledger.jobs.get(id).is_some_and(|j| j.phase == Phase::Cancelled);
                 // Accepted all the same, and cancelled with what it depends on.
                 let stage = if spec.dependencies.iter().any(cancelled) { "aborted" } else { "queued" };
                 self.out.answer(id, 201, users::job_status_body(job, stage, 0, 0));
             }
             (UserWrite::Abort(id, job, end), CallResult::Answer { status: 200, body }) => {
                 info!("{job}: cancelled");
-                let stamp = serde_json::from_slice::<TransactionResponse>(body).map_or(0, |a| a.ledger);
-                self.ended_by(&[Write::Put { put: keys::end(job), v: end, hold: None }], stamp);
+                let stamp = serde_json::from_slice::<TransactionResponse>(body).map_or(0, |a| a.revision);
+                self.ended_by(&[Write::Put { key: keys::end(job), value: end, lease: None }], stamp);
                 self.tell_user(id, job);
             }
             (UserWrite::Guest(t, m, _), CallResult::Answer { status: 200, body }) => {
-                let stamp = serde_json::from_slice::<TransactionResponse>(body).map_or(0, |a| a.ledger);
+                let stamp = serde_json::from_slice::<TransactionResponse>(body).map_or(0, |a| a.revision);
                 let ended = self.ended_by(&m.writes, stamp);
                 self.tell_guest(t, &ended, result.clone());
             }
--- a/crates/core/src/node/stand_in.rs
+++ b/crates/core/src/node/stand_in.rs
@@ -82,7 +82,7 @@
             CallResult::Answer { status: 200, body } => serde_json::from_slice(body).ok(),
             _ => None,
         };
-        self.liveness.listed(page.as_ref().map(|p| (&p.hosts[..], p.truncated)), self.now);
+        self.liveness.listed(page.as_ref().map(|p| (&p.machines[..], p.truncated)), self.now);
     }
 
     fn enforce_cancellations(&mut self, suspects: &BTreeMap<MachineId, Suspect>, machines: usize) {
@@ -132,7 +132,7 @@
     /// A cancelled job that may be on machines, and by when it has to be gone.
     fn unsettled(&self, id: JobId) -> Option<(Micros, &Job)> {
         let job = self.mirror.ledger.jobs.get(&id)?;
-        let open = job.phase == Phase::Aborted && !job.settled;
+        let open = job.phase == Phase::Cancelled && !job.fully_stopped;
         open.then(|| (gone_by(job.ended_ms, self.wall_ms, self.ctx.cancel, self.now), job))
     }
 
@@ -186,9 +186,9 @@
     }
 
     fn may_hold(&self, job: &Job, m: &MachineRecord) -> bool {
-        let size = self.catalogue.sizes.get(&m.build);
+        let size = self.catalogue.sizes.get(&m.machine_type);
         let (Some(spec), Some(size)) = (&job.spec, size) else { return true };
-        spec.allows(&m.build, &m.zone, m.spot, size)
+        spec.allows(&m.machine_type, &m.zone, m.spot, size)
     }
 
     /// A question or a stop ended; a machine answers both with its report.
@@ -200,12 +200,12 @@
         let Some((r, tasks)) = readable_report(body) else {
             return self.note_odd_answer(machine, "is unreadable");
         };
-        if r.host != machine.as_str() {
+        if r.machine != machine.as_str() {
             return self.note_odd_answer(machine, "comes from another machine");
         }
         if self.watches_liveness() {
             let has_tasks = has_tasks(&tasks);
-            let news = self.liveness.answered(machine.clone(), r.number(), has_tasks, sent, self.now);
+            let news = self.liveness.answered(machine.clone(), r.heartbeat_seq(), has_tasks, sent, self.now);
             if !news {
                 debug!("{machine}: its answer is older than another message, and changes nothing");
             }
@@ -232,8 +232,8 @@
     /// A worker sent a heartbeat.
     pub(super) fn note_heartbeat(&mut self, report: &Report, tasks: &[Held]) {
         if self.watches_liveness() {
-            let machine = MachineId::from(&*report.host);
-            self.liveness.heartbeat(machine, report.number(), has_tasks(tasks), self.now);
+            let machine = MachineId::from(&*report.machine);
+            self.liveness.heartbeat(machine, report.heartbeat_seq(), has_tasks(tasks), self.now);
         }
     }
 
--- a/crates/core/src/node/stand_in/tests.rs
+++ b/crates/core/src/node/stand_in/tests.rs
@@ -47,11 +47,11 @@
     let rental = |name: &&str| Rental {
         name: name.to_string(),
         addr: name.to_string(),
-        build: "big".into(),
-        yard: "east".into(),
-        loaners: false,
-        stage: "running".into(),
-        held_s: 100.0,
+        machine_type: "big".into(),
+        zone: "east".into(),
+        spot: false,
+        state: "running".into(),
+        age_s: 100.0,
     };
     let rentals: Vec<Rental> = names.iter().map(rental).collect();
     node.liveness.listed(Some((&rentals, false)), node.now);
--- a/crates/core/src/node/waiting.rs
+++ b/crates/core/src/node/waiting.rs
@@ -6,7 +6,7 @@
 use crate::rate::Bucket;
 use gorseshore_protocol::ids::{JobId, Micros};
 use gorseshore_protocol::job::JobSpec;
-use gorseshore_protocol::state::Multi;
+use gorseshore_protocol::state::Transaction;
 use std::collections::VecDeque;
 
 /// Most requests that wait, of each sort.
@@ -40,7 +40,7 @@
     /// With the record of the end.
     Abort(RequestId, JobId, serde_json::Value),
     /// The guest's; with `true` only under the leader's key.
-    Guest(Ticket, Box<Multi>, bool),
+    Guest(Ticket, Box<Transaction>, bool),
 }
 
 /// Waiting requests and changes.
--- a/crates/core/src/node/workers.rs
+++ b/crates/core/src/node/workers.rs
@@ -4,37 +4,37 @@
 impl Node {
     pub(super) fn checkin(&mut self, id: RequestId, body: &[u8]) {
         let Ok(r) = serde_json::from_slice::<Report>(body) else {
-            return self.out.answer(id, 400, users::error("not a report"));
+            return self.out.answer(id, 400, users::error_body("not a report"));
         };
         let Some(tasks) = read_tasks(&r) else {
-            return self.out.answer(id, 400, users::error("a task's name is unreadable"));
+            return self.out.answer(id, 400, users::error_body("a task's name is unreadable"));
         };
         self.note_heartbeat(&r, &tasks);
-        let machine = MachineId::from(&*r.host);
+        let machine = MachineId::from(&*r.machine);
         // What contradicts the records is no report of that machine: two workers under
         // one name, or one that is set up wrongly. It is neither used nor kept alive.
         if self.mirror.ledger.machines.get(&machine).is_some_and(|rec| !rec.matches_report(&r)) {
             if self.held_check_ins.apart.insert(machine.clone()) {
-                warn!("{machine}: reports as {} in {}, which its record contradicts", r.build, r.yard);
+                warn!("{machine}: reports as {} in {}, which its record contradicts", r.machine_type, r.zone);
             }
             return self.send_elsewhere(id, None);
         }
         match self.ctl.checkin(&r, tasks, &self.mirror.ledger, self.now) {
             CheckinReply::Orders(baton, orders) => self.renew(id, baton.0, orders),
             CheckinReply::Elsewhere(to) | CheckinReply::Lost(to)
-                if !self.held_check_ins.is_news(&machine, r.number()) =>
+                if !self.held_check_ins.is_news(&machine, r.heartbeat_seq()) =>
             {
                 // A copy, or held up on the way: nobody waits for the answer.
                 self.send_elsewhere(id, to);
             }
             reply @ (CheckinReply::Elsewhere(to) | CheckinReply::Lost(to)) => {
-                self.tell_seen(&machine, MachineRecord::of(&r), r.number(), false);
+                self.tell_seen(&machine, MachineRecord::from_report(&r), r.heartbeat_seq(), false);
                 // Others reach it if it has a token from them, here or since it was
                 // kept alive here; one without tasks loses nothing on its way to them.
                 let kept = self.held_check_ins.kept.get(&machine).copied();
                 let lost = matches!(reply, CheckinReply::Lost(_))
-                    || kept.is_some_and(|b| r.baton > b)
-                    || r.pieces.is_empty();
+                    || kept.is_some_and(|b| r.fencing_token > b)
+                    || r.tasks.is_empty();
                 match self.holder_to_name(&machine, to) {
                     Some(n) => self.send_elsewhere(id, Some(n)),
                     // This node reaches nobody and can't serve it. One with tasks that
@@ -42,7 +42,7 @@
                     None if lost && self.out_of_touch() => {
                         debug!("{machine}: sent on, this controller can't serve it");
                         // Back with the same token: they couldn't either.
-                        self.held_check_ins.kept_alive(machine, r.baton);
+                        self.held_check_ins.kept_alive(machine, r.fencing_token);
                         self.send_elsewhere(id, None);
                     }
                     // A grant may come in a moment: the answer waits for it.
@@ -81,16 +81,17 @@
     fn keep_alive(&mut self, id: RequestId, r: &Report) {
         let tasks = read_tasks(r).unwrap_or_default();
         let orders = Controller::stops_for_stranger(&tasks, &self.mirror.ledger);
-        self.held_check_ins.kept_alive(MachineId::from(&*r.host), r.baton);
-        self.renew(id, r.baton, orders);
+        self.held_check_ins.kept_alive(MachineId::from(&*r.machine), r.fencing_token);
+        self.renew(id, r.fencing_token, orders);
     }
 
     /// Answers a check-in, which renews its worker's lease, if this process may.
-    fn renew(&mut self, id: RequestId, baton: u64, orders: Vec<Order>) {
+    fn renew(&mut self, id: RequestId, baton: u64, orders: Vec<Command>) {
         if !self.may_renew() {
             return self.send_elsewhere(id, None);
         }
-        let body = serde_json::to_vec(&HeartbeatResponse { baton, orders }).unwrap_or_default();
+        let body = serde_json::to_vec(&HeartbeatResponse { fencing_token: baton, commands: orders })
+            .unwrap_or_default();
         self.out.answer(id, 200, body);
     }
 
@@ -122,7 +123,7 @@
         } else if let Some(to) = self.leader_node() {
             let m = Message::Seen {
                 id: id.clone(),
-                build: rec.build,
+                build: rec.machine_type,
                 zone: rec.zone,
                 spot: rec.spot,
                 addr: rec.addr,
--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -27,7 +27,7 @@
 /// How well a machine suits, smaller is better; `None` if it may not or can't
 /// hold the task.
 pub fn score(spec: &JobSpec, c: &Candidate<'_>, zone: Option<&str>) -> Option<Score> {
-    if !spec.allows(c.build, c.zone, c.spot, c.size) || !c.free.fits(&spec.need) {
+    if !spec.allows(c.build, c.zone, c.spot, c.size) || !c.free.fits(&spec.task_resources) {
         return None;
     }
     if zone.is_some_and(|z| z != c.zone) {
@@ -37,11 +37,11 @@
     // have room: replicas need them. A machine with the image saves the fetch;
     // among equals the fullest one is filled up.
     let kind = (spec.spot && !c.spot) as u8;
-    let left = c.free.minus(spec.need).cpu;
+    let left = c.free.saturating_sub(spec.task_resources).cpu;
     let fetch = !c.image as u8;
     // What the job prefers comes before the fetch, but no array takes room on
     // ordinary machines for it.
-    let dislike = spec.dislike(c.build, c.zone);
+    let dislike = spec.placement_penalty(c.build, c.zone);
     Some(match spec.kind {
         // Replicas keep to the zone with the most ordinary machines: those of
         // spread jobs need the room in the others.
@@ -70,13 +70,13 @@
 
     #[test]
     fn the_best_machine_is_taken() {
-        let size = Resources::have(8.0, 0.0, 32.0);
+        let size = Resources::capacity(8.0, 0.0, 32.0);
         let c = |zone, spot, cpus: f64, image| Candidate {
             build: "b",
             zone,
             spot,
             size: &size,
-            free: Resources::have(cpus, 0.0, 32.0),
+            free: Resources::capacity(cpus, 0.0, 32.0),
             image,
             zone_cpu: 0,
         };
--- a/crates/core/tests/record_compatibility.rs
+++ b/crates/core/tests/record_compatibility.rs
@@ -7,14 +7,14 @@
 use data_encoding::BASE64;
 use gorseshore_core::books::Witnesses;
 use gorseshore_core::jobs::{
-    Failures, Phase, StateReplica, TaskSet, description, job_value, keys, machines_value,
+    Failures, Phase, StateReplica, TaskSet, job_value, keys, machines_value, parse_job_spec,
 };
 use gorseshore_core::node::Node;
 use gorseshore_core::peer::{Envelope, Message};
 use gorseshore_core::{Call, CallResult, Input, Output, Target};
 use gorseshore_protocol::ids::{JobId, MachineId, Micros, NodeId};
 use gorseshore_protocol::job::{JobSpec, Kind, Priority};
-use gorseshore_protocol::state::{Multi, Write};
+use gorseshore_protocol::state::{Transaction, Write};
 use gorseshore_settings::{Operator, Platform};
 use production::Record;
 use serde_json::{Value, json};
@@ -68,23 +68,23 @@
         class: s.class.clone(),
         team: s.team.clone(),
         kind: wire_name(s.kind),
-        rank: wire_name(s.rank),
+        rank: wire_name(s.priority),
         tasks: s.tasks,
-        need: [s.need.cpu, s.need.gpu, s.need.mem],
-        types: s.types.clone(),
+        need: [s.task_resources.cpu, s.task_resources.gpu, s.task_resources.mem],
+        types: s.machine_types.clone(),
         zones: s.zones.clone(),
         one_zone: s.one_zone,
         spread: s.spread,
         spot: s.spot,
         image: s.image.clone(),
         image_gb: s.image_gb,
-        estimate_s: s.estimate_s,
-        checkpoint_s: s.checkpoint_s,
-        save_s: s.save_s,
+        estimate_s: s.estimated_runtime_s,
+        checkpoint_s: s.checkpoint_interval_s,
+        save_s: s.checkpoint_save_s,
         deadline_s: s.deadline_s,
-        attempts: s.attempts,
-        prefer: s.prefer.iter().map(|p| (p.build.clone(), p.zone.clone(), p.weight)).collect(),
-        after: s.after.iter().map(|j| j.0).collect(),
+        attempts: s.max_attempts,
+        prefer: s.preferences.iter().map(|p| (p.machine_type.clone(), p.zone.clone(), p.weight)).collect(),
+        after: s.replaces.iter().map(|j| j.0).collect(),
     }
 }
 
@@ -133,9 +133,9 @@
         let job = &ledger.jobs[&JobId(412)];
         let spec = job.spec.as_deref().unwrap_or_else(|| panic!("{name}: lost"));
         assert_eq!(Some(job.submitted_ms), record["at"].as_u64(), "{name}");
-        assert_eq!((job.phase, job.tasks, job.stamp), (Phase::Active, spec.tasks, 10), "{name}");
+        assert_eq!((job.phase, job.tasks, job.revision), (Phase::Active, spec.tasks, 10), "{name}");
         assert_eq!(to_production_job(spec), production_job(&record), "{name}");
-        assert_eq!(description(JobId(412), &record).as_ref(), Some(spec), "{name}");
+        assert_eq!(parse_job_spec(JobId(412), &record).as_ref(), Some(spec), "{name}");
         assert_eq!(job_value(spec, job.submitted_ms), record, "{name}");
     }
 }
@@ -144,7 +144,7 @@
 fn positional_rows_are_read_and_rewritten_with_named_fields() {
     for text in ROWS {
         let record = parse(text);
-        let spec = description(JobId(412), &record).expect(text);
+        let spec = parse_job_spec(JobId(412), &record).expect(text);
         let expected = production_job(&record);
         assert_eq!(to_production_job(&spec), expected, "{text}");
         assert_eq!(production_job(&job_value(&spec, 77)), expected, "{text}");
@@ -169,20 +169,20 @@
     // (record, phase, settled, cause)
     let ends = [
         (r#"{"end":"done","at":5}"#, Phase::Done, false, None),
-        (r#"{"end":"aborted","at":5}"#, Phase::Aborted, false, None),
-        (r#"{"end":"aborted","at":5,"gone":true}"#, Phase::Aborted, true, None),
+        (r#"{"end":"aborted","at":5}"#, Phase::Cancelled, false, None),
+        (r#"{"end":"aborted","at":5,"gone":true}"#, Phase::Cancelled, true, None),
         (
             r#"{"end":"aborted","at":5,"why":"attempts used up: task 3 failed 2 times"}"#,
-            Phase::Aborted,
+            Phase::Cancelled,
             false,
             Some("attempts used up: task 3 failed 2 times"),
         ),
-        (r#"{"end":"aborted","at":5,"gone":true,"why":"w"}"#, Phase::Aborted, true, Some("w")),
+        (r#"{"end":"aborted","at":5,"gone":true,"why":"w"}"#, Phase::Cancelled, true, Some("w")),
     ];
     for (text, phase, settled, cause) in ends {
         let ledger = ledger(&[("g/j/j-000412", JOBS[0].1), ("g/x/j-000412", text)]);
         let job = &ledger.jobs[&JobId(412)];
-        let read = (job.phase, job.ended_ms, job.end_revision, job.settled, job.cause.as_deref());
+        let read = (job.phase, job.ended_ms, job.end_revision, job.fully_stopped, job.cause.as_deref());
         assert_eq!(read, (phase, 5, 11, settled, cause), "{text}");
         let expected = Record::End {
             id: 412,
@@ -213,7 +213,11 @@
         let mut set = TaskSet::default();
         tasks.iter().for_each(|t| assert!(set.insert(*t)));
         assert!(tasks.iter().all(|t| job.done.contains(*t)), "{text}");
-        assert_eq!((job.done.len() as usize, job.chunks.get(&chunk)), (tasks.len(), Some(&11)), "{text}");
+        assert_eq!(
+            (job.done.len() as usize, job.progress_revisions.get(&chunk)),
+            (tasks.len(), Some(&11)),
+            "{text}"
+        );
         assert_eq!(set.chunk_text(chunk), text);
         let expected = Record::Progress { id: 412, chunk, tasks };
         assert_eq!(production::read(&key, &value), Ok(expected), "{text}");
@@ -224,15 +228,15 @@
 fn failure_records_of_production_round_trip() {
     let text = r#"{"2":{"n":3,"a":1879048193},"63":{"n":1,"a":1879048199}}"#;
     let failures: BTreeMap<u32, Failures> = BTreeMap::from([
-        (2, Failures { count: 3, last: 1_879_048_193 }),
-        (63, Failures { count: 1, last: 1_879_048_199 }),
+        (2, Failures { count: 3, last_attempt: 1_879_048_193 }),
+        (63, Failures { count: 1, last_attempt: 1_879_048_199 }),
     ]);
     let ledger = ledger(&[("g/j/j-000412", JOBS[3].1), ("g/r/j-000412/0", text)]);
     let job = &ledger.jobs[&JobId(412)];
-    assert_eq!((&job.failed, job.failure_revisions.get(&0)), (&failures, Some(&11)));
-    assert_eq!(keys::failed(JobId(412), 0), "g/r/j-000412/0");
+    assert_eq!((&job.failures, job.failure_revisions.get(&0)), (&failures, Some(&11)));
+    assert_eq!(keys::failures(JobId(412), 0), "g/r/j-000412/0");
     assert_eq!(json!(failures), parse(text));
-    let tasks = failures.iter().map(|(task, f)| (*task, (f.count, f.last))).collect();
+    let tasks = failures.iter().map(|(task, f)| (*task, (f.count, f.last_attempt))).collect();
     let expected = Record::Failures { id: 412, chunk: 0, tasks };
     assert_eq!(production::read("g/r/j-000412/0", &json!(failures)), Ok(expected));
 }
@@ -249,7 +253,7 @@
         ("host-000003", "g8", "west", false, "10.0.0.3:80"),
     ] {
         let m = &ledger.machines[&MachineId::from(name)];
-        assert_eq!((&*m.build, &*m.zone, m.spot, &*m.addr), (build, zone, spot, addr), "{name}");
+        assert_eq!((&*m.machine_type, &*m.zone, m.spot, &*m.addr), (build, zone, spot, addr), "{name}");
     }
     let ids = ["host-000001", "host-000002"].map(MachineId::from);
     assert_eq!(keys::machines(&ids[0]), "g/h/host-000001");
@@ -275,7 +279,7 @@
     assert_eq!(ledger.term, (7, 11));
     let books =
         Witnesses { term: 6, led: 7, nodes: vec![("n0".into(), 451_737_600_031_523), ("n2".into(), 9)] };
-    assert_eq!(ledger.books, (books.clone(), 12));
+    assert_eq!(ledger.standby_replicas, (books.clone(), 12));
 
     // (key, value written now, record that production reads)
     let written = [
@@ -423,12 +427,12 @@
         let mut ledger = StateReplica::default();
         ledger.apply("g/j/j-000412", Some(&record), 5);
         for (key, value) in row.further {
-            assert!(!ledger.dependencies.released(JobId(412)), "{key} is missing");
+            assert!(!ledger.dependencies.is_released(JobId(412)), "{key} is missing");
             ledger.apply(key, Some(&parse(value)), 5);
         }
         let ids = |ids: &[u64]| ids.iter().copied().map(JobId).collect::<Vec<_>>();
         let spec = ledger.jobs[&JobId(412)].spec.clone().unwrap();
-        assert_eq!(spec.after, ids(row.replaced), "{}", row.record);
+        assert_eq!(spec.replaces, ids(row.replaced), "{}", row.record);
         assert_eq!(ledger.dependencies.dependencies(JobId(412)), ids(row.awaited), "{}", row.record);
         if row.further.is_empty() {
             assert_eq!(job_value(&spec, 7)["d"]["x"], record["d"]["x"], "{}", row.record);
@@ -541,9 +545,9 @@
             path if path.starts_with("/follow") && path.ends_with("hold_ms=10000") => return None,
             path if path.starts_with("/follow") => json!({"news": [], "ledger": ledger}),
             "/multi" => {
-                let multi: Multi = serde_json::from_slice(&call.body).unwrap();
+                let multi: Transaction = serde_json::from_slice(&call.body).unwrap();
                 for w in multi.writes {
-                    if let Write::Put { put, v, .. } = w {
+                    if let Write::Put { key: put, value: v, .. } = w {
                         self.puts.push((put, v));
                     }
                 }
--- a/crates/core/tests/wire_compatibility.rs
+++ b/crates/core/tests/wire_compatibility.rs
@@ -119,7 +119,7 @@
 }
 
 fn report(shift: u64, tally: u64) -> HeartbeatSeq {
-    HeartbeatSeq { shift, tally }
+    HeartbeatSeq { agent_epoch: shift, sequence: tally }
 }
 
 fn held(index: u32, state: TaskState) -> Held {
--- a/crates/nomad/src/service/mod.rs
+++ b/crates/nomad/src/service/mod.rs
@@ -21,7 +21,7 @@
 use gorseshore_core::guest::{Answer, Guest, GuestInput, GuestOutput, Host, Ticket};
 use gorseshore_core::{CallResult, RequestId};
 use gorseshore_protocol::ids::{JobId, Micros};
-use gorseshore_protocol::state::{Multi, TransactionResponse};
+use gorseshore_protocol::state::{Transaction, TransactionResponse};
 use gorseshore_settings::Nomad;
 use records::{Content, Head, JobKey};
 use serde_json::Value;
@@ -188,7 +188,7 @@
     pub(crate) fn content_of(&mut self, nonce: &str, result: &CallResult) -> Option<Rc<Content>> {
         let CallResult::Answer { status: 200, body } = result else { return None };
         let page: gorseshore_protocol::state::Listing = serde_json::from_slice(body).ok()?;
-        let text: String = page.pairs.iter().filter_map(|p| p.v.as_str()).collect();
+        let text: String = page.entries.iter().filter_map(|p| p.value.as_str()).collect();
         let content: Rc<Content> = Rc::new(serde_json::from_str(&text).ok()?);
         self.keep_content(nonce, content.clone());
         Some(content)
@@ -227,9 +227,9 @@
     fn look(&mut self, host: &Host<'_>) {
         let mut machines = Vec::new();
         for f in host.flavors {
-            for z in &f.yards {
+            for z in &f.zones {
                 machines.push(MachineKind {
-                    name: f.sku.clone(),
+                    name: f.name.clone(),
                     zone: z.clone(),
                     cpus: f.cpus,
                     memory_gb: f.memory_gb,
@@ -275,14 +275,14 @@
 pub(crate) fn revision(result: &CallResult) -> Option<u64> {
     match result {
         CallResult::Answer { status: 200, body } => {
-            Some(serde_json::from_slice::<TransactionResponse>(body).ok()?.ledger)
+            Some(serde_json::from_slice::<TransactionResponse>(body).ok()?.revision)
         }
         _ => None,
     }
 }
 
 /// A write, under the leader's key or not.
-pub(crate) fn write(ticket: Ticket, multi: Multi, as_leader: bool) -> GuestOutput {
+pub(crate) fn write(ticket: Ticket, multi: Transaction, as_leader: bool) -> GuestOutput {
     GuestOutput::Write { ticket, multi, as_leader }
 }
 
--- a/crates/protocol/src/cloud.rs
+++ b/crates/protocol/src/cloud.rs
@@ -5,14 +5,16 @@
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Flavors {
     /// All machine types on offer.
-    pub builds: Vec<Flavor>,
+    #[serde(rename = "builds")]
+    pub flavors: Vec<Flavor>,
 }
 
 /// A machine type.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Flavor {
     /// Name of the machine type.
-    pub sku: String,
+    #[serde(rename = "sku")]
+    pub name: String,
     /// Number of CPUs.
     pub cpus: f64,
     /// Number of GPUs.
@@ -21,13 +23,14 @@
     /// Memory in GB.
     pub memory_gb: f64,
     /// Size of the image cache in GB.
-    #[serde(default)]
-    pub cache_gb: f64,
+    #[serde(rename = "cache_gb", default)]
+    pub image_cache_gb: f64,
     /// Image pull rate in GB per second.
-    #[serde(default)]
-    pub pull_gb_per_s: f64,
+    #[serde(rename = "pull_gb_per_s", default)]
+    pub image_pull_gb_per_s: f64,
     /// On-demand price per hour.
-    pub hourly: f64,
+    #[serde(rename = "hourly")]
+    pub hourly_price: f64,
     /// Spot price per hour.
     #[serde(default)]
     pub spot_price: Option<f64>,
@@ -35,37 +38,44 @@
     #[serde(default)]
     pub boot_s: f64,
     /// Zones that offer the machine type.
-    #[serde(default)]
-    pub yards: Vec<String>,
+    #[serde(rename = "yards", default)]
+    pub zones: Vec<String>,
 }
 
 /// `POST /rentals`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Hire {
+pub struct RentalRequest {
     /// Unique id of the request, never reused.
-    pub hire: String,
+    #[serde(rename = "hire")]
+    pub request_id: String,
     /// Machine type.
-    pub build: String,
+    #[serde(rename = "build")]
+    pub machine_type: String,
     /// Zone to rent in.
-    pub yard: String,
+    #[serde(rename = "yard")]
+    pub zone: String,
     /// Whether to rent spot machines.
-    pub loaners: bool,
+    #[serde(rename = "loaners")]
+    pub spot: bool,
     /// Number of machines.
-    pub number: u32,
+    #[serde(rename = "number")]
+    pub count: u32,
 }
 
 /// Machine names: the response to a rental, and the body of a deletion.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Hosts {
+pub struct MachineNames {
     /// Names that the cloud gave the machines.
-    pub hosts: Vec<String>,
+    #[serde(rename = "hosts")]
+    pub names: Vec<String>,
 }
 
 /// `GET /rentals`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Rentals {
     /// Machines, sorted by name.
-    pub hosts: Vec<Rental>,
+    #[serde(rename = "hosts")]
+    pub machines: Vec<Rental>,
     /// The list continues on a further page.
     #[serde(default)]
     pub truncated: bool,
@@ -81,15 +91,18 @@
     #[serde(default)]
     pub addr: String,
     /// Machine type.
-    pub build: String,
+    #[serde(rename = "build")]
+    pub machine_type: String,
     /// Zone of the machine.
-    pub yard: String,
+    #[serde(rename = "yard")]
+    pub zone: String,
     /// Whether it is a spot machine.
-    #[serde(default)]
-    pub loaners: bool,
+    #[serde(rename = "loaners", default)]
+    pub spot: bool,
     /// `starting`, `running` or `failed`.
-    pub stage: String,
+    #[serde(rename = "stage")]
+    pub state: String,
     /// Age of the rental in seconds.
-    #[serde(default)]
-    pub held_s: f64,
+    #[serde(rename = "held_s", default)]
+    pub age_s: f64,
 }
--- a/crates/protocol/src/ids.rs
+++ b/crates/protocol/src/ids.rs
@@ -72,11 +72,11 @@
         digits.parse().ok().map(JobId)
     }
     /// Parses an id that a user may submit: any but those that the service generates.
-    pub fn of_user(s: &str) -> Option<Self> {
-        JobId::parse(s).filter(|id| !id.own())
+    pub fn parse_user_id(s: &str) -> Option<Self> {
+        JobId::parse(s).filter(|id| !id.is_internal())
     }
     /// Whether the service generated the id.
-    pub fn own(self) -> bool {
+    pub fn is_internal(self) -> bool {
         self.0 >= MIN_INTERNAL_JOB_ID
     }
 }
@@ -183,12 +183,12 @@
 }
 impl Resources {
     /// Resources that a task requests, rounded up.
-    pub fn need(cpus: f64, gpus: f64, mem: f64) -> Self {
+    pub fn request(cpus: f64, gpus: f64, mem: f64) -> Self {
         let round_up = |v: f64| (v * 1000.0 - 1e-6).ceil().max(0.0) as u64;
         Resources { cpu: round_up(cpus), gpu: round_up(gpus), mem: round_up(mem) }
     }
     /// Resources that a machine has, rounded down.
-    pub fn have(cpus: f64, gpus: f64, mem: f64) -> Self {
+    pub fn capacity(cpus: f64, gpus: f64, mem: f64) -> Self {
         let round_down = |v: f64| (v * 1000.0 + 1e-6).floor().max(0.0) as u64;
         Resources { cpu: round_down(cpus), gpu: round_down(gpus), mem: round_down(mem) }
     }
@@ -201,7 +201,7 @@
         Resources { cpu: self.cpu + o.cpu, gpu: self.gpu + o.gpu, mem: self.mem + o.mem }
     }
     /// Subtracts each resource, saturating at zero.
-    pub fn minus(self, o: Resources) -> Self {
+    pub fn saturating_sub(self, o: Resources) -> Self {
         Resources {
             cpu: self.cpu.saturating_sub(o.cpu),
             gpu: self.gpu.saturating_sub(o.gpu),
@@ -209,7 +209,7 @@
         }
     }
     /// Number of requests of size `need` that fit, at most `cap`.
-    pub fn count(&self, need: &Resources, cap: u64) -> u64 {
+    pub fn max_copies(&self, need: &Resources, cap: u64) -> u64 {
         let copies = |available: u64, requested: u64| available.checked_div(requested).unwrap_or(cap);
         copies(self.cpu, need.cpu).min(copies(self.gpu, need.gpu)).min(copies(self.mem, need.mem)).min(cap)
     }
@@ -253,7 +253,7 @@
             ("j-18446744073709551615", false),
         ] {
             assert_eq!(
-                (JobId::of_user(text).is_some(), JobId::parse(text).is_some()),
+                (JobId::parse_user_id(text).is_some(), JobId::parse(text).is_some()),
                 (user, true),
                 "{text}"
             );
@@ -262,8 +262,8 @@
 
     #[test]
     fn requests_round_up_and_capacities_round_down() {
-        assert_eq!(Resources::need(4.0, 0.0, 5.3).mem, 5300);
-        assert_eq!(Resources::need(0.0001, 0.0, 0.0).cpu, 1);
-        assert_eq!(Resources::have(3.9999, 0.0, 8.0).cpu, 3999);
+        assert_eq!(Resources::request(4.0, 0.0, 5.3).mem, 5300);
+        assert_eq!(Resources::request(0.0001, 0.0, 0.0).cpu, 1);
+        assert_eq!(Resources::capacity(3.9999, 0.0, 8.0).cpu, 3999);
     }
 }
