--- a/crates/protocol/src/job.rs
+++ b/crates/protocol/src/job.rs
@@ -45,13 +45,13 @@
     /// Array or service.
     pub kind: Kind,
     /// Scheduling priority.
-    pub rank: Priority,
+    pub priority: Priority,
     /// Number of tasks.
     pub tasks: u32,
     /// Resources that one task requests.
-    pub need: Resources,
+    pub task_resources: Resources,
     /// Allowed machine types; `None` allows all.
-    pub types: Option<Vec<String>>,
+    pub machine_types: Option<Vec<String>>,
     /// Allowed zones; `None` allows all.
     pub zones: Option<Vec<String>>,
     /// All tasks must run in the same zone.
@@ -65,21 +65,21 @@
     /// Size of the image in GB.
     pub image_gb: f64,
     /// The user's estimate of a task's run time, in seconds.
-    pub estimate_s: f64,
+    pub estimated_runtime_s: f64,
     /// Interval between checkpoints in seconds, 0 for none.
-    pub checkpoint_s: f64,
+    pub checkpoint_interval_s: f64,
     /// Time that a task takes to save a checkpoint, in seconds.
-    pub save_s: f64,
+    pub checkpoint_save_s: f64,
     /// Deadline, in seconds from the submission.
     pub deadline_s: Option<f64>,
     /// Number of failed attempts after which a task, and with it its job, fails
     /// permanently; `None` retries without limit, as all natively submitted jobs do.
-    pub attempts: Option<u32>,
+    pub max_attempts: Option<u32>,
     /// Preferred and avoided machines, where there is a choice.
-    pub prefer: Vec<Preference>,
+    pub preferences: Vec<Preference>,
     /// Jobs that this one replaces: none of its tasks starts while a task of theirs is
     /// left on a machine.
-    pub after: Vec<JobId>,
+    pub replaces: Vec<JobId>,
     /// Jobs that must be done before any task of this one starts, without duplicates.
     pub dependencies: Vec<JobId>,
 }
@@ -89,7 +89,7 @@
 pub struct Preference {
     /// Machine type.
     #[serde(rename = "t")]
-    pub build: String,
+    pub machine_type: String,
     /// Zone of the machine.
     #[serde(rename = "z")]
     pub zone: String,
@@ -102,17 +102,18 @@
     /// Whether a task may be on such a machine, by type, zone, kind and size.
     pub fn allows(&self, build: &str, zone: &str, spot: bool, size: &Resources) -> bool {
         (!spot || self.spot)
-            && self.types.as_ref().is_none_or(|t| t.iter().any(|x| x == build))
+            && self.machine_types.as_ref().is_none_or(|t| t.iter().any(|x| x == build))
             && self.zones.as_ref().is_none_or(|l| l.iter().any(|z| z == zone))
-            && size.fits(&self.need)
+            && size.fits(&self.task_resources)
     }
     /// How little a kind of machine is preferred, 0 at best.
-    pub fn dislike(&self, build: &str, zone: &str) -> u64 {
-        if self.prefer.is_empty() {
+    pub fn placement_penalty(&self, build: &str, zone: &str) -> u64 {
+        if self.preferences.is_empty() {
             return 0;
         }
         let weight = |p: &Preference| p.weight.clamp(-1_000_000, 1_000_000) as i64;
-        let here: i64 = self.prefer.iter().filter(|p| p.build == build && p.zone == zone).map(weight).sum();
+        let here: i64 =
+            self.preferences.iter().filter(|p| p.machine_type == build && p.zone == zone).map(weight).sum();
         (1_000_000 - here.clamp(-1_000_000, 1_000_000)) as u64
     }
     /// Whether it matters to the job's other tasks in which zone one is.
--- a/crates/protocol/src/state.rs
+++ b/crates/protocol/src/state.rs
@@ -4,35 +4,41 @@
 
 /// A key of a listing with its value.
 #[derive(Debug, Clone, PartialEq, Deserialize, Serialize)]
-pub struct Pair {
+pub struct KeyValue {
     /// Full key.
-    pub path: String,
+    #[serde(rename = "path")]
+    pub key: String,
     /// Value at the key.
-    pub v: Value,
+    #[serde(rename = "v")]
+    pub value: Value,
     /// Revision at which the key last changed.
-    pub stamp: u64,
+    #[serde(rename = "stamp")]
+    pub revision: u64,
 }
 
 /// `GET /store?prefix=`.
 #[derive(Debug, Clone, PartialEq, Deserialize, Serialize)]
 pub struct Listing {
     /// Keys in order.
-    pub pairs: Vec<Pair>,
+    #[serde(rename = "pairs")]
+    pub entries: Vec<KeyValue>,
     /// The listing continues on a further page.
     #[serde(default)]
     pub truncated: bool,
     /// Store revision of the listing.
-    pub ledger: u64,
+    #[serde(rename = "ledger")]
+    pub revision: u64,
 }
 
 /// Response to `GET /follow`, a watch.
 #[derive(Debug, Clone, PartialEq, Deserialize, Serialize)]
-pub struct News {
+pub struct WatchResponse {
     /// Store revision of the response.
-    pub ledger: u64,
+    #[serde(rename = "ledger")]
+    pub revision: u64,
     /// Changes in order.
-    #[serde(default)]
-    pub news: Vec<Event>,
+    #[serde(rename = "news", default)]
+    pub events: Vec<Event>,
 }
 
 /// One change of a key.
@@ -45,28 +51,32 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub remove: Option<String>,
     /// New value.
-    #[serde(default)]
-    pub v: Value,
+    #[serde(rename = "v", default)]
+    pub value: Value,
     /// Revision of the change.
-    pub stamp: u64,
+    #[serde(rename = "stamp")]
+    pub revision: u64,
 }
 
 /// Body of `POST /multi`, a transaction.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, Default)]
-pub struct Multi {
+pub struct Transaction {
     /// Conditions that must all hold.
-    pub when: Vec<When>,
+    #[serde(rename = "when")]
+    pub preconditions: Vec<Precondition>,
     /// Changes to apply.
     pub writes: Vec<Write>,
 }
 
 /// Condition that a key's last change has the given revision; 0: the key does not exist.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct When {
+pub struct Precondition {
     /// Key to compare.
-    pub path: String,
+    #[serde(rename = "path")]
+    pub key: String,
     /// Expected revision.
-    pub stamp: u64,
+    #[serde(rename = "stamp")]
+    pub revision: u64,
 }
 
 /// A change in a transaction.
@@ -76,17 +86,20 @@
     /// Sets a key.
     Put {
         /// Key to set.
-        put: String,
+        #[serde(rename = "put")]
+        key: String,
         /// New value.
-        v: Value,
+        #[serde(rename = "v")]
+        value: Value,
         /// Lease that the key is attached to: the key is removed when the lease ends.
-        #[serde(skip_serializing_if = "Option::is_none")]
-        hold: Option<u64>,
+        #[serde(rename = "hold", skip_serializing_if = "Option::is_none")]
+        lease: Option<u64>,
     },
     /// Removes a key.
     Remove {
         /// Key to remove.
-        remove: String,
+        #[serde(rename = "remove")]
+        key: String,
     },
 }
 
@@ -94,16 +107,17 @@
 #[derive(Debug, Clone, PartialEq, Deserialize, Serialize)]
 pub struct TransactionResponse {
     /// Store revision after the transaction.
-    #[serde(default)]
-    pub ledger: u64,
+    #[serde(rename = "ledger", default)]
+    pub revision: u64,
     /// Keys whose conditions failed.
-    #[serde(default)]
-    pub failed: Vec<String>,
+    #[serde(rename = "failed", default)]
+    pub failed_keys: Vec<String>,
 }
 
 /// Response to `POST /grants`.
 #[derive(Debug, Clone, PartialEq, Deserialize, Serialize)]
-pub struct Grant {
+pub struct LeaseGrant {
     /// Id of the granted lease.
-    pub hold: u64,
+    #[serde(rename = "hold")]
+    pub lease: u64,
 }
--- a/crates/protocol/src/users.rs
+++ b/crates/protocol/src/users.rs
@@ -43,7 +43,7 @@
 /// submission of a known job is answered 200 whatever else its body holds.
 pub fn peek_job_id(body: &[u8]) -> Option<JobId> {
     let map: Map<String, Value> = serde_json::from_slice(body).ok()?;
-    JobId::of_user(map.get("ref")?.as_str()?)
+    JobId::parse_user_id(map.get("ref")?.as_str()?)
 }
 
 /// Parses and validates a submission; the error is the reason of a 400 response.
@@ -53,7 +53,7 @@
         return Err("not an object".into());
     }
     let s: Submission = serde_json::from_value(value).map_err(|e| e.to_string())?;
-    let id = JobId::of_user(&s.id).ok_or("ref: not of the form j-000412")?;
+    let id = JobId::parse_user_id(&s.id).ok_or("ref: not of the form j-000412")?;
     if s.pieces == 0 || s.pieces > MAX_TASKS {
         return Err(format!("pieces: must be 1 to {MAX_TASKS}"));
     }
@@ -90,23 +90,23 @@
         class: s.lot,
         team: s.crew,
         kind: s.manner,
-        rank: s.rank,
+        priority: s.rank,
         tasks: s.pieces,
-        need: Resources::need(s.cpus, s.gpus, s.memory_gb),
-        types: s.builds,
+        task_resources: Resources::request(s.cpus, s.gpus, s.memory_gb),
+        machine_types: s.builds,
         zones: s.yard.map(|z| vec![z]),
         one_zone: s.same_place,
         spread: s.apart,
         spot: s.loaners,
         image: s.bundle,
         image_gb: s.image_gb,
-        estimate_s: s.guess_s,
-        checkpoint_s: s.mark_s,
-        save_s: s.stow_s,
+        estimated_runtime_s: s.guess_s,
+        checkpoint_interval_s: s.mark_s,
+        checkpoint_save_s: s.stow_s,
         deadline_s: s.due_s,
-        attempts: None,
-        prefer: Vec::new(),
-        after: Vec::new(),
+        max_attempts: None,
+        preferences: Vec::new(),
+        replaces: Vec::new(),
         dependencies,
     })
 }
@@ -115,7 +115,7 @@
 fn parse_dependencies(names: &[String]) -> Result<Vec<JobId>, String> {
     let mut ids = BTreeSet::new();
     for name in names {
-        let id = JobId::of_user(name).ok_or("awaits: must hold job ids of the form j-000412")?;
+        let id = JobId::parse_user_id(name).ok_or("awaits: must hold job ids of the form j-000412")?;
         ids.insert(id);
     }
     Ok(ids.into_iter().collect())
@@ -135,7 +135,7 @@
 }
 
 /// JSON body of an error response.
-pub fn error(reason: &str) -> Vec<u8> {
+pub fn error_body(reason: &str) -> Vec<u8> {
     json!({ "error": reason }).to_string().into_bytes()
 }
 
--- a/crates/protocol/src/workers.rs
+++ b/crates/protocol/src/workers.rs
@@ -7,95 +7,110 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, BorshSerialize, BorshDeserialize)]
 pub struct HeartbeatSeq {
     /// Agent epoch.
-    pub shift: u64,
+    pub agent_epoch: u64,
     /// Heartbeat sequence within the agent epoch.
-    pub tally: u64,
+    pub sequence: u64,
 }
 
 /// A worker's report of its machine and tasks.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Report {
     /// Name of the worker's machine.
-    pub host: String,
+    #[serde(rename = "host")]
+    pub machine: String,
     /// Address at which the worker accepts commands.
     pub addr: String,
     /// Machine type.
-    pub build: String,
+    #[serde(rename = "build")]
+    pub machine_type: String,
     /// Zone of the machine.
-    pub yard: String,
+    #[serde(rename = "yard")]
+    pub zone: String,
     /// Whether it is a spot machine.
-    #[serde(default)]
-    pub loaners: bool,
+    #[serde(rename = "loaners", default)]
+    pub spot: bool,
     /// Agent epoch.
-    pub shift: u64,
+    #[serde(rename = "shift")]
+    pub agent_epoch: u64,
     /// Heartbeat sequence within the agent epoch.
-    pub tally: u64,
+    #[serde(rename = "tally")]
+    pub sequence: u64,
     /// Highest fencing token that the worker has seen.
-    pub baton: u64,
+    #[serde(rename = "baton")]
+    pub fencing_token: u64,
     /// Seconds until the cloud preempts the machine, if the cloud announced it.
-    #[serde(default)]
-    pub warning_s: Option<f64>,
+    #[serde(rename = "warning_s", default)]
+    pub preemption_notice_s: Option<f64>,
     /// Tasks on the machine.
-    #[serde(default)]
-    pub pieces: Vec<Piece>,
+    #[serde(rename = "pieces", default)]
+    pub tasks: Vec<ReportedTask>,
 }
 
 impl Report {
     /// Position among the worker's reports.
-    pub fn number(&self) -> HeartbeatSeq {
-        HeartbeatSeq { shift: self.shift, tally: self.tally }
+    pub fn heartbeat_seq(&self) -> HeartbeatSeq {
+        HeartbeatSeq { agent_epoch: self.agent_epoch, sequence: self.sequence }
     }
 }
 
 /// A task in a report.
 #[derive(Debug, Clone, Deserialize, Serialize)]
-pub struct Piece {
+pub struct ReportedTask {
     /// Task id in its text form.
-    pub piece: String,
+    #[serde(rename = "piece")]
+    pub task: String,
     /// Attempt id.
     #[serde(rename = "try")]
     pub attempt: u64,
     /// Task state.
-    pub stage: String,
+    #[serde(rename = "stage")]
+    pub state: String,
     /// Why the task ended.
     #[serde(default)]
     pub cause: Option<String>,
     /// Whether the task's progress was saved.
-    #[serde(default)]
-    pub kept: Option<bool>,
+    #[serde(rename = "kept", default)]
+    pub checkpointed: Option<bool>,
 }
 
 /// A command to a worker.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Order {
+pub struct Command {
     /// `run`, `halt` or `clear`.
-    pub verb: String,
+    #[serde(rename = "verb")]
+    pub action: String,
     /// Task id in its text form.
-    pub piece: String,
+    #[serde(rename = "piece")]
+    pub task: String,
     /// Attempt id.
     #[serde(rename = "try")]
     pub attempt: u64,
     /// Seconds that the task has to save its progress.
-    #[serde(skip_serializing_if = "Option::is_none", default)]
-    pub wind_down_s: Option<f64>,
+    #[serde(rename = "wind_down_s", skip_serializing_if = "Option::is_none", default)]
+    pub grace_period_s: Option<f64>,
 }
 
 /// Response to a report.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct HeartbeatResponse {
     /// Fencing token under which the commands are sent.
-    pub baton: u64,
+    #[serde(rename = "baton")]
+    pub fencing_token: u64,
     /// Commands for the worker to carry out.
-    pub orders: Vec<Order>,
+    #[serde(rename = "orders")]
+    pub commands: Vec<Command>,
 }
 
 /// Body of `POST /do`, by which a controller sends commands without waiting for a report.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Direct {
+pub struct CommandRequest {
     /// Fencing token under which the commands are sent.
-    pub baton: u64,
+    #[serde(rename = "baton")]
+    pub fencing_token: u64,
     /// Agent epoch that the commands are meant for.
-    pub shift: u64,
+    #[serde(rename = "shift")]
+    pub agent_epoch: u64,
     /// Commands for the worker to carry out.
-    pub orders: Vec<Order>,
+    #[serde(rename = "orders")]
+    pub commands: Vec<Command>,
 }
--- a/crates/settings/src/nomad.rs
+++ b/crates/settings/src/nomad.rs
@@ -30,19 +30,19 @@
     /// Class name, shown in errors and logs.
     pub name: String,
     /// Pattern of job ids.
-    pub job: String,
+    pub job_pattern: String,
     /// Pattern of namespaces.
-    pub namespace: String,
+    pub namespace_pattern: String,
     /// Pattern that at least one of the job's datacenters must match.
-    pub datacenter: String,
+    pub datacenter_pattern: String,
     /// Only job kind that the class matches; `None` matches all kinds.
     pub kind: Option<Kind>,
     /// Team that owns the jobs.
     pub team: String,
     /// Highest priority that such a job may have.
-    pub rank: Priority,
+    pub max_priority: Priority,
     /// Job class to which the objectives apply.
-    pub lot: String,
+    pub job_class: String,
     /// Tasks may run on spot machines.
     pub spot: bool,
     /// Estimated run time of a task, in seconds.
@@ -234,13 +234,13 @@
         let deadline_s = f.get("deadline_s").map(|_| f.number("deadline_s", 1.0, 1.0, 1e8));
         let images = f.read_repeated("image", |f| (f.pattern("name"), f.number("gb", 1.0, 0.0, 10_000.0)));
         NomadClass {
-            job: f.pattern("job"),
-            namespace: f.pattern("namespace"),
-            datacenter: f.pattern("datacenter"),
+            job_pattern: f.pattern("job"),
+            namespace_pattern: f.pattern("namespace"),
+            datacenter_pattern: f.pattern("datacenter"),
             kind,
             team: f.required_text("team"),
-            rank: max_priority,
-            lot: f.text("lot", &name),
+            max_priority,
+            job_class: f.text("lot", &name),
             spot: f.get("spot").and_then(|v| v.as_bool()).unwrap_or(false),
             estimate_s: f.number("estimate_s", 60.0, 0.0, 1e8),
             deadline_s,
--- a/crates/settings/src/platform.rs
+++ b/crates/settings/src/platform.rs
@@ -30,8 +30,9 @@
     /// tasks of a service.
     pub fn could_run(&self, s: &JobSpec) -> bool {
         let n = if s.kind == Kind::Service { s.tasks as u64 } else { 1 };
-        let max = Resources::have(self.cpus_max, self.gpus_max, 0.0);
-        (max.cpu == 0 || s.need.cpu * n <= max.cpu) && (max.gpu == 0 || s.need.gpu * n <= max.gpu)
+        let max = Resources::capacity(self.cpus_max, self.gpus_max, 0.0);
+        (max.cpu == 0 || s.task_resources.cpu * n <= max.cpu)
+            && (max.gpu == 0 || s.task_resources.gpu * n <= max.gpu)
     }
 }
 
@@ -47,8 +48,8 @@
     #[serde(default)]
     pub within_s: Option<f64>,
     /// Multiple of the job's deadline within which the job must complete.
-    #[serde(default)]
-    pub times: Option<f64>,
+    #[serde(rename = "times", default)]
+    pub deadline_multiple: Option<f64>,
 }
 
 /// Another controller.
@@ -129,8 +130,8 @@
     #[serde(default)]
     pub machine_limits: Limits,
     /// Maximum difference between a machine's wall clock and true time, in milliseconds.
-    #[serde(default = "default_clock_off")]
-    pub clock_off_ms: f64,
+    #[serde(rename = "clock_off_ms", default = "default_clock_off")]
+    pub max_clock_error_ms: f64,
 }
 fn default_clock_off() -> f64 {
     25.0
@@ -188,8 +189,8 @@
         if !(d.cloud.list_lag_s.is_finite() && d.cloud.list_lag_s >= 0.0) {
             errors.push(format!("deployment.cloud.list_lag_s: {} must not be negative", d.cloud.list_lag_s));
         }
-        if !(0.0..=10_000.0).contains(&d.clock_off_ms) {
-            errors.push(format!("deployment.clock_off_ms: {} must be from 0 to 10000", d.clock_off_ms));
+        if !(0.0..=10_000.0).contains(&d.max_clock_error_ms) {
+            errors.push(format!("deployment.clock_off_ms: {} must be from 0 to 10000", d.max_clock_error_ms));
         }
         d.state.check("deployment.state", &mut errors);
         if d.machine_limits.sockets < 64 {
--- a/src/nomad.rs
+++ b/src/nomad.rs
@@ -389,8 +389,8 @@
                 "  {}: {} of {} CPUs and {} GB, team {}, image {}",
                 p.group,
                 s.tasks,
-                s.need.cpu as f64 / 1000.0,
-                s.need.mem as f64 / 1000.0,
+                s.task_resources.cpu as f64 / 1000.0,
+                s.task_resources.mem as f64 / 1000.0,
                 s.team,
                 s.image
             );
@@ -405,10 +405,10 @@
         .map(|p| {
             let s = &p.spec;
             json!({
-                "group": p.group, "count": s.tasks, "cpus": s.need.cpu as f64 / 1000.0,
-                "memory_gb": s.need.mem as f64 / 1000.0, "team": s.team, "lot": s.class, "rank": s.rank,
-                "manner": s.kind, "types": s.types, "zones": s.zones, "spread": s.spread, "spot": s.spot,
-                "image": s.image, "image_gb": s.image_gb, "attempts": s.attempts,
+                "group": p.group, "count": s.tasks, "cpus": s.task_resources.cpu as f64 / 1000.0,
+                "memory_gb": s.task_resources.mem as f64 / 1000.0, "team": s.team, "lot": s.class, "rank": s.priority,
+                "manner": s.kind, "types": s.machine_types, "zones": s.zones, "spread": s.spread, "spot": s.spot,
+                "image": s.image, "image_gb": s.image_gb, "attempts": s.max_attempts,
             })
         })
         .collect();
