--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: settings, logging, and the service, or one of its verbs.
+//! The `gorseshore` program: runs a controller, or one of the subcommands.
 mod nomad;
 
 use clap::{Parser, Subcommand};
@@ -22,29 +22,29 @@
     #[arg(long)]
     check: bool,
     #[command(subcommand)]
-    verb: Option<Verb>,
+    command: Option<Subcommands>,
 }
 
 #[derive(Subcommand)]
-enum Verb {
+enum Subcommands {
     /// Job files in Nomad's format.
     #[command(subcommand)]
-    Nomad(nomad::Verb),
+    Nomad(nomad::Subcommands),
 }
 
 fn read(path: &Path) -> Result<String, SettingsError> {
     std::fs::read_to_string(path).map_err(|e| SettingsError(vec![e.to_string()]))
 }
 
-/// Tells what is wrong with a settings file.
-fn complain(path: &Path, e: &SettingsError) {
+/// Prints the errors in a settings file to standard error.
+fn print_errors(path: &Path, e: &SettingsError) {
     for line in &e.0 {
         eprintln!("{}: {}", path.display(), line.trim_end());
     }
 }
 
-/// The operators' settings, or the defaults without a file.
-fn operator(path: Option<&Path>) -> Result<Operator, SettingsError> {
+/// Reads the operators' settings; without a file they are the defaults.
+fn operator_settings(path: Option<&Path>) -> Result<Operator, SettingsError> {
     match path {
         Some(p) => read(p).and_then(|t| Operator::parse(&t)),
         None => Ok(Operator::default()),
@@ -53,17 +53,17 @@
 
 fn main() -> ExitCode {
     let args = Args::parse();
-    if let Some(Verb::Nomad(verb)) = args.verb {
-        return nomad::run(verb);
+    if let Some(Subcommands::Nomad(command)) = args.command {
+        return nomad::run(command);
     }
     let Some(config) = args.config else { return ExitCode::from(2) };
     let platform = read(&config).and_then(|t| Platform::parse(&t));
-    let operator = operator(args.operator_config.as_deref());
+    let operator = operator_settings(args.operator_config.as_deref());
     if let Err(e) = &platform {
-        complain(&config, e);
+        print_errors(&config, e);
     }
     if let (Some(p), Err(e)) = (&args.operator_config, &operator) {
-        complain(p, e);
+        print_errors(p, e);
     }
     let (Ok(platform), Ok(operator)) = (platform, operator) else { return ExitCode::from(2) };
     if args.check {
@@ -71,12 +71,12 @@
         return ExitCode::SUCCESS;
     }
     gorseshore_shell::logger::start(operator.log_format);
-    let guest = operator.nomad.clone().and_then(|n| {
+    let extension = operator.nomad.clone().and_then(|n| {
         let listen = n.listen?;
-        let guest = Box::new(gorseshore_nomad::service::Service::new(n, fastrand::u64(..)));
-        Some(gorseshore_shell::GuestDoor { guest, listen })
+        let service = Box::new(gorseshore_nomad::service::Service::new(n, fastrand::u64(..)));
+        Some(gorseshore_shell::GuestDoor { guest: service, listen })
     });
-    match gorseshore_shell::run(platform, operator, guest) {
+    match gorseshore_shell::run(platform, operator, extension) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             log::error!("{e}");
--- a/src/nomad.rs
+++ b/src/nomad.rs
@@ -1,4 +1,4 @@
-//! `gorseshore nomad …`: job files in Nomad's format.
+//! `gorseshore nomad …`: subcommands for job files in Nomad's format.
 use clap::{Args, Subcommand};
 use gorseshore_nomad::service::records::api_job;
 use gorseshore_nomad::service::tokens;
@@ -15,135 +15,136 @@
 use std::time::Duration;
 
 #[derive(Subcommand)]
-pub enum Verb {
-    /// Judge job files without any service: 0 all accepted, 1 refused, 2 unreadable.
-    Check(Check),
-    /// Print what is served of the job specification.
+pub enum Subcommands {
+    /// Validate job files without a running service; exit code 0 if all are accepted, 1 if
+    /// one is rejected, 2 if one is unreadable.
+    Check(CheckArgs),
+    /// Print the supported parts of the job specification as a table.
     Table,
-    /// What registering a file would do at a running controller.
-    Plan(Remote),
-    /// Register a file at a running controller.
-    Run(Remote),
-    /// Where jobs stand: one, or all.
-    Status(Ask),
+    /// Show what registering a file with a running controller would do.
+    Plan(RegisterArgs),
+    /// Register a file with a running controller.
+    Run(RegisterArgs),
+    /// Show the status of one job or of all jobs.
+    Status(StatusArgs),
     /// Stop a job.
-    Stop(Stop),
-    /// Make a token for a team: the token, and its hash for the operators' file.
+    Stop(StopArgs),
+    /// Generate a token for a team; prints the token and its hash for the operators' file.
     Token,
 }
 
 #[derive(Args)]
 pub struct Server {
-    /// The interface of any controller.
+    /// Address of any controller's Nomad API.
     #[arg(long, value_name = "URL", env = "NOMAD_ADDR", default_value = "http://127.0.0.1:4646")]
     address: String,
-    /// The team's token.
+    /// API token of the team.
     #[arg(long, env = "NOMAD_TOKEN", hide_env_values = true)]
     token: Option<String>,
-    /// The namespace.
+    /// Namespace of the job.
     #[arg(long, default_value = "default")]
     namespace: String,
 }
 
 #[derive(Args)]
-pub struct Remote {
+pub struct RegisterArgs {
     #[command(flatten)]
     server: Server,
-    /// The job file, HCL or JSON; `-` for standard input.
+    /// Job file, HCL or JSON; `-` for standard input.
     #[arg(value_name = "FILE")]
     file: PathBuf,
-    /// A variable's value.
-    #[arg(long = "var", value_name = "NAME=VALUE", value_parser = pair)]
+    /// Value of a variable.
+    #[arg(long = "var", value_name = "NAME=VALUE", value_parser = parse_name_value)]
     vars: Vec<(String, String)>,
-    /// A file of variables' values; later ones count.
+    /// File with values of variables; later files take precedence.
     #[arg(long = "var-file", value_name = "FILE")]
     var_files: Vec<PathBuf>,
 }
 
 #[derive(Args)]
-pub struct Ask {
+pub struct StatusArgs {
     #[command(flatten)]
     server: Server,
-    /// The job; all of them if none is named.
+    /// Job to show; all jobs if omitted.
     #[arg(value_name = "JOB")]
     job: Option<String>,
-    /// The interface's JSON on standard output.
+    /// Print the API's JSON to standard output.
     #[arg(long)]
     json: bool,
 }
 
 #[derive(Args)]
-pub struct Stop {
+pub struct StopArgs {
     #[command(flatten)]
     server: Server,
-    /// The job.
+    /// Job to stop.
     #[arg(value_name = "JOB")]
     job: String,
-    /// Forget it once nothing of it is left.
+    /// Delete the job once none of its tasks is left.
     #[arg(long)]
     purge: bool,
 }
 
 #[derive(Args)]
-pub struct Check {
+pub struct CheckArgs {
     /// Job files, HCL or JSON; `-` for standard input.
     #[arg(required = true, value_name = "FILE")]
     files: Vec<PathBuf>,
-    /// A variable's value.
-    #[arg(long = "var", value_name = "NAME=VALUE", value_parser = pair)]
+    /// Value of a variable.
+    #[arg(long = "var", value_name = "NAME=VALUE", value_parser = parse_name_value)]
     vars: Vec<(String, String)>,
-    /// A file of variables' values; later ones count.
+    /// File with values of variables; later files take precedence.
     #[arg(long = "var-file", value_name = "FILE")]
     var_files: Vec<PathBuf>,
     /// The operators' settings, with classes (protobuf text format).
     #[arg(long, value_name = "FILE", env = "GORSESHORE_OPERATOR_CONFIG")]
     operator_config: Option<PathBuf>,
-    /// One JSON document on standard output.
+    /// Print one JSON document to standard output.
     #[arg(long)]
     json: bool,
 }
 
-fn pair(s: &str) -> Result<(String, String), String> {
+fn parse_name_value(s: &str) -> Result<(String, String), String> {
     match s.split_once('=') {
         Some((k, v)) if !k.is_empty() => Ok((k.to_owned(), v.to_owned())),
         _ => Err("must be NAME=VALUE".into()),
     }
 }
 
-/// The reader of files is given a stack of its own, so that its bounds on
-/// nesting hold whatever the caller's is.
-const STACK: usize = 64 << 20;
+/// Stack size of the thread that parses job files, in bytes. The parser gets its own stack,
+/// so that its nesting limits are safe whatever the size of the caller's stack.
+const PARSER_STACK_BYTES: usize = 64 << 20;
 
-pub fn run(verb: Verb) -> ExitCode {
-    let deep = |f: Box<dyn FnOnce() -> ExitCode + Send>| {
-        let done = std::thread::Builder::new().stack_size(STACK).spawn(f);
-        match done.map(|t| t.join()) {
+pub fn run(command: Subcommands) -> ExitCode {
+    let run_with_parser_stack = |f: Box<dyn FnOnce() -> ExitCode + Send>| {
+        let thread = std::thread::Builder::new().stack_size(PARSER_STACK_BYTES).spawn(f);
+        match thread.map(|t| t.join()) {
             Ok(Ok(code)) => code,
             _ => ExitCode::from(2),
         }
     };
-    match verb {
-        Verb::Check(c) => deep(Box::new(move || check(&c))),
-        Verb::Plan(r) => deep(Box::new(move || remote(&r, true))),
-        Verb::Run(r) => deep(Box::new(move || remote(&r, false))),
-        Verb::Status(a) => said(status(&a)),
-        Verb::Stop(s) => said(stop(&s)),
-        Verb::Token => token(),
-        Verb::Table => {
+    match command {
+        Subcommands::Check(args) => run_with_parser_stack(Box::new(move || check(&args))),
+        Subcommands::Plan(args) => run_with_parser_stack(Box::new(move || plan_or_run(&args, true))),
+        Subcommands::Run(args) => run_with_parser_stack(Box::new(move || plan_or_run(&args, false))),
+        Subcommands::Status(args) => exit_code(status(&args)),
+        Subcommands::Stop(args) => exit_code(stop(&args)),
+        Subcommands::Token => token(),
+        Subcommands::Table => {
             print!("{}", table::markdown());
             ExitCode::SUCCESS
         }
     }
 }
 
-/// Why a request came to nothing, and the exit code for scripts: 1 if the
-/// controller refused it, 2 if it could not be asked.
-struct Failure(u8, String);
+/// A failed request: the exit code for scripts (1 if the controller rejected the request,
+/// 2 if the request got no valid response) and the reason.
+struct RequestError(u8, String);
 
-fn said(r: Result<(), Failure>) -> ExitCode {
+fn exit_code(r: Result<(), RequestError>) -> ExitCode {
     match r {
         Ok(()) => ExitCode::SUCCESS,
-        Err(Failure(code, text)) => {
+        Err(RequestError(code, text)) => {
             eprintln!("{text}");
             ExitCode::from(code)
         }
@@ -151,47 +152,53 @@
 }
 
 impl Server {
-    /// One request; the body of a 200.
-    fn ask(&self, method: &str, path: &str, body: &str) -> Result<Value, Failure> {
+    /// Sends a request and returns the body of a 200 response.
+    fn request(&self, method: &str, path: &str, body: &str) -> Result<Value, RequestError> {
         let host = self.address.strip_prefix("http://").unwrap_or(&self.address).trim_end_matches('/');
-        let lost = |e: String| Failure(2, format!("{}: {e}", self.address));
-        let mut s = TcpStream::connect(host).map_err(|e| lost(e.to_string()))?;
-        s.set_read_timeout(Some(Duration::from_secs(60))).map_err(|e| lost(e.to_string()))?;
+        let no_response = |e: String| RequestError(2, format!("{}: {e}", self.address));
+        let mut stream = TcpStream::connect(host).map_err(|e| no_response(e.to_string()))?;
+        stream.set_read_timeout(Some(Duration::from_secs(60))).map_err(|e| no_response(e.to_string()))?;
         let token = match &self.token {
             Some(t) if t.chars().all(|c| c.is_ascii_graphic()) => format!("X-Nomad-Token: {t}\r\n"),
-            Some(_) => return Err(Failure(2, "the token must be of visible ASCII characters".into())),
+            Some(_) => {
+                return Err(RequestError(2, "the token must consist of visible ASCII characters".into()));
+            }
             None => String::new(),
         };
-        let sep = if path.contains('?') { '&' } else { '?' };
+        let separator = if path.contains('?') { '&' } else { '?' };
         let namespace = utf8_percent_encode(&self.namespace, NON_ALPHANUMERIC);
         let head = format!(
-            "{method} {path}{sep}namespace={namespace} HTTP/1.1\r\nHost: {host}\r\n{token}Content-Length: {}\r\n\r\n",
+            "{method} {path}{separator}namespace={namespace} HTTP/1.1\r\nHost: {host}\r\n{token}Content-Length: {}\r\n\r\n",
             body.len()
         );
-        s.write_all(head.as_bytes())
-            .and_then(|()| s.write_all(body.as_bytes()))
-            .map_err(|e| lost(e.to_string()))?;
-        let (mut buf, mut part) = (Vec::new(), [0u8; 8192]);
+        stream
+            .write_all(head.as_bytes())
+            .and_then(|()| stream.write_all(body.as_bytes()))
+            .map_err(|e| no_response(e.to_string()))?;
+        let (mut buf, mut chunk) = (Vec::new(), [0u8; 8192]);
         loop {
             match http::answer_head(&buf) {
-                Err(_) => return Err(lost("the answer is not HTTP".into())),
+                Err(_) => return Err(no_response("the response is not valid HTTP".into())),
                 Ok(Some(h)) => {
                     if let http::BodyEnd::Length(n) = h.body
                         && buf.len() >= h.head + n
                     {
                         let body = &buf[h.head..h.head + n];
                         return match h.status {
-                            200 => serde_json::from_slice(body).map_err(|e| lost(format!("not JSON: {e}"))),
-                            s => Err(Failure(1, format!("{s}: {}", String::from_utf8_lossy(body)))),
+                            200 => serde_json::from_slice(body)
+                                .map_err(|e| no_response(format!("not JSON: {e}"))),
+                            status => {
+                                Err(RequestError(1, format!("{status}: {}", String::from_utf8_lossy(body))))
+                            }
                         };
                     }
                 }
                 Ok(None) => {}
             }
-            match s.read(&mut part) {
-                Ok(0) => return Err(lost("the connection was closed".into())),
-                Ok(n) => buf.extend_from_slice(&part[..n]),
-                Err(e) => return Err(lost(e.to_string())),
+            match stream.read(&mut chunk) {
+                Ok(0) => return Err(no_response("the server closed the connection".into())),
+                Ok(n) => buf.extend_from_slice(&chunk[..n]),
+                Err(e) => return Err(no_response(e.to_string())),
             }
         }
     }
@@ -200,14 +207,14 @@
 fn inputs(vars: &[(String, String)], files: &[PathBuf]) -> Result<Inputs, String> {
     let mut inputs = Inputs { vars: vars.iter().cloned().collect(), ..Inputs::default() };
     for f in files {
-        inputs.files.push((f.display().to_string(), text(f)?));
+        inputs.files.push((f.display().to_string(), read_text(f)?));
     }
     Ok(inputs)
 }
 
-/// `plan` and `run`: the file is read here, so that faults have their places.
-fn remote(r: &Remote, plan: bool) -> ExitCode {
-    let read = text(&r.file).and_then(|t| Ok((t, inputs(&r.vars, &r.var_files)?)));
+/// Runs `plan` or `run`. The file is parsed here, so that errors show their position in it.
+fn plan_or_run(args: &RegisterArgs, plan: bool) -> ExitCode {
+    let read = read_text(&args.file).and_then(|t| Ok((t, inputs(&args.vars, &args.var_files)?)));
     let (source, inputs) = match read {
         Ok(x) => x,
         Err(e) => {
@@ -217,64 +224,64 @@
     };
     let (job, faults) = gorseshore_nomad::read(&source, &inputs);
     for f in &faults.list {
-        eprintln!("{}:{f}", r.file.display());
+        eprintln!("{}:{f}", args.file.display());
     }
     let Some(job) = job.filter(|_| faults.accepted()) else {
         let code = if faults.worst() == Some(Severity::Unreadable) { 2 } else { 1 };
         return ExitCode::from(code);
     };
     let body = json!({ "Job": api_job(&job) }).to_string();
-    let done = if plan {
+    let result = if plan {
         let path = format!("/v1/job/{}/plan", utf8_percent_encode(&job.id, NON_ALPHANUMERIC));
-        r.server.ask("POST", &path, &body).map(|v| {
+        args.server.request("POST", &path, &body).map(|v| {
             for (group, u) in v["Annotations"]["DesiredTGUpdates"].as_object().into_iter().flatten() {
                 println!(
-                    "{group}: {} to start, {} to stop, {} go on",
+                    "{group}: {} to start, {} to stop, {} keep running",
                     u["Place"], u["Stop"], u["InPlaceUpdate"]
                 );
             }
             for (group, why) in v["FailedTGAllocs"].as_object().into_iter().flatten() {
-                println!("{group}: some can't be placed: {why}");
+                println!("{group}: some tasks can't be placed: {why}");
             }
         })
     } else {
-        r.server
-            .ask("PUT", "/v1/jobs", &body)
-            .map(|v| println!("{}: recorded at {}", job.id, v["JobModifyIndex"]))
+        args.server
+            .request("PUT", "/v1/jobs", &body)
+            .map(|v| println!("{}: registered at index {}", job.id, v["JobModifyIndex"]))
     };
-    said(done)
+    exit_code(result)
 }
 
-fn status(a: &Ask) -> Result<(), Failure> {
-    let Some(job) = &a.job else {
-        let v = a.server.ask("GET", "/v1/jobs", "")?;
-        if a.json {
+fn status(args: &StatusArgs) -> Result<(), RequestError> {
+    let Some(job) = &args.job else {
+        let v = args.server.request("GET", "/v1/jobs", "")?;
+        if args.json {
             println!("{v}");
             return Ok(());
         }
         for j in v.as_array().into_iter().flatten() {
-            let word = |k: &str| j[k].as_str().unwrap_or("").to_owned();
+            let text = |k: &str| j[k].as_str().unwrap_or("").to_owned();
             println!(
                 "{:32} {:8} {:8} {}",
-                word("ID"),
-                word("Type"),
-                word("Status"),
-                word("StatusDescription")
+                text("ID"),
+                text("Type"),
+                text("Status"),
+                text("StatusDescription")
             );
         }
         return Ok(());
     };
     let id = utf8_percent_encode(job, NON_ALPHANUMERIC);
-    let v = a.server.ask("GET", &format!("/v1/job/{id}"), "")?;
-    let summary = a.server.ask("GET", &format!("/v1/job/{id}/summary"), "")?;
-    if a.json {
+    let v = args.server.request("GET", &format!("/v1/job/{id}"), "")?;
+    let summary = args.server.request("GET", &format!("/v1/job/{id}/summary"), "")?;
+    if args.json {
         println!("{}", json!({"Job": v, "Summary": summary}));
         return Ok(());
     }
-    let word = |k: &str| v[k].as_str().unwrap_or("").to_owned();
-    println!("{}: {}, {}, version {}", word("ID"), word("Type"), word("Status"), v["Version"]);
-    if !word("StatusDescription").is_empty() {
-        println!("  {}", word("StatusDescription"));
+    let text = |k: &str| v[k].as_str().unwrap_or("").to_owned();
+    println!("{}: {}, {}, version {}", text("ID"), text("Type"), text("Status"), v["Version"]);
+    if !text("StatusDescription").is_empty() {
+        println!("  {}", text("StatusDescription"));
     }
     for (group, s) in summary["Summary"].as_object().into_iter().flatten() {
         println!(
@@ -285,17 +292,17 @@
     Ok(())
 }
 
-fn stop(s: &Stop) -> Result<(), Failure> {
-    let id = utf8_percent_encode(&s.job, NON_ALPHANUMERIC);
-    let v = s.server.ask("DELETE", &format!("/v1/job/{id}?purge={}", s.purge), "")?;
-    println!("{}: stop recorded at {}", s.job, v["JobModifyIndex"]);
+fn stop(args: &StopArgs) -> Result<(), RequestError> {
+    let id = utf8_percent_encode(&args.job, NON_ALPHANUMERIC);
+    let v = args.server.request("DELETE", &format!("/v1/job/{id}?purge={}", args.purge), "")?;
+    println!("{}: stop recorded at index {}", args.job, v["JobModifyIndex"]);
     Ok(())
 }
 
 fn token() -> ExitCode {
     let mut bytes = [0u8; 32];
     if let Err(e) = getrandom::fill(&mut bytes) {
-        eprintln!("no random numbers: {e}");
+        eprintln!("can't generate random numbers: {e}");
         return ExitCode::from(2);
     }
     let token = hex::encode(&bytes[..16]);
@@ -304,7 +311,7 @@
     ExitCode::SUCCESS
 }
 
-fn text(path: &Path) -> Result<String, String> {
+fn read_text(path: &Path) -> Result<String, String> {
     let read = if path.as_os_str() == "-" {
         std::io::read_to_string(std::io::stdin())
     } else {
@@ -313,21 +320,21 @@
     read.map_err(|e| format!("{}: {e}", path.display()))
 }
 
-fn check(c: &Check) -> ExitCode {
-    let settings = match crate::operator(c.operator_config.as_deref()) {
+fn check(args: &CheckArgs) -> ExitCode {
+    let settings = match crate::operator_settings(args.operator_config.as_deref()) {
         Ok(o) => o.nomad,
         Err(e) => {
-            crate::complain(c.operator_config.as_deref().unwrap_or(Path::new("")), &e);
+            crate::print_errors(args.operator_config.as_deref().unwrap_or(Path::new("")), &e);
             return ExitCode::from(2);
         }
     };
     let Some(settings) = settings else {
         eprintln!(
-            "the operators' file has no nomad settings: without classes no job can be judged (--operator-config)"
+            "the operators' file has no nomad settings: jobs can't be validated without classes (--operator-config)"
         );
         return ExitCode::from(2);
     };
-    let inputs = match inputs(&c.vars, &c.var_files) {
+    let inputs = match inputs(&args.vars, &args.var_files) {
         Ok(i) => i,
         Err(e) => {
             eprintln!("{e}");
@@ -337,13 +344,13 @@
     let site = Site::described(&settings);
     let mut worst = 0;
     let mut documents = Vec::new();
-    for path in &c.files {
+    for path in &args.files {
         let name = path.display().to_string();
-        let source = match text(path) {
+        let source = match read_text(path) {
             Ok(t) => t,
             Err(e) => {
                 worst = 2;
-                if c.json {
+                if args.json {
                     documents.push(json!({"file": name, "verdict": "unreadable", "error": e}));
                 } else {
                     eprintln!("{e}");
@@ -353,19 +360,19 @@
         };
         let j = judge(&source, &inputs, &settings, &site);
         worst = worst.max(j.exit_code());
-        if c.json {
-            documents.push(document(&name, &j));
+        if args.json {
+            documents.push(verdict_json(&name, &j));
         } else {
-            show(&name, &j);
+            print_verdict(&name, &j);
         }
     }
-    if c.json {
+    if args.json {
         println!("{}", json!({ "files": documents }));
     }
     ExitCode::from(worst)
 }
 
-fn word(j: &Judgement) -> &'static str {
+fn verdict(j: &Judgement) -> &'static str {
     match j.exit_code() {
         0 => "accepted",
         1 => "refused",
@@ -373,15 +380,15 @@
     }
 }
 
-fn show(name: &str, j: &Judgement) {
+fn print_verdict(name: &str, j: &Judgement) {
     for f in &j.faults.list {
         eprintln!("{name}:{f}");
     }
     if j.faults.more > 0 {
-        eprintln!("{name}: {} more are not shown", j.faults.more);
+        eprintln!("{name}: {} more errors are not shown", j.faults.more);
     }
     let class = j.class.as_ref().map_or(String::new(), |c| format!(", class {c}"));
-    println!("{name}: {}{class}", word(j));
+    println!("{name}: {}{class}", verdict(j));
     if j.accepted() {
         for p in &j.groups {
             let s = &p.spec;
@@ -398,7 +405,7 @@
     }
 }
 
-fn document(name: &str, j: &Judgement) -> serde_json::Value {
+fn verdict_json(name: &str, j: &Judgement) -> serde_json::Value {
     let groups: Vec<_> = j
         .groups
         .iter()
@@ -414,7 +421,7 @@
         .collect();
     json!({
         "file": name,
-        "verdict": word(j),
+        "verdict": verdict(j),
         "job": j.job.as_ref().map(|x| &x.id),
         "class": j.class,
         "groups": if j.accepted() { groups } else { Vec::new() },
