--- a/crates/core/src/dependencies.rs
+++ b/crates/core/src/dependencies.rs
@@ -153,16 +153,16 @@
     /// Combines this urgency with that of a dependent, which takes `span_ms` once this job
     /// is done.
     pub fn inherit(self, dependent: &Urgency, span_ms: u64) -> Urgency {
-        let rank = self.priority.max(dependent.priority);
+        let priority = self.priority.max(dependent.priority);
         if !dependent.has_user_deadline {
-            return Urgency { priority: rank, ..self };
+            return Urgency { priority, ..self };
         }
         let (due_ms, latest_ms) =
             (dependent.due_ms.saturating_sub(span_ms), dependent.latest_ms.saturating_sub(span_ms));
         if self.has_user_deadline && self.due_ms <= due_ms {
-            return Urgency { priority: rank, ..self };
+            return Urgency { priority, ..self };
         }
-        Urgency { priority: rank, due_ms, latest_ms, has_user_deadline: true }
+        Urgency { priority, due_ms, latest_ms, has_user_deadline: true }
     }
 }
 
--- a/crates/core/src/dependencies/tests.rs
+++ b/crates/core/src/dependencies/tests.rs
@@ -106,8 +106,8 @@
 
 #[test]
 fn urgency_is_inherited_from_dependents() {
-    let urgency = |rank, due_ms, deadline| Urgency {
-        priority: rank,
+    let urgency = |priority, due_ms, deadline| Urgency {
+        priority,
         due_ms,
         latest_ms: 2 * due_ms,
         has_user_deadline: deadline,
--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -22,14 +22,14 @@
     #[serde(rename = "k")]
     kind: Kind,
     #[serde(rename = "r")]
-    rank: Priority,
+    priority: Priority,
     #[serde(rename = "n")]
     tasks: u32,
     /// Thousandths of CPUs, GPUs and GB of memory.
     #[serde(rename = "u")]
-    need: [u64; 3],
+    task_resources: [u64; 3],
     #[serde(rename = "b", default, skip_serializing_if = "Option::is_none")]
-    types: Option<Vec<String>>,
+    machine_types: Option<Vec<String>>,
     #[serde(rename = "z", default, skip_serializing_if = "Option::is_none")]
     zones: Option<Vec<String>>,
     #[serde(rename = "o", default, skip_serializing_if = "is_default")]
@@ -43,17 +43,17 @@
     #[serde(rename = "ig", default, skip_serializing_if = "is_default")]
     image_gb: f64,
     #[serde(rename = "e", default, skip_serializing_if = "is_default")]
-    estimate_s: f64,
+    estimated_runtime_s: f64,
     #[serde(rename = "c", default, skip_serializing_if = "is_default")]
-    checkpoint_s: f64,
+    checkpoint_interval_s: f64,
     #[serde(rename = "w", default, skip_serializing_if = "is_default")]
-    save_s: f64,
+    checkpoint_save_s: f64,
     #[serde(rename = "d", default, skip_serializing_if = "Option::is_none")]
     deadline_s: Option<f64>,
     #[serde(rename = "f", default, skip_serializing_if = "Option::is_none")]
-    attempts: Option<u32>,
+    max_attempts: Option<u32>,
     #[serde(rename = "p", default, skip_serializing_if = "Vec::is_empty")]
-    prefer: Vec<Preference>,
+    preferences: Vec<Preference>,
     /// Jobs that it replaces, followed, if it has dependencies, by its own id and its
     /// dependencies. Versions without support for dependencies delay a job until all of
     /// these jobs are over, so they never start a job that waits for itself.
@@ -83,22 +83,22 @@
             class: s.class.clone(),
             team: s.team.clone(),
             kind: s.kind,
-            rank: s.priority,
+            priority: s.priority,
             tasks: s.tasks,
-            need: [s.task_resources.cpu, s.task_resources.gpu, s.task_resources.mem],
-            types: s.machine_types.clone(),
+            task_resources: [s.task_resources.cpu, s.task_resources.gpu, s.task_resources.mem],
+            machine_types: s.machine_types.clone(),
             zones: s.zones.clone(),
             one_zone: s.one_zone,
             spread: s.spread,
             spot: s.spot,
             image: s.image.clone(),
             image_gb: s.image_gb,
-            estimate_s: s.estimated_runtime_s,
-            checkpoint_s: s.checkpoint_interval_s,
-            save_s: s.checkpoint_save_s,
+            estimated_runtime_s: s.estimated_runtime_s,
+            checkpoint_interval_s: s.checkpoint_interval_s,
+            checkpoint_save_s: s.checkpoint_save_s,
             deadline_s: s.deadline_s,
-            attempts: s.max_attempts,
-            prefer: s.preferences.clone(),
+            max_attempts: s.max_attempts,
+            preferences: s.preferences.clone(),
             after: s
                 .replaces
                 .iter()
@@ -128,22 +128,26 @@
             class: r.class,
             team: r.team,
             kind: r.kind,
-            priority: r.rank,
+            priority: r.priority,
             tasks: r.tasks,
-            task_resources: Resources { cpu: r.need[0], gpu: r.need[1], mem: r.need[2] },
-            machine_types: r.types,
+            task_resources: Resources {
+                cpu: r.task_resources[0],
+                gpu: r.task_resources[1],
+                mem: r.task_resources[2],
+            },
+            machine_types: r.machine_types,
             zones: r.zones,
             one_zone: r.one_zone,
             spread: r.spread,
             spot: r.spot,
             image: r.image,
             image_gb: r.image_gb,
-            estimated_runtime_s: r.estimate_s,
-            checkpoint_interval_s: r.checkpoint_s,
-            checkpoint_save_s: r.save_s,
+            estimated_runtime_s: r.estimated_runtime_s,
+            checkpoint_interval_s: r.checkpoint_interval_s,
+            checkpoint_save_s: r.checkpoint_save_s,
             deadline_s: r.deadline_s,
-            max_attempts: r.attempts,
-            preferences: r.prefer,
+            max_attempts: r.max_attempts,
+            preferences: r.preferences,
             replaces: after,
             dependencies,
         }
@@ -157,22 +161,22 @@
             class: at(row, 0)?,
             team: at(row, 1)?,
             kind: at(row, 2)?,
-            rank: at(row, 3)?,
+            priority: at(row, 3)?,
             tasks: at(row, 4)?,
-            need: at(row, 5)?,
-            types: at(row, 6)?,
+            task_resources: at(row, 5)?,
+            machine_types: at(row, 6)?,
             zones: at::<Option<String>>(row, 7)?.map(|z| vec![z]),
             one_zone: at(row, 8)?,
             spread: at(row, 9)?,
             spot: at(row, 10)?,
             image: at(row, 11)?,
             image_gb: at(row, 12)?,
-            estimate_s: at(row, 13)?,
-            checkpoint_s: at(row, 14)?,
-            save_s: at(row, 15)?,
+            estimated_runtime_s: at(row, 13)?,
+            checkpoint_interval_s: at(row, 14)?,
+            checkpoint_save_s: at(row, 15)?,
             deadline_s: at(row, 16)?,
-            attempts: None,
-            prefer: Vec::new(),
+            max_attempts: None,
+            preferences: Vec::new(),
             after: Vec::new(),
             dependencies: 0,
             dependency_keys: 0,
@@ -482,12 +486,12 @@
 
 /// Value of the record of a cancelled job's end: the time, the cause if the service ended
 /// the job, and whether none of its tasks is left on any machine.
-pub fn cancelled_value(at_ms: u64, cause: Option<&str>, settled: bool) -> Value {
+pub fn cancelled_value(at_ms: u64, cause: Option<&str>, fully_stopped: bool) -> Value {
     let mut end = json!({"end": "aborted", "at": at_ms});
     if let Some(why) = cause {
         end["why"] = json!(why);
     }
-    if settled {
+    if fully_stopped {
         end["gone"] = json!(true);
     }
     end
@@ -602,36 +606,36 @@
 
 impl StateReplica {
     /// Applies a change of one key; `value` is `None` if the key was removed.
-    pub fn apply(&mut self, path: &str, value: Option<&Value>, stamp: u64) -> Change {
-        if path == keys::LEADER {
-            self.leader = value.and_then(|v| LeaderRecord::deserialize(v).ok()).map(|r| (r, stamp));
+    pub fn apply(&mut self, key: &str, value: Option<&Value>, revision: u64) -> Change {
+        if key == keys::LEADER {
+            self.leader = value.and_then(|v| LeaderRecord::deserialize(v).ok()).map(|r| (r, revision));
             return Change::Leader;
         }
-        if path == keys::TERM {
-            self.term = (value.and_then(Value::as_u64).unwrap_or(0), stamp);
+        if key == keys::TERM {
+            self.term = (value.and_then(Value::as_u64).unwrap_or(0), revision);
             return Change::Other;
         }
-        if path == keys::STANDBY_REPLICAS {
+        if key == keys::STANDBY_REPLICAS {
             // An unreadable record counts as one without replicas.
             let record = value.and_then(|v| Witnesses::deserialize(v).ok()).unwrap_or_default();
-            self.standby_replicas = (record, stamp);
+            self.standby_replicas = (record, revision);
             return Change::Other;
         }
-        let Some(rest) = path.strip_prefix(keys::ROOT_PREFIX) else { return Change::Other };
+        let Some(rest) = key.strip_prefix(keys::ROOT_PREFIX) else { return Change::Other };
         let Some((space, name)) = rest.split_once('/') else { return Change::Other };
         match space {
             "h" => {
-                self.replace_machines(path, value.and_then(|v| MachineBatch::deserialize(v).ok()), stamp);
+                self.replace_machines(key, value.and_then(|v| MachineBatch::deserialize(v).ok()), revision);
                 Change::Other
             }
             "m" => {
                 let one = value.and_then(|v| MachineRecord::deserialize(v).ok()).map(|r| MachineBatch {
-                    build: r.machine_type,
+                    machine_type: r.machine_type,
                     zone: r.zone,
                     spot: r.spot,
                     machines: vec![(name.to_owned(), r.addr)],
                 });
-                self.replace_machines(path, one, stamp);
+                self.replace_machines(key, one, revision);
                 Change::Other
             }
             "j" => {
@@ -640,7 +644,7 @@
                 let keys = record.as_ref().map_or(0, |r| r.dependency_keys);
                 let spec = record.map(|r| Rc::new(r.into_spec(id)));
                 let job = self.jobs.entry(id).or_insert_with(Job::empty);
-                job.revision = stamp;
+                job.revision = revision;
                 job.submitted_ms = v["at"].as_u64().unwrap_or(0);
                 job.tasks = spec.as_ref().map_or(0, |s| s.tasks);
                 job.is_service = spec.as_ref().is_some_and(|s| s.kind == Kind::Service);
@@ -670,7 +674,7 @@
                 let cancelled_by_dependency = job.cancelled_by_dependency();
                 job.phase = if v["end"] == "done" { Phase::Done } else { Phase::Cancelled };
                 job.ended_ms = v["at"].as_u64().unwrap_or(0);
-                job.end_revision = stamp;
+                job.end_revision = revision;
                 // No task of a job that was cancelled with a dependency was ever started.
                 job.fully_stopped =
                     v["gone"] == true || cancelled_by_dependency && job.phase == Phase::Cancelled;
@@ -694,9 +698,9 @@
                 {
                     job.done.add_chunk(chunk, v.as_str().unwrap_or(""));
                     if keys::is_further_part(name) {
-                        job.further_part_keys.insert(path.to_owned());
+                        job.further_part_keys.insert(key.to_owned());
                     } else {
-                        job.progress_revisions.insert(chunk, stamp);
+                        job.progress_revisions.insert(chunk, revision);
                     }
                 }
                 Change::Job { id, cancelled: Vec::new() }
@@ -709,16 +713,16 @@
                 {
                     job.merge_failures(failed);
                     if keys::is_further_part(name) {
-                        job.further_part_keys.insert(path.to_owned());
+                        job.further_part_keys.insert(key.to_owned());
                     } else {
-                        job.failure_revisions.insert(chunk, stamp);
+                        job.failure_revisions.insert(chunk, revision);
                     }
                 }
                 Change::Job { id, cancelled: Vec::new() }
             }
             "n" => {
                 if let (Some(entries), Some(v)) = (self.extension_entries.as_mut(), value) {
-                    entries.push((name.to_owned(), v.clone(), stamp));
+                    entries.push((name.to_owned(), v.clone(), revision));
                 }
                 Change::Extension
             }
@@ -735,7 +739,7 @@
 #[derive(Deserialize)]
 struct MachineBatch {
     #[serde(rename = "t")]
-    build: String,
+    machine_type: String,
     #[serde(rename = "z")]
     zone: String,
     #[serde(rename = "s")]
@@ -816,18 +820,17 @@
     }
 
     /// Replaces the machines that a key held by those that it holds now.
-    fn replace_machines(&mut self, key: &str, batch: Option<MachineBatch>, stamp: u64) {
+    fn replace_machines(&mut self, key: &str, batch: Option<MachineBatch>, revision: u64) {
         let (old, _) = self.machine_records.remove(key).unwrap_or_default();
         let mut ids = Vec::new();
         if let Some(b) = batch {
             for (name, addr) in b.machines {
                 let id = MachineId::from(&*name);
-                let (build, zone) = (b.build.clone(), b.zone.clone());
-                self.machines
-                    .insert(id.clone(), MachineRecord { machine_type: build, zone, spot: b.spot, addr });
+                let (machine_type, zone) = (b.machine_type.clone(), b.zone.clone());
+                self.machines.insert(id.clone(), MachineRecord { machine_type, zone, spot: b.spot, addr });
                 ids.push(id);
             }
-            self.machine_records.insert(key.to_owned(), (ids.clone(), stamp));
+            self.machine_records.insert(key.to_owned(), (ids.clone(), revision));
         }
         // A write whose response was lost may have been retried under another
         // key, so a machine is removed only when no key holds it.
@@ -919,7 +922,7 @@
             let ids: Vec<MachineId> = names.iter().map(|n| MachineId::from(*n)).collect();
             machines_value(("big", "east", true), ids.iter().map(|id| (id, "addr")))
         };
-        let mut l = StateReplica::default();
+        let mut replica = StateReplica::default();
         // (key, its new value, machines known afterwards)
         let steps: [(&str, Option<Value>, &[&str]); 7] = [
             ("g/h/a", Some(batch(&["a", "b"])), &["a", "b"]),
@@ -932,11 +935,11 @@
             ("g/h/a", None, &["c"]),
         ];
         for (key, value, known) in steps {
-            l.apply(key, value.as_ref(), 1);
-            let names: Vec<&str> = l.machines.keys().map(|id| id.as_str()).collect();
+            replica.apply(key, value.as_ref(), 1);
+            let names: Vec<&str> = replica.machines.keys().map(|id| id.as_str()).collect();
             assert_eq!(names, known, "{key}");
         }
-        assert_eq!(l.machines[&MachineId::from("c")].addr, "addr");
+        assert_eq!(replica.machines[&MachineId::from("c")].addr, "addr");
     }
 
     /// A controller that reads the state service from the start gets the keys in sorted
@@ -953,11 +956,11 @@
             (keys::progress(id, 0), json!("1")),
         ];
         keys.sort_by(|a, b| a.0.cmp(&b.0));
-        let mut l = StateReplica::default();
+        let mut replica = StateReplica::default();
         for (i, (k, v)) in keys.iter().enumerate() {
-            l.apply(k, Some(v), 10 + i as u64);
+            replica.apply(k, Some(v), 10 + i as u64);
         }
-        let j = &l.jobs[&id];
+        let j = &replica.jobs[&id];
         assert_eq!((j.tasks, j.done.len()), (3, 1));
         assert_eq!(j.failures.get(&2), Some(&Failures { count: 3, last_attempt: 99 }));
         assert!(j.failure_revisions.contains_key(&0) && j.progress_revisions.contains_key(&0));
@@ -965,10 +968,10 @@
 
     #[test]
     fn a_recorded_end_is_final() {
-        let mut l = StateReplica::default();
-        l.apply("g/x/j-000001", Some(&json!({"end":"aborted"})), 5);
-        l.apply("g/p/j-000001/0", Some(&json!("1")), 6);
-        let j = &l.jobs[&JobId(1)];
+        let mut replica = StateReplica::default();
+        replica.apply("g/x/j-000001", Some(&json!({"end":"aborted"})), 5);
+        replica.apply("g/p/j-000001/0", Some(&json!("1")), 6);
+        let j = &replica.jobs[&JobId(1)];
         assert_eq!((j.phase, j.done.len()), (Phase::Cancelled, 0));
     }
 
@@ -986,10 +989,10 @@
             ),
         ];
         for (row, want) in rows {
-            let mut l = StateReplica::default();
+            let mut replica = StateReplica::default();
             let v = json!({"d": serde_json::from_str::<Value>(row).unwrap(), "at": 77});
-            l.apply("g/j/j-000412", Some(&v), 9);
-            let s = l.jobs[&JobId(412)].spec.clone().expect(row);
+            replica.apply("g/j/j-000412", Some(&v), 9);
+            let s = replica.jobs[&JobId(412)].spec.clone().expect(row);
             assert_eq!((s.kind, s.priority, s.tasks, s.zones.clone(), s.deadline_s), want, "{row}");
             // Writing it in the current format preserves the specification.
             let rewritten = job_value(&s, 77);
@@ -1008,9 +1011,9 @@
             "builds":["g8"],"yard":"a","same_place":false,"apart":true,"loaners":false,
             "guess_s":0,"mark_s":0,"stow_s":0,"due_s":null}"#;
         let spec = gorseshore_protocol::users::parse_submission(body).unwrap();
-        let mut l = StateReplica::default();
-        l.apply("g/j/j-000412", Some(&job_value(&spec, 77)), 9);
-        let j = &l.jobs[&JobId(412)];
+        let mut replica = StateReplica::default();
+        replica.apply("g/j/j-000412", Some(&job_value(&spec, 77)), 9);
+        let j = &replica.jobs[&JobId(412)];
         assert_eq!((j.spec.as_deref(), j.submitted_ms, j.tasks), (Some(&spec), 77, 3));
     }
 }
--- a/crates/core/src/jobs/dependency_records.rs
+++ b/crates/core/src/jobs/dependency_records.rs
@@ -46,42 +46,42 @@
 fn dependency_keys_can_be_read_in_any_order() {
     let spec = submission(500);
     let records = job_records(&spec, 77, &limits(2000, 4)).unwrap();
-    let ends = |ledger: &mut StateReplica, from: u64| {
+    let ends = |replica: &mut StateReplica, from: u64| {
         for id in from..1_000_500 {
-            ledger.apply(&keys::end(JobId(id)), Some(&json!({"end": "done", "at": 80})), 9);
+            replica.apply(&keys::end(JobId(id)), Some(&json!({"end": "done", "at": 80})), 9);
         }
     };
     for first in 0..records.len() {
-        let mut ledger = StateReplica::default();
+        let mut replica = StateReplica::default();
         let order = records.iter().cycle().skip(first).take(records.len());
         for (key, value) in order {
-            ledger.apply(key, Some(value), 5);
+            replica.apply(key, Some(value), 5);
         }
-        assert_eq!(ledger.dependencies.dependencies(spec.id).len(), 500);
-        ends(&mut ledger, 1_000_001);
-        assert!(!ledger.dependencies.is_released(spec.id), "one dependency is not done");
-        ends(&mut ledger, 1_000_000);
-        assert!(ledger.dependencies.is_released(spec.id));
-        assert_eq!(ledger.released_ms(spec.id), 80);
+        assert_eq!(replica.dependencies.dependencies(spec.id).len(), 500);
+        ends(&mut replica, 1_000_001);
+        assert!(!replica.dependencies.is_released(spec.id), "one dependency is not done");
+        ends(&mut replica, 1_000_000);
+        assert!(replica.dependencies.is_released(spec.id));
+        assert_eq!(replica.released_ms(spec.id), 80);
         // While one of the dependency keys is missing, the job is not released.
-        let mut ledger = StateReplica::default();
-        ends(&mut ledger, 1_000_000);
+        let mut replica = StateReplica::default();
+        ends(&mut replica, 1_000_000);
         let without_one = records.iter().filter(|(key, _)| *key != records[first.max(1)].0);
         for (key, value) in without_one {
-            ledger.apply(key, Some(value), 5);
+            replica.apply(key, Some(value), 5);
         }
-        assert!(!ledger.dependencies.is_released(spec.id), "a key is missing");
+        assert!(!replica.dependencies.is_released(spec.id), "a key is missing");
     }
 }
 
 /// State of the dependent job in a replica that applied the records: its phase, whether it
 /// is fully stopped, and whether its own end is recorded.
 fn dependent_state(records: &[(String, Value)]) -> (Phase, bool, bool) {
-    let mut ledger = StateReplica::default();
-    for (stamp, (key, value)) in records.iter().enumerate() {
-        ledger.apply(key, Some(value), 1 + stamp as u64);
+    let mut replica = StateReplica::default();
+    for (revision, (key, value)) in records.iter().enumerate() {
+        replica.apply(key, Some(value), 1 + revision as u64);
     }
-    let job = &ledger.jobs[&JobId(412)];
+    let job = &replica.jobs[&JobId(412)];
     (job.phase, job.fully_stopped, job.end_revision > 0)
 }
 
--- a/crates/core/tests/record_compatibility.rs
+++ b/crates/core/tests/record_compatibility.rs
@@ -68,9 +68,9 @@
         class: s.class.clone(),
         team: s.team.clone(),
         kind: wire_name(s.kind),
-        rank: wire_name(s.priority),
+        priority: wire_name(s.priority),
         tasks: s.tasks,
-        need: [s.task_resources.cpu, s.task_resources.gpu, s.task_resources.mem],
+        task_resources: [s.task_resources.cpu, s.task_resources.gpu, s.task_resources.mem],
         types: s.machine_types.clone(),
         zones: s.zones.clone(),
         one_zone: s.one_zone,
@@ -95,12 +95,12 @@
     }
 }
 
-fn ledger(rows: &[(&str, &str)]) -> StateReplica {
-    let mut ledger = StateReplica::default();
+fn replica(rows: &[(&str, &str)]) -> StateReplica {
+    let mut replica = StateReplica::default();
     for (i, (key, text)) in rows.iter().enumerate() {
-        ledger.apply(key, Some(&parse(text)), 10 + i as u64);
+        replica.apply(key, Some(&parse(text)), 10 + i as u64);
     }
-    ledger
+    replica
 }
 
 /// Checks the reference parser itself against one record whose fields were determined by hand.
@@ -109,7 +109,7 @@
     let (_, text) = JOBS[3];
     let job = production_job(&parse(text));
     assert_eq!((job.class.as_str(), job.team.as_str(), job.tasks), ("batch", "v", 65));
-    assert_eq!((job.kind.as_str(), job.rank.as_str(), job.need), ("array", "idle", [1, 0, 1]));
+    assert_eq!((job.kind.as_str(), job.priority.as_str(), job.task_resources), ("array", "idle", [1, 0, 1]));
     assert_eq!(job.zones, Some(vec!["east".to_owned(), "west".to_owned()]));
     assert_eq!(job.prefer[1], ("g8".to_owned(), "west".to_owned(), -100));
     assert_eq!((job.attempts, job.after.len()), (Some(3), 2));
@@ -129,8 +129,8 @@
 fn job_records_of_production_round_trip() {
     for (name, text) in JOBS {
         let record = parse(text);
-        let ledger = ledger(&[("g/j/j-000412", text)]);
-        let job = &ledger.jobs[&JobId(412)];
+        let replica = replica(&[("g/j/j-000412", text)]);
+        let job = &replica.jobs[&JobId(412)];
         let spec = job.spec.as_deref().unwrap_or_else(|| panic!("{name}: lost"));
         assert_eq!(Some(job.submitted_ms), record["at"].as_u64(), "{name}");
         assert_eq!((job.phase, job.tasks, job.revision), (Phase::Active, spec.tasks, 10), "{name}");
@@ -166,7 +166,7 @@
 
 #[test]
 fn end_records_of_production_are_read() {
-    // (record, phase, settled, cause)
+    // (record, phase, fully_stopped, cause)
     let ends = [
         (r#"{"end":"done","at":5}"#, Phase::Done, false, None),
         (r#"{"end":"aborted","at":5}"#, Phase::Cancelled, false, None),
@@ -179,16 +179,16 @@
         ),
         (r#"{"end":"aborted","at":5,"gone":true,"why":"w"}"#, Phase::Cancelled, true, Some("w")),
     ];
-    for (text, phase, settled, cause) in ends {
-        let ledger = ledger(&[("g/j/j-000412", JOBS[0].1), ("g/x/j-000412", text)]);
-        let job = &ledger.jobs[&JobId(412)];
+    for (text, phase, fully_stopped, cause) in ends {
+        let replica = replica(&[("g/j/j-000412", JOBS[0].1), ("g/x/j-000412", text)]);
+        let job = &replica.jobs[&JobId(412)];
         let read = (job.phase, job.ended_ms, job.end_revision, job.fully_stopped, job.cause.as_deref());
-        assert_eq!(read, (phase, 5, 11, settled, cause), "{text}");
+        assert_eq!(read, (phase, 5, 11, fully_stopped, cause), "{text}");
         let expected = Record::End {
             id: 412,
             done: phase == Phase::Done,
             at_ms: 5,
-            settled,
+            fully_stopped,
             cause: cause.map(str::to_owned),
         };
         assert_eq!(production::read("g/x/j-000412", &parse(text)), Ok(expected), "{text}");
@@ -208,8 +208,8 @@
         let key = format!("g/p/j-000412/{chunk}");
         assert_eq!(keys::progress(JobId(412), chunk), key);
         let value = json!(text);
-        let ledger = ledger(&[("g/j/j-000412", JOBS[1].1), (&key, &value.to_string())]);
-        let job = &ledger.jobs[&JobId(412)];
+        let replica = replica(&[("g/j/j-000412", JOBS[1].1), (&key, &value.to_string())]);
+        let job = &replica.jobs[&JobId(412)];
         let mut set = TaskSet::default();
         tasks.iter().for_each(|t| assert!(set.insert(*t)));
         assert!(tasks.iter().all(|t| job.done.contains(*t)), "{text}");
@@ -231,8 +231,8 @@
         (2, Failures { count: 3, last_attempt: 1_879_048_193 }),
         (63, Failures { count: 1, last_attempt: 1_879_048_199 }),
     ]);
-    let ledger = ledger(&[("g/j/j-000412", JOBS[3].1), ("g/r/j-000412/0", text)]);
-    let job = &ledger.jobs[&JobId(412)];
+    let replica = replica(&[("g/j/j-000412", JOBS[3].1), ("g/r/j-000412/0", text)]);
+    let job = &replica.jobs[&JobId(412)];
     assert_eq!((&job.failures, job.failure_revisions.get(&0)), (&failures, Some(&11)));
     assert_eq!(keys::failures(JobId(412), 0), "g/r/j-000412/0");
     assert_eq!(json!(failures), parse(text));
@@ -245,15 +245,19 @@
 fn machine_records_of_production_round_trip() {
     let batch = r#"{"t":"big","z":"east","s":true,"m":[["host-000001","10.0.0.1:80"],["host-000002","10.0.0.2:80"]]}"#;
     let single = r#"{"t":"g8","z":"west","s":false,"a":"10.0.0.3:80"}"#;
-    let ledger = ledger(&[("g/h/host-000001", batch), ("g/m/host-000003", single)]);
+    let replica = replica(&[("g/h/host-000001", batch), ("g/m/host-000003", single)]);
     // (name, type, zone, spot, address)
-    for (name, build, zone, spot, addr) in [
+    for (name, machine_type, zone, spot, addr) in [
         ("host-000001", "big", "east", true, "10.0.0.1:80"),
         ("host-000002", "big", "east", true, "10.0.0.2:80"),
         ("host-000003", "g8", "west", false, "10.0.0.3:80"),
     ] {
-        let m = &ledger.machines[&MachineId::from(name)];
-        assert_eq!((&*m.machine_type, &*m.zone, m.spot, &*m.addr), (build, zone, spot, addr), "{name}");
+        let m = &replica.machines[&MachineId::from(name)];
+        assert_eq!(
+            (&*m.machine_type, &*m.zone, m.spot, &*m.addr),
+            (machine_type, zone, spot, addr),
+            "{name}"
+        );
     }
     let ids = ["host-000001", "host-000002"].map(MachineId::from);
     assert_eq!(keys::machines(&ids[0]), "g/h/host-000001");
@@ -269,28 +273,36 @@
 
 #[test]
 fn leader_term_and_placement_replica_records_of_production_are_read() {
-    let ledger = ledger(&[
+    let replica = replica(&[
         ("g/leader", r#"{"node":"n1","term":7,"lease":42}"#),
         ("g/term", "7"),
         ("g/books", r#"{"term":6,"led":7,"nodes":[["n0",451737600031523],["n2",9]]}"#),
     ]);
-    let (leader, stamp) = ledger.leader.clone().expect("leader");
-    assert_eq!((leader.node.as_str(), leader.term, leader.lease, stamp), ("n1", 7, 42, 10));
-    assert_eq!(ledger.term, (7, 11));
-    let books =
+    let (leader, revision) = replica.leader.clone().expect("leader");
+    assert_eq!((leader.node.as_str(), leader.term, leader.lease, revision), ("n1", 7, 42, 10));
+    assert_eq!(replica.term, (7, 11));
+    let standby_replicas =
         Witnesses { term: 6, led: 7, nodes: vec![("n0".into(), 451_737_600_031_523), ("n2".into(), 9)] };
-    assert_eq!(ledger.standby_replicas, (books.clone(), 12));
+    assert_eq!(replica.standby_replicas, (standby_replicas.clone(), 12));
 
     // (key, value written now, record that production reads)
     let written = [
         ("g/leader", json!(leader), Record::Leader { node: "n1".into(), term: 7, lease: 42 }),
-        ("g/books", json!(books), Record::PlacementReplicas { term: 6, led: 7, nodes: books.nodes.clone() }),
         (
             "g/books",
-            json!(books.taken_over(8)),
-            Record::PlacementReplicas { term: 6, led: 8, nodes: books.nodes.clone() },
+            json!(standby_replicas),
+            Record::PlacementReplicas { term: 6, led: 7, nodes: standby_replicas.nodes.clone() },
+        ),
+        (
+            "g/books",
+            json!(standby_replicas.taken_over(8)),
+            Record::PlacementReplicas { term: 6, led: 8, nodes: standby_replicas.nodes.clone() },
+        ),
+        (
+            "g/books",
+            json!(standby_replicas.taken_over(9)),
+            Record::PlacementReplicas { term: 0, led: 9, nodes: vec![] },
         ),
-        ("g/books", json!(books.taken_over(9)), Record::PlacementReplicas { term: 0, led: 9, nodes: vec![] }),
         ("g/term", json!(8), Record::Term(8)),
         // Id of the last rental request; production never reads it.
         ("g/hire", json!("7-12"), Record::Ignored),
@@ -318,8 +330,8 @@
         ("g/x/j-000413", r#"{"end":"done","at":5,"later":true}"#),
         ("g/j/j-000412", later_job.as_str()),
     ];
-    let before = ledger(&known);
-    let mut after = ledger(&known);
+    let before = replica(&known);
+    let mut after = replica(&known);
     for (key, text) in with_unknown {
         after.apply(key, Some(&parse(text)), 50);
     }
@@ -345,7 +357,7 @@
     /// Jobs that the job replaces.
     replaced: &'static [u64],
     /// Jobs that the job depends on.
-    awaited: &'static [u64],
+    depends_on: &'static [u64],
 }
 
 /// Extend this table together with each new writer of such records.
@@ -355,7 +367,7 @@
         further: &[],
         after: &[412, 411],
         replaced: &[],
-        awaited: &[411],
+        depends_on: &[411],
     },
     Dependent {
         record: r#"{"at":7,"d":{"l":"l","t":"t","k":"array","r":"prod","n":9,"u":[1,0,1],"i":"i","d":900.0,
@@ -363,14 +375,14 @@
         further: &[],
         after: &[1_000_000_000_000_000_007, 412, 410, 411],
         replaced: &[1_000_000_000_000_000_007],
-        awaited: &[410, 411],
+        depends_on: &[410, 411],
     },
     Dependent {
         record: r#"{"at":7,"d":{"l":"l","t":"t","k":"array","r":"high","n":2,"u":[1,0,1],"i":"i","x":[412,409,410],"q":2,"qk":2}}"#,
         further: &[("g/d/j-000412/0", "[1,2,3]"), ("g/d/j-000412/1", "[999999999999999999]")],
         after: &[412, 409, 410],
         replaced: &[],
-        awaited: &[409, 410, 1, 2, 3, 999_999_999_999_999_999],
+        depends_on: &[409, 410, 1, 2, 3, 999_999_999_999_999_999],
     },
     // All dependencies are in further keys.
     Dependent {
@@ -378,23 +390,23 @@
         further: &[("g/d/j-000412/0", "[1]")],
         after: &[5, 412],
         replaced: &[5],
-        awaited: &[1],
+        depends_on: &[1],
     },
 ];
 
 /// Decodes replaced jobs and dependencies as documented at [`Dependent`], without the code
 /// under test.
-fn dependencies(record: &Value, further: &BTreeMap<&str, Value>) -> (Vec<u64>, Vec<u64>) {
+fn decode_dependencies(record: &Value, further: &BTreeMap<&str, Value>) -> (Vec<u64>, Vec<u64>) {
     let numbers = |v: &Value| -> Vec<u64> { serde_json::from_value(v.clone()).unwrap() };
     let d = &record["d"];
     let mut replaced = numbers(&d["x"]);
     let in_record = d["q"].as_u64().unwrap_or(0) as usize;
-    let mut awaited = replaced.split_off(replaced.len() - in_record);
+    let mut depends_on = replaced.split_off(replaced.len() - in_record);
     replaced.retain(|id| *id != 412);
     for n in 0..d["qk"].as_u64().unwrap_or(0) {
-        awaited.extend(numbers(&further[format!("g/d/j-000412/{n}").as_str()]));
+        depends_on.extend(numbers(&further[format!("g/d/j-000412/{n}").as_str()]));
     }
-    (replaced, awaited)
+    (replaced, depends_on)
 }
 
 #[test]
@@ -402,8 +414,8 @@
     for row in DEPENDENTS {
         let record = parse(row.record);
         let further: BTreeMap<&str, Value> = row.further.iter().map(|(k, t)| (*k, parse(t))).collect();
-        let decoded = dependencies(&record, &further);
-        assert_eq!(decoded, (row.replaced.to_vec(), row.awaited.to_vec()), "{}", row.record);
+        let decoded = decode_dependencies(&record, &further);
+        assert_eq!(decoded, (row.replaced.to_vec(), row.depends_on.to_vec()), "{}", row.record);
         // Apart from the fields `q` and `qk`, the record has production's own format.
         let job = production_job(&record);
         assert_eq!(job.after, row.after, "{}", row.record);
@@ -424,16 +436,16 @@
 fn jobs_with_dependencies_are_read_and_written() {
     for row in DEPENDENTS {
         let record = parse(row.record);
-        let mut ledger = StateReplica::default();
-        ledger.apply("g/j/j-000412", Some(&record), 5);
+        let mut replica = StateReplica::default();
+        replica.apply("g/j/j-000412", Some(&record), 5);
         for (key, value) in row.further {
-            assert!(!ledger.dependencies.is_released(JobId(412)), "{key} is missing");
-            ledger.apply(key, Some(&parse(value)), 5);
+            assert!(!replica.dependencies.is_released(JobId(412)), "{key} is missing");
+            replica.apply(key, Some(&parse(value)), 5);
         }
         let ids = |ids: &[u64]| ids.iter().copied().map(JobId).collect::<Vec<_>>();
-        let spec = ledger.jobs[&JobId(412)].spec.clone().unwrap();
+        let spec = replica.jobs[&JobId(412)].spec.clone().unwrap();
         assert_eq!(spec.replaces, ids(row.replaced), "{}", row.record);
-        assert_eq!(ledger.dependencies.dependencies(JobId(412)), ids(row.awaited), "{}", row.record);
+        assert_eq!(replica.dependencies.dependencies(JobId(412)), ids(row.depends_on), "{}", row.record);
         if row.further.is_empty() {
             assert_eq!(job_value(&spec, 7)["d"]["x"], record["d"]["x"], "{}", row.record);
             assert_eq!(job_value(&spec, 7)["d"]["q"], record["d"]["q"], "{}", row.record);
@@ -444,7 +456,8 @@
 #[test]
 fn production_reads_ends_of_jobs_cancelled_with_a_dependency() {
     let end = parse(r#"{"end":"aborted","at":1764600000123,"gone":true}"#);
-    let expected = Record::End { id: 412, done: false, at_ms: 1_764_600_000_123, settled: true, cause: None };
+    let expected =
+        Record::End { id: 412, done: false, at_ms: 1_764_600_000_123, fully_stopped: true, cause: None };
     assert_eq!(production::read("g/x/j-000412", &end), Ok(expected));
 }
 
@@ -535,7 +548,7 @@
         if call.target != Target::State {
             return Some(CallResult::NotSent);
         }
-        let ledger = 100 + self.puts.len() as u64;
+        let revision = 100 + self.puts.len() as u64;
         let body = match call.path.as_str() {
             path if path.starts_with("/store") => {
                 let pair = |(key, v): &(String, Value)| json!({"path": key, "v": v, "stamp": 50});
@@ -543,15 +556,15 @@
                 json!({"pairs": pairs, "ledger": 100})
             }
             path if path.starts_with("/follow") && path.ends_with("hold_ms=10000") => return None,
-            path if path.starts_with("/follow") => json!({"news": [], "ledger": ledger}),
+            path if path.starts_with("/follow") => json!({"news": [], "ledger": revision}),
             "/multi" => {
-                let multi: Transaction = serde_json::from_slice(&call.body).unwrap();
-                for w in multi.writes {
-                    if let Write::Put { key: put, value: v, .. } = w {
-                        self.puts.push((put, v));
+                let transaction: Transaction = serde_json::from_slice(&call.body).unwrap();
+                for w in transaction.writes {
+                    if let Write::Put { key, value, .. } = w {
+                        self.puts.push((key, value));
                     }
                 }
-                json!({"ledger": ledger})
+                json!({"ledger": revision})
             }
             _ => json!({}),
         };
--- a/crates/core/tests/wire_compatibility.rs
+++ b/crates/core/tests/wire_compatibility.rs
@@ -23,22 +23,22 @@
 /// Frames with their headers, by the names in [`messages`].
 const FRAMES: &[(&str, &str)] = &[
     ("ping", "160000000503080706050403020100010200000000021100000000"),
-    ("ping, hears nobody", "14000000050308070605040302010000000000000000000001"),
+    ("ping, receives from none", "14000000050308070605040302010000000000000000000001"),
     (
-        "cancelled",
+        "cancellations",
         "8d0000000503080706050403020101020000009c010000000000007b2e5bda9a0100001e14000000000000000003\
          0000000000000000000000080706050403020109000000000000009c010000000000007b2e5bda9a0100001e1400\
          00000000000127000000617474656d70747320757365642075703a207461736b2033206661696c65642032207469\
          6d65730100000000",
     ),
     (
-        "cancelled known, by the leader",
+        "cancellations ack, by the leader",
         "270000000503080706050403020102020000009c010000000000009d01000000000000010700000000000000",
     ),
-    ("cancelled known", "170000000503080706050403020102010000009c0100000000000000"),
+    ("cancellations ack", "170000000503080706050403020102010000009c0100000000000000"),
     ("forward", "1300000005030807060504030201030104000000050102ff"),
     (
-        "sync, whole",
+        "sync, full",
         "c8010000050308070605040302010407000000000000001400000000000000000000000000000012000000000000\
          00020000000b000000686f73742d3030303030310c00007000000000630000600000000002000000000000002900\
          00000000000000000001000000000b000000686f73742d3030303030320c00007000000000630000600000000002\
@@ -77,7 +77,7 @@
          01000000000000110000009d0100000000000000000000",
     ),
     (
-        "seen",
+        "machine discovered",
         "4b00000005030807060504030201060b000000686f73742d30303030303803000000626967040000006561737401\
          0d00000031302e302e302e383a3830343003000000000000004d0000000000000000",
     ),
@@ -87,7 +87,7 @@
          30",
     ),
     (
-        "books, whole",
+        "placement log update, full",
         "e000000005030807060504030201080700000000000000e8030000000000000000000000000000040000009c0100\
          000000000000000000010100007000000000020000000b000000686f73742d3030303030310b000000686f73742d\
          3030303030320100009c0100000000000001000000010200007000000000000000000001010b000000686f73742d\
@@ -95,17 +95,17 @@
          30303033010400000065617374070064a7b3b6e00d0300000000010000000b000000686f73742d303030303039",
     ),
     (
-        "books",
+        "placement log update",
         "e000000005030807060504030201080700000000000000e803000000000000de03000000000000040000009c0100\
          000000000000000000010100007000000000020000000b000000686f73742d3030303030310b000000686f73742d\
          3030303030320100009c0100000000000001000000010200007000000000000000000001010b000000686f73742d\
          303030303033009c0100000000000002000000010200007000000000000000000001010b000000686f73742d3030\
          30303033010400000065617374070064a7b3b6e00d0300000000010000000b000000686f73742d303030303039",
     ),
-    ("books taken", "1a00000005030807060504030201090700000000000000e803000000000000"),
-    ("books wanted", "12000000050308070605040302010a0600000000000000"),
+    ("placement log ack", "1a00000005030807060504030201090700000000000000e803000000000000"),
+    ("placement log request", "12000000050308070605040302010a0600000000000000"),
     (
-        "books of",
+        "placement log snapshot",
         "e0000000050308070605040302010b0700000000000000e8030000000000000000000000000000040000009c0100\
          000000000000000000010100007000000000020000000b000000686f73742d3030303030310b000000686f73742d\
          3030303030320100009c0100000000000001000000010200007000000000000000000001010b000000686f73742d\
@@ -118,11 +118,11 @@
     TaskId { job: JobId(job), index }
 }
 
-fn report(shift: u64, tally: u64) -> HeartbeatSeq {
-    HeartbeatSeq { agent_epoch: shift, sequence: tally }
+fn report(agent_epoch: u64, sequence: u64) -> HeartbeatSeq {
+    HeartbeatSeq { agent_epoch, sequence }
 }
 
-fn held(index: u32, state: TaskState) -> Held {
+fn task_status(index: u32, state: TaskState) -> Held {
     Held { task: task(412, index), attempt: Attempt(0x1000_0000 + u64::from(index)), state }
 }
 
@@ -154,13 +154,13 @@
         heard_ago: Some(Micros::millis(250)),
         warning: Some(Micros::secs(30)),
         want_baton: false,
-        tasks: all_states.into_iter().enumerate().map(|(i, s)| held(i as u32, s)).collect(),
+        tasks: all_states.into_iter().enumerate().map(|(i, s)| task_status(i as u32, s)).collect(),
         ..unresponsive.clone()
     };
     vec![unresponsive, busy]
 }
 
-fn page(base: u64) -> Page {
+fn log_update(base: u64) -> Page {
     let starting = Entry {
         attempt: Attempt(0x7000_0001),
         on: vec![MachineId::from("host-000001"), MachineId::from("host-000002")],
@@ -241,14 +241,14 @@
     }
 }
 
-fn cancellation(cause: Option<&str>, told: bool, known_by: Vec<u64>) -> Cancellation {
+fn cancellation(cause: Option<&str>, may_confirm: bool, acknowledged_by: Vec<u64>) -> Cancellation {
     Cancellation {
         job: JobId(412),
         at_ms: 1_764_600_000_123,
         stamp: 5150,
         cause: cause.map(str::to_owned),
-        told,
-        known_by,
+        told: may_confirm,
+        known_by: acknowledged_by,
     }
 }
 
@@ -259,25 +259,28 @@
             "ping",
             Message::Ping { state_ok: true, hears: vec![NodeId(0), NodeId(2)], queued: 17, loaded: false },
         ),
-        ("ping, hears nobody", Message::Ping { state_ok: false, hears: vec![], queued: 0, loaded: true }),
         (
-            "cancelled",
+            "ping, receives from none",
+            Message::Ping { state_ok: false, hears: vec![], queued: 0, loaded: true },
+        ),
+        (
+            "cancellations",
             Message::Cancelled(vec![
                 cancellation(None, false, vec![0, INCARNATION, 9]),
                 cancellation(Some("attempts used up: task 3 failed 2 times"), true, vec![]),
             ]),
         ),
         (
-            "cancelled known, by the leader",
+            "cancellations ack, by the leader",
             Message::CancelledKnown { jobs: vec![JobId(412), JobId(413)], leads: Some(7) },
         ),
-        ("cancelled known", Message::CancelledKnown { jobs: vec![JobId(412)], leads: None }),
+        ("cancellations ack", Message::CancelledKnown { jobs: vec![JobId(412)], leads: None }),
         ("forward", Message::Forward { to: NodeId(1), envelope: vec![5, 1, 2, 0xff] }),
-        ("sync, whole", sync(0)),
+        ("sync, full", sync(0)),
         ("sync", sync(19)),
         ("update", update()),
         (
-            "seen",
+            "machine discovered",
             Message::Seen {
                 id: MachineId::from("host-000008"),
                 build: "big".into(),
@@ -289,11 +292,11 @@
             },
         ),
         ("probe", Message::Probe { id: MachineId::from("host-000008"), addr: "10.0.0.8:8040".into() }),
-        ("books, whole", Message::Books(page(0))),
-        ("books", Message::Books(page(990))),
-        ("books taken", Message::BooksTaken { term: 7, seq: 1000 }),
-        ("books wanted", Message::BooksWanted { term: 6 }),
-        ("books of", Message::BooksOf(page(0))),
+        ("placement log update, full", Message::Books(log_update(0))),
+        ("placement log update", Message::Books(log_update(990))),
+        ("placement log ack", Message::BooksTaken { term: 7, seq: 1000 }),
+        ("placement log request", Message::BooksWanted { term: 6 }),
+        ("placement log snapshot", Message::BooksOf(log_update(0))),
     ]
 }
 
@@ -381,8 +384,11 @@
         assert_eq!(Envelope::unpack(&packed), Some(envelope(message.clone())), "{name}");
         assert_eq!(envelope(message).pack(), packed, "{name}");
     }
-    let books_taken = bytes("05030807060504030201090700000000000000e803000000000000");
-    assert_eq!(Envelope::unpack(&books_taken), Some(envelope(Message::BooksTaken { term: 7, seq: 1000 })));
+    let placement_log_ack = bytes("05030807060504030201090700000000000000e803000000000000");
+    assert_eq!(
+        Envelope::unpack(&placement_log_ack),
+        Some(envelope(Message::BooksTaken { term: 7, seq: 1000 }))
+    );
 }
 
 #[test]
--- a/crates/protocol/src/ids.rs
+++ b/crates/protocol/src/ids.rs
@@ -192,9 +192,9 @@
         let round_down = |v: f64| (v * 1000.0 + 1e-6).floor().max(0.0) as u64;
         Resources { cpu: round_down(cpus), gpu: round_down(gpus), mem: round_down(mem) }
     }
-    /// Whether `need` fits into these resources.
-    pub fn fits(&self, need: &Resources) -> bool {
-        need.cpu <= self.cpu && need.gpu <= self.gpu && need.mem <= self.mem
+    /// Whether `request` fits into these resources.
+    pub fn fits(&self, request: &Resources) -> bool {
+        request.cpu <= self.cpu && request.gpu <= self.gpu && request.mem <= self.mem
     }
     /// Adds each resource.
     pub fn plus(self, o: Resources) -> Self {
@@ -208,10 +208,13 @@
             mem: self.mem.saturating_sub(o.mem),
         }
     }
-    /// Number of requests of size `need` that fit, at most `cap`.
-    pub fn max_copies(&self, need: &Resources, cap: u64) -> u64 {
+    /// Number of copies of `request` that fit, at most `cap`.
+    pub fn max_copies(&self, request: &Resources, cap: u64) -> u64 {
         let copies = |available: u64, requested: u64| available.checked_div(requested).unwrap_or(cap);
-        copies(self.cpu, need.cpu).min(copies(self.gpu, need.gpu)).min(copies(self.mem, need.mem)).min(cap)
+        copies(self.cpu, request.cpu)
+            .min(copies(self.gpu, request.gpu))
+            .min(copies(self.mem, request.mem))
+            .min(cap)
     }
 }
 
--- a/crates/protocol/src/job.rs
+++ b/crates/protocol/src/job.rs
@@ -99,28 +99,32 @@
 }
 
 impl JobSpec {
-    /// Whether a task may be on such a machine, by type, zone, kind and size.
-    pub fn allows(&self, build: &str, zone: &str, spot: bool, size: &Resources) -> bool {
+    /// Whether the tasks may run on a machine of this type, zone, spot flag and capacity.
+    pub fn allows(&self, machine_type: &str, zone: &str, spot: bool, capacity: &Resources) -> bool {
         (!spot || self.spot)
-            && self.machine_types.as_ref().is_none_or(|t| t.iter().any(|x| x == build))
+            && self.machine_types.as_ref().is_none_or(|t| t.iter().any(|x| x == machine_type))
             && self.zones.as_ref().is_none_or(|l| l.iter().any(|z| z == zone))
-            && size.fits(&self.task_resources)
+            && capacity.fits(&self.task_resources)
     }
-    /// How little a kind of machine is preferred, 0 at best.
-    pub fn placement_penalty(&self, build: &str, zone: &str) -> u64 {
+    /// Penalty for placing a task on this machine type and zone; 0 for the most preferred.
+    pub fn placement_penalty(&self, machine_type: &str, zone: &str) -> u64 {
         if self.preferences.is_empty() {
             return 0;
         }
         let weight = |p: &Preference| p.weight.clamp(-1_000_000, 1_000_000) as i64;
-        let here: i64 =
-            self.preferences.iter().filter(|p| p.machine_type == build && p.zone == zone).map(weight).sum();
-        (1_000_000 - here.clamp(-1_000_000, 1_000_000)) as u64
+        let preference: i64 = self
+            .preferences
+            .iter()
+            .filter(|p| p.machine_type == machine_type && p.zone == zone)
+            .map(weight)
+            .sum();
+        (1_000_000 - preference.clamp(-1_000_000, 1_000_000)) as u64
     }
-    /// Whether it matters to the job's other tasks in which zone one is.
+    /// Whether the zone of one task restricts the zones of the job's other tasks.
     pub fn has_zone_constraint(&self) -> bool {
         self.spread || self.one_zone
     }
-    /// Most tasks that may be in one zone.
+    /// Maximum number of tasks in one zone.
     pub fn max_tasks_per_zone(&self) -> u32 {
         if self.spread { self.tasks.div_ceil(2) } else { self.tasks }
     }
--- a/crates/protocol/src/users.rs
+++ b/crates/protocol/src/users.rs
@@ -10,30 +10,42 @@
 struct Submission {
     #[serde(rename = "ref")]
     id: String,
-    lot: String,
-    crew: String,
-    manner: Kind,
-    rank: Priority,
-    pieces: u32,
+    #[serde(rename = "lot")]
+    class: String,
+    #[serde(rename = "crew")]
+    team: String,
+    #[serde(rename = "manner")]
+    kind: Kind,
+    #[serde(rename = "rank")]
+    priority: Priority,
+    #[serde(rename = "pieces")]
+    tasks: u32,
     cpus: f64,
     gpus: f64,
     memory_gb: f64,
-    bundle: String,
+    #[serde(rename = "bundle")]
+    image: String,
     image_gb: f64,
-    #[serde(default)]
-    builds: Option<Vec<String>>,
-    #[serde(default)]
-    yard: Option<String>,
-    same_place: bool,
-    apart: bool,
-    loaners: bool,
-    guess_s: f64,
-    mark_s: f64,
-    stow_s: f64,
-    #[serde(default)]
-    due_s: Option<f64>,
-    #[serde(default)]
-    awaits: Option<Vec<String>>,
+    #[serde(rename = "builds", default)]
+    machine_types: Option<Vec<String>>,
+    #[serde(rename = "yard", default)]
+    zone: Option<String>,
+    #[serde(rename = "same_place")]
+    one_zone: bool,
+    #[serde(rename = "apart")]
+    spread: bool,
+    #[serde(rename = "loaners")]
+    spot: bool,
+    #[serde(rename = "guess_s")]
+    estimated_runtime_s: f64,
+    #[serde(rename = "mark_s")]
+    checkpoint_interval_s: f64,
+    #[serde(rename = "stow_s")]
+    checkpoint_save_s: f64,
+    #[serde(rename = "due_s", default)]
+    deadline_s: Option<f64>,
+    #[serde(rename = "awaits", default)]
+    dependencies: Option<Vec<String>>,
 }
 
 /// Maximum number of tasks in a job.
@@ -54,7 +66,7 @@
     }
     let s: Submission = serde_json::from_value(value).map_err(|e| e.to_string())?;
     let id = JobId::parse_user_id(&s.id).ok_or("ref: not of the form j-000412")?;
-    if s.pieces == 0 || s.pieces > MAX_TASKS {
+    if s.tasks == 0 || s.tasks > MAX_TASKS {
         return Err(format!("pieces: must be 1 to {MAX_TASKS}"));
     }
     let amounts = [
@@ -62,48 +74,48 @@
         ("gpus", s.gpus),
         ("memory_gb", s.memory_gb),
         ("image_gb", s.image_gb),
-        ("guess_s", s.guess_s),
-        ("mark_s", s.mark_s),
-        ("stow_s", s.stow_s),
-        ("due_s", s.due_s.unwrap_or(0.0)),
+        ("guess_s", s.estimated_runtime_s),
+        ("mark_s", s.checkpoint_interval_s),
+        ("stow_s", s.checkpoint_save_s),
+        ("due_s", s.deadline_s.unwrap_or(0.0)),
     ];
     for (name, v) in amounts {
         if !v.is_finite() || !(0.0..=1e9).contains(&v) {
             return Err(format!("{name}: must be a number from 0 to 1e9"));
         }
     }
-    let texts = [("lot", &s.lot), ("crew", &s.crew), ("bundle", &s.bundle)];
+    let texts = [("lot", &s.class), ("crew", &s.team), ("bundle", &s.image)];
     for (name, t) in texts {
         if t.is_empty() || t.len() > 256 {
             return Err(format!("{name}: must have 1 to 256 bytes"));
         }
     }
-    if s.builds.as_ref().is_some_and(|b| b.len() > 64 || b.iter().any(|t| t.len() > 64)) {
+    if s.machine_types.as_ref().is_some_and(|b| b.len() > 64 || b.iter().any(|t| t.len() > 64)) {
         return Err("builds: at most 64 names of 64 bytes".into());
     }
-    if s.yard.as_ref().is_some_and(|y| y.len() > 64) {
+    if s.zone.as_ref().is_some_and(|y| y.len() > 64) {
         return Err("yard: at most 64 bytes".into());
     }
-    let dependencies = parse_dependencies(&s.awaits.unwrap_or_default())?;
+    let dependencies = parse_dependencies(&s.dependencies.unwrap_or_default())?;
     Ok(JobSpec {
         id,
-        class: s.lot,
-        team: s.crew,
-        kind: s.manner,
-        priority: s.rank,
-        tasks: s.pieces,
+        class: s.class,
+        team: s.team,
+        kind: s.kind,
+        priority: s.priority,
+        tasks: s.tasks,
         task_resources: Resources::request(s.cpus, s.gpus, s.memory_gb),
-        machine_types: s.builds,
-        zones: s.yard.map(|z| vec![z]),
-        one_zone: s.same_place,
-        spread: s.apart,
-        spot: s.loaners,
-        image: s.bundle,
+        machine_types: s.machine_types,
+        zones: s.zone.map(|z| vec![z]),
+        one_zone: s.one_zone,
+        spread: s.spread,
+        spot: s.spot,
+        image: s.image,
         image_gb: s.image_gb,
-        estimated_runtime_s: s.guess_s,
-        checkpoint_interval_s: s.mark_s,
-        checkpoint_save_s: s.stow_s,
-        deadline_s: s.due_s,
+        estimated_runtime_s: s.estimated_runtime_s,
+        checkpoint_interval_s: s.checkpoint_interval_s,
+        checkpoint_save_s: s.checkpoint_save_s,
+        deadline_s: s.deadline_s,
         max_attempts: None,
         preferences: Vec::new(),
         replaces: Vec::new(),
--- a/tests/site_records.rs
+++ b/tests/site_records.rs
@@ -69,8 +69,8 @@
     match record {
         Record::Job { .. } => "job",
         Record::End { done: true, .. } => "done",
-        Record::End { settled: false, cause: None, .. } => "cancelled",
-        Record::End { settled: true, .. } => "settled",
+        Record::End { fully_stopped: false, cause: None, .. } => "cancelled",
+        Record::End { fully_stopped: true, .. } => "settled",
         Record::End { .. } => "failed",
         Record::Progress { .. } => "progress",
         Record::Failures { .. } => "failures",
