--- a/crates/protocol/src/workers.rs
+++ b/crates/protocol/src/workers.rs
@@ -2,8 +2,8 @@
 use borsh::{BorshDeserialize, BorshSerialize};
 use serde::{Deserialize, Serialize};
 
-/// Order of a worker's reports: by agent epoch, then by heartbeat sequence. A report
-/// whose number is not above the last known one is a duplicate or was delayed in transit.
+/// Order of a worker's reports: by agent epoch, then by heartbeat sequence. A report that
+/// is not above the last known one in this order is a duplicate or was delayed in transit.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, BorshSerialize, BorshDeserialize)]
 pub struct HeartbeatSeq {
     /// Agent epoch.
@@ -93,7 +93,7 @@
 /// Response to a report.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct HeartbeatResponse {
-    /// Fencing token under which the commands are sent.
+    /// Fencing token under which the response is sent.
     #[serde(rename = "baton")]
     pub fencing_token: u64,
     /// Commands for the worker to carry out.
