--- a/crates/core/src/leader/bindings.rs
+++ b/crates/core/src/leader/bindings.rs
@@ -61,36 +61,38 @@
         for (id, ago, report) in view.heard {
             if let Some(m) = self.machines.get_mut(id) {
                 m.heard_at(now - *ago, from, *report);
-                m.goes_on(from, now - *ago, now);
+                m.holder_reported_unchanged(from, now - *ago, now);
             }
         }
         for s in view.strangers {
             if let Some(m) = self.machines.get(&s.id) {
                 let rec = m.record();
-                self.seen(from, s, &rec, &Sizes::new(), now);
+                self.seen(from, s, &rec, &MachineSizes::new(), now);
             }
         }
     }
 
-    pub(super) fn outcome(&mut self, from: NodeId, incarnation: u64, o: &Outcome) {
+    pub(super) fn outcome(&mut self, from: NodeId, incarnation: u64, o: &AssignmentOutcome) {
         let Some(OnItsWay { to, out: h, .. }) = self.handouts.remove(&o.attempt) else { return };
         debug_assert_eq!(to, from);
         self.dirty = true;
-        if let Some(m) = self.machines.get_mut(&h.hint) {
+        if let Some(m) = self.machines.get_mut(&h.preferred_machine) {
             m.reserved.remove(&o.attempt);
         }
         let Some(run) = self.jobs.get_mut(&h.task.job) else { return };
         let Some(b) = run.bound.get_mut(&h.task.index) else { return };
-        if b.attempt != o.attempt || b.handed.as_ref().is_none_or(|x| x.incarnation != incarnation) {
+        if b.attempt != o.attempt
+            || b.unresolved_assignment.as_ref().is_none_or(|x| x.incarnation != incarnation)
+        {
             return;
         }
-        let Some(handed) = b.handed.take() else { return };
+        let Some(handed) = b.unresolved_assignment.take() else { return };
         self.handed.remove(h.task, &handed);
         if let Some(id) = &o.machine
             && handed.machines.contains(id)
             && let Some(m) = self.machines.get_mut(id).filter(|m| may_hold(m, o.attempt))
         {
-            b.on.insert(id.clone());
+            b.reported_on.insert(id.clone());
             m.bound.insert(h.task);
             m.tasks.insert(h.task, (o.attempt, TaskState::Starting));
             m.stale = true;
@@ -109,27 +111,27 @@
         let Some(m) = self.machines.get_mut(&s.id) else { return };
         if !self.granted {
             // What the controllers know already is no news when it comes again.
-            m.is_news(s.last, from);
+            m.is_news(s.last_report, from);
             // Gathering: who held it last under the highest token is its best holder.
-            if s.baton > m.baton && s.baton.term() < self.term {
-                m.baton = s.baton;
+            if s.fencing_token > m.baton && s.fencing_token.term() < self.term {
+                m.baton = s.fencing_token;
                 m.holder = Some(from);
             }
             return;
         }
         // That it was heard is true under any token: a holder back from a cut
         // has not seen its newest grant, and its machines are not dead.
-        if let Some(ago) = s.heard_ago {
-            m.heard_at(now - ago, from, s.last);
+        if let Some(ago) = s.last_contact_age {
+            m.heard_at(now - ago, from, s.last_report);
         }
-        if m.holder != Some(from) || m.baton != s.baton {
+        if m.holder != Some(from) || m.baton != s.fencing_token {
             return;
         }
-        m.warning = s.warning.map(|w| now + w);
-        m.want_baton = s.want_baton;
-        let confirmed = s.seen_baton >= m.baton;
-        if let Some(ago) = s.heard_ago {
-            m.hearing.told(s.obeys, now - ago, now);
+        m.warning = s.preemption_notice.map(|w| now + w);
+        m.want_baton = s.needs_new_fencing_token;
+        let confirmed = s.seen_fencing_token >= m.baton;
+        if let Some(ago) = s.last_contact_age {
+            m.hearing.holder_reported(s.acknowledges_commands, now - ago, now);
         }
         let fresh = confirmed && !m.confirmed;
         if fresh {
@@ -176,22 +178,22 @@
                 let run = self
                     .jobs
                     .entry(task.job)
-                    .or_insert_with(|| Run::new(job, spec.clone(), &self.ctx.objectives));
-                run.proven |= proven;
+                    .or_insert_with(|| JobRun::new(job, spec.clone(), &self.ctx.objectives));
+                run.ran_well |= proven;
                 let sums = &mut self.sums;
                 let b = run.bound.entry(task.index).or_insert_with(|| {
                     sums.bound(&spec);
-                    Binding { attempt: *attempt, handed: None, on: BTreeSet::new() }
+                    Binding { attempt: *attempt, unresolved_assignment: None, reported_on: BTreeSet::new() }
                 });
                 m.bound.insert(*task);
                 // That a start has arrived is in the books, too: a witness that stands in
                 // for a leader deletes where it may not have.
                 let arrived = *state != TaskState::Starting
                     && old.get(task).is_some_and(|(_, s)| *s == TaskState::Starting);
-                if b.on.insert(s.id.clone()) || arrived {
+                if b.reported_on.insert(s.id.clone()) || arrived {
                     self.books.note(*task);
-                    if b.on.len() > 1 {
-                        warn!("{task} may be on several machines: {:?}", b.on);
+                    if b.reported_on.len() > 1 {
+                        warn!("{task} may be on several machines: {:?}", b.reported_on);
                     }
                 }
             }
@@ -231,10 +233,10 @@
         now: Micros,
     ) {
         let Some(run) = self.jobs.get_mut(&task.job) else { return };
-        let known = run.bound.get(&task.index).is_some_and(|b| b.on.contains(id));
+        let known = run.bound.get(&task.index).is_some_and(|b| b.reported_on.contains(id));
         match state {
             TaskState::Done if run.spec.kind == Kind::Array && task.index < run.spec.tasks => {
-                (run.proven, run.begun) = (true, true);
+                (run.ran_well, run.started) = (true, true);
                 self.progressed.insert(task.job);
                 if run.done.insert(task.index)
                     && ledger.jobs.get(&task.job).is_some_and(|j| !j.done.contains(task.index))
@@ -253,22 +255,22 @@
                 if run.spec.max_attempts.is_some()
                     && let Some(attempt) = run.bound.get(&task.index).map(|b| b.attempt.0)
                 {
-                    let f = run.fails.entry(task.index).or_default();
+                    let f = run.failed_attempts.entry(task.index).or_default();
                     if attempt > f.last_attempt {
                         *f = Failures { count: f.count + 1, last_attempt: attempt };
-                        run.unsaved.insert(task.index);
+                        run.unrecorded_failures.insert(task.index);
                     }
                     again = f.count;
                 }
                 run.failures += 1;
                 run.failed_on.insert(id.clone());
-                if run.failed_on.len() > 1 && !run.proven {
+                if run.failed_on.len() > 1 && !run.ran_well {
                     // It fails wherever it is: wait longer each time.
                     run.retry_at = now + Micros::millis(500 << again.min(7));
                 } else {
                     run.retry_at = now + Micros::millis(200);
                 }
-                if run.mistaken() && run.failures == MISTAKEN + 1 {
+                if run.is_faulty() && run.failures == FAULTY_JOB_FAILURES + 1 {
                     info!("{}: fails wherever it is: one task at a time from here on", task.job);
                 }
                 if let Some(m) = self.machines.get_mut(id) {
@@ -287,7 +289,7 @@
     pub(super) fn take_out_if_guilty(&mut self, id: &MachineId) {
         let Some(m) = self.machines.get_mut(id).filter(|m| m.draining.is_none()) else { return };
         let jobs = &self.jobs;
-        let proven = |j: &JobId| jobs.get(j).is_some_and(|r| r.proven);
+        let proven = |j: &JobId| jobs.get(j).is_some_and(|r| r.ran_well);
         let told: Vec<u32> = m.failed_jobs.iter().filter(|(j, _)| proven(j)).map(|(_, n)| *n).collect();
         if told.iter().sum::<u32>() >= 2 {
             info!("{id}: tasks of {} jobs that run elsewhere failed on it; taken out of use", told.len());
@@ -300,7 +302,7 @@
         if let Some(run) = self.jobs.get_mut(&task.job)
             && let Some(b) = run.bound.get_mut(&task.index)
         {
-            b.on.remove(id);
+            b.reported_on.remove(id);
             self.books.note(task);
         }
         if let Some(m) = self.machines.get_mut(id) {
@@ -312,15 +314,15 @@
     pub(super) fn free_if_nowhere(&mut self, task: TaskId) {
         if let Some(run) = self.jobs.get_mut(&task.job)
             && let Some(b) = run.bound.get(&task.index)
-            && b.on.is_empty()
-            && b.handed.is_none()
+            && b.reported_on.is_empty()
+            && b.unresolved_assignment.is_none()
         {
             let attempt = b.attempt;
             run.bound.remove(&task.index);
             self.books.note(task);
             self.sums.freed(&run.spec);
             if !run.done.contains(task.index) {
-                run.again.insert(task.index);
+                run.requeued.insert(task.index);
                 self.requeue = true;
             }
             self.stops.remove(&(task, attempt));
@@ -338,7 +340,7 @@
         for task in self.handed.take_watched(id) {
             let Some(run) = self.jobs.get_mut(&task.job) else { continue };
             let Some(b) = run.bound.get_mut(&task.index) else { continue };
-            let Some(h) = b.handed.as_mut() else { continue };
+            let Some(h) = b.unresolved_assignment.as_mut() else { continue };
             if token.is_none_or(|t| b.attempt.0 < t.0) {
                 let next = |after| next_open(&h.machines, after, &run.spec, b.attempt, &self.machines);
                 // Free only if none of them may hold it: what a job allows may have changed.
@@ -346,7 +348,7 @@
             }
             if h.watched.is_some() {
                 self.handed.watch(task, h.watched.as_ref());
-            } else if let Some(handed) = b.handed.take() {
+            } else if let Some(handed) = b.unresolved_assignment.take() {
                 self.handed.remove(task, &handed);
                 self.books.note(task);
                 free.push((task, b.attempt, handed.hint));
@@ -365,7 +367,7 @@
     pub(super) fn machine_gone(&mut self, id: &MachineId, now: Micros) {
         let tasks = match self.machines.remove(id) {
             Some(mut m) => {
-                self.rooms.take(id, &mut m);
+                self.rooms.remove(id, &mut m);
                 m.bound
             }
             None => BTreeSet::new(),
@@ -381,7 +383,14 @@
     }
 
     /// A machine reported to a controller that doesn't hold it, or answered it.
-    pub fn seen(&mut self, from: NodeId, s: &Sighting, rec: &MachineRecord, sizes: &Sizes, now: Micros) {
+    pub fn seen(
+        &mut self,
+        from: NodeId,
+        s: &UnleasedReport,
+        rec: &MachineRecord,
+        sizes: &MachineSizes,
+        now: Micros,
+    ) {
         let id = &s.id;
         if self.gone.contains_key(id) {
             return;
@@ -390,7 +399,7 @@
             // A copy of a report may outlive its machine, and a new leader has nothing
             // to compare it with: only a worker that answers is taken on. One that was
             // not expected and can't be asked shows in the cloud's list.
-            None if !s.asked => {
+            None if !s.probed => {
                 if self.last_seen.get(id).is_none_or(|(_, t)| now.since(*t) > Micros::millis(1500)) {
                     self.last_seen.insert(id.clone(), (from, now));
                     self.probes.push((from, id.clone(), rec.addr.clone()));
@@ -416,11 +425,11 @@
                     return;
                 }
                 self.last_seen.insert(id.clone(), (from, now));
-                m.hearing.seen(s.asked, m.holder != Some(from), now);
+                m.hearing.contacted_by_other(s.probed, m.holder != Some(from), now);
                 if m.stage == Stage::Booting {
                     m.stage = Stage::Up;
                     m.since = now;
-                    m.hearing = deaf::Hearing::new(now);
+                    m.hearing = command_reachability::CommandReachability::new(now);
                     self.dirty = true;
                 }
                 if !rec.addr.is_empty() && m.addr != rec.addr {
--- a/crates/core/src/leader/blocks.rs
+++ b/crates/core/src/leader/blocks.rs
@@ -23,7 +23,7 @@
     pub(super) fn in_contact(&self, n: NodeId, now: Micros) -> bool {
         let heard = self.nodes.get(n.0 as usize).and_then(|x| x.heard);
         heard.is_some_and(|t| {
-            now.since(self.lateness.silent_from_within(t, CONTACT_LOST_FOR_CERTAIN)) < CONTACT_TIMEOUT
+            now.since(self.lateness.silence_start_capped(t, CONTACT_LOST_FOR_CERTAIN)) < CONTACT_TIMEOUT
         })
     }
 
@@ -89,7 +89,7 @@
     /// Grants, moves, watches and decides. Called about every 20 ms while
     /// this node may lead.
     pub fn tick(&mut self, ledger: &StateReplica, now: Micros) {
-        self.lateness.works(now);
+        self.lateness.record_tick(now);
         if !self.granted {
             let all = self.contacts(now).into_iter().all(|c| c);
             let waited = now.since(self.began);
@@ -122,7 +122,7 @@
             self.blocks_at = now;
             self.move_blocks(now);
             self.watch_silent(now);
-            self.watch_deaf(now);
+            self.delete_unreachable_for_commands(now);
         }
         self.stop_cancelled(ledger, now);
         if self.dirty && now.since(self.scheduled) >= Micros::millis(20) {
@@ -144,8 +144,8 @@
             match m.holder {
                 None => unheld.push((id.clone(), m.zone.clone())),
                 Some(h) => {
-                    let silent_from = m.heard.map(|t| self.lateness.silent_from(t));
-                    let silent = silent_from.is_none_or(|t| now.since(t) > Micros::millis(3500))
+                    let silence_start = m.heard.map(|t| self.lateness.silence_start(t));
+                    let silent = silence_start.is_none_or(|t| now.since(t) > Micros::millis(3500))
                         && now.since(m.granted_at) > Micros::millis(1500);
                     if let Some(s) = seen
                         && s != h
@@ -225,10 +225,10 @@
             *last = (*last).max(t);
         }
         // By then it should have reported, or have answered its holder.
-        let overdue = (self.ctx.report.scale(5, 4) + Micros::secs(1)).min(ASKED_AFTER + ASK_TIMEOUT);
+        let overdue = (self.ctx.report.scale(5, 4) + Micros::secs(1)).min(PROBE_AFTER + PROBE_TIMEOUT);
         let heard_by = latest.iter().map(|((h, zone), (t, _))| (Some(*h), *zone, *t));
         for (by, zone, at) in heard_by.chain(zone_latest.iter().map(|(z, t)| (None, *z, *t))) {
-            self.ways.heard(by, zone, at, overdue);
+            self.ways.record_contact(by, zone, at, overdue);
         }
         for (id, m) in &self.machines {
             if m.stage != Stage::Up {
@@ -244,12 +244,13 @@
             let way = |by| self.ways.open_since(by, &m.zone);
             let opened = m.holder.map_or(Micros(0), |h| way(Some(h))).max(way(None));
             let last = m.heard.unwrap_or(m.since);
-            let base = self.lateness.silent_from(last).max(self.began).max(spoke).max(m.moved_at).max(opened);
+            let base =
+                self.lateness.silence_start(last).max(self.began).max(spoke).max(m.moved_at).max(opened);
             let silent = now.since(base);
             let seen = self.last_seen.get(id).is_some_and(|(_, t)| now.since(*t) < Micros::secs(5));
             let lost =
                 silent > Micros::millis(3200) && m.probed.is_none_or(|t| now.since(t) > Micros::millis(1500));
-            if lost || m.hearing.ask_due(now) {
+            if lost || m.hearing.probe_due(now) {
                 probes.push((m.probed, id.clone()));
             }
             let open = base + overdue;
@@ -283,7 +284,7 @@
         for (_, id) in probes {
             let Some(m) = self.machines.get_mut(&id) else { continue };
             m.probed = Some(now);
-            m.hearing.ask(now);
+            m.hearing.record_probe(now);
             let (holder, addr) = (m.holder, m.addr.clone());
             for n in 0..self.nodes.len() {
                 let n = NodeId(n as u8);
@@ -326,7 +327,7 @@
             }
         }
         for (t, a, id) in stops {
-            self.stop(t, a, &id, Micros(0), now);
+            self.request_stop(t, a, &id, Micros(0), now);
         }
     }
 
@@ -344,13 +345,13 @@
             }
             if now >= self.deletion_due(*by, 95, Micros::millis(1500)) {
                 let bound = || run.iter().flat_map(|r| r.bound.values());
-                doomed.extend(bound().flat_map(|b| b.on.iter()).map(|id| (id.clone(), *job)));
+                doomed.extend(bound().flat_map(|b| b.reported_on.iter()).map(|id| (id.clone(), *job)));
                 // A hand-out went to a machine that its job may use.
                 let holds = |id: &MachineId, attempt: Attempt| {
                     let (Some(r), Some(m)) = (run, self.machines.get(id)) else { return false };
                     m.suits(&r.spec) && may_hold(m, attempt)
                 };
-                for (b, h) in bound().filter_map(|b| Some((b, b.handed.as_ref()?))) {
+                for (b, h) in bound().filter_map(|b| Some((b, b.unresolved_assignment.as_ref()?))) {
                     let machines = h.machines.iter().filter(|id| holds(id, b.attempt));
                     doomed.extend(machines.map(|id| (id.clone(), *job)));
                 }
--- a/crates/core/src/leader/messages.rs
+++ b/crates/core/src/leader/messages.rs
@@ -65,7 +65,12 @@
         for (id, m) in self.machines.iter().filter(|(_, m)| base == 0 || m.stamp > base) {
             if m.holder == Some(to) {
                 let draining = m.draining.is_some() || m.stage == Stage::Deleting;
-                block.push(GrantedMachine { id: id.clone(), baton: m.baton, addr: m.addr.clone(), draining });
+                block.push(GrantedMachine {
+                    id: id.clone(),
+                    fencing_token: m.baton,
+                    addr: m.addr.clone(),
+                    draining,
+                });
             } else {
                 elsewhere.push((id.clone(), m.holder));
             }
@@ -81,7 +86,7 @@
         let due = |h: &&mut OnItsWay| {
             h.to == to && h.covered_by <= covered && h.sent.is_none_or(|t| now.since(t) >= HAND_OUT_AGAIN)
         };
-        let mut open: Vec<(HandOut, u64)> = Vec::new();
+        let mut open: Vec<(Assignment, u64)> = Vec::new();
         for h in self.handouts.values_mut().filter(|_| lease_ok).filter(due) {
             h.sent = Some(now);
             open.push((h.out.clone(), h.covered_by));
@@ -89,19 +94,19 @@
         if let Some(at) = open.iter().map(|(_, at)| *at).max() {
             self.books.release(at);
         }
-        let running = self.jobs.iter().filter(|(_, r)| r.shown.1 > base);
+        let running = self.jobs.iter().filter(|(_, r)| r.reported_running.1 > base);
         Message::Update {
             term: self.term,
             seq,
             base,
             incarnation,
-            ack,
+            acked_sync: ack,
             lease: if lease_ok { self.ctx.operator.block_lease } else { Micros(0) },
             block,
-            elsewhere,
-            handouts: open.into_iter().map(|(h, _)| h).collect(),
+            not_in_block: elsewhere,
+            assignments: open.into_iter().map(|(h, _)| h).collect(),
             stops: self.stops.values().filter(|(r, _)| held(&r.machine)).map(|(r, _)| r.clone()).collect(),
-            running: running.map(|(id, r)| (*id, r.shown.0)).collect(),
+            running: running.map(|(id, r)| (*id, r.reported_running.0)).collect(),
         }
     }
 
@@ -109,8 +114,8 @@
     pub(super) fn count_running(&mut self) {
         for r in self.jobs.values_mut() {
             let n = r.bound.keys().filter(|i| !r.done.contains(**i)).count() as u32;
-            if n != r.shown.0 {
-                r.shown = (n, self.version + 1);
+            if n != r.reported_running.0 {
+                r.reported_running = (n, self.version + 1);
             }
         }
     }
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -1,47 +1,48 @@
 //! The leader: which machines there are, which controller holds them, where
 //! each task is bound, and what goes next.
 mod assignments;
+mod autoscaling;
 mod bindings;
 mod blocks;
 mod books;
 mod cancelled;
+mod capacity_index;
 pub mod changes;
-mod deaf;
+mod command_reachability;
 mod dependents;
-pub mod growth;
-pub mod health;
+mod intents;
+mod job_run;
 mod machine;
-mod machines;
 mod messages;
-mod overdue;
+pub mod network_paths;
+pub mod pending_reasons;
 mod records;
-mod room;
-mod run;
+pub mod scaling_limits;
 mod schedule;
+mod starvation;
 #[cfg(test)]
 mod tests;
-pub mod waits;
-pub mod ways;
-mod wishes;
+pub mod zone_health;
 
 use crate::lateness::Lateness;
 use assignments::{AssignedTasks, Handed, may_hold};
+use intents::ScaleOutStage;
+pub use intents::{CloudRequest, LeaderWrite, ScaleOutRequest};
+use job_run::{Binding, FAULTY_JOB_FAILURES, JobRun};
 pub use machine::{Machine, Stage};
-use run::{Binding, MISTAKEN, Run};
-use wishes::HireStage;
-pub use wishes::{CloudWish, HireRequest, LeaderWrite};
 
 use crate::books::Ledgers;
-use crate::controller::{ASK_TIMEOUT, ASKED_AFTER, Sizes};
+use crate::controller::{MachineSizes, PROBE_AFTER, PROBE_TIMEOUT};
 use crate::dependencies::Urgency;
 use crate::fair_queue::FairQueue;
-use crate::fleet::{self, Demand, Offer, Policy, Room, Want};
+use crate::fleet::{self, Demand, MachineCapacity, Offer, RentalKind, ScalingPolicy};
 use crate::jobs::{Failures, Job, MachineRecord, Phase, StateReplica, TaskSet};
-use crate::leader::health::{Health, Sight, Turn};
-use crate::leader::ways::Ways;
+use crate::leader::network_paths::NetworkPaths;
+use crate::leader::zone_health::{ZoneHealth, ZoneObservation, ZoneTransition};
 use crate::peer::pacing::Pacer;
 use crate::peer::{
-    GrantedMachine, HandOut, MachineState, Message, Outcome, Sighting, StopRequest, TaskState,
+    Assignment, AssignmentOutcome, GrantedMachine, MachineState, Message, StopRequest, TaskState,
+    UnleasedReport,
 };
 use crate::placement::{self, Candidate};
 use gorseshore_protocol::cloud::{Flavor, Rentals};
@@ -102,7 +103,7 @@
 #[derive(Debug)]
 struct OnItsWay {
     to: NodeId,
-    out: HandOut,
+    out: Assignment,
     /// The change of the books that has to be at the witnesses before it goes.
     covered_by: u64,
     /// When it last went.
@@ -123,16 +124,26 @@
     /// Machines that were heard, and how long ago.
     pub heard: &'a [(MachineId, Micros, HeartbeatSeq)],
     /// Machines of others whose workers report to it.
-    pub strangers: &'a [Sighting],
+    pub strangers: &'a [UnleasedReport],
     /// Hand-outs that were decided on.
-    pub outcomes: &'a [Outcome],
+    pub outcomes: &'a [AssignmentOutcome],
 }
 
 impl<'a> View<'a> {
     /// What a `Sync` says, and to the leader of which term; `None` of any other
     /// message.
     pub fn of(m: &'a Message) -> Option<(u64, View<'a>)> {
-        let Message::Sync { term, seq, base, seen, machines, heard, strangers, outcomes } = m else {
+        let Message::Sync {
+            term,
+            seq,
+            base,
+            acked_update: seen,
+            machines,
+            contacts: heard,
+            unleased_reports: strangers,
+            outcomes,
+        } = m
+        else {
             return None;
         };
         let (seq, base, seen) = (*seq, *base, *seen);
@@ -190,7 +201,7 @@
     version: u64,
     /// Deletions told before this are forgotten.
     forgotten: u64,
-    jobs: BTreeMap<JobId, Run>,
+    jobs: BTreeMap<JobId, JobRun>,
     /// Cancelled jobs that are not proven to be nowhere, and by when their tasks have to
     /// be gone.
     aborted: BTreeMap<JobId, Micros>,
@@ -214,20 +225,20 @@
     /// Bound tasks: what teams use of CPUs and GPUs, and how many are of arrays.
     sums: Sums,
     stops: BTreeMap<(TaskId, Attempt), (StopRequest, Micros)>,
-    hires: BTreeMap<String, (HireRequest, HireStage, Micros)>,
+    hires: BTreeMap<String, (ScaleOutRequest, ScaleOutStage, Micros)>,
     refused: BTreeMap<(String, String, bool), Micros>,
     /// Spot machines that were rented of late: when, and how many.
     spot_had: VecDeque<(Micros, usize)>,
     /// Zones, as far as they are heard.
-    health: Health,
+    health: ZoneHealth,
     /// When the ways to the zones opened.
-    ways: Ways,
+    ways: NetworkPaths,
     /// Arrays of which more is done than was recorded when last looked at.
     progressed: BTreeSet<JobId>,
     /// Machines with room, in order.
-    rooms: room::Rooms,
+    rooms: capacity_index::CapacityIndex,
     /// Jobs that wait, in order; `requeue`: some began to wait since.
-    waiting: schedule::Waiting,
+    waiting: schedule::PendingJobs,
     requeue: bool,
     /// Something changed: schedule.
     pub dirty: bool,
@@ -263,7 +274,7 @@
         term: u64,
         stamp: u64,
         ledger: &StateReplica,
-        sizes: &Sizes,
+        sizes: &MachineSizes,
         now: Micros,
         wall_ms: u64,
     ) -> Self {
@@ -302,11 +313,11 @@
             hires: BTreeMap::new(),
             refused: BTreeMap::new(),
             spot_had: VecDeque::new(),
-            health: Health::default(),
-            ways: Ways::default(),
+            health: ZoneHealth::default(),
+            ways: NetworkPaths::default(),
             progressed: BTreeSet::new(),
-            rooms: room::Rooms::default(),
-            waiting: schedule::Waiting::new(),
+            rooms: capacity_index::CapacityIndex::default(),
+            waiting: schedule::PendingJobs::new(),
             requeue: true,
             dirty: true,
             fleet_at: now,
@@ -344,7 +355,12 @@
             match job.phase {
                 Phase::Cancelled if job.fully_stopped => l.note_cancelled_by_another(*id, job),
                 Phase::Cancelled => {
-                    let by = crate::deputy::gone_by(job.ended_ms, wall_ms, l.ctx.cancel, now);
+                    let by = crate::cancellation_enforcer::cancellation_deadline(
+                        job.ended_ms,
+                        wall_ms,
+                        l.ctx.cancel,
+                        now,
+                    );
                     l.aborted.insert(*id, by);
                 }
                 _ => l.job_changed(*id, ledger, now),
@@ -363,11 +379,11 @@
             for (index, b) in &r.bound {
                 let task = TaskId { job: *job, index: *index };
                 sums.bound(&r.spec);
-                if let Some(h) = &b.handed {
+                if let Some(h) = &b.unresolved_assignment {
                     handed.watch(task, h.watched.as_ref());
                     self.check_watched(task, b.attempt, h)?;
                 }
-                for id in &b.on {
+                for id in &b.reported_on {
                     on.entry(id).or_default().insert(task);
                 }
             }
@@ -378,7 +394,7 @@
         if sums != kept {
             return Err(format!("bound tasks: {kept:?} kept, {sums:?} counted"));
         }
-        self.check_rooms()?;
+        self.check_capacity_index()?;
         if handed != self.handed {
             return Err(format!("handed: {:?} kept, {handed:?} counted", self.handed));
         }
@@ -387,7 +403,7 @@
             if m.bound != counted {
                 return Err(format!("bound to {id}: {:?} kept, {counted:?} counted", m.bound));
             }
-            if !m.stale && m.used != schedule::used(m, &self.jobs) {
+            if !m.stale && m.used != schedule::used_resources(m, &self.jobs) {
                 return Err(format!("used of {id}: {:?} kept", m.used));
             }
         }
@@ -433,18 +449,18 @@
                 let Some(spec) = &job.spec else { return };
                 match self.jobs.get_mut(&id) {
                     None => {
-                        let mut run = Run::new(job, spec.clone(), &self.ctx.objectives);
+                        let mut run = JobRun::new(job, spec.clone(), &self.ctx.objectives);
                         run.held = !spec.replaces.is_empty() || !ledger.dependencies.is_released(id);
                         if run.held {
                             self.held.insert(id);
                         } else {
-                            run.ready_at(ledger.released_ms(id));
+                            run.set_ready_ms(ledger.released_ms(id));
                         }
                         self.jobs.insert(id, run);
                         self.inherit_urgency(id, ledger);
                     }
                     Some(run) => {
-                        for index in run.recorded(job, spec) {
+                        for index in run.apply_record(job, spec) {
                             self.books.note(TaskId { job: id, index });
                         }
                     }
@@ -460,7 +476,7 @@
         if job.phase != Phase::Active
             && let Some(run) = self.jobs.get_mut(&id)
         {
-            run.over = true;
+            run.ended = true;
             for index in std::mem::take(&mut run.unrecorded) {
                 self.books.note(TaskId { job: id, index });
             }
@@ -494,7 +510,7 @@
             self.requeue = true;
             if let Some(run) = self.jobs.get_mut(&id) {
                 run.held = false;
-                run.ready_at(ledger.released_ms(id));
+                run.set_ready_ms(ledger.released_ms(id));
             }
             self.inherit_urgency(id, ledger);
         }
--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -5,7 +5,7 @@
 
 use super::*;
 use crate::jobs::{job_value, keys};
-use crate::peer::Held;
+use crate::peer::TaskStatus;
 use serde_json::json;
 
 mod pipelines;
@@ -63,7 +63,7 @@
             let v = json!({"t": "big", "z": "east", "s": false, "a": format!("addr{i}")});
             ledger.apply(&keys::machine(&m(&format!("m{i}"))), Some(&v), 1);
         }
-        let sizes = Sizes::from([("big".into(), Resources::capacity(8.0, 0.0, 32.0))]);
+        let sizes = MachineSizes::from([("big".into(), Resources::capacity(8.0, 0.0, 32.0))]);
         let now = Micros::secs(100);
         let leader = Leader::new(context(), TERM, 50, &ledger, &sizes, now, 1_000_000);
         let mut b = Bench { ledger, leader, now, seq: [0; 2], incarnation: [5, 6] };
@@ -95,7 +95,7 @@
     /// What is written of failures goes into the records.
     fn save_failures(&mut self, stamp: u64) {
         for w in self.leader.writes(&self.ledger, 4000, self.now) {
-            if let LeaderWrite::Failures(id, chunk) = w {
+            if let LeaderWrite::FailureCounts(id, chunk) = w {
                 let v = json!(self.leader.failures(id, chunk).unwrap());
                 self.ledger.apply(&keys::failures(id, chunk), Some(&v), stamp);
                 self.leader.job_changed(id, &self.ledger, self.now);
@@ -106,7 +106,7 @@
     /// The task starts and fails; its attempt.
     fn fail(&mut self, id: u64, index: u32) -> Attempt {
         let a = self.attempt(task(id, index)).expect("handed out");
-        self.sync(A, &[], &[Outcome { attempt: a, machine: Some(m("m0")) }]);
+        self.sync(A, &[], &[AssignmentOutcome { attempt: a, machine: Some(m("m0")) }]);
         // The end comes twice, the first time under an older token, which
         // leaves what was known before.
         let token = self.token("m0");
@@ -153,7 +153,7 @@
         self.leader.tick(&self.ledger, self.now);
     }
 
-    fn sync(&mut self, from: NodeId, machines: &[MachineState], outcomes: &[Outcome]) {
+    fn sync(&mut self, from: NodeId, machines: &[MachineState], outcomes: &[AssignmentOutcome]) {
         let i = from.0 as usize;
         self.seq[i] += 1;
         let view =
@@ -164,14 +164,14 @@
     fn state(&self, id: &str, seen: FencingToken, tasks: &[(TaskId, Attempt, TaskState)]) -> MachineState {
         MachineState {
             id: m(id),
-            baton: self.leader.machines[&m(id)].baton,
-            seen_baton: seen,
-            last: HeartbeatSeq { agent_epoch: 1, sequence: self.now.0 },
-            obeys: true,
-            heard_ago: Some(Micros(0)),
-            warning: None,
-            want_baton: false,
-            tasks: tasks.iter().map(|(t, a, s)| Held { task: *t, attempt: *a, state: *s }).collect(),
+            fencing_token: self.leader.machines[&m(id)].baton,
+            seen_fencing_token: seen,
+            last_report: HeartbeatSeq { agent_epoch: 1, sequence: self.now.0 },
+            acknowledges_commands: true,
+            last_contact_age: Some(Micros(0)),
+            preemption_notice: None,
+            needs_new_fencing_token: false,
+            tasks: tasks.iter().map(|(t, a, s)| TaskStatus { task: *t, attempt: *a, state: *s }).collect(),
         }
     }
 
@@ -198,11 +198,11 @@
     // (what happens after the hand-out of the only task, whether it is free then)
     let cases: [(&str, Step, bool); 11] = [
         ("nothing", |_, _| {}, false),
-        ("never started", |b, a| b.sync(A, &[], &[Outcome { attempt: a, machine: None }]), true),
+        ("never started", |b, a| b.sync(A, &[], &[AssignmentOutcome { attempt: a, machine: None }]), true),
         (
             "started; a report under the current token is without it",
             |b, a| {
-                b.sync(A, &[], &[Outcome { attempt: a, machine: Some(m("m0")) }]);
+                b.sync(A, &[], &[AssignmentOutcome { attempt: a, machine: Some(m("m0")) }]);
                 b.confirm("m0", &[]);
             },
             true,
@@ -210,7 +210,7 @@
         (
             "started and not settled",
             |b, a| {
-                b.sync(A, &[], &[Outcome { attempt: a, machine: Some(m("m0")) }]);
+                b.sync(A, &[], &[AssignmentOutcome { attempt: a, machine: Some(m("m0")) }]);
                 b.confirm("m0", &[(task(1, 0), a, TaskState::Starting)]);
             },
             false,
@@ -218,7 +218,7 @@
         (
             "a report under an older token is without it",
             |b, a| {
-                b.sync(A, &[], &[Outcome { attempt: a, machine: Some(m("m0")) }]);
+                b.sync(A, &[], &[AssignmentOutcome { attempt: a, machine: Some(m("m0")) }]);
                 b.leader.grant(&m("m0"), A, "test", b.now);
                 let s = b.state("m0", FencingToken(0), &[]);
                 b.sync(A, &[s], &[]);
@@ -253,12 +253,12 @@
             },
             false,
         ),
-        ("its machine is deleted", |b, _| b.leader.deleted(&[m("m0")], b.now), true),
+        ("its machine is deleted", |b, _| b.leader.deletion_confirmed(&[m("m0")], b.now), true),
         (
             "a deletion that nobody confirmed",
             |b, _| {
                 b.leader.delete(&m("m0"), "test", b.now);
-                b.leader.delete_failed(&[m("m0")], b.now);
+                b.leader.deletion_unconfirmed(&[m("m0")], b.now);
             },
             false,
         ),
@@ -267,7 +267,7 @@
             |b, a| {
                 b.incarnation[0] += 1;
                 b.sync(A, &[], &[]);
-                let outcomes = [Outcome { attempt: a, machine: None }];
+                let outcomes = [AssignmentOutcome { attempt: a, machine: None }];
                 let view = View {
                     seq: 99,
                     base: 0,
@@ -325,7 +325,7 @@
     let bound = |b: &Bench| b.leader.jobs[&JobId(1)].bound.len();
     assert_eq!(bound(&b), 2, "4 CPUs of 2 each");
     let a0 = b.attempt(task(1, 0)).unwrap();
-    b.sync(A, &[], &[Outcome { attempt: a0, machine: None }]);
+    b.sync(A, &[], &[AssignmentOutcome { attempt: a0, machine: None }]);
     b.tick(30);
     assert_eq!(bound(&b), 2, "one is free again, another goes");
 
@@ -336,8 +336,8 @@
     b.tick(30);
     let on: Vec<_> =
         (0..2).map(|i| (task(1, i), b.attempt(task(1, i)).unwrap(), TaskState::Running)).collect();
-    let outcomes: Vec<Outcome> =
-        on.iter().map(|(_, a, _)| Outcome { attempt: *a, machine: Some(m("m0")) }).collect();
+    let outcomes: Vec<AssignmentOutcome> =
+        on.iter().map(|(_, a, _)| AssignmentOutcome { attempt: *a, machine: Some(m("m0")) }).collect();
     let s = b.state("m0", b.token("m0"), &on);
     b.sync(A, &[s], &outcomes);
     b.job(2, 61, "owner", "array", "idle", 2, 4.0);
@@ -424,7 +424,7 @@
         b.job(1, 40, "t", "standing", "prod", 1, 4.0);
         let end = json!({"end": "aborted", "at": 1_000_000, "gone": settled});
         b.ledger.apply(&keys::end(JobId(1)), Some(&end), 45);
-        let sizes = Sizes::from([("big".into(), Resources::capacity(8.0, 0.0, 32.0))]);
+        let sizes = MachineSizes::from([("big".into(), Resources::capacity(8.0, 0.0, 32.0))]);
         // No controller is in the machine's zone, so its silence may be a cut.
         let away = Context { zones: vec!["west".into(), "west".into()], ..context() };
         b.leader = Leader::new(away, TERM + 1, 80, &b.ledger, &sizes, b.now, 1_000_000);
@@ -469,19 +469,19 @@
             let spec = b.leader.jobs[&JobId(1 + i as u64)].spec.clone();
             demands.push(Demand {
                 spec,
-                waiting: *tasks,
-                starving: false,
-                thirsty: false,
+                pending_tasks: *tasks,
+                starved: false,
+                on_demand_allowed: false,
                 zones: BTreeMap::new(),
             });
         }
-        b.leader.keep_to_limits(&mut demands);
-        assert_eq!(demands.iter().map(|d| d.waiting).sum::<u32>(), want, "{jobs:?}");
+        b.leader.cap_demand_to_team_limits(&mut demands);
+        assert_eq!(demands.iter().map(|d| d.pending_tasks).sum::<u32>(), want, "{jobs:?}");
     }
     // The same through what is rented: 40 CPUs wait, 4 may run.
     let mut b = Bench::new(0);
     b.job(1, 60, "tight", "array", "standard", 20, 2.0);
-    b.leader.plan_hires(&flavors, b.now);
+    b.leader.plan_scale_out(&flavors, b.now);
     let rented: u32 = b.leader.hires.values().map(|(r, ..)| r.count).sum();
     assert_eq!(rented, 1);
 }
@@ -498,7 +498,7 @@
     b.leader.jobs.clear();
     b.leader.job_changed(JobId(1), &b.ledger, b.now);
     // It ran long elsewhere: the failure is no reason to avoid the machine.
-    b.leader.jobs.get_mut(&JobId(1)).unwrap().proven = true;
+    b.leader.jobs.get_mut(&JobId(1)).unwrap().ran_well = true;
     b.tick(30);
     let first = b.fail(1, 0);
     assert_eq!(b.leader.attempts_of(JobId(1), 0), 1, "three reports of one attempt count once");
@@ -508,11 +508,11 @@
     b.pass(4);
     let fails = |b: &Bench| {
         let w = b.leader.writes(&b.ledger, 4000, b.now);
-        w.iter().filter(|w| matches!(w, LeaderWrite::Fail(..))).count()
+        w.iter().filter(|w| matches!(w, LeaderWrite::JobFailed(..))).count()
     };
     assert_eq!(fails(&b), 0);
     // A new leader goes on from the record.
-    let sizes = Sizes::from([("big".into(), Resources::capacity(8.0, 0.0, 32.0))]);
+    let sizes = MachineSizes::from([("big".into(), Resources::capacity(8.0, 0.0, 32.0))]);
     b.leader = Leader::new(context(), TERM + 1, 80, &b.ledger, &sizes, b.now, 1_000_000);
     b.sync(A, &[], &[]);
     b.sync(B, &[], &[]);
@@ -559,12 +559,12 @@
         b.tick(30);
         b.fail(1, 0);
         b.leader.machines.get_mut(&m("m0")).unwrap().failures = 1;
-        b.leader.jobs.get_mut(&JobId(1)).unwrap().proven = proven;
+        b.leader.jobs.get_mut(&JobId(1)).unwrap().ran_well = proven;
         b.save_failures(70);
         if machines == 2 {
             let v = json!({"t": "big", "z": "east", "s": false, "a": "addr1"});
             b.ledger.apply(&keys::machine(&m("m1")), Some(&v), 71);
-            let sizes = Sizes::from([("big".into(), Resources::capacity(8.0, 0.0, 32.0))]);
+            let sizes = MachineSizes::from([("big".into(), Resources::capacity(8.0, 0.0, 32.0))]);
             let mut new = Machine::new(&b.ledger.machines[&m("m1")], sizes["big"], Stage::Up, b.now);
             new.recorded = true;
             b.leader.machines.insert(m("m1"), new);
@@ -573,7 +573,8 @@
         }
         b.pass(2 * seconds);
         let run = &b.leader.jobs[&JobId(1)];
-        let hint = run.bound.get(&0).and_then(|x| x.handed.as_ref()).map(|h| h.hint.to_string());
+        let hint =
+            run.bound.get(&0).and_then(|x| x.unresolved_assignment.as_ref()).map(|h| h.hint.to_string());
         assert_eq!(hint.as_deref(), want, "{machines} machines, proven {proven}, {seconds} s");
     }
 }
@@ -595,12 +596,12 @@
         b.edit(1, 70 + i as u64, |s| s.tasks = *tasks);
         b.tick(30);
         assert_eq!(handed(&b), *want, "{tasks}");
-        assert_eq!(b.leader.jobs[&JobId(1)].waiting(), 0, "{tasks}");
+        assert_eq!(b.leader.jobs[&JobId(1)].pending_tasks(), 0, "{tasks}");
         assert!(b.leader.check_sums().is_ok());
     }
     // The one above goes; nothing replaces it until it is asked for again.
     let a3 = b.attempt(task(1, 3)).unwrap();
-    b.sync(A, &[], &[Outcome { attempt: a3, machine: None }]);
+    b.sync(A, &[], &[AssignmentOutcome { attempt: a3, machine: None }]);
     b.tick(30);
     assert_eq!(handed(&b), [0, 1, 2]);
     b.edit(1, 80, |s| s.tasks = 4);
@@ -617,7 +618,7 @@
         b.job(1, 60, "t", "standing", "prod", 1, 1.0);
         b.tick(30);
         let a = b.attempt(task(1, 0)).unwrap();
-        b.sync(A, &[], &[Outcome { attempt: a, machine: Some(m("m0")) }]);
+        b.sync(A, &[], &[AssignmentOutcome { attempt: a, machine: Some(m("m0")) }]);
         let on = b.state("m0", b.token("m0"), &[(task(1, 0), a, TaskState::Running)]);
         b.sync(A, &[on], &[]);
         b.job(2, 61, "t", "standing", "prod", 1, 1.0);
@@ -657,7 +658,7 @@
 
 #[test]
 fn the_log_says_who_waits_longest_and_why() {
-    use super::waits::Why;
+    use super::pending_reasons::PendingReason;
     type Step = fn(&mut Bench);
     // A job that takes all of the machine's eight CPUs.
     let fill: Step = |b| {
@@ -666,9 +667,9 @@
         b.tick(30);
     };
     // (what comes before, the job that waits: team, tasks, CPUs; why)
-    let cases: [(&str, Step, (&str, u32, f64), Why); 6] = [
-        ("nobody heard the machine", |b| b.seq[0] += 1, ("t", 1, 1.0), Why::Unheard),
-        ("the machine is full", fill, ("t", 1, 8.0), Why::NoRoom),
+    let cases: [(&str, Step, (&str, u32, f64), PendingReason); 6] = [
+        ("nobody heard the machine", |b| b.seq[0] += 1, ("t", 1, 1.0), PendingReason::UnconfirmedMachines),
+        ("the machine is full", fill, ("t", 1, 8.0), PendingReason::NoFreeCapacity),
         (
             "the machine is full, and the cloud has none",
             |b| {
@@ -678,7 +679,7 @@
                 b.leader.refused.insert(("big".into(), "east".into(), false), b.now + Micros::secs(35));
             },
             ("t", 1, 8.0),
-            Why::SoldOut,
+            PendingReason::CloudSoldOut,
         ),
         (
             "its team is at its limit",
@@ -688,7 +689,7 @@
                 b.tick(30);
             },
             ("tight", 1, 4.0),
-            Why::Limit,
+            PendingReason::TeamLimit,
         ),
         (
             "it replaces one that runs",
@@ -698,22 +699,35 @@
                 b.tick(30);
             },
             ("t", 1, 1.0),
-            Why::Held,
+            PendingReason::DependencyNotEnded,
+        ),
+        (
+            "nothing was handed out yet",
+            |b| b.confirm("m0", &[]),
+            ("t", 1, 1.0),
+            PendingReason::QueuedBehindOthers,
         ),
-        ("nothing was handed out yet", |b| b.confirm("m0", &[]), ("t", 1, 1.0), Why::Turn),
     ];
     for (what, before, (team, tasks, cpus), want) in cases {
         let mut b = Bench::new(1);
         before(&mut b);
-        b.job(9, if want == Why::Unheard { 40 } else { 61 }, team, "array", "standard", tasks, cpus);
-        if want == Why::Held {
+        b.job(
+            9,
+            if want == PendingReason::UnconfirmedMachines { 40 } else { 61 },
+            team,
+            "array",
+            "standard",
+            tasks,
+            cpus,
+        );
+        if want == PendingReason::DependencyNotEnded {
             b.edit(9, 62, |s| s.replaces = vec![JobId(8)]);
             b.leader.jobs.remove(&JobId(9));
             b.leader.job_changed(JobId(9), &b.ledger, b.now);
         }
-        assert!(b.leader.longest_waits(b.now).is_empty(), "{what}: too soon");
-        let waits = b.leader.longest_waits(b.now + Micros::secs(40));
-        let got: Vec<(JobId, Why)> = waits.iter().map(|w| (w.1, w.3)).collect();
+        assert!(b.leader.longest_pending(b.now).is_empty(), "{what}: too soon");
+        let waits = b.leader.longest_pending(b.now + Micros::secs(40));
+        let got: Vec<(JobId, PendingReason)> = waits.iter().map(|w| (w.1, w.3)).collect();
         assert_eq!(got, [(JobId(9), want)], "{what}");
     }
 }
@@ -765,7 +779,7 @@
         b.leader.spot_had.push_back((at - Micros::secs(10), had));
         // Asked for just now, and refused.
         b.leader.refused.insert(("big".into(), "east".into(), true), at);
-        b.leader.fleet(&[flavor(Some(0.3))], at);
+        b.leader.autoscale(&[flavor(Some(0.3))], at);
         let rented: u32 = b.leader.hires.values().filter(|(r, ..)| !r.spot).map(|(r, ..)| r.count).sum();
         assert_eq!(rented, want, "{there} machines, {passed} s, {had} spot machines had, some: {spot}");
     }
@@ -787,8 +801,9 @@
         let mut ends: BTreeMap<MachineId, Vec<(TaskId, Attempt, TaskState)>> = BTreeMap::new();
         let mut outcomes = Vec::new();
         for OnItsWay { out: h, .. } in b.leader.handouts.values() {
-            outcomes.push(Outcome { attempt: h.attempt, machine: Some(h.hint.clone()) });
-            ends.entry(h.hint.clone()).or_default().push((h.task, h.attempt, TaskState::Failed));
+            outcomes
+                .push(AssignmentOutcome { attempt: h.attempt, machine: Some(h.preferred_machine.clone()) });
+            ends.entry(h.preferred_machine.clone()).or_default().push((h.task, h.attempt, TaskState::Failed));
         }
         most.push(outcomes.len());
         b.sync(A, &[], &outcomes.clone());
@@ -811,7 +826,7 @@
     // A job that runs well elsewhere, and fails on m0: that machine is at fault.
     b.job(3, 90, "t", "array", "standard", 1, 1.0);
     if let Some(run) = b.leader.jobs.get_mut(&JobId(3)) {
-        run.proven = true;
+        run.ran_well = true;
     }
     for _ in 0..2 {
         let t = task(3, 0);
@@ -842,7 +857,8 @@
             if h.task.job == JobId(2) {
                 began.get_or_insert(half / 2);
             }
-            outcomes.push(Outcome { attempt: h.attempt, machine: Some(h.hint.clone()) });
+            outcomes
+                .push(AssignmentOutcome { attempt: h.attempt, machine: Some(h.preferred_machine.clone()) });
             on.push((h.task, h.attempt, half + 20 + h.task.index % 7));
         }
         b.sync(A, &[], &outcomes.clone());
@@ -864,7 +880,7 @@
 /// Copies of reports come late, to anybody; a new leader has nothing to compare with.
 #[test]
 fn copies_of_reports_prove_nothing() {
-    let sizes = Sizes::from([("big".into(), Resources::capacity(8.0, 0.0, 32.0))]);
+    let sizes = MachineSizes::from([("big".into(), Resources::capacity(8.0, 0.0, 32.0))]);
     let rec = |build: &str| MachineRecord {
         machine_type: build.into(),
         zone: "east".into(),
@@ -885,7 +901,7 @@
     for (i, (id, build, report, asked, counts, there)) in cases.into_iter().enumerate() {
         let mut b = Bench::new(1);
         b.confirm("m0", &[]);
-        let s = Sighting { id: m(id), report, asked };
+        let s = UnleasedReport { id: m(id), report, probed: asked };
         b.leader.seen(B, &s, &rec(build), &sizes, b.now);
         let seen = b.leader.last_seen.get(&m(id)).is_some_and(|(n, _)| *n == B);
         assert_eq!((seen, b.leader.machines.contains_key(&m(id))), (counts, there), "case {i}");
@@ -899,7 +915,7 @@
     b.confirm("m0", &[]);
     let heard = b.leader.machines[&m("m0")].heard;
     let mut s = b.state("m0", b.token("m0"), &[]);
-    s.last = b.leader.machines[&m("m0")].newest;
+    s.last_report = b.leader.machines[&m("m0")].newest;
     b.now = b.now + Micros::secs(2);
     b.sync(B, &[s], &[]);
     assert_eq!(b.leader.machines[&m("m0")].heard, heard, "a copy at another controller");
@@ -920,8 +936,11 @@
                 b.job(100 + i as u64, 60, "t", "array", "standard", 1, 8.0);
             }
             b.tick(30);
-            let placed = |h: &OnItsWay| Outcome { attempt: h.out.attempt, machine: Some(h.out.hint.clone()) };
-            let outcomes: Vec<Outcome> = b.leader.handouts.values().map(placed).collect();
+            let placed = |h: &OnItsWay| AssignmentOutcome {
+                attempt: h.out.attempt,
+                machine: Some(h.out.preferred_machine.clone()),
+            };
+            let outcomes: Vec<AssignmentOutcome> = b.leader.handouts.values().map(placed).collect();
             b.sync(A, &[], &outcomes);
             b.sync(B, &[], &outcomes);
         }
@@ -934,9 +953,13 @@
                 s.tasks = b.leader.machines[&m(id)]
                     .bound
                     .iter()
-                    .map(|t| Held { task: *t, attempt: b.attempt(*t).unwrap(), state: TaskState::Running })
+                    .map(|t| TaskStatus {
+                        task: *t,
+                        attempt: b.attempt(*t).unwrap(),
+                        state: TaskState::Running,
+                    })
                     .collect();
-                s.obeys = i >= deaf;
+                s.acknowledges_commands = i >= deaf;
                 let from = b.leader.machines[&m(id)].holder.unwrap_or(holder);
                 b.sync(from, &[s], &[]);
             }
@@ -958,11 +981,11 @@
     let mut b = Bench::new(1);
     b.confirm("m0", &[]);
     let mut s = b.state("m0", b.token("m0"), &[]);
-    s.obeys = false;
-    s.last.sequence += 1;
+    s.acknowledges_commands = false;
+    s.last_report.sequence += 1;
     b.sync(A, &[s.clone()], &[]);
     b.now = b.now + Micros::secs(30);
-    s.last.sequence += 1;
+    s.last_report.sequence += 1;
     b.sync(A, &[s], &[]);
     b.sync(B, &[], &[]);
     b.tick(100);
@@ -975,13 +998,13 @@
 fn a_start_may_follow_from_who_does_not_know_of_the_cancellation() {
     type Step = fn(&mut Bench, Attempt);
     let nothing: Step = |_, _| {};
-    let placed: Step = |b, a| b.sync(B, &[], &[Outcome { attempt: a, machine: Some(m("m0")) }]);
+    let placed: Step = |b, a| b.sync(B, &[], &[AssignmentOutcome { attempt: a, machine: Some(m("m0")) }]);
     let running: Step = |b, a| {
-        b.sync(B, &[], &[Outcome { attempt: a, machine: Some(m("m0")) }]);
+        b.sync(B, &[], &[AssignmentOutcome { attempt: a, machine: Some(m("m0")) }]);
         b.confirm("m0", &[(task(1, 0), a, TaskState::Running)]);
     };
     let moved: Step = |b, a| {
-        b.sync(B, &[], &[Outcome { attempt: a, machine: Some(m("m0")) }]);
+        b.sync(B, &[], &[AssignmentOutcome { attempt: a, machine: Some(m("m0")) }]);
         b.leader.grant(&m("m0"), A, "test", b.now);
     };
     let (nobody, itself, earlier) = (vec![0, 0], vec![0, 6], vec![0, 5]);
@@ -998,7 +1021,7 @@
         ("its lease has run out", nothing, &nobody, None, lease, false),
         (
             "refused",
-            |b, a| b.sync(B, &[], &[Outcome { attempt: a, machine: None }]),
+            |b, a| b.sync(B, &[], &[AssignmentOutcome { attempt: a, machine: None }]),
             &nobody,
             None,
             Micros(0),
@@ -1010,14 +1033,14 @@
         ("its machine is granted to another, whose token is not seen", moved, &nobody, None, Micros(0), true),
         (
             "its machine is deleted",
-            |b, _| b.leader.deleted(&[m("m0")], b.now),
+            |b, _| b.leader.deletion_confirmed(&[m("m0")], b.now),
             &nobody,
             None,
             Micros(0),
             false,
         ),
     ];
-    for (what, step, known_by, ended, later, want) in cases {
+    for (what, step, acknowledged_by, ended, later, want) in cases {
         let mut b = Bench::new(1);
         b.leader.grant(&m("m0"), B, "test", b.now);
         b.confirm("m0", &[]);
@@ -1027,7 +1050,7 @@
         b.sync(B, &[], &[]);
         step(&mut b, attempt);
         let ended: Vec<NodeId> = ended.into_iter().collect();
-        let got = b.leader.start_may_follow(JobId(1), known_by, &ended, b.now + later);
+        let got = b.leader.start_may_follow(JobId(1), acknowledged_by, &ended, b.now + later);
         assert_eq!(got, want, "{what}");
     }
 }
@@ -1048,27 +1071,27 @@
         (None, 400, Some("m900")),
         (Some(page("m999", false)), 2_000, None),
     ];
-    let sizes = Sizes::default();
+    let sizes = MachineSizes::default();
     for (i, (last, pause, from)) in steps.into_iter().enumerate() {
-        b.leader.listed(last.as_ref(), &sizes, b.now);
+        b.leader.list_page_received(last.as_ref(), &sizes, b.now);
         let lists = |b: &mut Bench, ms| {
-            let wishes = b.leader.fleet(&[], b.now + Micros::millis(ms));
-            wishes.into_iter().find(|w| matches!(w, CloudWish::List(_)))
+            let wishes = b.leader.autoscale(&[], b.now + Micros::millis(ms));
+            wishes.into_iter().find(|w| matches!(w, CloudRequest::List(_)))
         };
         assert_eq!(lists(&mut b, pause - 50), None, "step {i}");
-        assert_eq!(lists(&mut b, pause), Some(CloudWish::List(from.map(str::to_owned))), "step {i}");
+        assert_eq!(lists(&mut b, pause), Some(CloudRequest::List(from.map(str::to_owned))), "step {i}");
         b.now = b.now + Micros::millis(pause);
     }
 }
 
 #[test]
 fn many_machines_are_asked_for_in_several_rentals() {
-    let want = Want { build: "big".into(), zone: "east".into(), spot: false };
+    let want = RentalKind { machine_type: "big".into(), zone: "east".into(), spot: false };
     // (machines, rentals that may be open; machines in each)
     let cases: [(u32, usize, &[u32]); 3] = [(7, 6, &[7]), (166, 6, &[50, 50, 50, 16]), (250, 2, &[50, 50])];
     for (machines, open, counts) in cases {
         let mut b = Bench::new(0);
-        b.leader.ask_for(&want, machines, open, b.now);
+        b.leader.create_scale_out_requests(&want, machines, open, b.now);
         let asked: Vec<u32> = b.leader.hires.values().map(|(r, ..)| r.count).collect();
         assert_eq!(asked, counts, "{machines} machines");
     }
--- a/crates/core/src/node/leadership.rs
+++ b/crates/core/src/node/leadership.rs
@@ -1,72 +1,71 @@
-//! Leadership: this node's part in the election, and the leader's work and
-//! writes while it leads.
-use super::refusals::Refusals;
+//! State of this node's leadership: the election, and the leader's records in flight.
+use super::rejected_writes::RejectedWrites;
 use crate::election::Election;
 use crate::jobs::keys;
 use crate::leader::{Leader, LeaderWrite};
-use crate::rate::Bucket;
+use crate::token_bucket::TokenBucket;
 use gorseshore_protocol::ids::Micros;
 use gorseshore_settings::Operator;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The election, and what this node does as leader.
+/// The election, and the leader's work and writes while this node leads.
 pub(super) struct Leadership {
     pub election: Election,
-    /// Term and stamp of a key that was taken and is not yet in the mirror.
-    pub won: Option<(u64, u64)>,
+    /// Term and version of a leader key that was created and is not in the state replica yet.
+    pub acquired: Option<(u64, u64)>,
     pub leader: Option<Leader>,
-    /// Writes under way.
+    /// Records in flight.
     pub inflight: BTreeSet<LeaderWrite>,
-    pub txns: usize,
-    pub retry_at: Micros,
-    pub wrote_at: Micros,
-    /// Keys whose condition did not hold: how often in a row, and until when
-    /// what needs them is left out.
+    pub open_txns: usize,
+    pub next_txn_at: Micros,
+    pub last_scan_at: Micros,
+    /// Keys whose condition failed: how often in a row, and until when records that need them are
+    /// skipped.
     pub contested: BTreeMap<String, (u32, Micros)>,
-    /// Writes that the state service called wrong.
-    pub refused: Refusals,
-    pub bucket: Bucket,
-    /// Another controller was heard in this term as leader.
+    /// Records that the state service rejected as invalid.
+    pub rejected: RejectedWrites,
+    pub bucket: TokenBucket,
+    /// This node was in contact with another controller in this term of leadership.
     pub had_peers: bool,
-    pub vacant_since: Option<Micros>,
-    /// A lease of this node that was ended, or runs out by itself.
-    pub ended_lease: Option<u64>,
+    pub leaderless_since: Option<Micros>,
+    /// A lease of this node that was revoked, or is left to expire.
+    pub revoked_lease: Option<u64>,
 }
 
 impl Leadership {
-    /// Vacant; `changes` a second are the state service's.
+    /// Not leading; `changes` is the state service's limit in writes per second.
     pub fn new(operator: &Operator, changes: f64, now: Micros) -> Self {
         Leadership {
             election: Election::new(operator.leader_lease),
-            won: None,
+            acquired: None,
             leader: None,
             inflight: BTreeSet::new(),
-            txns: 0,
-            retry_at: Micros(0),
-            wrote_at: Micros(0),
+            open_txns: 0,
+            next_txn_at: Micros(0),
+            last_scan_at: Micros(0),
             contested: BTreeMap::new(),
-            refused: Refusals::default(),
-            bucket: Bucket::new(changes * 0.45, changes * 0.4, now),
+            rejected: RejectedWrites::default(),
+            bucket: TokenBucket::new(changes * 0.45, changes * 0.4, now),
             had_peers: false,
-            vacant_since: None,
-            ended_lease: None,
+            leaderless_since: None,
+            revoked_lease: None,
         }
     }
 
-    /// Nothing of an earlier term is under way any more.
-    pub fn take_up(&mut self, leader: Leader) {
+    /// Starts a term of leadership: no record of an earlier term is in flight any more.
+    pub fn start_term(&mut self, leader: Leader) {
         self.inflight.clear();
         self.contested.clear();
-        self.refused = Refusals::default();
-        self.txns = 0;
+        self.rejected = RejectedWrites::default();
+        self.open_txns = 0;
         self.leader = Some(leader);
     }
 
-    /// A transaction failed on these keys. The mirror may only be behind, which
-    /// a moment mends; where it isn't, what needs the key must not hold up the
-    /// rest, so it is left out for longer each time.
-    pub fn contest(&mut self, failed: &[String], now: Micros) {
-        // Who fails no more is forgotten.
+    /// A transaction failed on the conditions of these keys. If the state replica is only behind, a
+    /// short pause resolves it. If not, records that need these keys must not block the others, so
+    /// they are skipped for longer each time.
+    pub fn record_conflicts(&mut self, failed: &[String], now: Micros) {
+        // Drops keys that have not failed again within 10 s after their pause.
         self.contested.retain(|_, (_, until)| now < *until + Micros::secs(10));
         for key in failed {
             let (times, until) = self.contested.entry(key.clone()).or_default();
@@ -75,7 +74,7 @@
         }
     }
 
-    /// Whether a new key of this name may be tried.
+    /// Whether a new key of this name may be created now.
     pub fn may_create(&self, key: &str, now: Micros) -> bool {
         !self.is_contested(key, now)
     }
@@ -84,33 +83,34 @@
         self.contested.get(key).is_some_and(|(times, until)| *times > 1 && now < *until)
     }
 
-    /// The write as far as its keys are not contested now.
+    /// The part of the record whose keys are not contested now.
     pub fn uncontested(&self, w: LeaderWrite, now: Micros) -> Option<LeaderWrite> {
         if self.contested.is_empty() {
             return Some(w);
         }
-        let free = |key: String| !self.is_contested(&key, now);
-        let good = match &w {
-            // Any of them can give the record its name.
+        let may_use = |key: String| !self.is_contested(&key, now);
+        let is_uncontested = match &w {
+            // The record's key is named after one of the machines, and any of them will do.
             LeaderWrite::Machines(ids) => {
-                let left: Vec<_> = ids.iter().filter(|id| free(keys::machines(id))).cloned().collect();
-                return (!left.is_empty()).then_some(LeaderWrite::Machines(left));
+                let remaining: Vec<_> =
+                    ids.iter().filter(|id| may_use(keys::machines(id))).cloned().collect();
+                return (!remaining.is_empty()).then_some(LeaderWrite::Machines(remaining));
             }
-            LeaderWrite::End(id) | LeaderWrite::Settle(id) | LeaderWrite::CancelledWith(id) => {
-                free(keys::end(*id))
-            }
-            LeaderWrite::Fail(id, _) => free(keys::end(*id)) && free(keys::job(*id)),
-            LeaderWrite::Progress(id, c) => free(keys::progress(*id, *c)) && free(keys::end(*id)),
-            LeaderWrite::Failures(id, c) => free(keys::failures(*id, *c)) && free(keys::end(*id)),
-            LeaderWrite::Forget(key) => free(key.clone()),
-            LeaderWrite::Hire(_) => true,
+            LeaderWrite::JobDone(id)
+            | LeaderWrite::CancellationComplete(id)
+            | LeaderWrite::CancelDependent(id) => may_use(keys::end(*id)),
+            LeaderWrite::JobFailed(id, _) => may_use(keys::end(*id)) && may_use(keys::job(*id)),
+            LeaderWrite::Progress(id, c) => may_use(keys::progress(*id, *c)) && may_use(keys::end(*id)),
+            LeaderWrite::FailureCounts(id, c) => may_use(keys::failures(*id, *c)) && may_use(keys::end(*id)),
+            LeaderWrite::RemoveDeletedMachines(key) => may_use(key.clone()),
+            LeaderWrite::ScaleOutName(_) => true,
         };
-        good.then_some(w)
+        is_uncontested.then_some(w)
     }
 
-    /// These writes came back, whatever the answer.
-    pub fn returned(&mut self, writes: &[LeaderWrite]) {
-        self.txns = self.txns.saturating_sub(1);
+    /// A transaction with these records ended, with whatever result.
+    pub fn txn_completed(&mut self, writes: &[LeaderWrite]) {
+        self.open_txns = self.open_txns.saturating_sub(1);
         for w in writes {
             self.inflight.remove(w);
         }
--- a/crates/core/tests/wire_compatibility.rs
+++ b/crates/core/tests/wire_compatibility.rs
@@ -9,8 +9,9 @@
 use data_encoding::HEXLOWER;
 use gorseshore_core::books::{Entry, Page};
 use gorseshore_core::peer::{
-    Cancellation, Envelope, FrameError, GrantedMachine, HEAD, HandOut, Held, MAX_FRAME, MachineState,
-    Message, Outcome, Sighting, StopRequest, TaskState, VERSION, decode_body, decode_head, encode,
+    Assignment, Cancellation, Envelope, FRAME_HEADER_LEN, FrameError, GrantedMachine, Held, MAX_FRAME_BYTES,
+    MachineState, Message, Outcome, PROTOCOL_VERSION, StopRequest, TaskState, UnleasedReport, decode_body,
+    decode_header, encode,
 };
 use gorseshore_protocol::ids::{Attempt, FencingToken, JobId, MachineId, Micros, NodeId, TaskId};
 use gorseshore_protocol::workers::HeartbeatSeq;
@@ -133,7 +134,7 @@
         seen_baton: FencingToken::new(6, 99),
         last: report(2, 41),
         obeys: false,
-        heard_ago: None,
+        last_contact_age: None,
         warning: None,
         want_baton: true,
         tasks: Vec::new(),
@@ -151,7 +152,7 @@
     let busy = MachineState {
         id: MachineId::from("host-000002"),
         obeys: true,
-        heard_ago: Some(Micros::millis(250)),
+        last_contact_age: Some(Micros::millis(250)),
         warning: Some(Micros::secs(30)),
         want_baton: false,
         tasks: all_states.into_iter().enumerate().map(|(i, s)| task_status(i as u32, s)).collect(),
@@ -197,7 +198,11 @@
         seen: 18,
         machines: machine_states(),
         heard: vec![(MachineId::from("host-000004"), Micros::millis(1500), report(1, 5))],
-        strangers: vec![Sighting { id: MachineId::from("host-000005"), report: report(1, 6), asked: true }],
+        strangers: vec![UnleasedReport {
+            id: MachineId::from("host-000005"),
+            report: report(1, 6),
+            asked: true,
+        }],
         outcomes: vec![
             Outcome { attempt: Attempt(0x7000_0001), machine: Some(MachineId::from("host-000001")) },
             Outcome { attempt: Attempt(0x7000_0002), machine: None },
@@ -206,7 +211,7 @@
 }
 
 fn update() -> Message {
-    let assignment = |zone: Option<&str>| HandOut {
+    let assignment = |zone: Option<&str>| Assignment {
         task: task(412, 9),
         attempt: Attempt(0x7000_0003),
         zone: zone.map(str::to_owned),
@@ -248,7 +253,7 @@
         stamp: 5150,
         cause: cause.map(str::to_owned),
         told: may_confirm,
-        known_by: acknowledged_by,
+        acknowledged_by: acknowledged_by,
     }
 }
 
@@ -272,9 +277,9 @@
         ),
         (
             "cancellations ack, by the leader",
-            Message::CancelledKnown { jobs: vec![JobId(412), JobId(413)], leads: Some(7) },
+            Message::CancellationsAck { jobs: vec![JobId(412), JobId(413)], leads: Some(7) },
         ),
-        ("cancellations ack", Message::CancelledKnown { jobs: vec![JobId(412)], leads: None }),
+        ("cancellations ack", Message::CancellationsAck { jobs: vec![JobId(412)], leads: None }),
         ("forward", Message::Forward { to: NodeId(1), envelope: vec![5, 1, 2, 0xff] }),
         ("sync, full", sync(0)),
         ("sync", sync(19)),
@@ -294,9 +299,9 @@
         ("probe", Message::Probe { id: MachineId::from("host-000008"), addr: "10.0.0.8:8040".into() }),
         ("placement log update, full", Message::Books(log_update(0))),
         ("placement log update", Message::Books(log_update(990))),
-        ("placement log ack", Message::BooksTaken { term: 7, seq: 1000 }),
-        ("placement log request", Message::BooksWanted { term: 6 }),
-        ("placement log snapshot", Message::BooksOf(log_update(0))),
+        ("placement log ack", Message::PlacementLogAck { term: 7, seq: 1000 }),
+        ("placement log request", Message::PlacementLogRequest { term: 6 }),
+        ("placement log snapshot", Message::PlacementLogSnapshot(log_update(0))),
     ]
 }
 
@@ -313,7 +318,7 @@
     bytes(hex)
 }
 
-fn split(frame: &[u8]) -> ([u8; HEAD], &[u8]) {
+fn split(frame: &[u8]) -> ([u8; FRAME_HEADER_LEN], &[u8]) {
     let (header, body) = frame.split_first_chunk().unwrap();
     (*header, body)
 }
@@ -324,16 +329,16 @@
     match m {
         Message::Ping { .. } => 0,
         Message::Cancelled(_) => 1,
-        Message::CancelledKnown { .. } => 2,
+        Message::CancellationsAck { .. } => 2,
         Message::Forward { .. } => 3,
         Message::Sync { .. } => 4,
         Message::Update { .. } => 5,
         Message::Seen { .. } => 6,
         Message::Probe { .. } => 7,
         Message::Books(_) => 8,
-        Message::BooksTaken { .. } => 9,
-        Message::BooksWanted { .. } => 10,
-        Message::BooksOf(_) => 11,
+        Message::PlacementLogAck { .. } => 9,
+        Message::PlacementLogRequest { .. } => 10,
+        Message::PlacementLogSnapshot(_) => 11,
     }
 }
 const MESSAGE_TYPES: usize = 12;
@@ -351,7 +356,7 @@
     for (name, message) in messages() {
         let frame = frame(name);
         let (header, body) = split(&frame);
-        assert_eq!(decode_head(header).unwrap(), body.len(), "{name}");
+        assert_eq!(decode_header(header).unwrap(), body.len(), "{name}");
         assert_eq!(decode_body(body).unwrap(), envelope(message), "{name}");
     }
 }
@@ -387,23 +392,23 @@
     let placement_log_ack = bytes("05030807060504030201090700000000000000e803000000000000");
     assert_eq!(
         Envelope::unpack(&placement_log_ack),
-        Some(envelope(Message::BooksTaken { term: 7, seq: 1000 }))
+        Some(envelope(Message::PlacementLogAck { term: 7, seq: 1000 }))
     );
 }
 
 #[test]
 fn frame_headers_match_production() {
-    assert_eq!((VERSION, HEAD, MAX_FRAME), (5, 5, 16_777_216));
+    assert_eq!((PROTOCOL_VERSION, FRAME_HEADER_LEN, MAX_FRAME_BYTES), (5, 5, 16_777_216));
     // (header, length of the body)
     let accepted: [(&str, usize); 3] = [("0000000005", 0), ("0102000005", 513), ("0000000105", 16_777_216)];
     for (header, length) in accepted {
-        assert_eq!(decode_head(split(&bytes(header)).0).unwrap(), length, "{header}");
+        assert_eq!(decode_header(split(&bytes(header)).0).unwrap(), length, "{header}");
     }
     for version in (0..=u8::MAX).filter(|v| *v != 5) {
-        let result = decode_head([9, 0, 0, 0, version]);
+        let result = decode_header([9, 0, 0, 0, version]);
         assert!(matches!(result, Err(FrameError::Version(v)) if v == version), "{version}");
     }
-    let too_long = decode_head(split(&bytes("0100000105")).0);
+    let too_long = decode_header(split(&bytes("0100000105")).0);
     assert!(matches!(too_long, Err(FrameError::TooLong(16_777_217))));
 }
 
--- a/crates/nomad/src/service/mod.rs
+++ b/crates/nomad/src/service/mod.rs
@@ -18,10 +18,12 @@
 mod watch;
 
 use crate::translate::{MachineKind, Site};
-use gorseshore_core::guest::{Answer, Guest, GuestInput, GuestOutput, Host, Ticket};
+use gorseshore_core::extension::{
+    Answer, Extension, ExtensionContext, ExtensionInput, ExtensionOutput, OperationId,
+};
 use gorseshore_core::{CallResult, RequestId};
 use gorseshore_protocol::ids::{JobId, Micros};
-use gorseshore_protocol::state::{Transaction, TransactionResponse};
+use gorseshore_protocol::state::{Multi, TransactionResponse};
 use gorseshore_settings::Nomad;
 use records::{Content, Head, JobKey};
 use serde_json::Value;
@@ -78,9 +80,9 @@
     pub(crate) floor: u64,
     /// The last revision at which anything changed.
     pub(crate) changed: u64,
-    pub(crate) pending: BTreeMap<Ticket, Pending>,
+    pub(crate) pending: BTreeMap<OperationId, Pending>,
     pub(crate) next_ticket: u64,
-    pub(crate) out: Vec<GuestOutput>,
+    pub(crate) out: Vec<ExtensionOutput>,
     pub(crate) waiting: Vec<watch::Blocked>,
     pub(crate) streams: BTreeMap<RequestId, watch::Stream>,
     pub(crate) events: std::collections::VecDeque<watch::Event>,
@@ -138,8 +140,8 @@
         }
     }
 
-    pub(crate) fn ticket(&mut self, p: Pending) -> Ticket {
-        let t = Ticket(self.next_ticket);
+    pub(crate) fn ticket(&mut self, p: Pending) -> OperationId {
+        let t = OperationId(self.next_ticket);
         self.next_ticket += 1;
         self.pending.insert(t, p);
         t
@@ -163,7 +165,7 @@
             headers.push(("X-Nomad-Index", index.to_string()));
         }
         let body = body.to_string().into_bytes();
-        self.out.push(GuestOutput::Answer(id, Answer { status, headers, body }));
+        self.out.push(ExtensionOutput::Answer(id, Answer { status, headers, body }));
     }
 
     /// An error in the interface's own form: text.
@@ -172,7 +174,8 @@
         if matches!(status, 429 | 503) {
             headers.push(("Retry-After", "1".into()));
         }
-        self.out.push(GuestOutput::Answer(id, Answer { status, headers, body: text.as_bytes().to_vec() }));
+        self.out
+            .push(ExtensionOutput::Answer(id, Answer { status, headers, body: text.as_bytes().to_vec() }));
     }
 
     pub(crate) fn keep_content(&mut self, nonce: &str, content: Rc<Content>) {
@@ -186,9 +189,9 @@
 
     /// A content that was read in parts.
     pub(crate) fn content_of(&mut self, nonce: &str, result: &CallResult) -> Option<Rc<Content>> {
-        let CallResult::Answer { status: 200, body } = result else { return None };
+        let CallResult::Response { status: 200, body } = result else { return None };
         let page: gorseshore_protocol::state::Listing = serde_json::from_slice(body).ok()?;
-        let text: String = page.entries.iter().filter_map(|p| p.value.as_str()).collect();
+        let text: String = page.pairs.iter().filter_map(|p| p.v.as_str()).collect();
         let content: Rc<Content> = Rc::new(serde_json::from_str(&text).ok()?);
         self.keep_content(nonce, content.clone());
         Some(content)
@@ -224,12 +227,12 @@
     }
 
     /// The site as the cloud tells it.
-    fn look(&mut self, host: &Host<'_>) {
+    fn look(&mut self, host: &ExtensionContext<'_>) {
         let mut machines = Vec::new();
         for f in host.flavors {
-            for z in &f.zones {
+            for z in &f.yards {
                 machines.push(MachineKind {
-                    name: f.name.clone(),
+                    name: f.sku.clone(),
                     zone: z.clone(),
                     cpus: f.cpus,
                     memory_gb: f.memory_gb,
@@ -239,7 +242,7 @@
         self.site = Site { machines, teams: host.teams.iter().map(|t| t.name.clone()).collect() };
     }
 
-    fn called(&mut self, host: &Host<'_>, ticket: Ticket, result: CallResult) {
+    fn called(&mut self, host: &ExtensionContext<'_>, ticket: OperationId, result: CallResult) {
         match self.pending.remove(&ticket) {
             Some(Pending::Register(r)) => self.register_written(host, *r, &result),
             Some(Pending::Content { request, nonce }) => match self.content_of(&nonce, &result) {
@@ -249,9 +252,9 @@
             Some(Pending::Reconcile(key)) => {
                 self.busy.remove(&key);
                 let again = match result {
-                    CallResult::Answer { status: 200, .. } => Micros(0),
+                    CallResult::Response { status: 200, .. } => Micros(0),
                     // The mirror is behind, or another leads: what holds will show.
-                    CallResult::Answer { status: 409, .. } => host.now + Micros::millis(100),
+                    CallResult::Response { status: 409, .. } => host.now + Micros::millis(100),
                     _ => host.now + Micros::millis(500 + self.rng.u64(0..500)),
                 };
                 self.dirty.insert(key, again);
@@ -274,25 +277,25 @@
 /// The revision of a change that was answered with 200.
 pub(crate) fn revision(result: &CallResult) -> Option<u64> {
     match result {
-        CallResult::Answer { status: 200, body } => {
-            Some(serde_json::from_slice::<TransactionResponse>(body).ok()?.revision)
+        CallResult::Response { status: 200, body } => {
+            Some(serde_json::from_slice::<TransactionResponse>(body).ok()?.ledger)
         }
         _ => None,
     }
 }
 
 /// A write, under the leader's key or not.
-pub(crate) fn write(ticket: Ticket, multi: Transaction, as_leader: bool) -> GuestOutput {
-    GuestOutput::Write { ticket, multi, as_leader }
+pub(crate) fn write(ticket: OperationId, multi: Multi, as_leader: bool) -> ExtensionOutput {
+    ExtensionOutput::Write { ticket, multi, as_leader }
 }
 
-impl Guest for Service {
-    fn begin(&mut self, floor: u64) {
+impl Extension for Service {
+    fn reset(&mut self, floor: u64) {
         self.loading = true;
         // Readers of events come back with their index; what they may have
         // missed meanwhile is not known here.
         for id in std::mem::take(&mut self.streams).into_keys() {
-            self.out.push(GuestOutput::Close(id));
+            self.out.push(ExtensionOutput::Close(id));
         }
         self.events.clear();
         self.heads.clear();
@@ -338,10 +341,10 @@
         }
     }
 
-    fn handle(&mut self, host: &Host<'_>, input: GuestInput) -> Vec<GuestOutput> {
+    fn handle(&mut self, host: &ExtensionContext<'_>, input: ExtensionInput) -> Vec<ExtensionOutput> {
         self.loading = false;
         match input {
-            GuestInput::Tick => {
+            ExtensionInput::Tick => {
                 if host.now.since(self.looked) >= Micros::secs(1) {
                     self.looked = host.now;
                     self.look(host);
@@ -349,18 +352,18 @@
                 self.expire(host);
                 self.lead(host);
             }
-            GuestInput::News => {
+            ExtensionInput::ReplicaUpdated => {
                 self.wake(host);
                 self.lead(host);
             }
-            GuestInput::Request { id, method, path, token, body } => {
+            ExtensionInput::Request { id, method, path, token, body } => {
                 self.request(host, id, &method, &path, token.as_deref(), body);
             }
-            GuestInput::Gone(id) => {
+            ExtensionInput::ClientDisconnected(id) => {
                 self.waiting.retain(|b| b.request.id != id);
                 self.streams.remove(&id);
             }
-            GuestInput::Proved(ticket, good) => match self.pending.remove(&ticket) {
+            ExtensionInput::ReadBarrierDone(ticket, good) => match self.pending.remove(&ticket) {
                 Some(Pending::Request(r)) if good => self.serve(host, r),
                 Some(Pending::Request(r)) => self.refuse(r.id, 503, "the state service can't be asked now"),
                 Some(Pending::Register(r)) if good => self.register_proved(host, *r),
@@ -369,7 +372,7 @@
                 }
                 _ => {}
             },
-            GuestInput::Called(ticket, result) => self.called(host, ticket, result),
+            ExtensionInput::OperationCompleted(ticket, result) => self.called(host, ticket, result),
         }
         std::mem::take(&mut self.out)
     }
--- a/crates/nomad/src/service/reconcile.rs
+++ b/crates/nomad/src/service/reconcile.rs
@@ -6,12 +6,12 @@
 use super::records::{Head, JobKey, names};
 use super::register::{put, remove, when};
 use super::{Known, Pending, Service, write};
-use gorseshore_core::guest::{GuestOutput, Host};
-use gorseshore_core::jobs::{Phase, cancelled_value, job_value, keys, parse_job_spec};
+use gorseshore_core::extension::{ExtensionContext, ExtensionOutput};
+use gorseshore_core::jobs::{Phase, cancelled_value, description, job_value, keys};
 use gorseshore_core::limits::value_len;
 use gorseshore_protocol::ids::{JobId, Micros};
 use gorseshore_protocol::job::JobSpec;
-use gorseshore_protocol::state::{Precondition, Transaction, Write};
+use gorseshore_protocol::state::{Multi, When, Write};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
@@ -29,10 +29,10 @@
     submitted_ms: u64,
     head: &Head,
     group: &str,
-    host: &Host<'_>,
+    host: &ExtensionContext<'_>,
 ) -> Option<Value> {
     let record = job_value(spec, submitted_ms);
-    if value_len(&record) > host.value_limit {
+    if value_len(&record) > host.max_value_bytes {
         log::error!("record too long job={} group={group}", head.id);
         return None;
     }
@@ -41,8 +41,8 @@
 
 impl Service {
     /// Looks at the jobs that changed, if this node leads.
-    pub(crate) fn lead(&mut self, host: &Host<'_>) {
-        if !host.leads || !host.loaded {
+    pub(crate) fn lead(&mut self, host: &ExtensionContext<'_>) {
+        if !host.leads || !host.state_loaded {
             self.led = false;
             self.busy.clear();
             return;
@@ -70,40 +70,38 @@
         }
     }
 
-    fn reconcile(&mut self, host: &Host<'_>, key: &JobKey, known: &Known) {
+    fn reconcile(&mut self, host: &ExtensionContext<'_>, key: &JobKey, known: &Known) {
         let head = &known.head;
-        let mut m =
-            Transaction { preconditions: vec![when(names::head(key), known.stamp)], writes: Vec::new() };
+        let mut m = Multi { when: vec![when(names::head(key), known.stamp)], writes: Vec::new() };
         // The leader's key is a condition more.
-        let room = |m: &Transaction| {
-            m.writes.len() < host.changes_at_once && m.preconditions.len() + 3 < host.changes_at_once * 4
-        };
+        let room =
+            |m: &Multi| m.writes.len() < host.max_txn_writes && m.when.len() + 3 < host.max_txn_writes * 4;
         let over: Vec<JobId> = match head.stop || head.template() {
             true => head.natives().collect(),
             false => head.old.iter().copied().map(JobId).collect(),
         };
         let mut left = false;
         for id in over {
-            let Some(job) = host.ledger.jobs.get(&id) else { continue };
+            let Some(job) = host.replica.jobs.get(&id) else { continue };
             left |= job.phase == Phase::Active;
             if job.phase == Phase::Active && room(&m) {
-                m.preconditions.push(Precondition { key: keys::end(id), revision: 0 });
-                m.preconditions.push(Precondition { key: keys::job(id), revision: job.revision });
+                m.when.push(When { path: keys::end(id), stamp: 0 });
+                m.when.push(When { path: keys::job(id), stamp: job.stamp });
                 let v = cancelled_value(host.wall_ms, None, false);
-                m.writes.push(Write::Put { key: keys::end(id), value: v, lease: None });
+                m.writes.push(Write::Put { put: keys::end(id), v, hold: None });
             }
         }
         if !head.stop && !head.template() {
             for g in &head.groups {
                 let id = JobId(g.job);
-                match host.ledger.jobs.get(&id) {
+                match host.replica.jobs.get(&id) {
                     None if g.count == 0 => {}
                     None => {
                         let Some(content) = self.contents.get(&head.nonce).cloned() else {
                             // What it is made of has to be read first.
                             return self.load(key, &head.nonce);
                         };
-                        let spec = content.specs.get(&g.name).and_then(|r| parse_job_spec(id, r));
+                        let spec = content.specs.get(&g.name).and_then(|r| description(id, r));
                         let Some(mut spec) = spec else {
                             log::error!(
                                 "{} {}: group {} has no description",
@@ -114,12 +112,12 @@
                             continue;
                         };
                         spec.tasks = g.count;
-                        spec.replaces = head.old.iter().copied().map(JobId).collect();
+                        spec.after = head.old.iter().copied().map(JobId).collect();
                         let Some(v) = native_record(&spec, head.at, head, &g.name, host) else { continue };
                         if room(&m) {
-                            m.preconditions.push(Precondition { key: keys::job(id), revision: 0 });
-                            m.preconditions.push(Precondition { key: keys::end(id), revision: 0 });
-                            m.writes.push(Write::Put { key: keys::job(id), value: v, lease: None });
+                            m.when.push(When { path: keys::job(id), stamp: 0 });
+                            m.when.push(When { path: keys::end(id), stamp: 0 });
+                            m.writes.push(Write::Put { put: keys::job(id), v, hold: None });
                         }
                     }
                     Some(job) if job.phase == Phase::Active && job.tasks != g.count => {
@@ -129,9 +127,9 @@
                             let Some(v) = native_record(&spec, job.submitted_ms, head, &g.name, host) else {
                                 continue;
                             };
-                            m.preconditions.push(Precondition { key: keys::job(id), revision: job.revision });
-                            m.preconditions.push(Precondition { key: keys::end(id), revision: 0 });
-                            m.writes.push(Write::Put { key: keys::job(id), value: v, lease: None });
+                            m.when.push(When { path: keys::job(id), stamp: job.stamp });
+                            m.when.push(When { path: keys::end(id), stamp: 0 });
+                            m.writes.push(Write::Put { put: keys::job(id), v, hold: None });
                         }
                     }
                     Some(_) => {}
@@ -156,12 +154,12 @@
     pub(crate) fn load(&mut self, key: &JobKey, nonce: &str) {
         self.busy.insert(key.clone());
         let ticket = self.ticket(Pending::Load(key.clone(), nonce.to_owned()));
-        self.out.push(GuestOutput::Read(ticket, names::parts(key, nonce)));
+        self.out.push(ExtensionOutput::Read(ticket, names::parts(key, nonce)));
     }
 
     /// Removes parts that no head names: of registrations that were not
     /// finished, of versions that are no longer kept, of jobs that are gone.
-    fn sweep(&mut self, host: &Host<'_>) {
+    fn sweep(&mut self, host: &ExtensionContext<'_>) {
         let named = |heads: &BTreeMap<JobKey, Known>, name: &str| {
             let mut s = name.split('/');
             let (Some(key), Some(nonce)) = (s.next(), s.next()) else { return false };
@@ -177,20 +175,20 @@
                 gone.push(name.clone());
             }
         }
-        gone.truncate(host.changes_at_once);
+        gone.truncate(host.max_txn_writes);
         if gone.is_empty() {
             return;
         }
         let writes = gone.into_iter().map(|n| remove(&format!("p/{n}"))).collect();
         let ticket = self.ticket(Pending::Sweep);
-        self.out.push(write(ticket, Transaction { preconditions: Vec::new(), writes }, true));
+        self.out.push(write(ticket, Multi { when: Vec::new(), writes }, true));
     }
 
     /// Records that a launch was passed over.
     pub(crate) fn pass_over(&mut self, key: &JobKey, known: &Known, ms: u64) {
         let stamp = self.launches.get(key).map_or(0, |l| l.1);
-        let m = Transaction {
-            preconditions: vec![when(names::head(key), known.stamp), when(names::launch(key), stamp)],
+        let m = Multi {
+            when: vec![when(names::head(key), known.stamp), when(names::launch(key), stamp)],
             writes: vec![put(&names::launch(key), json!(ms))],
         };
         self.busy.insert(key.clone());
--- a/crates/shell/src/lib.rs
+++ b/crates/shell/src/lib.rs
@@ -9,9 +9,9 @@
 pub mod server;
 
 use admission::Bounds;
-use gorseshore_core::guest::{Answer, Guest};
-use gorseshore_core::node::{Node, Nodes};
-use gorseshore_core::peer::{Envelope, Message, before_number, process_number};
+use gorseshore_core::extension::{Answer, Extension};
+use gorseshore_core::node::{ClusterMembers, Node};
+use gorseshore_core::peer::{Envelope, Message, incarnation_delay, incarnation_number};
 use gorseshore_core::{CallResult, Input, Output, RequestId};
 use gorseshore_protocol::ids::{Micros, NodeId};
 use gorseshore_settings::{Operator, Platform};
@@ -68,20 +68,20 @@
         self.handling.borrow_mut().add(kind, began.elapsed());
         for o in outputs {
             match o {
-                Output::Answer { id, status, body, retry_after } => {
+                Output::Response { id, status, body, retry_after } => {
                     let headers = retry_after.map(|s| ("Retry-After", s.to_string())).into_iter().collect();
                     self.reply(id, Answer { status, headers, body });
                 }
-                Output::GuestAnswer(id, answer) => self.reply(id, answer),
-                Output::Open(id, answer) => self.part(id, Reply::Head(answer)),
-                Output::Chunk(id, data) => self.part(id, Reply::Chunk(data)),
-                Output::Close(id) => drop(self.waiting.borrow_mut().remove(&id)),
+                Output::ExtensionResponse(id, answer) => self.reply(id, answer),
+                Output::StreamOpen(id, answer) => self.part(id, Reply::Head(answer)),
+                Output::StreamChunk(id, data) => self.part(id, Reply::Chunk(data)),
+                Output::StreamClose(id) => drop(self.waiting.borrow_mut().remove(&id)),
                 Output::Call { id, call } => {
                     let shell = self.clone();
                     self.executor
                         .spawn(async move {
                             let result: CallResult = shell.client.call(&call).await;
-                            shell.input(Input::Called { id, result });
+                            shell.input(Input::CallCompleted { id, result });
                         })
                         .detach();
                 }
@@ -106,13 +106,13 @@
         if !kept {
             self.waiting.borrow_mut().remove(&id);
             let shell = self.clone();
-            self.executor.spawn(async move { shell.input(Input::Gone(id)) }).detach();
+            self.executor.spawn(async move { shell.input(Input::ClientDisconnected(id)) }).detach();
         }
     }
 
     fn send(&self, to: NodeId, message: Message) {
         let Some(Some(out)) = self.peers.get(to.0 as usize) else { return };
-        match gorseshore_core::peer::encode(&Envelope {
+        match gorseshore_core::peer::encode_frame(&Envelope {
             from: self.me,
             incarnation: self.incarnation,
             message,
@@ -154,7 +154,9 @@
         let http::RequestHead { method, path, token, .. } = head;
         let (room, input) = match door {
             server::Door::Users => (1, Input::Request { id, method, path, body }),
-            server::Door::Guest => (CHUNKS_WAITING, Input::GuestRequest { id, method, path, token, body }),
+            server::Door::Extension => {
+                (CHUNKS_WAITING, Input::ExtensionRequest { id, method, path, token, body })
+            }
         };
         let (tx, rx) = bounded(room);
         self.waiting.borrow_mut().insert(id, tx);
@@ -165,7 +167,7 @@
     /// The requester is gone.
     pub fn gone(self: &Rc<Self>, id: RequestId) {
         if self.waiting.borrow_mut().remove(&id).is_some() {
-            self.input(Input::Gone(id));
+            self.input(Input::ClientDisconnected(id));
         }
     }
 }
@@ -173,7 +175,7 @@
 /// A subsystem beside the scheduler, and the address that it is asked on.
 pub struct GuestDoor {
     /// The subsystem.
-    pub guest: Box<dyn Guest>,
+    pub guest: Box<dyn Extension>,
     /// Its address.
     pub listen: SocketAddr,
 }
@@ -221,21 +223,21 @@
     bound: Sockets,
     platform: Platform,
     operator: Operator,
-    guest: Option<Box<dyn Guest>>,
+    guest: Option<Box<dyn Extension>>,
 ) -> std::io::Result<()> {
     let executor = Rc::new(LocalExecutor::new());
     let ex = executor.clone();
     smol::block_on(ex.run(async move {
-        let nodes = Nodes::new(&platform);
+        let nodes = ClusterMembers::new(&platform);
         let started = Instant::now();
         let seed = fastrand::u64(..) >> 1;
-        let clock_off = Micros::from_secs_f64(platform.deployment.max_clock_error_ms / 1000.0);
-        Timer::after(Duration::from_micros(before_number(clock_off).0)).await;
+        let clock_off = Micros::from_secs_f64(platform.deployment.clock_off_ms / 1000.0);
+        Timer::after(Duration::from_micros(incarnation_delay(clock_off).0)).await;
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
-        let incarnation = process_number(wall, seed);
+        let incarnation = incarnation_number(wall, seed);
         let mut node = Node::new(&platform, operator, seed, incarnation, Micros(1_000_000));
         if let Some(guest) = guest {
-            node = node.with_guest(guest);
+            node = node.with_extension(guest);
         }
         let sockets = platform.deployment.machine_limits.sockets;
         let bounds = Bounds::new(sockets, nodes.names.len() - 1, bound.guest.is_some());
@@ -260,7 +262,7 @@
             client: client::Client::new(&platform.endpoints.state, &platform.endpoints.cloud, &bounds),
             peers,
             incarnation,
-            me: nodes.me,
+            me: nodes.own_id,
         });
         for (addr, name, rx) in receivers {
             let node = NodeId(nodes.names.iter().position(|n| *n == name).unwrap_or(0) as u8);
@@ -285,7 +287,7 @@
             let door = door(listener)?;
             let guests = Rc::new(RefCell::new(server::Entry::new(bounds.of_guest())));
             executor
-                .spawn(server::listen(shell.clone(), door, executor.clone(), server::Door::Guest, guests))
+                .spawn(server::listen(shell.clone(), door, executor.clone(), server::Door::Extension, guests))
                 .detach();
         }
         loop {
--- a/crates/shell/src/peers.rs
+++ b/crates/shell/src/peers.rs
@@ -65,7 +65,7 @@
         if let Some(Err(e)) = &stream
             && e.kind() == std::io::ErrorKind::ConnectionRefused
         {
-            shell.input(Input::Refused(node));
+            shell.input(Input::PeerRefused(node));
         }
         if let Some(Ok(mut s)) = stream {
             let _ = s.set_nodelay(true);
@@ -128,7 +128,7 @@
             return Ok(());
         };
         if (envelope.from.0 as usize) < nodes && envelope.from != shell.me {
-            inboxes.entry(envelope.from).or_default().put(envelope.incarnation, envelope.message);
+            inboxes.entry(envelope.from).or_default().push(envelope.incarnation, envelope.message);
         }
         frames += 1;
         if frames == MAX_FRAMES_AT_ONCE {
@@ -140,7 +140,7 @@
 
 fn handle_waiting(shell: &Rc<Shell>, inboxes: &mut BTreeMap<NodeId, Inbox>) {
     for (from, inbox) in inboxes {
-        while let Some((incarnation, message)) = inbox.take() {
+        while let Some((incarnation, message)) = inbox.pop() {
             shell.input(Input::Peer { from: *from, incarnation, message });
         }
     }
@@ -148,12 +148,12 @@
 
 /// The next frame; `None` where the connection is over.
 async fn read_envelope(stream: &mut TcpStream) -> Result<Option<Envelope>, peer::FrameError> {
-    let mut head = [0u8; peer::HEAD];
+    let mut head = [0u8; peer::FRAME_HEADER_LEN];
     let read = within(IDLE_TIMEOUT, stream.read_exact(&mut head)).await;
     if !matches!(read, Some(Ok(_))) {
         return Ok(None);
     }
-    let len = peer::decode_head(head)?;
+    let len = peer::decode_header(head)?;
     // Room is taken as the frame comes, not as its head claims.
     let mut body = Vec::new();
     stream.take(len as u64).read_to_end(&mut body).await?;
--- a/crates/standins/src/scale.rs
+++ b/crates/standins/src/scale.rs
@@ -5,7 +5,7 @@
 use crate::cloud::flavor;
 use crate::worker::{Facts, Machine};
 use gorseshore_core::books::Kept;
-use gorseshore_core::controller::{CheckinReply, Controller, Sizes, read_tasks};
+use gorseshore_core::controller::{Controller, HeartbeatReply, MachineSizes, parse_tasks};
 use gorseshore_core::jobs::{StateReplica, job_value, keys, machines_value};
 use gorseshore_core::leader::{Context, Leader, View};
 use gorseshore_core::peer::Message;
@@ -73,7 +73,7 @@
 /// Leader, controllers and workers, and their clock.
 struct Bench {
     ledger: StateReplica,
-    sizes: Sizes,
+    sizes: MachineSizes,
     leader: Leader,
     controllers: Vec<Controller>,
     kept: Kept,
@@ -99,8 +99,8 @@
     }
 }
 
-fn sizes() -> Sizes {
-    Sizes::from([("big".into(), Resources::capacity(CPUS, 0.0, CPUS * 4.0))])
+fn sizes() -> MachineSizes {
+    MachineSizes::from([("big".into(), Resources::have(CPUS, 0.0, CPUS * 4.0))])
 }
 
 fn machine_records(ledger: &mut StateReplica, machines: usize) -> Vec<Machine> {
@@ -168,7 +168,7 @@
     fn exchange(&mut self) {
         if let Some((record, _)) = self.leader.books_record(&self.ledger, &[], self.now) {
             self.stamp += 1;
-            self.ledger.apply(keys::STANDBY_REPLICAS, Some(&json!(record)), self.stamp);
+            self.ledger.apply(keys::BOOKS, Some(&json!(record)), self.stamp);
             self.leader.books_record_ended();
         }
         for (to, m) in self.leader.messages(self.now, true) {
@@ -177,11 +177,11 @@
                     term,
                     seq,
                     base,
-                    ack,
+                    acked_sync: ack,
                     lease,
                     block,
-                    elsewhere,
-                    handouts,
+                    not_in_block: elsewhere,
+                    assignments: handouts,
                     stops,
                     running,
                     ..
@@ -190,13 +190,13 @@
                     if !c.accept_update(term, seq, base) {
                         continue;
                     }
-                    c.take_block(base == 0, &block, &elsewhere);
-                    c.take_ack(ack, lease);
-                    c.take_running(base == 0, &running);
-                    c.take_handouts(&handouts, &self.ledger, &self.sizes, self.now);
-                    c.take_stops(&stops);
+                    c.apply_block(base == 0, &block, &elsewhere);
+                    c.apply_sync_ack(ack, lease);
+                    c.apply_running_counts(base == 0, &running);
+                    c.apply_assignments(&handouts, &self.ledger, &self.sizes, self.now);
+                    c.apply_stops(&stops);
                 }
-                Message::Books(page) => {
+                Message::PlacementLogUpdate(page) => {
                     let seq = self.kept.take(page);
                     self.leader.books_taken(to, 1, seq, self.now);
                 }
@@ -226,7 +226,7 @@
             let task = TaskId::parse(piece)?;
             let spec = self.ledger.jobs.get(&task.job)?.spec.clone()?;
             Some(Facts {
-                cpus: spec.task_resources.cpu as f64 / 1000.0,
+                cpus: spec.need.cpu as f64 / 1000.0,
                 run_us: None,
                 tasks: spec.tasks,
                 save_us: None,
@@ -236,18 +236,18 @@
         for w in &mut self.workers {
             let mut to = w.report_to;
             let r = w.report();
-            let Some(tasks) = read_tasks(&r) else { continue };
+            let Some(tasks) = parse_tasks(&r) else { continue };
             // 421 names the holder; the next one is asked then.
             for _ in 0..2 {
                 match self.controllers[to].checkin(&r, tasks.clone(), &self.ledger, self.now) {
-                    CheckinReply::Orders(baton, orders) if baton.0 >= w.baton => {
+                    HeartbeatReply::Commands(baton, orders) if baton.0 >= w.baton => {
                         w.baton = baton.0;
                         w.execute(&orders, &facts, self.now.0);
                         w.advance(&facts, self.now.0);
                         break;
                     }
-                    CheckinReply::Orders(..) => break,
-                    CheckinReply::Elsewhere(holder) | CheckinReply::Lost(holder) => {
+                    HeartbeatReply::Commands(..) => break,
+                    HeartbeatReply::Misdirected(holder) | HeartbeatReply::Superseded(holder) => {
                         to = holder.map_or((to + 1) % self.controllers.len(), |n| n.0 as usize);
                     }
                 }
@@ -281,7 +281,7 @@
         }
         let t = Instant::now();
         let before = self.now;
-        while self.leader.array_slots() < HAND_OUTS as u64 {
+        while self.leader.active_array_tasks() < HAND_OUTS as u64 {
             self.now = self.now + Micros::millis(25);
             self.leader.tick(&self.ledger, self.now);
             self.exchange();
@@ -306,7 +306,7 @@
             // The pace of decisions; nothing that was decided on is rented.
             self.now = self.now + Micros::millis(410);
             let t = Instant::now();
-            self.leader.fleet(&flavors, self.now);
+            self.leader.autoscale(&flavors, self.now);
             spent += t.elapsed().as_secs_f64();
         }
         Ok(spent * 1e3 / ROUNDS as f64)
@@ -323,8 +323,8 @@
         b.job("array", 1, CPUS / 2.0)?;
     }
     let mut before = u64::MAX;
-    while b.leader.array_slots() != before {
-        before = b.leader.array_slots();
+    while b.leader.active_array_tasks() != before {
+        before = b.leader.active_array_tasks();
         b.pass();
         b.report();
     }
@@ -348,7 +348,7 @@
         passes += t.elapsed().as_secs_f64();
         if i % 20 == 0 {
             let t = Instant::now();
-            b.leader.fleet(&flavors, b.now);
+            b.leader.autoscale(&flavors, b.now);
             rentals += t.elapsed().as_secs_f64();
             b.exchange();
         }
--- a/tests/world/main.rs
+++ b/tests/world/main.rs
@@ -22,9 +22,9 @@
 
 use gorseshore_core::node::Node;
 use gorseshore_core::{Call, CallId, CallResult, Input, Output, RequestId, Target};
-use gorseshore_protocol::cloud::{Flavor, Flavors, MachineNames, Rental, RentalRequest, Rentals};
+use gorseshore_protocol::cloud::{Flavor, Flavors, Hire, Hosts, Rental, Rentals};
 use gorseshore_protocol::ids::{Micros, TaskId};
-use gorseshore_protocol::workers::{CommandRequest, HeartbeatResponse};
+use gorseshore_protocol::workers::{Direct, HeartbeatResponse};
 use gorseshore_settings::{Operator, Platform};
 use serde_json::{Value, json};
 use state::{Outcome, State};
@@ -280,8 +280,8 @@
     Peer(usize, usize, u64, gorseshore_core::peer::Message),
     Request(usize, u64, RequestId, &'static str, String, Vec<u8>),
     Answered(RequestId, u16, Vec<u8>),
-    GuestRequest(usize, u64, RequestId, &'static str, String, Vec<u8>),
-    GuestAnswered(RequestId, gorseshore_core::guest::Answer),
+    ExtensionRequest(usize, u64, RequestId, &'static str, String, Vec<u8>),
+    GuestAnswered(RequestId, gorseshore_core::extension::Answer),
     Workers,
     Users,
     Trouble,
@@ -502,7 +502,7 @@
         }
         for o in outputs {
             match o {
-                Output::Answer { id, status, body, .. } => {
+                Output::Response { id, status, body, .. } => {
                     if self.oncall_swallows(n, id, status, &body) {
                         continue;
                     }
@@ -521,8 +521,8 @@
                         }
                         continue;
                     }
-                    if let Ok(d) = serde_json::from_slice::<CommandRequest>(&call.body) {
-                        self.check_orders(n, &d.commands);
+                    if let Ok(d) = serde_json::from_slice::<Direct>(&call.body) {
+                        self.check_orders(n, &d.orders);
                     }
                     let (late, answered) = self.held_up(n, &call);
                     if late > 0 || !answered {
@@ -559,11 +559,11 @@
                         _ => self.at(d, Event::Arrive(n, me, id, call)),
                     }
                 }
-                Output::GuestAnswer(id, answer) => {
+                Output::ExtensionResponse(id, answer) => {
                     let d = self.delay();
                     self.at(d, Event::GuestAnswered(id, answer));
                 }
-                Output::Open(..) | Output::Chunk(..) | Output::Close(_) => {}
+                Output::StreamOpen(..) | Output::StreamChunk(..) | Output::StreamClose(_) => {}
                 Output::Send { to, message } => {
                     let to = to.0 as usize;
                     let cut = self.node_node_cut(n, to);
@@ -626,33 +626,32 @@
             return (429, br#"{"error":"too many requests"}"#.to_vec());
         }
         match (method, path.split('?').next().unwrap()) {
-            ("GET", "/flavors") => (200, serde_json::to_vec(&Flavors { flavors: Self::flavors() }).unwrap()),
+            ("GET", "/flavors") => (200, serde_json::to_vec(&Flavors { builds: Self::flavors() }).unwrap()),
             ("POST", "/rentals") => {
-                let h: RentalRequest = serde_json::from_slice(body).unwrap();
-                assert!(h.count <= 50, "{} machines in a rental", h.count);
-                if let Some(hosts) = self.hires.get(&h.request_id) {
-                    return (200, serde_json::to_vec(&MachineNames { names: hosts.clone() }).unwrap());
+                let h: Hire = serde_json::from_slice(body).unwrap();
+                assert!(h.number <= 50, "{} machines in a rental", h.number);
+                if let Some(hosts) = self.hires.get(&h.hire) {
+                    return (200, serde_json::to_vec(&Hosts { hosts: hosts.clone() }).unwrap());
                 }
                 let there = self
                     .machines
                     .values()
-                    .filter(|m| (&m.build, &m.zone, m.spot) == (&h.machine_type, &h.zone, h.spot))
+                    .filter(|m| (&m.build, &m.zone, m.spot) == (&h.build, &h.yard, h.loaners))
                     .count();
-                let room = self.size.room[(h.machine_type == "big") as usize].saturating_sub(there);
+                let room = self.size.room[(h.build == "big") as usize].saturating_sub(there);
                 if room == 0 {
                     return (503, br#"{"error":"no capacity"}"#.to_vec());
                 }
-                let n = room.min(h.count as usize);
-                self.fleet_rents(&h.zone, n);
-                let hosts: Vec<String> =
-                    (0..n).map(|_| self.rent(&h.machine_type, &h.zone, h.spot)).collect();
-                self.hires.insert(h.request_id, hosts.clone());
-                (200, serde_json::to_vec(&MachineNames { names: hosts }).unwrap())
+                let n = room.min(h.number as usize);
+                self.fleet_rents(&h.yard, n);
+                let hosts: Vec<String> = (0..n).map(|_| self.rent(&h.build, &h.yard, h.loaners)).collect();
+                self.hires.insert(h.hire, hosts.clone());
+                (200, serde_json::to_vec(&Hosts { hosts }).unwrap())
             }
             ("POST", "/rentals/delete") => {
-                let h: MachineNames = serde_json::from_slice(body).unwrap();
-                assert!(h.names.len() <= 100, "{} names in a deletion", h.names.len());
-                for name in h.names {
+                let h: Hosts = serde_json::from_slice(body).unwrap();
+                assert!(h.hosts.len() <= 100, "{} names in a deletion", h.hosts.len());
+                for name in h.hosts {
                     self.fleet_deletes(&name);
                     self.oncall_deletes(&name);
                     self.machines.remove(&name);
@@ -666,7 +665,7 @@
                 let after = view.map_or(&[][..], |v| &v.1[v.1.partition_point(|r| *r.name <= *from)..]);
                 let hosts = after[..limit.min(after.len())].to_vec();
                 let truncated = hosts.len() < after.len();
-                (200, serde_json::to_vec(&Rentals { machines: hosts, truncated }).unwrap())
+                (200, serde_json::to_vec(&Rentals { hosts, truncated }).unwrap())
             }
             other => panic!("not in the protocol: {other:?}"),
         }
@@ -690,11 +689,11 @@
             .map(|m| Rental {
                 name: m.name.clone(),
                 addr: m.name.clone(),
-                machine_type: m.build.clone(),
-                zone: m.zone.clone(),
-                spot: m.spot,
-                state: if m.up_at <= self.now { "running" } else { "starting" }.into(),
-                age_s: (self.now - self.born[&m.name]) as f64 / 1e6,
+                build: m.build.clone(),
+                yard: m.zone.clone(),
+                loaners: m.spot,
+                stage: if m.up_at <= self.now { "running" } else { "starting" }.into(),
+                held_s: (self.now - self.born[&m.name]) as f64 / 1e6,
             })
             .collect();
         self.history.push((self.now, list));
@@ -801,15 +800,15 @@
         match status {
             200 => {
                 let a: HeartbeatResponse = serde_json::from_slice(body).unwrap();
-                if a.fencing_token < m.baton || shift != m.shift {
+                if a.baton < m.baton || shift != m.shift {
                     return;
                 }
-                if a.fencing_token > m.baton {
-                    m.baton = a.fencing_token;
+                if a.baton > m.baton {
+                    m.baton = a.baton;
                     m.changed = true;
                 }
                 m.lease_from = sent;
-                self.with_machine(name, |m, f, now| m.execute(&a.commands, f, now));
+                self.with_machine(name, |m, f, now| m.execute(&a.orders, f, now));
             }
             421 => {
                 let v: Value = serde_json::from_slice(body).unwrap();
@@ -1092,7 +1091,8 @@
             }
         }
         self.check_known();
-        let sums: Vec<String> = self.nodes.iter().flatten().filter_map(|n| n.check_kept().err()).collect();
+        let sums: Vec<String> =
+            self.nodes.iter().flatten().filter_map(|n| n.check_aggregates().err()).collect();
         for s in sums {
             self.break_rule("sums", s);
         }
@@ -1263,7 +1263,7 @@
                     let w = self.watches.remove(i);
                     let d = self.delay();
                     let status = if self.state.too_old(w.from) { 410 } else { 200 };
-                    let r = CallResult::Answer { status, body };
+                    let r = CallResult::Response { status, body };
                     self.at(d, Event::Called(w.node, w.incarnation, w.call, r));
                 }
                 None => i += 1,
@@ -1310,7 +1310,7 @@
             }
             Event::Called(n, me, id, result) => {
                 if self.incarnations[n] == me {
-                    self.feed(n, Input::Called { id, result });
+                    self.feed(n, Input::CallCompleted { id, result });
                 }
             }
             Event::Peer(from, to, incarnation, message) => {
@@ -1326,10 +1326,10 @@
                 }
             }
             Event::Answered(id, status, body) => self.answered(id, status, body),
-            Event::GuestRequest(n, me, id, method, path, body) => {
+            Event::ExtensionRequest(n, me, id, method, path, body) => {
                 if self.incarnations[n] == me && self.nodes[n].is_some() {
                     let method = method.into();
-                    self.feed(n, Input::GuestRequest { id, method, path, token: None, body });
+                    self.feed(n, Input::ExtensionRequest { id, method, path, token: None, body });
                 }
             }
             Event::GuestAnswered(id, answer) => self.planned(id, answer),
@@ -1411,7 +1411,7 @@
                     if call.path == "/status" {
                         return (200, serde_json::to_vec(&m.report()).unwrap());
                     }
-                    let d: CommandRequest = serde_json::from_slice(&call.body).unwrap();
+                    let d: Direct = serde_json::from_slice(&call.body).unwrap();
                     m.direct(&d, f, now)
                 });
                 let cut = self.machines.get(&addr).map_or(1, |m| self.node_machine_cut(n, m));
@@ -1420,14 +1420,14 @@
         };
         if let Some((status, body)) = answer {
             let d = self.delay();
-            self.at(d, Event::Called(n, me, id, CallResult::Answer { status, body }));
+            self.at(d, Event::Called(n, me, id, CallResult::Response { status, body }));
         }
     }
 }
 
 /// The task, if its job has an id of the service's own.
 fn own(piece: &str) -> Option<TaskId> {
-    TaskId::parse(piece).filter(|t| t.job.is_internal())
+    TaskId::parse(piece).filter(|t| t.job.own())
 }
 
 fn facts(jobs: &[Job], piece: &str) -> Option<Facts> {
