--- a/crates/core/tests/deletion_in_a_state_outage.rs
+++ b/crates/core/tests/deletion_in_a_state_outage.rs
@@ -66,14 +66,14 @@
             let mut outputs = self.input(Input::Tick);
             for (_, output) in timed_out {
                 let Output::Call { id, .. } = output else { continue };
-                outputs.extend(self.input(Input::Called { id, result: CallResult::Unknown }));
+                outputs.extend(self.input(Input::CallCompleted { id, result: CallResult::Unknown }));
             }
             while let Some(output) = outputs.pop() {
                 let Output::Call { id, call } = &output else { continue };
                 match self.answer(call) {
                     Some(result) => {
                         let id = *id;
-                        outputs.extend(self.input(Input::Called { id, result }));
+                        outputs.extend(self.input(Input::CallCompleted { id, result }));
                     }
                     None => self.pending.push((self.now + call.timeout.0 / 1_000, output)),
                 }
@@ -109,7 +109,7 @@
                 body
             }
         };
-        Some(CallResult::Answer { status: 200, body: body.to_string().into_bytes() })
+        Some(CallResult::Response { status: 200, body: body.to_string().into_bytes() })
     }
 
     fn state(&mut self, call: &Call) -> Option<CallResult> {
@@ -139,9 +139,9 @@
                     (self.now, self.responses_in_outage + !up as usize);
                 json!({"news": [], "ledger": 100})
             }
-            () => return Some(CallResult::Answer { status: 503, body: b"{}".to_vec() }),
+            () => return Some(CallResult::Response { status: 503, body: b"{}".to_vec() }),
         };
-        Some(CallResult::Answer { status: 200, body: body.to_string().into_bytes() })
+        Some(CallResult::Response { status: 200, body: body.to_string().into_bytes() })
     }
 }
 
--- a/crates/core/tests/record_compatibility.rs
+++ b/crates/core/tests/record_compatibility.rs
@@ -492,7 +492,7 @@
         text += &part_text;
         if part + 1 == parts {
             let packed = BASE64.decode(text.as_bytes()).unwrap();
-            envelopes.push(Envelope::unpack(&packed).expect("an envelope of production's version"));
+            envelopes.push(Envelope::from_bytes(&packed).expect("an envelope of production's version"));
         }
     }
     envelopes
@@ -533,7 +533,7 @@
                 if let Output::Call { id, call } = output
                     && let Some(result) = self.answer(&call)
                 {
-                    outputs.extend(self.input(Input::Called { id, result }));
+                    outputs.extend(self.input(Input::CallCompleted { id, result }));
                 }
             }
         }
@@ -568,7 +568,7 @@
             }
             _ => json!({}),
         };
-        Some(CallResult::Answer { status: 200, body: body.to_string().into_bytes() })
+        Some(CallResult::Response { status: 200, body: body.to_string().into_bytes() })
     }
 }
 
--- a/crates/core/tests/wire_compatibility.rs
+++ b/crates/core/tests/wire_compatibility.rs
@@ -9,9 +9,9 @@
 use data_encoding::HEXLOWER;
 use gorseshore_core::books::{Entry, Page};
 use gorseshore_core::peer::{
-    Assignment, Cancellation, Envelope, FRAME_HEADER_LEN, FrameError, GrantedMachine, Held, MAX_FRAME_BYTES,
-    MachineState, Message, Outcome, PROTOCOL_VERSION, StopRequest, TaskState, UnleasedReport, decode_body,
-    decode_header, encode,
+    Assignment, AssignmentOutcome, Cancellation, Envelope, FRAME_HEADER_LEN, FrameError, GrantedMachine,
+    MAX_FRAME_BYTES, MachineState, Message, PROTOCOL_VERSION, StopRequest, TaskState, TaskStatus,
+    UnleasedReport, decode_body, decode_header, encode_frame,
 };
 use gorseshore_protocol::ids::{Attempt, FencingToken, JobId, MachineId, Micros, NodeId, TaskId};
 use gorseshore_protocol::workers::HeartbeatSeq;
@@ -123,20 +123,20 @@
     HeartbeatSeq { agent_epoch, sequence }
 }
 
-fn task_status(index: u32, state: TaskState) -> Held {
-    Held { task: task(412, index), attempt: Attempt(0x1000_0000 + u64::from(index)), state }
+fn task_status(index: u32, state: TaskState) -> TaskStatus {
+    TaskStatus { task: task(412, index), attempt: Attempt(0x1000_0000 + u64::from(index)), state }
 }
 
 fn machine_states() -> Vec<MachineState> {
     let unresponsive = MachineState {
         id: MachineId::from("host-000001"),
-        baton: FencingToken::new(7, 12),
-        seen_baton: FencingToken::new(6, 99),
-        last: report(2, 41),
-        obeys: false,
+        fencing_token: FencingToken::new(7, 12),
+        seen_fencing_token: FencingToken::new(6, 99),
+        last_report: report(2, 41),
+        acknowledges_commands: false,
         last_contact_age: None,
-        warning: None,
-        want_baton: true,
+        preemption_notice: None,
+        needs_new_fencing_token: true,
         tasks: Vec::new(),
     };
     let all_states = [
@@ -151,10 +151,10 @@
     ];
     let busy = MachineState {
         id: MachineId::from("host-000002"),
-        obeys: true,
+        acknowledges_commands: true,
         last_contact_age: Some(Micros::millis(250)),
-        warning: Some(Micros::secs(30)),
-        want_baton: false,
+        preemption_notice: Some(Micros::secs(30)),
+        needs_new_fencing_token: false,
         tasks: all_states.into_iter().enumerate().map(|(i, s)| task_status(i as u32, s)).collect(),
         ..unresponsive.clone()
     };
@@ -195,17 +195,20 @@
         term: 7,
         seq: 20,
         base,
-        seen: 18,
+        acked_update: 18,
         machines: machine_states(),
-        heard: vec![(MachineId::from("host-000004"), Micros::millis(1500), report(1, 5))],
-        strangers: vec![UnleasedReport {
+        contacts: vec![(MachineId::from("host-000004"), Micros::millis(1500), report(1, 5))],
+        unleased_reports: vec![UnleasedReport {
             id: MachineId::from("host-000005"),
             report: report(1, 6),
-            asked: true,
+            probed: true,
         }],
         outcomes: vec![
-            Outcome { attempt: Attempt(0x7000_0001), machine: Some(MachineId::from("host-000001")) },
-            Outcome { attempt: Attempt(0x7000_0002), machine: None },
+            AssignmentOutcome {
+                attempt: Attempt(0x7000_0001),
+                machine: Some(MachineId::from("host-000001")),
+            },
+            AssignmentOutcome { attempt: Attempt(0x7000_0002), machine: None },
         ],
     }
 }
@@ -215,11 +218,11 @@
         task: task(412, 9),
         attempt: Attempt(0x7000_0003),
         zone: zone.map(str::to_owned),
-        hint: MachineId::from("host-000002"),
+        preferred_machine: MachineId::from("host-000002"),
     };
     let granted = |id: &str, draining| GrantedMachine {
         id: MachineId::from(id),
-        baton: FencingToken::new(7, 13),
+        fencing_token: FencingToken::new(7, 13),
         addr: "10.0.0.7:8040".into(),
         draining,
     };
@@ -228,14 +231,14 @@
         seq: 21,
         base: 20,
         incarnation: INCARNATION,
-        ack: 20,
+        acked_sync: 20,
         lease: Micros::secs(20),
         block: vec![granted("host-000001", false), granted("host-000002", true)],
-        elsewhere: vec![
+        not_in_block: vec![
             (MachineId::from("host-000006"), Some(NodeId(2))),
             (MachineId::from("host-000007"), None),
         ],
-        handouts: vec![assignment(None), assignment(Some("west"))],
+        assignments: vec![assignment(None), assignment(Some("west"))],
         stops: vec![StopRequest {
             task: task(412, 4),
             attempt: Attempt(0x7000_0004),
@@ -249,10 +252,10 @@
 fn cancellation(cause: Option<&str>, may_confirm: bool, acknowledged_by: Vec<u64>) -> Cancellation {
     Cancellation {
         job: JobId(412),
-        at_ms: 1_764_600_000_123,
-        stamp: 5150,
+        ended_ms: 1_764_600_000_123,
+        record_version: 5150,
         cause: cause.map(str::to_owned),
-        told: may_confirm,
+        may_confirm: may_confirm,
         acknowledged_by: acknowledged_by,
     }
 }
@@ -262,43 +265,53 @@
     vec![
         (
             "ping",
-            Message::Ping { state_ok: true, hears: vec![NodeId(0), NodeId(2)], queued: 17, loaded: false },
+            Message::Ping {
+                state_reachable: true,
+                receives_from: vec![NodeId(0), NodeId(2)],
+                queued_writes: 17,
+                state_loaded: false,
+            },
         ),
         (
             "ping, receives from none",
-            Message::Ping { state_ok: false, hears: vec![], queued: 0, loaded: true },
+            Message::Ping {
+                state_reachable: false,
+                receives_from: vec![],
+                queued_writes: 0,
+                state_loaded: true,
+            },
         ),
         (
             "cancellations",
-            Message::Cancelled(vec![
+            Message::Cancellations(vec![
                 cancellation(None, false, vec![0, INCARNATION, 9]),
                 cancellation(Some("attempts used up: task 3 failed 2 times"), true, vec![]),
             ]),
         ),
         (
             "cancellations ack, by the leader",
-            Message::CancellationsAck { jobs: vec![JobId(412), JobId(413)], leads: Some(7) },
+            Message::CancellationsAck { jobs: vec![JobId(412), JobId(413)], leading_term: Some(7) },
         ),
-        ("cancellations ack", Message::CancellationsAck { jobs: vec![JobId(412)], leads: None }),
+        ("cancellations ack", Message::CancellationsAck { jobs: vec![JobId(412)], leading_term: None }),
         ("forward", Message::Forward { to: NodeId(1), envelope: vec![5, 1, 2, 0xff] }),
         ("sync, full", sync(0)),
         ("sync", sync(19)),
         ("update", update()),
         (
             "machine discovered",
-            Message::Seen {
+            Message::MachineDiscovered {
                 id: MachineId::from("host-000008"),
                 build: "big".into(),
                 zone: "east".into(),
                 spot: true,
                 addr: "10.0.0.8:8040".into(),
                 report: report(3, 77),
-                asked: false,
+                probed: false,
             },
         ),
         ("probe", Message::Probe { id: MachineId::from("host-000008"), addr: "10.0.0.8:8040".into() }),
-        ("placement log update, full", Message::Books(log_update(0))),
-        ("placement log update", Message::Books(log_update(990))),
+        ("placement log update, full", Message::PlacementLogUpdate(log_update(0))),
+        ("placement log update", Message::PlacementLogUpdate(log_update(990))),
         ("placement log ack", Message::PlacementLogAck { term: 7, seq: 1000 }),
         ("placement log request", Message::PlacementLogRequest { term: 6 }),
         ("placement log snapshot", Message::PlacementLogSnapshot(log_update(0))),
@@ -328,14 +341,14 @@
 fn type_number(m: &Message) -> usize {
     match m {
         Message::Ping { .. } => 0,
-        Message::Cancelled(_) => 1,
+        Message::Cancellations(_) => 1,
         Message::CancellationsAck { .. } => 2,
         Message::Forward { .. } => 3,
         Message::Sync { .. } => 4,
         Message::Update { .. } => 5,
-        Message::Seen { .. } => 6,
+        Message::MachineDiscovered { .. } => 6,
         Message::Probe { .. } => 7,
-        Message::Books(_) => 8,
+        Message::PlacementLogUpdate(_) => 8,
         Message::PlacementLogAck { .. } => 9,
         Message::PlacementLogRequest { .. } => 10,
         Message::PlacementLogSnapshot(_) => 11,
@@ -364,7 +377,7 @@
 #[test]
 fn frames_are_encoded_as_production_does() {
     for (name, message) in messages() {
-        let encoded = encode(&envelope(message)).unwrap();
+        let encoded = encode_frame(&envelope(message)).unwrap();
         assert_eq!(HEXLOWER.encode(&encoded), HEXLOWER.encode(&frame(name)), "{name}");
     }
 }
@@ -386,12 +399,12 @@
     for (name, message) in messages() {
         let mut packed = vec![5];
         packed.extend_from_slice(split(&frame(name)).1);
-        assert_eq!(Envelope::unpack(&packed), Some(envelope(message.clone())), "{name}");
-        assert_eq!(envelope(message).pack(), packed, "{name}");
+        assert_eq!(Envelope::from_bytes(&packed), Some(envelope(message.clone())), "{name}");
+        assert_eq!(envelope(message).to_bytes(), packed, "{name}");
     }
     let placement_log_ack = bytes("05030807060504030201090700000000000000e803000000000000");
     assert_eq!(
-        Envelope::unpack(&placement_log_ack),
+        Envelope::from_bytes(&placement_log_ack),
         Some(envelope(Message::PlacementLogAck { term: 7, seq: 1000 }))
     );
 }
