--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -1,7 +1,7 @@
 //! Job records, and the replica of the state service's records that every controller keeps.
-use crate::books::Witnesses;
 use crate::dependencies::{DependencyGraph, Outcome};
 use crate::limits::{StoreLimits, value_len};
+use crate::placement_log::StandbyReplicas;
 use gorseshore_protocol::ids::{JobId, MachineId, Resources};
 use gorseshore_protocol::job::{JobSpec, Kind, Preference, Priority};
 use gorseshore_protocol::workers::Report;
@@ -579,7 +579,7 @@
     /// The last term and its record's revision.
     pub term: (u64, u64),
     /// Holders of replicas of the leader's placement log, and the record's revision.
-    pub standby_replicas: (Witnesses, u64),
+    pub standby_replicas: (StandbyReplicas, u64),
     /// Everything up to this revision is applied.
     pub applied_revision: u64,
     /// Entries of the extension's key space found in a listing; `None` without an extension.
@@ -617,7 +617,7 @@
         }
         if key == keys::STANDBY_REPLICAS {
             // An unreadable record counts as one without replicas.
-            let record = value.and_then(|v| Witnesses::deserialize(v).ok()).unwrap_or_default();
+            let record = value.and_then(|v| StandbyReplicas::deserialize(v).ok()).unwrap_or_default();
             self.standby_replicas = (record, revision);
             return Change::Other;
         }
--- a/crates/core/src/leader/machine.rs
+++ b/crates/core/src/leader/machine.rs
@@ -1,138 +1,139 @@
-//! A machine as the leader knows it. Invariant: tasks may be handed only to one that is
-//! recorded, whose holder has shown the grant's token (`Machine::usable`).
+//! A machine as the leader knows it. Invariant: tasks may be assigned only to a machine that
+//! is recorded and whose holder has received a heartbeat under the grant's token
+//! (`Machine::is_usable`).
 use super::*;
 
-/// Where a machine is in its life.
+/// Lifecycle stage of a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
-    /// Rented, not heard yet.
+    /// Rented; no heartbeat was received yet.
     Booting,
-    /// Heard, or recorded by an earlier term.
+    /// It has sent a heartbeat, or an earlier term recorded it.
     Up,
-    /// Being deleted; its tasks are bound until the cloud says so.
+    /// Being deleted; its tasks stay bound until the cloud confirms the deletion.
     Deleting,
 }
 
-/// A machine.
+/// The leader's state of one machine.
 #[derive(Debug)]
 pub struct Machine {
-    /// Type.
-    pub build: String,
+    /// Machine type.
+    pub machine_type: String,
     /// Zone.
     pub zone: String,
-    /// Spot.
+    /// Whether it is a spot machine.
     pub spot: bool,
     pub(super) addr: String,
     pub(super) size: Resources,
-    /// Stage of life.
+    /// Lifecycle stage.
     pub stage: Stage,
-    pub(super) since: Micros,
+    pub(super) stage_since: Micros,
     pub(super) recorded: bool,
-    /// Its record is being written.
+    /// A write of its record is pending.
     pub(super) recording: bool,
-    /// Recorded before this term: it may hold tasks that nobody told of yet.
-    pub(super) unknown: bool,
+    /// Recorded before this term: it may hold tasks that no controller has reported yet.
+    pub(super) tasks_unknown: bool,
     pub(super) holder: Option<NodeId>,
     pub(super) last_holder: Option<NodeId>,
-    pub(super) baton: FencingToken,
-    /// The last token under which its task list was seen whole.
+    pub(super) fencing_token: FencingToken,
+    /// The last token under which its complete task list was received.
     pub(super) task_list_token: FencingToken,
-    /// The holder has seen a report under `baton`: its task list is whole.
+    /// The holder has received a heartbeat under `fencing_token`, so its task list is complete.
     pub(super) confirmed: bool,
     pub(super) tasks: BTreeMap<TaskId, (Attempt, TaskState)>,
     pub(super) started: BTreeMap<TaskId, Micros>,
     pub(super) reserved: BTreeMap<Attempt, Resources>,
-    /// What its tasks take; `stale` if they changed since it was added up.
+    /// Resources that its tasks use; `used_stale` if the tasks changed since it was computed.
     pub(super) used: Resources,
-    pub(super) stale: bool,
+    pub(super) used_stale: bool,
     /// Tasks that are bound to it.
     pub(super) bound: BTreeSet<TaskId>,
-    pub(super) heard: Option<Micros>,
-    /// The newest report of its worker that anybody told of, and who.
-    pub(super) newest: HeartbeatSeq,
-    pub(super) newest_from: Option<NodeId>,
-    pub(super) hearing: command_reachability::CommandReachability,
-    pub(super) held_heard: Micros,
-    pub(super) moved_at: Micros,
+    pub(super) last_contact: Option<Micros>,
+    /// The newest heartbeat of its worker that any controller forwarded, and which controller.
+    pub(super) newest_heartbeat: HeartbeatSeq,
+    pub(super) newest_heartbeat_from: Option<NodeId>,
+    pub(super) command_reachability: command_reachability::CommandReachability,
+    pub(super) holder_contact: Micros,
+    pub(super) holder_changed_at: Micros,
     pub(super) granted_at: Micros,
-    pub(super) warning: Option<Micros>,
-    /// The update that first tells of its last change.
-    pub(super) stamp: u64,
+    pub(super) preemption_at: Option<Micros>,
+    /// The first update that contains its last change.
+    pub(super) changed_in: u64,
     pub(super) idle_since: Option<Micros>,
-    /// Its place among those with room.
-    pub(super) placed: Option<capacity_index::IndexEntry>,
+    /// Its position in the index of machines with free capacity.
+    pub(super) index_entry: Option<capacity_index::IndexEntry>,
     pub(super) draining: Option<&'static str>,
-    /// Failures since something ran well on it, by job.
+    /// Failures on it since a task last ran well there, by job.
     pub(super) failed_jobs: BTreeMap<JobId, u32>,
     pub(super) failures: u32,
     pub(super) images: BTreeSet<String>,
-    pub(super) probed: Option<Micros>,
-    pub(super) kept_for: Option<(Priority, Micros)>,
-    /// Room is gathered on it for this job, until then.
-    pub(super) gathers: Option<(JobId, Micros)>,
-    pub(super) want_baton: bool,
-    pub(super) delete_sent: Option<Micros>,
-    /// CPU time that tasks took of it, in thousandths of a CPU times microseconds.
-    pub(super) busy: u128,
-    pub(super) born: Micros,
+    pub(super) probed_at: Option<Micros>,
+    pub(super) reserved_priority: Option<(Priority, Micros)>,
+    /// The job that free capacity is accumulated for on it, and until when.
+    pub(super) accumulates_for: Option<(JobId, Micros)>,
+    pub(super) needs_new_token: bool,
+    pub(super) delete_sent_at: Option<Micros>,
+    /// CPU time that tasks used on it, in thousandths of a CPU times microseconds.
+    pub(super) used_cpu_time: u128,
+    pub(super) first_known_at: Micros,
 }
 
 impl Machine {
-    /// Whether a task of such a job may be on it, by type, zone, kind and size.
+    /// Whether its type, zone, kind (spot or not) and size allow a task of such a job.
     pub(super) fn suits(&self, spec: &JobSpec) -> bool {
-        spec.allows(&self.build, &self.zone, self.spot, &self.size)
+        spec.allows(&self.machine_type, &self.zone, self.spot, &self.size)
     }
     pub(super) fn new(rec: &MachineRecord, size: Resources, stage: Stage, now: Micros) -> Self {
         Machine {
-            build: rec.machine_type.clone(),
+            machine_type: rec.machine_type.clone(),
             zone: rec.zone.clone(),
             spot: rec.spot,
             addr: rec.addr.clone(),
             size,
             stage,
-            since: now,
+            stage_since: now,
             recorded: false,
             recording: false,
-            unknown: false,
+            tasks_unknown: false,
             holder: None,
             last_holder: None,
-            baton: FencingToken(0),
+            fencing_token: FencingToken(0),
             task_list_token: FencingToken(0),
             confirmed: false,
             tasks: BTreeMap::new(),
             started: BTreeMap::new(),
             reserved: BTreeMap::new(),
             used: Resources::default(),
-            stale: true,
+            used_stale: true,
             bound: BTreeSet::new(),
-            heard: None,
-            newest: HeartbeatSeq::default(),
-            newest_from: None,
-            hearing: command_reachability::CommandReachability::new(now),
-            held_heard: Micros(0),
-            moved_at: Micros(0),
+            last_contact: None,
+            newest_heartbeat: HeartbeatSeq::default(),
+            newest_heartbeat_from: None,
+            command_reachability: command_reachability::CommandReachability::new(now),
+            holder_contact: Micros(0),
+            holder_changed_at: Micros(0),
             granted_at: now,
-            warning: None,
-            stamp: 0,
+            preemption_at: None,
+            changed_in: 0,
             idle_since: None,
-            placed: None,
+            index_entry: None,
             draining: None,
             failed_jobs: BTreeMap::new(),
             failures: 0,
             images: BTreeSet::new(),
-            probed: None,
-            kept_for: None,
-            gathers: None,
-            want_baton: false,
-            delete_sent: None,
-            busy: 0,
-            born: now,
+            probed_at: None,
+            reserved_priority: None,
+            accumulates_for: None,
+            needs_new_token: false,
+            delete_sent_at: None,
+            used_cpu_time: 0,
+            first_known_at: now,
         }
     }
-    /// What a record of it says.
+    /// The content of its record.
     pub fn record(&self) -> MachineRecord {
         MachineRecord {
-            machine_type: self.build.clone(),
+            machine_type: self.machine_type.clone(),
             zone: self.zone.clone(),
             spot: self.spot,
             addr: self.addr.clone(),
@@ -141,52 +142,52 @@
     pub(super) fn free(&self) -> Resources {
         self.reserved.values().fold(self.size.saturating_sub(self.used), |f, r| f.saturating_sub(*r))
     }
-    /// Whether a report is news, told by `from`: not a copy of one that others told
-    /// of, nor one that was held up.
-    pub(super) fn is_news(&mut self, report: HeartbeatSeq, from: NodeId) -> bool {
-        if report > self.newest {
-            (self.newest, self.newest_from) = (report, Some(from));
+    /// Whether a heartbeat forwarded by `from` is new: neither a copy of one that another
+    /// controller forwarded, nor a delayed one.
+    pub(super) fn is_new_heartbeat(&mut self, report: HeartbeatSeq, from: NodeId) -> bool {
+        if report > self.newest_heartbeat {
+            (self.newest_heartbeat, self.newest_heartbeat_from) = (report, Some(from));
             return true;
         }
-        report == self.newest && self.newest_from == Some(from)
+        report == self.newest_heartbeat && self.newest_heartbeat_from == Some(from)
     }
-    /// It was heard by a controller; `from` its holder, that is proof that the
-    /// way between them is open. Copies of reports prove nothing.
-    pub(super) fn heard_at(&mut self, at: Micros, from: NodeId, report: HeartbeatSeq) {
-        if !self.is_news(report, from) {
+    /// Records that a controller received a heartbeat at `at`. From its holder, that proves that
+    /// the network path between them is open. Copies of heartbeats prove nothing.
+    pub(super) fn record_contact(&mut self, at: Micros, from: NodeId, report: HeartbeatSeq) {
+        if !self.is_new_heartbeat(report, from) {
             return;
         }
         if self.holder == Some(from) {
-            self.held_heard = self.held_heard.max(at);
+            self.holder_contact = self.holder_contact.max(at);
         }
-        if self.heard.is_none_or(|t| at > t) {
-            self.heard = Some(at);
-            self.probed = None;
+        if self.last_contact.is_none_or(|t| at > t) {
+            self.last_contact = Some(at);
+            self.probed_at = None;
         }
     }
-    /// Tasks may be handed to it; `contact` says which controllers are heard.
-    pub(super) fn open(&self, contact: &[bool], now: Micros) -> bool {
-        self.in_reach(contact)
-            && now >= self.hearing.trusted_at
-            && self.heard.is_some_and(|t| now.since(t) < Micros::secs(4))
+    /// Whether tasks may be assigned to it; `contact` says which controllers are in contact.
+    pub(super) fn accepts_tasks(&self, contact: &[bool], now: Micros) -> bool {
+        self.is_reachable(contact)
+            && now >= self.command_reachability.trusted_at
+            && self.last_contact.is_some_and(|t| now.since(t) < Micros::secs(4))
     }
-    /// It is in use and its holder is heard.
-    pub(super) fn in_reach(&self, contact: &[bool]) -> bool {
-        self.usable() && self.holder.is_some_and(|h| contact.get(h.0 as usize) == Some(&true))
+    /// Whether it is usable and its holder is in contact.
+    pub(super) fn is_reachable(&self, contact: &[bool]) -> bool {
+        self.is_usable() && self.holder.is_some_and(|h| contact.get(h.0 as usize) == Some(&true))
     }
-    /// The job that room is gathered for here.
-    pub(super) fn gathers_for(&self, now: Micros) -> Option<JobId> {
-        self.gathers.filter(|(_, until)| now < *until).map(|(job, _)| job)
+    /// The job that free capacity is accumulated for on it now.
+    pub(super) fn accumulating_job(&self, now: Micros) -> Option<JobId> {
+        self.accumulates_for.filter(|(_, until)| now < *until).map(|(job, _)| job)
     }
-    pub(super) fn empty(&self) -> bool {
+    pub(super) fn is_empty(&self) -> bool {
         self.tasks.is_empty() && self.reserved.is_empty()
     }
-    pub(super) fn usable(&self) -> bool {
+    pub(super) fn is_usable(&self) -> bool {
         self.stage == Stage::Up
             && self.recorded
             && self.confirmed
             && self.draining.is_none()
-            && self.hearing.acknowledges_commands
-            && self.warning.is_none()
+            && self.command_reachability.acknowledges_commands
+            && self.preemption_at.is_none()
     }
 }
--- a/crates/core/src/leader/messages.rs
+++ b/crates/core/src/leader/messages.rs
@@ -1,39 +1,39 @@
-//! What the leader tells the controllers. Invariant: an update holds everything that
-//! changed since the one that it names as its base, and no hand-out that a witness may
-//! not know of.
+//! Updates and probe requests from the leader to the controllers. Invariant: an update
+//! contains everything that changed since the one that it names as its base, and no
+//! assignment that a replica of the placement log may lack.
 use super::*;
 
-/// A hand-out that had no outcome for so long is sent again.
-const HAND_OUT_AGAIN: Micros = Micros::millis(250);
+/// An assignment without an outcome is sent again after this.
+const ASSIGNMENT_RETRY_INTERVAL: Micros = Micros::millis(250);
 
-/// Orders go to a controller this often, if it keeps up.
-const NEWS_INTERVAL: Micros = Micros::millis(15);
-/// What it told is acknowledged this often.
+/// Minimum interval between updates with changes to a controller that keeps up.
+const CHANGE_INTERVAL: Micros = Micros::millis(15);
+/// Minimum interval between updates that only acknowledge a controller's `Sync`.
 const ACKNOWLEDGEMENT_INTERVAL: Micros = Micros::millis(100);
-/// It is told who leads this often.
+/// Interval between updates without content, which show the controller who leads.
 const IDLE_INTERVAL: Micros = Micros::millis(500);
 
 impl Leader {
     /// Messages that are due.
-    pub fn messages(&mut self, now: Micros, lease_ok: bool) -> Vec<(NodeId, Message)> {
+    pub fn due_messages(&mut self, now: Micros, lease_ok: bool) -> Vec<(NodeId, Message)> {
         let mut out = Vec::new();
         for (n, id, addr) in std::mem::take(&mut self.probes) {
             out.push((n, Message::Probe { id, addr }));
         }
-        if !self.granted {
+        if !self.grants_started {
             return out;
         }
         if lease_ok {
-            out.extend(self.books_messages(now));
+            out.extend(self.log_messages(now));
         }
         for i in 0..self.nodes.len() {
             let to = NodeId(i as u8);
             let n = &self.nodes[i];
-            if n.incarnation == 0 || n.heard.is_none_or(|t| now.since(t) > Micros::secs(5)) {
+            if n.incarnation == 0 || n.last_contact.is_none_or(|t| now.since(t) > Micros::secs(5)) {
                 continue;
             }
-            let interval = match (n.dirty, n.owed) {
-                (true, _) => NEWS_INTERVAL,
+            let interval = match (n.update_due, n.ack_due) {
+                (true, _) => CHANGE_INTERVAL,
                 (false, true) => ACKNOWLEDGEMENT_INTERVAL,
                 (false, false) => IDLE_INTERVAL,
             };
@@ -46,53 +46,55 @@
         out
     }
 
-    /// What a controller has not acknowledged of the leader's orders.
+    /// The update with everything that a controller has not acknowledged.
     pub(super) fn update(&mut self, to: NodeId, now: Micros, lease_ok: bool) -> Message {
-        if now.since(self.counted) >= Micros::millis(300) {
-            self.counted = now;
+        if now.since(self.running_counted_at) >= Micros::millis(300) {
+            self.running_counted_at = now;
             self.count_running();
         }
-        self.version += 1;
-        let seq = self.version;
+        self.update_seq += 1;
+        let seq = self.update_seq;
         let node = &mut self.nodes[to.0 as usize];
         node.pacer.sent(seq, now);
-        node.dirty = false;
-        node.owed = false;
-        let base = if node.seen < self.forgotten { 0 } else { node.seen };
-        let (incarnation, ack) = (node.incarnation, node.sync_seq);
+        node.update_due = false;
+        node.ack_due = false;
+        let base = if node.acked_update < self.min_update_base { 0 } else { node.acked_update };
+        let (incarnation, acked_sync) = (node.incarnation, node.sync_seq);
         let mut block = Vec::new();
-        let mut elsewhere = Vec::new();
-        for (id, m) in self.machines.iter().filter(|(_, m)| base == 0 || m.stamp > base) {
+        let mut not_in_block = Vec::new();
+        for (id, m) in self.machines.iter().filter(|(_, m)| base == 0 || m.changed_in > base) {
             if m.holder == Some(to) {
                 let draining = m.draining.is_some() || m.stage == Stage::Deleting;
                 block.push(GrantedMachine {
                     id: id.clone(),
-                    fencing_token: m.baton,
+                    fencing_token: m.fencing_token,
                     addr: m.addr.clone(),
                     draining,
                 });
             } else {
-                elsewhere.push((id.clone(), m.holder));
+                not_in_block.push((id.clone(), m.holder));
             }
         }
-        let gone = self.gone.iter().filter(|(_, (_, stamp))| base > 0 && *stamp > base);
-        elsewhere.extend(gone.map(|(id, _)| (id.clone(), None)));
+        let deleted = self.deleted_machines.iter().filter(|(_, (_, stamp))| base > 0 && *stamp > base);
+        not_in_block.extend(deleted.map(|(id, _)| (id.clone(), None)));
         let held = |id: &MachineId| self.machines.get(id).is_some_and(|m| m.holder == Some(to));
-        // Without a confirmed lease nothing is handed out or renewed.
-        // Nor is anything that a witness may not know of.
-        let covered = self.books.covered().unwrap_or(0);
-        // One that may have been lost goes again; not with every update, which comes
-        // many times before the outcome does.
-        let due = |h: &&mut OnItsWay| {
-            h.to == to && h.covered_by <= covered && h.sent.is_none_or(|t| now.since(t) >= HAND_OUT_AGAIN)
+        // Without a confirmed lease no task is assigned and no block lease renewed. Nor is an
+        // assignment sent that a replica may lack.
+        let covered = self.placement_log.covered().unwrap_or(0);
+        // An assignment that may be lost is sent again, but not with every update: many
+        // updates leave before its outcome arrives.
+        let due = |h: &&mut PendingAssignment| {
+            h.to == to
+                && h.log_seq <= covered
+                && h.sent.is_none_or(|t| now.since(t) >= ASSIGNMENT_RETRY_INTERVAL)
         };
-        let mut open: Vec<(Assignment, u64)> = Vec::new();
-        for h in self.handouts.values_mut().filter(|_| lease_ok).filter(due) {
+        let mut assignments: Vec<(Assignment, u64)> = Vec::new();
+        for h in self.pending_assignments.values_mut().filter(|_| lease_ok).filter(due) {
             h.sent = Some(now);
-            open.push((h.out.clone(), h.covered_by));
+            assignments.push((h.assignment.clone(), h.log_seq));
         }
-        if let Some(at) = open.iter().map(|(_, at)| *at).max() {
-            self.books.release(at);
+        if let Some(at) = assignments.iter().map(|(_, at)| *at).max() {
+            self.placement_log.mark_released(at);
         }
         let running = self.jobs.iter().filter(|(_, r)| r.reported_running.1 > base);
         Message::Update {
@@ -100,34 +102,39 @@
             seq,
             base,
             incarnation,
-            acked_sync: ack,
-            lease: if lease_ok { self.ctx.operator.block_lease } else { Micros(0) },
+            acked_sync,
+            lease: if lease_ok { self.config.operator.block_lease } else { Micros(0) },
             block,
-            not_in_block: elsewhere,
-            assignments: open.into_iter().map(|(h, _)| h).collect(),
-            stops: self.stops.values().filter(|(r, _)| held(&r.machine)).map(|(r, _)| r.clone()).collect(),
+            not_in_block,
+            assignments: assignments.into_iter().map(|(h, _)| h).collect(),
+            stops: self
+                .pending_stops
+                .values()
+                .filter(|(r, _)| held(&r.machine))
+                .map(|(r, _)| r.clone())
+                .collect(),
             running: running.map(|(id, r)| (*id, r.reported_running.0)).collect(),
         }
     }
 
-    /// Numbers of running tasks, for display.
+    /// Counts each job's running tasks, for display.
     pub(super) fn count_running(&mut self) {
         for r in self.jobs.values_mut() {
             let n = r.bound.keys().filter(|i| !r.done.contains(**i)).count() as u32;
             if n != r.reported_running.0 {
-                r.reported_running = (n, self.version + 1);
+                r.reported_running = (n, self.update_seq + 1);
             }
         }
     }
 
-    /// What controllers are told of a machine changed.
-    pub(super) fn tell(&mut self, id: &MachineId) {
-        let stamp = self.version + 1;
+    /// Marks that a machine changed in a way that controllers have to be notified of.
+    pub(super) fn mark_changed(&mut self, id: &MachineId) {
+        let stamp = self.update_seq + 1;
         self.blocks.clear();
         if let Some(m) = self.machines.get_mut(id) {
-            m.stamp = stamp;
+            m.changed_in = stamp;
             if let Some(n) = m.holder.and_then(|h| self.nodes.get_mut(h.0 as usize)) {
-                n.dirty = true;
+                n.update_due = true;
             }
         }
     }
--- a/crates/core/src/leader/schedule.rs
+++ b/crates/core/src/leader/schedule.rs
@@ -1,6 +1,6 @@
 //! The scheduling pass: decides which task starts next and on which machine, by start-time
 //! fair queueing (SFQ), team limits, placement and preemption.
-use super::assignments::{Handed, first_watched};
+use super::assignments::{UnresolvedAssignment, first_candidate};
 use super::*;
 
 /// Sum of the resources that a machine's tasks take. A task whose job is not known counts as
@@ -9,7 +9,7 @@
     let mut sum = Resources::default();
     for t in m.tasks.keys() {
         match jobs.get(&t.job) {
-            Some(r) => sum = sum.plus(r.spec.task_resources),
+            Some(r) => sum = sum.plus(r.spec.need),
             None => return m.size,
         }
     }
@@ -83,20 +83,20 @@
     /// Recomputes the usage of machines whose tasks changed.
     pub(super) fn refresh_usage(&mut self) {
         let jobs = &self.jobs;
-        for m in self.machines.values_mut().filter(|m| m.stale) {
-            m.stale = false;
+        for m in self.machines.values_mut().filter(|m| m.used_stale) {
+            m.used_stale = false;
             m.used = used_resources(m, jobs);
         }
     }
 
     /// CPUs and GPUs of a team's bound tasks, on whichever machine they may be.
     pub(super) fn team_usage(&self, team: &str) -> (u64, u64) {
-        self.sums.teams.get(team).copied().unwrap_or_default()
+        self.bound_totals.teams.get(team).copied().unwrap_or_default()
     }
 
     /// Whether one more task of the job would exceed its team's limit.
     pub(super) fn exceeds_team_limit(&self, spec: &JobSpec) -> bool {
-        let Some(team) = self.ctx.teams.iter().find(|t| t.name == spec.team) else { return true };
+        let Some(team) = self.config.teams.iter().find(|t| t.name == spec.team) else { return true };
         if team.cpus_max == 0.0 && team.gpus_max == 0.0 {
             return false;
         }
@@ -113,14 +113,14 @@
     /// Whether some machine has had no contact in this term. Once all have had contact, this
     /// stays false for the rest of the term.
     fn has_unconfirmed_machines(&self) -> bool {
-        self.waiting.has_unconfirmed_machines && self.machines.values().any(|m| m.unknown)
+        self.pending_jobs.has_unconfirmed_machines && self.machines.values().any(|m| m.tasks_unknown)
     }
 
     /// Whether a machine without contact in this term may hold a task of the job.
     pub(super) fn may_run_on_unconfirmed_machine(&self, run: &JobRun) -> bool {
-        run.stamp <= self.began_stamp
-            && self.waiting.has_unconfirmed_machines
-            && self.machines.values().any(|m| m.unknown && m.suits(&run.spec))
+        run.stamp <= self.leader_key_revision
+            && self.pending_jobs.has_unconfirmed_machines
+            && self.machines.values().any(|m| m.tasks_unknown && m.suits(&run.spec))
     }
 
     /// Bound tasks by zone, for a job with a zone rule; empty for any other.
@@ -148,27 +148,27 @@
 
     /// The time of day in milliseconds, computed from the monotonic clock.
     pub(super) fn wall_ms(&self, now: Micros) -> u64 {
-        self.began_ms + now.since(self.began).0 / 1000
+        self.term_start_wall_ms + now.since(self.term_start).0 / 1000
     }
 
     /// Assigns every task that can start: first the tasks within their teams' guarantees, then
     /// by priority, and within a priority by the smallest eligible start tag.
     pub(super) fn schedule(&mut self, now: Micros) {
         self.refresh_usage();
-        let fresh =
-            now.since(self.waiting.built_at) < QUEUE_MAX_AGE && !self.waiting.has_unconfirmed_machines;
-        if self.requeue || !fresh || self.waiting.next_retry.is_some_and(|t| now >= t) {
-            self.requeue = false;
-            self.waiting = self.build_pending_jobs(now);
+        let fresh = now.since(self.pending_jobs.built_at) < QUEUE_MAX_AGE
+            && !self.pending_jobs.has_unconfirmed_machines;
+        if self.queue_stale || !fresh || self.pending_jobs.next_retry.is_some_and(|t| now >= t) {
+            self.queue_stale = false;
+            self.pending_jobs = self.build_pending_jobs(now);
         }
         // Jobs that wait only for a delay need another pass when it has passed.
-        self.dirty |= self.waiting.next_retry.is_some();
-        if self.waiting.by_priority.is_empty() {
+        self.needs_scheduling |= self.pending_jobs.next_retry.is_some();
+        if self.pending_jobs.by_priority.is_empty() {
             return;
         }
         self.refresh_capacity_index(now);
         self.serve_starved(now);
-        let borrowing = self.ctx.teams.iter().any(|t| t.cpus > 0.0 || t.gpus > 0.0);
+        let borrowing = self.config.teams.iter().any(|t| t.cpus > 0.0 || t.gpus > 0.0);
         for guaranteed in [true, false].into_iter().filter(|g| borrowing || !g) {
             let mut pass = Pass { guaranteed, preemption: PreemptionCandidates::default(), now };
             for priority in PRIORITIES {
@@ -179,7 +179,7 @@
 
     /// Array tasks that are on machines or assigned.
     pub fn active_array_tasks(&self) -> u64 {
-        self.sums.arrays
+        self.bound_totals.arrays
     }
 
     /// Collects and sorts the jobs that have a task to start.
@@ -220,7 +220,7 @@
                     false => starved.push((run.ready_ms, id)),
                 }
             }
-            let (priority, cpu) = (run.urgency.priority, run.spec.task_resources.cpu);
+            let (priority, cpu) = (run.urgency.priority, run.spec.need.cpu);
             let least = waiting.min_cpu.entry(priority).or_insert(cpu);
             *least = cpu.min(*least);
             let teams = by_priority.entry(priority).or_default();
@@ -248,16 +248,16 @@
 
     /// A team's weight in the queues.
     pub(super) fn weight(&self, team: &str) -> f64 {
-        self.ctx.operator.team_weights.get(team).copied().unwrap_or(1.0)
+        self.config.operator.team_weights.get(team).copied().unwrap_or(1.0)
     }
 
     /// Serves the pending jobs of one priority, the team with the smallest start tag first.
     fn serve_priority(&mut self, priority: Priority, pass: &mut Pass) {
-        let teams = self.waiting.by_priority.get(&priority).cloned().unwrap_or_default();
-        let least = self.waiting.min_cpu.get(&priority).copied().unwrap_or(0);
+        let teams = self.pending_jobs.by_priority.get(&priority).cloned().unwrap_or_default();
+        let least = self.pending_jobs.min_cpu.get(&priority).copied().unwrap_or(0);
         let mut queue = self.queues.remove(&priority).unwrap_or_default();
-        let cost = self.ctx.operator.task_cost;
-        for t in &self.ctx.teams {
+        let cost = self.config.operator.task_cost;
+        for t in &self.config.teams {
             queue.set_waiting(&t.name, teams.contains_key(&t.name), cost, self.weight(&t.name));
         }
         let mut next: BTreeMap<&str, usize> = BTreeMap::new();
@@ -278,7 +278,7 @@
                 *position += 1;
                 // If neither free CPUs nor preemption can fit the smallest pending task, the
                 // other jobs need no scan.
-                if !(self.rooms.any_with_cpu(least) || preempts && pass.preemption.may_fit(&need)) {
+                if !(self.capacity_index.any_with_cpu(least) || preempts && pass.preemption.may_fit(&need)) {
                     break 'priority;
                 }
             }
@@ -298,12 +298,13 @@
         let Some(index) = run.next_pending() else { return false };
         let may_preempt = (pass.guaranteed || run.urgency.priority == Priority::Production)
             && now >= run.preempt_not_before;
-        let need = run.spec.task_resources;
-        if !(self.rooms.any_with_cpu(need.cpu) || may_preempt && pass.preemption.may_fit(&need)) {
+        let need = run.spec.need;
+        if !(self.capacity_index.any_with_cpu(need.cpu) || may_preempt && pass.preemption.may_fit(&need)) {
             return false;
         }
         let Some(run) = self.jobs.get(&id) else { return false };
-        let at_limit = self.handouts.len() >= MAX_UNRESOLVED_ASSIGNMENTS && run.spec.kind == Kind::Array;
+        let at_limit =
+            self.pending_assignments.len() >= MAX_UNRESOLVED_ASSIGNMENTS && run.spec.kind == Kind::Array;
         if at_limit
             || run.is_throttled()
             || self.exceeds_team_limit(&run.spec)
@@ -324,7 +325,7 @@
                         now
                     });
                 }
-                self.dirty = true;
+                self.needs_scheduling = true;
                 false
             }
             Some(machine) => {
@@ -332,7 +333,7 @@
                 true
             }
             None if may_preempt && pass.preemption.scanned >= MAX_SCANNED_MACHINES => {
-                self.dirty = true;
+                self.needs_scheduling = true;
                 false
             }
             None if may_preempt => {
@@ -355,7 +356,7 @@
 
     /// Whether one more task of the job fits into its team's guarantee.
     fn within_guarantee(&self, spec: &JobSpec) -> bool {
-        let Some(team) = self.ctx.teams.iter().find(|t| t.name == spec.team) else { return false };
+        let Some(team) = self.config.teams.iter().find(|t| t.name == spec.team) else { return false };
         let (c, g) = self.team_usage(&spec.team);
         let own = Resources::capacity(team.cpus, team.gpus, 0.0);
         (c + spec.task_resources.cpu <= own.cpu || spec.task_resources.cpu == 0)
@@ -364,7 +365,7 @@
 
     /// CPUs and GPUs that teams use beyond their guarantee.
     fn borrowed(&self) -> BTreeMap<String, (u64, u64)> {
-        let teams = self.ctx.teams.iter().map(|t| {
+        let teams = self.config.teams.iter().map(|t| {
             let (c, g) = self.team_usage(&t.name);
             let own = Resources::capacity(t.cpus, t.gpus, 0.0);
             (t.name.clone(), (c.saturating_sub(own.cpu), g.saturating_sub(own.gpu)))
@@ -375,7 +376,7 @@
     /// Assigns a task: binds it to the machines of the controller that holds `hint`, and
     /// reserves its resources on `hint`.
     pub(super) fn assign(&mut self, task: TaskId, hint: MachineId) {
-        let attempt = Attempt(self.draw());
+        let attempt = Attempt(self.next_token());
         let Some(m) = self.machines.get(&hint) else { return };
         let (Some(node), zone) = (m.holder, m.zone.clone()) else { return };
         let Some(run) = self.jobs.get_mut(&task.job) else { return };
@@ -394,12 +395,18 @@
         let fixed = run.spec.has_zone_constraint();
         let out =
             Assignment { task, attempt, zone: fixed.then(|| zone.clone()), preferred_machine: hint.clone() };
-        let need = run.spec.task_resources;
+        let need = run.spec.need;
         run.requeued.remove(&task.index);
-        self.sums.bound(&run.spec);
-        let watched = first_watched(&machines, &run.spec, attempt, &self.machines);
-        self.handed.watch(task, watched.as_ref());
-        let assignment = Handed { incarnation, machines, hint: hint.clone(), zone, watched };
+        self.bound_totals.add(&run.spec);
+        let watched = first_candidate(&machines, &run.spec, attempt, &self.machines);
+        self.unresolved_tasks.watch(task, watched.as_ref());
+        let assignment = UnresolvedAssignment {
+            incarnation,
+            candidates: machines,
+            preferred_machine: hint.clone(),
+            zone,
+            watched_at: watched,
+        };
         let binding =
             Binding { attempt, unresolved_assignment: Some(assignment), reported_on: BTreeSet::new() };
         let bound_before = run.bound.insert(task.index, binding);
@@ -411,12 +418,13 @@
             m.reserved.insert(attempt, need);
             m.images.insert(run.spec.image.clone());
             m.idle_since = None;
-            self.rooms.update(&hint, m, true);
+            self.capacity_index.update(&hint, m, true);
         }
-        let at = self.books.hand_out(task);
-        self.handouts.insert(attempt, OnItsWay { to: node, out, covered_by: at, sent: None });
+        let at = self.placement_log.record_assignment(task);
+        self.pending_assignments
+            .insert(attempt, PendingAssignment { to: node, assignment: out, log_seq: at, sent: None });
         if let Some(n) = self.nodes.get_mut(node.0 as usize) {
-            n.dirty = true;
+            n.update_due = true;
         }
     }
 
@@ -425,7 +433,7 @@
     pub(super) fn should_wait_for_image(&self, id: JobId, found: &MachineId, now: Micros) -> bool {
         let Some(run) = self.jobs.get(&id) else { return false };
         run.spec.kind == Kind::Service
-            && run.spec.priority == Priority::Production
+            && run.spec.rank == Priority::Production
             && run.image_wait_until.is_none_or(|until| now < until)
             && self.machines.get(found).is_some_and(|m| !m.images.contains(&run.spec.image))
             && self.machines.values().any(|m| m.images.contains(&run.spec.image))
@@ -452,18 +460,18 @@
         else {
             return None;
         };
-        if !max_capacity.fits(&spec.task_resources) {
+        if !max_capacity.fits(&spec.need) {
             return None;
         }
         let borrowed = if guaranteed { self.borrowed() } else { BTreeMap::new() };
         let mut best: Option<(u64, MachineId, Vec<(TaskId, Attempt)>, u32)> = None;
-        for (machine_id, _) in candidates.iter().filter(|(_, capacity)| capacity.fits(&spec.task_resources)) {
+        for (machine_id, _) in candidates.iter().filter(|(_, capacity)| capacity.fits(&spec.need)) {
             *scanned += 1;
             let Some(m) = self.machines.get(machine_id) else { continue };
             if image && !m.images.contains(&spec.image)
                 || !m.suits(&spec)
                 || !fleet::zone_allows_task(&spec, &m.zone, zones)
-                || m.kept_for.is_some_and(|(_, until)| now < until)
+                || m.reserved_priority.is_some_and(|(_, until)| now < until)
             {
                 continue;
             }
@@ -486,27 +494,27 @@
             let mut free = m.free();
             let (mut lost, mut chosen) = (0, Vec::new());
             for (_, ran, t, a) in victims {
-                if free.fits(&spec.task_resources) {
+                if free.fits(&spec.need) {
                     break;
                 }
                 let Some(r) = self.jobs.get(&t.job) else { continue };
                 let lower = r.urgency.priority < priority;
                 let reclaims = r.spec.team != spec.team
-                    && reclaimable.get(&r.spec.team).is_some_and(|(c, g)| {
-                        r.spec.task_resources.cpu <= *c && r.spec.task_resources.gpu <= *g
-                    });
+                    && reclaimable
+                        .get(&r.spec.team)
+                        .is_some_and(|(c, g)| r.spec.need.cpu <= *c && r.spec.need.gpu <= *g);
                 if !lower && !reclaims {
                     continue;
                 }
                 if let Some((c, g)) = reclaimable.get_mut(&r.spec.team) {
-                    *c = c.saturating_sub(r.spec.task_resources.cpu);
-                    *g = g.saturating_sub(r.spec.task_resources.gpu);
+                    *c = c.saturating_sub(r.spec.need.cpu);
+                    *g = g.saturating_sub(r.spec.need.gpu);
                 }
-                free = free.plus(r.spec.task_resources);
+                free = free.plus(r.spec.need);
                 lost += ran + 1;
                 chosen.push((t, a));
             }
-            let fitting = free.max_copies(&spec.task_resources, 1000) as u32;
+            let fitting = free.max_copies(&spec.need, 1000) as u32;
             if fitting > 0 && !chosen.is_empty() && best.as_ref().is_none_or(|(l, ..)| lost < *l) {
                 best = Some((lost, machine_id.clone(), chosen, fitting));
             }
@@ -517,7 +525,7 @@
             self.request_stop(*task, *attempt, &machine_id, Micros(0), now);
         }
         let m = self.machines.get_mut(&machine_id)?;
-        m.kept_for = Some((priority, now + Micros::secs(2)));
+        m.reserved_priority = Some((priority, now + Micros::secs(2)));
         let here = zones.get(&m.zone).copied().unwrap_or(0);
         Some((m.zone.clone(), fitting.min(spec.max_tasks_per_zone().saturating_sub(here)).max(1)))
     }
@@ -525,16 +533,16 @@
     /// Machines with tasks that replicas, or a team within its guarantee, may preempt, and the
     /// maximum capacity that this would free.
     fn preemption_candidates(&self, guaranteed: bool, now: Micros) -> PreemptionCandidates {
-        let contact = self.contacts(now);
+        let contact = self.controllers_in_contact(now);
         let mut l = PreemptionCandidates::default();
         let mut machines = Vec::new();
-        for (id, m) in self.machines.iter().filter(|(_, m)| m.in_reach(&contact)) {
+        for (id, m) in self.machines.iter().filter(|(_, m)| m.is_reachable(&contact)) {
             let mut capacity = m.free();
             let mut preemptible = false;
             for (t, _) in m.tasks.iter().filter(|(_, (_, s))| *s != TaskState::Starting) {
                 let Some(r) = self.jobs.get(&t.job) else { continue };
                 if guaranteed || r.urgency.priority < Priority::Production {
-                    capacity = capacity.plus(r.spec.task_resources);
+                    capacity = capacity.plus(r.spec.need);
                     preemptible = true;
                 }
             }
@@ -559,11 +567,11 @@
         now: Micros,
     ) {
         let req = StopRequest { task, attempt, machine: machine.clone(), grace };
-        self.stops.insert((task, attempt), (req, now));
+        self.pending_stops.insert((task, attempt), (req, now));
         if let Some(h) = self.machines.get(machine).and_then(|m| m.holder)
             && let Some(n) = self.nodes.get_mut(h.0 as usize)
         {
-            n.dirty = true;
+            n.update_due = true;
         }
     }
 }
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -28,16 +28,16 @@
 use replica_sync::{ReadProgress, ReplicaSync};
 use status::{Gauges, RefusalReason, ServiceStatus};
 
-use crate::books::{Book, Kept};
 use crate::cancellation_enforcer::CancellationEnforcer;
 use crate::controller::{Controller, HeartbeatReply, parse_tasks};
 use crate::election::Role;
 use crate::extension::{Extension, ExtensionContext, ExtensionInput, ExtensionOutput, OperationId};
 use crate::jobs::{self, Change, LeaderRecord, MachineRecord, Phase, StateReplica, keys};
-use crate::leader::{CloudRequest, Context, Leader, LeaderWrite, ScaleOutRequest, View};
+use crate::leader::{CloudRequest, Leader, LeaderConfig, LeaderWrite, ScaleOutRequest, SyncView};
 use crate::limits::StoreLimits;
 use crate::liveness::LivenessMonitor;
 use crate::peer::{Envelope, Message, UnleasedReport};
+use crate::placement_log::{LogReplica, LogReplicas};
 use crate::{Call, CallId, CallResult, Input, Outbox, Output, RequestId, Target};
 use gorseshore_protocol::cloud::{Flavors, MachineNames, Rentals};
 use gorseshore_protocol::ids::{
@@ -45,7 +45,7 @@
 };
 use gorseshore_protocol::job::JobSpec;
 use gorseshore_protocol::state::{
-    LeaseGrant, Listing, Precondition, Transaction, TransactionResponse, WatchResponse, Write,
+    LeaseGrant, Listing, News, Precondition, Transaction, TransactionResponse, Write,
 };
 use gorseshore_protocol::users;
 use gorseshore_protocol::workers::{Command, HeartbeatResponse, HeartbeatSeq, Report};
@@ -128,7 +128,7 @@
     members: ClusterMembers,
     operator: Operator,
     teams: Vec<Team>,
-    leader_config: Context,
+    leader_config: LeaderConfig,
     limits: StoreLimits,
     now: Micros,
     /// When this process started, and when it could last learn of new cancellations.
@@ -152,7 +152,7 @@
     deferred_heartbeats: DeferredHeartbeats,
     controller: Controller,
     /// Leaders' placement logs of which this node is a standby replica.
-    log_replicas: Kept,
+    log_replicas: LogReplicas,
     enforcer: CancellationEnforcer,
     liveness: LivenessMonitor,
     liveness_logged_at: Micros,
@@ -169,16 +169,16 @@
         let members = ClusterMembers::new(p);
         let d = &p.deployment;
         let n = members.names.len() as f64;
-        let leader_config = Context {
-            me: members.own_id,
+        let leader_config = LeaderConfig {
+            node_id: members.own_id,
             names: members.names.clone(),
             zones: members.zones.clone(),
             operator: operator.clone(),
             teams: d.teams.clone(),
             objectives: d.objectives.clone(),
-            lease: Micros::from_secs_f64(d.workers.lease_s),
-            report: Micros::from_secs_f64(d.workers.report_s),
-            cancel: Micros::from_secs_f64(d.workers.cancel_s),
+            worker_lease: Micros::from_secs_f64(d.workers.lease_s),
+            report_interval: Micros::from_secs_f64(d.workers.report_s),
+            cancel_timeout: Micros::from_secs_f64(d.workers.cancel_s),
             list_lag: Micros::from_secs_f64(d.cloud.list_lag_s),
             cloud_rps: d.cloud.rps,
         };
@@ -206,7 +206,7 @@
             catalogue: Catalogue::new(d.cloud.rps, now),
             deferred_heartbeats: DeferredHeartbeats::default(),
             controller: Controller::default(),
-            log_replicas: Kept::default(),
+            log_replicas: LogReplicas::default(),
             enforcer: CancellationEnforcer::new(incarnation),
             liveness: LivenessMonitor::new(
                 &p.domain,
@@ -298,7 +298,7 @@
 
     /// For tests: compares the sums that are updated incrementally with a recount.
     pub fn check_aggregates(&self) -> Result<(), String> {
-        self.leadership.leader.as_ref().map_or(Ok(()), Leader::check_sums)
+        self.leadership.leader.as_ref().map_or(Ok(()), Leader::check_totals)
     }
 
     fn call_completed(&mut self, id: CallId, result: CallResult) {
@@ -329,19 +329,18 @@
             CallPurpose::Watch => {
                 self.replica_sync.watch_in_flight = false;
                 match result {
-                    CallResult::Response { status: 200, body } => {
-                        match serde_json::from_slice::<WatchResponse>(&body) {
-                            Ok(n) => {
-                                self.replica_sync.last_success = Some(self.now);
-                                self.status.caught_up(self.now);
-                                self.apply_events(n);
-                            }
-                            Err(e) => {
-                                warn!("invalid watch response: {e}");
-                                self.replica_sync.next_watch_at = self.now + Micros::millis(500);
-                            }
+                    CallResult::Response { status: 200, body } => match serde_json::from_slice::<News>(&body)
+                    {
+                        Ok(n) => {
+                            self.replica_sync.last_success = Some(self.now);
+                            self.status.caught_up(self.now);
+                            self.apply_events(n);
                         }
-                    }
+                        Err(e) => {
+                            warn!("invalid watch response: {e}");
+                            self.replica_sync.next_watch_at = self.now + Micros::millis(500);
+                        }
+                    },
                     CallResult::Response { status: 410, .. } => {
                         info!(
                             "watch expired revision={}: reading the state from the start",
@@ -389,7 +388,7 @@
                                 Write::Put {
                                     key: keys::STANDBY_REPLICAS.into(),
                                     value: json!(
-                                        self.replica_sync.replica.standby_replicas.0.taken_over(term + 1)
+                                        self.replica_sync.replica.standby_replicas.0.for_new_term(term + 1)
                                     ),
                                     lease: None,
                                 },
@@ -449,7 +448,7 @@
             CallPurpose::LeaderWrites(term, w) => self.leader_writes_completed(term, w, &result),
             CallPurpose::StandbyRecord(term) => {
                 if let Some(l) = self.leadership.leader.as_mut().filter(|l| l.term == term) {
-                    l.books_record_ended();
+                    l.replica_record_write_ended();
                 }
             }
             CallPurpose::Cloud(term, w) => self.cloud_call_completed(term, w, &result),
@@ -563,7 +562,7 @@
     fn read_barrier_completed(&mut self, waiting: Vec<(Waiter, Micros)>, result: CallResult) {
         self.pending.barrier_in_flight = false;
         self.status.read_barrier_completed(&result, self.now);
-        let response: Option<WatchResponse> = match &result {
+        let response: Option<News> = match &result {
             CallResult::Response { status: 200, body } => serde_json::from_slice(body).ok(),
             CallResult::Response { status: 410, .. } => {
                 info!(
--- a/crates/core/tests/record_compatibility.rs
+++ b/crates/core/tests/record_compatibility.rs
@@ -5,12 +5,12 @@
 mod production;
 
 use data_encoding::BASE64;
-use gorseshore_core::books::Witnesses;
 use gorseshore_core::jobs::{
     Failures, Phase, StateReplica, TaskSet, job_value, keys, machines_value, parse_job_spec,
 };
 use gorseshore_core::node::Node;
 use gorseshore_core::peer::{Envelope, Message};
+use gorseshore_core::placement_log::StandbyReplicas;
 use gorseshore_core::{Call, CallResult, Input, Output, Target};
 use gorseshore_protocol::ids::{JobId, MachineId, Micros, NodeId};
 use gorseshore_protocol::job::{JobSpec, Kind, Priority};
@@ -281,8 +281,11 @@
     let (leader, revision) = replica.leader.clone().expect("leader");
     assert_eq!((leader.node.as_str(), leader.term, leader.lease, revision), ("n1", 7, 42, 10));
     assert_eq!(replica.term, (7, 11));
-    let standby_replicas =
-        Witnesses { term: 6, led: 7, nodes: vec![("n0".into(), 451_737_600_031_523), ("n2".into(), 9)] };
+    let standby_replicas = StandbyReplicas {
+        term: 6,
+        led: 7,
+        nodes: vec![("n0".into(), 451_737_600_031_523), ("n2".into(), 9)],
+    };
     assert_eq!(replica.standby_replicas, (standby_replicas.clone(), 12));
 
     // (key, value written now, record that production reads)
@@ -295,12 +298,12 @@
         ),
         (
             "g/books",
-            json!(standby_replicas.taken_over(8)),
+            json!(standby_replicas.for_new_term(8)),
             Record::PlacementReplicas { term: 6, led: 8, nodes: standby_replicas.nodes.clone() },
         ),
         (
             "g/books",
-            json!(standby_replicas.taken_over(9)),
+            json!(standby_replicas.for_new_term(9)),
             Record::PlacementReplicas { term: 0, led: 9, nodes: vec![] },
         ),
         ("g/term", json!(8), Record::Term(8)),
--- a/crates/core/tests/wire_compatibility.rs
+++ b/crates/core/tests/wire_compatibility.rs
@@ -7,12 +7,12 @@
 //! production doesn't know may be sent only to processes that have announced that
 //! they know it (`docs/operations.md`).
 use data_encoding::HEXLOWER;
-use gorseshore_core::books::{Entry, Page};
 use gorseshore_core::peer::{
     Assignment, AssignmentOutcome, Cancellation, Envelope, FRAME_HEADER_LEN, FrameError, GrantedMachine,
     MAX_FRAME_BYTES, MachineState, Message, PROTOCOL_VERSION, StopRequest, TaskState, TaskStatus,
     UnleasedReport, decode_body, decode_header, encode_frame,
 };
+use gorseshore_core::placement_log::{Entry, Page};
 use gorseshore_protocol::ids::{Attempt, FencingToken, JobId, MachineId, Micros, NodeId, TaskId};
 use gorseshore_protocol::workers::HeartbeatSeq;
 
--- a/crates/standins/src/scale.rs
+++ b/crates/standins/src/scale.rs
@@ -4,11 +4,11 @@
 //! no time and are not encoded. What is measured is their processing only.
 use crate::cloud::flavor;
 use crate::worker::{Facts, Machine};
-use gorseshore_core::books::Kept;
 use gorseshore_core::controller::{Controller, HeartbeatReply, MachineSizes, parse_tasks};
 use gorseshore_core::jobs::{StateReplica, job_value, keys, machines_value};
-use gorseshore_core::leader::{Context, Leader, View};
+use gorseshore_core::leader::{Leader, LeaderConfig, SyncView};
 use gorseshore_core::peer::Message;
+use gorseshore_core::placement_log::LogReplicas;
 use gorseshore_protocol::ids::{JobId, MachineId, Micros, NodeId, Resources, TaskId};
 use gorseshore_protocol::users::parse_submission;
 use gorseshore_settings::{Operator, Team};
@@ -76,31 +76,31 @@
     sizes: MachineSizes,
     leader: Leader,
     controllers: Vec<Controller>,
-    kept: Kept,
+    kept: LogReplicas,
     workers: Vec<Machine>,
     now: Micros,
     stamp: u64,
     jobs: u64,
 }
 
-fn context(controllers: usize) -> Context {
-    Context {
-        me: NodeId(0),
+fn context(controllers: usize) -> LeaderConfig {
+    LeaderConfig {
+        node_id: NodeId(0),
         names: (0..controllers).map(|i| format!("n{i}")).collect(),
         zones: (0..controllers).map(|i| ZONES[i % 3].to_owned()).collect(),
         operator: Operator { block_size: 100_000, max_machines: 100_000, ..Operator::default() },
         teams: vec![Team { name: "t".into(), cpus: 0.0, cpus_max: 0.0, gpus: 0.0, gpus_max: 0.0 }],
         objectives: Vec::new(),
-        lease: Micros::secs(26),
-        report: Micros::secs(5),
-        cancel: Micros::secs(46),
+        worker_lease: Micros::secs(26),
+        report_interval: Micros::secs(5),
+        cancel_timeout: Micros::secs(46),
         list_lag: Micros::secs(5),
         cloud_rps: 10.0,
     }
 }
 
 fn sizes() -> MachineSizes {
-    MachineSizes::from([("big".into(), Resources::capacity(CPUS, 0.0, CPUS * 4.0))])
+    MachineSizes::from([("big".into(), Resources::have(CPUS, 0.0, CPUS * 4.0))])
 }
 
 fn machine_records(ledger: &mut StateReplica, machines: usize) -> Vec<Machine> {
@@ -127,7 +127,7 @@
             sizes: sizes(),
             leader,
             controllers: (0..controllers).map(|_| Controller::default()).collect(),
-            kept: Kept::default(),
+            kept: LogReplicas::default(),
             workers,
             now,
             stamp: 20,
@@ -166,12 +166,12 @@
 
     /// The leader's messages go out and are answered.
     fn exchange(&mut self) {
-        if let Some((record, _)) = self.leader.books_record(&self.ledger, &[], self.now) {
+        if let Some((record, _)) = self.leader.due_replica_record(&self.ledger, &[], self.now) {
             self.stamp += 1;
-            self.ledger.apply(keys::STANDBY_REPLICAS, Some(&json!(record)), self.stamp);
-            self.leader.books_record_ended();
+            self.ledger.apply(keys::BOOKS, Some(&json!(record)), self.stamp);
+            self.leader.replica_record_write_ended();
         }
-        for (to, m) in self.leader.messages(self.now, true) {
+        for (to, m) in self.leader.due_messages(self.now, true) {
             match m {
                 Message::Update {
                     term,
@@ -197,16 +197,16 @@
                     c.apply_stops(&stops);
                 }
                 Message::PlacementLogUpdate(page) => {
-                    let seq = self.kept.take(page);
-                    self.leader.books_taken(to, 1, seq, self.now);
+                    let seq = self.kept.apply(page);
+                    self.leader.log_acknowledged(to, 1, seq, self.now);
                 }
                 _ => {}
             }
         }
         for i in 0..self.controllers.len() {
             let m = self.controllers[i].sync(1, Vec::new(), &self.ledger, self.now);
-            if let Some((_, view)) = View::of(&m) {
-                self.leader.sync(NodeId(i as u8), 1, &view, &self.ledger, self.now);
+            if let Some((_, view)) = SyncView::of(&m) {
+                self.leader.apply_sync(NodeId(i as u8), 1, &view, &self.ledger, self.now);
             }
         }
     }
@@ -226,7 +226,7 @@
             let task = TaskId::parse(piece)?;
             let spec = self.ledger.jobs.get(&task.job)?.spec.clone()?;
             Some(Facts {
-                cpus: spec.task_resources.cpu as f64 / 1000.0,
+                cpus: spec.need.cpu as f64 / 1000.0,
                 run_us: None,
                 tasks: spec.tasks,
                 save_us: None,
@@ -342,7 +342,7 @@
     for i in 0..50 * ROUNDS {
         b.now = b.now + Micros::millis(20);
         // Reports come in all the time, and something is always changed by one.
-        b.leader.dirty = true;
+        b.leader.needs_scheduling = true;
         let t = Instant::now();
         b.leader.tick(&b.ledger, b.now);
         passes += t.elapsed().as_secs_f64();
