--- a/crates/core/tests/record_compatibility.rs
+++ b/crates/core/tests/record_compatibility.rs
@@ -283,7 +283,7 @@
     assert_eq!(replica.term, (7, 11));
     let standby_replicas = StandbyReplicas {
         term: 6,
-        led: 7,
+        last_leader_term: 7,
         nodes: vec![("n0".into(), 451_737_600_031_523), ("n2".into(), 9)],
     };
     assert_eq!(replica.standby_replicas, (standby_replicas.clone(), 12));
--- a/crates/core/tests/wire_compatibility.rs
+++ b/crates/core/tests/wire_compatibility.rs
@@ -12,7 +12,7 @@
     MAX_FRAME_BYTES, MachineState, Message, PROTOCOL_VERSION, StopRequest, TaskState, TaskStatus,
     UnleasedReport, decode_body, decode_header, encode_frame,
 };
-use gorseshore_core::placement_log::{Entry, Page};
+use gorseshore_core::placement_log::{LogUpdate, PlacementEntry};
 use gorseshore_protocol::ids::{Attempt, FencingToken, JobId, MachineId, Micros, NodeId, TaskId};
 use gorseshore_protocol::workers::HeartbeatSeq;
 
@@ -161,22 +161,22 @@
     vec![unresponsive, busy]
 }
 
-fn log_update(base: u64) -> Page {
-    let starting = Entry {
+fn log_update(base: u64) -> LogUpdate {
+    let starting = PlacementEntry {
         attempt: Attempt(0x7000_0001),
-        on: vec![MachineId::from("host-000001"), MachineId::from("host-000002")],
+        machines: vec![MachineId::from("host-000001"), MachineId::from("host-000002")],
         starting: true,
         done: false,
-        handed: None,
+        unresolved_assignment: None,
     };
-    let assigned = |zone: Option<&str>| Entry {
+    let assigned = |zone: Option<&str>| PlacementEntry {
         attempt: Attempt(0x7000_0002),
-        on: Vec::new(),
+        machines: Vec::new(),
         starting: false,
         done: true,
-        handed: Some((MachineId::from("host-000003"), zone.map(str::to_owned))),
+        unresolved_assignment: Some((MachineId::from("host-000003"), zone.map(str::to_owned))),
     };
-    Page {
+    LogUpdate {
         term: 7,
         seq: 1000,
         base,
@@ -186,7 +186,7 @@
             (task(412, 2), Some(assigned(Some("east")))),
             (task(1_000_000_000_000_000_007, 3), None),
         ],
-        unknown: vec![MachineId::from("host-000009")],
+        unknown_machines: vec![MachineId::from("host-000009")],
     }
 }
 
@@ -255,8 +255,8 @@
         ended_ms: 1_764_600_000_123,
         record_version: 5150,
         cause: cause.map(str::to_owned),
-        may_confirm: may_confirm,
-        acknowledged_by: acknowledged_by,
+        may_confirm,
+        acknowledged_by,
     }
 }
 
--- a/crates/standins/src/scale.rs
+++ b/crates/standins/src/scale.rs
@@ -100,7 +100,7 @@
 }
 
 fn sizes() -> MachineSizes {
-    MachineSizes::from([("big".into(), Resources::have(CPUS, 0.0, CPUS * 4.0))])
+    MachineSizes::from([("big".into(), Resources::capacity(CPUS, 0.0, CPUS * 4.0))])
 }
 
 fn machine_records(ledger: &mut StateReplica, machines: usize) -> Vec<Machine> {
@@ -168,7 +168,7 @@
     fn exchange(&mut self) {
         if let Some((record, _)) = self.leader.due_replica_record(&self.ledger, &[], self.now) {
             self.stamp += 1;
-            self.ledger.apply(keys::BOOKS, Some(&json!(record)), self.stamp);
+            self.ledger.apply(keys::STANDBY_REPLICAS, Some(&json!(record)), self.stamp);
             self.leader.replica_record_write_ended();
         }
         for (to, m) in self.leader.due_messages(self.now, true) {
@@ -226,7 +226,7 @@
             let task = TaskId::parse(piece)?;
             let spec = self.ledger.jobs.get(&task.job)?.spec.clone()?;
             Some(Facts {
-                cpus: spec.need.cpu as f64 / 1000.0,
+                cpus: spec.task_resources.cpu as f64 / 1000.0,
                 run_us: None,
                 tasks: spec.tasks,
                 save_us: None,
--- a/crates/standins/src/site.rs
+++ b/crates/standins/src/site.rs
@@ -8,12 +8,12 @@
 use crate::state::{Outcome, State};
 use crate::worker::{Facts, Machine, Stage};
 use gorseshore_core::extension::Extension;
-use gorseshore_core::jobs::description;
+use gorseshore_core::jobs::parse_job_spec;
 use gorseshore_nomad::service::Service;
-use gorseshore_protocol::cloud::{Flavor, Flavors, Hire, Hosts, Rental, Rentals};
+use gorseshore_protocol::cloud::{Flavor, Flavors, MachineNames, Rental, RentalRequest, Rentals};
 use gorseshore_protocol::ids::{JobId, TaskId};
 use gorseshore_protocol::job::Kind;
-use gorseshore_protocol::workers::{Direct, HeartbeatResponse};
+use gorseshore_protocol::workers::{CommandRequest, HeartbeatResponse};
 use gorseshore_settings::{Operator, Platform};
 use gorseshore_shell::Sockets;
 use std::collections::BTreeMap;
@@ -254,13 +254,13 @@
     fn facts(&self, piece: &str) -> Option<Facts> {
         let task = TaskId::parse(piece)?;
         let record = self.state.lock().ok()?.value(&format!("g/j/{}", task.job))?;
-        let spec = description(JobId(task.job.0), &record)?;
+        let spec = parse_job_spec(JobId(task.job.0), &record)?;
         if task.index >= spec.tasks {
             return None;
         }
-        let run = (spec.estimate_s * self.pace * 1e6).max(50_000.0) as u64;
+        let run = (spec.estimated_runtime_s * self.pace * 1e6).max(50_000.0) as u64;
         Some(Facts {
-            cpus: spec.need.cpu as f64 / 1000.0,
+            cpus: spec.task_resources.cpu as f64 / 1000.0,
             run_us: (spec.kind == Kind::Array).then_some(run),
             tasks: spec.tasks,
             save_us: None,
@@ -509,14 +509,17 @@
             return (500, Vec::new());
         };
         let answer = match (method, path.split('?').next().unwrap_or("")) {
-            ("GET", "/flavors") => serde_json::to_vec(&Flavors { builds: flavors() }),
+            ("GET", "/flavors") => serde_json::to_vec(&Flavors { flavors: flavors() }),
             ("POST", "/rentals") => {
-                let Ok(h) = serde_json::from_slice::<Hire>(body) else { return (400, Vec::new()) };
-                if let Some(hosts) = hires.get(&h.hire) {
-                    return (200, serde_json::to_vec(&Hosts { hosts: hosts.clone() }).unwrap_or_default());
+                let Ok(h) = serde_json::from_slice::<RentalRequest>(body) else { return (400, Vec::new()) };
+                if let Some(hosts) = hires.get(&h.request_id) {
+                    return (
+                        200,
+                        serde_json::to_vec(&MachineNames { names: hosts.clone() }).unwrap_or_default(),
+                    );
                 }
                 let mut hosts = Vec::new();
-                for _ in 0..h.number.min(50) {
+                for _ in 0..h.count.min(50) {
                     let name =
                         format!("host-{:06}", hires.values().map(Vec::len).sum::<usize>() + hosts.len());
                     if let Ok(r) = start_machine(&name, &h, &shared) {
@@ -524,12 +527,12 @@
                         hosts.push(name);
                     }
                 }
-                hires.insert(h.hire, hosts.clone());
-                serde_json::to_vec(&Hosts { hosts })
+                hires.insert(h.request_id, hosts.clone());
+                serde_json::to_vec(&MachineNames { names: hosts })
             }
             ("POST", "/rentals/delete") => {
-                let Ok(h) = serde_json::from_slice::<Hosts>(body) else { return (400, Vec::new()) };
-                for name in h.hosts {
+                let Ok(h) = serde_json::from_slice::<MachineNames>(body) else { return (400, Vec::new()) };
+                for name in h.names {
                     if let Some(r) = machines.remove(&name)
                         && let Ok(mut m) = r.machine.lock()
                     {
@@ -549,15 +552,15 @@
                     .map(|(name, r)| Rental {
                         name: name.clone(),
                         addr: r.addr.to_string(),
-                        build: r.build.clone(),
-                        yard: r.zone.clone(),
-                        loaners: r.spot,
-                        stage: "running".into(),
-                        held_s: r.since.elapsed().as_secs_f64(),
+                        machine_type: r.build.clone(),
+                        zone: r.zone.clone(),
+                        spot: r.spot,
+                        state: "running".into(),
+                        age_s: r.since.elapsed().as_secs_f64(),
                     })
                     .collect();
                 let truncated = hosts.len() == 500;
-                serde_json::to_vec(&Rentals { hosts, truncated })
+                serde_json::to_vec(&Rentals { machines: hosts, truncated })
             }
             _ => return (404, Vec::new()),
         };
@@ -567,9 +570,9 @@
 }
 
 /// Starts a machine: it serves `/do` and `/status`, and reports.
-fn start_machine(name: &str, h: &Hire, shared: &Arc<Shared>) -> std::io::Result<Rented> {
-    let cpus = flavors().iter().find(|f| f.sku == h.build).map_or(1.0, |f| f.cpus);
-    let machine = Machine::new(name, (&h.build, &h.yard, h.loaners), cpus, shared.now());
+fn start_machine(name: &str, h: &RentalRequest, shared: &Arc<Shared>) -> std::io::Result<Rented> {
+    let cpus = flavors().iter().find(|f| f.name == h.machine_type).map_or(1.0, |f| f.cpus);
+    let machine = Machine::new(name, (&h.machine_type, &h.zone, h.spot), cpus, shared.now());
     let machine = Arc::new(Mutex::new(machine));
     let (direct, at) = (machine.clone(), shared.clone());
     let addr = serve(Arc::new(move |_, path, body| {
@@ -581,7 +584,7 @@
         if path == "/status" {
             return (200, serde_json::to_vec(&m.report()).unwrap_or_default());
         }
-        let Ok(d) = serde_json::from_slice::<Direct>(body) else { return (400, Vec::new()) };
+        let Ok(d) = serde_json::from_slice::<CommandRequest>(body) else { return (400, Vec::new()) };
         let answer = m.direct(&d, &|piece| at.facts(piece), at.now());
         at.record(&m);
         answer
@@ -590,9 +593,9 @@
     std::thread::spawn(move || report(&reporter, &at, addr));
     Ok(Rented {
         machine,
-        build: h.build.clone(),
-        zone: h.yard.clone(),
-        spot: h.loaners,
+        build: h.machine_type.clone(),
+        zone: h.zone.clone(),
+        spot: h.spot,
         addr,
         since: Instant::now(),
     })
@@ -633,12 +636,12 @@
         match answer {
             Some((200, v)) => {
                 if let Ok(a) = serde_json::from_value::<HeartbeatResponse>(v)
-                    && a.baton >= m.baton
+                    && a.fencing_token >= m.baton
                 {
-                    m.changed |= a.baton > m.baton;
-                    m.baton = a.baton;
+                    m.changed |= a.fencing_token > m.baton;
+                    m.baton = a.fencing_token;
                     m.lease_from = now;
-                    m.execute(&a.orders, &|piece| shared.facts(piece), shared.now());
+                    m.execute(&a.commands, &|piece| shared.facts(piece), shared.now());
                     shared.record(&m);
                 }
             }
--- a/crates/standins/src/state.rs
+++ b/crates/standins/src/state.rs
@@ -1,5 +1,5 @@
 //! Stand-in for the state service, written from the protocol.
-use gorseshore_protocol::state::{Event, Listing, Multi, News, Pair, Write};
+use gorseshore_protocol::state::{Event, KeyValue, Listing, Transaction, WatchResponse, Write};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
@@ -78,7 +78,7 @@
         for k in keys {
             self.ledger += 1;
             self.keys.remove(&k);
-            self.log.push(Event { put: None, remove: Some(k), v: Value::Null, stamp: self.ledger });
+            self.log.push(Event { put: None, remove: Some(k), value: Value::Null, revision: self.ledger });
         }
     }
 
@@ -115,14 +115,14 @@
     fn collect(&self, prefix: &str, from: u64) -> Vec<Event> {
         self.log
             .iter()
-            .filter(|e| e.stamp > from)
+            .filter(|e| e.revision > from)
             .filter(|e| e.put.as_deref().or(e.remove.as_deref()).is_some_and(|k| k.starts_with(prefix)))
             .cloned()
             .collect()
     }
 
     fn news_body(&self, news: Vec<Event>) -> Vec<u8> {
-        serde_json::to_vec(&News { ledger: self.ledger, news }).unwrap()
+        serde_json::to_vec(&WatchResponse { revision: self.ledger, events: news }).unwrap()
     }
 
     /// The value of a key.
@@ -165,10 +165,11 @@
                 let mut rest =
                     self.keys.iter().filter(|(k, _)| k.starts_with(prefix) && k.as_str() > from).peekable();
                 let page = rest.by_ref().take(limit);
-                let pairs: Vec<Pair> =
-                    page.map(|(k, e)| Pair { path: k.clone(), v: e.value.clone(), stamp: e.stamp }).collect();
+                let pairs: Vec<KeyValue> = page
+                    .map(|(k, e)| KeyValue { key: k.clone(), value: e.value.clone(), revision: e.stamp })
+                    .collect();
                 let truncated = rest.peek().is_some();
-                Self::answer(200, json!(Listing { pairs, truncated, ledger: self.ledger }))
+                Self::answer(200, json!(Listing { entries: pairs, truncated, revision: self.ledger }))
             }
             ("GET", "/follow") => {
                 let from: u64 = q["from"].parse().unwrap();
@@ -183,7 +184,7 @@
                 Outcome::Answer(200, self.news_body(news))
             }
             ("POST", "/multi") => {
-                let m: Multi = serde_json::from_slice(body).unwrap();
+                let m: Transaction = serde_json::from_slice(body).unwrap();
                 if let Some(fault) = self.beyond_limits(&m) {
                     // Without lower limits on the way nobody may come to this.
                     assert!(self.lowered, "{fault}");
@@ -267,20 +268,20 @@
         self.unwelcome.get(key).copied().unwrap_or(0)
     }
 
-    fn unwelcome_put(&mut self, m: &Multi) -> Option<&mut usize> {
+    fn unwelcome_put(&mut self, m: &Transaction) -> Option<&mut usize> {
         let key = m.writes.iter().find_map(|w| match w {
-            Write::Put { put, .. } if self.unwelcome.contains_key(put) => Some(put),
+            Write::Put { key: put, .. } if self.unwelcome.contains_key(put) => Some(put),
             _ => None,
         })?;
         self.unwelcome.get_mut(key)
     }
 
-    fn beyond_limits(&self, m: &Multi) -> Option<String> {
+    fn beyond_limits(&self, m: &Transaction) -> Option<String> {
         if m.writes.len() > self.changes_at_once {
             return Some(format!("{} changes at once", m.writes.len()));
         }
         m.writes.iter().find_map(|w| match w {
-            Write::Put { put, v, .. } if v.to_string().len() > self.value_limit => {
+            Write::Put { key: put, value: v, .. } if v.to_string().len() > self.value_limit => {
                 Some(format!("{put} is too long"))
             }
             _ => None,
@@ -296,19 +297,19 @@
         enough
     }
 
-    fn multi(&mut self, m: Multi) -> Outcome {
+    fn multi(&mut self, m: Transaction) -> Outcome {
         for w in &m.writes {
-            if let Write::Put { hold: Some(h), .. } = w
+            if let Write::Put { lease: Some(h), .. } = w
                 && !self.leases.contains_key(h)
             {
                 return Self::answer(400, json!({"error": "no such lease"}));
             }
         }
         let failed: Vec<&str> = m
-            .when
+            .preconditions
             .iter()
-            .filter(|c| self.keys.get(&c.path).map_or(0, |e| e.stamp) != c.stamp)
-            .map(|c| c.path.as_str())
+            .filter(|c| self.keys.get(&c.key).map_or(0, |e| e.stamp) != c.revision)
+            .map(|c| c.key.as_str())
             .collect();
         if !failed.is_empty() {
             return Self::answer(409, json!({"failed": failed, "ledger": self.ledger}));
@@ -319,13 +320,23 @@
         let stamp = self.ledger;
         for w in m.writes {
             match w {
-                Write::Put { put, v, hold } => {
-                    self.log.push(Event { put: Some(put.clone()), remove: None, v: v.clone(), stamp });
+                Write::Put { key: put, value: v, lease: hold } => {
+                    self.log.push(Event {
+                        put: Some(put.clone()),
+                        remove: None,
+                        value: v.clone(),
+                        revision: stamp,
+                    });
                     self.keys.insert(put, Entry { value: v, stamp, lease: hold });
                 }
-                Write::Remove { remove } => {
+                Write::Remove { key: remove } => {
                     if self.keys.remove(&remove).is_some() {
-                        self.log.push(Event { put: None, remove: Some(remove), v: Value::Null, stamp });
+                        self.log.push(Event {
+                            put: None,
+                            remove: Some(remove),
+                            value: Value::Null,
+                            revision: stamp,
+                        });
                     }
                 }
             }
--- a/crates/standins/src/worker.rs
+++ b/crates/standins/src/worker.rs
@@ -1,5 +1,5 @@
 //! Stand-in for a machine with its worker, written from the protocol.
-use gorseshore_protocol::workers::{Direct, Order, Piece, Report};
+use gorseshore_protocol::workers::{Command, CommandRequest, Report, ReportedTask};
 
 /// Where a task stands; times are microseconds of the caller's clock.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -118,16 +118,16 @@
     pub fn report(&mut self) -> Report {
         self.tally += 1;
         Report {
-            host: self.name.clone(),
+            machine: self.name.clone(),
             addr: self.name.clone(),
-            build: self.build.clone(),
-            yard: self.zone.clone(),
-            loaners: self.spot,
-            shift: self.shift,
-            tally: self.tally,
-            baton: self.baton,
-            warning_s: None,
-            pieces: self
+            machine_type: self.build.clone(),
+            zone: self.zone.clone(),
+            spot: self.spot,
+            agent_epoch: self.shift,
+            sequence: self.tally,
+            fencing_token: self.baton,
+            preemption_notice_s: None,
+            tasks: self
                 .tasks
                 .iter()
                 .map(|t| {
@@ -137,12 +137,12 @@
                         Stage::Saving(_) => ("flushing", None),
                         Stage::Exited(c) => ("exited", Some(c.to_owned())),
                     };
-                    Piece {
-                        piece: t.name.clone(),
+                    ReportedTask {
+                        task: t.name.clone(),
                         attempt: t.attempt,
-                        stage: stage.into(),
+                        state: stage.into(),
                         cause,
-                        kept: None,
+                        checkpointed: None,
                     }
                 })
                 .collect(),
@@ -160,11 +160,11 @@
     }
 
     /// Executes orders in their order.
-    pub fn execute(&mut self, orders: &[Order], facts: &dyn Fn(&str) -> Option<Facts>, now: u64) {
+    pub fn execute(&mut self, orders: &[Command], facts: &dyn Fn(&str) -> Option<Facts>, now: u64) {
         for o in orders {
             self.changed = true;
-            let at = self.tasks.iter().position(|t| t.name == o.piece && t.attempt == o.attempt);
-            match (o.verb.as_str(), at) {
+            let at = self.tasks.iter().position(|t| t.name == o.task && t.attempt == o.attempt);
+            match (o.action.as_str(), at) {
                 ("run", Some(_)) => {}
                 ("run", None) => {
                     let used: f64 = self
@@ -174,24 +174,24 @@
                         .filter_map(|t| facts(&t.name))
                         .map(|f| f.cpus)
                         .sum();
-                    let stage = match facts(&o.piece) {
+                    let stage = match facts(&o.task) {
                         None => Stage::Exited("no_such"),
                         Some(_)
                             if self
                                 .tasks
                                 .iter()
-                                .any(|t| t.name == o.piece && !matches!(t.stage, Stage::Exited(_))) =>
+                                .any(|t| t.name == o.task && !matches!(t.stage, Stage::Exited(_))) =>
                         {
                             Stage::Exited("busy")
                         }
                         Some(f) if used + f.cpus > self.cpus + 1e-9 => Stage::Exited("no_room"),
                         Some(_) => Stage::Fetching(now + 400_000),
                     };
-                    self.tasks.push(Task { name: o.piece.clone(), attempt: o.attempt, stage });
+                    self.tasks.push(Task { name: o.task.clone(), attempt: o.attempt, stage });
                 }
                 ("halt", Some(i)) => {
-                    let grace = (o.wind_down_s.unwrap_or(0.0) * 1e6) as u64;
-                    let save = facts(&o.piece).and_then(|f| f.save_us);
+                    let grace = (o.grace_period_s.unwrap_or(0.0) * 1e6) as u64;
+                    let save = facts(&o.task).and_then(|f| f.save_us);
                     let t = &mut self.tasks[i];
                     t.stage = match (t.stage, save) {
                         (Stage::Exited(c), _) => Stage::Exited(c),
@@ -209,14 +209,19 @@
     }
 
     /// `POST /do`.
-    pub fn direct(&mut self, d: &Direct, facts: &dyn Fn(&str) -> Option<Facts>, now: u64) -> (u16, Vec<u8>) {
-        let ok = d.baton >= self.baton && d.shift == self.shift;
+    pub fn direct(
+        &mut self,
+        d: &CommandRequest,
+        facts: &dyn Fn(&str) -> Option<Facts>,
+        now: u64,
+    ) -> (u16, Vec<u8>) {
+        let ok = d.fencing_token >= self.baton && d.agent_epoch == self.shift;
         if ok {
-            if d.baton > self.baton {
-                self.baton = d.baton;
+            if d.fencing_token > self.baton {
+                self.baton = d.fencing_token;
                 self.changed = true;
             }
-            self.execute(&d.orders, facts, now);
+            self.execute(&d.commands, facts, now);
         }
         (if ok { 200 } else { 409 }, serde_json::to_vec(&self.report()).unwrap())
     }
