--- a/crates/core/src/controller/stops.rs
+++ b/crates/core/src/controller/stops.rs
@@ -4,16 +4,11 @@
 use super::*;
 use crate::Output;
 use crate::jobs::keys;
-use gorseshore_protocol::workers::ReportedTask;
+use gorseshore_protocol::workers::Piece;
 
 fn report(tally: u64) -> Report {
-    let piece = ReportedTask {
-        task: "j-000001/0".into(),
-        attempt: 3,
-        state: "running".into(),
-        cause: None,
-        checkpointed: None,
-    };
+    let piece =
+        Piece { piece: "j-000001/0".into(), attempt: 3, stage: "running".into(), cause: None, kept: None };
     Report {
         machine: "m".into(),
         addr: "m:1".into(),
--- a/tests/site_records.rs
+++ b/tests/site_records.rs
@@ -1,9 +1,9 @@
 //! Every record that real controllers leave in the state service after work of all
 //! kinds is one that the program in production reads.
-use gorseshore_core::jobs::parse_job_spec;
+use gorseshore_core::jobs::description;
 use gorseshore_protocol::ids::JobId;
-use gorseshore_protocol::state::WatchResponse;
-use gorseshore_standins::net::{Told, ask};
+use gorseshore_protocol::state::News;
+use gorseshore_standins::net::{Response, send_request};
 use gorseshore_standins::site::{Options, Site};
 use production::Record;
 use serde_json::{Value, json};
@@ -17,8 +17,8 @@
 const LIMIT: Duration = Duration::from_secs(120);
 const NOMAD: &str = include_str!("../deploy/nomad.txtpb");
 
-fn send(a: SocketAddr, method: &str, path: &str, body: &Value) -> Told {
-    ask(a, method, path, "", &body.to_string(), Duration::from_secs(20))
+fn send(a: SocketAddr, method: &str, path: &str, body: &Value) -> Response {
+    send_request(a, method, path, "", &body.to_string(), Duration::from_secs(20))
         .unwrap_or_else(|| panic!("{method} {path}: no answer"))
 }
 
@@ -69,22 +69,22 @@
     match record {
         Record::Job { .. } => "job",
         Record::End { done: true, .. } => "done",
-        Record::End { fully_stopped: false, cause: None, .. } => "cancelled",
-        Record::End { fully_stopped: true, .. } => "settled",
+        Record::End { settled: false, cause: None, .. } => "cancelled",
+        Record::End { settled: true, .. } => "settled",
         Record::End { .. } => "failed",
         Record::Progress { .. } => "progress",
         Record::Failures { .. } => "failures",
         Record::Machines { .. } => "machines",
         Record::Leader { .. } => "leader",
         Record::Term(_) => "term",
-        Record::PlacementReplicas { .. } => "books",
-        Record::RelayedMessage { .. } => "mail",
+        Record::Books { .. } => "books",
+        Record::Mail { .. } => "mail",
         Record::NomadHead(_) => "nomad head",
         Record::NomadPart(_) => "nomad part",
         Record::NomadLaunch(_) => "nomad launch",
         Record::NomadToken(_) => "nomad token",
-        Record::Ignored if key == "g/hire" => "hire",
-        Record::Ignored => "passed over",
+        Record::PassedOver if key == "g/hire" => "hire",
+        Record::PassedOver => "passed over",
     }
 }
 
@@ -100,12 +100,11 @@
     /// Reads every change since the last time.
     fn read_changes(&mut self) {
         let path = format!("/follow?prefix=g/&from={}&hold_ms=0", self.revision);
-        let news: WatchResponse =
-            serde_json::from_slice(&send(self.state, "GET", &path, &Value::Null).body).unwrap();
-        self.revision = news.revision;
-        for event in news.events {
+        let news: News = serde_json::from_slice(&send(self.state, "GET", &path, &Value::Null).body).unwrap();
+        self.revision = news.ledger;
+        for event in news.news {
             if let Some(key) = event.put {
-                self.read(&key, &event.value);
+                self.read(&key, &event.v);
             }
         }
     }
@@ -113,7 +112,7 @@
     fn read(&mut self, key: &str, value: &Value) {
         let record = production::read(key, value).unwrap_or_else(|e| panic!("{e}"));
         if let Record::Job { id, job, .. } = &record {
-            let spec = parse_job_spec(JobId(*id), value).unwrap_or_else(|| panic!("{key}: {value}"));
+            let spec = description(JobId(*id), value).unwrap_or_else(|| panic!("{key}: {value}"));
             assert_eq!((spec.tasks, &spec.image), (job.tasks, &job.image), "{key}");
         }
         self.seen.insert(sort(key, &record));
@@ -138,10 +137,10 @@
 fn all_records_of_a_site_are_read_by_production() {
     // The team's limit lets an array go on for long enough that its progress is recorded.
     let teams = vec![("default".to_owned(), 20.0)];
-    let options = Options { operator: NOMAD.into(), pace: 0.02, teams, ..Options::default() };
+    let options = Options { operator: NOMAD.into(), time_scale: 0.02, teams, ..Options::default() };
     let site = Site::start(&options).unwrap();
-    assert!(site.ready(Duration::from_secs(30)), "not ready");
-    let (user, guest) = (site.users[0], site.nomad[0]);
+    assert!(site.wait_until_ready(Duration::from_secs(30)), "not ready");
+    let (user, guest) = (site.user_addresses[0], site.nomad_addresses[0]);
     let submit = |job: &Value| send(user, "POST", "/submissions", job).status;
     until("accepted", || submit(&native(1, "array", 40)) == 201);
     assert_eq!(submit(&native(2, "standing", 2)), 201);
@@ -160,7 +159,7 @@
     let forced = send(guest, "POST", "/v1/job/often/periodic/force", &Value::Null);
     assert_eq!(forced.status, 200, "{}", forced.text());
 
-    let mut records = Records { state: site.state, revision: 0, seen: BTreeSet::new() };
+    let mut records = Records { state: site.state_address, revision: 0, seen: BTreeSet::new() };
     records.read_until(&["progress", "failures"]);
     let cancelled = send(user, "POST", "/submissions/j-000002/abort", &Value::Null);
     assert_eq!(cancelled.status, 200, "{}", cancelled.text());
--- a/tests/smoke.rs
+++ b/tests/smoke.rs
@@ -1,5 +1,5 @@
 //! The real program on loopback, against stand-ins for the outside systems.
-use gorseshore_standins::net::{call, free_address, raw};
+use gorseshore_standins::net::{call, free_address, send_raw};
 use gorseshore_standins::site::{Options, Site};
 use serde_json::json;
 use std::io::{Read, Write};
@@ -44,8 +44,8 @@
 fn serves_a_job_and_keeps_its_end() {
     let site = Site::start(&Options { controllers: 0, ..Options::default() }).unwrap();
     let (public, cluster) = (free_address().unwrap(), free_address().unwrap());
-    site.report_to(&[public]);
-    let text = settings(public, cluster, site.cloud, site.state);
+    site.set_worker_targets(&[public]);
+    let text = settings(public, cluster, site.cloud_address, site.state_address);
     let file = std::env::temp_dir().join(format!("gorseshore-smoke-{}.toml", std::process::id()));
     std::fs::write(&file, text).unwrap();
     let path = file.to_str().unwrap().to_owned();
@@ -78,7 +78,7 @@
     until("types known", || {
         call(public, "POST", "/submissions", &unknown_team.to_string()).unwrap().0 == 422
     });
-    let refused = |bytes: &[u8]| raw(public, bytes, Duration::from_secs(10)).unwrap().status;
+    let refused = |bytes: &[u8]| send_raw(public, bytes, Duration::from_secs(10)).unwrap().status;
     assert_eq!(refused(big.as_bytes()), 413);
     assert_eq!(refused(b"nonsense\r\n\r\n"), 400);
 
@@ -107,8 +107,8 @@
 fn a_program_that_is_back_at_once_loses_nothing() {
     let site = Site::start(&Options { controllers: 0, ..Options::default() }).unwrap();
     let (public, cluster) = (free_address().unwrap(), free_address().unwrap());
-    site.report_to(&[public]);
-    let text = settings(public, cluster, site.cloud, site.state);
+    site.set_worker_targets(&[public]);
+    let text = settings(public, cluster, site.cloud_address, site.state_address);
     let file = std::env::temp_dir().join(format!("gorseshore-blink-{}.toml", std::process::id()));
     std::fs::write(&file, text).unwrap();
     let path = file.to_str().unwrap().to_owned();
@@ -125,7 +125,7 @@
     until("accepted", || {
         call(public, "POST", "/submissions", &job(1, "standing")).is_some_and(|r| r.0 == 201)
     });
-    let replicas = || site.running().iter().filter(|t| t.starts_with("j-000001/")).count();
+    let replicas = || site.running_tasks().iter().filter(|t| t.starts_with("j-000001/")).count();
     until("replicas run", || replicas() == 2);
     for (i, away) in [0, 20, 100, 300].into_iter().cycle().take(12).enumerate() {
         // In the middle of things: what is sent just before may or may not count.
@@ -175,8 +175,8 @@
 fn workers_come_in_where_users_fill_all_connections() {
     let site = Site::start(&Options { controllers: 0, ..Options::default() }).unwrap();
     let (public, cluster) = (free_address().unwrap(), free_address().unwrap());
-    let text =
-        settings(public, cluster, site.cloud, site.state) + "[deployment.machine_limits]\nsockets = 200\n";
+    let text = settings(public, cluster, site.cloud_address, site.state_address)
+        + "[deployment.machine_limits]\nsockets = 200\n";
     let file = std::env::temp_dir().join(format!("gorseshore-crowd-{}.toml", std::process::id()));
     std::fs::write(&file, text).unwrap();
     let _node =
--- a/tests/world/desk.rs
+++ b/tests/world/desk.rs
@@ -4,14 +4,14 @@
 use gorseshore_core::extension::{Answer, Extension, ExtensionContext, ExtensionInput, ExtensionOutput};
 use gorseshore_core::jobs::{StateReplica, keys};
 use gorseshore_nomad::service::Service;
-use gorseshore_protocol::state::{Listing, Precondition, Transaction, WatchResponse};
+use gorseshore_protocol::state::{Listing, Multi, News, When};
 use gorseshore_settings::Team;
 
 const LEADER: &str = "g/leader";
 
 /// The state service, and the interface of a controller that leads.
 struct Desk {
-    state: State,
+    state: StateService,
     service: Service,
     ledger: StateReplica,
     flavors: Vec<Flavor>,
@@ -21,14 +21,14 @@
     leads: bool,
     /// Writes of the leader are kept back instead of executed.
     hold: bool,
-    held: Vec<Transaction>,
+    held: Vec<Multi>,
     answers: Vec<(RequestId, Answer)>,
     next: u64,
 }
 
 impl Desk {
     fn new(wall_ms: u64) -> Self {
-        let mut state = State::limited(1e9, 24, 4.0);
+        let mut state = StateService::with_limits(1e9, 24, 4.0);
         let m = json!({"when": [], "writes": [{"put": LEADER, "v": {"node": "n0", "term": 1, "lease": 1}}]});
         state.request("POST", "/multi", m.to_string().as_bytes(), 0);
         let settings = nomad::operator().nomad.unwrap();
@@ -65,27 +65,27 @@
     }
 
     fn catch_up(&mut self) {
-        let from = self.ledger.applied_revision;
+        let from = self.ledger.applied;
         let path = format!("/follow?prefix=g/&from={from}&hold_ms=0");
         let Outcome::Answer(_, body) = self.state.request("GET", &path, b"", 0) else { panic!() };
-        let news: WatchResponse = serde_json::from_slice(&body).unwrap();
-        for e in news.events {
+        let news: News = serde_json::from_slice(&body).unwrap();
+        for e in news.news {
             let (key, v) = match (&e.put, &e.remove) {
-                (Some(k), _) => (k, Some(&e.value)),
+                (Some(k), _) => (k, Some(&e.v)),
                 (None, Some(k)) => (k, None),
                 _ => continue,
             };
-            let change = self.ledger.apply(key, v, e.revision);
-            if let Some(name) = key.strip_prefix(keys::EXTENSION_PREFIX) {
-                self.service.apply(name, v, e.revision);
+            let change = self.ledger.apply(key, v, e.stamp);
+            if let Some(name) = key.strip_prefix(keys::GUEST) {
+                self.service.apply(name, v, e.stamp);
             } else if let gorseshore_core::jobs::Change::Job { id, .. } = change {
-                self.service.job_changed(id, e.revision);
+                self.service.job_changed(id, e.stamp);
             }
         }
-        self.ledger.applied_revision = news.revision;
+        self.ledger.applied = news.ledger;
     }
 
-    fn execute(&mut self, m: &Transaction) -> CallResult {
+    fn execute(&mut self, m: &Multi) -> CallResult {
         let body = serde_json::to_vec(m).unwrap();
         let Outcome::Answer(status, body) = self.state.request("POST", "/multi", &body, 0) else { panic!() };
         CallResult::Response { status, body }
@@ -119,17 +119,17 @@
                         inputs.push_back(ExtensionInput::ReadBarrierDone(t, true));
                     }
                     ExtensionOutput::Read(t, prefix) => {
-                        let mut all = Listing { entries: Vec::new(), truncated: true, revision: 0 };
+                        let mut all = Listing { pairs: Vec::new(), truncated: true, ledger: 0 };
                         while all.truncated {
                             let from =
-                                all.entries.last().map_or(String::new(), |p| format!("&from={}", p.key));
+                                all.pairs.last().map_or(String::new(), |p| format!("&from={}", p.path));
                             let path = format!("/store?prefix=g/n/{prefix}&limit=1000{from}");
                             let Outcome::Answer(_, body) = self.state.request("GET", &path, b"", 0) else {
                                 panic!()
                             };
                             let page: Listing = serde_json::from_slice(&body).unwrap();
                             all.truncated = page.truncated;
-                            all.entries.extend(page.entries);
+                            all.pairs.extend(page.pairs);
                         }
                         let body = serde_json::to_vec(&all).unwrap();
                         inputs.push_back(ExtensionInput::OperationCompleted(
@@ -139,10 +139,9 @@
                     }
                     ExtensionOutput::Write { ticket, mut multi, as_leader } => {
                         if as_leader {
-                            multi.preconditions.push(Precondition {
-                                key: LEADER.into(),
-                                revision: self.state.stamp(LEADER),
-                            });
+                            multi
+                                .when
+                                .push(When { path: LEADER.into(), stamp: self.state.key_revision(LEADER) });
                         }
                         if as_leader && self.hold {
                             self.held.push(multi);
@@ -183,7 +182,7 @@
     }
 
     fn launches(&self) -> Vec<u64> {
-        let heads = self.state.names("g/n/j/").into_iter().filter_map(|n| self.state.value(&n));
+        let heads = self.state.keys_with_prefix("g/n/j/").into_iter().filter_map(|n| self.state.value(&n));
         let mut times: Vec<u64> =
             heads.filter_map(|h| h["id"].as_str()?.split_once("/periodic-")?.1.parse().ok()).collect();
         times.sort();
@@ -214,13 +213,13 @@
     assert_eq!(d.put(&file("j", "two", json!({}))), 200);
     d.leads = true;
     d.pass(2);
-    let natives = d.state.names("g/j/");
+    let natives = d.state.keys_with_prefix("g/j/");
     assert_eq!(natives.len(), 1);
     for m in &late {
         let r = d.execute(m);
         assert!(matches!(r, CallResult::Response { status: 409, .. }), "{r:?}");
     }
-    assert_eq!(d.state.names("g/j/"), natives, "only the newer version's job is there");
+    assert_eq!(d.state.keys_with_prefix("g/j/"), natives, "only the newer version's job is there");
     // The same of a job that was stopped.
     d.hold = true;
     assert_eq!(d.put(&file("k", "one", json!({}))), 200);
@@ -232,7 +231,7 @@
     for m in &late {
         assert!(matches!(d.execute(m), CallResult::Response { status: 409, .. }));
     }
-    assert_eq!(d.state.names("g/j/"), natives);
+    assert_eq!(d.state.keys_with_prefix("g/j/"), natives);
 }
 
 /// Launches are made once through clock steps, restarts and repeated looks; of
@@ -291,7 +290,7 @@
     for (what, act, answered) in steps {
         d.pass(3);
         assert_eq!(d.ask("GET", "/v1/job/j/summary", "").unwrap().0, 200);
-        let index = d.ledger.applied_revision;
+        let index = d.ledger.applied;
         let told = d.ask("GET", &format!("/v1/job/j/summary?index={index}&wait=10s"), "");
         assert!(told.is_none(), "{what}: answered at once: {told:?}");
         d.answers.clear();
