--- a/crates/shell/src/lib.rs
+++ b/crates/shell/src/lib.rs
@@ -231,7 +231,7 @@
         let nodes = ClusterMembers::new(&platform);
         let started = Instant::now();
         let seed = fastrand::u64(..) >> 1;
-        let clock_off = Micros::from_secs_f64(platform.deployment.clock_off_ms / 1000.0);
+        let clock_off = Micros::from_secs_f64(platform.deployment.max_clock_error_ms / 1000.0);
         Timer::after(Duration::from_micros(incarnation_delay(clock_off).0)).await;
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
         let incarnation = incarnation_number(wall, seed);
--- a/crates/shell/src/server.rs
+++ b/crates/shell/src/server.rs
@@ -180,12 +180,12 @@
             Some(Ok(Some(r))) => r,
             Some(Ok(None)) => return,
             None => {
-                let a = http::answer(408, &users::error("the request took too long"), None, false);
+                let a = http::answer(408, &users::error_body("the request took too long"), None, false);
                 let _ = within(SLOW, stream.write_all(&a)).await;
                 return;
             }
             Some(Err(e)) => {
-                let a = http::answer(e.status(), &users::error(&e.to_string()), None, false);
+                let a = http::answer(e.status(), &users::error_body(&e.to_string()), None, false);
                 let _ = within(SLOW, stream.write_all(&a)).await;
                 // What is still on its way is read, so that the answer is not
                 // lost to a reset.
@@ -211,7 +211,7 @@
             manner
         };
         if manner == Manner::Refuse {
-            let error = users::error("too many connections");
+            let error = users::error_body("too many connections");
             let a = http::answer(503, &error, Some(COME_BACK), false);
             let _ = within(SLOW, stream.write_all(&a)).await;
             return;
--- a/tests/site_records.rs
+++ b/tests/site_records.rs
@@ -1,8 +1,8 @@
 //! Every record that real controllers leave in the state service after work of all
 //! kinds is one that the program in production reads.
-use gorseshore_core::jobs::description;
+use gorseshore_core::jobs::parse_job_spec;
 use gorseshore_protocol::ids::JobId;
-use gorseshore_protocol::state::News;
+use gorseshore_protocol::state::WatchResponse;
 use gorseshore_standins::net::{Response, send_request};
 use gorseshore_standins::site::{Options, Site};
 use production::Record;
@@ -69,22 +69,22 @@
     match record {
         Record::Job { .. } => "job",
         Record::End { done: true, .. } => "done",
-        Record::End { settled: false, cause: None, .. } => "cancelled",
-        Record::End { settled: true, .. } => "settled",
+        Record::End { fully_stopped: false, cause: None, .. } => "cancelled",
+        Record::End { fully_stopped: true, .. } => "settled",
         Record::End { .. } => "failed",
         Record::Progress { .. } => "progress",
         Record::Failures { .. } => "failures",
         Record::Machines { .. } => "machines",
         Record::Leader { .. } => "leader",
         Record::Term(_) => "term",
-        Record::Books { .. } => "books",
-        Record::Mail { .. } => "mail",
+        Record::PlacementReplicas { .. } => "books",
+        Record::RelayedMessage { .. } => "mail",
         Record::NomadHead(_) => "nomad head",
         Record::NomadPart(_) => "nomad part",
         Record::NomadLaunch(_) => "nomad launch",
         Record::NomadToken(_) => "nomad token",
-        Record::PassedOver if key == "g/hire" => "hire",
-        Record::PassedOver => "passed over",
+        Record::Ignored if key == "g/hire" => "hire",
+        Record::Ignored => "passed over",
     }
 }
 
@@ -100,11 +100,12 @@
     /// Reads every change since the last time.
     fn read_changes(&mut self) {
         let path = format!("/follow?prefix=g/&from={}&hold_ms=0", self.revision);
-        let news: News = serde_json::from_slice(&send(self.state, "GET", &path, &Value::Null).body).unwrap();
-        self.revision = news.ledger;
-        for event in news.news {
+        let news: WatchResponse =
+            serde_json::from_slice(&send(self.state, "GET", &path, &Value::Null).body).unwrap();
+        self.revision = news.revision;
+        for event in news.events {
             if let Some(key) = event.put {
-                self.read(&key, &event.v);
+                self.read(&key, &event.value);
             }
         }
     }
@@ -112,7 +113,7 @@
     fn read(&mut self, key: &str, value: &Value) {
         let record = production::read(key, value).unwrap_or_else(|e| panic!("{e}"));
         if let Record::Job { id, job, .. } = &record {
-            let spec = description(JobId(*id), value).unwrap_or_else(|| panic!("{key}: {value}"));
+            let spec = parse_job_spec(JobId(*id), value).unwrap_or_else(|| panic!("{key}: {value}"));
             assert_eq!((spec.tasks, &spec.image), (job.tasks, &job.image), "{key}");
         }
         self.seen.insert(sort(key, &record));
