--- a/crates/standins/src/site.rs
+++ b/crates/standins/src/site.rs
@@ -8,14 +8,14 @@
 use crate::state::{Outcome, StateService};
 use crate::worker::{Machine, Stage, TaskProfile};
 use gorseshore_core::extension::Extension;
-use gorseshore_core::jobs::parse_job_spec;
+use gorseshore_core::jobs::description;
 use gorseshore_nomad::service::Service;
-use gorseshore_protocol::cloud::{Flavor, Flavors, MachineNames, Rental, RentalRequest, Rentals};
+use gorseshore_protocol::cloud::{Flavor, Flavors, Hire, Hosts, Rental, Rentals};
 use gorseshore_protocol::ids::{JobId, TaskId};
 use gorseshore_protocol::job::Kind;
-use gorseshore_protocol::workers::{CommandRequest, HeartbeatResponse};
+use gorseshore_protocol::workers::{Direct, HeartbeatResponse};
 use gorseshore_settings::{Operator, Platform};
-use gorseshore_shell::Sockets;
+use gorseshore_shell::Listeners;
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
@@ -259,13 +259,13 @@
     fn task_profile(&self, task_name: &str) -> Option<TaskProfile> {
         let task = TaskId::parse(task_name)?;
         let record = self.state.lock().ok()?.value(&format!("g/j/{}", task.job))?;
-        let spec = parse_job_spec(JobId(task.job.0), &record)?;
+        let spec = description(JobId(task.job.0), &record)?;
         if task.index >= spec.tasks {
             return None;
         }
-        let run = (spec.estimated_runtime_s * self.time_scale * 1e6).max(50_000.0) as u64;
+        let run = (spec.estimate_s * self.time_scale * 1e6).max(50_000.0) as u64;
         Some(TaskProfile {
-            cpus: spec.task_resources.cpu as f64 / 1000.0,
+            cpus: spec.need.cpu as f64 / 1000.0,
             run_us: (spec.kind == Kind::Array).then_some(run),
             tasks: spec.tasks,
             checkpoint_us: None,
@@ -336,10 +336,10 @@
             });
             std::thread::spawn(move || {
                 let sockets =
-                    Sockets { public, cluster, guest: extension_settings.is_some().then_some(guest) };
+                    Listeners { public, cluster, extension: extension_settings.is_some().then_some(guest) };
                 let guest = extension_settings
                     .map(|s| Box::new(Service::new(s, fastrand::u64(..))) as Box<dyn Extension>);
-                if let Err(e) = gorseshore_shell::run_on(sockets, platform, operator, guest) {
+                if let Err(e) = gorseshore_shell::run_with_listeners(sockets, platform, operator, guest) {
                     log::error!("controller n{i} failed: {e}");
                 }
             });
@@ -533,17 +533,14 @@
             return (500, Vec::new());
         };
         let answer = match (method, path.split('?').next().unwrap_or("")) {
-            ("GET", "/flavors") => serde_json::to_vec(&Flavors { flavors: flavors() }),
+            ("GET", "/flavors") => serde_json::to_vec(&Flavors { builds: flavors() }),
             ("POST", "/rentals") => {
-                let Ok(h) = serde_json::from_slice::<RentalRequest>(body) else { return (400, Vec::new()) };
-                if let Some(hosts) = rentals_by_request.get(&h.request_id) {
-                    return (
-                        200,
-                        serde_json::to_vec(&MachineNames { names: hosts.clone() }).unwrap_or_default(),
-                    );
+                let Ok(h) = serde_json::from_slice::<Hire>(body) else { return (400, Vec::new()) };
+                if let Some(hosts) = rentals_by_request.get(&h.hire) {
+                    return (200, serde_json::to_vec(&Hosts { hosts: hosts.clone() }).unwrap_or_default());
                 }
                 let mut hosts = Vec::new();
-                for _ in 0..h.count.min(50) {
+                for _ in 0..h.number.min(50) {
                     let name = format!(
                         "host-{:06}",
                         rentals_by_request.values().map(Vec::len).sum::<usize>() + hosts.len()
@@ -553,12 +550,12 @@
                         hosts.push(name);
                     }
                 }
-                rentals_by_request.insert(h.request_id, hosts.clone());
-                serde_json::to_vec(&MachineNames { names: hosts })
+                rentals_by_request.insert(h.hire, hosts.clone());
+                serde_json::to_vec(&Hosts { hosts })
             }
             ("POST", "/rentals/delete") => {
-                let Ok(h) = serde_json::from_slice::<MachineNames>(body) else { return (400, Vec::new()) };
-                for name in h.names {
+                let Ok(h) = serde_json::from_slice::<Hosts>(body) else { return (400, Vec::new()) };
+                for name in h.hosts {
                     if let Some(r) = machines.remove(&name)
                         && let Ok(mut m) = r.machine.lock()
                     {
@@ -578,15 +575,15 @@
                     .map(|(name, r)| Rental {
                         name: name.clone(),
                         addr: r.addr.to_string(),
-                        machine_type: r.machine_type.clone(),
-                        zone: r.zone.clone(),
-                        spot: r.spot,
-                        state: "running".into(),
-                        age_s: r.rented_at.elapsed().as_secs_f64(),
+                        build: r.machine_type.clone(),
+                        yard: r.zone.clone(),
+                        loaners: r.spot,
+                        stage: "running".into(),
+                        held_s: r.rented_at.elapsed().as_secs_f64(),
                     })
                     .collect();
                 let truncated = hosts.len() == 500;
-                serde_json::to_vec(&Rentals { machines: hosts, truncated })
+                serde_json::to_vec(&Rentals { hosts, truncated })
             }
             _ => return (404, Vec::new()),
         };
@@ -596,9 +593,9 @@
 }
 
 /// Starts a machine, which serves `/do` and `/status` and sends heartbeats.
-fn start_machine(name: &str, h: &RentalRequest, shared: &Arc<Shared>) -> std::io::Result<RentedMachine> {
-    let cpus = flavors().iter().find(|f| f.name == h.machine_type).map_or(1.0, |f| f.cpus);
-    let machine = Machine::new(name, (&h.machine_type, &h.zone, h.spot), cpus, shared.now());
+fn start_machine(name: &str, h: &Hire, shared: &Arc<Shared>) -> std::io::Result<RentedMachine> {
+    let cpus = flavors().iter().find(|f| f.sku == h.build).map_or(1.0, |f| f.cpus);
+    let machine = Machine::new(name, (&h.build, &h.yard, h.loaners), cpus, shared.now());
     let machine = Arc::new(Mutex::new(machine));
     let (served_machine, server_shared) = (machine.clone(), shared.clone());
     let addr = serve(Arc::new(move |_, path, body| {
@@ -610,7 +607,7 @@
         if path == "/status" {
             return (200, serde_json::to_vec(&m.report()).unwrap_or_default());
         }
-        let Ok(d) = serde_json::from_slice::<CommandRequest>(body) else { return (400, Vec::new()) };
+        let Ok(d) = serde_json::from_slice::<Direct>(body) else { return (400, Vec::new()) };
         let answer = m.apply_command_request(
             &d,
             &|task_name| server_shared.task_profile(task_name),
@@ -623,9 +620,9 @@
     std::thread::spawn(move || run_heartbeats(&reporting_machine, &reporter_shared, addr));
     Ok(RentedMachine {
         machine,
-        machine_type: h.machine_type.clone(),
-        zone: h.zone.clone(),
-        spot: h.spot,
+        machine_type: h.build.clone(),
+        zone: h.yard.clone(),
+        spot: h.loaners,
         addr,
         rented_at: Instant::now(),
     })
@@ -668,12 +665,12 @@
         match answer {
             Some((200, v)) => {
                 if let Ok(a) = serde_json::from_value::<HeartbeatResponse>(v)
-                    && a.fencing_token >= m.fencing_token
+                    && a.baton >= m.fencing_token
                 {
-                    m.has_changes |= a.fencing_token > m.fencing_token;
-                    m.fencing_token = a.fencing_token;
+                    m.has_changes |= a.baton > m.fencing_token;
+                    m.fencing_token = a.baton;
                     m.lease_start = now;
-                    m.execute(&a.commands, &|task_name| shared.task_profile(task_name), shared.now());
+                    m.execute(&a.orders, &|task_name| shared.task_profile(task_name), shared.now());
                     shared.record_machine(&m);
                 }
             }
--- a/src/nomad.rs
+++ b/src/nomad.rs
@@ -177,10 +177,10 @@
             .map_err(|e| no_response(e.to_string()))?;
         let (mut buf, mut chunk) = (Vec::new(), [0u8; 8192]);
         loop {
-            match http::answer_head(&buf) {
+            match http::parse_response_head(&buf) {
                 Err(_) => return Err(no_response("the response is not valid HTTP".into())),
                 Ok(Some(h)) => {
-                    if let http::BodyEnd::Length(n) = h.body
+                    if let http::BodyFraming::Length(n) = h.body
                         && buf.len() >= h.head + n
                     {
                         let body = &buf[h.head..h.head + n];
