--- a/crates/core/src/controller/assignments.rs
+++ b/crates/core/src/controller/assignments.rs
@@ -51,7 +51,7 @@
             Start {
                 fencing_token: w.fencing_token,
                 agent_epoch: w.agent_epoch,
-                need: spec.need,
+                need: spec.task_resources,
                 reported: false,
                 delivery: Delivery::Settled,
                 in_response_to: None,
--- a/crates/core/src/controller/commands.rs
+++ b/crates/core/src/controller/commands.rs
@@ -184,11 +184,8 @@
                     s.delivery = Delivery::InFlight;
                 }
             }
-            let body = CommandRequest {
-                fencing_token: w.fencing_token.0,
-                agent_epoch: w.agent_epoch,
-                commands: commands,
-            };
+            let body =
+                CommandRequest { fencing_token: w.fencing_token.0, agent_epoch: w.agent_epoch, commands };
             let call = out.call(Call {
                 target: Target::Worker(w.addr.clone()),
                 method: "POST",
--- a/crates/core/src/controller/stale_heartbeats.rs
+++ b/crates/core/src/controller/stale_heartbeats.rs
@@ -1,7 +1,7 @@
 //! Delayed, duplicate and reordered reports: a report that arrives after the newest one changes
 //! nothing, and one that arrives before it is superseded by it.
 use super::*;
-use gorseshore_protocol::workers::Piece;
+use gorseshore_protocol::workers::ReportedTask;
 use proptest::prelude::*;
 
 /// Reports of one worker in the order in which it sent them: its agent restarts at times, tasks
@@ -9,7 +9,7 @@
 fn history() -> impl Strategy<Value = Vec<Report>> {
     let step = (0u8..8, 0u64..4, 0usize..4);
     proptest::collection::vec(step, 2..20).prop_map(|steps| {
-        let (mut shift, mut baton, mut pieces) = (1, 0, Vec::<Piece>::new());
+        let (mut shift, mut baton, mut pieces) = (1, 0, Vec::<ReportedTask>::new());
         let mut reports = Vec::new();
         for (n, (what, task, stage)) in steps.into_iter().enumerate() {
             let stages =
@@ -23,7 +23,13 @@
                     let (stage, cause) = stages[stage];
                     let piece = format!("j-00000{task}/0");
                     let cause = cause.map(str::to_owned);
-                    pieces.push(Piece { piece, attempt: task, stage: stage.into(), cause, kept: None });
+                    pieces.push(ReportedTask {
+                        task: piece,
+                        attempt: task,
+                        state: stage.into(),
+                        cause,
+                        checkpointed: None,
+                    });
                 }
             }
             reports.push(Report {
--- a/crates/core/src/controller/stops.rs
+++ b/crates/core/src/controller/stops.rs
@@ -4,11 +4,16 @@
 use super::*;
 use crate::Output;
 use crate::jobs::keys;
-use gorseshore_protocol::workers::Piece;
+use gorseshore_protocol::workers::ReportedTask;
 
 fn report(tally: u64) -> Report {
-    let piece =
-        Piece { piece: "j-000001/0".into(), attempt: 3, stage: "running".into(), cause: None, kept: None };
+    let piece = ReportedTask {
+        task: "j-000001/0".into(),
+        attempt: 3,
+        state: "running".into(),
+        cause: None,
+        checkpointed: None,
+    };
     Report {
         machine: "m".into(),
         addr: "m:1".into(),
--- a/crates/core/src/controller/worker.rs
+++ b/crates/core/src/controller/worker.rs
@@ -207,7 +207,7 @@
         .jobs
         .get(&job)
         .and_then(|j| j.spec.as_ref())
-        .map_or(Resources { cpu: 1_000_000, gpu: 0, mem: 1_000_000 }, |s| s.need)
+        .map_or(Resources { cpu: 1_000_000, gpu: 0, mem: 1_000_000 }, |s| s.task_resources)
 }
 
 /// Whether the task needs no run any more: its job ended, it is recorded as done, or the job no
--- a/crates/core/src/extension.rs
+++ b/crates/core/src/extension.rs
@@ -8,7 +8,7 @@
 use crate::{CallResult, RequestId};
 use gorseshore_protocol::cloud::Flavor;
 use gorseshore_protocol::ids::{JobId, Micros};
-use gorseshore_protocol::state::Multi;
+use gorseshore_protocol::state::Transaction;
 use gorseshore_settings::Team;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -96,7 +96,7 @@
         /// Identifies the write.
         ticket: OperationId,
         /// The transaction.
-        multi: Multi,
+        multi: Transaction,
         /// The leader key is added to the conditions.
         as_leader: bool,
     },
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -152,7 +152,7 @@
                 .filter(|o| o.spot || on_demand)
                 .filter(|o| zone_allows_task(&spec, &o.zone, &zones))
                 .map(|o| {
-                    let fitting = o.size.max_copies(&spec.need, 10_000).max(1);
+                    let fitting = o.size.max_copies(&spec.task_resources, 10_000).max(1);
                     let used = fitting.min((left as u64).max(fitting.div_ceil(4)));
                     (o.price * (1.0 + o.boot_s / 120.0) / used as f64, o)
                 })
--- a/crates/core/src/leader/autoscaling.rs
+++ b/crates/core/src/leader/autoscaling.rs
@@ -339,7 +339,7 @@
     fn preemptible_cpu(&self, m: &Machine) -> u64 {
         let lower =
             |t: &&TaskId| self.jobs.get(&t.job).is_some_and(|r| r.urgency.priority < Priority::Production);
-        m.tasks.keys().filter(lower).map(|t| self.jobs[&t.job].spec.need.cpu).sum()
+        m.tasks.keys().filter(lower).map(|t| self.jobs[&t.job].spec.task_resources.cpu).sum()
     }
 
     /// Spare CPUs, in thousandths, to keep in each open zone for new production replicas: the
@@ -354,13 +354,13 @@
         let minute_ago = self.wall_ms(now).saturating_sub(60_000);
         let (mut largest, mut recent, mut running) = (0, 0, 0);
         let services = |r: &&JobRun| {
-            r.spec.kind == Kind::Service && r.spec.rank == Priority::Production && !r.ended && !r.held
+            r.spec.kind == Kind::Service && r.spec.priority == Priority::Production && !r.ended && !r.held
         };
         for r in self.jobs.values().filter(services) {
-            largest = largest.max(r.spec.need.cpu * r.spec.max_tasks_per_zone() as u64);
-            running += r.spec.need.cpu * r.bound.len() as u64;
+            largest = largest.max(r.spec.task_resources.cpu * r.spec.max_tasks_per_zone() as u64);
+            running += r.spec.task_resources.cpu * r.bound.len() as u64;
             if r.ready_ms > minute_ago {
-                recent += r.spec.need.cpu * r.spec.tasks as u64;
+                recent += r.spec.task_resources.cpu * r.spec.tasks as u64;
             }
         }
         if largest == 0 {
@@ -607,9 +607,9 @@
         }
         demands.retain_mut(|d| {
             let Some(quota) = left.get_mut(d.spec.team.as_str()) else { return true };
-            d.pending_tasks = quota.max_copies(&d.spec.need, d.pending_tasks as u64) as u32;
+            d.pending_tasks = quota.max_copies(&d.spec.task_resources, d.pending_tasks as u64) as u32;
             for _ in 0..d.pending_tasks {
-                *quota = quota.saturating_sub(d.spec.need);
+                *quota = quota.saturating_sub(d.spec.task_resources);
             }
             d.pending_tasks > 0
         });
--- a/crates/core/src/leader/capacity_index.rs
+++ b/crates/core/src/leader/capacity_index.rs
@@ -212,7 +212,7 @@
                     || accumulates && run.urgency.priority < Priority::Production;
             let failed = !may_retry && run.failed_on.contains(id);
             let free = m.free();
-            (!reserved && !failed && free.fits(&spec.need)).then_some(free)
+            (!reserved && !failed && free.fits(&spec.task_resources)).then_some(free)
         })
     }
 
--- a/crates/core/src/leader/changes.rs
+++ b/crates/core/src/leader/changes.rs
@@ -30,12 +30,12 @@
     }
 
     fn put(mut self, key: String, value: Value) -> Self {
-        self.writes.push(Write::Put { key: key, value: value, lease: None });
+        self.writes.push(Write::Put { key, value, lease: None });
         self
     }
 
     fn remove(mut self, key: String) -> Self {
-        self.writes.push(Write::Remove { key: key });
+        self.writes.push(Write::Remove { key });
         self
     }
 
--- a/crates/core/src/leader/job_run.rs
+++ b/crates/core/src/leader/job_run.rs
@@ -89,7 +89,7 @@
         let millis = |s: f64| (s.max(0.0) * 1000.0) as u64;
         let due = spec.deadline_s.unwrap_or(DEFAULT_DEADLINE_S);
         let own_urgency = Urgency {
-            priority: spec.rank,
+            priority: spec.priority,
             due_ms: job.submitted_ms + millis(due),
             latest_ms: job.submitted_ms + millis(due * times),
             has_user_deadline: spec.deadline_s.is_some(),
--- a/crates/core/src/leader/pending_reasons.rs
+++ b/crates/core/src/leader/pending_reasons.rs
@@ -70,7 +70,7 @@
             any = true;
             let ok = fleet::zone_allows_task(spec, &m.zone, &zones);
             zone |= ok;
-            fits |= ok && m.free().fits(&spec.need);
+            fits |= ok && m.free().fits(&spec.task_resources);
         }
         if any && !zone {
             return PendingReason::ZoneRule;
--- a/crates/core/src/leader/schedule.rs
+++ b/crates/core/src/leader/schedule.rs
@@ -9,7 +9,7 @@
     let mut sum = Resources::default();
     for t in m.tasks.keys() {
         match jobs.get(&t.job) {
-            Some(r) => sum = sum.plus(r.spec.need),
+            Some(r) => sum = sum.plus(r.spec.task_resources),
             None => return m.size,
         }
     }
@@ -220,7 +220,7 @@
                     false => starved.push((run.ready_ms, id)),
                 }
             }
-            let (priority, cpu) = (run.urgency.priority, run.spec.need.cpu);
+            let (priority, cpu) = (run.urgency.priority, run.spec.task_resources.cpu);
             let least = waiting.min_cpu.entry(priority).or_insert(cpu);
             *least = cpu.min(*least);
             let teams = by_priority.entry(priority).or_default();
@@ -298,7 +298,7 @@
         let Some(index) = run.next_pending() else { return false };
         let may_preempt = (pass.guaranteed || run.urgency.priority == Priority::Production)
             && now >= run.preempt_not_before;
-        let need = run.spec.need;
+        let need = run.spec.task_resources;
         if !(self.capacity_index.any_with_cpu(need.cpu) || may_preempt && pass.preemption.may_fit(&need)) {
             return false;
         }
@@ -395,7 +395,7 @@
         let fixed = run.spec.has_zone_constraint();
         let out =
             Assignment { task, attempt, zone: fixed.then(|| zone.clone()), preferred_machine: hint.clone() };
-        let need = run.spec.need;
+        let need = run.spec.task_resources;
         run.requeued.remove(&task.index);
         self.bound_totals.add(&run.spec);
         let watched = first_candidate(&machines, &run.spec, attempt, &self.machines);
@@ -433,7 +433,7 @@
     pub(super) fn should_wait_for_image(&self, id: JobId, found: &MachineId, now: Micros) -> bool {
         let Some(run) = self.jobs.get(&id) else { return false };
         run.spec.kind == Kind::Service
-            && run.spec.rank == Priority::Production
+            && run.spec.priority == Priority::Production
             && run.image_wait_until.is_none_or(|until| now < until)
             && self.machines.get(found).is_some_and(|m| !m.images.contains(&run.spec.image))
             && self.machines.values().any(|m| m.images.contains(&run.spec.image))
@@ -460,12 +460,12 @@
         else {
             return None;
         };
-        if !max_capacity.fits(&spec.need) {
+        if !max_capacity.fits(&spec.task_resources) {
             return None;
         }
         let borrowed = if guaranteed { self.borrowed() } else { BTreeMap::new() };
         let mut best: Option<(u64, MachineId, Vec<(TaskId, Attempt)>, u32)> = None;
-        for (machine_id, _) in candidates.iter().filter(|(_, capacity)| capacity.fits(&spec.need)) {
+        for (machine_id, _) in candidates.iter().filter(|(_, capacity)| capacity.fits(&spec.task_resources)) {
             *scanned += 1;
             let Some(m) = self.machines.get(machine_id) else { continue };
             if image && !m.images.contains(&spec.image)
@@ -494,27 +494,27 @@
             let mut free = m.free();
             let (mut lost, mut chosen) = (0, Vec::new());
             for (_, ran, t, a) in victims {
-                if free.fits(&spec.need) {
+                if free.fits(&spec.task_resources) {
                     break;
                 }
                 let Some(r) = self.jobs.get(&t.job) else { continue };
                 let lower = r.urgency.priority < priority;
                 let reclaims = r.spec.team != spec.team
-                    && reclaimable
-                        .get(&r.spec.team)
-                        .is_some_and(|(c, g)| r.spec.need.cpu <= *c && r.spec.need.gpu <= *g);
+                    && reclaimable.get(&r.spec.team).is_some_and(|(c, g)| {
+                        r.spec.task_resources.cpu <= *c && r.spec.task_resources.gpu <= *g
+                    });
                 if !lower && !reclaims {
                     continue;
                 }
                 if let Some((c, g)) = reclaimable.get_mut(&r.spec.team) {
-                    *c = c.saturating_sub(r.spec.need.cpu);
-                    *g = g.saturating_sub(r.spec.need.gpu);
+                    *c = c.saturating_sub(r.spec.task_resources.cpu);
+                    *g = g.saturating_sub(r.spec.task_resources.gpu);
                 }
-                free = free.plus(r.spec.need);
+                free = free.plus(r.spec.task_resources);
                 lost += ran + 1;
                 chosen.push((t, a));
             }
-            let fitting = free.max_copies(&spec.need, 1000) as u32;
+            let fitting = free.max_copies(&spec.task_resources, 1000) as u32;
             if fitting > 0 && !chosen.is_empty() && best.as_ref().is_none_or(|(l, ..)| lost < *l) {
                 best = Some((lost, machine_id.clone(), chosen, fitting));
             }
@@ -542,7 +542,7 @@
             for (t, _) in m.tasks.iter().filter(|(_, (_, s))| *s != TaskState::Starting) {
                 let Some(r) = self.jobs.get(&t.job) else { continue };
                 if guaranteed || r.urgency.priority < Priority::Production {
-                    capacity = capacity.plus(r.spec.need);
+                    capacity = capacity.plus(r.spec.task_resources);
                     preemptible = true;
                 }
             }
--- a/crates/core/src/leader/starvation.rs
+++ b/crates/core/src/leader/starvation.rs
@@ -83,7 +83,7 @@
         let lasting = |m: &Machine| {
             let mut sum = Resources::default();
             for t in m.tasks.keys().filter(|t| !ends(t)) {
-                sum = sum.plus(self.jobs.get(&t.job).map_or(m.size, |r| r.spec.need));
+                sum = sum.plus(self.jobs.get(&t.job).map_or(m.size, |r| r.spec.task_resources));
             }
             sum
         };
@@ -93,10 +93,10 @@
             .filter(|(_, m)| m.is_reachable(&contact) && m.accumulating_job(now).is_none())
             .filter(|(_, m)| m.suits(&spec))
             .filter(|(_, m)| fleet::zone_allows_task(&spec, &m.zone, &zones))
-            .filter(|(_, m)| m.size.saturating_sub(lasting(m)).fits(&spec.need))
+            .filter(|(_, m)| m.size.saturating_sub(lasting(m)).fits(&spec.task_resources))
             // The machine with the fewest CPUs still to become free; among equals the one
             // that is cheapest to reserve: spot first, then the smallest.
-            .min_by_key(|(_, m)| (spec.need.minus(m.free()).cpu, !m.spot, m.size.cpu));
+            .min_by_key(|(_, m)| (spec.task_resources.saturating_sub(m.free()).cpu, !m.spot, m.size.cpu));
         let Some(best) = best.map(|(id, _)| id.clone()) else { return false };
         debug!("{id} is starved: {best} is reserved for it until a task fits");
         if let Some(m) = self.machines.get_mut(&best) {
--- a/crates/core/src/node/catalogue.rs
+++ b/crates/core/src/node/catalogue.rs
@@ -4,7 +4,7 @@
 use crate::leader::scaling_limits::MAX_MACHINES_PER_LIST_PAGE;
 use crate::token_bucket::TokenBucket;
 use crate::{Call, Target};
-use gorseshore_protocol::cloud::{Flavor, Flavors, Hire, MachineNames};
+use gorseshore_protocol::cloud::{Flavor, Flavors, MachineNames, RentalRequest};
 use gorseshore_protocol::ids::{Micros, Resources};
 
 /// Machine types and the budget for calls to the cloud.
@@ -58,19 +58,19 @@
 
 /// A call that rents machines.
 pub(super) fn rent_call(request: &ScaleOutRequest) -> Call {
-    let body = Hire {
-        hire: request.name.clone(),
-        build: request.machine_type.clone(),
-        yard: request.zone.clone(),
-        loaners: request.spot,
-        number: request.count,
+    let body = RentalRequest {
+        request_id: request.name.clone(),
+        machine_type: request.machine_type.clone(),
+        zone: request.zone.clone(),
+        spot: request.spot,
+        count: request.count,
     };
     cloud_call("POST", "/rentals".into(), serde_json::to_vec(&body).unwrap_or_default())
 }
 
 /// A call that deletes machines.
 pub(super) fn delete_call(names: Vec<String>) -> Call {
-    let body = MachineNames { names: names };
+    let body = MachineNames { names };
     cloud_call("POST", "/rentals/delete".into(), serde_json::to_vec(&body).unwrap_or_default())
 }
 
--- a/crates/core/src/node/control_loop.rs
+++ b/crates/core/src/node/control_loop.rs
@@ -110,18 +110,18 @@
         self.calls.insert(id, CallPurpose::List { from, first_revision, replica });
     }
 
-    pub(super) fn apply_events(&mut self, response: News) {
+    pub(super) fn apply_events(&mut self, response: WatchResponse) {
         let base = self.replica_sync.replica.applied_revision;
         let mut messages = Vec::new();
-        for e in &response.news {
-            if e.stamp <= base {
+        for e in &response.events {
+            if e.revision <= base {
                 continue;
             }
             let change = match (&e.put, &e.remove) {
-                (Some(k), _) => match self.replica_sync.replica.apply(k, Some(&e.v), e.stamp) {
+                (Some(k), _) => match self.replica_sync.replica.apply(k, Some(&e.value), e.revision) {
                     Change::RelayedMessage(to) => {
                         if to == self.members.names[self.members.own_id.0 as usize]
-                            && let Some(p) = self.relay.receive_part(&e.v)
+                            && let Some(p) = self.relay.receive_part(&e.value)
                         {
                             messages.push(p);
                         }
@@ -129,33 +129,33 @@
                     }
                     c => c,
                 },
-                (None, Some(k)) => self.replica_sync.replica.apply(k, None, e.stamp),
+                (None, Some(k)) => self.replica_sync.replica.apply(k, None, e.revision),
                 _ => continue,
             };
             if let Some(g) = self.extension.as_mut() {
                 match &change {
                     Change::Extension => {
                         let (key, v) = match (&e.put, &e.remove) {
-                            (Some(k), _) => (k, Some(&e.v)),
+                            (Some(k), _) => (k, Some(&e.value)),
                             (None, Some(k)) => (k, None),
                             (None, None) => continue,
                         };
                         if let Some(name) = key.strip_prefix(keys::EXTENSION_PREFIX) {
-                            g.apply(name, v, e.stamp);
+                            g.apply(name, v, e.revision);
                         }
                     }
-                    Change::Job { id, .. } if id.is_internal() => g.job_changed(*id, e.stamp),
+                    Change::Job { id, .. } if id.is_internal() => g.job_changed(*id, e.revision),
                     _ => {}
                 }
             }
             self.record_job_change(change);
         }
-        self.replica_sync.replica.applied_revision = base.max(response.ledger);
+        self.replica_sync.replica.applied_revision = base.max(response.revision);
         // Only after all events: an assignment may be of a job whose end came with them.
         for p in messages {
             self.receive_message(p.from, p.incarnation, p.message);
         }
-        if !response.news.is_empty() {
+        if !response.events.is_empty() {
             self.run_leader();
             self.send_worker_calls();
             self.run_extension(ExtensionInput::ReplicaUpdated);
--- a/crates/core/src/node/heartbeats.rs
+++ b/crates/core/src/node/heartbeats.rs
@@ -99,9 +99,7 @@
         if !self.may_renew_leases() {
             return self.redirect(id, None);
         }
-        let body =
-            serde_json::to_vec(&HeartbeatResponse { fencing_token: fencing_token, commands: commands })
-                .unwrap_or_default();
+        let body = serde_json::to_vec(&HeartbeatResponse { fencing_token, commands }).unwrap_or_default();
         self.out.respond(id, 200, body);
     }
 
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -45,7 +45,7 @@
 };
 use gorseshore_protocol::job::JobSpec;
 use gorseshore_protocol::state::{
-    LeaseGrant, Listing, News, Precondition, Transaction, TransactionResponse, Write,
+    LeaseGrant, Listing, Precondition, Transaction, TransactionResponse, WatchResponse, Write,
 };
 use gorseshore_protocol::users;
 use gorseshore_protocol::workers::{Command, HeartbeatResponse, HeartbeatSeq, Report};
@@ -329,18 +329,19 @@
             CallPurpose::Watch => {
                 self.replica_sync.watch_in_flight = false;
                 match result {
-                    CallResult::Response { status: 200, body } => match serde_json::from_slice::<News>(&body)
-                    {
-                        Ok(n) => {
-                            self.replica_sync.last_success = Some(self.now);
-                            self.status.caught_up(self.now);
-                            self.apply_events(n);
-                        }
-                        Err(e) => {
-                            warn!("invalid watch response: {e}");
-                            self.replica_sync.next_watch_at = self.now + Micros::millis(500);
+                    CallResult::Response { status: 200, body } => {
+                        match serde_json::from_slice::<WatchResponse>(&body) {
+                            Ok(n) => {
+                                self.replica_sync.last_success = Some(self.now);
+                                self.status.caught_up(self.now);
+                                self.apply_events(n);
+                            }
+                            Err(e) => {
+                                warn!("invalid watch response: {e}");
+                                self.replica_sync.next_watch_at = self.now + Micros::millis(500);
+                            }
                         }
-                    },
+                    }
                     CallResult::Response { status: 410, .. } => {
                         info!(
                             "watch expired revision={}: reading the state from the start",
@@ -562,7 +563,7 @@
     fn read_barrier_completed(&mut self, waiting: Vec<(Waiter, Micros)>, result: CallResult) {
         self.pending.barrier_in_flight = false;
         self.status.read_barrier_completed(&result, self.now);
-        let response: Option<News> = match &result {
+        let response: Option<WatchResponse> = match &result {
             CallResult::Response { status: 200, body } => serde_json::from_slice(body).ok(),
             CallResult::Response { status: 410, .. } => {
                 info!(
--- a/crates/core/src/node/pending_requests.rs
+++ b/crates/core/src/node/pending_requests.rs
@@ -6,7 +6,7 @@
 use crate::token_bucket::TokenBucket;
 use gorseshore_protocol::ids::{JobId, Micros};
 use gorseshore_protocol::job::JobSpec;
-use gorseshore_protocol::state::Multi;
+use gorseshore_protocol::state::Transaction;
 use std::collections::VecDeque;
 
 /// Most waiting requests of each kind.
@@ -40,7 +40,7 @@
     /// With the record of the job's end.
     Abort(RequestId, JobId, serde_json::Value),
     /// Of the extension; `true`: only under the leader key.
-    Extension(OperationId, Box<Multi>, bool),
+    Extension(OperationId, Box<Transaction>, bool),
 }
 
 /// Waiting requests and writes.
--- a/crates/core/src/node/relay.rs
+++ b/crates/core/src/node/relay.rs
@@ -143,7 +143,7 @@
     fn receive(relay: &mut Relay, transactions: &[Transaction]) -> Option<Envelope> {
         let parts = transactions.iter().flat_map(|txn| &txn.writes);
         parts.fold(None, |whole, write| match write {
-            Write::Put { value: v, .. } => whole.or(relay.receive_part(value)),
+            Write::Put { value: v, .. } => whole.or(relay.receive_part(v)),
             Write::Remove { .. } => whole,
         })
     }
@@ -174,7 +174,7 @@
                 assert!(serde_json::to_vec(txn).unwrap().len() < 64 * 1024, "{what}");
                 for write in &txn.writes {
                     let Write::Put { value: v, .. } = write else { panic!("{write:?}") };
-                    assert!(limits.fits(value), "{what}");
+                    assert!(limits.fits(v), "{what}");
                 }
             }
             let received = receive(&mut to, &transactions).map(|e| e.to_bytes());
--- a/crates/core/src/node/requests.rs
+++ b/crates/core/src/node/requests.rs
@@ -328,7 +328,7 @@
                     let revision = self.replica_sync.replica.jobs.get(job).map_or(0, |j| j.revision);
                     let when = vec![
                         Precondition { key: key.clone(), revision: 0 },
-                        Precondition { key: keys::job(*job), revision: revision },
+                        Precondition { key: keys::job(*job), revision },
                     ];
                     (when, vec![(key, end.clone())])
                 }
--- a/crates/nomad/src/service/api.rs
+++ b/crates/nomad/src/service/api.rs
@@ -313,7 +313,7 @@
         if reads && self.block(host, &r, &scope) {
             return;
         }
-        let index = host.replica.applied;
+        let index = host.replica.applied_revision;
         let known = |s: &Service, j: &str| {
             let key = JobKey::of(r.namespace(), j);
             s.heads.get(&key).filter(|k| r.may(&k.head.team)).cloned().map(|k| (key, k))
@@ -554,7 +554,7 @@
         }
         let key = JobKey::of(&job.namespace, &job.id);
         let body = views::plan(host, self.heads.get(&key), &j.groups, &j.faults);
-        self.answer(r.id, 200, host.replica.applied, &body);
+        self.answer(r.id, 200, host.replica.applied_revision, &body);
     }
 }
 
--- a/crates/nomad/src/service/mod.rs
+++ b/crates/nomad/src/service/mod.rs
@@ -23,7 +23,7 @@
 };
 use gorseshore_core::{CallResult, RequestId};
 use gorseshore_protocol::ids::{JobId, Micros};
-use gorseshore_protocol::state::{Multi, TransactionResponse};
+use gorseshore_protocol::state::{Transaction, TransactionResponse};
 use gorseshore_settings::Nomad;
 use records::{Content, Head, JobKey};
 use serde_json::Value;
@@ -191,7 +191,7 @@
     pub(crate) fn content_of(&mut self, nonce: &str, result: &CallResult) -> Option<Rc<Content>> {
         let CallResult::Response { status: 200, body } = result else { return None };
         let page: gorseshore_protocol::state::Listing = serde_json::from_slice(body).ok()?;
-        let text: String = page.pairs.iter().filter_map(|p| p.v.as_str()).collect();
+        let text: String = page.entries.iter().filter_map(|p| p.value.as_str()).collect();
         let content: Rc<Content> = Rc::new(serde_json::from_str(&text).ok()?);
         self.keep_content(nonce, content.clone());
         Some(content)
@@ -230,9 +230,9 @@
     fn look(&mut self, host: &ExtensionContext<'_>) {
         let mut machines = Vec::new();
         for f in host.flavors {
-            for z in &f.yards {
+            for z in &f.zones {
                 machines.push(MachineKind {
-                    name: f.sku.clone(),
+                    name: f.name.clone(),
                     zone: z.clone(),
                     cpus: f.cpus,
                     memory_gb: f.memory_gb,
@@ -278,14 +278,14 @@
 pub(crate) fn revision(result: &CallResult) -> Option<u64> {
     match result {
         CallResult::Response { status: 200, body } => {
-            Some(serde_json::from_slice::<TransactionResponse>(body).ok()?.ledger)
+            Some(serde_json::from_slice::<TransactionResponse>(body).ok()?.revision)
         }
         _ => None,
     }
 }
 
 /// A write, under the leader's key or not.
-pub(crate) fn write(ticket: OperationId, multi: Multi, as_leader: bool) -> ExtensionOutput {
+pub(crate) fn write(ticket: OperationId, multi: Transaction, as_leader: bool) -> ExtensionOutput {
     ExtensionOutput::Write { ticket, multi, as_leader }
 }
 
--- a/crates/nomad/src/service/reconcile.rs
+++ b/crates/nomad/src/service/reconcile.rs
@@ -7,11 +7,11 @@
 use super::register::{put, remove, when};
 use super::{Known, Pending, Service, write};
 use gorseshore_core::extension::{ExtensionContext, ExtensionOutput};
-use gorseshore_core::jobs::{Phase, cancelled_value, description, job_value, keys};
+use gorseshore_core::jobs::{Phase, cancelled_value, job_value, keys, parse_job_spec};
 use gorseshore_core::limits::value_len;
 use gorseshore_protocol::ids::{JobId, Micros};
 use gorseshore_protocol::job::JobSpec;
-use gorseshore_protocol::state::{Multi, When, Write};
+use gorseshore_protocol::state::{Precondition, Transaction, Write};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
@@ -72,10 +72,12 @@
 
     fn reconcile(&mut self, host: &ExtensionContext<'_>, key: &JobKey, known: &Known) {
         let head = &known.head;
-        let mut m = Multi { when: vec![when(names::head(key), known.stamp)], writes: Vec::new() };
+        let mut m =
+            Transaction { preconditions: vec![when(names::head(key), known.stamp)], writes: Vec::new() };
         // The leader's key is a condition more.
-        let room =
-            |m: &Multi| m.writes.len() < host.max_txn_writes && m.when.len() + 3 < host.max_txn_writes * 4;
+        let room = |m: &Transaction| {
+            m.writes.len() < host.max_txn_writes && m.preconditions.len() + 3 < host.max_txn_writes * 4
+        };
         let over: Vec<JobId> = match head.stop || head.template() {
             true => head.natives().collect(),
             false => head.old.iter().copied().map(JobId).collect(),
@@ -85,10 +87,10 @@
             let Some(job) = host.replica.jobs.get(&id) else { continue };
             left |= job.phase == Phase::Active;
             if job.phase == Phase::Active && room(&m) {
-                m.when.push(When { path: keys::end(id), stamp: 0 });
-                m.when.push(When { path: keys::job(id), stamp: job.stamp });
+                m.preconditions.push(Precondition { key: keys::end(id), revision: 0 });
+                m.preconditions.push(Precondition { key: keys::job(id), revision: job.revision });
                 let v = cancelled_value(host.wall_ms, None, false);
-                m.writes.push(Write::Put { put: keys::end(id), v, hold: None });
+                m.writes.push(Write::Put { key: keys::end(id), value: v, lease: None });
             }
         }
         if !head.stop && !head.template() {
@@ -101,7 +103,7 @@
                             // What it is made of has to be read first.
                             return self.load(key, &head.nonce);
                         };
-                        let spec = content.specs.get(&g.name).and_then(|r| description(id, r));
+                        let spec = content.specs.get(&g.name).and_then(|r| parse_job_spec(id, r));
                         let Some(mut spec) = spec else {
                             log::error!(
                                 "{} {}: group {} has no description",
@@ -112,12 +114,12 @@
                             continue;
                         };
                         spec.tasks = g.count;
-                        spec.after = head.old.iter().copied().map(JobId).collect();
+                        spec.replaces = head.old.iter().copied().map(JobId).collect();
                         let Some(v) = native_record(&spec, head.at, head, &g.name, host) else { continue };
                         if room(&m) {
-                            m.when.push(When { path: keys::job(id), stamp: 0 });
-                            m.when.push(When { path: keys::end(id), stamp: 0 });
-                            m.writes.push(Write::Put { put: keys::job(id), v, hold: None });
+                            m.preconditions.push(Precondition { key: keys::job(id), revision: 0 });
+                            m.preconditions.push(Precondition { key: keys::end(id), revision: 0 });
+                            m.writes.push(Write::Put { key: keys::job(id), value: v, lease: None });
                         }
                     }
                     Some(job) if job.phase == Phase::Active && job.tasks != g.count => {
@@ -127,9 +129,9 @@
                             let Some(v) = native_record(&spec, job.submitted_ms, head, &g.name, host) else {
                                 continue;
                             };
-                            m.when.push(When { path: keys::job(id), stamp: job.stamp });
-                            m.when.push(When { path: keys::end(id), stamp: 0 });
-                            m.writes.push(Write::Put { put: keys::job(id), v, hold: None });
+                            m.preconditions.push(Precondition { key: keys::job(id), revision: job.revision });
+                            m.preconditions.push(Precondition { key: keys::end(id), revision: 0 });
+                            m.writes.push(Write::Put { key: keys::job(id), value: v, lease: None });
                         }
                     }
                     Some(_) => {}
@@ -181,14 +183,14 @@
         }
         let writes = gone.into_iter().map(|n| remove(&format!("p/{n}"))).collect();
         let ticket = self.ticket(Pending::Sweep);
-        self.out.push(write(ticket, Multi { when: Vec::new(), writes }, true));
+        self.out.push(write(ticket, Transaction { preconditions: Vec::new(), writes }, true));
     }
 
     /// Records that a launch was passed over.
     pub(crate) fn pass_over(&mut self, key: &JobKey, known: &Known, ms: u64) {
         let stamp = self.launches.get(key).map_or(0, |l| l.1);
-        let m = Multi {
-            when: vec![when(names::head(key), known.stamp), when(names::launch(key), stamp)],
+        let m = Transaction {
+            preconditions: vec![when(names::head(key), known.stamp), when(names::launch(key), stamp)],
             writes: vec![put(&names::launch(key), json!(ms))],
         };
         self.busy.insert(key.clone());
--- a/crates/nomad/src/service/register.rs
+++ b/crates/nomad/src/service/register.rs
@@ -19,7 +19,7 @@
 use gorseshore_core::jobs::{Phase, job_value, keys};
 use gorseshore_core::limits::value_len;
 use gorseshore_protocol::ids::{JobId, MIN_INTERNAL_JOB_ID, Micros};
-use gorseshore_protocol::state::{Multi, When, Write};
+use gorseshore_protocol::state::{Precondition, Transaction, Write};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -181,7 +181,7 @@
             }
             _ => match self.dispatch(host, &r, &known, &content, &body) {
                 Ok((wish, None)) => self.begin_change(host, r, key, wish, false),
-                Ok((_, Some(done))) => self.answer(r.id, 200, host.replica.applied, &done),
+                Ok((_, Some(done))) => self.answer(r.id, 200, host.replica.applied_revision, &done),
                 Err(text) => self.refuse(r.id, 400, &text),
             },
         }
@@ -313,7 +313,7 @@
                     && k.head.hash == hash
                 {
                     let answer = registered(&r.key, &k.head, k.stamp, &r.wish);
-                    return self.answer(r.request.id, 200, host.replica.applied, &answer);
+                    return self.answer(r.request.id, 200, host.replica.applied_revision, &answer);
                 }
                 match self.next_head(host, known.as_ref(), job, (class, team), (hash, shape)) {
                     Ok(h) => (h, Some(content.clone())),
@@ -337,7 +337,7 @@
                 };
                 if h.groups[at].count == *count {
                     let answer = registered(&r.key, &k.head, k.stamp, &r.wish);
-                    return self.answer(r.request.id, 200, host.replica.applied, &answer);
+                    return self.answer(r.request.id, 200, host.replica.applied_revision, &answer);
                 }
                 let total: u64 = h.groups.iter().map(|g| g.count as u64).sum::<u64>()
                     - h.groups[at].count as u64
@@ -372,7 +372,7 @@
                 let Some(k) = known else { return self.give_up(&r, 404, "job not found") };
                 if k.head.stop && (k.head.purge || !purge) {
                     let answer = registered(&r.key, &k.head, k.stamp, &r.wish);
-                    return self.answer(r.request.id, 200, host.replica.applied, &answer);
+                    return self.answer(r.request.id, 200, host.replica.applied_revision, &answer);
                 }
                 let mut h = Head::clone(&k.head);
                 (h.stop, h.purge) = (true, h.purge || *purge);
@@ -475,7 +475,7 @@
                 host.replica.jobs.get(id).is_some_and(|j| match j.phase {
                     Phase::Active => false,
                     Phase::Done => true,
-                    Phase::Aborted => j.settled,
+                    Phase::Cancelled => j.fully_stopped,
                 })
             };
             head.old = k.head.natives().filter(|id| !gone(id)).map(|id| id.0).collect();
@@ -545,7 +545,7 @@
             }
             r.open = writes.len();
             let ticket = self.ticket(Pending::Register(Box::new(r)));
-            return self.out.push(write(ticket, Multi { when: Vec::new(), writes }, false));
+            return self.out.push(write(ticket, Transaction { preconditions: Vec::new(), writes }, false));
         }
         r.step = Step::Head;
         let Some(head) = &r.head else { return };
@@ -567,7 +567,7 @@
         }
         let by_leader = r.by_leader;
         let ticket = self.ticket(Pending::Register(Box::new(r)));
-        self.out.push(write(ticket, Multi { when: conditions, writes }, by_leader));
+        self.out.push(write(ticket, Transaction { preconditions: conditions, writes }, by_leader));
     }
 
     /// A write of a change ended.
@@ -639,7 +639,7 @@
             Wish::Child { id, .. } => dispatched(id, &head.key(), stamp),
             w => registered(&r.key, head, stamp, w),
         };
-        self.answer(r.request.id, 200, host.replica.applied.max(stamp), &answer);
+        self.answer(r.request.id, 200, host.replica.applied_revision.max(stamp), &answer);
     }
 
     /// Whether a job that this one launched still runs.
@@ -664,18 +664,18 @@
 }
 
 /// A condition on a name below the guest's space.
-pub(crate) fn when(name: String, stamp: u64) -> When {
-    When { path: format!("{}{name}", keys::GUEST), stamp }
+pub(crate) fn when(name: String, stamp: u64) -> Precondition {
+    Precondition { key: format!("{}{name}", keys::EXTENSION_PREFIX), revision: stamp }
 }
 
 /// A put below the guest's space.
 pub(crate) fn put(name: &str, v: Value) -> Write {
-    Write::Put { put: format!("{}{name}", keys::GUEST), v, hold: None }
+    Write::Put { key: format!("{}{name}", keys::EXTENSION_PREFIX), value: v, lease: None }
 }
 
 /// A removal below the guest's space.
 pub(crate) fn remove(name: &str) -> Write {
-    Write::Remove { remove: format!("{}{name}", keys::GUEST) }
+    Write::Remove { key: format!("{}{name}", keys::EXTENSION_PREFIX) }
 }
 
 fn warnings(faults: &Faults) -> String {
--- a/crates/nomad/src/service/views.rs
+++ b/crates/nomad/src/service/views.rs
@@ -88,10 +88,10 @@
         None => c.queued = if head.stop || head.template() { 0 } else { count },
         Some(j) => match j.phase {
             Phase::Done => c.complete = j.tasks,
-            Phase::Aborted if j.cause.is_some() => c.failed = j.tasks,
-            Phase::Aborted => c.complete = j.tasks,
+            Phase::Cancelled if j.cause.is_some() => c.failed = j.tasks,
+            Phase::Cancelled => c.complete = j.tasks,
             Phase::Active => {
-                c.complete = j.done.below(j.tasks);
+                c.complete = j.done.count_below(j.tasks);
                 c.running = host.running.get(&JobId(job)).copied().unwrap_or(0).min(j.tasks - c.complete);
                 c.queued = j.tasks - c.complete - c.running;
             }
@@ -196,26 +196,26 @@
 fn tasks(host: &ExtensionContext<'_>, k: &Known, group: &str, id: u64, j: &Job, out: &mut Vec<Value>) {
     let h = &k.head;
     let running = host.running.get(&JobId(id)).copied().unwrap_or(0);
-    let open = j.tasks - j.done.below(j.tasks);
-    let most = j.spec.as_ref().and_then(|s| s.attempts);
+    let open = j.tasks - j.done.count_below(j.tasks);
+    let most = j.spec.as_ref().and_then(|s| s.max_attempts);
     for i in 0..j.tasks.min(LISTED) {
         let (desired, client) = match j.phase {
             Phase::Done => ("run", "complete"),
-            Phase::Aborted if j.cause.is_some() => ("stop", "failed"),
-            Phase::Aborted if j.settled => ("stop", "complete"),
-            Phase::Aborted => ("stop", "unknown"),
+            Phase::Cancelled if j.cause.is_some() => ("stop", "failed"),
+            Phase::Cancelled if j.fully_stopped => ("stop", "complete"),
+            Phase::Cancelled => ("stop", "unknown"),
             Phase::Active if j.done.contains(i) => ("run", "complete"),
             Phase::Active if running == 0 => ("run", "pending"),
             Phase::Active if running >= open => ("run", "running"),
             Phase::Active => ("run", "unknown"),
         };
-        let failed = j.failed.get(&i).map_or(0, |f| f.count);
+        let failed = j.failures.get(&i).map_or(0, |f| f.count);
         out.push(json!({"ID": allocation_id(JobId(id), i), "Namespace": h.namespace, "JobID": h.id,
             "Name": format!("{}.{group}[{i}]", h.id), "TaskGroup": group, "JobType": h.kind,
             "JobVersion": h.version, "DesiredStatus": desired, "ClientStatus": client,
             "ClientDescription": j.cause.as_deref().unwrap_or(""),
             "FailedAttempts": failed, "MostAttempts": most,
-            "CreateIndex": j.stamp, "ModifyIndex": j.stamp.max(j.end_revision)}));
+            "CreateIndex": j.revision, "ModifyIndex": j.revision.max(j.end_revision)}));
     }
 }
 
@@ -236,7 +236,7 @@
 
 /// A machine.
 pub(crate) fn node(id: &MachineId, m: &MachineRecord) -> Value {
-    json!({"ID": id.as_str(), "Name": id.as_str(), "Address": m.addr, "Datacenter": m.zone, "NodeClass": m.build,
+    json!({"ID": id.as_str(), "Name": id.as_str(), "Address": m.addr, "Datacenter": m.zone, "NodeClass": m.machine_type,
         "NodePool": "default", "Status": "ready", "SchedulingEligibility": "eligible", "Drain": false,
         "Attributes": {"unique.spot": m.spot.to_string(), "kernel.name": "linux"}})
 }
@@ -265,8 +265,8 @@
         );
         // The limit of the team holds for all its jobs; alone it lets so many run.
         if let Some(team) = host.teams.iter().find(|t| t.name == p.spec.team) {
-            let max = Resources::have(team.cpus_max, team.gpus_max, 0.0);
-            let most = if max.cpu == 0 { n as u64 } else { max.cpu / p.spec.need.cpu.max(1) };
+            let max = Resources::capacity(team.cpus_max, team.gpus_max, 0.0);
+            let most = if max.cpu == 0 { n as u64 } else { max.cpu / p.spec.task_resources.cpu.max(1) };
             if most < n as u64 {
                 failed.insert(
                     p.group.clone(),
@@ -276,8 +276,8 @@
             }
         }
         let fits = |f: &gorseshore_protocol::cloud::Flavor| {
-            let size = Resources::have(f.cpus, f.gpus, f.memory_gb);
-            f.yards.iter().any(|z| p.spec.allows(&f.sku, z, false, &size))
+            let size = Resources::capacity(f.cpus, f.gpus, f.memory_gb);
+            f.zones.iter().any(|z| p.spec.allows(&f.name, z, false, &size))
         };
         if !host.flavors.iter().any(fits) {
             failed.insert(p.group.clone(), json!({"NodesEvaluated": host.flavors.len(),
--- a/crates/nomad/src/translate.rs
+++ b/crates/nomad/src/translate.rs
@@ -66,9 +66,9 @@
     settings.classes.iter().find(|c| {
         let zones = &job.datacenters;
         c.kind.is_none_or(|k| k == job.kind)
-            && matches(&c.job, &job.id)
-            && matches(&c.namespace, &job.namespace)
-            && (c.datacenter == "*" || zones.iter().any(|(z, _)| matches(&c.datacenter, z)))
+            && matches(&c.job_pattern, &job.id)
+            && matches(&c.namespace_pattern, &job.namespace)
+            && (c.datacenter_pattern == "*" || zones.iter().any(|(z, _)| matches(&c.datacenter_pattern, z)))
     })
 }
 
@@ -113,10 +113,10 @@
 /// below it, never above.
 pub fn rank(class: &NomadClass, kind: Kind, priority: u32) -> Priority {
     if kind == Kind::Service {
-        return class.rank;
+        return class.max_priority;
     }
     let order = [Priority::Low, Priority::Normal, Priority::High, Priority::Production];
-    let top = order.iter().position(|r| *r == class.rank).unwrap_or(0);
+    let top = order.iter().position(|r| *r == class.max_priority).unwrap_or(0);
     // Beyond doubt, whatever the settings said.
     let top = top.min(2);
     let below = match priority {
@@ -163,9 +163,9 @@
     let attempts = attempts(job, g, class, faults);
     let constraints: Vec<&Match> = g.constraints.iter().collect();
     let allowed = allowed(job, g, &constraints, settings, site, faults)?;
-    let need = Resources::need(cpus, 0.0, memory_gb);
+    let need = Resources::request(cpus, 0.0, memory_gb);
     if !allowed.kinds.is_empty() {
-        let fits = |k: &&MachineKind| Resources::have(k.cpus, 0.0, k.memory_gb).fits(&need);
+        let fits = |k: &&MachineKind| Resources::capacity(k.cpus, 0.0, k.memory_gb).fits(&need);
         if !allowed.kinds.iter().any(fits) {
             let most = allowed
                 .kinds
@@ -197,26 +197,26 @@
     let prefer = preferences(g, &allowed.kinds, settings, faults);
     let spec = JobSpec {
         id: JobId(0),
-        class: class.lot.clone(),
+        class: class.job_class.clone(),
         team: class.team.clone(),
         kind: job.kind,
-        rank: rank(class, job.kind, job.priority),
+        priority: rank(class, job.kind, job.priority),
         tasks: g.count,
-        need,
-        types: allowed.types,
+        task_resources: need,
+        machine_types: allowed.types,
         zones: allowed.zones,
         one_zone: false,
         spread: g.spread && g.count > 1,
         spot: class.spot && allowed.spot,
         image,
         image_gb,
-        estimate_s: if job.kind == Kind::Array { class.estimate_s } else { 0.0 },
-        checkpoint_s: if job.kind == Kind::Array { class.checkpoint_s } else { 0.0 },
-        save_s: kill_s,
+        estimated_runtime_s: if job.kind == Kind::Array { class.estimate_s } else { 0.0 },
+        checkpoint_interval_s: if job.kind == Kind::Array { class.checkpoint_s } else { 0.0 },
+        checkpoint_save_s: kill_s,
         deadline_s: class.deadline_s.filter(|_| job.kind == Kind::Array),
-        attempts,
-        prefer,
-        after: Vec::new(),
+        max_attempts: attempts,
+        preferences: prefer,
+        replaces: Vec::new(),
         dependencies: Vec::new(),
     };
     Some(Planned { group: g.name.clone(), spec })
@@ -480,6 +480,6 @@
     }
     sums.into_iter()
         .filter(|(_, w)| *w != 0)
-        .map(|((build, zone), weight)| Preference { build: build.into(), zone: zone.into(), weight })
+        .map(|((build, zone), weight)| Preference { machine_type: build.into(), zone: zone.into(), weight })
         .collect()
 }
--- a/crates/nomad/tests/record_compatibility.rs
+++ b/crates/nomad/tests/record_compatibility.rs
@@ -126,7 +126,7 @@
         ("g/n/p/KEY/f00d/000", json!("{\"job\":"), Record::NomadPart("{\"job\":".into())),
         ("g/n/l/KEY", json!(1_764_600_000_000_u64), Record::NomadLaunch(1_764_600_000_000)),
         ("g/n/i/KEY", json!("desk/dispatch-1-f00d"), Record::NomadToken("desk/dispatch-1-f00d".into())),
-        ("g/n/later/KEY", json!([1]), Record::PassedOver),
+        ("g/n/later/KEY", json!([1]), Record::Ignored),
     ];
     for (key, value, want) in rows {
         assert_eq!(production::read(key, &value), Ok(want), "{key}");
--- a/crates/nomad/tests/samples.rs
+++ b/crates/nomad/tests/samples.rs
@@ -72,18 +72,20 @@
         let got: Vec<Group> = j
             .groups
             .iter()
-            .map(|p| (&*p.group, p.spec.tasks, p.spec.need.cpu, p.spec.rank, p.spec.attempts))
+            .map(|p| {
+                (&*p.group, p.spec.tasks, p.spec.task_resources.cpu, p.spec.priority, p.spec.max_attempts)
+            })
             .map(|(g, n, c, r, a)| (&*Box::leak(g.to_owned().into_boxed_str()), n, c, r, a))
             .collect();
         assert_eq!(got, groups, "{file}");
     }
     let j = judged(&sample("06-constraints.nomad.hcl"), &Inputs::default());
     let s = &j.groups[0].spec;
-    assert_eq!((s.types.as_deref(), s.zones.as_deref()), (Some(&["big".to_owned()][..]), None));
-    assert!(s.dislike("big", "west") < s.dislike("big", "east"));
+    assert_eq!((s.machine_types.as_deref(), s.zones.as_deref()), (Some(&["big".to_owned()][..]), None));
+    assert!(s.placement_penalty("big", "west") < s.placement_penalty("big", "east"));
     let j = judged(&sample("02-batch.nomad.hcl"), &Inputs::default());
     let s = &j.groups[0].spec;
-    assert_eq!((s.kind, s.need.mem, s.save_s, s.spot), (Kind::Array, 5300, 12.0, true));
+    assert_eq!((s.kind, s.task_resources.mem, s.checkpoint_save_s, s.spot), (Kind::Array, 5300, 12.0, true));
     assert!(judged(&sample("03-variables.nomad.hcl"), &Inputs::default()).groups[0].spec.spread);
     let meta = judged(&sample("14-expressions.nomad.hcl"), &Inputs::default()).job.unwrap().meta;
     let want = [("list", "[\"a\",\"b\"]"), ("net", "10.7.0.5"), ("parts", "B=2"), ("safe", "none")];
@@ -498,7 +500,7 @@
         assert!(e.0.iter().any(|f| f.contains("nomad.class[0].rank")), "{e}");
     }
     let mut wrong = n.classes[0].clone();
-    wrong.rank = Priority::Production;
+    wrong.max_priority = Priority::Production;
     assert_eq!(rank(&wrong, Kind::Array, 100), Priority::High);
 }
 
--- a/crates/shell/src/lib.rs
+++ b/crates/shell/src/lib.rs
@@ -237,7 +237,7 @@
         let members = ClusterMembers::new(&platform);
         let started = Instant::now();
         let seed = fastrand::u64(..) >> 1;
-        let max_clock_error = Micros::from_secs_f64(platform.deployment.clock_off_ms / 1000.0);
+        let max_clock_error = Micros::from_secs_f64(platform.deployment.max_clock_error_ms / 1000.0);
         Timer::after(Duration::from_micros(incarnation_delay(max_clock_error).0)).await;
         let wall_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
         let incarnation = incarnation_number(wall_ms, seed);
--- a/crates/shell/src/server.rs
+++ b/crates/shell/src/server.rs
@@ -190,7 +190,7 @@
             None => {
                 let a = http::encode_response(
                     408,
-                    &users::error("the request was not received in time"),
+                    &users::error_body("the request was not received in time"),
                     None,
                     false,
                 );
@@ -198,7 +198,7 @@
                 return;
             }
             Some(Err(e)) => {
-                let a = http::encode_response(e.status(), &users::error(&e.to_string()), None, false);
+                let a = http::encode_response(e.status(), &users::error_body(&e.to_string()), None, false);
                 let _ = with_timeout(IO_TIMEOUT, stream.write_all(&a)).await;
                 // Reads what the client still sends, so that the response is not lost to a
                 // connection reset.
@@ -224,7 +224,7 @@
             decision
         };
         if decision == AdmissionDecision::Reject {
-            let error = users::error("too many connections");
+            let error = users::error_body("too many connections");
             let a = http::encode_response(503, &error, Some(RETRY_AFTER_S), false);
             let _ = with_timeout(IO_TIMEOUT, stream.write_all(&a)).await;
             return;
--- a/crates/standins/src/cloud.rs
+++ b/crates/standins/src/cloud.rs
@@ -6,15 +6,15 @@
 /// `boot_s` the boot time in seconds.
 pub fn flavor(sku: &str, cpus: f64, hourly: f64, spot_fraction: f64, boot_s: f64, zones: &[&str]) -> Flavor {
     Flavor {
-        sku: sku.into(),
+        name: sku.into(),
         cpus,
         gpus: 0.0,
         memory_gb: cpus * 4.0,
-        cache_gb: 40.0,
-        pull_gb_per_s: 1.0,
-        hourly,
+        image_cache_gb: 40.0,
+        image_pull_gb_per_s: 1.0,
+        hourly_price: hourly,
         spot_price: Some(hourly * spot_fraction),
         boot_s,
-        yards: zones.iter().map(|z| (*z).to_owned()).collect(),
+        zones: zones.iter().map(|z| (*z).to_owned()).collect(),
     }
 }
--- a/crates/standins/src/scale.rs
+++ b/crates/standins/src/scale.rs
@@ -101,7 +101,7 @@
 }
 
 fn machine_sizes() -> MachineSizes {
-    MachineSizes::from([("big".into(), Resources::have(CPUS, 0.0, CPUS * 4.0))])
+    MachineSizes::from([("big".into(), Resources::capacity(CPUS, 0.0, CPUS * 4.0))])
 }
 
 fn add_machine_records(state_replica: &mut StateReplica, machines: usize) -> Vec<Machine> {
@@ -175,7 +175,7 @@
     fn exchange(&mut self) {
         if let Some((record, _)) = self.leader.due_replica_record(&self.state_replica, &[], self.now) {
             self.revision += 1;
-            self.state_replica.apply(keys::BOOKS, Some(&json!(record)), self.revision);
+            self.state_replica.apply(keys::STANDBY_REPLICAS, Some(&json!(record)), self.revision);
             self.leader.replica_record_write_ended();
         }
         for (to, m) in self.leader.due_messages(self.now, true) {
@@ -233,7 +233,7 @@
             let task = TaskId::parse(task_name)?;
             let spec = self.state_replica.jobs.get(&task.job)?.spec.clone()?;
             Some(TaskProfile {
-                cpus: spec.need.cpu as f64 / 1000.0,
+                cpus: spec.task_resources.cpu as f64 / 1000.0,
                 run_us: None,
                 tasks: spec.tasks,
                 checkpoint_us: None,
--- a/crates/standins/src/site.rs
+++ b/crates/standins/src/site.rs
@@ -8,12 +8,12 @@
 use crate::state::{Outcome, StateService};
 use crate::worker::{Machine, Stage, TaskProfile};
 use gorseshore_core::extension::Extension;
-use gorseshore_core::jobs::description;
+use gorseshore_core::jobs::parse_job_spec;
 use gorseshore_nomad::service::Service;
-use gorseshore_protocol::cloud::{Flavor, Flavors, Hire, Hosts, Rental, Rentals};
+use gorseshore_protocol::cloud::{Flavor, Flavors, MachineNames, Rental, RentalRequest, Rentals};
 use gorseshore_protocol::ids::{JobId, TaskId};
 use gorseshore_protocol::job::Kind;
-use gorseshore_protocol::workers::{Direct, HeartbeatResponse};
+use gorseshore_protocol::workers::{CommandRequest, HeartbeatResponse};
 use gorseshore_settings::{Operator, Platform};
 use gorseshore_shell::Listeners;
 use std::collections::BTreeMap;
@@ -259,13 +259,13 @@
     fn task_profile(&self, task_name: &str) -> Option<TaskProfile> {
         let task = TaskId::parse(task_name)?;
         let record = self.state.lock().ok()?.value(&format!("g/j/{}", task.job))?;
-        let spec = description(JobId(task.job.0), &record)?;
+        let spec = parse_job_spec(JobId(task.job.0), &record)?;
         if task.index >= spec.tasks {
             return None;
         }
-        let run = (spec.estimate_s * self.time_scale * 1e6).max(50_000.0) as u64;
+        let run = (spec.estimated_runtime_s * self.time_scale * 1e6).max(50_000.0) as u64;
         Some(TaskProfile {
-            cpus: spec.need.cpu as f64 / 1000.0,
+            cpus: spec.task_resources.cpu as f64 / 1000.0,
             run_us: (spec.kind == Kind::Array).then_some(run),
             tasks: spec.tasks,
             checkpoint_us: None,
@@ -533,14 +533,17 @@
             return (500, Vec::new());
         };
         let answer = match (method, path.split('?').next().unwrap_or("")) {
-            ("GET", "/flavors") => serde_json::to_vec(&Flavors { builds: flavors() }),
+            ("GET", "/flavors") => serde_json::to_vec(&Flavors { flavors: flavors() }),
             ("POST", "/rentals") => {
-                let Ok(h) = serde_json::from_slice::<Hire>(body) else { return (400, Vec::new()) };
-                if let Some(hosts) = rentals_by_request.get(&h.hire) {
-                    return (200, serde_json::to_vec(&Hosts { hosts: hosts.clone() }).unwrap_or_default());
+                let Ok(h) = serde_json::from_slice::<RentalRequest>(body) else { return (400, Vec::new()) };
+                if let Some(hosts) = rentals_by_request.get(&h.request_id) {
+                    return (
+                        200,
+                        serde_json::to_vec(&MachineNames { names: hosts.clone() }).unwrap_or_default(),
+                    );
                 }
                 let mut hosts = Vec::new();
-                for _ in 0..h.number.min(50) {
+                for _ in 0..h.count.min(50) {
                     let name = format!(
                         "host-{:06}",
                         rentals_by_request.values().map(Vec::len).sum::<usize>() + hosts.len()
@@ -550,12 +553,12 @@
                         hosts.push(name);
                     }
                 }
-                rentals_by_request.insert(h.hire, hosts.clone());
-                serde_json::to_vec(&Hosts { hosts })
+                rentals_by_request.insert(h.request_id, hosts.clone());
+                serde_json::to_vec(&MachineNames { names: hosts })
             }
             ("POST", "/rentals/delete") => {
-                let Ok(h) = serde_json::from_slice::<Hosts>(body) else { return (400, Vec::new()) };
-                for name in h.hosts {
+                let Ok(h) = serde_json::from_slice::<MachineNames>(body) else { return (400, Vec::new()) };
+                for name in h.names {
                     if let Some(r) = machines.remove(&name)
                         && let Ok(mut m) = r.machine.lock()
                     {
@@ -575,15 +578,15 @@
                     .map(|(name, r)| Rental {
                         name: name.clone(),
                         addr: r.addr.to_string(),
-                        build: r.machine_type.clone(),
-                        yard: r.zone.clone(),
-                        loaners: r.spot,
-                        stage: "running".into(),
-                        held_s: r.rented_at.elapsed().as_secs_f64(),
+                        machine_type: r.machine_type.clone(),
+                        zone: r.zone.clone(),
+                        spot: r.spot,
+                        state: "running".into(),
+                        age_s: r.rented_at.elapsed().as_secs_f64(),
                     })
                     .collect();
                 let truncated = hosts.len() == 500;
-                serde_json::to_vec(&Rentals { hosts, truncated })
+                serde_json::to_vec(&Rentals { machines: hosts, truncated })
             }
             _ => return (404, Vec::new()),
         };
@@ -593,9 +596,9 @@
 }
 
 /// Starts a machine, which serves `/do` and `/status` and sends heartbeats.
-fn start_machine(name: &str, h: &Hire, shared: &Arc<Shared>) -> std::io::Result<RentedMachine> {
-    let cpus = flavors().iter().find(|f| f.sku == h.build).map_or(1.0, |f| f.cpus);
-    let machine = Machine::new(name, (&h.build, &h.yard, h.loaners), cpus, shared.now());
+fn start_machine(name: &str, h: &RentalRequest, shared: &Arc<Shared>) -> std::io::Result<RentedMachine> {
+    let cpus = flavors().iter().find(|f| f.name == h.machine_type).map_or(1.0, |f| f.cpus);
+    let machine = Machine::new(name, (&h.machine_type, &h.zone, h.spot), cpus, shared.now());
     let machine = Arc::new(Mutex::new(machine));
     let (served_machine, server_shared) = (machine.clone(), shared.clone());
     let addr = serve(Arc::new(move |_, path, body| {
@@ -607,7 +610,7 @@
         if path == "/status" {
             return (200, serde_json::to_vec(&m.report()).unwrap_or_default());
         }
-        let Ok(d) = serde_json::from_slice::<Direct>(body) else { return (400, Vec::new()) };
+        let Ok(d) = serde_json::from_slice::<CommandRequest>(body) else { return (400, Vec::new()) };
         let answer = m.apply_command_request(
             &d,
             &|task_name| server_shared.task_profile(task_name),
@@ -620,9 +623,9 @@
     std::thread::spawn(move || run_heartbeats(&reporting_machine, &reporter_shared, addr));
     Ok(RentedMachine {
         machine,
-        machine_type: h.build.clone(),
-        zone: h.yard.clone(),
-        spot: h.loaners,
+        machine_type: h.machine_type.clone(),
+        zone: h.zone.clone(),
+        spot: h.spot,
         addr,
         rented_at: Instant::now(),
     })
@@ -665,12 +668,12 @@
         match answer {
             Some((200, v)) => {
                 if let Ok(a) = serde_json::from_value::<HeartbeatResponse>(v)
-                    && a.baton >= m.fencing_token
+                    && a.fencing_token >= m.fencing_token
                 {
-                    m.has_changes |= a.baton > m.fencing_token;
-                    m.fencing_token = a.baton;
+                    m.has_changes |= a.fencing_token > m.fencing_token;
+                    m.fencing_token = a.fencing_token;
                     m.lease_start = now;
-                    m.execute(&a.orders, &|task_name| shared.task_profile(task_name), shared.now());
+                    m.execute(&a.commands, &|task_name| shared.task_profile(task_name), shared.now());
                     shared.record_machine(&m);
                 }
             }
--- a/crates/standins/src/state.rs
+++ b/crates/standins/src/state.rs
@@ -1,5 +1,5 @@
 //! Stand-in for the state service, implemented from the protocol.
-use gorseshore_protocol::state::{Event, Listing, Multi, News, Pair, Write};
+use gorseshore_protocol::state::{Event, KeyValue, Listing, Transaction, WatchResponse, Write};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
@@ -82,7 +82,12 @@
         for k in keys {
             self.revision += 1;
             self.keys.remove(&k);
-            self.events.push(Event { put: None, remove: Some(k), v: Value::Null, stamp: self.revision });
+            self.events.push(Event {
+                put: None,
+                remove: Some(k),
+                value: Value::Null,
+                revision: self.revision,
+            });
         }
     }
 
@@ -119,14 +124,14 @@
     fn events_since(&self, prefix: &str, from: u64) -> Vec<Event> {
         self.events
             .iter()
-            .filter(|e| e.stamp > from)
+            .filter(|e| e.revision > from)
             .filter(|e| e.put.as_deref().or(e.remove.as_deref()).is_some_and(|k| k.starts_with(prefix)))
             .cloned()
             .collect()
     }
 
     fn watch_body(&self, news: Vec<Event>) -> Vec<u8> {
-        serde_json::to_vec(&News { ledger: self.revision, news }).unwrap()
+        serde_json::to_vec(&WatchResponse { revision: self.revision, events: news }).unwrap()
     }
 
     /// The value of a key.
@@ -169,11 +174,14 @@
                 let mut rest =
                     self.keys.iter().filter(|(k, _)| k.starts_with(prefix) && k.as_str() > from).peekable();
                 let page = rest.by_ref().take(limit);
-                let pairs: Vec<Pair> = page
-                    .map(|(k, e)| Pair { path: k.clone(), v: e.value.clone(), stamp: e.revision })
+                let pairs: Vec<KeyValue> = page
+                    .map(|(k, e)| KeyValue { key: k.clone(), value: e.value.clone(), revision: e.revision })
                     .collect();
                 let truncated = rest.peek().is_some();
-                Self::json_response(200, json!(Listing { pairs, truncated, ledger: self.revision }))
+                Self::json_response(
+                    200,
+                    json!(Listing { entries: pairs, truncated, revision: self.revision }),
+                )
             }
             ("GET", "/follow") => {
                 let from: u64 = q["from"].parse().unwrap();
@@ -188,7 +196,7 @@
                 Outcome::Answer(200, self.watch_body(news))
             }
             ("POST", "/multi") => {
-                let m: Multi = serde_json::from_slice(body).unwrap();
+                let m: Transaction = serde_json::from_slice(body).unwrap();
                 if let Some(fault) = self.exceeded_limit(&m) {
                     // Clients must keep to the limits unless these were lowered without
                     // notice.
@@ -273,20 +281,20 @@
         self.rejected_puts.get(key).copied().unwrap_or(0)
     }
 
-    fn rejected_put_counter(&mut self, m: &Multi) -> Option<&mut usize> {
+    fn rejected_put_counter(&mut self, m: &Transaction) -> Option<&mut usize> {
         let key = m.writes.iter().find_map(|w| match w {
-            Write::Put { put, .. } if self.rejected_puts.contains_key(put) => Some(put),
+            Write::Put { key: put, .. } if self.rejected_puts.contains_key(put) => Some(put),
             _ => None,
         })?;
         self.rejected_puts.get_mut(key)
     }
 
-    fn exceeded_limit(&self, m: &Multi) -> Option<String> {
+    fn exceeded_limit(&self, m: &Transaction) -> Option<String> {
         if m.writes.len() > self.max_txn_writes {
             return Some(format!("{} changes at once", m.writes.len()));
         }
         m.writes.iter().find_map(|w| match w {
-            Write::Put { put, v, .. } if v.to_string().len() > self.max_value_bytes => {
+            Write::Put { key: put, value: v, .. } if v.to_string().len() > self.max_value_bytes => {
                 Some(format!("{put} is too long"))
             }
             _ => None,
@@ -302,19 +310,19 @@
         enough
     }
 
-    fn apply_transaction(&mut self, m: Multi) -> Outcome {
+    fn apply_transaction(&mut self, m: Transaction) -> Outcome {
         for w in &m.writes {
-            if let Write::Put { hold: Some(h), .. } = w
+            if let Write::Put { lease: Some(h), .. } = w
                 && !self.leases.contains_key(h)
             {
                 return Self::json_response(400, json!({"error": "no such lease"}));
             }
         }
         let failed: Vec<&str> = m
-            .when
+            .preconditions
             .iter()
-            .filter(|c| self.keys.get(&c.path).map_or(0, |e| e.revision) != c.stamp)
-            .map(|c| c.path.as_str())
+            .filter(|c| self.keys.get(&c.key).map_or(0, |e| e.revision) != c.revision)
+            .map(|c| c.key.as_str())
             .collect();
         if !failed.is_empty() {
             return Self::json_response(409, json!({"failed": failed, "ledger": self.revision}));
@@ -325,13 +333,23 @@
         let stamp = self.revision;
         for w in m.writes {
             match w {
-                Write::Put { put, v, hold } => {
-                    self.events.push(Event { put: Some(put.clone()), remove: None, v: v.clone(), stamp });
+                Write::Put { key: put, value: v, lease: hold } => {
+                    self.events.push(Event {
+                        put: Some(put.clone()),
+                        remove: None,
+                        value: v.clone(),
+                        revision: stamp,
+                    });
                     self.keys.insert(put, Entry { value: v, revision: stamp, lease: hold });
                 }
-                Write::Remove { remove } => {
+                Write::Remove { key: remove } => {
                     if self.keys.remove(&remove).is_some() {
-                        self.events.push(Event { put: None, remove: Some(remove), v: Value::Null, stamp });
+                        self.events.push(Event {
+                            put: None,
+                            remove: Some(remove),
+                            value: Value::Null,
+                            revision: stamp,
+                        });
                     }
                 }
             }
--- a/crates/standins/src/worker.rs
+++ b/crates/standins/src/worker.rs
@@ -1,5 +1,5 @@
 //! Stand-in for a machine and its worker agent, implemented from the protocol.
-use gorseshore_protocol::workers::{Direct, Order, Piece, Report};
+use gorseshore_protocol::workers::{Command, CommandRequest, Report, ReportedTask};
 
 /// State of a task; times are in microseconds of the caller's clock.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -119,16 +119,16 @@
     pub fn report(&mut self) -> Report {
         self.sequence += 1;
         Report {
-            host: self.name.clone(),
+            machine: self.name.clone(),
             addr: self.name.clone(),
-            build: self.machine_type.clone(),
-            yard: self.zone.clone(),
-            loaners: self.spot,
-            shift: self.agent_epoch,
-            tally: self.sequence,
-            baton: self.fencing_token,
-            warning_s: None,
-            pieces: self
+            machine_type: self.machine_type.clone(),
+            zone: self.zone.clone(),
+            spot: self.spot,
+            agent_epoch: self.agent_epoch,
+            sequence: self.sequence,
+            fencing_token: self.fencing_token,
+            preemption_notice_s: None,
+            tasks: self
                 .tasks
                 .iter()
                 .map(|t| {
@@ -138,12 +138,12 @@
                         Stage::Checkpointing(_) => ("flushing", None),
                         Stage::Exited(c) => ("exited", Some(c.to_owned())),
                     };
-                    Piece {
-                        piece: t.name.clone(),
+                    ReportedTask {
+                        task: t.name.clone(),
                         attempt: t.attempt,
-                        stage: stage.into(),
+                        state: stage.into(),
                         cause,
-                        kept: None,
+                        checkpointed: None,
                     }
                 })
                 .collect(),
@@ -161,11 +161,16 @@
     }
 
     /// Executes commands in the given order.
-    pub fn execute(&mut self, orders: &[Order], profile_of: &dyn Fn(&str) -> Option<TaskProfile>, now: u64) {
+    pub fn execute(
+        &mut self,
+        orders: &[Command],
+        profile_of: &dyn Fn(&str) -> Option<TaskProfile>,
+        now: u64,
+    ) {
         for o in orders {
             self.has_changes = true;
-            let at = self.tasks.iter().position(|t| t.name == o.piece && t.attempt == o.attempt);
-            match (o.verb.as_str(), at) {
+            let at = self.tasks.iter().position(|t| t.name == o.task && t.attempt == o.attempt);
+            match (o.action.as_str(), at) {
                 ("run", Some(_)) => {}
                 ("run", None) => {
                     let used_cpus: f64 = self
@@ -175,24 +180,24 @@
                         .filter_map(|t| profile_of(&t.name))
                         .map(|f| f.cpus)
                         .sum();
-                    let stage = match profile_of(&o.piece) {
+                    let stage = match profile_of(&o.task) {
                         None => Stage::Exited("no_such"),
                         Some(_)
                             if self
                                 .tasks
                                 .iter()
-                                .any(|t| t.name == o.piece && !matches!(t.stage, Stage::Exited(_))) =>
+                                .any(|t| t.name == o.task && !matches!(t.stage, Stage::Exited(_))) =>
                         {
                             Stage::Exited("busy")
                         }
                         Some(f) if used_cpus + f.cpus > self.cpus + 1e-9 => Stage::Exited("no_room"),
                         Some(_) => Stage::PullingImage(now + 400_000),
                     };
-                    self.tasks.push(Task { name: o.piece.clone(), attempt: o.attempt, stage });
+                    self.tasks.push(Task { name: o.task.clone(), attempt: o.attempt, stage });
                 }
                 ("halt", Some(i)) => {
-                    let grace = (o.wind_down_s.unwrap_or(0.0) * 1e6) as u64;
-                    let checkpoint_us = profile_of(&o.piece).and_then(|f| f.checkpoint_us);
+                    let grace = (o.grace_period_s.unwrap_or(0.0) * 1e6) as u64;
+                    let checkpoint_us = profile_of(&o.task).and_then(|f| f.checkpoint_us);
                     let t = &mut self.tasks[i];
                     t.stage = match (t.stage, checkpoint_us) {
                         (Stage::Exited(c), _) => Stage::Exited(c),
@@ -213,17 +218,17 @@
     /// epoch is outdated. Returns HTTP status and body.
     pub fn apply_command_request(
         &mut self,
-        d: &Direct,
+        d: &CommandRequest,
         profile_of: &dyn Fn(&str) -> Option<TaskProfile>,
         now: u64,
     ) -> (u16, Vec<u8>) {
-        let accepted = d.baton >= self.fencing_token && d.shift == self.agent_epoch;
+        let accepted = d.fencing_token >= self.fencing_token && d.agent_epoch == self.agent_epoch;
         if accepted {
-            if d.baton > self.fencing_token {
-                self.fencing_token = d.baton;
+            if d.fencing_token > self.fencing_token {
+                self.fencing_token = d.fencing_token;
                 self.has_changes = true;
             }
-            self.execute(&d.orders, profile_of, now);
+            self.execute(&d.commands, profile_of, now);
         }
         (if accepted { 200 } else { 409 }, serde_json::to_vec(&self.report()).unwrap())
     }
--- a/src/main.rs
+++ b/src/main.rs
@@ -74,7 +74,7 @@
     let extension = operator.nomad.clone().and_then(|n| {
         let listen = n.listen?;
         let service = Box::new(gorseshore_nomad::service::Service::new(n, fastrand::u64(..)));
-        Some(gorseshore_shell::ExtensionEndpoint { guest: service, listen })
+        Some(gorseshore_shell::ExtensionEndpoint { extension: service, listen })
     });
     match gorseshore_shell::run(platform, operator, extension) {
         Ok(()) => ExitCode::SUCCESS,
--- a/src/nomad.rs
+++ b/src/nomad.rs
@@ -180,10 +180,10 @@
             match http::parse_response_head(&buf) {
                 Err(_) => return Err(no_response("the response is not valid HTTP".into())),
                 Ok(Some(h)) => {
-                    if let http::BodyFraming::Length(n) = h.body
-                        && buf.len() >= h.head + n
+                    if let http::BodyFraming::Length(n) = h.framing
+                        && buf.len() >= h.head_len + n
                     {
-                        let body = &buf[h.head..h.head + n];
+                        let body = &buf[h.head_len..h.head_len + n];
                         return match h.status {
                             200 => serde_json::from_slice(body)
                                 .map_err(|e| no_response(format!("not JSON: {e}"))),
--- a/tests/nomad.rs
+++ b/tests/nomad.rs
@@ -410,10 +410,10 @@
             let x = &p.spec;
             number += 1;
             let native = json!({"ref": format!("j-{number:06}"), "lot": x.class, "crew": x.team, "manner": x.kind,
-                "rank": x.rank, "pieces": x.tasks, "cpus": x.need.cpu as f64 / 1000.0, "gpus": 0,
-                "memory_gb": x.need.mem as f64 / 1000.0, "bundle": x.image, "image_gb": x.image_gb,
-                "builds": x.types, "yard": null, "same_place": false, "apart": x.spread, "loaners": x.spot,
-                "guess_s": x.estimate_s, "mark_s": x.checkpoint_s, "stow_s": x.save_s});
+                "rank": x.priority, "pieces": x.tasks, "cpus": x.task_resources.cpu as f64 / 1000.0, "gpus": 0,
+                "memory_gb": x.task_resources.mem as f64 / 1000.0, "bundle": x.image, "image_gb": x.image_gb,
+                "builds": x.machine_types, "yard": null, "same_place": false, "apart": x.spread, "loaners": x.spot,
+                "guess_s": x.estimated_runtime_s, "mark_s": x.checkpoint_interval_s, "stow_s": x.checkpoint_save_s});
             let t = send(s.user_addresses[0], "POST", "/submissions", &native);
             assert!(t.status == 201, "{file:?}: {} {}", t.status, t.text());
             pairs.push((job.id.clone(), p.group.clone(), x.tasks, number, x.kind));
--- a/tests/site_records.rs
+++ b/tests/site_records.rs
@@ -1,8 +1,8 @@
 //! The program in production can read every record that controllers write to the state service
 //! while they run jobs of all kinds.
-use gorseshore_core::jobs::description;
+use gorseshore_core::jobs::parse_job_spec;
 use gorseshore_protocol::ids::JobId;
-use gorseshore_protocol::state::News;
+use gorseshore_protocol::state::WatchResponse;
 use gorseshore_standins::net::{Response, send_request};
 use gorseshore_standins::site::{Options, Site};
 use production::Record;
@@ -69,22 +69,22 @@
     match record {
         Record::Job { .. } => "job",
         Record::End { done: true, .. } => "done",
-        Record::End { settled: false, cause: None, .. } => "cancelled",
-        Record::End { settled: true, .. } => "fully stopped",
+        Record::End { fully_stopped: false, cause: None, .. } => "cancelled",
+        Record::End { fully_stopped: true, .. } => "fully stopped",
         Record::End { .. } => "failed",
         Record::Progress { .. } => "progress",
         Record::Failures { .. } => "failures",
         Record::Machines { .. } => "machines",
         Record::Leader { .. } => "leader",
         Record::Term(_) => "term",
-        Record::Books { .. } => "standby replicas",
-        Record::Mail { .. } => "relayed messages",
+        Record::PlacementReplicas { .. } => "standby replicas",
+        Record::RelayedMessage { .. } => "relayed messages",
         Record::NomadHead(_) => "nomad head",
         Record::NomadPart(_) => "nomad part",
         Record::NomadLaunch(_) => "nomad launch",
         Record::NomadToken(_) => "nomad token",
-        Record::PassedOver if key == "g/hire" => "last rental request",
-        Record::PassedOver => "unknown key",
+        Record::Ignored if key == "g/hire" => "last rental request",
+        Record::Ignored => "unknown key",
     }
 }
 
@@ -100,12 +100,12 @@
     /// Reads the changes since the last call.
     fn read_changes(&mut self) {
         let path = format!("/follow?prefix=g/&from={}&hold_ms=0", self.revision);
-        let response: News =
+        let response: WatchResponse =
             serde_json::from_slice(&send(self.state, "GET", &path, &Value::Null).body).unwrap();
-        self.revision = response.ledger;
-        for event in response.news {
+        self.revision = response.revision;
+        for event in response.events {
             if let Some(key) = event.put {
-                self.read(&key, &event.v);
+                self.read(&key, &event.value);
             }
         }
     }
@@ -113,7 +113,7 @@
     fn read(&mut self, key: &str, value: &Value) {
         let record = production::read(key, value).unwrap_or_else(|e| panic!("{e}"));
         if let Record::Job { id, job, .. } = &record {
-            let spec = description(JobId(*id), value).unwrap_or_else(|| panic!("{key}: {value}"));
+            let spec = parse_job_spec(JobId(*id), value).unwrap_or_else(|| panic!("{key}: {value}"));
             assert_eq!((spec.tasks, &spec.image), (job.tasks, &job.image), "{key}");
         }
         self.seen.insert(record_kind(key, &record));
--- a/tests/world/desk.rs
+++ b/tests/world/desk.rs
@@ -4,7 +4,7 @@
 use gorseshore_core::extension::{Answer, Extension, ExtensionContext, ExtensionInput, ExtensionOutput};
 use gorseshore_core::jobs::{StateReplica, keys};
 use gorseshore_nomad::service::Service;
-use gorseshore_protocol::state::{Listing, Multi, News, When};
+use gorseshore_protocol::state::{Listing, Precondition, Transaction, WatchResponse};
 use gorseshore_settings::Team;
 
 const LEADER: &str = "g/leader";
@@ -21,7 +21,7 @@
     leads: bool,
     /// Writes of the leader are kept back instead of executed.
     hold: bool,
-    held: Vec<Multi>,
+    held: Vec<Transaction>,
     answers: Vec<(RequestId, Answer)>,
     next: u64,
 }
@@ -65,27 +65,27 @@
     }
 
     fn catch_up(&mut self) {
-        let from = self.ledger.applied;
+        let from = self.ledger.applied_revision;
         let path = format!("/follow?prefix=g/&from={from}&hold_ms=0");
         let Outcome::Answer(_, body) = self.state.request("GET", &path, b"", 0) else { panic!() };
-        let news: News = serde_json::from_slice(&body).unwrap();
-        for e in news.news {
+        let news: WatchResponse = serde_json::from_slice(&body).unwrap();
+        for e in news.events {
             let (key, v) = match (&e.put, &e.remove) {
-                (Some(k), _) => (k, Some(&e.v)),
+                (Some(k), _) => (k, Some(&e.value)),
                 (None, Some(k)) => (k, None),
                 _ => continue,
             };
-            let change = self.ledger.apply(key, v, e.stamp);
-            if let Some(name) = key.strip_prefix(keys::GUEST) {
-                self.service.apply(name, v, e.stamp);
+            let change = self.ledger.apply(key, v, e.revision);
+            if let Some(name) = key.strip_prefix(keys::EXTENSION_PREFIX) {
+                self.service.apply(name, v, e.revision);
             } else if let gorseshore_core::jobs::Change::Job { id, .. } = change {
-                self.service.job_changed(id, e.stamp);
+                self.service.job_changed(id, e.revision);
             }
         }
-        self.ledger.applied = news.ledger;
+        self.ledger.applied_revision = news.revision;
     }
 
-    fn execute(&mut self, m: &Multi) -> CallResult {
+    fn execute(&mut self, m: &Transaction) -> CallResult {
         let body = serde_json::to_vec(m).unwrap();
         let Outcome::Answer(status, body) = self.state.request("POST", "/multi", &body, 0) else { panic!() };
         CallResult::Response { status, body }
@@ -119,17 +119,17 @@
                         inputs.push_back(ExtensionInput::ReadBarrierDone(t, true));
                     }
                     ExtensionOutput::Read(t, prefix) => {
-                        let mut all = Listing { pairs: Vec::new(), truncated: true, ledger: 0 };
+                        let mut all = Listing { entries: Vec::new(), truncated: true, revision: 0 };
                         while all.truncated {
                             let from =
-                                all.pairs.last().map_or(String::new(), |p| format!("&from={}", p.path));
+                                all.entries.last().map_or(String::new(), |p| format!("&from={}", p.key));
                             let path = format!("/store?prefix=g/n/{prefix}&limit=1000{from}");
                             let Outcome::Answer(_, body) = self.state.request("GET", &path, b"", 0) else {
                                 panic!()
                             };
                             let page: Listing = serde_json::from_slice(&body).unwrap();
                             all.truncated = page.truncated;
-                            all.pairs.extend(page.pairs);
+                            all.entries.extend(page.entries);
                         }
                         let body = serde_json::to_vec(&all).unwrap();
                         inputs.push_back(ExtensionInput::OperationCompleted(
@@ -139,9 +139,10 @@
                     }
                     ExtensionOutput::Write { ticket, mut multi, as_leader } => {
                         if as_leader {
-                            multi
-                                .when
-                                .push(When { path: LEADER.into(), stamp: self.state.key_revision(LEADER) });
+                            multi.preconditions.push(Precondition {
+                                key: LEADER.into(),
+                                revision: self.state.key_revision(LEADER),
+                            });
                         }
                         if as_leader && self.hold {
                             self.held.push(multi);
@@ -290,7 +291,7 @@
     for (what, act, answered) in steps {
         d.pass(3);
         assert_eq!(d.ask("GET", "/v1/job/j/summary", "").unwrap().0, 200);
-        let index = d.ledger.applied;
+        let index = d.ledger.applied_revision;
         let told = d.ask("GET", &format!("/v1/job/j/summary?index={index}&wait=10s"), "");
         assert!(told.is_none(), "{what}: answered at once: {told:?}");
         d.answers.clear();
--- a/tests/world/main.rs
+++ b/tests/world/main.rs
@@ -22,9 +22,9 @@
 
 use gorseshore_core::node::Node;
 use gorseshore_core::{Call, CallId, CallResult, Input, Output, RequestId, Target};
-use gorseshore_protocol::cloud::{Flavor, Flavors, Hire, Hosts, Rental, Rentals};
+use gorseshore_protocol::cloud::{Flavor, Flavors, MachineNames, Rental, RentalRequest, Rentals};
 use gorseshore_protocol::ids::{Micros, TaskId};
-use gorseshore_protocol::workers::{Direct, HeartbeatResponse};
+use gorseshore_protocol::workers::{CommandRequest, HeartbeatResponse};
 use gorseshore_settings::{Operator, Platform};
 use serde_json::{Value, json};
 use state::{Outcome, StateService};
@@ -521,8 +521,8 @@
                         }
                         continue;
                     }
-                    if let Ok(d) = serde_json::from_slice::<Direct>(&call.body) {
-                        self.check_orders(n, &d.orders);
+                    if let Ok(d) = serde_json::from_slice::<CommandRequest>(&call.body) {
+                        self.check_orders(n, &d.commands);
                     }
                     let (late, answered) = self.held_up(n, &call);
                     if late > 0 || !answered {
@@ -626,32 +626,33 @@
             return (429, br#"{"error":"too many requests"}"#.to_vec());
         }
         match (method, path.split('?').next().unwrap()) {
-            ("GET", "/flavors") => (200, serde_json::to_vec(&Flavors { builds: Self::flavors() }).unwrap()),
+            ("GET", "/flavors") => (200, serde_json::to_vec(&Flavors { flavors: Self::flavors() }).unwrap()),
             ("POST", "/rentals") => {
-                let h: Hire = serde_json::from_slice(body).unwrap();
-                assert!(h.number <= 50, "{} machines in a rental", h.number);
-                if let Some(hosts) = self.hires.get(&h.hire) {
-                    return (200, serde_json::to_vec(&Hosts { hosts: hosts.clone() }).unwrap());
+                let h: RentalRequest = serde_json::from_slice(body).unwrap();
+                assert!(h.count <= 50, "{} machines in a rental", h.count);
+                if let Some(hosts) = self.hires.get(&h.request_id) {
+                    return (200, serde_json::to_vec(&MachineNames { names: hosts.clone() }).unwrap());
                 }
                 let there = self
                     .machines
                     .values()
-                    .filter(|m| (&m.machine_type, &m.zone, m.spot) == (&h.build, &h.yard, h.loaners))
+                    .filter(|m| (&m.machine_type, &m.zone, m.spot) == (&h.machine_type, &h.zone, h.spot))
                     .count();
-                let room = self.size.room[(h.build == "big") as usize].saturating_sub(there);
+                let room = self.size.room[(h.machine_type == "big") as usize].saturating_sub(there);
                 if room == 0 {
                     return (503, br#"{"error":"no capacity"}"#.to_vec());
                 }
-                let n = room.min(h.number as usize);
-                self.fleet_rents(&h.yard, n);
-                let hosts: Vec<String> = (0..n).map(|_| self.rent(&h.build, &h.yard, h.loaners)).collect();
-                self.hires.insert(h.hire, hosts.clone());
-                (200, serde_json::to_vec(&Hosts { hosts }).unwrap())
+                let n = room.min(h.count as usize);
+                self.fleet_rents(&h.zone, n);
+                let hosts: Vec<String> =
+                    (0..n).map(|_| self.rent(&h.machine_type, &h.zone, h.spot)).collect();
+                self.hires.insert(h.request_id, hosts.clone());
+                (200, serde_json::to_vec(&MachineNames { names: hosts }).unwrap())
             }
             ("POST", "/rentals/delete") => {
-                let h: Hosts = serde_json::from_slice(body).unwrap();
-                assert!(h.hosts.len() <= 100, "{} names in a deletion", h.hosts.len());
-                for name in h.hosts {
+                let h: MachineNames = serde_json::from_slice(body).unwrap();
+                assert!(h.names.len() <= 100, "{} names in a deletion", h.names.len());
+                for name in h.names {
                     self.fleet_deletes(&name);
                     self.oncall_deletes(&name);
                     self.machines.remove(&name);
@@ -665,7 +666,7 @@
                 let after = view.map_or(&[][..], |v| &v.1[v.1.partition_point(|r| *r.name <= *from)..]);
                 let hosts = after[..limit.min(after.len())].to_vec();
                 let truncated = hosts.len() < after.len();
-                (200, serde_json::to_vec(&Rentals { hosts, truncated }).unwrap())
+                (200, serde_json::to_vec(&Rentals { machines: hosts, truncated }).unwrap())
             }
             other => panic!("not in the protocol: {other:?}"),
         }
@@ -689,11 +690,11 @@
             .map(|m| Rental {
                 name: m.name.clone(),
                 addr: m.name.clone(),
-                build: m.machine_type.clone(),
-                yard: m.zone.clone(),
-                loaners: m.spot,
-                stage: if m.up_at <= self.now { "running" } else { "starting" }.into(),
-                held_s: (self.now - self.born[&m.name]) as f64 / 1e6,
+                machine_type: m.machine_type.clone(),
+                zone: m.zone.clone(),
+                spot: m.spot,
+                state: if m.up_at <= self.now { "running" } else { "starting" }.into(),
+                age_s: (self.now - self.born[&m.name]) as f64 / 1e6,
             })
             .collect();
         self.history.push((self.now, list));
@@ -801,15 +802,15 @@
         match status {
             200 => {
                 let a: HeartbeatResponse = serde_json::from_slice(body).unwrap();
-                if a.baton < m.fencing_token || shift != m.agent_epoch {
+                if a.fencing_token < m.fencing_token || shift != m.agent_epoch {
                     return;
                 }
-                if a.baton > m.fencing_token {
-                    m.fencing_token = a.baton;
+                if a.fencing_token > m.fencing_token {
+                    m.fencing_token = a.fencing_token;
                     m.has_changes = true;
                 }
                 m.lease_start = sent;
-                self.with_machine(name, |m, f, now| m.execute(&a.orders, f, now));
+                self.with_machine(name, |m, f, now| m.execute(&a.commands, f, now));
             }
             421 => {
                 let v: Value = serde_json::from_slice(body).unwrap();
@@ -1415,7 +1416,7 @@
                     if call.path == "/status" {
                         return (200, serde_json::to_vec(&m.report()).unwrap());
                     }
-                    let d: Direct = serde_json::from_slice(&call.body).unwrap();
+                    let d: CommandRequest = serde_json::from_slice(&call.body).unwrap();
                     m.apply_command_request(&d, f, now)
                 });
                 let cut = self.machines.get(&addr).map_or(1, |m| self.node_machine_cut(n, m));
@@ -1431,7 +1432,7 @@
 
 /// The task, if its job has an id of the service's own.
 fn own(piece: &str) -> Option<TaskId> {
-    TaskId::parse(piece).filter(|t| t.job.own())
+    TaskId::parse(piece).filter(|t| t.job.is_internal())
 }
 
 fn facts(jobs: &[Job], piece: &str) -> Option<TaskProfile> {
--- a/tests/world/nomad.rs
+++ b/tests/world/nomad.rs
@@ -2,7 +2,7 @@
 //! stop and poll at whatever controller, and the rules for what runs of them.
 use super::*;
 use gorseshore_core::extension::Answer;
-use gorseshore_core::jobs::description;
+use gorseshore_core::jobs::parse_job_spec;
 use gorseshore_nomad::service::Service;
 use gorseshore_nomad::service::records::{Head, JobKey};
 use gorseshore_protocol::ids::{JobId, TaskId};
@@ -88,11 +88,11 @@
 impl World {
     /// What a worker knows of a task: the record behind it.
     pub fn own_facts(state: &StateService, piece: &str) -> Option<TaskProfile> {
-        let task = TaskId::parse(piece).filter(|t| t.job.own())?;
-        let spec = description(task.job, &state.value(&format!("g/j/{}", task.job))?)?;
+        let task = TaskId::parse(piece).filter(|t| t.job.is_internal())?;
+        let spec = parse_job_spec(task.job, &state.value(&format!("g/j/{}", task.job))?)?;
         (task.index < spec.tasks).then(|| TaskProfile {
-            cpus: spec.need.cpu as f64 / 1000.0,
-            run_us: (spec.kind == Kind::Array).then_some((spec.estimate_s * 1e6) as u64),
+            cpus: spec.task_resources.cpu as f64 / 1000.0,
+            run_us: (spec.kind == Kind::Array).then_some((spec.estimated_runtime_s * 1e6) as u64),
             tasks: spec.tasks,
             checkpoint_us: None,
             fails: spec.image == "fails",
@@ -118,7 +118,7 @@
     fn own_on(&self) -> BTreeMap<JobId, u32> {
         let mut on = BTreeMap::new();
         for t in self.machines.values().flat_map(|m| &m.tasks).filter(|t| t.is_running()) {
-            if let Some(t) = TaskId::parse(&t.name).filter(|t| t.job.own()) {
+            if let Some(t) = TaskId::parse(&t.name).filter(|t| t.job.is_internal()) {
                 *on.entry(t.job).or_default() += 1;
             }
         }
--- a/tests/world/oncall.rs
+++ b/tests/world/oncall.rs
@@ -100,8 +100,8 @@
         if status == 200
             && let Ok(a) = serde_json::from_slice::<HeartbeatResponse>(body)
         {
-            for o in a.orders.iter().filter(|o| o.verb == "run") {
-                self.note_start(&name, &o.piece, o.attempt);
+            for o in a.commands.iter().filter(|o| o.action == "run") {
+                self.note_start(&name, &o.task, o.attempt);
             }
         }
         let lost = self.is_deaf(&name) || self.oncall.mute_until[n] > self.now;
@@ -116,9 +116,9 @@
         if !self.size.oncall {
             return false;
         }
-        if let Ok(d) = serde_json::from_slice::<Direct>(&call.body) {
-            for o in d.orders.iter().filter(|o| o.verb == "run") {
-                self.note_start(name, &o.piece, o.attempt);
+        if let Ok(d) = serde_json::from_slice::<CommandRequest>(&call.body) {
+            for o in d.commands.iter().filter(|o| o.action == "run") {
+                self.note_start(name, &o.task, o.attempt);
             }
         }
         self.is_deaf(name) || self.oncall.mute_until[n] > self.now
--- a/tests/world/pipelines.rs
+++ b/tests/world/pipelines.rs
@@ -487,11 +487,11 @@
 fn a_start_before_what_it_needs_is_done_is_noticed() {
     let mut w = chain_of_three();
     assert!(w.broken.is_empty(), "{:?}", w.broken);
-    let order = gorseshore_protocol::workers::Order {
-        verb: "run".into(),
-        piece: "j-000001/0".into(),
+    let order = gorseshore_protocol::workers::Command {
+        action: "run".into(),
+        task: "j-000001/0".into(),
         attempt: 1,
-        wind_down_s: None,
+        grace_period_s: None,
     };
     w.check_orders(0, std::slice::from_ref(&order));
     assert!(w.broken.iter().any(|b| b.starts_with("ordered_early")), "{:?}", w.broken);
--- a/tests/world/scenes.rs
+++ b/tests/world/scenes.rs
@@ -197,19 +197,19 @@
             }
             Some(Asker::Worker(..)) if status == 200 => {
                 let a: HeartbeatResponse = serde_json::from_slice(body).unwrap();
-                self.check_orders(n, &a.orders);
+                self.check_orders(n, &a.commands);
             }
             _ => {}
         }
     }
 
-    pub fn check_orders(&mut self, n: usize, orders: &[gorseshore_protocol::workers::Order]) {
-        for o in orders.iter().filter(|o| o.verb == "run" && own(&o.piece).is_none()) {
-            if self.faults.confirmed.contains(&Self::job_of(&o.piece).0) {
-                self.break_rule("ordered_cancelled", format!("{} by controller {n}", o.piece));
+    pub fn check_orders(&mut self, n: usize, orders: &[gorseshore_protocol::workers::Command]) {
+        for o in orders.iter().filter(|o| o.action == "run" && own(&o.task).is_none()) {
+            if self.faults.confirmed.contains(&Self::job_of(&o.task).0) {
+                self.break_rule("ordered_cancelled", format!("{} by controller {n}", o.task));
             }
-            if let Some(needed) = self.first_unfinished(Self::job_of(&o.piece).0) {
-                let what = format!("{} by controller {n} before job {needed} is done", o.piece);
+            if let Some(needed) = self.first_unfinished(Self::job_of(&o.task).0) {
+                let what = format!("{} by controller {n} before job {needed} is done", o.task);
                 self.break_rule("ordered_early", what);
             }
         }
