--- a/crates/core/src/controller/assignments.rs
+++ b/crates/core/src/controller/assignments.rs
@@ -7,7 +7,7 @@
     pub fn apply_assignments(
         &mut self,
         assignments: &[Assignment],
-        ledger: &Ledger,
+        ledger: &StateReplica,
         sizes: &MachineSizes,
         now: Micros,
     ) {
@@ -28,7 +28,7 @@
     pub(super) fn place(
         &mut self,
         h: &Assignment,
-        ledger: &Ledger,
+        ledger: &StateReplica,
         sizes: &MachineSizes,
         now: Micros,
     ) -> Option<MachineId> {
@@ -51,7 +51,7 @@
             Start {
                 fencing_token: w.fencing_token,
                 agent_epoch: w.agent_epoch,
-                need: spec.need,
+                need: spec.task_resources,
                 reported: false,
                 delivery: Delivery::Settled,
                 in_response_to: None,
@@ -68,7 +68,7 @@
         spec: &JobSpec,
         id: &MachineId,
         w: &Worker,
-        ledger: &Ledger,
+        ledger: &StateReplica,
         sizes: &MachineSizes,
         now: Micros,
     ) -> Option<placement::Score> {
@@ -89,13 +89,13 @@
             return None;
         }
         let m = ledger.machines.get(id)?;
-        let size = sizes.get(&m.build)?;
+        let size = sizes.get(&m.machine_type)?;
         let c = Candidate {
-            machine_type: &m.build,
+            machine_type: &m.machine_type,
             zone: &m.zone,
             spot: m.spot,
             size,
-            free: size.minus(w.used(ledger)),
+            free: size.saturating_sub(w.used(ledger)),
             has_image: w.images.contains(&spec.image),
             zone_cpu: 0,
         };
--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -12,7 +12,7 @@
 
 use worker::{Delivery, DirectCall, Start, Stop, Worker, is_finished};
 
-use crate::jobs::{Job, Ledger, Phase};
+use crate::jobs::{Job, Phase, StateReplica};
 use crate::peer::pacing::Pacer;
 use crate::peer::{
     Assignment, AssignmentOutcome, GrantedMachine, MachineState, Message, StopRequest, TaskState, TaskStatus,
@@ -20,9 +20,9 @@
 };
 use crate::placement::{self, Candidate};
 use crate::{Call, CallId, CallResult, Outbox, Target};
-use gorseshore_protocol::ids::{Attempt, Baton, JobId, MachineId, Micros, NodeId, Resources, TaskId};
+use gorseshore_protocol::ids::{Attempt, FencingToken, JobId, MachineId, Micros, NodeId, Resources, TaskId};
 use gorseshore_protocol::job::JobSpec;
-use gorseshore_protocol::workers::{Direct, Order, Report, ReportNo};
+use gorseshore_protocol::workers::{Command, CommandRequest, HeartbeatSeq, Report};
 use log::{debug, info, warn};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -77,10 +77,10 @@
 
 /// Reads the tasks of a report; `None` if a task id is invalid.
 pub fn parse_tasks(r: &Report) -> Option<Vec<TaskStatus>> {
-    r.pieces
+    r.tasks
         .iter()
         .map(|p| {
-            let state = match (p.stage.as_str(), p.cause.as_deref()) {
+            let state = match (p.state.as_str(), p.cause.as_deref()) {
                 ("pulling", _) => TaskState::Fetching,
                 ("running", _) => TaskState::Running,
                 ("flushing", _) => TaskState::Saving,
@@ -91,7 +91,7 @@
                 // A task in an unknown state counts as present on the machine.
                 _ => TaskState::Running,
             };
-            Some(TaskStatus { task: TaskId::parse(&p.piece)?, attempt: Attempt(p.attempt), state })
+            Some(TaskStatus { task: TaskId::parse(&p.task)?, attempt: Attempt(p.attempt), state })
         })
         .collect()
 }
@@ -100,7 +100,7 @@
 #[derive(Debug, PartialEq)]
 pub enum HeartbeatReply {
     /// 200 with these commands.
-    Commands(Baton, Vec<Order>),
+    Commands(FencingToken, Vec<Command>),
     /// 421, naming the controller that holds the machine if it is known.
     Misdirected(Option<NodeId>),
     /// The same; the worker has a higher fencing token, from a controller that reaches it.
@@ -128,16 +128,16 @@
         &mut self,
         r: &Report,
         tasks: Vec<TaskStatus>,
-        ledger: &Ledger,
+        ledger: &StateReplica,
         now: Micros,
     ) -> HeartbeatReply {
-        let id = MachineId::from(&*r.host);
+        let id = MachineId::from(&*r.machine);
         let Some(w) = self.workers.get_mut(&id) else {
             return HeartbeatReply::Misdirected(self.holders.get(&id).copied());
         };
-        if Baton(r.baton) > w.fencing_token {
+        if FencingToken(r.fencing_token) > w.fencing_token {
             // Another controller holds the machine under a higher token: this lease is void.
-            info!("{id}: lease superseded by a higher fencing token {}", r.baton);
+            info!("{id}: lease superseded by a higher fencing token {}", r.fencing_token);
             self.workers.remove(&id);
             let to = self.holders.remove(&id);
             return HeartbeatReply::Superseded(to);
@@ -163,14 +163,14 @@
 
     /// Stop commands for the finished tasks of a machine that this controller does not hold. No
     /// other command may be sent there.
-    pub fn stops_for_unleased(tasks: &[TaskStatus], ledger: &Ledger) -> Vec<Order> {
+    pub fn stops_for_unleased(tasks: &[TaskStatus], ledger: &StateReplica) -> Vec<Command> {
         let unwanted =
             |t: &&TaskStatus| !t.state.exited() && is_finished(ledger.jobs.get(&t.task.job), t.task.index);
-        let halt = |t: &TaskStatus| Order {
-            verb: "halt".into(),
-            piece: t.task.to_string(),
+        let halt = |t: &TaskStatus| Command {
+            action: "halt".into(),
+            task: t.task.to_string(),
             attempt: t.attempt.0,
-            wind_down_s: Some(0.0),
+            grace_period_s: Some(0.0),
         };
         tasks.iter().filter(unwanted).map(halt).collect()
     }
@@ -183,7 +183,7 @@
     fn granted(id: &str, fencing_token: u64) -> GrantedMachine {
         GrantedMachine {
             id: id.into(),
-            fencing_token: Baton(fencing_token),
+            fencing_token: FencingToken(fencing_token),
             addr: format!("{id}:1"),
             draining: false,
         }
@@ -214,7 +214,7 @@
 
     #[test]
     fn a_sync_holds_what_was_not_acknowledged() {
-        let (ledger, now) = (Ledger::default(), Micros::secs(9));
+        let (ledger, now) = (StateReplica::default(), Micros::secs(9));
         let sent = |c: &mut Controller, term| match c.sync(term, Vec::new(), &ledger, now) {
             Message::Sync { seq, base, machines, .. } => {
                 (seq, base, machines.iter().map(|m| m.id.to_string()).collect::<Vec<_>>().join(","))
@@ -245,7 +245,7 @@
             attempt: Attempt(job),
             state,
         };
-        let mut ledger = Ledger::default();
+        let mut ledger = StateReplica::default();
         ledger.apply("g/x/j-000001", Some(&serde_json::json!({"end": "aborted", "at": 1})), 1);
         let tasks = [
             status(1, TaskState::Running),
@@ -254,7 +254,7 @@
             status(2, TaskState::Done),
         ];
         let commands = Controller::stops_for_unleased(&tasks, &ledger);
-        let got: Vec<(&str, &str)> = commands.iter().map(|o| (o.verb.as_str(), o.piece.as_str())).collect();
+        let got: Vec<(&str, &str)> = commands.iter().map(|o| (o.action.as_str(), o.task.as_str())).collect();
         assert_eq!(got, [("halt", "j-000001/0")]);
     }
 }
--- a/crates/core/src/controller/stops.rs
+++ b/crates/core/src/controller/stops.rs
@@ -4,33 +4,43 @@
 use super::*;
 use crate::Output;
 use crate::jobs::keys;
-use gorseshore_protocol::workers::Piece;
+use gorseshore_protocol::workers::ReportedTask;
 
 fn report(tally: u64) -> Report {
-    let piece =
-        Piece { piece: "j-000001/0".into(), attempt: 3, stage: "running".into(), cause: None, kept: None };
+    let piece = ReportedTask {
+        task: "j-000001/0".into(),
+        attempt: 3,
+        state: "running".into(),
+        cause: None,
+        checkpointed: None,
+    };
     Report {
-        host: "m".into(),
+        machine: "m".into(),
         addr: "m:1".into(),
-        build: "b".into(),
-        yard: "z".into(),
-        loaners: false,
-        shift: 1,
-        tally,
-        baton: 7,
-        warning_s: None,
-        pieces: vec![piece],
+        machine_type: "b".into(),
+        zone: "z".into(),
+        spot: false,
+        agent_epoch: 1,
+        sequence: tally,
+        fencing_token: 7,
+        preemption_notice_s: None,
+        tasks: vec![piece],
     }
 }
 
 /// A controller with a machine whose last contact is at `contact`, and which runs a task of a job
 /// that was cancelled afterwards.
-fn controller(contact: Micros) -> (Controller, Ledger) {
+fn controller(contact: Micros) -> (Controller, StateReplica) {
     let mut c = Controller::default();
-    let g = GrantedMachine { id: "m".into(), fencing_token: Baton(7), addr: "m:1".into(), draining: false };
+    let g = GrantedMachine {
+        id: "m".into(),
+        fencing_token: FencingToken(7),
+        addr: "m:1".into(),
+        draining: false,
+    };
     assert!(c.accept_update(1, 1, 0));
     c.apply_block(true, &[g], &[]);
-    let mut ledger = Ledger::default();
+    let mut ledger = StateReplica::default();
     for tally in [1, 2] {
         c.checkin(&report(tally), parse_tasks(&report(tally)).unwrap(), &ledger, contact);
     }
@@ -45,13 +55,14 @@
 }
 
 /// The calls that are sent: their paths, and whether they stop the task.
-fn sent_calls(c: &mut Controller, ledger: &Ledger, now: Micros) -> Vec<(CallId, String, bool)> {
+fn sent_calls(c: &mut Controller, ledger: &StateReplica, now: Micros) -> Vec<(CallId, String, bool)> {
     let mut out = Outbox::default();
     c.send_commands(ledger, now, &mut out);
     let calls = out.items.into_iter().filter_map(|o| match o {
         Output::Call { id, call } => {
-            let commands = serde_json::from_slice::<Direct>(&call.body).map(|d| d.orders).unwrap_or_default();
-            Some((id, call.path, commands.iter().any(|o| o.verb == "halt" && o.piece == "j-000001/0")))
+            let commands =
+                serde_json::from_slice::<CommandRequest>(&call.body).map(|d| d.commands).unwrap_or_default();
+            Some((id, call.path, commands.iter().any(|o| o.action == "halt" && o.task == "j-000001/0")))
         }
         _ => None,
     });
@@ -93,6 +104,6 @@
     assert!(calls.len() == 1 && calls[0].1 == "/do" && calls[0].2, "{calls:?}");
     // A worker with nothing to stop is probed.
     let (mut c, _) = controller(start);
-    let calls = sent_calls(&mut c, &Ledger::default(), start + PROBE_AFTER + Micros::secs(1));
+    let calls = sent_calls(&mut c, &StateReplica::default(), start + PROBE_AFTER + Micros::secs(1));
     assert!(calls.len() == 1 && calls[0].1 == "/status", "{calls:?}");
 }
--- a/crates/core/src/controller/worker.rs
+++ b/crates/core/src/controller/worker.rs
@@ -17,7 +17,7 @@
 /// A start that this controller decided on.
 #[derive(Debug, Clone)]
 pub(super) struct Start {
-    pub(super) fencing_token: Baton,
+    pub(super) fencing_token: FencingToken,
     pub(super) agent_epoch: u64,
     pub(super) need: Resources,
     /// A report has shown the task.
@@ -47,14 +47,14 @@
 /// A machine of the block.
 #[derive(Debug)]
 pub(super) struct Worker {
-    pub(super) fencing_token: Baton,
+    pub(super) fencing_token: FencingToken,
     pub(super) addr: String,
     pub(super) draining: bool,
     /// Agent epoch and sequence of the last report; epoch 0 before the first one.
     pub(super) agent_epoch: u64,
     pub(super) sequence: u64,
     /// The highest fencing token that the worker has reported.
-    pub(super) seen_fencing_token: Baton,
+    pub(super) seen_fencing_token: FencingToken,
     /// The last report shows that responses and commands reach the worker. Its reports may arrive
     /// although they do not.
     pub(super) acknowledges_commands: bool,
@@ -85,7 +85,7 @@
             draining: g.draining,
             agent_epoch: 0,
             sequence: 0,
-            seen_fencing_token: Baton(0),
+            seen_fencing_token: FencingToken(0),
             acknowledges_commands: false,
             last_contact: None,
             preemption_notice: None,
@@ -102,8 +102,8 @@
         }
     }
 
-    pub(super) fn heartbeat_seq(&self) -> ReportNo {
-        ReportNo { shift: self.agent_epoch, tally: self.sequence }
+    pub(super) fn heartbeat_seq(&self) -> HeartbeatSeq {
+        HeartbeatSeq { agent_epoch: self.agent_epoch, sequence: self.sequence }
     }
 
     pub(super) fn has(&self, key: &(TaskId, Attempt)) -> bool {
@@ -120,28 +120,30 @@
         checkin: bool,
         now: Micros,
     ) -> bool {
-        if r.number() <= self.heartbeat_seq() {
+        if r.heartbeat_seq() <= self.heartbeat_seq() {
             return false;
         }
         // A worker that receives no response contacts the next controller. So one that sends its
         // next heartbeat here received the last response, and so did one that reports the raised
         // fencing token. A response to a direct call is a proof in itself.
-        let follows = r.shift == self.agent_epoch && r.tally == self.sequence + 1;
-        let raised = self.seen_fencing_token < self.fencing_token && Baton(r.baton) == self.fencing_token;
+        let follows = r.agent_epoch == self.agent_epoch && r.sequence == self.sequence + 1;
+        let raised = self.seen_fencing_token < self.fencing_token
+            && FencingToken(r.fencing_token) == self.fencing_token;
         self.acknowledges_commands = !checkin || follows || raised;
-        self.agent_epoch = r.shift;
-        self.sequence = r.tally;
-        self.seen_fencing_token = self.seen_fencing_token.max(Baton(r.baton));
+        self.agent_epoch = r.agent_epoch;
+        self.sequence = r.sequence;
+        self.seen_fencing_token = self.seen_fencing_token.max(FencingToken(r.fencing_token));
         self.last_contact = Some(now);
         self.addr = r.addr.clone();
-        self.preemption_notice = r.warning_s.map(|s| (now, Micros::from_secs_f64(s)));
+        self.preemption_notice = r.preemption_notice_s.map(|s| (now, Micros::from_secs_f64(s)));
         self.tasks = tasks;
         for t in &self.tasks {
             if let Some(s) = self.starts.get_mut(&(t.task, t.attempt)) {
                 s.reported = true;
             }
         }
-        let (agent_epoch, sequence, fencing_token) = (r.shift, r.tally, Baton(r.baton));
+        let (agent_epoch, sequence, fencing_token) =
+            (r.agent_epoch, r.sequence, FencingToken(r.fencing_token));
         let present: BTreeSet<(TaskId, Attempt)> = self.tasks.iter().map(|t| (t.task, t.attempt)).collect();
         self.starts.retain(|k, s| {
             if present.contains(k) {
@@ -175,7 +177,7 @@
     }
 
     /// The state of which the leader must be notified at once if a report changes it.
-    pub(super) fn urgent_state(&self) -> (u64, (Baton, bool), bool, Vec<TaskStatus>, usize) {
+    pub(super) fn urgent_state(&self) -> (u64, (FencingToken, bool), bool, Vec<TaskStatus>, usize) {
         let token_and_commands = (self.seen_fencing_token, self.acknowledges_commands);
         (
             self.agent_epoch,
@@ -186,7 +188,7 @@
         )
     }
 
-    pub(super) fn used(&self, ledger: &Ledger) -> Resources {
+    pub(super) fn used(&self, ledger: &StateReplica) -> Resources {
         let mut used = Resources::default();
         for t in self.tasks.iter().filter(|t| !t.state.exited()) {
             used = used.plus(resources_of(ledger, t.task.job));
@@ -200,12 +202,12 @@
 
 /// The resources that a task of the job needs; if its specification is not known, more than any
 /// machine has.
-pub(super) fn resources_of(ledger: &Ledger, job: JobId) -> Resources {
+pub(super) fn resources_of(ledger: &StateReplica, job: JobId) -> Resources {
     ledger
         .jobs
         .get(&job)
         .and_then(|j| j.spec.as_ref())
-        .map_or(Resources { cpu: 1_000_000, gpu: 0, mem: 1_000_000 }, |s| s.need)
+        .map_or(Resources { cpu: 1_000_000, gpu: 0, mem: 1_000_000 }, |s| s.task_resources)
 }
 
 /// Whether the task needs no run any more: its job ended, it is recorded as done, or the job no
--- a/crates/core/src/dependencies/tests.rs
+++ b/crates/core/src/dependencies/tests.rs
@@ -1,4 +1,4 @@
-//! The graph of dependencies, from tables of edges and ends.
+//! Tests of the dependency graph, from tables of edges and recorded ends.
 use super::*;
 
 /// A change of the graph.
@@ -11,30 +11,30 @@
 }
 use Step::{Add, Cancelled, Done};
 
-/// The graph after these steps, and all jobs that were cancelled with others.
-fn play(steps: &[Step]) -> (DependencyGraph, Vec<u64>) {
+/// Returns the graph after the steps, and all jobs that were cancelled through dependencies.
+fn apply_steps(steps: &[Step]) -> (DependencyGraph, Vec<u64>) {
     let mut graph = DependencyGraph::default();
     let mut ends: BTreeMap<JobId, Outcome> = BTreeMap::new();
     let mut cancelled = Vec::new();
     for step in steps {
-        let with = match step {
+        let cancelled_by_step = match step {
             Add(job, dependencies) => {
                 let ids: Vec<JobId> = dependencies.iter().copied().map(JobId).collect();
                 graph.add(JobId(*job), &ids, |id| ends.get(&id).copied().unwrap_or_default())
             }
             Done(job) => {
                 ends.insert(JobId(*job), Outcome::Done);
-                graph.ended(JobId(*job), Outcome::Done)
+                graph.record_outcome(JobId(*job), Outcome::Done)
             }
             Cancelled(job) => {
                 ends.insert(JobId(*job), Outcome::Cancelled);
-                graph.ended(JobId(*job), Outcome::Cancelled)
+                graph.record_outcome(JobId(*job), Outcome::Cancelled)
             }
         };
-        for id in &with {
+        for id in &cancelled_by_step {
             ends.insert(*id, Outcome::Cancelled);
         }
-        cancelled.extend(with.into_iter().map(|id| id.0));
+        cancelled.extend(cancelled_by_step.into_iter().map(|id| id.0));
     }
     (graph, cancelled)
 }
@@ -42,31 +42,31 @@
 const DIAMOND: [Step; 3] = [Add(2, &[1]), Add(3, &[1]), Add(4, &[2, 3])];
 
 #[test]
-fn a_job_is_released_when_all_that_it_depends_on_is_done() {
+fn a_job_is_released_when_all_its_dependencies_are_done() {
     // (steps, job, released)
     let cases: [(&[Step], u64, bool); 10] = [
         (&[], 1, true),
         (&[Add(2, &[1])], 1, true),
         (&[Add(2, &[1])], 2, false),
         (&[Add(2, &[1]), Done(1)], 2, true),
-        // Done before it was named.
+        // The dependency is done before it is added.
         (&[Done(1), Add(2, &[1])], 2, true),
         (&[Add(3, &[1, 2]), Done(1)], 3, false),
         (&[Add(3, &[1, 2]), Done(1), Done(1)], 3, false),
         (&[Add(3, &[1, 2]), Done(1), Done(2)], 3, true),
-        // Named twice, as a record that is read again does.
+        // The same dependency is added twice, as happens when a record is read again.
         (&[Add(2, &[1, 1]), Add(2, &[1]), Done(1)], 2, true),
         (&[Add(2, &[1]), Cancelled(1)], 2, false),
     ];
     for (steps, job, released) in cases {
-        assert_eq!(play(steps).0.released(JobId(job)), released, "{steps:?}: {job}");
+        assert_eq!(apply_steps(steps).0.is_released(JobId(job)), released, "{steps:?}: {job}");
     }
 }
 
 #[test]
-fn jobs_are_cancelled_with_what_they_depend_on() {
+fn cancellation_follows_dependencies() {
     let after = |steps: &[Step]| [&DIAMOND[..], steps].concat();
-    // (steps, cancelled with others)
+    // (steps, jobs cancelled through dependencies)
     let cases: [(Vec<Step>, &[u64]); 8] = [
         (after(&[Cancelled(1)]), &[2, 3, 4]),
         (after(&[Cancelled(2)]), &[4]),
@@ -74,64 +74,69 @@
         (after(&[Done(1), Cancelled(3)]), &[4]),
         (after(&[Cancelled(4)]), &[]),
         (after(&[Done(1), Done(2), Done(3), Done(4)]), &[]),
-        // Named when it was cancelled already, directly or with another.
+        // The dependency is cancelled, directly or through another, before it is added.
         (vec![Cancelled(1), Add(2, &[1]), Add(3, &[2])], &[2, 3]),
-        // The end of the job itself is on record: it stands, and what is after it goes on.
+        // Job 2's own recorded end takes precedence over the cancellation of its dependency.
         (after(&[Done(2), Cancelled(1)]), &[3, 4]),
     ];
     for (steps, want) in cases {
-        assert_eq!(play(&steps).1, want, "{steps:?}");
+        assert_eq!(apply_steps(&steps).1, want, "{steps:?}");
     }
 }
 
 #[test]
-fn a_long_chain_and_a_wide_fan_are_cancelled_whole() {
+fn a_long_chain_and_a_wide_fan_out_are_cancelled_completely() {
     let mut graph = DependencyGraph::default();
     let open = |_: JobId| Outcome::Open;
     for i in 1..1000 {
         graph.add(JobId(i), &[JobId(i - 1)], open);
         graph.add(JobId(10_000 + i), &[JobId(0)], open);
     }
-    assert_eq!(graph.ended(JobId(0), Outcome::Cancelled).len(), 2 * 999);
+    assert_eq!(graph.record_outcome(JobId(0), Outcome::Cancelled).len(), 2 * 999);
 }
 
 #[test]
-fn a_job_whose_dependencies_are_not_all_read_is_not_released() {
+fn a_job_with_unread_dependency_records_is_not_released() {
     let mut graph = DependencyGraph::default();
     graph.set_incomplete(JobId(2), true);
-    assert!(!graph.released(JobId(2)));
+    assert!(!graph.is_released(JobId(2)));
     graph.set_incomplete(JobId(2), false);
-    assert!(graph.released(JobId(2)));
+    assert!(graph.is_released(JobId(2)));
 }
 
 #[test]
-fn urgency_is_joined() {
-    let urgency = |rank, due_ms, deadline| Urgency { rank, due_ms, last_ms: 2 * due_ms, deadline };
-    let late = u64::MAX / 4;
-    // (own, dependent's, joined) with 10 ms after it
+fn urgency_is_inherited_from_dependents() {
+    let urgency = |priority, due_ms, deadline| Urgency {
+        priority,
+        due_ms,
+        latest_ms: 2 * due_ms,
+        has_user_deadline: deadline,
+    };
+    let no_deadline_ms = u64::MAX / 4;
+    // (own, dependent's, combined), where the dependent takes 10 ms
     let cases = [
         (
-            urgency(Rank::Low, late, false),
-            urgency(Rank::High, 100, true),
-            Urgency { rank: Rank::High, due_ms: 90, last_ms: 190, deadline: true },
+            urgency(Priority::Low, no_deadline_ms, false),
+            urgency(Priority::High, 100, true),
+            Urgency { priority: Priority::High, due_ms: 90, latest_ms: 190, has_user_deadline: true },
         ),
         (
-            urgency(Rank::High, 50, true),
-            urgency(Rank::Low, 100, true),
-            Urgency { rank: Rank::High, due_ms: 50, last_ms: 100, deadline: true },
+            urgency(Priority::High, 50, true),
+            urgency(Priority::Low, 100, true),
+            Urgency { priority: Priority::High, due_ms: 50, latest_ms: 100, has_user_deadline: true },
         ),
         (
-            urgency(Rank::Normal, 80, false),
-            urgency(Rank::Low, 90, false),
-            Urgency { rank: Rank::Normal, due_ms: 80, last_ms: 160, deadline: false },
+            urgency(Priority::Normal, 80, false),
+            urgency(Priority::Low, 90, false),
+            Urgency { priority: Priority::Normal, due_ms: 80, latest_ms: 160, has_user_deadline: false },
         ),
         (
-            urgency(Rank::Low, 95, true),
-            urgency(Rank::Production, 100, true),
-            Urgency { rank: Rank::Production, due_ms: 90, last_ms: 190, deadline: true },
+            urgency(Priority::Low, 95, true),
+            urgency(Priority::Production, 100, true),
+            Urgency { priority: Priority::Production, due_ms: 90, latest_ms: 190, has_user_deadline: true },
         ),
     ];
-    for (own, dependent, joined) in cases {
-        assert_eq!(own.inherit(&dependent, 10), joined, "{own:?} {dependent:?}");
+    for (own, dependent, combined) in cases {
+        assert_eq!(own.inherit(&dependent, 10), combined, "{own:?} {dependent:?}");
     }
 }
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -121,7 +121,7 @@
     let work: f64 = unmet
         .iter()
         .filter(|(s, ..)| s.kind == Kind::Array)
-        .map(|(s, n, ..)| *n as f64 * s.estimate_s.max(1.0))
+        .map(|(s, n, ..)| *n as f64 * s.estimated_runtime_s.max(1.0))
         .sum();
     let mut slots = (work / policy.drain_s).ceil() - policy.running_arrays - placed_arrays;
     let mut on_demand_left = policy.on_demand_for_arrays;
@@ -152,7 +152,7 @@
                 .filter(|o| o.spot || on_demand)
                 .filter(|o| zone_allows_task(&spec, &o.zone, &zones))
                 .map(|o| {
-                    let fitting = o.size.count(&spec.need, 10_000).max(1);
+                    let fitting = o.size.max_copies(&spec.task_resources, 10_000).max(1);
                     let used = fitting.min((left as u64).max(fitting.div_ceil(4)));
                     (o.price * (1.0 + o.boot_s / 120.0) / used as f64, o)
                 })
@@ -206,7 +206,7 @@
 pub fn zone_allows_task(spec: &JobSpec, zone: &str, zones: &BTreeMap<String, u32>) -> bool {
     let here = zones.get(zone).copied().unwrap_or(0);
     let elsewhere = zones.iter().any(|(z, n)| z != zone && *n > 0);
-    !(spec.one_zone && elsewhere) && here < spec.zone_cap()
+    !(spec.one_zone && elsewhere) && here < spec.max_tasks_per_zone()
 }
 
 /// Resource requests that no machine fits. Free capacity only shrinks until a machine is added, so
@@ -238,11 +238,11 @@
     zones: &mut BTreeMap<String, u32>,
     left: u32,
 ) -> u32 {
-    if unplaceable.covers(&spec.need) {
+    if unplaceable.covers(&spec.task_resources) {
         return 0;
     }
-    if !machines.iter().any(|m| m.free.fits(&spec.need)) {
-        unplaceable.add(spec.need);
+    if !machines.iter().any(|m| m.free.fits(&spec.task_resources)) {
+        unplaceable.add(spec.task_resources);
         return 0;
     }
     let zone_cpu = |z: &str| match spec.kind {
@@ -252,7 +252,7 @@
     let mut order: Vec<(placement::Score, usize)> = machines
         .iter()
         .enumerate()
-        .filter(|(_, r)| r.free.fits(&spec.need))
+        .filter(|(_, r)| r.free.fits(&spec.task_resources))
         .filter_map(|(i, r)| {
             let c = Candidate {
                 machine_type: &r.machine_type,
@@ -288,9 +288,10 @@
         return 0;
     }
     let here = zones.get(&machine.zone).copied().unwrap_or(0);
-    let n = (machine.free.count(&spec.need, left as u64) as u32).min(spec.zone_cap().saturating_sub(here));
+    let n = (machine.free.max_copies(&spec.task_resources, left as u64) as u32)
+        .min(spec.max_tasks_per_zone().saturating_sub(here));
     for _ in 0..n {
-        machine.free = machine.free.minus(spec.need);
+        machine.free = machine.free.saturating_sub(spec.task_resources);
     }
     if n > 0 {
         *zones.entry(machine.zone.clone()).or_default() += n;
@@ -303,7 +304,7 @@
     use super::*;
 
     fn offer(build: &str, zone: &str, spot: bool, cpus: f64, price: f64) -> Offer {
-        let size = Resources::have(cpus, 0.0, cpus * 4.0);
+        let size = Resources::capacity(cpus, 0.0, cpus * 4.0);
         Offer {
             machine_type: build.into(),
             zone: zone.into(),
@@ -417,7 +418,7 @@
             zone: "a".into(),
             spot,
             size: offers[1].size,
-            free: Resources::have(free, 0.0, 64.0),
+            free: Resources::capacity(free, 0.0, 64.0),
             preemptible_cpu,
         };
         // (machines, target in CPUs; machines rented in zone a by type)
--- a/crates/core/src/leader/autoscaling.rs
+++ b/crates/core/src/leader/autoscaling.rs
@@ -155,7 +155,7 @@
                 continue;
             }
             let rec = MachineRecord {
-                build: req.machine_type.clone(),
+                machine_type: req.machine_type.clone(),
                 zone: req.zone.clone(),
                 spot: req.spot,
                 addr: String::new(),
@@ -170,16 +170,16 @@
         self.list_pending = false;
         self.listed_at = now;
         let Some(page) = page else { return };
-        let last = page.hosts.last().filter(|_| page.truncated);
+        let last = page.machines.last().filter(|_| page.truncated);
         self.list_cursor = last.map(|r| r.name.clone());
-        for r in &page.hosts {
+        for r in &page.machines {
             let id = MachineId::from(&*r.name);
             if self.deleted_machines.contains_key(&id) {
                 continue;
             }
             match self.machines.get_mut(&id) {
                 Some(m) => {
-                    let (failed, deleting) = (r.stage == "failed", m.stage == Stage::Deleting);
+                    let (failed, deleting) = (r.state == "failed", m.stage == Stage::Deleting);
                     if m.addr.is_empty() {
                         m.addr = r.addr.clone();
                         self.mark_changed(&id);
@@ -189,18 +189,21 @@
                     }
                 }
                 None => {
-                    let Some(size) = sizes.get(&r.build) else { continue };
+                    let Some(size) = sizes.get(&r.machine_type) else { continue };
                     let rec = MachineRecord {
-                        build: r.build.clone(),
-                        zone: r.yard.clone(),
-                        spot: r.loaners,
+                        machine_type: r.machine_type.clone(),
+                        zone: r.zone.clone(),
+                        spot: r.spot,
                         addr: r.addr.clone(),
                     };
-                    info!("{id}: adopted from the cloud's list ({} in {}, {})", r.build, rec.zone, r.stage);
+                    info!(
+                        "{id}: adopted from the cloud's list ({} in {}, {})",
+                        r.machine_type, rec.zone, r.state
+                    );
                     let mut m = Machine::new(&rec, *size, Stage::Booting, now);
-                    m.stage_since = now - Micros::from_secs_f64(r.held_s);
+                    m.stage_since = now - Micros::from_secs_f64(r.age_s);
                     self.machines.insert(id.clone(), m);
-                    if r.stage == "failed" {
+                    if r.state == "failed" {
                         self.delete(&id, "the cloud reports that it failed", now);
                     }
                 }
@@ -256,10 +259,10 @@
             let Some(until) = m.preemption_at else { continue };
             for (t, (a, s)) in &m.tasks {
                 let Some(r) = self.jobs.get(&t.job) else { continue };
-                let save = Micros::from_secs_f64(r.spec.save_s);
+                let save = Micros::from_secs_f64(r.spec.checkpoint_save_s);
                 let left = until - now;
                 // The cloud may reclaim the machine after half of the announced time.
-                if r.spec.checkpoint_s > 0.0
+                if r.spec.checkpoint_interval_s > 0.0
                     && *s == TaskState::Running
                     && left.scale(1, 2) <= save + Micros::millis(2500)
                     && left > save
@@ -296,7 +299,7 @@
             let Some(m) = self.machines.get_mut(&id) else { continue };
             match m.stage {
                 Stage::Booting => {
-                    let boot = flavors.iter().find(|f| f.sku == m.machine_type).map_or(60.0, |f| f.boot_s);
+                    let boot = flavors.iter().find(|f| f.name == m.machine_type).map_or(60.0, |f| f.boot_s);
                     if now.since(m.stage_since) > Micros::from_secs_f64(boot * 4.0 + 20.0) {
                         to_delete.push((id, "it did not boot in time"));
                     }
@@ -334,8 +337,9 @@
 
     /// CPUs, in thousandths, that tasks below the highest priority take on a machine.
     fn preemptible_cpu(&self, m: &Machine) -> u64 {
-        let lower = |t: &&TaskId| self.jobs.get(&t.job).is_some_and(|r| r.urgency.rank < Rank::Production);
-        m.tasks.keys().filter(lower).map(|t| self.jobs[&t.job].spec.need.cpu).sum()
+        let lower =
+            |t: &&TaskId| self.jobs.get(&t.job).is_some_and(|r| r.urgency.priority < Priority::Production);
+        m.tasks.keys().filter(lower).map(|t| self.jobs[&t.job].spec.task_resources.cpu).sum()
     }
 
     /// Spare CPUs, in thousandths, to keep in each open zone for new production replicas: the
@@ -350,13 +354,13 @@
         let minute_ago = self.wall_ms(now).saturating_sub(60_000);
         let (mut largest, mut recent, mut running) = (0, 0, 0);
         let services = |r: &&JobRun| {
-            r.spec.kind == Kind::Service && r.spec.rank == Rank::Production && !r.ended && !r.held
+            r.spec.kind == Kind::Service && r.spec.priority == Priority::Production && !r.ended && !r.held
         };
         for r in self.jobs.values().filter(services) {
-            largest = largest.max(r.spec.need.cpu * r.spec.zone_cap() as u64);
-            running += r.spec.need.cpu * r.bound.len() as u64;
+            largest = largest.max(r.spec.task_resources.cpu * r.spec.max_tasks_per_zone() as u64);
+            running += r.spec.task_resources.cpu * r.bound.len() as u64;
             if r.ready_ms > minute_ago {
-                recent += r.spec.need.cpu * r.spec.tasks as u64;
+                recent += r.spec.task_resources.cpu * r.spec.tasks as u64;
             }
         }
         if largest == 0 {
@@ -374,23 +378,23 @@
         }
         let mut offers = Vec::new();
         for f in flavors {
-            let size = Resources::have(f.cpus, f.gpus, f.memory_gb);
-            for z in &f.yards {
+            let size = Resources::capacity(f.cpus, f.gpus, f.memory_gb);
+            for z in &f.zones {
                 for spot in [false, true] {
-                    let price = if spot { f.spot_price } else { Some(f.hourly) };
+                    let price = if spot { f.spot_price } else { Some(f.hourly_price) };
                     let Some(price) = price else { continue };
-                    let key = (f.sku.clone(), z.clone(), spot);
+                    let key = (f.name.clone(), z.clone(), spot);
                     let refused =
                         self.refused_offers.get(&key).is_some_and(|t| now.since(*t) < Micros::secs(8));
                     if self
                         .scale_out_requests
                         .values()
-                        .any(|(r, ..)| (&r.machine_type, &r.zone, r.spot) == (&f.sku, z, spot))
+                        .any(|(r, ..)| (&r.machine_type, &r.zone, r.spot) == (&f.name, z, spot))
                     {
                         continue;
                     }
                     offers.push(Offer {
-                        machine_type: f.sku.clone(),
+                        machine_type: f.name.clone(),
                         zone: z.clone(),
                         spot,
                         size,
@@ -413,7 +417,7 @@
             .filter(|m| !m.command_reachability.unacknowledged_for(Micros::secs(5), now))
             .filter(|m| {
                 // A machine that is late to boot may never come up.
-                let boot = flavors.iter().find(|f| f.sku == m.machine_type).map_or(60.0, |f| f.boot_s);
+                let boot = flavors.iter().find(|f| f.name == m.machine_type).map_or(60.0, |f| f.boot_s);
                 m.stage == Stage::Up || now.since(m.stage_since) < Micros::from_secs_f64(boot * 1.8 + 5.0)
             })
             .map(|m| MachineCapacity {
@@ -427,8 +431,8 @@
             .collect();
         for (r, ..) in self.scale_out_requests.values().filter(|(r, ..)| !self.zone_health.is_closed(&r.zone))
         {
-            if let Some(f) = flavors.iter().find(|f| f.sku == r.machine_type) {
-                let size = Resources::have(f.cpus, f.gpus, f.memory_gb);
+            if let Some(f) = flavors.iter().find(|f| f.name == r.machine_type) {
+                let size = Resources::capacity(f.cpus, f.gpus, f.memory_gb);
                 for _ in 0..r.count {
                     capacities.push(MachineCapacity {
                         machine_type: r.machine_type.clone(),
@@ -442,7 +446,7 @@
             }
         }
         let (wall_ms, slots) = (self.wall_ms(now), self.active_array_tasks());
-        let mut list: Vec<(Rank, (bool, u64, u64), Demand)> = Vec::new();
+        let mut list: Vec<(Priority, (bool, u64, u64), Demand)> = Vec::new();
         let mut long_pending_tasks = 0;
         let mut running = 0.0;
         for r in self.jobs.values() {
@@ -452,7 +456,7 @@
             let startable = r.startable_tasks();
             // A job that fails on every machine gets no more machines. A job with bounded
             // attempts does, and reaches its end sooner.
-            let excluded = r.failures > 5 && !r.ran_well && r.spec.attempts.is_none();
+            let excluded = r.failures > 5 && !r.ran_well && r.spec.max_attempts.is_none();
             if startable == 0 || r.ended || r.held || self.may_run_on_unconfirmed_machine(r) || excluded {
                 continue;
             }
@@ -461,7 +465,7 @@
                 (waited(90_000), waited(ON_DEMAND_WAIT_MS) && r.spec.kind == Kind::Array);
             long_pending_tasks += if on_demand_allowed { startable as usize } else { 0 };
             list.push((
-                r.urgency.rank,
+                r.urgency.priority,
                 r.queue_key(wall_ms, slots),
                 Demand {
                     spec: r.spec.clone(),
@@ -589,7 +593,7 @@
     pub(super) fn cap_demand_to_team_limits(&self, demands: &mut Vec<Demand>) {
         let mut left: BTreeMap<&str, Resources> = BTreeMap::new();
         for team in &self.config.teams {
-            let max = Resources::have(team.cpus_max, team.gpus_max, 0.0);
+            let max = Resources::capacity(team.cpus_max, team.gpus_max, 0.0);
             if max.cpu == 0 && max.gpu == 0 {
                 continue;
             }
@@ -603,9 +607,9 @@
         }
         demands.retain_mut(|d| {
             let Some(quota) = left.get_mut(d.spec.team.as_str()) else { return true };
-            d.pending_tasks = quota.count(&d.spec.need, d.pending_tasks as u64) as u32;
+            d.pending_tasks = quota.max_copies(&d.spec.task_resources, d.pending_tasks as u64) as u32;
             for _ in 0..d.pending_tasks {
-                *quota = quota.minus(d.spec.need);
+                *quota = quota.saturating_sub(d.spec.task_resources);
             }
             d.pending_tasks > 0
         });
--- a/crates/core/src/leader/blocks.rs
+++ b/crates/core/src/leader/blocks.rs
@@ -61,7 +61,7 @@
     }
 
     pub(super) fn grant(&mut self, id: &MachineId, to: NodeId, why: &str, now: Micros) {
-        let token = Baton(self.next_token());
+        let token = FencingToken(self.next_token());
         let Some(m) = self.machines.get_mut(id) else { return };
         if m.holder.is_some_and(|h| h != to) {
             info!("{id}: block moves from controller {} to {}: {why}", m.holder.map_or(0, |h| h.0), to.0);
@@ -89,7 +89,7 @@
 
     /// Grants and moves machines, watches them, and schedules tasks. Called about every 20 ms
     /// while this node may lead.
-    pub fn tick(&mut self, state_replica: &Ledger, now: Micros) {
+    pub fn tick(&mut self, state_replica: &StateReplica, now: Micros) {
         self.lateness.record_tick(now);
         if !self.grants_started {
             let all_in_contact = self.controllers_in_contact(now).into_iter().all(|c| c);
@@ -320,7 +320,7 @@
 
     /// Stops the remaining tasks of cancelled jobs. Also called while the leader's lease is not
     /// confirmed: a stop does no harm, and a cancellation must not wait for the state service.
-    pub fn stop_cancelled(&mut self, state_replica: &Ledger, now: Micros) {
+    pub fn stop_cancelled(&mut self, state_replica: &StateReplica, now: Micros) {
         if now.since(self.cancellations_checked_at) < CANCELLATION_SCAN_INTERVAL {
             return;
         }
@@ -344,14 +344,14 @@
     }
 
     /// Deletes machines that may hold a cancelled job's task that could not be stopped.
-    pub(super) fn delete_for_cancelled(&mut self, state_replica: &Ledger, now: Micros) {
+    pub(super) fn delete_for_cancelled(&mut self, state_replica: &StateReplica, now: Micros) {
         let mut to_delete = Vec::new();
         let mut finished = Vec::new();
         for (job, by) in &self.cancelled_jobs {
             let run = self.jobs.get(job);
             // A job stays here until it is recorded that no task of it is left: a machine that
             // could hold one may appear at any later time.
-            let record = state_replica.jobs.get(job).filter(|j| !j.settled);
+            let record = state_replica.jobs.get(job).filter(|j| !j.fully_stopped);
             if run.is_none_or(|r| r.bound.is_empty())
                 && record.is_none()
                 && now > *by + self.config.cancel_timeout
--- a/crates/core/src/leader/changes.rs
+++ b/crates/core/src/leader/changes.rs
@@ -4,10 +4,10 @@
 //! within that of a value, whatever is to be recorded. A record that doesn't fit into one
 //! value is spread over several keys, which change in one transaction.
 use super::{Leader, LeaderWrite};
-use crate::jobs::{Failures, Ledger, cancelled_value, keys, split_words};
+use crate::jobs::{Failures, StateReplica, cancelled_value, keys, split_progress_text};
 use crate::limits::{StoreLimits, value_len};
 use gorseshore_protocol::ids::{JobId, MachineId};
-use gorseshore_protocol::state::{When, Write};
+use gorseshore_protocol::state::{Precondition, Write};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
@@ -18,32 +18,32 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Changes {
     /// Conditions beside the one on the leader's key.
-    pub conditions: Vec<When>,
+    pub conditions: Vec<Precondition>,
     /// Puts and removals.
     pub writes: Vec<Write>,
 }
 
 impl Changes {
     fn on_condition(mut self, path: String, stamp: u64) -> Self {
-        self.conditions.push(When { path, stamp });
+        self.conditions.push(Precondition { key: path, revision: stamp });
         self
     }
 
     fn put(mut self, key: String, value: Value) -> Self {
-        self.writes.push(Write::Put { put: key, v: value, hold: None });
+        self.writes.push(Write::Put { key, value, lease: None });
         self
     }
 
     fn remove(mut self, key: String) -> Self {
-        self.writes.push(Write::Remove { remove: key });
+        self.writes.push(Write::Remove { key });
         self
     }
 
     /// Approximate length in the transaction, in bytes.
     pub fn len(&self) -> usize {
         let length = |write: &Write| match write {
-            Write::Put { put, v, .. } => put.len() * 2 + v.to_string().len() + CHANGE_OVERHEAD,
-            Write::Remove { remove } => remove.len() + CHANGE_OVERHEAD,
+            Write::Put { key: put, value: v, .. } => put.len() * 2 + v.to_string().len() + CHANGE_OVERHEAD,
+            Write::Remove { key: remove } => remove.len() + CHANGE_OVERHEAD,
         };
         self.writes.iter().map(length).sum()
     }
@@ -57,7 +57,7 @@
 /// The inputs of a record's changes beside the leader's own state.
 pub struct RecordContext<'a> {
     /// The state replica.
-    pub state_replica: &'a Ledger,
+    pub state_replica: &'a StateReplica,
     /// Limits of a value and of a transaction.
     pub limits: &'a StoreLimits,
     /// Time of day in milliseconds.
@@ -80,32 +80,35 @@
                 // A delayed retry must not overwrite a later record.
                 Some(changes.on_condition(key.clone(), 0).put(key, value))
             }
-            LeaderWrite::ScaleOutName(name) => Some(changes.put(keys::HIRE.into(), json!(name))),
+            LeaderWrite::ScaleOutName(name) => {
+                Some(changes.put(keys::LAST_RENTAL_REQUEST.into(), json!(name)))
+            }
             LeaderWrite::FailureCounts(id, chunk) => {
                 let parts = split_failures(self.failures(*id, *chunk)?, limits.value_bytes);
                 let job = state_replica.jobs.get(id);
-                let stamp = job.and_then(|j| j.failed_stamps.get(chunk).copied()).unwrap_or(0);
-                let key = |part| keys::failed_part(*id, *chunk, part);
+                let stamp = job.and_then(|j| j.failure_revisions.get(chunk).copied()).unwrap_or(0);
+                let key = |part| keys::failures_part(*id, *chunk, part);
                 Some(chunk_changes(*id, stamp, key, parts, limits))
             }
             LeaderWrite::JobFailed(id, index) => {
                 let job = state_replica.jobs.get(id)?;
                 let why = self.failure_cause(*id, *index);
                 // On the condition that the job record is still the one that was evaluated.
-                let changes = changes.on_condition(keys::job(*id), job.stamp).on_condition(keys::end(*id), 0);
+                let changes =
+                    changes.on_condition(keys::job(*id), job.revision).on_condition(keys::end(*id), 0);
                 Some(changes.put(keys::end(*id), cancelled_value(wall_ms, Some(&why), false)))
             }
             LeaderWrite::Progress(id, chunk) => {
-                let parts = split_words(&self.progress(*id, *chunk)?, limits.value_bytes);
+                let parts = split_progress_text(&self.progress(*id, *chunk)?, limits.value_bytes);
                 let job = state_replica.jobs.get(id);
-                let stamp = job.and_then(|j| j.chunks.get(chunk).copied()).unwrap_or(0);
+                let stamp = job.and_then(|j| j.progress_revisions.get(chunk).copied()).unwrap_or(0);
                 let key = |part| keys::progress_part(*id, *chunk, part);
                 Some(chunk_changes(*id, stamp, key, parts, limits))
             }
             LeaderWrite::CancellationComplete(id) => {
                 let job = state_replica.jobs.get(id)?;
                 let end = cancelled_value(job.ended_ms, job.cause.as_deref(), true);
-                Some(changes.on_condition(keys::end(*id), job.end_stamp).put(keys::end(*id), end))
+                Some(changes.on_condition(keys::end(*id), job.end_revision).put(keys::end(*id), end))
             }
             // An end that is already recorded stays.
             LeaderWrite::CancelDependent(id) => {
@@ -128,9 +131,9 @@
     /// may contain, the record stays unchanged.
     fn forget_changes(&self, key: &str, context: &RecordContext<'_>) -> Option<Changes> {
         let RecordContext { state_replica, limits, .. } = *context;
-        let (ids, stamp) = state_replica.records.get(key)?;
+        let (ids, stamp) = state_replica.machine_records.get(key)?;
         let changes = Changes::default().on_condition(key.to_owned(), *stamp);
-        let mut lists = match key.starts_with(keys::MACHINES) {
+        let mut lists = match key.starts_with(keys::MACHINES_PREFIX) {
             true => self.split_into_records(ids, context),
             false => Vec::new(),
         };
@@ -146,7 +149,7 @@
         for list in &rest {
             let free = |id: &&MachineId| {
                 let name = keys::machines(id);
-                !state_replica.records.contains_key(&name) && (context.may_create)(&name)
+                !state_replica.machine_records.contains_key(&name) && (context.may_create)(&name)
             };
             let new_key = keys::machines(list.iter().find(free)?);
             let value = self.machines_record(list, state_replica)?;
@@ -187,9 +190,9 @@
 /// is recorded.
 fn end_changes(id: JobId, context: &RecordContext<'_>) -> Changes {
     let job = context.state_replica.jobs.get(&id);
-    let progress = job.iter().flat_map(|j| j.chunks.keys()).map(|c| keys::progress(id, *c));
-    let failed = job.iter().flat_map(|j| j.failed_stamps.keys()).map(|c| keys::failed(id, *c));
-    let further = job.iter().flat_map(|j| j.further_parts.iter().cloned());
+    let progress = job.iter().flat_map(|j| j.progress_revisions.keys()).map(|c| keys::progress(id, *c));
+    let failed = job.iter().flat_map(|j| j.failure_revisions.keys()).map(|c| keys::failures(id, *c));
+    let further = job.iter().flat_map(|j| j.further_part_keys.iter().cloned());
     let mut changes = Changes::default().on_condition(keys::end(id), 0);
     for key in progress.chain(failed).chain(further).take(context.limits.txn_ops - 1) {
         changes = changes.remove(key);
--- a/crates/core/src/leader/pending_reasons.rs
+++ b/crates/core/src/leader/pending_reasons.rs
@@ -70,7 +70,7 @@
             any = true;
             let ok = fleet::zone_allows_task(spec, &m.zone, &zones);
             zone |= ok;
-            fits |= ok && m.free().fits(&spec.need);
+            fits |= ok && m.free().fits(&spec.task_resources);
         }
         if any && !zone {
             return PendingReason::ZoneRule;
@@ -80,7 +80,7 @@
         }
         let recent = |t: &Micros| now.since(*t) < Micros::secs(20);
         let in_zones = |z: &str| spec.zones.as_ref().is_none_or(|l| l.iter().any(|x| x == z));
-        let of_types = |b: &str| spec.types.as_ref().is_none_or(|l| l.iter().any(|x| x == b));
+        let of_types = |b: &str| spec.machine_types.as_ref().is_none_or(|l| l.iter().any(|x| x == b));
         let refused = self
             .refused_offers
             .iter()
--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -49,7 +49,7 @@
 
 /// A leader over recorded machines `m0`, `m1`, …, with both controllers in contact.
 struct Harness {
-    state_replica: Ledger,
+    state_replica: StateReplica,
     leader: Leader,
     now: Micros,
     seq: [u64; 2],
@@ -58,12 +58,12 @@
 
 impl Harness {
     fn new(machines: usize) -> Self {
-        let mut state_replica = Ledger::default();
+        let mut state_replica = StateReplica::default();
         for i in 0..machines {
             let v = json!({"t": "big", "z": "east", "s": false, "a": format!("addr{i}")});
             state_replica.apply(&keys::machine(&m(&format!("m{i}"))), Some(&v), 1);
         }
-        let sizes = MachineSizes::from([("big".into(), Resources::have(8.0, 0.0, 32.0))]);
+        let sizes = MachineSizes::from([("big".into(), Resources::capacity(8.0, 0.0, 32.0))]);
         let now = Micros::secs(100);
         let leader = Leader::new(context(), TERM, 50, &state_replica, &sizes, now, 1_000_000);
         let mut b = Harness { state_replica, leader, now, seq: [0; 2], incarnation: [5, 6] };
@@ -97,7 +97,7 @@
         for w in self.leader.due_writes(&self.state_replica, 4000, self.now) {
             if let LeaderWrite::FailureCounts(id, chunk) = w {
                 let v = json!(self.leader.failures(id, chunk).unwrap());
-                self.state_replica.apply(&keys::failed(id, chunk), Some(&v), stamp);
+                self.state_replica.apply(&keys::failures(id, chunk), Some(&v), stamp);
                 self.leader.job_changed(id, &self.state_replica, self.now);
             }
         }
@@ -111,7 +111,7 @@
         // the known tasks unchanged.
         let token = self.token("m0");
         let reports =
-            [(token, TaskState::Running), (Baton(0), TaskState::Failed), (token, TaskState::Failed)];
+            [(token, TaskState::Running), (FencingToken(0), TaskState::Failed), (token, TaskState::Failed)];
         for (seen, state) in reports {
             let s = self.state("m0", seen, &[(task(id, index), a, state)]);
             self.sync(A, &[s], &[]);
@@ -168,12 +168,12 @@
         self.leader.apply_sync(from, self.incarnation[i], &view, &self.state_replica, self.now);
     }
 
-    fn state(&self, id: &str, seen: Baton, tasks: &[(TaskId, Attempt, TaskState)]) -> MachineState {
+    fn state(&self, id: &str, seen: FencingToken, tasks: &[(TaskId, Attempt, TaskState)]) -> MachineState {
         MachineState {
             id: m(id),
             fencing_token: self.leader.machines[&m(id)].fencing_token,
             seen_fencing_token: seen,
-            last_report: ReportNo { shift: 1, tally: self.now.0 },
+            last_report: HeartbeatSeq { agent_epoch: 1, sequence: self.now.0 },
             acknowledges_commands: true,
             last_contact_age: Some(Micros(0)),
             preemption_notice: None,
@@ -182,7 +182,7 @@
         }
     }
 
-    fn token(&self, id: &str) -> Baton {
+    fn token(&self, id: &str) -> FencingToken {
         self.leader.machines[&m(id)].fencing_token
     }
 
@@ -227,7 +227,7 @@
             |b, a| {
                 b.sync(A, &[], &[AssignmentOutcome { attempt: a, machine: Some(m("m0")) }]);
                 b.leader.grant(&m("m0"), A, "test", b.now);
-                let s = b.state("m0", Baton(0), &[]);
+                let s = b.state("m0", FencingToken(0), &[]);
                 b.sync(A, &[s], &[]);
             },
             false,
@@ -434,7 +434,7 @@
         b.add_job(1, 40, "t", "standing", "prod", 1, 4.0);
         let end = json!({"end": "aborted", "at": 1_000_000, "gone": settled});
         b.state_replica.apply(&keys::end(JobId(1)), Some(&end), 45);
-        let sizes = MachineSizes::from([("big".into(), Resources::have(8.0, 0.0, 32.0))]);
+        let sizes = MachineSizes::from([("big".into(), Resources::capacity(8.0, 0.0, 32.0))]);
         // No controller is in the machine's zone, so its silence may be a partition.
         let away = LeaderConfig { zones: vec!["west".into(), "west".into()], ..context() };
         b.leader = Leader::new(away, TERM + 1, 80, &b.state_replica, &sizes, b.now, 1_000_000);
@@ -453,16 +453,16 @@
 #[test]
 fn no_machine_is_rented_for_tasks_beyond_a_limit() {
     let flavors = [Flavor {
-        sku: "big".into(),
+        name: "big".into(),
         cpus: 8.0,
         gpus: 0.0,
         memory_gb: 32.0,
-        cache_gb: 10.0,
-        pull_gb_per_s: 1.0,
-        hourly: 1.0,
+        image_cache_gb: 10.0,
+        image_pull_gb_per_s: 1.0,
+        hourly_price: 1.0,
         spot_price: None,
         boot_s: 10.0,
-        yards: vec!["east".into()],
+        zones: vec!["east".into()],
     }];
     // (jobs as team, tasks, CPUs; tasks that may start)
     let cases: [(&[(&str, u32, f64)], u32); 4] = [
@@ -503,7 +503,7 @@
     let mut b = Harness::new(1);
     b.confirm("m0", &[]);
     b.add_job(1, 60, "t", "array", "standard", 2, 2.0);
-    b.edit_job(1, 61, |s| s.attempts = Some(2));
+    b.edit_job(1, 61, |s| s.max_attempts = Some(2));
     // A changed record does not make a new `JobRun`, so it is made again here, as by a new leader.
     b.leader.jobs.clear();
     b.leader.job_changed(JobId(1), &b.state_replica, b.now);
@@ -522,7 +522,7 @@
     };
     assert_eq!(fails(&b), 0);
     // A new leader continues from the record.
-    let sizes = MachineSizes::from([("big".into(), Resources::have(8.0, 0.0, 32.0))]);
+    let sizes = MachineSizes::from([("big".into(), Resources::capacity(8.0, 0.0, 32.0))]);
     b.leader = Leader::new(context(), TERM + 1, 80, &b.state_replica, &sizes, b.now, 1_000_000);
     b.sync(A, &[], &[]);
     b.sync(B, &[], &[]);
@@ -543,7 +543,7 @@
     b.leader.job_changed(JobId(1), &b.state_replica, b.now);
     b.pass_idle(10);
     let job = &b.state_replica.jobs[&JobId(1)];
-    assert_eq!((job.phase, job.cause.as_deref()), (Phase::Aborted, Some("attempts used up")));
+    assert_eq!((job.phase, job.cause.as_deref()), (Phase::Cancelled, Some("attempts used up")));
     assert_eq!((fails(&b), b.attempt(task(1, 0))), (0, None));
 }
 
@@ -564,7 +564,7 @@
         let mut b = Harness::new(1);
         b.confirm("m0", &[]);
         b.add_job(1, 60, "t", "array", "standard", 1, 8.0);
-        b.edit_job(1, 61, |s| s.attempts = Some(4));
+        b.edit_job(1, 61, |s| s.max_attempts = Some(4));
         b.leader.jobs.clear();
         b.leader.job_changed(JobId(1), &b.state_replica, b.now);
         b.tick(30);
@@ -575,7 +575,7 @@
         if machines == 2 {
             let v = json!({"t": "big", "z": "east", "s": false, "a": "addr1"});
             b.state_replica.apply(&keys::machine(&m("m1")), Some(&v), 71);
-            let sizes = MachineSizes::from([("big".into(), Resources::have(8.0, 0.0, 32.0))]);
+            let sizes = MachineSizes::from([("big".into(), Resources::capacity(8.0, 0.0, 32.0))]);
             let mut new = Machine::new(&b.state_replica.machines[&m("m1")], sizes["big"], Stage::Up, b.now);
             new.recorded = true;
             b.leader.machines.insert(m("m1"), new);
@@ -636,7 +636,7 @@
         let on = b.state("m0", b.token("m0"), &[(task(1, 0), a, TaskState::Running)]);
         b.sync(A, &[on], &[]);
         b.add_job(2, 61, "t", "standing", "prod", 1, 1.0);
-        b.edit_job(2, 62, |s| s.after = vec![JobId(1)]);
+        b.edit_job(2, 62, |s| s.replaces = vec![JobId(1)]);
         b.leader.jobs.remove(&JobId(2));
         b.leader.job_changed(JobId(2), &b.state_replica, b.now);
         let started = |b: &mut Harness| {
@@ -737,7 +737,7 @@
             cpus,
         );
         if want == PendingReason::DependencyNotEnded {
-            b.edit_job(9, 62, |s| s.after = vec![JobId(8)]);
+            b.edit_job(9, 62, |s| s.replaces = vec![JobId(8)]);
             b.leader.jobs.remove(&JobId(9));
             b.leader.job_changed(JobId(9), &b.state_replica, b.now);
         }
@@ -753,16 +753,16 @@
 #[test]
 fn sold_out_spot_machines_are_replaced_by_a_bounded_number_of_ordinary_ones() {
     let flavor = |price| Flavor {
-        sku: "big".into(),
+        name: "big".into(),
         cpus: 8.0,
         gpus: 0.0,
         memory_gb: 32.0,
-        cache_gb: 100.0,
-        pull_gb_per_s: 1.0,
-        hourly: 1.0,
+        image_cache_gb: 100.0,
+        image_pull_gb_per_s: 1.0,
+        hourly_price: 1.0,
         spot_price: price,
         boot_s: 20.0,
-        yards: vec!["east".into()],
+        zones: vec!["east".into()],
     };
     // (machines present, seconds since the term began, spot machines rented ten seconds before;
     // ordinary machines rented, including the spare capacity for replicas where there are any;
@@ -902,21 +902,21 @@
 /// with.
 #[test]
 fn copies_of_heartbeats_prove_nothing() {
-    let sizes = MachineSizes::from([("big".into(), Resources::have(8.0, 0.0, 32.0))]);
+    let sizes = MachineSizes::from([("big".into(), Resources::capacity(8.0, 0.0, 32.0))]);
     let rec = |machine_type: &str| MachineRecord {
-        build: machine_type.into(),
+        machine_type: machine_type.into(),
         zone: "east".into(),
         spot: false,
         addr: "a:1".into(),
     };
-    let no = |tally| ReportNo { shift: 1, tally };
+    let no = |tally| HeartbeatSeq { agent_epoch: 1, sequence: tally };
     // (machine, its type, number of the heartbeat, whether it answers a probe; whether it counts
     // as seen by B, whether the leader knows the machine then)
     let cases = [
         ("m0", "big", no(5), false, false, true),
         ("m0", "big", no(1), true, false, true),
-        ("m0", "big", ReportNo { shift: 1, tally: u64::MAX }, false, true, true),
-        ("m0", "small", ReportNo { shift: 2, tally: 1 }, false, false, true),
+        ("m0", "big", HeartbeatSeq { agent_epoch: 1, sequence: u64::MAX }, false, true, true),
+        ("m0", "small", HeartbeatSeq { agent_epoch: 2, sequence: 1 }, false, false, true),
         ("m9", "big", no(7), false, true, false),
         ("m9", "big", no(7), true, true, true),
     ];
@@ -1006,10 +1006,10 @@
     b.confirm("m0", &[]);
     let mut s = b.state("m0", b.token("m0"), &[]);
     s.acknowledges_commands = false;
-    s.last_report.tally += 1;
+    s.last_report.sequence += 1;
     b.sync(A, &[s.clone()], &[]);
     b.now = b.now + Micros::secs(30);
-    s.last_report.tally += 1;
+    s.last_report.sequence += 1;
     b.sync(A, &[s], &[]);
     b.sync(B, &[], &[]);
     b.tick(100);
--- a/crates/core/src/leader/tests/pipelines.rs
+++ b/crates/core/src/leader/tests/pipelines.rs
@@ -32,8 +32,8 @@
 
     /// Applies a record to the state replica and the leader.
     fn apply_record(&mut self, key: &str, value: serde_json::Value) {
-        self.state_replica.applied += 1;
-        let change = self.state_replica.apply(key, Some(&value), 100 + self.state_replica.applied);
+        self.state_replica.applied_revision += 1;
+        let change = self.state_replica.apply(key, Some(&value), 100 + self.state_replica.applied_revision);
         let crate::jobs::Change::Job { id, cancelled } = change else { panic!("{change:?}") };
         for id in std::iter::once(id).chain(cancelled) {
             self.leader.job_changed(id, &self.state_replica, self.now);
@@ -46,7 +46,7 @@
 
     /// Replaces the leader by a new one over the same records.
     fn next_leader(&mut self) {
-        let sizes = MachineSizes::from([("big".into(), Resources::have(8.0, 0.0, 32.0))]);
+        let sizes = MachineSizes::from([("big".into(), Resources::capacity(8.0, 0.0, 32.0))]);
         self.leader = Leader::new(context(), TERM + 1, 500, &self.state_replica, &sizes, self.now, 1_000_000);
     }
 }
@@ -105,20 +105,20 @@
     b.add_dependent(1, "idle", 1, &[], None);
     b.add_dependent(2, "idle", 1, &[1], None);
     let urgency = |b: &Harness, id| b.leader.jobs[&JobId(id)].urgency;
-    assert_eq!(urgency(&b, 1).rank, Rank::Low);
+    assert_eq!(urgency(&b, 1).priority, Priority::Low);
     // A dependent is submitted later; jobs before it are due earlier, the more so the more
     // jobs are in between.
     b.add_dependent(3, "high", 1, &[2], Some(100.0));
-    assert_eq!((urgency(&b, 1).rank, urgency(&b, 2).rank), (Rank::High, Rank::High));
+    assert_eq!((urgency(&b, 1).priority, urgency(&b, 2).priority), (Priority::High, Priority::High));
     assert!(urgency(&b, 1).due_ms < urgency(&b, 2).due_ms);
     assert!(urgency(&b, 2).due_ms < urgency(&b, 3).due_ms);
     assert_eq!(urgency(&b, 3).due_ms, 1_100_000);
     // A second dependent is due earlier, until it is cancelled.
     b.add_dependent(4, "prod", 1, &[2], Some(50.0));
-    assert_eq!(urgency(&b, 1).rank, Rank::Production);
+    assert_eq!(urgency(&b, 1).priority, Priority::Production);
     assert!(urgency(&b, 2).due_ms < 1_050_000);
     b.record_end(4, "aborted");
-    assert_eq!((urgency(&b, 1).rank, urgency(&b, 2).rank), (Rank::High, Rank::High));
+    assert_eq!((urgency(&b, 1).priority, urgency(&b, 2).priority), (Priority::High, Priority::High));
     assert!(urgency(&b, 2).due_ms > 1_050_000);
 }
 
@@ -173,7 +173,7 @@
     b.add_dependent(2, "high", 50, &[1], None);
     b.tick(300);
     assert_eq!(b.leader.team_usage("t"), one_assigned);
-    assert!(b.leader.queues.get(&Rank::High).is_none_or(|q| q.order().is_empty()));
+    assert!(b.leader.queues.get(&Priority::High).is_none_or(|q| q.order().is_empty()));
 }
 
 #[test]
--- a/crates/core/src/liveness.rs
+++ b/crates/core/src/liveness.rs
@@ -16,7 +16,7 @@
 use crate::lateness::Lateness;
 use gorseshore_protocol::cloud::Rental;
 use gorseshore_protocol::ids::{MachineId, Micros};
-use gorseshore_protocol::workers::ReportNo;
+use gorseshore_protocol::workers::HeartbeatSeq;
 use instance_list::InstanceList;
 use reachability::{MAX_WRONG_DELETIONS, ProbeOutcomes, Reachability, answers_needed};
 use silence::Silence;
@@ -63,7 +63,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Contact {
     at: Micros,
-    number: ReportNo,
+    number: HeartbeatSeq,
     has_tasks: bool,
 }
 
@@ -186,7 +186,7 @@
     }
 
     /// Records a heartbeat. Duplicates and outdated ones are ignored.
-    pub fn record_heartbeat(&mut self, id: MachineId, number: ReportNo, has_tasks: bool, now: Micros) {
+    pub fn record_heartbeat(&mut self, id: MachineId, number: HeartbeatSeq, has_tasks: bool, now: Micros) {
         self.observations.entry(id).or_default().record_contact(Contact { at: now, number, has_tasks });
     }
 
@@ -195,7 +195,7 @@
     pub fn record_probe_response(
         &mut self,
         id: MachineId,
-        number: ReportNo,
+        number: HeartbeatSeq,
         has_tasks: bool,
         sent: Micros,
         now: Micros,
--- a/crates/core/src/liveness/tests/evidence.rs
+++ b/crates/core/src/liveness/tests/evidence.rs
@@ -53,7 +53,7 @@
     let mut monitor = LivenessMonitor::new("west", REPORT_INTERVAL, LEASE, START);
     let rentals: Vec<Rental> = (0..20).map(rental).collect();
     monitor.record_list_page(Some((&rentals, false)), START);
-    monitor.record_heartbeat(id(4), ReportNo { shift: 3, tally: 7 }, true, START);
+    monitor.record_heartbeat(id(4), HeartbeatSeq { agent_epoch: 3, sequence: 7 }, true, START);
     monitor.record_tick(at(1_900));
     monitor.record_tick(at(2_000));
     monitor.record_probe_timeout(&id(4), at(900), at(2_000));
@@ -71,12 +71,22 @@
     // (agent epoch, heartbeat sequence, machines that count as unanswering after the message)
     for (shift, tally, unanswering) in [(3, 7, 1), (3, 6, 1), (2, 90, 1), (3, 8, 0), (4, 1, 0)] {
         let mut monitor = monitor_with_unanswered_probe();
-        monitor.record_heartbeat(id(4), ReportNo { shift, tally }, true, at(3_300));
+        monitor.record_heartbeat(
+            id(4),
+            HeartbeatSeq { agent_epoch: shift, sequence: tally },
+            true,
+            at(3_300),
+        );
         let summary = monitor.summary(at(3_300));
         assert_eq!(summary.unanswered, unanswering, "heartbeat {shift} {tally}");
         let mut monitor = monitor_with_unanswered_probe();
-        let newer =
-            monitor.record_probe_response(id(4), ReportNo { shift, tally }, true, at(3_300), at(3_350));
+        let newer = monitor.record_probe_response(
+            id(4),
+            HeartbeatSeq { agent_epoch: shift, sequence: tally },
+            true,
+            at(3_300),
+            at(3_350),
+        );
         assert_eq!(newer, unanswering == 0, "answer {shift} {tally}");
         assert_eq!(monitor.summary(at(3_350)).unanswered, unanswering, "answer {shift} {tally}");
     }
@@ -150,7 +160,7 @@
         let rentals: Vec<Rental> = (0..20).map(rental).collect();
         monitor.record_list_page(Some((&rentals, false)), START);
         (0..=3_200).step_by(100).for_each(|ms| monitor.record_tick(at(ms)));
-        monitor.record_heartbeat(id(4), ReportNo { shift: 1, tally: 1 }, true, at(heartbeat));
+        monitor.record_heartbeat(id(4), HeartbeatSeq { agent_epoch: 1, sequence: 1 }, true, at(heartbeat));
         monitor.record_probe_timeout(&id(4), at(2_000), at(3_200));
         assert_eq!(monitor.summary(at(3_200)).unanswered, unanswering, "heartbeat at {heartbeat}");
     }
@@ -172,7 +182,7 @@
                 monitor.record_probe_timeout(&id(0), at(ms - 1_200), at(ms));
                 monitor.record_probe_response(
                     id(4),
-                    ReportNo { shift: 1, tally: ms },
+                    HeartbeatSeq { agent_epoch: 1, sequence: ms },
                     true,
                     at(ms - 50),
                     at(ms),
--- a/crates/core/src/node/cancellation_enforcement.rs
+++ b/crates/core/src/node/cancellation_enforcement.rs
@@ -89,7 +89,7 @@
             CallResult::Response { status: 200, body } => serde_json::from_slice(body).ok(),
             _ => None,
         };
-        self.liveness.record_list_page(page.as_ref().map(|p| (&p.hosts[..], p.truncated)), self.now);
+        self.liveness.record_list_page(page.as_ref().map(|p| (&p.machines[..], p.truncated)), self.now);
     }
 
     fn enforce_cancellations(&mut self, suspects: &BTreeMap<MachineId, Suspect>, machines: usize) {
@@ -142,7 +142,7 @@
     /// A cancelled job that may still be on machines, and the deadline for stopping it.
     fn unsettled_job(&self, id: JobId) -> Option<(Micros, &Job)> {
         let job = self.replica_sync.replica.jobs.get(&id)?;
-        let is_unsettled = job.phase == Phase::Aborted && !job.settled;
+        let is_unsettled = job.phase == Phase::Cancelled && !job.fully_stopped;
         is_unsettled.then(|| {
             (
                 cancellation_deadline(
@@ -211,9 +211,9 @@
     }
 
     fn may_hold(&self, job: &Job, m: &MachineRecord) -> bool {
-        let size = self.catalogue.sizes.get(&m.build);
+        let size = self.catalogue.sizes.get(&m.machine_type);
         let (Some(spec), Some(size)) = (&job.spec, size) else { return true };
-        spec.allows(&m.build, &m.zone, m.spot, size)
+        spec.allows(&m.machine_type, &m.zone, m.spot, size)
     }
 
     /// Handles the result of a probe or a stop; a machine answers both with its report.
@@ -225,13 +225,18 @@
         let Some((r, tasks)) = parse_report(body) else {
             return self.log_ignored_answer(machine, "is not a valid report");
         };
-        if r.host != machine.as_str() {
+        if r.machine != machine.as_str() {
             return self.log_ignored_answer(machine, "is from another machine");
         }
         if self.uses_liveness() {
             let has_tasks = has_tasks(&tasks);
-            let is_newest =
-                self.liveness.record_probe_response(machine.clone(), r.number(), has_tasks, sent, self.now);
+            let is_newest = self.liveness.record_probe_response(
+                machine.clone(),
+                r.heartbeat_seq(),
+                has_tasks,
+                sent,
+                self.now,
+            );
             if !is_newest {
                 debug!("{machine}: ignored a probe response that is older than another report");
             }
@@ -258,8 +263,8 @@
     /// Records a worker's heartbeat.
     pub(super) fn record_heartbeat(&mut self, report: &Report, tasks: &[TaskStatus]) {
         if self.uses_liveness() {
-            let machine = MachineId::from(&*report.host);
-            self.liveness.record_heartbeat(machine, report.number(), has_tasks(tasks), self.now);
+            let machine = MachineId::from(&*report.machine);
+            self.liveness.record_heartbeat(machine, report.heartbeat_seq(), has_tasks(tasks), self.now);
         }
     }
 
--- a/crates/core/src/node/cancellations.rs
+++ b/crates/core/src/node/cancellations.rs
@@ -101,7 +101,7 @@
     pub(super) fn apply_confirmed_ends(&mut self, writes: &[Write], revision: u64) -> Vec<JobId> {
         let mut ended = Vec::new();
         for w in writes {
-            let Write::Put { put, v, .. } = w else { continue };
+            let Write::Put { key: put, value: v, .. } = w else { continue };
             if v["end"] == "aborted"
                 && let change @ Change::Job { id, .. } =
                     self.replica_sync.replica.apply(put, Some(v), revision)
@@ -159,13 +159,13 @@
 
     /// Records a cancellation from the state replica.
     fn track_cancellation(&mut self, job: JobId) {
-        let Some(j) = self.replica_sync.replica.jobs.get(&job).filter(|j| j.phase == Phase::Aborted) else {
+        let Some(j) = self.replica_sync.replica.jobs.get(&job).filter(|j| j.phase == Phase::Cancelled) else {
             return;
         };
         let record = Cancellation {
             job,
             ended_ms: j.ended_ms,
-            record_version: j.end_stamp,
+            record_version: j.end_revision,
             cause: j.cause.clone(),
             may_confirm: false,
             acknowledged_by: Vec::new(),
@@ -176,7 +176,7 @@
     /// Whether a cancellation may be confirmed to a client.
     pub(super) fn is_confirmed(&self, job: JobId) -> bool {
         // Nothing of the job is on any machine, so no controller needs to know.
-        if self.replica_sync.replica.jobs.get(&job).is_some_and(|j| j.settled) {
+        if self.replica_sync.replica.jobs.get(&job).is_some_and(|j| j.fully_stopped) {
             return true;
         }
         let Some(tracked) = self.cancellations.jobs.get(&job) else { return false };
@@ -187,7 +187,7 @@
     fn is_acknowledged(&self, tracked: &TrackedCancellation) -> bool {
         // A leader that acquired its key before the record was written has to be notified. Only a
         // state replica that holds the record shows whether there is such a leader.
-        let applied = self.replica_sync.replica.applied >= tracked.record.record_version;
+        let applied = self.replica_sync.replica.applied_revision >= tracked.record.record_version;
         let contacts_acknowledged =
             self.peers.all().filter(|n| *n != self.members.own_id && self.in_contact(*n, PEER_TIMEOUT)).all(
                 |n| {
@@ -226,7 +226,7 @@
         let (keep, replica) = (self.leader_config.cancel_timeout.scale(4, 1), &self.replica_sync.replica);
         self.cancellations.jobs.retain(|job, tracked| {
             !tracked.requesters.is_empty()
-                || now.since(tracked.since) < keep && replica.jobs.get(job).is_none_or(|j| !j.settled)
+                || now.since(tracked.since) < keep && replica.jobs.get(job).is_none_or(|j| !j.fully_stopped)
         });
         if self.cancellations.jobs.is_empty() {
             return;
@@ -334,7 +334,7 @@
         let phase = self.replica_sync.replica.jobs.get(&c.job).map(|j| j.phase);
         match phase {
             Some(Phase::Done) => return warn!("{}: notified of its cancellation after it was done", c.job),
-            Some(Phase::Aborted) => {}
+            Some(Phase::Cancelled) => {}
             Some(Phase::Active) | None => {
                 debug!("{}: notified of its cancellation", c.job);
                 let end = jobs::cancelled_value(c.ended_ms, c.cause.as_deref(), false);
--- a/crates/core/src/node/control_loop.rs
+++ b/crates/core/src/node/control_loop.rs
@@ -70,8 +70,8 @@
             if !self.replica_sync.list_in_flight && self.now >= self.replica_sync.next_list_at {
                 let (from, first_revision, replica) =
                     self.replica_sync.interrupted_list.take().unwrap_or_else(|| {
-                        let mut replica = Box::<Ledger>::default();
-                        replica.aside = self.has_extension.then(Vec::new);
+                        let mut replica = Box::<StateReplica>::default();
+                        replica.extension_entries = self.has_extension.then(Vec::new);
                         (None, None, replica)
                     });
                 self.list_state(from, first_revision, replica);
@@ -81,8 +81,8 @@
         if !self.replica_sync.watch_in_flight && self.now >= self.replica_sync.next_watch_at {
             let path = format!(
                 "/follow?prefix={}&from={}&hold_ms=10000",
-                keys::ROOT,
-                self.replica_sync.replica.applied
+                keys::ROOT_PREFIX,
+                self.replica_sync.replica.applied_revision
             );
             let id = self.call_state_service("GET", path, Vec::new(), Micros::secs(13));
             self.calls.insert(id, CallPurpose::Watch);
@@ -94,14 +94,14 @@
         &mut self,
         from: Option<String>,
         first_revision: Option<u64>,
-        replica: Box<Ledger>,
+        replica: Box<StateReplica>,
     ) {
         self.replica_sync.list_in_flight = true;
         if from.is_none() {
             self.replica_sync.read_progress =
                 ReadProgress { started_at: self.now, ..ReadProgress::default() };
         }
-        let mut path = format!("/store?prefix={}&limit=1000", keys::ROOT);
+        let mut path = format!("/store?prefix={}&limit=1000", keys::ROOT_PREFIX);
         if let Some(f) = &from {
             path.push_str("&from=");
             path.push_str(f);
@@ -110,18 +110,18 @@
         self.calls.insert(id, CallPurpose::List { from, first_revision, replica });
     }
 
-    pub(super) fn apply_events(&mut self, response: News) {
-        let base = self.replica_sync.replica.applied;
+    pub(super) fn apply_events(&mut self, response: WatchResponse) {
+        let base = self.replica_sync.replica.applied_revision;
         let mut messages = Vec::new();
-        for e in &response.news {
-            if e.stamp <= base {
+        for e in &response.events {
+            if e.revision <= base {
                 continue;
             }
             let change = match (&e.put, &e.remove) {
-                (Some(k), _) => match self.replica_sync.replica.apply(k, Some(&e.v), e.stamp) {
-                    Change::Mail(to) => {
+                (Some(k), _) => match self.replica_sync.replica.apply(k, Some(&e.value), e.revision) {
+                    Change::RelayedMessage(to) => {
                         if to == self.members.names[self.members.own_id.0 as usize]
-                            && let Some(p) = self.relay.receive_part(&e.v)
+                            && let Some(p) = self.relay.receive_part(&e.value)
                         {
                             messages.push(p);
                         }
@@ -129,33 +129,33 @@
                     }
                     c => c,
                 },
-                (None, Some(k)) => self.replica_sync.replica.apply(k, None, e.stamp),
+                (None, Some(k)) => self.replica_sync.replica.apply(k, None, e.revision),
                 _ => continue,
             };
             if let Some(g) = self.extension.as_mut() {
                 match &change {
-                    Change::Aside => {
+                    Change::Extension => {
                         let (key, v) = match (&e.put, &e.remove) {
-                            (Some(k), _) => (k, Some(&e.v)),
+                            (Some(k), _) => (k, Some(&e.value)),
                             (None, Some(k)) => (k, None),
                             (None, None) => continue,
                         };
-                        if let Some(name) = key.strip_prefix(keys::GUEST) {
-                            g.apply(name, v, e.stamp);
+                        if let Some(name) = key.strip_prefix(keys::EXTENSION_PREFIX) {
+                            g.apply(name, v, e.revision);
                         }
                     }
-                    Change::Job { id, .. } if id.own() => g.job_changed(*id, e.stamp),
+                    Change::Job { id, .. } if id.is_internal() => g.job_changed(*id, e.revision),
                     _ => {}
                 }
             }
             self.record_job_change(change);
         }
-        self.replica_sync.replica.applied = base.max(response.ledger);
+        self.replica_sync.replica.applied_revision = base.max(response.revision);
         // Only after all events: an assignment may be of a job whose end came with them.
         for p in messages {
             self.receive_message(p.from, p.incarnation, p.message);
         }
-        if !response.news.is_empty() {
+        if !response.events.is_empty() {
             self.run_leader();
             self.send_worker_calls();
             self.run_extension(ExtensionInput::ReplicaUpdated);
@@ -212,7 +212,7 @@
             },
             Role::Candidate => {}
             Role::Leader { lease, key_revision, term } => {
-                if self.replica_sync.replica.applied >= key_revision
+                if self.replica_sync.replica.applied_revision >= key_revision
                     && self
                         .replica_sync
                         .replica
@@ -288,7 +288,7 @@
         // The state replica must hold everything that was written before the leader key was
         // acquired.
         if let Some((term, key_revision)) = self.leadership.acquired
-            && self.replica_sync.replica.applied >= key_revision
+            && self.replica_sync.replica.applied_revision >= key_revision
             && !self.catalogue.sizes.is_empty()
         {
             self.leadership.acquired = None;
@@ -388,11 +388,11 @@
         debug!("standby replicas of term {term}: {}", names.join(", "));
         self.leadership.bucket.take_unconditionally(self.now, 1.0);
         let when = vec![
-            When { path: keys::LEADER.into(), stamp: key_revision },
-            When { path: keys::BOOKS.into(), stamp: record_revision },
+            Precondition { key: keys::LEADER.into(), revision: key_revision },
+            Precondition { key: keys::STANDBY_REPLICAS.into(), revision: record_revision },
         ];
-        let put = Write::Put { put: keys::BOOKS.into(), v: json!(record), hold: None };
-        let id = self.send_transaction(&Multi { when, writes: vec![put] });
+        let put = Write::Put { key: keys::STANDBY_REPLICAS.into(), value: json!(record), lease: None };
+        let id = self.send_transaction(&Transaction { preconditions: when, writes: vec![put] });
         self.calls.insert(id, CallPurpose::StandbyRecord(term));
     }
 
@@ -418,8 +418,10 @@
             .filter(|w| !self.leadership.rejected.is_paused(w, self.now))
             .filter_map(|w| self.leadership.uncontested(w, self.now))
             .collect();
-        let mut m =
-            Multi { when: vec![When { path: keys::LEADER.into(), stamp: key_revision }], writes: Vec::new() };
+        let mut m = Transaction {
+            preconditions: vec![Precondition { key: keys::LEADER.into(), revision: key_revision }],
+            writes: Vec::new(),
+        };
         let mut included = Vec::new();
         let mut size = 0;
         for w in pending {
@@ -429,7 +431,7 @@
             }
             let Some(changes) = self.changes_of(&w) else { continue };
             let ops = m.writes.len() + changes.writes.len();
-            let conditions = m.when.len() + changes.conditions.len();
+            let conditions = m.preconditions.len() + changes.conditions.len();
             let too_long = !included.is_empty() && size + changes.len() > MAX_TXN_BYTES;
             if ops > self.limits.txn_ops || conditions > self.limits.txn_conditions() || too_long {
                 break;
@@ -448,7 +450,7 @@
                 info!("{id}: {}", l.failure_cause(*id, *index));
             }
             size += changes.len();
-            m.when.extend(changes.conditions);
+            m.preconditions.extend(changes.conditions);
             m.writes.extend(changes.writes);
             // One rental name per transaction: rentals share a key.
             let ends_txn = alone
@@ -507,8 +509,9 @@
                 self.run_leader();
             }
             CallResult::Response { status: 409, body } => {
-                let failed =
-                    serde_json::from_slice::<MultiAnswer>(body).map(|a| a.failed).unwrap_or_default();
+                let failed = serde_json::from_slice::<TransactionResponse>(body)
+                    .map(|a| a.failed_keys)
+                    .unwrap_or_default();
                 if failed.iter().any(|k| k == keys::LEADER) {
                     return self.step_down("leader key changed");
                 }
@@ -581,7 +584,7 @@
         let Some(l) = self.leadership.leader.as_mut() else { return };
         match result {
             CallResult::Response { status: 200, body } => {
-                let hosts = serde_json::from_slice::<Hosts>(body).map(|h| h.hosts).unwrap_or_default();
+                let hosts = serde_json::from_slice::<MachineNames>(body).map(|h| h.names).unwrap_or_default();
                 l.rental_finished(&req, Some(&hosts), &self.catalogue.sizes, self.now);
             }
             CallResult::Response { status: 503, body } if body.windows(11).any(|w| w == b"no capacity") => {
--- a/crates/core/src/node/deferred_heartbeats.rs
+++ b/crates/core/src/node/deferred_heartbeats.rs
@@ -1,7 +1,7 @@
 //! Heartbeats of workers whose machines this controller does not hold.
 use crate::RequestId;
 use gorseshore_protocol::ids::{MachineId, Micros};
-use gorseshore_protocol::workers::{Report, ReportNo};
+use gorseshore_protocol::workers::{HeartbeatSeq, Report};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Deferred heartbeats, and what is known of workers whose machines other controllers hold.
@@ -11,13 +11,13 @@
     pub deferred: BTreeMap<MachineId, (RequestId, Report, Micros)>,
     /// Machines not held here that reported here: when, by which report, and whether that was the
     /// answer to a probe.
-    pub unleased_reports: BTreeMap<MachineId, (Micros, ReportNo, bool)>,
+    pub unleased_reports: BTreeMap<MachineId, (Micros, HeartbeatSeq, bool)>,
     /// Machines whose reports contradict their records, each logged once.
     pub contradicting: BTreeSet<MachineId>,
     /// The fencing token with which the lease of a worker not held here was renewed.
     pub renewed_tokens: BTreeMap<MachineId, u64>,
     /// The newest report of each machine not held here.
-    newest_reports: BTreeMap<MachineId, ReportNo>,
+    newest_reports: BTreeMap<MachineId, HeartbeatSeq>,
     /// When workers were redirected to the controller that holds their machine.
     pub redirected_at: BTreeMap<MachineId, Micros>,
 }
@@ -38,7 +38,7 @@
 
     /// Whether a report is newer than all earlier ones of this machine here: copies of reports
     /// change nothing and their answers are not deferred.
-    pub fn is_newest(&mut self, machine: &MachineId, report: ReportNo) -> bool {
+    pub fn is_newest(&mut self, machine: &MachineId, report: HeartbeatSeq) -> bool {
         if self.newest_reports.get(machine).is_some_and(|n| report <= *n) {
             return false;
         }
--- a/crates/core/src/node/extension_host.rs
+++ b/crates/core/src/node/extension_host.rs
@@ -50,8 +50,8 @@
                 self.await_read_barrier(Waiter::Extension(t), Micros::millis(1500))
             }
             ExtensionOutput::Read(t, prefix) => {
-                let none = Listing { pairs: Vec::new(), truncated: false, ledger: 0 };
-                self.read_extension_page(t, format!("{}{prefix}", keys::GUEST), none);
+                let none = Listing { entries: Vec::new(), truncated: false, revision: 0 };
+                self.read_extension_page(t, format!("{}{prefix}", keys::EXTENSION_PREFIX), none);
             }
             ExtensionOutput::Write { ticket, multi, as_leader } => {
                 if self.pending.writes.len() >= MAX_PENDING {
@@ -68,7 +68,7 @@
     }
 
     fn read_extension_page(&mut self, t: OperationId, prefix: String, so_far: Listing) {
-        let from = so_far.pairs.last().map_or(String::new(), |p| format!("&from={}", p.path));
+        let from = so_far.entries.last().map_or(String::new(), |p| format!("&from={}", p.key));
         let path = format!("/store?prefix={prefix}{from}&limit=1000");
         let id = self.call_state_service("GET", path, Vec::new(), Micros::millis(2500));
         self.calls.insert(id, CallPurpose::ExtensionRead(t, prefix, so_far));
@@ -90,9 +90,9 @@
         let Some(page) = page else {
             return self.run_extension(ExtensionInput::OperationCompleted(t, CallResult::NotSent));
         };
-        so_far.pairs.extend(page.pairs);
-        so_far.ledger = page.ledger;
-        if page.truncated && so_far.pairs.len() < MAX_READ_KEYS {
+        so_far.entries.extend(page.entries);
+        so_far.revision = page.revision;
+        if page.truncated && so_far.entries.len() < MAX_READ_KEYS {
             return self.read_extension_page(t, prefix, so_far);
         }
         let body = serde_json::to_vec(&so_far).unwrap_or_default();
--- a/crates/core/src/peer.rs
+++ b/crates/core/src/peer.rs
@@ -2,8 +2,8 @@
 //! way on a connection that the sender opens.
 use crate::placement_log::LogUpdate;
 use borsh::{BorshDeserialize, BorshSerialize};
-use gorseshore_protocol::ids::{Attempt, Baton, JobId, MachineId, Micros, NodeId, TaskId};
-use gorseshore_protocol::workers::ReportNo;
+use gorseshore_protocol::ids::{Attempt, FencingToken, JobId, MachineId, Micros, NodeId, TaskId};
+use gorseshore_protocol::workers::HeartbeatSeq;
 use thiserror::Error;
 
 pub mod inbox;
@@ -58,11 +58,11 @@
     /// Machine.
     pub id: MachineId,
     /// Fencing token under which the sender holds it.
-    pub fencing_token: Baton,
+    pub fencing_token: FencingToken,
     /// Highest fencing token that its worker has reported.
-    pub seen_fencing_token: Baton,
+    pub seen_fencing_token: FencingToken,
     /// Number of its last report.
-    pub last_report: ReportNo,
+    pub last_report: HeartbeatSeq,
     /// The last report shows that commands reach the worker: it answered a direct call, sent its
     /// next heartbeat to the same controller, or reported the grant's fencing token for the first
     /// time.
@@ -84,7 +84,7 @@
     /// Machine.
     pub id: MachineId,
     /// Number of the report.
-    pub report: ReportNo,
+    pub report: HeartbeatSeq,
     /// The worker answered the sender's probe, so it is healthy now. A heartbeat may be a duplicate
     /// of one sent long ago.
     pub probed: bool,
@@ -105,7 +105,7 @@
     /// Machine.
     pub id: MachineId,
     /// Fencing token of the grant.
-    pub fencing_token: Baton,
+    pub fencing_token: FencingToken,
     /// Worker address.
     pub addr: String,
     /// The machine is draining: no task is started on it.
@@ -200,7 +200,7 @@
         machines: Vec<MachineState>,
         /// Unchanged machines that reported, the time since their last contact, and the number of
         /// the report.
-        contacts: Vec<(MachineId, Micros, ReportNo)>,
+        contacts: Vec<(MachineId, Micros, HeartbeatSeq)>,
         /// Recorded machines that the sender does not hold, and whose workers reported to it
         /// recently.
         unleased_reports: Vec<UnleasedReport>,
@@ -248,7 +248,7 @@
         /// Worker address.
         addr: String,
         /// Number of the report.
-        report: ReportNo,
+        report: HeartbeatSeq,
         /// The report answers a probe.
         probed: bool,
     },
--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -27,7 +27,7 @@
 /// Scores a machine for a task of the job; `None` if the job does not allow the machine, the task
 /// does not fit, or the machine is not in `zone`.
 pub fn score(spec: &JobSpec, c: &Candidate<'_>, zone: Option<&str>) -> Option<Score> {
-    if !spec.allows(c.machine_type, c.zone, c.spot, c.size) || !c.free.fits(&spec.need) {
+    if !spec.allows(c.machine_type, c.zone, c.spot, c.size) || !c.free.fits(&spec.task_resources) {
         return None;
     }
     if zone.is_some_and(|z| z != c.zone) {
@@ -37,11 +37,11 @@
     // replicas need those. A machine with the image saves the fetch. Among equals, the machine
     // with the fewest CPUs left is filled first.
     let on_demand = (spec.spot && !c.spot) as u8;
-    let left = c.free.minus(spec.need).cpu;
+    let left = c.free.saturating_sub(spec.task_resources).cpu;
     let fetch = !c.has_image as u8;
     // The job's preferences come before the fetch, but no array takes an on-demand machine because
     // of them.
-    let penalty = spec.dislike(c.machine_type, c.zone);
+    let penalty = spec.placement_penalty(c.machine_type, c.zone);
     Some(match spec.kind {
         // Replicas go to the zone with the most on-demand CPUs: the replicas of spread jobs need
         // the capacity in the other zones.
@@ -70,13 +70,13 @@
 
     #[test]
     fn the_machine_with_the_smallest_score_is_taken() {
-        let size = Resources::have(8.0, 0.0, 32.0);
+        let size = Resources::capacity(8.0, 0.0, 32.0);
         let c = |zone, spot, cpus: f64, image| Candidate {
             machine_type: "b",
             zone,
             spot,
             size: &size,
-            free: Resources::have(cpus, 0.0, 32.0),
+            free: Resources::capacity(cpus, 0.0, 32.0),
             has_image: image,
             zone_cpu: 0,
         };
--- a/crates/core/tests/wire_compatibility.rs
+++ b/crates/core/tests/wire_compatibility.rs
@@ -1,11 +1,11 @@
-//! Messages between controllers, byte for byte as version 5 of them is written by
-//! the program in production (commit dc723f6). Controllers of two versions work
-//! side by side only while both directions of this table hold: what production
-//! sends is understood, and what is sent is what production understands.
+//! Compatibility of the messages between controllers, byte for byte with protocol
+//! version 5 of the program in production (commit dc723f6). Controllers of the two
+//! versions can run side by side only while both directions hold: messages from
+//! production are decoded, and messages sent now are encoded as production does.
 //!
-//! A literal here is never changed together with the code. A message that
-//! production doesn't know may only go to processes that have said that they know
-//! it (`docs/operations.md`).
+//! Literals in this file never change together with the code. A message that
+//! production doesn't know may be sent only to processes that have announced that
+//! they know it (`docs/operations.md`).
 use data_encoding::HEXLOWER;
 use gorseshore_core::peer::{
     Assignment, AssignmentOutcome, Cancellation, Envelope, FRAME_HEADER_LEN, FrameError, GrantedMachine,
@@ -13,32 +13,33 @@
     UnleasedReport, decode_body, decode_header, encode_frame,
 };
 use gorseshore_core::placement_log::{LogUpdate, PlacementEntry};
-use gorseshore_protocol::ids::{Attempt, Baton, JobId, MachineId, Micros, NodeId, TaskId};
-use gorseshore_protocol::workers::ReportNo;
+use gorseshore_protocol::ids::{Attempt, FencingToken, JobId, MachineId, Micros, NodeId, TaskId};
+use gorseshore_protocol::workers::HeartbeatSeq;
 
-/// Sender and process of all frames of the table.
+/// Sender of all frames in the table.
 const SENDER: NodeId = NodeId(3);
+/// Incarnation (process id) of that sender.
 const INCARNATION: u64 = 0x0102_0304_0506_0708;
 
-/// Frames, heads included, by the names of [`messages`].
+/// Frames with their headers, by the names in [`messages`].
 const FRAMES: &[(&str, &str)] = &[
     ("ping", "160000000503080706050403020100010200000000021100000000"),
-    ("ping, hears nobody", "14000000050308070605040302010000000000000000000001"),
+    ("ping, receives from none", "14000000050308070605040302010000000000000000000001"),
     (
-        "cancelled",
+        "cancellations",
         "8d0000000503080706050403020101020000009c010000000000007b2e5bda9a0100001e14000000000000000003\
          0000000000000000000000080706050403020109000000000000009c010000000000007b2e5bda9a0100001e1400\
          00000000000127000000617474656d70747320757365642075703a207461736b2033206661696c65642032207469\
          6d65730100000000",
     ),
     (
-        "cancelled known, by the leader",
+        "cancellations ack, by the leader",
         "270000000503080706050403020102020000009c010000000000009d01000000000000010700000000000000",
     ),
-    ("cancelled known", "170000000503080706050403020102010000009c0100000000000000"),
+    ("cancellations ack", "170000000503080706050403020102010000009c0100000000000000"),
     ("forward", "1300000005030807060504030201030104000000050102ff"),
     (
-        "sync, whole",
+        "sync, full",
         "c8010000050308070605040302010407000000000000001400000000000000000000000000000012000000000000\
          00020000000b000000686f73742d3030303030310c00007000000000630000600000000002000000000000002900\
          00000000000000000001000000000b000000686f73742d3030303030320c00007000000000630000600000000002\
@@ -77,7 +78,7 @@
          01000000000000110000009d0100000000000000000000",
     ),
     (
-        "seen",
+        "machine discovered",
         "4b00000005030807060504030201060b000000686f73742d30303030303803000000626967040000006561737401\
          0d00000031302e302e302e383a3830343003000000000000004d0000000000000000",
     ),
@@ -87,7 +88,7 @@
          30",
     ),
     (
-        "books, whole",
+        "placement log update, full",
         "e000000005030807060504030201080700000000000000e8030000000000000000000000000000040000009c0100\
          000000000000000000010100007000000000020000000b000000686f73742d3030303030310b000000686f73742d\
          3030303030320100009c0100000000000001000000010200007000000000000000000001010b000000686f73742d\
@@ -95,17 +96,17 @@
          30303033010400000065617374070064a7b3b6e00d0300000000010000000b000000686f73742d303030303039",
     ),
     (
-        "books",
+        "placement log update",
         "e000000005030807060504030201080700000000000000e803000000000000de03000000000000040000009c0100\
          000000000000000000010100007000000000020000000b000000686f73742d3030303030310b000000686f73742d\
          3030303030320100009c0100000000000001000000010200007000000000000000000001010b000000686f73742d\
          303030303033009c0100000000000002000000010200007000000000000000000001010b000000686f73742d3030\
          30303033010400000065617374070064a7b3b6e00d0300000000010000000b000000686f73742d303030303039",
     ),
-    ("books taken", "1a00000005030807060504030201090700000000000000e803000000000000"),
-    ("books wanted", "12000000050308070605040302010a0600000000000000"),
+    ("placement log ack", "1a00000005030807060504030201090700000000000000e803000000000000"),
+    ("placement log request", "12000000050308070605040302010a0600000000000000"),
     (
-        "books of",
+        "placement log snapshot",
         "e0000000050308070605040302010b0700000000000000e8030000000000000000000000000000040000009c0100\
          000000000000000000010100007000000000020000000b000000686f73742d3030303030310b000000686f73742d\
          3030303030320100009c0100000000000001000000010200007000000000000000000001010b000000686f73742d\
@@ -118,19 +119,19 @@
     TaskId { job: JobId(job), index }
 }
 
-fn report(shift: u64, tally: u64) -> ReportNo {
-    ReportNo { shift, tally }
+fn report(agent_epoch: u64, sequence: u64) -> HeartbeatSeq {
+    HeartbeatSeq { agent_epoch, sequence }
 }
 
-fn held(index: u32, state: TaskState) -> TaskStatus {
+fn task_status(index: u32, state: TaskState) -> TaskStatus {
     TaskStatus { task: task(412, index), attempt: Attempt(0x1000_0000 + u64::from(index)), state }
 }
 
 fn machine_states() -> Vec<MachineState> {
-    let silent = MachineState {
+    let unresponsive = MachineState {
         id: MachineId::from("host-000001"),
-        fencing_token: Baton::new(7, 12),
-        seen_fencing_token: Baton::new(6, 99),
+        fencing_token: FencingToken::new(7, 12),
+        seen_fencing_token: FencingToken::new(6, 99),
         last_report: report(2, 41),
         acknowledges_commands: false,
         last_contact_age: None,
@@ -154,21 +155,21 @@
         last_contact_age: Some(Micros::millis(250)),
         preemption_notice: Some(Micros::secs(30)),
         needs_new_fencing_token: false,
-        tasks: all_states.into_iter().enumerate().map(|(i, s)| held(i as u32, s)).collect(),
-        ..silent.clone()
+        tasks: all_states.into_iter().enumerate().map(|(i, s)| task_status(i as u32, s)).collect(),
+        ..unresponsive.clone()
     };
-    vec![silent, busy]
+    vec![unresponsive, busy]
 }
 
-fn page(base: u64) -> LogUpdate {
-    let on_machines = PlacementEntry {
+fn log_update(base: u64) -> LogUpdate {
+    let starting = PlacementEntry {
         attempt: Attempt(0x7000_0001),
         machines: vec![MachineId::from("host-000001"), MachineId::from("host-000002")],
         starting: true,
         done: false,
         unresolved_assignment: None,
     };
-    let handed = |zone: Option<&str>| PlacementEntry {
+    let assigned = |zone: Option<&str>| PlacementEntry {
         attempt: Attempt(0x7000_0002),
         machines: Vec::new(),
         starting: false,
@@ -180,9 +181,9 @@
         seq: 1000,
         base,
         tasks: vec![
-            (task(412, 0), Some(on_machines)),
-            (task(412, 1), Some(handed(None))),
-            (task(412, 2), Some(handed(Some("east")))),
+            (task(412, 0), Some(starting)),
+            (task(412, 1), Some(assigned(None))),
+            (task(412, 2), Some(assigned(Some("east")))),
             (task(1_000_000_000_000_000_007, 3), None),
         ],
         unknown_machines: vec![MachineId::from("host-000009")],
@@ -213,7 +214,7 @@
 }
 
 fn update() -> Message {
-    let hand_out = |zone: Option<&str>| Assignment {
+    let assignment = |zone: Option<&str>| Assignment {
         task: task(412, 9),
         attempt: Attempt(0x7000_0003),
         zone: zone.map(str::to_owned),
@@ -221,7 +222,7 @@
     };
     let granted = |id: &str, draining| GrantedMachine {
         id: MachineId::from(id),
-        fencing_token: Baton::new(7, 13),
+        fencing_token: FencingToken::new(7, 13),
         addr: "10.0.0.7:8040".into(),
         draining,
     };
@@ -237,7 +238,7 @@
             (MachineId::from("host-000006"), Some(NodeId(2))),
             (MachineId::from("host-000007"), None),
         ],
-        assignments: vec![hand_out(None), hand_out(Some("west"))],
+        assignments: vec![assignment(None), assignment(Some("west"))],
         stops: vec![StopRequest {
             task: task(412, 4),
             attempt: Attempt(0x7000_0004),
@@ -248,18 +249,18 @@
     }
 }
 
-fn cancellation(cause: Option<&str>, told: bool, acknowledged_by: Vec<u64>) -> Cancellation {
+fn cancellation(cause: Option<&str>, may_confirm: bool, acknowledged_by: Vec<u64>) -> Cancellation {
     Cancellation {
         job: JobId(412),
         ended_ms: 1_764_600_000_123,
         record_version: 5150,
         cause: cause.map(str::to_owned),
-        may_confirm: told,
+        may_confirm,
         acknowledged_by,
     }
 }
 
-/// Every sort of message, with each of its optional parts there and not there.
+/// All message types, with each optional part present and absent.
 fn messages() -> Vec<(&'static str, Message)> {
     vec![
         (
@@ -272,7 +273,7 @@
             },
         ),
         (
-            "ping, hears nobody",
+            "ping, receives from none",
             Message::Ping {
                 state_reachable: false,
                 receives_from: vec![],
@@ -281,23 +282,23 @@
             },
         ),
         (
-            "cancelled",
+            "cancellations",
             Message::Cancellations(vec![
                 cancellation(None, false, vec![0, INCARNATION, 9]),
                 cancellation(Some("attempts used up: task 3 failed 2 times"), true, vec![]),
             ]),
         ),
         (
-            "cancelled known, by the leader",
+            "cancellations ack, by the leader",
             Message::CancellationsAck { jobs: vec![JobId(412), JobId(413)], leading_term: Some(7) },
         ),
-        ("cancelled known", Message::CancellationsAck { jobs: vec![JobId(412)], leading_term: None }),
+        ("cancellations ack", Message::CancellationsAck { jobs: vec![JobId(412)], leading_term: None }),
         ("forward", Message::Forward { to: NodeId(1), envelope: vec![5, 1, 2, 0xff] }),
-        ("sync, whole", sync(0)),
+        ("sync, full", sync(0)),
         ("sync", sync(19)),
         ("update", update()),
         (
-            "seen",
+            "machine discovered",
             Message::MachineDiscovered {
                 id: MachineId::from("host-000008"),
                 build: "big".into(),
@@ -309,11 +310,11 @@
             },
         ),
         ("probe", Message::Probe { id: MachineId::from("host-000008"), addr: "10.0.0.8:8040".into() }),
-        ("books, whole", Message::PlacementLogUpdate(page(0))),
-        ("books", Message::PlacementLogUpdate(page(990))),
-        ("books taken", Message::PlacementLogAck { term: 7, seq: 1000 }),
-        ("books wanted", Message::PlacementLogRequest { term: 6 }),
-        ("books of", Message::PlacementLogSnapshot(page(0))),
+        ("placement log update, full", Message::PlacementLogUpdate(log_update(0))),
+        ("placement log update", Message::PlacementLogUpdate(log_update(990))),
+        ("placement log ack", Message::PlacementLogAck { term: 7, seq: 1000 }),
+        ("placement log request", Message::PlacementLogRequest { term: 6 }),
+        ("placement log snapshot", Message::PlacementLogSnapshot(log_update(0))),
     ]
 }
 
@@ -326,17 +327,18 @@
 }
 
 fn frame(name: &str) -> Vec<u8> {
-    let (_, hex) = FRAMES.iter().find(|(n, _)| *n == name).unwrap_or_else(|| panic!("{name}: no bytes"));
+    let (_, hex) = FRAMES.iter().find(|(n, _)| *n == name).unwrap_or_else(|| panic!("{name}: no frame"));
     bytes(hex)
 }
 
 fn split(frame: &[u8]) -> ([u8; FRAME_HEADER_LEN], &[u8]) {
-    let (head, body) = frame.split_first_chunk().unwrap();
-    (*head, body)
+    let (header, body) = frame.split_first_chunk().unwrap();
+    (*header, body)
 }
 
-/// Place of a message's sort among all; a sort that the table lacks doesn't compile.
-fn sort(m: &Message) -> usize {
+/// Encoded number of a message's type. The match is exhaustive, so a new type must be added
+/// here to compile.
+fn type_number(m: &Message) -> usize {
     match m {
         Message::Ping { .. } => 0,
         Message::Cancellations(_) => 1,
@@ -352,88 +354,88 @@
         Message::PlacementLogSnapshot(_) => 11,
     }
 }
-const SORTS: usize = 12;
+const MESSAGE_TYPES: usize = 12;
 
 #[test]
-fn the_table_has_every_sort_of_message() {
-    let mut there = [false; SORTS];
-    messages().iter().for_each(|(_, m)| there[sort(m)] = true);
-    assert_eq!(there, [true; SORTS]);
+fn the_table_has_all_message_types() {
+    let mut present = [false; MESSAGE_TYPES];
+    messages().iter().for_each(|(_, m)| present[type_number(m)] = true);
+    assert_eq!(present, [true; MESSAGE_TYPES]);
     assert_eq!(messages().len(), FRAMES.len());
 }
 
 #[test]
-fn frames_of_production_are_understood() {
+fn frames_of_production_are_decoded() {
     for (name, message) in messages() {
         let frame = frame(name);
-        let (head, body) = split(&frame);
-        assert_eq!(decode_header(head).unwrap(), body.len(), "{name}");
+        let (header, body) = split(&frame);
+        assert_eq!(decode_header(header).unwrap(), body.len(), "{name}");
         assert_eq!(decode_body(body).unwrap(), envelope(message), "{name}");
     }
 }
 
 #[test]
-fn frames_are_written_as_production_writes_them() {
+fn frames_are_encoded_as_production_does() {
     for (name, message) in messages() {
-        let written = encode_frame(&envelope(message)).unwrap();
-        assert_eq!(HEXLOWER.encode(&written), HEXLOWER.encode(&frame(name)), "{name}");
+        let encoded = encode_frame(&envelope(message)).unwrap();
+        assert_eq!(HEXLOWER.encode(&encoded), HEXLOWER.encode(&frame(name)), "{name}");
     }
 }
 
-/// The byte of the body the sender and its process tells the sort.
+/// The byte of the body after the sender and its incarnation is the message type.
 #[test]
-fn sorts_keep_their_numbers() {
+fn message_types_keep_their_numbers() {
     for (name, message) in messages() {
         let frame = frame(name);
         let (_, body) = split(&frame);
-        assert_eq!(usize::from(body[size_of::<u8>() + size_of::<u64>()]), sort(&message), "{name}");
+        assert_eq!(usize::from(body[size_of::<u8>() + size_of::<u64>()]), type_number(&message), "{name}");
     }
 }
 
-/// Relayed messages, through a third controller or the state service, have the
-/// version before them in place of a head.
+/// Messages relayed through a third controller or the state service start with the
+/// protocol version in place of a frame header.
 #[test]
-fn packed_envelopes_are_those_of_production() {
+fn packed_envelopes_match_production() {
     for (name, message) in messages() {
         let mut packed = vec![5];
         packed.extend_from_slice(split(&frame(name)).1);
         assert_eq!(Envelope::from_bytes(&packed), Some(envelope(message.clone())), "{name}");
         assert_eq!(envelope(message).to_bytes(), packed, "{name}");
     }
-    let log_acknowledged = bytes("05030807060504030201090700000000000000e803000000000000");
+    let placement_log_ack = bytes("05030807060504030201090700000000000000e803000000000000");
     assert_eq!(
-        Envelope::from_bytes(&log_acknowledged),
+        Envelope::from_bytes(&placement_log_ack),
         Some(envelope(Message::PlacementLogAck { term: 7, seq: 1000 }))
     );
 }
 
 #[test]
-fn heads_are_those_of_production() {
+fn frame_headers_match_production() {
     assert_eq!((PROTOCOL_VERSION, FRAME_HEADER_LEN, MAX_FRAME_BYTES), (5, 5, 16_777_216));
-    // (head, length of the body)
-    let taken: [(&str, usize); 3] = [("0000000005", 0), ("0102000005", 513), ("0000000105", 16_777_216)];
-    for (head, length) in taken {
-        assert_eq!(decode_header(split(&bytes(head)).0).unwrap(), length, "{head}");
+    // (header, length of the body)
+    let accepted: [(&str, usize); 3] = [("0000000005", 0), ("0102000005", 513), ("0000000105", 16_777_216)];
+    for (header, length) in accepted {
+        assert_eq!(decode_header(split(&bytes(header)).0).unwrap(), length, "{header}");
     }
     for version in (0..=u8::MAX).filter(|v| *v != 5) {
-        let refused = decode_header([9, 0, 0, 0, version]);
-        assert!(matches!(refused, Err(FrameError::Version(v)) if v == version), "{version}");
+        let result = decode_header([9, 0, 0, 0, version]);
+        assert!(matches!(result, Err(FrameError::Version(v)) if v == version), "{version}");
     }
     let too_long = decode_header(split(&bytes("0100000105")).0);
     assert!(matches!(too_long, Err(FrameError::TooLong(16_777_217))));
 }
 
-/// Why messages can't be extended in place: production refuses a frame that has a
-/// sort it doesn't know or a byte more than it expects.
+/// Existing messages can't be extended in place, because production rejects a frame with an
+/// unknown message type or with more bytes than it expects.
 #[test]
-fn unknown_sorts_and_further_bytes_are_refused() {
+fn unknown_message_types_and_trailing_bytes_are_rejected() {
     for (name, _) in messages() {
         let frame = frame(name);
         let mut longer = split(&frame).1.to_vec();
         longer.push(0);
         assert!(matches!(decode_body(&longer), Err(FrameError::Malformed(_))), "{name}");
         let mut unknown = split(&frame).1.to_vec();
-        unknown[size_of::<u8>() + size_of::<u64>()] = SORTS as u8;
+        unknown[size_of::<u8>() + size_of::<u64>()] = MESSAGE_TYPES as u8;
         assert!(matches!(decode_body(&unknown), Err(FrameError::Malformed(_))), "{name}");
     }
 }
--- a/crates/nomad/src/service/api.rs
+++ b/crates/nomad/src/service/api.rs
@@ -320,7 +320,7 @@
         if reads && self.block_query(ctx, &r, &scope) {
             return;
         }
-        let index = ctx.replica.applied;
+        let index = ctx.replica.applied_revision;
         let find_job = |s: &Service, j: &str| {
             let key = JobKey::of(r.namespace(), j);
             s.jobs.get(&key).filter(|k| r.can_access(&k.record.team)).cloned().map(|k| (key, k))
@@ -570,7 +570,7 @@
         }
         let key = JobKey::of(&job.namespace, &job.id);
         let body = views::plan(ctx, self.jobs.get(&key), &j.groups, &j.diagnostics);
-        self.answer(r.id, 200, ctx.replica.applied, &body);
+        self.answer(r.id, 200, ctx.replica.applied_revision, &body);
     }
 }
 
--- a/crates/nomad/src/service/reconcile.rs
+++ b/crates/nomad/src/service/reconcile.rs
@@ -6,11 +6,11 @@
 use super::register::{precondition, put, remove};
 use super::{PendingOperation, RegisteredJob, Service, write};
 use gorseshore_core::extension::{ExtensionContext, ExtensionOutput};
-use gorseshore_core::jobs::{Phase, cancelled_value, description, job_value, keys};
+use gorseshore_core::jobs::{Phase, cancelled_value, job_value, keys, parse_job_spec};
 use gorseshore_core::limits::value_len;
 use gorseshore_protocol::ids::{JobId, Micros};
 use gorseshore_protocol::job::JobSpec;
-use gorseshore_protocol::state::{Multi, When, Write};
+use gorseshore_protocol::state::{Precondition, Transaction, Write};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
@@ -71,13 +71,14 @@
 
     fn reconcile(&mut self, ctx: &ExtensionContext<'_>, key: &JobKey, registered: &RegisteredJob) {
         let record = &registered.record;
-        let mut m = Multi {
-            when: vec![precondition(names::job_record(key), registered.modify_revision)],
+        let mut m = Transaction {
+            preconditions: vec![precondition(names::job_record(key), registered.modify_revision)],
             writes: Vec::new(),
         };
         // The leader's key is one more precondition; it is added when the write is sent.
-        let has_capacity =
-            |m: &Multi| m.writes.len() < ctx.max_txn_writes && m.when.len() + 3 < ctx.max_txn_writes * 4;
+        let has_capacity = |m: &Transaction| {
+            m.writes.len() < ctx.max_txn_writes && m.preconditions.len() + 3 < ctx.max_txn_writes * 4
+        };
         let jobs_to_end: Vec<JobId> = match record.stop || record.is_template() {
             true => record.native_jobs().collect(),
             false => record.superseded_jobs.iter().copied().map(JobId).collect(),
@@ -87,10 +88,10 @@
             let Some(job) = ctx.replica.jobs.get(&id) else { continue };
             any_active |= job.phase == Phase::Active;
             if job.phase == Phase::Active && has_capacity(&m) {
-                m.when.push(When { path: keys::end(id), stamp: 0 });
-                m.when.push(When { path: keys::job(id), stamp: job.stamp });
+                m.preconditions.push(Precondition { key: keys::end(id), revision: 0 });
+                m.preconditions.push(Precondition { key: keys::job(id), revision: job.revision });
                 let v = cancelled_value(ctx.wall_ms, None, false);
-                m.writes.push(Write::Put { put: keys::end(id), v, hold: None });
+                m.writes.push(Write::Put { key: keys::end(id), value: v, lease: None });
             }
         }
         if !record.stop && !record.is_template() {
@@ -103,7 +104,7 @@
                             // The native job is created from the content, which is read first.
                             return self.load_content(key, &record.nonce);
                         };
-                        let spec = content.specs.get(&g.name).and_then(|r| description(id, r));
+                        let spec = content.specs.get(&g.name).and_then(|r| parse_job_spec(id, r));
                         let Some(mut spec) = spec else {
                             log::error!(
                                 "group has no native description namespace={} job={} group={}",
@@ -114,12 +115,12 @@
                             continue;
                         };
                         spec.tasks = g.count;
-                        spec.after = record.superseded_jobs.iter().copied().map(JobId).collect();
+                        spec.replaces = record.superseded_jobs.iter().copied().map(JobId).collect();
                         let Some(v) = native_record(&spec, record.at, record, &g.name, ctx) else { continue };
                         if has_capacity(&m) {
-                            m.when.push(When { path: keys::job(id), stamp: 0 });
-                            m.when.push(When { path: keys::end(id), stamp: 0 });
-                            m.writes.push(Write::Put { put: keys::job(id), v, hold: None });
+                            m.preconditions.push(Precondition { key: keys::job(id), revision: 0 });
+                            m.preconditions.push(Precondition { key: keys::end(id), revision: 0 });
+                            m.writes.push(Write::Put { key: keys::job(id), value: v, lease: None });
                         }
                     }
                     Some(job) if job.phase == Phase::Active && job.tasks != g.count => {
@@ -129,9 +130,9 @@
                             let Some(v) = native_record(&spec, job.submitted_ms, record, &g.name, ctx) else {
                                 continue;
                             };
-                            m.when.push(When { path: keys::job(id), stamp: job.stamp });
-                            m.when.push(When { path: keys::end(id), stamp: 0 });
-                            m.writes.push(Write::Put { put: keys::job(id), v, hold: None });
+                            m.preconditions.push(Precondition { key: keys::job(id), revision: job.revision });
+                            m.preconditions.push(Precondition { key: keys::end(id), revision: 0 });
+                            m.writes.push(Write::Put { key: keys::job(id), value: v, lease: None });
                         }
                     }
                     Some(_) => {}
@@ -184,14 +185,14 @@
         }
         let writes = orphaned.into_iter().map(|n| remove(&format!("p/{n}"))).collect();
         let operation = self.new_operation(PendingOperation::Sweep);
-        self.outputs.push(write(operation, Multi { when: Vec::new(), writes }, true));
+        self.outputs.push(write(operation, Transaction { preconditions: Vec::new(), writes }, true));
     }
 
     /// Records a launch time as handled without launching the job.
     pub(crate) fn skip_launch(&mut self, key: &JobKey, registered: &RegisteredJob, ms: u64) {
         let revision = self.last_launches.get(key).map_or(0, |l| l.1);
-        let m = Multi {
-            when: vec![
+        let m = Transaction {
+            preconditions: vec![
                 precondition(names::job_record(key), registered.modify_revision),
                 precondition(names::last_launch(key), revision),
             ],
--- a/crates/nomad/src/service/register.rs
+++ b/crates/nomad/src/service/register.rs
@@ -18,8 +18,8 @@
 use gorseshore_core::extension::{ExtensionContext, ExtensionOutput};
 use gorseshore_core::jobs::{Phase, job_value, keys};
 use gorseshore_core::limits::value_len;
-use gorseshore_protocol::ids::{JobId, Micros, OWN_IDS};
-use gorseshore_protocol::state::{Multi, When, Write};
+use gorseshore_protocol::ids::{JobId, MIN_INTERNAL_JOB_ID, Micros};
+use gorseshore_protocol::state::{Precondition, Transaction, Write};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -90,7 +90,7 @@
 
 impl Service {
     fn new_native_id(&mut self) -> u64 {
-        OWN_IDS + self.rng.u64(0..8 * OWN_IDS)
+        MIN_INTERNAL_JOB_ID + self.rng.u64(0..8 * MIN_INTERNAL_JOB_ID)
     }
 
     /// `POST /v1/jobs`.
@@ -189,7 +189,7 @@
             }
             _ => match self.dispatch(ctx, &r, &registered, &content, &body) {
                 Ok((change, None)) => self.begin_change(ctx, r, key, change, false),
-                Ok((_, Some(done))) => self.answer(r.id, 200, ctx.replica.applied, &done),
+                Ok((_, Some(done))) => self.answer(r.id, 200, ctx.replica.applied_revision, &done),
                 Err(text) => self.answer_error(r.id, 400, &text),
             },
         }
@@ -327,7 +327,7 @@
                     && k.record.hash == hash
                 {
                     let answer = registration_response(&r.key, &k.record, k.modify_revision, &r.change);
-                    return self.answer(r.request.id, 200, ctx.replica.applied, &answer);
+                    return self.answer(r.request.id, 200, ctx.replica.applied_revision, &answer);
                 }
                 match self.next_job_record(
                     ctx,
@@ -357,7 +357,7 @@
                 };
                 if h.groups[at].count == *count {
                     let answer = registration_response(&r.key, &k.record, k.modify_revision, &r.change);
-                    return self.answer(r.request.id, 200, ctx.replica.applied, &answer);
+                    return self.answer(r.request.id, 200, ctx.replica.applied_revision, &answer);
                 }
                 let total: u64 = h.groups.iter().map(|g| g.count as u64).sum::<u64>()
                     - h.groups[at].count as u64
@@ -392,7 +392,7 @@
                 let Some(k) = registered else { return self.fail_change(&r, 404, "job not found") };
                 if k.record.stop && (k.record.purge || !purge) {
                     let answer = registration_response(&r.key, &k.record, k.modify_revision, &r.change);
-                    return self.answer(r.request.id, 200, ctx.replica.applied, &answer);
+                    return self.answer(r.request.id, 200, ctx.replica.applied_revision, &answer);
                 }
                 let mut h = JobRecord::clone(&k.record);
                 (h.stop, h.purge) = (true, h.purge || *purge);
@@ -498,7 +498,7 @@
                 ctx.replica.jobs.get(id).is_some_and(|j| match j.phase {
                     Phase::Active => false,
                     Phase::Done => true,
-                    Phase::Aborted => j.settled,
+                    Phase::Cancelled => j.fully_stopped,
                 })
             };
             record.superseded_jobs =
@@ -575,7 +575,11 @@
             }
             r.chunks_in_flight = writes.len();
             let operation = self.new_operation(PendingOperation::Register(Box::new(r)));
-            return self.outputs.push(write(operation, Multi { when: Vec::new(), writes }, false));
+            return self.outputs.push(write(
+                operation,
+                Transaction { preconditions: Vec::new(), writes },
+                false,
+            ));
         }
         r.step = Step::JobRecord;
         let Some(record) = &r.record else { return };
@@ -598,7 +602,7 @@
         }
         let by_leader = r.by_leader;
         let operation = self.new_operation(PendingOperation::Register(Box::new(r)));
-        self.outputs.push(write(operation, Multi { when: conditions, writes }, by_leader));
+        self.outputs.push(write(operation, Transaction { preconditions: conditions, writes }, by_leader));
     }
 
     /// Handles the end of a write of a change.
@@ -682,7 +686,7 @@
             JobChange::Child { id, .. } => dispatch_response(id, &record.key(), revision),
             w => registration_response(&r.key, record, revision, w),
         };
-        self.answer(r.request.id, 200, ctx.replica.applied.max(revision), &answer);
+        self.answer(r.request.id, 200, ctx.replica.applied_revision.max(revision), &answer);
     }
 
     /// Whether a child job of `parent` is still alive.
@@ -709,18 +713,18 @@
 }
 
 /// A precondition on a key below the extension's prefix.
-pub(crate) fn precondition(name: String, revision: u64) -> When {
-    When { path: format!("{}{name}", keys::GUEST), stamp: revision }
+pub(crate) fn precondition(name: String, revision: u64) -> Precondition {
+    Precondition { key: format!("{}{name}", keys::EXTENSION_PREFIX), revision: revision }
 }
 
 /// A put of a key below the extension's prefix.
 pub(crate) fn put(name: &str, v: Value) -> Write {
-    Write::Put { put: format!("{}{name}", keys::GUEST), v, hold: None }
+    Write::Put { key: format!("{}{name}", keys::EXTENSION_PREFIX), value: v, lease: None }
 }
 
 /// A removal of a key below the extension's prefix.
 pub(crate) fn remove(name: &str) -> Write {
-    Write::Remove { remove: format!("{}{name}", keys::GUEST) }
+    Write::Remove { key: format!("{}{name}", keys::EXTENSION_PREFIX) }
 }
 
 fn warnings(diagnostics: &Diagnostics) -> String {
--- a/crates/nomad/src/translate.rs
+++ b/crates/nomad/src/translate.rs
@@ -8,7 +8,7 @@
 use crate::tree::{Datum, Diagnostics};
 use globset::Glob;
 use gorseshore_protocol::ids::{JobId, Resources};
-use gorseshore_protocol::job::{JobSpec, Kind, Preference, Rank};
+use gorseshore_protocol::job::{JobSpec, Kind, Preference, Priority};
 use gorseshore_settings::{Nomad, NomadClass, NomadMachine};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -66,9 +66,10 @@
     settings.classes.iter().find(|c| {
         let zones = &job.datacenters;
         c.kind.is_none_or(|k| k == job.kind)
-            && glob_matches(&c.job, &job.id)
-            && glob_matches(&c.namespace, &job.namespace)
-            && (c.datacenter == "*" || zones.iter().any(|(z, _)| glob_matches(&c.datacenter, z)))
+            && glob_matches(&c.job_pattern, &job.id)
+            && glob_matches(&c.namespace_pattern, &job.namespace)
+            && (c.datacenter_pattern == "*"
+                || zones.iter().any(|(z, _)| glob_matches(&c.datacenter_pattern, z)))
     })
 }
 
@@ -116,12 +117,12 @@
 
 /// The native priority of a job: that of its class, or for batch jobs of low Nomad priority one or
 /// two levels below it, and never above it.
-pub fn job_priority(class: &NomadClass, kind: Kind, priority: u32) -> Rank {
+pub fn job_priority(class: &NomadClass, kind: Kind, priority: u32) -> Priority {
     if kind == Kind::Service {
-        return class.rank;
+        return class.max_priority;
     }
-    let order = [Rank::Low, Rank::Normal, Rank::High, Rank::Production];
-    let top = order.iter().position(|r| *r == class.rank).unwrap_or(0);
+    let order = [Priority::Low, Priority::Normal, Priority::High, Priority::Production];
+    let top = order.iter().position(|r| *r == class.max_priority).unwrap_or(0);
     // Caps batch jobs at High, even if the settings would allow more.
     let top = top.min(2);
     let levels_below = match priority {
@@ -168,9 +169,9 @@
     let attempts = attempts(job, g, class, diagnostics);
     let constraints: Vec<&Condition> = g.constraints.iter().collect();
     let allowed = eligible_machines(job, g, &constraints, settings, site, diagnostics)?;
-    let need = Resources::need(cpus, 0.0, memory_gb);
+    let need = Resources::request(cpus, 0.0, memory_gb);
     if !allowed.machines.is_empty() {
-        let fits = |k: &&MachineType| Resources::have(k.cpus, 0.0, k.memory_gb).fits(&need);
+        let fits = |k: &&MachineType| Resources::capacity(k.cpus, 0.0, k.memory_gb).fits(&need);
         if !allowed.machines.iter().any(fits) {
             let max_machine = allowed
                 .machines
@@ -202,26 +203,26 @@
     let prefer = preferences(g, &allowed.machines, settings, diagnostics);
     let spec = JobSpec {
         id: JobId(0),
-        class: class.lot.clone(),
+        class: class.job_class.clone(),
         team: class.team.clone(),
         kind: job.kind,
-        rank: job_priority(class, job.kind, job.priority),
+        priority: job_priority(class, job.kind, job.priority),
         tasks: g.count,
-        need,
-        types: allowed.types,
+        task_resources: need,
+        machine_types: allowed.types,
         zones: allowed.zones,
         one_zone: false,
         spread: g.spread && g.count > 1,
         spot: class.spot && allowed.spot,
         image,
         image_gb,
-        estimate_s: if job.kind == Kind::Array { class.estimate_s } else { 0.0 },
-        checkpoint_s: if job.kind == Kind::Array { class.checkpoint_s } else { 0.0 },
-        save_s: kill_s,
+        estimated_runtime_s: if job.kind == Kind::Array { class.estimate_s } else { 0.0 },
+        checkpoint_interval_s: if job.kind == Kind::Array { class.checkpoint_s } else { 0.0 },
+        checkpoint_save_s: kill_s,
         deadline_s: class.deadline_s.filter(|_| job.kind == Kind::Array),
-        attempts,
-        prefer,
-        after: Vec::new(),
+        max_attempts: attempts,
+        preferences: prefer,
+        replaces: Vec::new(),
         dependencies: Vec::new(),
     };
     Some(PlannedGroup { group: g.name.clone(), spec })
@@ -491,6 +492,6 @@
     }
     sums.into_iter()
         .filter(|(_, w)| *w != 0)
-        .map(|((build, zone), weight)| Preference { build: build.into(), zone: zone.into(), weight })
+        .map(|((build, zone), weight)| Preference { machine_type: build.into(), zone: zone.into(), weight })
         .collect()
 }
--- a/crates/protocol/src/cloud.rs
+++ b/crates/protocol/src/cloud.rs
@@ -1,95 +1,108 @@
-//! The cloud's interface.
+//! Messages of the cloud provider's API. Attributes map the API's field names to the code's.
 use serde::{Deserialize, Serialize};
 
 /// `GET /flavors`.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Flavors {
-    /// Machine types.
-    pub builds: Vec<Flavor>,
+    /// All machine types on offer.
+    #[serde(rename = "builds")]
+    pub flavors: Vec<Flavor>,
 }
 
 /// A machine type.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Flavor {
-    /// Name.
-    pub sku: String,
-    /// CPUs.
+    /// Name of the machine type.
+    #[serde(rename = "sku")]
+    pub name: String,
+    /// Number of CPUs.
     pub cpus: f64,
-    /// GPUs.
+    /// Number of GPUs.
     #[serde(default)]
     pub gpus: f64,
-    /// Memory.
+    /// Memory in GB.
     pub memory_gb: f64,
-    /// Image cache.
-    #[serde(default)]
-    pub cache_gb: f64,
-    /// Fetch rate.
-    #[serde(default)]
-    pub pull_gb_per_s: f64,
-    /// Ordinary price an hour.
-    pub hourly: f64,
-    /// Spot price an hour.
+    /// Size of the image cache in GB.
+    #[serde(rename = "cache_gb", default)]
+    pub image_cache_gb: f64,
+    /// Image pull rate in GB per second.
+    #[serde(rename = "pull_gb_per_s", default)]
+    pub image_pull_gb_per_s: f64,
+    /// On-demand price per hour.
+    #[serde(rename = "hourly")]
+    pub hourly_price: f64,
+    /// Spot price per hour.
     #[serde(default)]
     pub spot_price: Option<f64>,
-    /// Usual boot time.
+    /// Usual boot time in seconds.
     #[serde(default)]
     pub boot_s: f64,
-    /// Zones that have it.
-    #[serde(default)]
-    pub yards: Vec<String>,
+    /// Zones that offer the machine type.
+    #[serde(rename = "yards", default)]
+    pub zones: Vec<String>,
 }
 
 /// `POST /rentals`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Hire {
-    /// Request name, never reused.
-    pub hire: String,
-    /// Type.
-    pub build: String,
-    /// Zone.
-    pub yard: String,
-    /// Spot.
-    pub loaners: bool,
-    /// How many.
-    pub number: u32,
+pub struct RentalRequest {
+    /// Unique id of the request, never reused.
+    #[serde(rename = "hire")]
+    pub request_id: String,
+    /// Machine type.
+    #[serde(rename = "build")]
+    pub machine_type: String,
+    /// Zone to rent in.
+    #[serde(rename = "yard")]
+    pub zone: String,
+    /// Whether to rent spot machines.
+    #[serde(rename = "loaners")]
+    pub spot: bool,
+    /// Number of machines.
+    #[serde(rename = "number")]
+    pub count: u32,
 }
 
-/// Names of machines: the answer to a rental, and the body of a deletion.
+/// Machine names: the response to a rental, and the body of a deletion.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Hosts {
-    /// Machine names.
-    pub hosts: Vec<String>,
+pub struct MachineNames {
+    /// Names that the cloud gave the machines.
+    #[serde(rename = "hosts")]
+    pub names: Vec<String>,
 }
 
 /// `GET /rentals`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Rentals {
-    /// Machines, in the order of their names.
-    pub hosts: Vec<Rental>,
-    /// More follow.
+    /// Machines, sorted by name.
+    #[serde(rename = "hosts")]
+    pub machines: Vec<Rental>,
+    /// The list continues on a further page.
     #[serde(default)]
     pub truncated: bool,
 }
 
-/// A machine in the list.
+/// A rented machine in `GET /rentals`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Rental {
-    /// Name.
+    /// Machine name.
     #[serde(rename = "ref")]
     pub name: String,
-    /// Worker address.
+    /// Address of the machine's worker.
     #[serde(default)]
     pub addr: String,
-    /// Type.
-    pub build: String,
-    /// Zone.
-    pub yard: String,
-    /// Spot.
-    #[serde(default)]
-    pub loaners: bool,
+    /// Machine type.
+    #[serde(rename = "build")]
+    pub machine_type: String,
+    /// Zone of the machine.
+    #[serde(rename = "yard")]
+    pub zone: String,
+    /// Whether it is a spot machine.
+    #[serde(rename = "loaners", default)]
+    pub spot: bool,
     /// `starting`, `running` or `failed`.
-    pub stage: String,
-    /// Age.
-    #[serde(default)]
-    pub held_s: f64,
+    #[serde(rename = "stage")]
+    pub state: String,
+    /// Age of the rental in seconds.
+    #[serde(rename = "held_s", default)]
+    pub age_s: f64,
 }
--- a/crates/protocol/src/workers.rs
+++ b/crates/protocol/src/workers.rs
@@ -1,101 +1,116 @@
-//! Workers: check-ins, orders.
+//! Messages of the workers' API: reports (heartbeats) and commands.
 use borsh::{BorshDeserialize, BorshSerialize};
 use serde::{Deserialize, Serialize};
 
-/// The order of a worker's messages: the session, then the number. A report with a
-/// number that is not above one that is known is a copy, or was held up on the way.
+/// Order of a worker's reports: by agent epoch, then by heartbeat sequence. A report that
+/// is not above the last known one in this order is a duplicate or was delayed in transit.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, BorshSerialize, BorshDeserialize)]
-pub struct ReportNo {
-    /// Session.
-    pub shift: u64,
-    /// Message number.
-    pub tally: u64,
+pub struct HeartbeatSeq {
+    /// Agent epoch.
+    pub agent_epoch: u64,
+    /// Heartbeat sequence within the agent epoch.
+    pub sequence: u64,
 }
 
-/// A worker's report.
+/// A worker's report of its machine and tasks.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct Report {
-    /// Machine name.
-    pub host: String,
-    /// Where it takes direct orders.
+    /// Name of the worker's machine.
+    #[serde(rename = "host")]
+    pub machine: String,
+    /// Address at which the worker accepts commands.
     pub addr: String,
     /// Machine type.
-    pub build: String,
-    /// Zone.
-    pub yard: String,
-    /// Spot machine.
-    #[serde(default)]
-    pub loaners: bool,
-    /// Session.
-    pub shift: u64,
-    /// Message number.
-    pub tally: u64,
-    /// Highest token seen.
-    pub baton: u64,
-    /// Spot notice.
-    #[serde(default)]
-    pub warning_s: Option<f64>,
+    #[serde(rename = "build")]
+    pub machine_type: String,
+    /// Zone of the machine.
+    #[serde(rename = "yard")]
+    pub zone: String,
+    /// Whether it is a spot machine.
+    #[serde(rename = "loaners", default)]
+    pub spot: bool,
+    /// Agent epoch.
+    #[serde(rename = "shift")]
+    pub agent_epoch: u64,
+    /// Heartbeat sequence within the agent epoch.
+    #[serde(rename = "tally")]
+    pub sequence: u64,
+    /// Highest fencing token that the worker has seen.
+    #[serde(rename = "baton")]
+    pub fencing_token: u64,
+    /// Seconds until the cloud preempts the machine, if the cloud announced it.
+    #[serde(rename = "warning_s", default)]
+    pub preemption_notice_s: Option<f64>,
     /// Tasks on the machine.
-    #[serde(default)]
-    pub pieces: Vec<Piece>,
+    #[serde(rename = "pieces", default)]
+    pub tasks: Vec<ReportedTask>,
 }
 
 impl Report {
-    /// Its place among the worker's messages.
-    pub fn number(&self) -> ReportNo {
-        ReportNo { shift: self.shift, tally: self.tally }
+    /// Position among the worker's reports.
+    pub fn heartbeat_seq(&self) -> HeartbeatSeq {
+        HeartbeatSeq { agent_epoch: self.agent_epoch, sequence: self.sequence }
     }
 }
 
 /// A task in a report.
 #[derive(Debug, Clone, Deserialize, Serialize)]
-pub struct Piece {
-    /// Task name.
-    pub piece: String,
-    /// Attempt.
+pub struct ReportedTask {
+    /// Task id in its text form.
+    #[serde(rename = "piece")]
+    pub task: String,
+    /// Attempt id.
     #[serde(rename = "try")]
     pub attempt: u64,
-    /// State.
-    pub stage: String,
-    /// Why it ended.
+    /// Task state.
+    #[serde(rename = "stage")]
+    pub state: String,
+    /// Why the task ended.
     #[serde(default)]
     pub cause: Option<String>,
-    /// Its progress was saved.
-    #[serde(default)]
-    pub kept: Option<bool>,
+    /// Whether the task's progress was saved.
+    #[serde(rename = "kept", default)]
+    pub checkpointed: Option<bool>,
 }
 
-/// An order to a worker.
+/// A command to a worker.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Order {
+pub struct Command {
     /// `run`, `halt` or `clear`.
-    pub verb: String,
-    /// Task name.
-    pub piece: String,
-    /// Attempt.
+    #[serde(rename = "verb")]
+    pub action: String,
+    /// Task id in its text form.
+    #[serde(rename = "piece")]
+    pub task: String,
+    /// Attempt id.
     #[serde(rename = "try")]
     pub attempt: u64,
-    /// Time to save.
-    #[serde(skip_serializing_if = "Option::is_none", default)]
-    pub wind_down_s: Option<f64>,
+    /// Seconds that the task has to save its progress.
+    #[serde(rename = "wind_down_s", skip_serializing_if = "Option::is_none", default)]
+    pub grace_period_s: Option<f64>,
 }
 
-/// Answer to a report.
+/// Response to a report.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct CheckinAnswer {
-    /// Token.
-    pub baton: u64,
-    /// Orders.
-    pub orders: Vec<Order>,
+pub struct HeartbeatResponse {
+    /// Fencing token under which the response is sent.
+    #[serde(rename = "baton")]
+    pub fencing_token: u64,
+    /// Commands for the worker to carry out.
+    #[serde(rename = "orders")]
+    pub commands: Vec<Command>,
 }
 
-/// Body of `POST /do`.
+/// Body of `POST /do`, by which a controller sends commands without waiting for a report.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Direct {
-    /// Token.
-    pub baton: u64,
-    /// Session.
-    pub shift: u64,
-    /// Orders.
-    pub orders: Vec<Order>,
+pub struct CommandRequest {
+    /// Fencing token under which the commands are sent.
+    #[serde(rename = "baton")]
+    pub fencing_token: u64,
+    /// Agent epoch that the commands are meant for.
+    #[serde(rename = "shift")]
+    pub agent_epoch: u64,
+    /// Commands for the worker to carry out.
+    #[serde(rename = "orders")]
+    pub commands: Vec<Command>,
 }
