--- a/crates/nomad/src/service/mod.rs
+++ b/crates/nomad/src/service/mod.rs
@@ -302,8 +302,8 @@
 }
 
 /// A write, with or without the leader's key as a precondition.
-pub(crate) fn write(operation: OperationId, multi: Transaction, as_leader: bool) -> ExtensionOutput {
-    ExtensionOutput::Write { ticket: operation, multi, as_leader }
+pub(crate) fn write(operation: OperationId, transaction: Transaction, as_leader: bool) -> ExtensionOutput {
+    ExtensionOutput::Write { ticket: operation, multi: transaction, as_leader }
 }
 
 impl Extension for Service {
--- a/crates/nomad/src/service/register.rs
+++ b/crates/nomad/src/service/register.rs
@@ -714,7 +714,7 @@
 
 /// A precondition on a key below the extension's prefix.
 pub(crate) fn precondition(name: String, revision: u64) -> Precondition {
-    Precondition { key: format!("{}{name}", keys::EXTENSION_PREFIX), revision: revision }
+    Precondition { key: format!("{}{name}", keys::EXTENSION_PREFIX), revision }
 }
 
 /// A put of a key below the extension's prefix.
--- a/crates/nomad/src/translate.rs
+++ b/crates/nomad/src/translate.rs
@@ -166,12 +166,12 @@
         let text = format!("{kill_s} s, class {} allows {}", class.name, class.max_kill_timeout_s);
         diagnostics.refused(task.kill_at, &format!("{task_path}.kill_timeout"), text);
     }
-    let attempts = attempts(job, g, class, diagnostics);
+    let max_attempts = attempts(job, g, class, diagnostics);
     let constraints: Vec<&Condition> = g.constraints.iter().collect();
     let allowed = eligible_machines(job, g, &constraints, settings, site, diagnostics)?;
-    let need = Resources::request(cpus, 0.0, memory_gb);
+    let task_resources = Resources::request(cpus, 0.0, memory_gb);
     if !allowed.machines.is_empty() {
-        let fits = |k: &&MachineType| Resources::capacity(k.cpus, 0.0, k.memory_gb).fits(&need);
+        let fits = |k: &&MachineType| Resources::capacity(k.cpus, 0.0, k.memory_gb).fits(&task_resources);
         if !allowed.machines.iter().any(fits) {
             let max_machine = allowed
                 .machines
@@ -200,7 +200,7 @@
         .iter()
         .find(|(p, _)| glob_matches(p, &image) || glob_matches(p, &task.driver))
         .map_or(class.image_gb, |(_, gb)| *gb);
-    let prefer = preferences(g, &allowed.machines, settings, diagnostics);
+    let preferences = preferences(g, &allowed.machines, settings, diagnostics);
     let spec = JobSpec {
         id: JobId(0),
         class: class.job_class.clone(),
@@ -208,7 +208,7 @@
         kind: job.kind,
         priority: job_priority(class, job.kind, job.priority),
         tasks: g.count,
-        task_resources: need,
+        task_resources,
         machine_types: allowed.types,
         zones: allowed.zones,
         one_zone: false,
@@ -220,8 +220,8 @@
         checkpoint_interval_s: if job.kind == Kind::Array { class.checkpoint_s } else { 0.0 },
         checkpoint_save_s: kill_s,
         deadline_s: class.deadline_s.filter(|_| job.kind == Kind::Array),
-        max_attempts: attempts,
-        preferences: prefer,
+        max_attempts,
+        preferences,
         replaces: Vec::new(),
         dependencies: Vec::new(),
     };
@@ -492,6 +492,10 @@
     }
     sums.into_iter()
         .filter(|(_, w)| *w != 0)
-        .map(|((build, zone), weight)| Preference { machine_type: build.into(), zone: zone.into(), weight })
+        .map(|((machine_type, zone), weight)| Preference {
+            machine_type: machine_type.into(),
+            zone: zone.into(),
+            weight,
+        })
         .collect()
 }
