--- a/tests/world/cancelled.rs
+++ b/tests/world/cancelled.rs
@@ -1,6 +1,7 @@
-//! Cancelled tasks: from the moment a user hears of a cancellation, every task of the job is
-//! off every machine in time, and no start is sent (`ordered_cancelled`). One scene for each
-//! way in which one was left, or might have been; then any troubles at once.
+//! Cancelled tasks: once a user received the answer that a job is cancelled, every task of it
+//! leaves every machine in time, and no start of it is sent (`ordered_cancelled`). One scenario for
+//! each way in which a task was left running, or might have been; then random combinations of
+//! faults.
 use super::scenes::Act::*;
 use super::scenes::Who::*;
 use super::scenes::{NEVER, Scene, Work, play, play_scenes, random_acts};
@@ -8,18 +9,20 @@
 
 const EVERY: [Work; 4] = [Work::Mixed, Work::Single, Work::Hundreds, Work::AtLimit];
 
-/// West is cut off with controllers that the state service refuses: they hear of nothing,
-/// and renew their workers. A zone that nobody else hears is given a minute before its
-/// machines count as dead, so that only what is done for the cancelled jobs ends their tasks.
+/// Guards against cancelled tasks left running behind a partition. The west zone is cut off with
+/// controllers that the state service refuses: they learn of nothing, and renew their workers'
+/// leases. A zone whose reports reach no other controller is given a minute before its machines
+/// count as dead, so only the handling of the cancelled jobs ends their tasks.
 #[test]
 fn cancelled_tasks_behind_a_cut_are_gone_whoever_leads() {
     let scene = |name, acts| Scene { name, acts, told: false, spares: false };
     play_scenes(
         &[
-            // A new leader once took what was on record for longer than the time there is
-            // for dealt with, though its user may be told long after.
+            // A new leader once took a cancellation for handled if its record was older than the
+            // cancellation time limit, though the user may receive the confirmation long after the
+            // record.
             scene(
-                "told long after its record",
+                "confirmed long after its record",
                 &[
                     (0, ZonesCut(3500)),
                     (0, Refused(West, 3500)),
@@ -29,9 +32,9 @@
                     (7000, End(Leader, 0)),
                 ],
             ),
-            // It reckoned from its own process's beginning.
+            // A new leader once counted the time from the start of its own process.
             scene(
-                "all of east end and are back at once, and lead with a young clock",
+                "all of east restart at once, and lead right after their start",
                 &[
                     (0, ZonesCut(3500)),
                     (0, Refused(West, 3500)),
@@ -39,14 +42,14 @@
                     (24_000, End(East, 0)),
                 ],
             ),
-            // Each leader waited for 4 s from its own beginning.
+            // Each leader once waited for 4 s from its own start.
             scene(
-                "leaders change again and again when machines have to go",
+                "leaders change repeatedly when machines have to be deleted",
                 &[(0, ZonesCut(3500)), (0, Refused(West, 3500)), (5000, Cancel(East)), (20_000, Changes(12))],
             ),
-            // The witnesses had books of the leader before only.
+            // The standby replicas once held only the placement log of the previous leader.
             scene(
-                "the next leader ends within its first second, and nobody can lead",
+                "the next leader exits within its first second, and none can be elected",
                 &[
                     (0, ZonesCut(3500)),
                     (0, Refused(West, 3500)),
@@ -55,9 +58,9 @@
                     (8000, End(Leader, NEVER)),
                 ],
             ),
-            // The deputies' budget was two machines in 10 s.
+            // The deputies' deletion budget was two machines in 10 s.
             scene(
-                "the state away, the leader ended",
+                "the state service unavailable, the leader terminated",
                 &[
                     (0, ZonesCut(3500)),
                     (0, Refused(West, 3500)),
@@ -66,9 +69,9 @@
                     (8500, End(Leader, NEVER)),
                 ],
             ),
-            // Once it had read the state, a controller kept its workers alive for ever.
+            // A controller that had read the state once renewed its workers' leases forever.
             scene(
-                "nobody is left in the east",
+                "no controller is left in the east",
                 &[
                     (0, ZonesCut(3500)),
                     (0, Refused(West, 3500)),
@@ -81,15 +84,16 @@
     );
 }
 
-/// Stops that don't get through, and those whose answers don't.
+/// Stop commands that are lost, and stop commands whose answers are lost, are repeated until they
+/// are carried out.
 #[test]
 fn stops_go_out_until_they_are_carried_out() {
     let scene = |name, acts| Scene { name, acts, told: false, spares: false };
     play_scenes(
         &[
-            scene("mute machines", &[(0, MachinesMute(2000)), (100, Cancel(Other(1)))]),
+            scene("machines that cannot send", &[(0, MachinesMute(2000)), (100, Cancel(Other(1)))]),
             scene(
-                "mute machines, cut off while they are told, the cloud out of order",
+                "machines that cannot send, partitioned as the stop commands leave, the cloud unavailable",
                 &[
                     (0, MachinesMute(2000)),
                     (0, MachinesCut(100)),
@@ -98,16 +102,16 @@
                 ],
             ),
             scene(
-                "commands held up, and the leader ends",
+                "commands delayed, and the leader exits",
                 &[(0, CommandsHeld(500)), (100, Cancel(Other(1))), (3000, End(Leader, 0))],
             ),
             scene(
-                "held up for longer than there is, under a string of leaders",
+                "commands delayed beyond the time limit, through a series of leaders",
                 &[(0, CommandsHeld(1500)), (100, Cancel(Other(1))), (200, Changes(10))],
             ),
             scene("machines hang as users cancel", &[(0, CancelAndHang(Other(1), 1500))]),
             scene(
-                "machines hang as users cancel, the leader frozen, the cloud out of order",
+                "machines hang as users cancel, the leader paused, the cloud unavailable",
                 &[(0, CancelAndHang(Other(1), 1500)), (300, Freeze(Leader, 500)), (300, CloudAway(333))],
             ),
         ],
@@ -115,22 +119,23 @@
     );
 }
 
-/// A controller behind a cut hears nobody, but its block's lease runs on: a start that was
-/// handed to it, and not yet ordered, must not follow the answer to the user. Hand-outs reach
-/// it through the state service, which then tells it nothing for a while.
+/// A controller behind a partition receives nothing from its peers while its machine lease runs on:
+/// a start that was assigned to it, and not yet ordered, must not follow the confirmation to the
+/// user. Assignments reach it through the state service, which then sends it no events for a while.
 #[test]
 fn nothing_is_ordered_behind_a_cut_after_a_confirmation() {
     let scene = |name, acts| Scene { name, acts, told: false, spares: false };
     play_scenes(
         &[
-            // Once it opened the message before it read the ends that came with it.
+            // The controller once processed the assignment before it read the job ends that came in
+            // the same watch response.
             scene(
-                "the hand-out and the cancellation come in one piece of news",
+                "the assignment and the cancellation come in one watch response",
                 &[(0, ZonesCut(900)), (3000, Submit), (3450, Refused(West, 75)), (4300, Cancel(Leader))],
             ),
-            // Once who was not heard didn't count at all.
+            // Controllers from which no heartbeat arrived were once left out altogether.
             scene(
-                "the start waits for an open call, and no news come",
+                "the start waits for an outstanding call, and no events come",
                 &[
                     (0, ZonesCut(900)),
                     (2900, CommandsHeld(300)),
@@ -141,7 +146,7 @@
                 ],
             ),
             scene(
-                "machines hang and go on, and no news come",
+                "machines hang and resume, and no events come",
                 &[
                     (0, ZonesCut(900)),
                     (3000, Submit),
@@ -156,7 +161,7 @@
     );
 }
 
-/// Plays the troubles of a seed; what it played, and the world after it.
+/// Runs the random actions of a seed; returns their description and the world after them.
 fn play_random(seed: u64) -> (String, World) {
     let mut r = fastrand::Rng::with_seed(seed ^ 0x5eed);
     let nodes = if r.u32(0..3) == 0 { 7 } else { 3 };
@@ -166,7 +171,8 @@
     (format!("seed {seed}, {nodes} controllers, {work:?}, {acts:?}"), w)
 }
 
-/// Two or three troubles at any time round cancellations, at any size.
+/// Two to four random faults around cancellations, with three or seven controllers and any
+/// workload.
 #[test]
 fn troubles_meet_round_cancellations() {
     let (mut failed, mut late, mut plays) = (Vec::new(), 0, 0);
@@ -178,11 +184,12 @@
             failed.push(format!("{what}: {broken:?}"));
         }
     }
-    println!("{late} starts after a confirmed cancellation, all ordered before it, in {plays} plays");
-    assert!(failed.is_empty(), "{} of {plays} plays failed:\n{}", failed.len(), failed.join("\n"));
+    println!("{late} starts after a confirmed cancellation, all ordered before it, in {plays} runs");
+    assert!(failed.is_empty(), "{} of {plays} runs failed:\n{}", failed.len(), failed.join("\n"));
 }
 
-/// All controllers end while a machine hangs and the state service is away (`docs/incidents/earlier.md`).
+/// All controllers exit while a machine hangs and the state service is unavailable
+/// (`docs/incidents/earlier.md`).
 #[test]
 fn a_cancelled_task_is_gone_in_time_though_nobody_is_left_who_knows_of_it() {
     let (what, w) = play_random(5141);
--- a/tests/world/desk.rs
+++ b/tests/world/desk.rs
@@ -1,5 +1,5 @@
-//! One interface over the stand-in of the state service, without a network:
-//! for attacks that need a certain order, and for requests of any kind.
+//! The Nomad interface over the stand-in of the state service, without a network: for tests that
+//! need a certain order of events, and for arbitrary requests.
 use super::*;
 use gorseshore_core::extension::{Answer, Extension, ExtensionContext, ExtensionInput, ExtensionOutput};
 use gorseshore_core::jobs::{Ledger, keys};
@@ -9,7 +9,7 @@
 
 const LEADER: &str = "g/leader";
 
-/// The state service, and the interface of a controller that leads.
+/// The state service, and the Nomad interface of one controller.
 struct Desk {
     state: State,
     service: Service,
@@ -19,7 +19,7 @@
     now: Micros,
     wall_ms: u64,
     leads: bool,
-    /// Writes of the leader are kept back instead of executed.
+    /// Keeps the leader's writes in `held` instead of executing them.
     hold: bool,
     held: Vec<Multi>,
     answers: Vec<(RequestId, Answer)>,
@@ -54,7 +54,7 @@
         d
     }
 
-    /// Another process takes over: it knows only what is recorded.
+    /// Starts another process, which knows only what is recorded.
     fn restart(&mut self, seed: u64) {
         self.service = Service::new(nomad::operator().nomad.unwrap(), seed);
         self.ledger = Ledger::default();
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Time goes on by whole seconds, with ticks.
+    /// Advances the time by whole seconds, with a tick every half second.
     fn pass(&mut self, seconds: u64) {
         for _ in 0..seconds * 2 {
             self.now = self.now + Micros::millis(500);
@@ -164,7 +164,7 @@
         }
     }
 
-    /// A request; its answer.
+    /// Sends a request and returns its answer, or `None` while it waits.
     fn ask(&mut self, method: &str, path: &str, body: &str) -> Option<(u16, String)> {
         let id = RequestId(self.next);
         self.next += 1;
@@ -195,17 +195,17 @@
     json!({ "Job": j })
 }
 
-/// A leader's write for a version that was replaced meanwhile comes late: it
-/// must change nothing, or both versions would run.
+/// Guards against a late write of the leader for a job version that was replaced meanwhile: it must
+/// change nothing, or else both versions would run.
 #[test]
 fn a_late_write_for_an_older_head_changes_nothing() {
     let mut d = Desk::new(1_700_000_000_000);
     d.hold = true;
     assert_eq!(d.put(&file("j", "one", json!({}))), 200);
     d.pass(2);
-    assert!(!d.held.is_empty(), "the leader wants to make the native job");
+    assert!(!d.held.is_empty(), "the leader writes no native job");
     let late = std::mem::take(&mut d.held);
-    // Another controller takes the next version; the leader makes its jobs.
+    // Another controller accepts the next version; then the leader creates its native job.
     (d.hold, d.leads) = (false, false);
     d.restart(2);
     assert_eq!(d.put(&file("j", "two", json!({}))), 200);
@@ -217,8 +217,8 @@
         let r = d.execute(m);
         assert!(matches!(r, CallResult::Response { status: 409, .. }), "{r:?}");
     }
-    assert_eq!(d.state.names("g/j/"), natives, "only the newer version's job is there");
-    // The same of a job that was stopped.
+    assert_eq!(d.state.names("g/j/"), natives, "not only the newer version's job is stored");
+    // The same for a job that was stopped.
     d.hold = true;
     assert_eq!(d.put(&file("k", "one", json!({}))), 200);
     d.pass(2);
@@ -232,8 +232,8 @@
     assert_eq!(d.state.names("g/j/"), natives);
 }
 
-/// Launches are made once through clock steps, restarts and repeated looks; of
-/// those that were missed only the last.
+/// Each launch of a periodic job is made once through clock steps, restarts and repeated checks; of
+/// missed launches only the last one is made up for.
 #[test]
 fn launches_are_made_once_whatever_the_clock_does() {
     // 2026-11-28 10:00:30 UTC.
@@ -241,19 +241,19 @@
     let mut d = Desk::new(start);
     assert_eq!(d.put(&file("p", "i", json!({"Periodic": {"Specs": ["*/10 * * * *"]}}))), 200);
     let at = |minute: u64| 1_795_860_000 + minute * 60;
-    // (what happens, launches after it, as minutes from 10:00)
+    // (what happens, launches after it, in minutes from 10:00)
     type Step = (&'static str, fn(&mut Desk), &'static [u64]);
     let steps: [Step; 9] = [
         ("nothing is due", |d| d.pass(60), &[]),
         ("ten past", |d| d.pass(600), &[10]),
-        ("looked at again and again", |d| d.pass(60), &[10]),
+        ("checked repeatedly", |d| d.pass(60), &[10]),
         ("a restart", |d| d.restart(5), &[10]),
         ("the clock is set back by half an hour", |d| d.wall_ms -= 1_800_000, &[10]),
-        ("time goes on there", |d| d.pass(1500), &[10]),
-        ("it is set on again, by two hours", |d| d.wall_ms += 7_200_000, &[10]),
-        ("which makes up for the last one only", |d| d.pass(5), &[10, 120]),
+        ("time passes after the step back", |d| d.pass(1500), &[10]),
+        ("the clock is set forward by two hours", |d| d.wall_ms += 7_200_000, &[10]),
+        ("only the last missed launch is made up for", |d| d.pass(5), &[10, 120]),
         (
-            "nobody led for an hour",
+            "no leader for an hour",
             |d| {
                 d.leads = false;
                 d.pass(3600);
@@ -270,8 +270,8 @@
     }
 }
 
-/// A query with the index of the last answer waits until its job changes, or
-/// its time is over, and not for other jobs.
+/// A blocking query with the index of the last answer waits until its own job changes or its wait
+/// time ends, and does not return for changes of other jobs.
 #[test]
 fn a_query_waits_for_its_own_job() {
     let mut d = Desk::new(1_700_000_000_000);
@@ -281,7 +281,7 @@
     type Step = (&'static str, fn(&mut Desk), bool);
     let steps: [Step; 4] = [
         ("nothing", |d| d.pass(3), false),
-        ("its time is over", |d| d.pass(11), true),
+        ("its wait time ends", |d| d.pass(11), true),
         ("another job", |d| assert_eq!(d.put(&file("other", "x", json!({}))), 200), false),
         ("the job itself", |d| assert_eq!(d.put(&file("j", "two", json!({}))), 200), true),
     ];
@@ -300,8 +300,8 @@
     }
 }
 
-/// Requests of any kind, in any order: nothing panics, each is answered once
-/// with a status of the interface, or waits because it asked to.
+/// Random requests in random order: nothing panics, and each is answered once with a status of the
+/// interface, or waits because the request asked for it.
 #[test]
 fn any_requests_are_answered() {
     let mut rng = fastrand::Rng::with_seed(7);
--- a/tests/world/fleet.rs
+++ b/tests/world/fleet.rs
@@ -1,12 +1,12 @@
-//! A fleet: as many machines as a large site has, a zone that is cut off and
-//! loses its only controller while jobs are cancelled, mass deaths, a wave of
-//! taken spot machines and one of sick ones, all controllers down with the state
-//! service away. Beside the rules it is checked that nothing else suffers.
+//! Fleet tests: as many machines as a large site has, a zone that is partitioned and loses its only
+//! controller while jobs are cancelled, mass machine failures, a wave of reclaimed spot machines
+//! and of machines that fail all tasks, and a crash of all controllers while the state service is
+//! unavailable. Beside the invariants, the tests check that nothing else is affected.
 use super::*;
 use gorseshore_core::leader::zone_health::MAX_PROBE_MACHINES;
 use std::collections::BTreeSet;
 
-/// Three controllers, one zone with a single one of them.
+/// Three controllers, of which the west zone has a single one.
 const FLEET: Size = Size {
     nodes: 3,
     room: [700, 12],
@@ -24,11 +24,11 @@
     fleet: true,
     ..SMALL
 };
-/// Seven, with a tighter budget of changes.
+/// Seven controllers, with a tighter write budget.
 const FLEET_OF_SEVEN: Size =
     Size { nodes: 7, changes: 40.0, changes_at_once: 8, value_kb: 4.0, requests: 250.0, ..FLEET };
 
-/// About 4,000 machines, with the largest site's budgets; a shorter day.
+/// About 4,000 machines, with the largest site's budgets; a shorter simulation.
 const FLEET_OF_THOUSANDS: Size = Size {
     room: [2100, 30],
     workers_every: 200 * MS,
@@ -44,13 +44,13 @@
 
 const CUT: [u64; 2] = [70 * S, 112 * S];
 const OUTAGE: [u64; 2] = [215 * S, 232 * S];
-/// Replicas are back so long after a trouble: a machine is known to be dead, its
-/// deletion confirmed, another one booted, and one more where that never came.
+/// Time after a fault until services have all replicas back: a machine is known to be dead, its
+/// deletion is confirmed, another one has booted, and one more where that one never came up.
 const BACK: u64 = 45 * S;
 /// A silent zone is closed after the reports of all its workers were due.
 const CLOSED_AFTER: u64 = 12 * S;
 
-/// What happens on a fleet day, and when.
+/// Faults of a fleet simulation, with their times.
 const DAY: [(u64, Blow); 9] = [
     (CUT[0], Blow::CutOff),
     (CUT[0] + 2 * S, Blow::Cancel { arrays: 6, services: 2 }),
@@ -63,7 +63,7 @@
     (OUTAGE[1] + BACK, Blow::Look),
 ];
 
-/// What happens on a day of thousands of machines.
+/// Faults of a simulation with thousands of machines.
 const DAY_OF_THOUSANDS: [(u64, Blow); 4] = [
     (CUT[0], Blow::CutOff),
     (CUT[0] + 2 * S, Blow::Cancel { arrays: 6, services: 2 }),
@@ -73,42 +73,42 @@
 
 #[derive(Debug, Clone, Copy)]
 enum Blow {
-    /// The west can't reach the east, nor the state service.
+    /// The west zone can reach neither the east zone nor the state service.
     CutOff,
-    /// Users cancel so many arrays and services that run.
+    /// Users cancel this many running arrays and services.
     Cancel {
         arrays: usize,
         services: usize,
     },
-    /// The controllers of the west crash.
+    /// The controllers of the west zone crash.
     CrashThere,
-    /// Ordinary machines end.
+    /// On-demand machines fail.
     Die(usize),
-    /// Machines fail what they start.
+    /// On-demand machines fail every task that they start.
     Sick(usize),
-    /// Spot machines are taken back.
+    /// The cloud reclaims spot machines.
     Taken(usize),
-    /// The state service is away for so long.
+    /// The state service is unavailable for this time.
     StateAway(u64),
     CrashAll,
-    /// All replicas should be up.
+    /// All replicas should be running; counts the missing ones.
     Look,
 }
 
-/// What is seen of a fleet day.
+/// Results of a fleet simulation.
 #[derive(Default)]
 pub struct Seen {
     done: usize,
-    /// Machines that a trouble struck.
+    /// Machines that were made to fail all tasks.
     struck: BTreeSet<String>,
-    /// Machines with replicas that the service deleted though they were well:
-    /// in the zone that is cut off, and elsewhere or at another time.
+    /// Healthy machines with replicas that the service deleted: in the west zone during the
+    /// partition, and elsewhere or at another time.
     cut_lost: usize,
     lost: Vec<String>,
-    /// Machines rented in the zone while it was closed, and most machines.
+    /// Machines rented in the closed zone, and largest number of machines.
     rented_blind: usize,
     most: usize,
-    /// Replicas that are missing, by when it was looked.
+    /// (second of the check, missing replicas, replicas that should run)
     missing: Vec<(u64, u32, u32)>,
 }
 
@@ -117,7 +117,7 @@
 }
 
 impl Size {
-    /// How many times the usual fleet it is.
+    /// How many times larger than the usual fleet it is.
     fn times(&self) -> usize {
         self.room[0] / FLEET.room[0]
     }
@@ -133,8 +133,7 @@
         self.fleet.done += 1;
         self.at(0, Event::Trouble);
         self.fleet.most = self.fleet.most.max(self.machines.len());
-        // What the last trouble left must be mended before the next one, and
-        // at the end.
+        // The effects of the last fault must be repaired before the next one, and at the end.
         if matches!(blow, Blow::Die(_) | Blow::StateAway(_) | Blow::Look) {
             let (missing, of) = self.missing_replicas();
             self.fleet.missing.push((self.now / S, missing, of));
@@ -206,13 +205,13 @@
         names
     }
 
-    /// Replicas that should run and don't, of how many.
+    /// Replicas that should run and do not, and how many should run.
     fn missing_replicas(&self) -> (u32, u32) {
         let mut on: BTreeMap<usize, u32> = BTreeMap::new();
         for t in self.machines.values().flat_map(|m| &m.tasks).filter(|t| t.on()) {
             *on.entry(World::job_of(&t.name).0).or_default() += 1;
         }
-        // Those that came just now have their own time to start.
+        // Recently accepted services have their own time to start.
         let due = |j: &Job| {
             j.service
                 && j.accepted
@@ -226,7 +225,7 @@
         })
     }
 
-    /// The service deletes a machine.
+    /// Records the deletion of a healthy machine with replicas.
     pub fn fleet_deletes(&mut self, name: &str) {
         let Some(m) = self.machines.get(name).filter(|_| self.size.fleet) else { return };
         let job = |t: &worker::Task| &self.jobs[World::job_of(&t.name).0];
@@ -243,7 +242,7 @@
         }
     }
 
-    /// The service rents machines.
+    /// Records rentals in the closed zone.
     pub fn fleet_rents(&mut self, zone: &str, n: usize) {
         if self.size.fleet && zone == "west" && within(self.now, [CUT[0] + CLOSED_AFTER, CUT[1]]) {
             self.fleet.rented_blind += n;
@@ -270,7 +269,7 @@
     }
 }
 
-/// Plays fleet days of a size, with at least so many machines and tasks at a time.
+/// Runs fleet simulations of a size, which must reach this many machines and tasks at a time.
 fn recovers(size: Size, seeds: std::ops::Range<u64>, machines: usize, tasks: usize) {
     let times = size.times();
     for seed in seeds {
@@ -278,18 +277,24 @@
         let (what, seen) = (format!("seed {seed}, {} controllers", size.nodes), &w.fleet);
         println!(
             "{what}: up to {} machines, {} tasks at a time, {} started; {} replicas' machines lost \
-             behind the cut, {} rented there; missing (at, of) {:?}",
+             during the partition, {} rented there; missing (at, of) {:?}",
             seen.most, w.peak, w.started, seen.cut_lost, seen.rented_blind, seen.missing
         );
         assert!(w.broken.is_empty(), "{what}: {:?}", w.broken);
-        assert!(seen.most >= machines && w.peak >= tasks, "{what}: {} machines, {} tasks", seen.most, w.peak);
-        assert!(seen.lost.is_empty(), "{what}: machines that were well: {:?}", seen.lost);
-        // A hand-out on its way at the cut may have gone to any machine there.
+        assert!(
+            seen.most >= machines && w.peak >= tasks,
+            "{what}: at most {} machines, {} tasks",
+            seen.most,
+            w.peak
+        );
+        assert!(seen.lost.is_empty(), "{what}: healthy machines deleted: {:?}", seen.lost);
+        // An assignment in flight when the partition begins may have gone to any machine of the
+        // zone.
         assert!(seen.cut_lost <= 20 * times, "{what}: {} machines with replicas lost", seen.cut_lost);
         let most = MAX_PROBE_MACHINES as usize;
         assert!(seen.rented_blind <= most, "{what}: {} rented in a closed zone", seen.rented_blind);
         for (at, missing, of) in &seen.missing {
-            // Some wait for one more machine that never came up.
+            // Some replicas wait for one more machine, where the first never came up.
             assert!(missing * 100 <= *of, "{what}: at {at} s {missing} of {of} replicas are missing");
         }
         let out = OUTAGE[1] - OUTAGE[0];
@@ -300,11 +305,11 @@
             assert!(job.accepted && took <= most, "{what}: job {j} accepted after {} s", took / S);
         }
         let late = w.late();
-        assert!(late.len() <= 3 * times, "{what}: {:?} are not over at the end", w.describe(&late));
+        assert!(late.len() <= 3 * times, "{what}: {:?} have not ended", w.describe(&late));
     }
 }
 
-/// Fleet days with three and seven controllers; `FLEET_SEEDS=1..9` for others.
+/// Fleet simulations with three and seven controllers; `FLEET_SEEDS=1..9` sets other seeds.
 #[test]
 fn a_fleet_falls_together_and_recovers() {
     logs();
@@ -313,7 +318,7 @@
     }
 }
 
-/// Such a day at the size that the operators run; `THOUSANDS_SEEDS=1..9` for others.
+/// A fleet simulation at the operators' real size; `THOUSANDS_SEEDS=1..9` sets other seeds.
 #[test]
 fn thousands_of_machines_fall_together_and_recover() {
     logs();
--- a/tests/world/limits.rs
+++ b/tests/world/limits.rs
@@ -1,20 +1,20 @@
-//! The state service lowers its limits without notice, at any moment of a rough
-//! day: from then on no write may be refused for its size or its number of
-//! changes, since every writer has kept to the announced limits before.
+//! The state service lowers its limits without notice, at a random time during random faults: from
+//! then on no write may be refused for its size or its number of changes, since every writer kept
+//! to the announced limits before.
 use super::*;
 
-/// Limits that apply from a moment that nobody knows.
+/// Limits that the state service applies from a time unknown to the controllers.
 #[derive(Clone, Copy)]
 pub struct NextLimits {
     pub changes: f64,
     pub changes_at_once: usize,
     pub value_kb: f64,
-    /// The controllers' settings name them.
+    /// Whether the controllers' settings name them.
     pub announced: bool,
 }
 
 impl NextLimits {
-    /// The block of the settings.
+    /// The block of the platform settings.
     pub fn settings(&self) -> String {
         match self.announced {
             true => format!(
@@ -28,7 +28,7 @@
 
 const NEXT: NextLimits = NextLimits { changes: 15.0, changes_at_once: 4, value_kb: 2.0, announced: true };
 
-/// Arrays whose progress takes more than a value.
+/// Arrays whose progress record is larger than one value.
 const LONG_ARRAYS: Size = Size {
     changes: 60.0,
     changes_at_once: 8,
@@ -38,13 +38,13 @@
     next: Some(NEXT),
     ..SMALL
 };
-/// So many machines that those that come up together don't fit into a value.
+/// So many machines that the records of those that come up together do not fit into one value.
 const MANY_MACHINES: Size = Size { next: Some(NextLimits { value_kb: 1.0, ..NEXT }), ..GROWN };
-/// Planners with Nomad jobs.
+/// Nomad clients with their jobs.
 const PLANNERS: Size = Size { value_kb: 4.0, next: Some(NextLimits { changes: 30.0, ..NEXT }), ..PLANNED };
 
 impl World {
-    /// Plans the moment from which the next limits apply.
+    /// Schedules the time from which the next limits apply.
     pub fn plan_next_limits(&mut self) {
         if self.size.next.is_some() {
             let at = self.rng.u64(5 * S..self.size.busy_until);
@@ -58,8 +58,7 @@
         }
     }
 
-    /// An array of up to 10,000 small tasks, the first of which are done long
-    /// before the last.
+    /// Adds an array of almost 10,000 small tasks, the first of which end long before the last.
     pub fn long_array(&mut self) {
         let j = self.jobs.len();
         let tasks = self.rng.u32(8_500..10_000);
@@ -74,7 +73,7 @@
     }
 }
 
-/// `LIMIT_SEEDS=1..9` for others.
+/// Runs simulations with the next limits; `LIMIT_SEEDS=1..9` sets other seeds.
 fn days(name: &str, size: Size, least_completed: usize) {
     logs();
     for seed in seeds("LIMIT_SEEDS", 1, 3) {
@@ -91,7 +90,7 @@
         assert!(refused.is_empty(), "{name}, seed {seed}: {} refused: {:?}", refused.len(), refused.first());
         assert!(w.completed >= least_completed, "{name}, seed {seed}: {} completed", w.completed);
         let late = w.late();
-        assert!(late.is_empty(), "{name}, seed {seed}: {:?} are not over", w.describe(&late).0);
+        assert!(late.is_empty(), "{name}, seed {seed}: {:?} have not ended", w.describe(&late).0);
     }
 }
 
@@ -110,8 +109,8 @@
     days("planners", PLANNERS, 0);
 }
 
-/// The same days with controllers that aren't told of the next limits: they are
-/// refused, so that the days above show something.
+/// The same simulations, while the controllers' settings do not name the next limits: writes are
+/// refused, which shows that the tests above can fail.
 #[test]
 fn limits_that_are_not_announced_are_overstepped() {
     for (name, size) in
@@ -124,8 +123,8 @@
     }
 }
 
-/// A record that the state service calls wrong holds up no other, and isn't
-/// repeated all the time.
+/// A record that the state service rejects as invalid delays no other record, and is not repeated
+/// constantly.
 #[test]
 fn a_record_that_is_refused_holds_up_no_other() {
     let mut w = World::new(3, true, SMALL);
@@ -136,10 +135,10 @@
     w.run(SMALL.ends + 150 * S);
     assert!(w.broken.is_empty(), "{:?}", w.broken);
     let late = w.late();
-    assert!(late.is_empty(), "{:?} are not over", w.describe(&late));
+    assert!(late.is_empty(), "{:?} have not ended", w.describe(&late));
     assert!(w.completed > 60, "{} tasks completed", w.completed);
     let times: usize = keys.iter().map(|key| w.state.times_refused(key)).sum();
     println!("{times} times refused");
-    // Pauses grow from one second on, of whichever leader.
+    // The retry pauses grow from one second on, under every leader.
     assert!((1..40).contains(&times), "{times} times refused");
 }
--- a/tests/world/load.rs
+++ b/tests/world/load.rs
@@ -1,11 +1,12 @@
-//! Controllers for which messages cost processor time: what comes while one is busy waits.
+//! Controllers for which messages cost processor time: input that arrives while a controller is
+//! busy waits.
 use super::*;
 use gorseshore_core::peer::Message;
 use gorseshore_core::peer::inbox::Inbox;
 use gorseshore_protocol::ids::NodeId;
 use std::collections::VecDeque;
 
-/// What waits for a busy controller, in the order in which it came.
+/// Input that waits for a busy controller, in order of arrival.
 #[derive(Debug)]
 enum Waits {
     Input(Input),
@@ -13,15 +14,15 @@
     Message(NodeId),
 }
 
-/// What each controller is busy with.
+/// Processing costs and waiting input of each controller.
 pub struct Load {
-    /// Microseconds that an entry of a message between controllers takes; 0: none.
+    /// Microseconds that one entry of a message between controllers takes; 0 disables the cost.
     pub entry_cost: u64,
     busy_until: Vec<u64>,
     waiting: Vec<VecDeque<Waits>>,
-    /// Messages that wait, by receiver and sender.
+    /// Waiting messages, by receiver and sender.
     inboxes: Vec<Vec<Inbox>>,
-    /// Entries that were handled.
+    /// Number of entries that were handled.
     pub entries: u64,
 }
 
@@ -33,7 +34,7 @@
     }
 }
 
-/// What of a message takes time for each of its entries.
+/// Number of entries of a message that cost processing time.
 fn entries(message: &Message) -> u64 {
     let count = match message {
         Message::Sync { machines, contacts: heard, outcomes, .. } => {
@@ -56,13 +57,14 @@
 }
 
 impl World {
-    /// How far a controller is behind: how long it takes to handle what is there.
+    /// How far a controller is behind: the time that it takes to handle all waiting messages, in
+    /// microseconds.
     pub fn behind(&self, n: usize) -> u64 {
         let waiting = self.load.inboxes[n].iter().flat_map(Inbox::iter).map(entries).sum::<u64>();
         self.load.busy_until[n].saturating_sub(self.now) + waiting * self.load.entry_cost
     }
 
-    /// Puts an input aside if its controller is busy.
+    /// Queues an input if its controller is busy; returns it otherwise.
     pub fn wait_while_busy(&mut self, n: usize, input: Input) -> Option<Input> {
         if self.load.entry_cost == 0 || self.load.busy_until[n] <= self.now && self.load.waiting[n].is_empty()
         {
@@ -74,20 +76,20 @@
                 self.load.inboxes[n][from.0 as usize].push(incarnation, message);
                 queue.push_back(Waits::Message(from));
             }
-            // A timer that is due once is due.
+            // One waiting tick is enough.
             Input::Tick if queue.iter().any(|w| matches!(w, Waits::Input(Input::Tick))) => {}
             input => queue.push_back(Waits::Input(input)),
         }
         None
     }
 
-    /// What comes next of what waits.
+    /// Takes the next waiting input.
     fn next_waiting(&mut self, n: usize) -> Option<Input> {
         loop {
             match self.load.waiting[n].pop_front()? {
                 Waits::Input(input) => return Some(input),
                 Waits::Message(from) => {
-                    // Fewer are left than came if a later one says it all.
+                    // Fewer messages are left than arrived if a later one superseded some.
                     if let Some((incarnation, message)) = self.load.inboxes[n][from.0 as usize].pop() {
                         return Some(Input::Peer { from, incarnation, message });
                     }
@@ -96,7 +98,7 @@
         }
     }
 
-    /// A controller handles an input: it is busy with it for a while.
+    /// Counts the entries of an input and keeps the controller busy for their cost.
     pub fn spend(&mut self, n: usize, input: &Input) {
         let entries = input_entries(input);
         self.load.entries += entries;
@@ -107,7 +109,7 @@
         }
     }
 
-    /// A controller is through with what it did: it goes on with what waits.
+    /// A controller is no longer busy and continues with the waiting input.
     pub fn idle(&mut self, n: usize, incarnation: u64) {
         if self.incarnations[n] != incarnation {
             return;
@@ -118,7 +120,7 @@
         }
     }
 
-    /// Its process ended.
+    /// Clears the waiting input of a process that has exited.
     pub fn forget_load(&mut self, n: usize) {
         self.load.busy_until[n] = 0;
         self.load.waiting[n].clear();
@@ -126,16 +128,16 @@
     }
 }
 
-/// Entries cost this much: controllers that are told of each change once are busy for about a tenth
-/// of their time.
+/// Cost of an entry: controllers that receive each change once are busy for about a tenth of their
+/// time.
 const ENTRY_COST: u64 = 4 * MS;
-/// So long after the last trouble no controller is behind any more.
+/// Time after the last fault from which no controller may be behind.
 const CATCH_UP: u64 = 30 * S;
-/// More than a tick or two.
+/// Largest permitted time behind: more than the work of a tick or two.
 const BEHIND: u64 = S / 2;
 
-/// Messages that repeat all that is not acknowledged, the more often the later the
-/// acknowledgements are, once kept a leader behind for ever after all had ended.
+/// Guards against messages that repeat everything unacknowledged, and more often the later the
+/// acknowledgements are: they once kept a leader behind forever after all controllers had exited.
 #[test]
 fn controllers_that_are_behind_catch_up() {
     let mut failed = Vec::new();
--- a/tests/world/looks.rs
+++ b/tests/world/looks.rs
@@ -1,13 +1,14 @@
-//! Close looks. Users ask at all controllers within milliseconds after a job was accepted,
-//! ended or cancelled, and submit it once more; some cancel. From the moment any controller
-//! answered that a job is accepted, done or cancelled, no answer to a request that begins
-//! later, at any controller, says anything older. 503 is no answer; how many are is counted.
+//! Consistency checks of the answers that users get. Users send requests to all controllers within
+//! milliseconds after a job was accepted, ended or cancelled, and submit it again; some cancel it.
+//! From the moment any controller answered that a job is accepted, done or cancelled, no answer to
+//! a request that begins later, at any controller, may report an older state. A 503 reports no
+//! state; how many answers are 503 is counted.
 use super::scenes::Act::*;
 use super::scenes::Who::*;
 use super::scenes::{Act, Work, play};
 use super::*;
 
-/// How a user looks.
+/// What a user does with a job.
 #[derive(Debug, Clone, Copy)]
 pub enum Way {
     Poll,
@@ -15,7 +16,7 @@
     Abort,
 }
 
-/// What has been told of a job, and when that left a controller.
+/// State of a job as reported to a user.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Told {
     Accepted,
@@ -23,23 +24,24 @@
     Aborted,
 }
 
-/// What is seen of users' looks.
+/// Answers and reports recorded for the consistency checks.
 #[derive(Default)]
 pub struct Seen {
-    /// Users look closely until then.
+    /// Users send rapid requests until then.
     pub until: u64,
-    /// When each request began.
+    /// Time at which each request began.
     pub began: BTreeMap<RequestId, u64>,
-    /// The first answer of each sort about a job.
+    /// The first answer with each state of a job, and when it left a controller.
     told: BTreeMap<usize, Vec<(u64, Told)>>,
-    /// Answers to close looks, and those among them that say to come back.
+    /// Answers during rapid requests, and those among them with status 503.
     pub answers: usize,
     pub later: usize,
-    /// The answer to an odd request.
+    /// The answer to the request of a test that waits for it.
     pub odd: Option<(u16, Vec<u8>)>,
 }
 
-/// Whether an answer to a request that began then is older than what was told before.
+/// Whether an answer to a request that began at `began` reports an older state than an answer that
+/// left before.
 fn is_older(told: &[(u64, Told)], began: u64, status: u16, stage: Option<&str>) -> bool {
     let before = |t: Told| told.iter().any(|(at, what)| *what == t && *at < began);
     let known = !told.is_empty() && told.iter().any(|(at, _)| *at < began);
@@ -55,8 +57,8 @@
 }
 
 impl World {
-    /// An answer to a user leaves: what it says, beside all that left before its request
-    /// began.
+    /// Compares an answer that leaves for a user with all answers about the job that left before
+    /// its request began.
     pub fn compare(&mut self, n: usize, id: RequestId, status: u16, body: &[u8]) {
         let Some(Asker::Abort(j) | Asker::Poll(j) | Asker::Submit(j)) = self.asked.get(&id) else { return };
         let (j, began) = (*j, self.looks.began.get(&id).copied().unwrap_or(self.now));
@@ -68,7 +70,7 @@
         }
         let told = self.looks.told.entry(j).or_default();
         if is_older(told, began, status, stage) {
-            let what = format!("job {j}: controller {n} says {status} {stage:?}, told before {told:?}");
+            let what = format!("job {j}: controller {n} says {status} {stage:?}, reported before {told:?}");
             return self.break_rule("older_answer", what);
         }
         let now = match (status, stage) {
@@ -116,7 +118,7 @@
 #[test]
 fn an_older_answer_is_noticed() {
     use Told::*;
-    // (what left and when; when the request began, its answer; older)
+    // (reported states with the times at which they left; begin of the request, its answer; older)
     type Case<'a> = (&'a [(u64, Told)], u64, u16, Option<&'a str>, bool);
     let cases: &[Case] = &[
         (&[], 5, 404, None, false),
@@ -126,7 +128,7 @@
         (&[(3, Accepted)], 5, 201, Some("queued"), true),
         (&[(3, Accepted)], 5, 200, Some("queued"), false),
         (&[(3, Accepted)], 5, 503, None, false),
-        // It began before.
+        // The request began before the report.
         (&[(3, Accepted)], 2, 404, None, false),
         (&[(3, Accepted), (6, Aborted)], 5, 200, Some("running"), false),
         (&[(3, Accepted), (6, Aborted)], 7, 200, Some("running"), true),
@@ -147,17 +149,20 @@
 
 #[test]
 fn no_controller_answers_anything_older() {
-    // (meeting, acts)
+    // (faults, actions)
     let scenes: [(&str, &[(u64, Act)]); 9] = [
         ("no trouble", &[]),
         ("the leader ends", &[(300, End(Leader, 0)), (2500, End(Leader, 0))]),
-        ("the state reads slowly and late", &[(0, LateWrites(400))]),
-        ("answers lost, carried out at once", &[(0, AnswersLost(All, 150))]),
-        ("the confirmer's answers lost", &[(0, AnswersLost(Other(1), 300)), (0, AnswersLost(Leader, 300))]),
-        ("the state is read anew", &[(200, Forgotten), (700, Forgotten), (1500, Forgotten)]),
+        ("every third write takes effect late", &[(0, LateWrites(400))]),
+        ("answers lost, writes carried out at once", &[(0, AnswersLost(All, 150))]),
+        (
+            "the confirming controller's answers lost",
+            &[(0, AnswersLost(Other(1), 300)), (0, AnswersLost(Leader, 300))],
+        ),
+        ("the state is read again", &[(200, Forgotten), (700, Forgotten), (1500, Forgotten)]),
         ("one refused, then another", &[(0, Refused(Other(1), 60)), (2100, Refused(Leader, 100))]),
         ("an outage", &[(900, Away(200))]),
-        ("one alone", &[(0, Alone(Other(2), 300))]),
+        ("one controller isolated", &[(0, Alone(Other(2), 300))]),
     ];
     let mut failed = Vec::new();
     for (name, acts) in scenes {
@@ -179,7 +184,7 @@
                     "{name}, {nodes} controllers, seed {seed}: {} answers, 503 {share:.3}",
                     w.looks.answers
                 );
-                // Coming back later is not the usual way.
+                // Without faults, at most 2 % of the answers may be 503.
                 if acts.is_empty() && share > 0.02 {
                     bad.push(format!("{share:.3} of the answers are 503"));
                 }
@@ -189,5 +194,5 @@
             }
         }
     }
-    assert!(failed.is_empty(), "{} plays failed:\n{}", failed.len(), failed.join("\n"));
+    assert!(failed.is_empty(), "{} runs failed:\n{}", failed.len(), failed.join("\n"));
 }
--- a/tests/world/lost_knowledge.rs
+++ b/tests/world/lost_knowledge.rs
@@ -1,26 +1,26 @@
-//! All controllers end while machines hang and the state service is away: the processes that
-//! come back can ask nobody what was cancelled.
+//! All controllers exit while machines hang and the state service is unavailable: the restarted
+//! processes can query no component about which jobs were cancelled.
 use super::scenes::Act::{Away, CancelAndHang, End, MachinesHang, ZonesCut};
 use super::scenes::Who::*;
 use super::scenes::{NEVER, Work, long_jobs};
 use super::*;
 
-/// Times of a play, in milliseconds.
+/// Times of a run, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 struct Restart {
-    /// From the first confirmation of a cancellation to the end of all controllers.
+    /// From the first confirmation of a cancellation to the exit of all controllers.
     end_after: u64,
-    /// How long they are away.
+    /// Downtime of the controllers.
     away: u64,
 }
 
-/// Lengths of scenes are in thousandths of `cancel`.
+/// Converts milliseconds to the unit of scenario lengths, thousandths of `cancel`.
 fn share_of_cancel(ms: u64) -> u64 {
     (ms * MS * 1000).div_ceil(SMALL.cancel)
 }
 
-/// Users cancel jobs whose machines hang; the world when the first of them was told, and when
-/// that was.
+/// Users cancel jobs whose machines hang. Returns the world at the first confirmation to a user,
+/// and its time.
 fn cancelled_and_hung(seed: u64, nodes: usize) -> (World, u64) {
     let mut w = long_jobs(seed, nodes, Work::Mixed);
     let leader = w.leader();
@@ -29,13 +29,14 @@
     let give_up = at + 10 * S;
     while !w.jobs.iter().any(|j| j.aborted_at.is_some()) {
         at += 5 * MS;
-        assert!(at < give_up, "no user was told");
+        assert!(at < give_up, "no user received a confirmation");
         w.run(at);
     }
     (w, at)
 }
 
-/// All controllers end some time after the confirmation, and the state service is away.
+/// All controllers exit some time after the confirmation, and the state service becomes
+/// unavailable.
 fn play_restart(restart: Restart, seed: u64, nodes: usize) -> World {
     let (mut w, told) = cancelled_and_hung(seed, nodes);
     let leader = w.leader();
@@ -47,14 +48,15 @@
     w
 }
 
-/// Processes without state or placements once deleted no machine that hung with a cancelled task.
+/// Guards against hung machines with cancelled tasks that are never deleted: processes without
+/// state or placements once deleted none of them.
 #[test]
 fn machines_that_hang_with_cancelled_tasks_go_after_a_restart_of_all_in_an_outage() {
     let mut failed = Vec::new();
     for end_after in [0, 1_000, 3_000, 8_000, 12_000, 20_000] {
         for away in [200, 2_000, 10_000, 20_000] {
             let left = (SMALL.cancel / MS).saturating_sub(end_after + away);
-            // Less is left than it takes to tell a machine that hangs from one that is slow.
+            // The time left is shorter than it takes to tell a hung machine from a slow one.
             if left < SMALL.cancel / MS / 6 {
                 continue;
             }
@@ -67,11 +69,11 @@
             }
         }
     }
-    assert!(failed.is_empty(), "{} plays failed:\n{}", failed.len(), failed.join("\n"));
+    assert!(failed.is_empty(), "{} runs failed:\n{}", failed.len(), failed.join("\n"));
 }
 
 impl World {
-    /// Controllers that are on record as holding the leader's placements.
+    /// Controllers that are on record as holding a replica of the leader's placement log.
     pub fn recorded_witnesses(&self) -> Vec<usize> {
         let record = self.state.value("g/books").expect("a record of witnesses");
         let names = record["nodes"].as_array().unwrap().iter();
@@ -79,8 +81,8 @@
     }
 }
 
-/// Processes that have read the state, but hold no placements, once did nothing in an outage
-/// after the leader and all its witnesses had ended.
+/// Guards against processes that have read the state, but hold no placement log, and do nothing in
+/// an outage of the state service after the leader and all standby replicas have exited.
 #[test]
 fn machines_that_hang_with_cancelled_tasks_go_after_the_end_of_all_who_hold_placements() {
     let mut failed = Vec::new();
@@ -93,7 +95,7 @@
                 w.run(at);
                 let mut ended = w.recorded_witnesses();
                 ended.push(leader);
-                assert!(ended.len() < 7, "everybody holds placements");
+                assert!(ended.len() < 7, "all controllers hold the placement log");
                 ended.into_iter().for_each(|n| w.end_process(n, away * MS));
                 w.act(leader, Away(1500));
                 w.run(at + 4 * w.size.cancel);
@@ -103,25 +105,25 @@
             }
         }
     }
-    assert!(failed.is_empty(), "{} of 36 plays failed:\n{}", failed.len(), failed.join("\n"));
+    assert!(failed.is_empty(), "{} of 36 runs failed:\n{}", failed.len(), failed.join("\n"));
 }
 
-/// What else goes wrong while nobody knows anything.
+/// Another fault while no controller knows the cancellations.
 #[derive(Clone, Copy, Debug)]
 enum Beside {
-    /// The cloud is out of order for the first seconds after the return.
+    /// The cloud is unavailable for the first seconds after the restart.
     CloudAway,
-    /// Machines reach no controller, while direct commands reach them.
+    /// Machines cannot send to any controller, while direct commands reach them.
     MachinesMute,
-    /// The zones can't reach each other.
+    /// The zones cannot reach each other.
     ZonesCut,
-    /// The leader ends again and again before.
+    /// Leaders exit one after the other before.
     LeadersInSeries,
-    /// The controllers end one after the other within two seconds.
+    /// The controllers exit one after the other within two seconds.
     OneByOne,
 }
 
-/// The same end of all, beside other troubles.
+/// All controllers exit as above, combined with other faults.
 #[test]
 fn machines_that_hang_with_cancelled_tasks_go_whatever_else_goes_wrong() {
     use Beside::*;
@@ -161,22 +163,24 @@
             }
         }
     }
-    assert!(failed.is_empty(), "{} of 40 plays failed:\n{}", failed.len(), failed.join("\n"));
+    assert!(failed.is_empty(), "{} of 40 runs failed:\n{}", failed.len(), failed.join("\n"));
 }
 
-/// What happens to machines in the restart.
+/// What happens to machines during the restart.
 #[derive(Clone, Copy, Debug)]
 enum Disturbance {
     None,
-    /// Every third machine hangs for so many milliseconds, as the processes are back.
+    /// Every third machine hangs for this many milliseconds from the restart on.
     ShortHang(u64),
-    /// The zones can't reach each other, and processes serve one zone only.
+    /// The zones cannot reach each other, and each process reaches the machines of one zone only.
     ZoneCutOff,
-    /// The same, and the cut ends while the processes still know nothing.
+    /// The same, and the partition ends while the processes still know neither state nor
+    /// placements.
     ZoneCutFor(u64),
 }
 
-/// Whatever a process can't know, a restart of all in an outage costs no machine that answers.
+/// Whatever the restarted processes cannot know, a restart of all controllers during an outage of
+/// the state service deletes no machine that responds.
 #[test]
 fn a_restart_of_all_in_an_outage_deletes_no_machine_that_works() {
     let disturbances = [
@@ -205,7 +209,7 @@
             if let Disturbance::ShortHang(ms) = disturbance {
                 w.act(leader, MachinesHang(share_of_cancel(ms)));
             }
-            // As long as the state service is away.
+            // About as long as the state service is unavailable.
             w.run(back + 11_000 * MS);
             let gone: Vec<&String> = machines.iter().filter(|m| !w.machines.contains_key(*m)).collect();
             if !gone.is_empty() || !w.broken.is_empty() {
@@ -214,5 +218,5 @@
             }
         }
     }
-    assert!(failed.is_empty(), "{} plays failed:\n{}", failed.len(), failed.join("\n"));
+    assert!(failed.is_empty(), "{} runs failed:\n{}", failed.len(), failed.join("\n"));
 }
--- a/tests/world/lost_knowledge_wide.rs
+++ b/tests/world/lost_knowledge_wide.rs
@@ -1,10 +1,11 @@
-//! A tool: the end of all who hold placements (`lost_knowledge.rs`), played widely. Each play's
-//! number is the seed of its world, and of whatever `WIDE_FIX` does not set.
+//! A tool that runs the exit of all controllers with a placement log (`lost_knowledge.rs`) over
+//! many parameters. Each run's number is the seed of its world, and of every parameter that
+//! `WIDE_FIX` does not set.
 //!
 //! `WIDE_SEEDS=0..600 WIDE_FIX="nodes=7 trouble=None" WIDE_THREADS=3 cargo test --release --locked
 //! --test world lost_knowledge_wide -- --ignored --nocapture`
 //!
-//! The play of `lost_knowledge.rs` with seed 0, 1,000 ms and 200 ms: `WIDE_SEEDS=0..1
+//! The run of `lost_knowledge.rs` with seed 0, 1,000 ms and 200 ms: `WIDE_SEEDS=0..1
 //! WIDE_FIX="nodes=7 work=Mixed hung=Holders report=2000 end=1000 away=200 trouble=None"`.
 use super::scenes::Act::{Away, Cancel, CancelAndHang, Freeze, MachinesDeaf, MachinesMute};
 use super::scenes::Who::Other;
@@ -14,29 +15,29 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Which machines hang as users cancel.
+/// Which machines hang as users cancel. `WIDE_FIX` names these variants.
 #[derive(Clone, Copy, Debug)]
 enum Hung {
-    /// Up to eight that run cancelled tasks.
+    /// Up to eight machines that run cancelled tasks.
     Holders,
-    /// The first of two, three and so on, whatever runs there.
+    /// Every n-th machine, whatever runs there.
     OneOf(usize),
 }
 
-/// What else is wrong from the end of the holders on.
+/// An additional fault from the exit of the log holders on.
 #[derive(Clone, Copy, Debug)]
 enum Trouble {
     None,
-    /// The controller after the leader that holds no placements stands still for so long.
+    /// The first controller after the leader that holds no placement log is paused for this time.
     Freeze(u64),
-    /// Every third machine reaches no controller.
+    /// Every third machine cannot send to any controller.
     Mute(u64),
-    /// Every third machine hears nothing.
+    /// Every third machine receives nothing.
     Deaf(u64),
 }
 
-/// What a play is made of. Times are in milliseconds, those of troubles in thousandths of the
-/// time that a cancellation may take.
+/// Parameters of a run. Times are in milliseconds, those of faults in thousandths of the time that
+/// a cancellation may take.
 #[derive(Clone, Copy, Debug)]
 struct Play {
     seed: u64,
@@ -44,22 +45,24 @@
     work: Work,
     hung: Hung,
     report: u64,
-    /// From the first confirmation of a cancellation to the end of all who hold placements.
+    /// From the first confirmation of a cancellation to the exit of all controllers with a
+    /// placement log.
     end: u64,
-    /// How long those are away.
+    /// Downtime of those controllers.
     away: u64,
     trouble: Trouble,
 }
 
-/// How a play went.
+/// Result of a run.
 enum Outcome {
     Kept,
-    /// All controllers hold placements, or no user was told.
+    /// The run tests nothing: all controllers hold the placement log, or no user received a
+    /// confirmation.
     NoScene(&'static str),
     Broken(String),
 }
 
-/// The value that `WIDE_FIX` sets, or any of the others.
+/// Draws a value, and returns the one that `WIDE_FIX` sets for this name instead, if it does.
 fn pick<T: Copy + Debug>(r: &mut fastrand::Rng, name: &str, values: &[T]) -> T {
     let drawn = values[r.usize(0..values.len())];
     let fixed = std::env::var("WIDE_FIX").unwrap_or_default();
@@ -96,14 +99,14 @@
         let leader = w.leader();
         self.cancel_and_hang(&mut w, leader);
         if !run_until_told(&mut w) {
-            return Outcome::NoScene("no user was told");
+            return Outcome::NoScene("no user received a confirmation");
         }
         let end = w.now + self.end * MS;
         w.run(end);
         let mut holders = w.recorded_witnesses();
         holders.push(leader);
         let Some(other) = (1..self.nodes).find(|i| !holders.contains(&((leader + i) % self.nodes))) else {
-            return Outcome::NoScene("all hold placements");
+            return Outcome::NoScene("all controllers hold the placement log");
         };
         holders.into_iter().for_each(|n| w.end_process(n, self.away * MS));
         w.act(leader, Away(1_500));
@@ -134,14 +137,14 @@
     }
 }
 
-/// How many machines of a zone hang that are left there, for the report of a failed play.
+/// Counts the machines of a zone that hang, for the report of a failed run.
 fn hung_in(w: &World, zone: &str) -> String {
     let here = w.machines.values().filter(|m| m.zone == zone);
     let hung = here.clone().filter(|m| m.hung_until > w.now).count();
     format!("{hung} of {} hang in {zone}", here.count())
 }
 
-/// Until the first user was told of a cancellation; whether one was.
+/// Runs until the first user receives a confirmation of a cancellation; returns whether one did.
 fn run_until_told(w: &mut World) -> bool {
     let mut at = w.now;
     let give_up = at + 10 * S;
@@ -152,7 +155,7 @@
     w.jobs.iter().any(|j| j.aborted_at.is_some())
 }
 
-/// Plays all seeds, on several threads at a time.
+/// Runs all seeds, on several threads at a time.
 fn play_all(seeds: std::ops::Range<u64>, threads: u64) -> Vec<(Play, Outcome)> {
     let next = AtomicU64::new(seeds.start);
     let played = Mutex::new(Vec::new());
@@ -191,6 +194,6 @@
         }
     }
     let done = played.len() - skipped.values().sum::<usize>();
-    println!("{} of {done} plays failed; without a scene: {skipped:?}", failed.len());
-    assert!(failed.is_empty(), "{} of {done} plays failed:\n{}", failed.len(), failed.join("\n"));
+    println!("{} of {done} runs failed; not applicable: {skipped:?}", failed.len());
+    assert!(failed.is_empty(), "{} of {done} runs failed:\n{}", failed.len(), failed.join("\n"));
 }
--- a/tests/world/main.rs
+++ b/tests/world/main.rs
@@ -1,6 +1,6 @@
-//! A seeded world in memory: some nodes, stand-ins for the outside systems,
-//! a network that loses, delays, repeats and holds back, and troubles. Every
-//! rule of the protocol is checked at each step.
+//! Deterministic simulation: several controllers, stand-ins for the outside systems and a network
+//! that drops, delays, duplicates and reorders messages run in memory from one seed. Faults are
+//! injected, and every invariant of the protocol is checked at each step.
 mod blink;
 mod cancelled;
 mod desk;
@@ -34,52 +34,52 @@
 
 const S: u64 = 1_000_000;
 const MS: u64 = 1_000;
-/// The time of day at which a world begins, in milliseconds.
+/// Wall-clock time at the start of a simulation, in milliseconds since the Unix epoch.
 const WALL_MS: u64 = 1_700_000_000_000;
-/// Calls a second that the cloud takes.
+/// Rate limit of the cloud API, in calls per second.
 const CLOUD_RPS: u64 = 8;
 const ZONES: [&str; 2] = ["east", "west"];
 
-/// How large a world is.
+/// Size, limits and fault model of a simulation. Times are in microseconds.
 #[derive(Clone, Copy)]
 struct Size {
     nodes: usize,
-    /// Machines of each zone and kind that can be rented: small ones, big ones.
+    /// Machines that can be rented per zone, spot setting and machine type: `[small, big]`.
     room: [usize; 2],
-    /// Workers are looked at so often.
+    /// Interval at which the machines are simulated.
     workers_every: u64,
-    /// Time between workers' reports, their lease, and how long a cancellation
-    /// may take.
+    /// Interval between a worker's reports, its lease, and the longest time that a cancellation may
+    /// take.
     report: u64,
     lease: u64,
     cancel: u64,
-    /// Requests a second that the state service takes.
+    /// Rate limit of the state service, in requests per second.
     requests: f64,
-    /// Changes a second that the state service takes, in transactions and
-    /// values of what length.
+    /// Limits of the state service: writes per second, writes per transaction and KiB per value.
     changes: f64,
     changes_at_once: usize,
     value_kb: f64,
-    /// Jobs at the start, and most tasks of an array.
+    /// Number of jobs at the start, and the limit of the tasks of an array.
     jobs: usize,
     tasks: u32,
-    /// When no more jobs and troubles come, and when the day ends.
+    /// End of new jobs and faults, and end of the simulation.
     busy_until: u64,
     ends: u64,
-    /// Planners with Nomad jobs beside the users.
+    /// Nomad clients register jobs beside the users.
     planners: bool,
-    /// Troubles at set times, at fleet size, instead of any at any time.
+    /// Injects the faults of the fleet tests at set times instead of random faults at random times.
     fleet: bool,
-    /// Controllers end at every stage and are back at once, on other clocks.
+    /// Restarts controllers within a fraction of a second, at any stage of their recovery and with
+    /// a different clock.
     blinks: bool,
-    /// What on-call met: one-way machines and controllers, controllers that lose
-    /// everybody but their workers, late copies.
+    /// Injects partial failures: machines and controllers that can only send or only receive,
+    /// controllers that reach nothing but their workers, and late duplicates.
     oncall: bool,
-    /// The state service's limits from some moment on.
+    /// Limits that the state service applies from a random time on.
     next: Option<limits::NextLimits>,
-    /// The first jobs are arrays of up to 10,000 tasks.
+    /// Number of jobs, the first ones, that are arrays of up to 10,000 tasks.
     long_arrays: usize,
-    /// Pipelines of jobs beside the others.
+    /// Submits pipelines of jobs beside the other jobs.
     pipelines: bool,
 }
 
@@ -106,12 +106,11 @@
     long_arrays: 0,
     pipelines: false,
 };
-/// The small world with planners, and values so short that their jobs take
-/// several parts.
+/// The small simulation with Nomad clients, and with values so short that one Nomad job takes
+/// several of them.
 const PLANNED: Size =
     Size { value_kb: 2.0, changes_at_once: 8, jobs: 3, ends: 360 * S, planners: true, ..SMALL };
-/// Seven controllers, hundreds of machines, a start from nothing with a tight
-/// budget of changes.
+/// Seven controllers and hundreds of machines, started from nothing with a tight write budget.
 const GROWN: Size = Size {
     nodes: 7,
     room: [60, 60],
@@ -125,7 +124,7 @@
     ..SMALL
 };
 
-/// Controllers are spread over the zones in turn.
+/// Assigns the controllers to the zones in turn.
 fn node_zone(n: usize) -> &'static str {
     ZONES[n % ZONES.len()]
 }
@@ -164,7 +163,7 @@
     Platform::parse(&text).unwrap()
 }
 
-/// After which machine a page of the cloud's list begins, and how many it may hold.
+/// Returns the machine name after which a page of the cloud's list begins, and the page's limit.
 fn list_page(path: &str) -> (String, usize) {
     let (mut from, mut limit) = (String::new(), 500);
     for pair in path.split_once('?').map_or("", |p| p.1).split('&') {
@@ -186,7 +185,7 @@
     tasks: u32,
     cpus: f64,
     run_us: u64,
-    /// Each task runs for so much longer than the one before it.
+    /// Each task runs this much longer than the task before it.
     later_us: u64,
     save_us: Option<u64>,
     spread: bool,
@@ -195,34 +194,35 @@
     zone: Option<&'static str>,
     submitted: bool,
     accepted: bool,
-    /// When it was first sent, and when it was accepted.
+    /// Time of the first submission, and time at which the user received the acceptance.
     asked_at: u64,
     accepted_at: u64,
     tries: usize,
     abort_asked: bool,
     aborted_at: Option<u64>,
     told_done: bool,
-    /// When its user heard of its end.
+    /// Time at which the user received the first answer that the job is done or cancelled.
     over_at: Option<u64>,
     done: Vec<bool>,
     next_try: u64,
     abort_at: u64,
-    /// When a question about it was last answered, and when a task of it first ran.
+    /// Time of the last answer about it, and time at which its first task started.
     answered_at: u64,
     began_at: Option<u64>,
-    /// Submitted with a mistake: it fails wherever it runs.
+    /// Its image is faulty: its tasks fail on every machine.
     mistaken: bool,
-    /// Jobs that have to be done before a task of it starts.
+    /// Jobs that must be done before one of its tasks starts.
     awaits: Vec<usize>,
-    /// When its last task completed.
+    /// Time at which its last task completed.
     done_at: Option<u64>,
-    /// When a user was first told that it, or a job that it needs, is cancelled.
+    /// Time at which a user first received the answer that it, or a job that it needs, is
+    /// cancelled.
     cancelled_from: Option<u64>,
     habits: pipelines::Habits,
 }
 
 impl Job {
-    /// Not yet sent; it may run on any ordinary machine and is never cancelled.
+    /// A job that is not submitted yet, may run on any on-demand machine and is never cancelled.
     fn new(body: Value, team: &str, service: bool, tasks: u32, cpus: f64, run_us: u64) -> Job {
         Job {
             body,
@@ -261,7 +261,7 @@
 }
 
 impl Job {
-    /// Of one task instead.
+    /// Reduces the job to one task.
     fn one_task(&mut self) {
         self.tasks = 1;
         self.done.truncate(1);
@@ -275,7 +275,7 @@
     Restart(usize),
     /// A call reaches its target.
     Arrive(usize, u64, CallId, Call),
-    /// Its answer, or the end of waiting.
+    /// A call's result reaches its controller: the response, or the timeout.
     Called(usize, u64, CallId, CallResult),
     Peer(usize, usize, u64, gorseshore_core::peer::Message),
     Request(usize, u64, RequestId, &'static str, String, Vec<u8>),
@@ -287,17 +287,17 @@
     Trouble,
     Crash(usize),
     Heal,
-    /// An input that came while its controller stood still.
+    /// An input that arrived while its controller was paused.
     Fed(usize, u64, Input),
-    /// A controller is through with what kept it busy.
+    /// A controller has finished the work that kept it busy.
     Idle(usize, u64),
     EndLeader,
     EndForGood(usize),
-    /// A user looks closely: at which controller, in which way, at which job.
+    /// A user sends a request about a job: controller, action and job index.
     Look(usize, looks::Way, usize),
     Outage,
     LowerLimits,
-    /// A copy of a request; nobody waits for its answer.
+    /// A duplicate of a request; its answer is discarded.
     Copy(usize, &'static str, String, Vec<u8>),
 }
 
@@ -316,7 +316,7 @@
     Poll(usize),
     Abort(usize),
     Stranger,
-    /// Somebody who waits for just this answer.
+    /// A test that waits for this one answer.
     Odd,
     Planner(nomad::Asked),
 }
@@ -330,7 +330,7 @@
     next: u64,
     nodes: Vec<Option<Node>>,
     incarnations: Vec<u64>,
-    /// When each process began: its steady clock counts from then.
+    /// Start time of each process, from which its monotonic clock counts.
     began: Vec<u64>,
     state: State,
     refused_until: Vec<u64>,
@@ -341,10 +341,10 @@
     born: BTreeMap<String, u64>,
     next_machine: u64,
     cloud_down_until: u64,
-    /// When the calls that the cloud took would be over at its usual rate.
+    /// Time at which the calls accepted so far are worked off at the cloud's rate limit.
     cloud_busy_until: u64,
     late_boots_until: u64,
-    /// Cut zone pair, node from workers, node from peers: until when.
+    /// Ends of the partitions: between the zones, and of each controller from workers and peers.
     zones_cut_until: u64,
     node_cut_until: Vec<u64>,
     jobs: Vec<Job>,
@@ -353,11 +353,11 @@
     broken: Vec<String>,
     started: usize,
     completed: usize,
-    /// Tasks that started after they had been done.
+    /// Tasks that started again after they were done.
     started_again: Vec<String>,
-    /// Most tasks on machines at a time.
+    /// Largest number of tasks that ran at a time.
     peak: usize,
-    /// CPU time that tasks were on machines, and that machines were rented.
+    /// CPU time used by tasks, and CPU time of the rented machines; both in CPU-microseconds.
     used_us: u64,
     paid_us: u64,
     quiet: bool,
@@ -443,7 +443,7 @@
     }
 
     fn delay(&mut self) -> u64 {
-        // Mostly a millisecond, sometimes a good deal more.
+        // Usually 0.3 to 2.5 ms, once in 200 times 100 to 900 ms.
         let r = &mut self.rng;
         if r.u32(0..200) == 0 { r.u64(100 * MS..900 * MS) } else { r.u64(300..2500) }
     }
@@ -467,9 +467,10 @@
         if until > self.now { until } else { 0 }
     }
 
-    // ---- nodes -----------------------------------------------------------
+    // ---- controllers -----------------------------------------------------
 
-    /// A process's steady clock, which begins at a second with it as the real one's does.
+    /// The monotonic clock of a controller's process, which starts at one second as the real one
+    /// does.
     fn steady(&self, n: usize) -> Micros {
         Micros(self.now - self.began[n] + S)
     }
@@ -479,7 +480,7 @@
         let me = self.incarnations[n];
         let frozen = self.faults.frozen_until[n];
         if frozen > now {
-            // The next tick finds what it missed.
+            // Delivered when the pause ends; the next tick sees the time that passed.
             return self.at(frozen - now, Event::Fed(n, me, input));
         }
         if let Some(input) = self.wait_while_busy(n, input) {
@@ -487,7 +488,7 @@
         }
     }
 
-    /// A controller takes an input; what it says is carried out.
+    /// A controller handles an input, and the simulation carries out its outputs.
     fn handle(&mut self, n: usize, input: Input) {
         let now = self.now;
         let me = self.incarnations[n];
@@ -515,7 +516,7 @@
                     let d = self.delay();
                     let alone = self.oncall.alone_until[n];
                     if matches!(call.target, Target::State) && alone > now {
-                        // Lost, or executed after the cut.
+                        // Lost, or executed after the isolation ends.
                         if self.rng.bool() {
                             self.at(alone - now + d, Event::Arrive(n, me, id, call));
                         }
@@ -526,7 +527,7 @@
                     }
                     let (late, answered) = self.held_up(n, &call);
                     if late > 0 || !answered {
-                        // Nobody waits for it any more.
+                        // The controller no longer waits for the answer.
                         let id = if answered { id } else { CallId(u64::MAX) };
                         self.at(late + d, Event::Arrive(n, me, id, call));
                         continue;
@@ -542,7 +543,7 @@
                             continue;
                         }
                         if cut > 0 {
-                            // Held back and delivered after the cut, or lost.
+                            // Delivered after the partition ends, or lost.
                             if self.rng.bool() {
                                 self.at(cut - now + d, Event::Arrive(n, me, id, call));
                             }
@@ -551,7 +552,7 @@
                     }
                     match self.rng.u32(0..400) {
                         0 if !self.quiet => {}
-                        // Executed much later.
+                        // Executed 1 to 40 s later.
                         1 if !self.quiet => {
                             let late = self.rng.u64(S..40 * S);
                             self.at(late, Event::Arrive(n, me, id, call));
@@ -671,8 +672,8 @@
         }
     }
 
-    /// Whether the cloud takes one more call: so many a second, with bursts of two
-    /// seconds' worth.
+    /// Whether the cloud accepts one more call: at its rate limit, with bursts of two seconds'
+    /// worth of calls.
     fn takes_call(&mut self) -> bool {
         let busy_until = self.cloud_busy_until.max(self.now) + S / CLOUD_RPS;
         let takes = busy_until <= self.now + 2 * S;
@@ -726,8 +727,7 @@
             if now < m.up_at {
                 continue;
             }
-            // A hung machine does nothing at all; its lease is looked at when
-            // it goes on.
+            // A hung machine does nothing; its lease is checked when it resumes.
             if now < m.hung_until {
                 continue;
             }
@@ -764,7 +764,7 @@
                     self.node_machine_cut(to, m)
                 };
                 if cut > 0 {
-                    // The late report has a requester that is long gone.
+                    // The late report's requester has timed out by then.
                     self.next_request += 1;
                     if self.rng.bool() {
                         let me = self.incarnations[to];
@@ -783,7 +783,7 @@
         let now = self.now;
         let Some(m) = self.machines.get_mut(name) else { return };
         if now < m.hung_until {
-            // Handled when it goes on.
+            // Handled when the machine resumes.
             let d = m.hung_until - now + 1000;
             let id = RequestId(self.next_request);
             self.next_request += 1;
@@ -875,7 +875,8 @@
                 faults.push(("wrong_place", format!("{here} tasks of job {j} in {}", m.zone)));
             }
         }
-        // Its order left before (`check_orders`).
+        // The start order left before the confirmation; `check_orders` checks the orders
+        // themselves.
         self.faults.late_starts += job.aborted_at.is_some() as usize;
         if job.cancelled_from.is_some_and(|t| self.now > t + self.size.cancel) {
             faults.push(("ran_cancelled", format!("{piece} starts on {at}")));
@@ -898,7 +899,7 @@
             self.paid_us += (m.cpus * self.size.workers_every as f64) as u64;
             for t in m.tasks.iter().filter(|t| own(&t.name).is_none()) {
                 let (j, i) = Self::job_of(&t.name);
-                // A job of `odd.rs`, which no worker was told of.
+                // A job of `request_validation.rs`, which the simulated workers do not know.
                 let Some(job) = self.jobs.get(j) else { continue };
                 if t.stage == Stage::Exited("done") {
                     done.push((j, i));
@@ -950,7 +951,7 @@
             serde_json::from_slice::<Value>(b).ok().and_then(|v| v["stage"].as_str().map(str::to_owned))
         };
         match asker {
-            // It went to another address.
+            // Answers to Nomad clients arrive as `Event::ExtensionAnswered`.
             Asker::Planner(_) => {}
             Asker::Worker(name, key) => self.checkin_answered(&name, key, status, &body),
             Asker::Odd => self.looks.odd = Some((status, body)),
@@ -970,7 +971,7 @@
                 400 | 422 if self.jobs[j].accepted && began > self.jobs[j].accepted_at => {
                     self.break_rule("forgotten", format!("job {j}: {status}"))
                 }
-                // All that it names was accepted before.
+                // Every job that it names was accepted before.
                 422 if !self.jobs[j].awaits.is_empty() => self
                     .break_rule("forgotten", format!("job {j} refused: {}", String::from_utf8_lossy(&body))),
                 400 | 422 => panic!("job {j} refused: {}", String::from_utf8_lossy(&body)),
@@ -992,8 +993,9 @@
         }
     }
 
-    /// What a user hears of a job, by an answer to what began then. Answers to requests that
-    /// are open at a time may overtake each other; `compare` looks at them as they leave.
+    /// Checks an answer that a user receives about a job, to a request sent at `began`. Answers to
+    /// concurrent requests may overtake each other; `check_answer_order` compares them as they
+    /// leave the controllers.
     fn check_stage(&mut self, j: usize, stage: &str, began: u64) {
         let now = self.now;
         let asked = self.cancellation_asked(j);
@@ -1034,7 +1036,7 @@
         }
     }
 
-    // ---- users and troubles ----------------------------------------------
+    // ---- users and faults -------------------------------------------------
 
     fn wall_ms(&self) -> u64 {
         WALL_MS + self.now / 1000
@@ -1062,7 +1064,7 @@
             let id = format!("j-{j:06}");
             let job = &mut self.jobs[j];
             if self.size.fleet {
-                // Users turn to the next one when they get no answer.
+                // Users try the next controller when they get no answer.
                 job.tries += 1;
                 n = (j + job.tries) % self.size.nodes;
             }
@@ -1076,7 +1078,8 @@
                 job.abort_asked = true;
                 self.request(n, "POST", format!("/submissions/{id}/abort"), Vec::new(), Asker::Abort(j));
             } else if self.rng.u32(0..8) == 0 {
-                // A retry of what is known, also when it makes no sense today.
+                // Resubmits a known job with an invalid task count: the answer must be the known
+                // job's stage.
                 let mut body = self.jobs[j].body.clone();
                 body["pieces"] = json!(-1);
                 self.request(
@@ -1124,7 +1127,7 @@
         let build = (r.u32(0..6) == 0).then_some("big");
         let save_us = (!service && r.bool()).then_some(2 * S);
         let team = if tight { "tight" } else { "free" };
-        // Services of the team with a limit end, or its arrays would wait for ever.
+        // Services of the team with a limit end; otherwise its arrays would wait forever.
         let ends = tight && service || r.u32(0..3) == 0;
         let abort_at = if ends { self.now + r.u64(5 * S..60 * S) } else { u64::MAX };
         let body = json!({"ref": format!("j-{j:06}"), "lot": "l", "crew": team,
@@ -1147,7 +1150,7 @@
         self.strike();
     }
 
-    /// One trouble, of any kind that the protocol names.
+    /// Injects one fault of any kind that the protocol names.
     fn strike(&mut self) {
         let n = self.rng.usize(0..self.size.nodes);
         let length = self.rng.u64(3 * S..40 * S);
@@ -1155,7 +1158,10 @@
         let some = (!names.is_empty()).then(|| names[self.rng.usize(0..names.len())].clone());
         let kind = self.rng.u32(0..12);
         if std::env::var("WORLD_TRACE").is_ok() {
-            eprintln!("{:.3} trouble {kind} node {n} machine {some:?} for {length}", self.now as f64 / 1e6);
+            eprintln!(
+                "{:.3} fault {kind} controller {n} machine {some:?} for {length}",
+                self.now as f64 / 1e6
+            );
         }
         match kind {
             0 => {
@@ -1203,7 +1209,7 @@
         }
     }
 
-    /// Accepted arrays of the team without a limit that are not over.
+    /// Accepted arrays of the team without a limit that are neither done nor cancelled.
     fn late(&self) -> Vec<usize> {
         let late = |job: &Job| {
             job.team == "free" && !job.service && job.accepted && !job.told_done && job.aborted_at.is_none()
@@ -1211,7 +1217,7 @@
         (0..self.jobs.len()).filter(|j| late(&self.jobs[*j]) && self.had_its_time(*j)).collect()
     }
 
-    /// Jobs and machines, for a failed test.
+    /// Describes jobs and machines for the message of a failed test.
     fn describe(&self, jobs: &[usize]) -> (Vec<String>, Vec<String>) {
         let jobs = jobs.iter().map(|j| {
             let d = self.jobs[*j].done.iter().filter(|d| **d).count();
@@ -1224,7 +1230,7 @@
         (jobs.collect(), machines.collect())
     }
 
-    // ---- the loop --------------------------------------------------------
+    // ---- event loop -------------------------------------------------------
 
     fn run(&mut self, until: u64) {
         let mut last_history = 0;
@@ -1321,7 +1327,7 @@
                 if self.incarnations[n] == me && self.nodes[n].is_some() {
                     self.feed(n, Input::Request { id, method: method.into(), path, body });
                 } else if let Some(Asker::Worker(..)) = self.asked.get(&id) {
-                    // Refused: the worker tries the next node.
+                    // Connection refused: the worker tries the next controller.
                     self.at(500, Event::Answered(id, 599, Vec::new()));
                 }
             }
@@ -1402,7 +1408,7 @@
                 let (addr, lease) = (addr.clone(), self.size.lease);
                 let hung = self.machines.get(&addr).map_or(0, |m| m.hung_until);
                 if hung > now {
-                    // Executed when the machine goes on.
+                    // Executed when the machine resumes.
                     self.at(hung - now + 500, Event::Arrive(n, me, id, call));
                     return;
                 }
@@ -1425,7 +1431,7 @@
     }
 }
 
-/// The task, if its job has an id of the service's own.
+/// Parses a task id and returns it if the service itself created its job (a Nomad job).
 fn own(piece: &str) -> Option<TaskId> {
     TaskId::parse(piece).filter(|t| t.job.own())
 }
@@ -1443,7 +1449,8 @@
     .filter(|f| f.tasks > 0)
 }
 
-/// The seeds of a test: those that the variable names, as `0..200`, or its own.
+/// The seeds of a test: the range in the environment variable `name`, such as `0..200`, or
+/// `from..to`.
 fn seeds(name: &str, from: u64, to: u64) -> std::ops::Range<u64> {
     let given = std::env::var(name).ok();
     match given.as_deref().and_then(|s| s.split_once("..")) {
@@ -1452,18 +1459,18 @@
     }
 }
 
-/// Starts the log where the environment asks for one.
+/// Starts the logger if `LOG_LEVEL` is set.
 fn logs() {
     if std::env::var("LOG_LEVEL").is_ok() {
         gorseshore_shell::logger::start(gorseshore_settings::LogFormat::Plain);
     }
 }
 
-/// Plays a day; what it broke, and how much ran.
+/// Runs one simulation to its end and returns it for inspection.
 fn play(seed: u64, quiet: bool, size: Size) -> World {
     let mut w = World::new(seed, quiet, size);
-    // Work comes for 150 s; on quiet days a job that only a full kind of
-    // machine suits gets its own after 90 s more, one at a time.
+    // New jobs come for 150 s. Without faults a job that fits only a machine type without free
+    // capacity gets its own machine after 90 s more, one job at a time.
     w.run(if quiet { size.ends + 150 * S } else { size.ends });
     w
 }
@@ -1492,18 +1499,18 @@
     }
 }
 
-/// Records that a leader can never write, since what stands there is not its
-/// own, hold up no others: a leader once recorded no machine and no end any more
-/// for one such key.
+/// Guards against a record that a leader can never write, because the stored value is not its own,
+/// holding up all others: a leader once recorded no further machine and no further job end because
+/// of one such key.
 #[test]
 fn a_record_that_cant_be_written_holds_up_no_other() {
     let mut w = World::new(3, true, SMALL);
-    // Unreadable to every controller, and there before any of them.
+    // Not readable to any controller, and stored before the first controller starts.
     let keys = ["g/h/host-000000", "g/h/host-000003", "g/p/j-000002/0"];
     let writes: Vec<Value> = keys.iter().map(|k| json!({"put": k, "v": {"not": "ours"}})).collect();
     let m = json!({"when": [], "writes": writes}).to_string();
     w.state.request("POST", "/multi", m.as_bytes(), 0);
-    // Without leaving them out it took until the machines behind them were
+    // 30 s: if these records are not skipped, progress takes until the machines behind them are
     // given up.
     w.run(30 * S);
     assert!(w.completed > 5, "{} tasks completed in 30 s", w.completed);
@@ -1514,16 +1521,16 @@
     assert!(w.completed > 60, "{} tasks completed", w.completed);
 }
 
-/// Troubles of every kind, overlapping, for 170 s; then the world heals, and
-/// all arrays must get done.
+/// Injects overlapping faults of every kind for 170 s; after the faults end, all arrays must
+/// complete.
 #[test]
 fn rough_days_keep_the_rules() {
     logs();
     let std::ops::Range { start: from, end: to } = seeds("WORLD_SEEDS", 100, 124);
     let mut started = 0;
-    // Seeds that once broke a rule: 186, a cancellation that a controller
-    // refused by the state service alone never heard of; 1145, a witness of the
-    // leader's books who lacked what had been handed out without it.
+    // Seeds that once violated an invariant. 186: a controller refused only by the state service
+    // never learned of a cancellation. 1145: a standby replica of the leader's placement log lacked
+    // assignments made without it.
     for seed in (from..to).chain([186, 1145]) {
         let w = play(seed, false, SMALL);
         assert!(w.broken.is_empty(), "seed {seed}: {:?}", w.broken);
@@ -1532,17 +1539,17 @@
         let late = w.late();
         assert!(late.len() <= 1, "seed {seed}: {:?} are not over at the end", w.describe(&late));
     }
-    println!("{started} tasks started in {} days", to - from);
+    println!("{started} tasks started in {} simulations", to - from);
 }
 
-/// The same troubles over seven controllers and hundreds of machines.
+/// The same faults with seven controllers and hundreds of machines.
 #[test]
 fn a_grown_world_keeps_the_rules() {
     for seed in seeds("GROWN_SEEDS", 1, 3) {
         let w = play(seed, false, GROWN);
         assert!(w.broken.is_empty(), "seed {seed}: {:?}", w.broken);
-        // It is a grown world only if much ran at a time, and enough was rented
-        // for it if nothing that may run is left over.
+        // The cluster counts as large only if many tasks ran at a time; if no runnable job is left
+        // over, enough machines were rented for them.
         assert!(w.peak >= 100, "seed {seed}: at most {} tasks ran at a time", w.peak);
         assert!(w.completed > 300, "seed {seed}: only {} tasks were completed", w.completed);
         let late = w.late();
--- a/tests/world/meetings.rs
+++ b/tests/world/meetings.rs
@@ -1,13 +1,13 @@
-//! Where two troubles meet. Each meeting is a scene with its variants in a table; what
-//! holds is checked from users' and workers' histories alone.
+//! Combinations of two or more faults. Each combination is a scenario, its variants stand in a
+//! table, and the checks use only what users and workers observe.
 use super::scenes::Act::*;
 use super::scenes::Who::*;
 use super::scenes::{Act, NEVER, Scene, Work, play_scenes};
 use super::*;
 
-/// The state service refuses the leader alone, another controller confirms
-/// cancellations, and then the service is away for all for longer than a cancellation
-/// may take: nobody else can lead, and the leader's workers go on reporting to it.
+/// The state service refuses the leader alone, another controller confirms cancellations, and then
+/// the service is unavailable to all controllers for longer than a cancellation may take: no other
+/// controller can be elected, and the leader's workers continue to report to it.
 #[test]
 fn cancellations_confirmed_before_an_outage_reach_the_leader() {
     let away = |told, name, acts| Scene { name, acts, told, spares: true };
@@ -30,7 +30,7 @@
             ),
             away(
                 true,
-                "all but one refused, state away for three times as long",
+                "all but one refused, state service unavailable for three times as long",
                 &[
                     (0, Refused(All, 3000)),
                     (0, Refused(Other(1), 0)),
@@ -40,7 +40,7 @@
             ),
             away(
                 true,
-                "the confirmer ends right after, and comes back at once",
+                "the confirming controller exits right after, and restarts at once",
                 &[
                     (0, Refused(Leader, 3000)),
                     (500, Cancel(Other(1))),
@@ -50,7 +50,7 @@
             ),
             away(
                 true,
-                "the leader ends, and comes back at once",
+                "the leader exits, and restarts at once",
                 &[
                     (0, Refused(Leader, 3000)),
                     (500, Cancel(Other(1))),
@@ -60,12 +60,12 @@
             ),
             away(
                 true,
-                "the same jobs cancelled at all",
+                "the same jobs cancelled at all controllers",
                 &[(0, Refused(Leader, 3000)), (500, Cancel(All)), (2200, Away(1300))],
             ),
             away(
                 false,
-                "the leader cut from the others as well",
+                "the leader isolated from the other controllers as well",
                 &[
                     (0, Refused(Leader, 3000)),
                     (0, Alone(Leader, 3000)),
@@ -85,7 +85,7 @@
             ),
             away(
                 true,
-                "the leader alone after it",
+                "the leader isolated after it",
                 &[
                     (0, Refused(Leader, 3000)),
                     (500, Cancel(Other(1))),
@@ -98,15 +98,15 @@
     );
 }
 
-/// Nobody can lead, and what the leader would have dealt with is left: machines that
-/// can't be reached, and controllers that know nothing and keep their workers alive.
+/// No controller can lead, and the leader's unfinished work remains: machines that cannot be
+/// reached, and controllers that know of no cancellation and renew their workers' leases.
 #[test]
 fn cancelled_tasks_go_without_a_leader() {
     let scene = |name, acts| Scene { name, acts, told: true, spares: false };
     play_scenes(
         &[
             scene(
-                "machines hang, the leader ends in the outage and stays away",
+                "machines hang, the leader exits in the outage and stays down",
                 &[
                     (0, Refused(Leader, 3000)),
                     (500, Cancel(Other(1))),
@@ -116,7 +116,7 @@
                 ],
             ),
             scene(
-                "the leader ends as machines hang, and is back at once",
+                "the leader exits as machines hang, and restarts at once",
                 &[
                     (0, Refused(Leader, 3000)),
                     (500, Cancel(Other(1))),
@@ -126,7 +126,7 @@
                 ],
             ),
             scene(
-                "a controller alone with its workers, the leader ends",
+                "a controller isolated with its workers, the leader exits",
                 &[
                     (0, Alone(Other(2), 2000)),
                     (2500, Cancel(Other(1))),
@@ -135,7 +135,7 @@
                 ],
             ),
             scene(
-                "the same, and the confirmer ends too",
+                "machines hang, the leader exits and stays down, and the confirming controller exits too",
                 &[
                     (0, Refused(Leader, 3000)),
                     (500, Cancel(Other(1))),
@@ -155,7 +155,7 @@
                 ],
             ),
             scene(
-                "machines cut off",
+                "machines partitioned",
                 &[
                     (0, Refused(Leader, 3000)),
                     (500, Cancel(Other(1))),
@@ -165,7 +165,7 @@
                 ],
             ),
             scene(
-                "machines deaf, the cloud out of order",
+                "machines receive nothing, the cloud unavailable",
                 &[
                     (0, Refused(Leader, 3000)),
                     (400, MachinesDeaf(1500)),
@@ -175,7 +175,7 @@
                 ],
             ),
             scene(
-                "machines hang, the cloud out of order",
+                "machines hang, the cloud unavailable",
                 &[
                     (0, Refused(Leader, 3000)),
                     (500, Cancel(Other(1))),
@@ -185,9 +185,10 @@
                     (4000, End(Leader, NEVER)),
                 ],
             ),
-            // It was alone, and heard of nothing: what it keeps alive may be cancelled.
+            // The controller was isolated and learned nothing: the tasks whose leases it renews may
+            // be cancelled.
             scene(
-                "all end, one that never knew returns to its workers",
+                "all exit, one that never learned of the cancellation returns to its workers",
                 &[
                     (0, Alone(Other(2), 2000)),
                     (2000, Cancel(Other(1))),
@@ -201,30 +202,31 @@
     );
 }
 
-/// The letter's meetings that have no test of their own (close looks: `looks.rs`), and the
-/// page's: each with and without jobs that come, end and are cancelled meanwhile.
+/// Combinations of faults without a test of their own (rapid requests: `consistency.rs`), with long
+/// jobs running, and many of them also with jobs that are submitted, end and are cancelled
+/// meanwhile.
 #[test]
 fn meetings_break_no_rule() {
     let scene = |name, acts| Scene { name, acts, told: false, spares: false };
     let at_limit = [
         scene(
-            "machines cut off, leaders change",
+            "machines partitioned, leaders change",
             &[(0, MachinesCut(700)), (300, Cancel(Other(1))), (800, Changes(6))],
         ),
         scene("machines hang, leaders change", &[(0, CancelAndHang(Other(1), 800)), (400, Changes(6))]),
         scene(
-            "machines can't be asked, the leader ends, then cancellations",
+            "machines cannot be probed, the leader exits, then cancellations",
             &[(0, MachinesCut(500)), (500, End(Leader, 0)), (900, Cancel(All)), (2500, End(Leader, 100))],
         ),
         scene(
-            "cut zones, the cloud out of order",
+            "partitioned zones, the cloud unavailable",
             &[(0, ZonesCut(900)), (1000, Cancel(East)), (1500, End(Leader, 0)), (1500, CloudAway(333))],
         ),
     ];
     play_scenes(&at_limit, &[Work::AtLimit, Work::Mixed]);
     let others = [
         scene(
-            "answers lost, carried out at once",
+            "answers lost, writes carried out at once",
             &[
                 (0, AnswersLost(All, 200)),
                 (100, Submit),
@@ -234,7 +236,7 @@
             ],
         ),
         scene(
-            "the leader's answers lost, and then it ends",
+            "the leader's answers lost, and then it exits",
             &[
                 (0, AnswersLost(Leader, 500)),
                 (50, Submit),
@@ -244,7 +246,7 @@
             ],
         ),
         scene(
-            "cancelled while a controller's work changes hands",
+            "cancelled while a controller's machines move to others",
             &[
                 (0, Submit),
                 (300, Alone(Other(2), 200)),
@@ -255,7 +257,7 @@
             ],
         ),
         scene(
-            "handed over and back within a second, under late commands",
+            "machines move between controllers within a second, under delayed commands",
             &[
                 (0, CommandsHeld(200)),
                 (200, End(Other(1), 0)),
@@ -265,7 +267,7 @@
             ],
         ),
         scene(
-            "machines up at once get work while writes lag, the leader ends",
+            "machines that boot at once get work while writes lag, the leader exits",
             &[
                 (0, LateWrites(500)),
                 (0, MachinesRenewed),
@@ -277,7 +279,7 @@
             ],
         ),
         scene(
-            "an old report at every controller as a new leader begins",
+            "old reports reach a new leader as it begins",
             &[
                 (0, KeepReports),
                 (0, Submit),
@@ -287,19 +289,19 @@
             ],
         ),
         scene(
-            "kept reports of machines that are gone",
+            "old reports of deleted machines",
             &[(0, KeepReports), (4000, MachinesRenewed), (4500, Cancel(Other(1))), (5000, End(Leader, 0))],
         ),
         scene(
-            "machines with long tasks can't be reached through three changes of leader",
+            "machines with long tasks cannot be reached through three changes of leader",
             &[(0, MachinesCut(600)), (500, Changes(3)), (3000, Cancel(Other(1))), (12_000, Changes(2))],
         ),
         scene(
-            "machines with long tasks don't hear the next leaders",
+            "machines with long tasks receive nothing from the next leaders",
             &[(0, MachinesDeaf(900)), (500, Changes(3)), (3000, Cancel(Other(1))), (12_000, Changes(2))],
         ),
         scene(
-            "transactions late, after newer ones, and the leader ends",
+            "transactions take effect after newer ones, and the leader exits",
             &[
                 (0, LateWrites(900)),
                 (100, Submit),
@@ -310,15 +312,15 @@
             ],
         ),
         scene(
-            "all end, one is back within a second",
+            "all exit, one restarts within a second",
             &[(0, Submit), (1000, Cancel(Other(1))), (1300, End(All, 300)), (1310, End(Other(1), 0))],
         ),
         scene(
-            "all away for longer than a lease",
+            "all down for longer than a lease",
             &[(0, Submit), (900, Cancel(Other(1))), (1000, End(All, 400))],
         ),
         scene(
-            "a zone with its controllers cut off for longer than a lease",
+            "a zone with its controllers partitioned for longer than a lease",
             &[(0, ZonesCut(500)), (500, Submit), (2000, Cancel(All)), (9000, End(Leader, 0))],
         ),
         scene(
@@ -331,12 +333,9 @@
                 (2500, MachinesRenewed),
             ],
         ),
+        scene("cancelled as the last task ends", &[(0, CancelAtEnd(900)), (0, Submit), (4000, Submit)]),
         scene(
-            "called off at the end of the last task",
-            &[(0, CancelAtEnd(900)), (0, Submit), (4000, Submit)],
-        ),
-        scene(
-            "called off at the end, the leader ends and the state is slow",
+            "cancelled as the last task ends, the leader exits and writes lag",
             &[
                 (0, CancelAtEnd(900)),
                 (0, Submit),
@@ -346,11 +345,11 @@
             ],
         ),
         scene(
-            "ten changes of leader inside an outage",
+            "ten changes of leader during an outage",
             &[(0, Submit), (1000, Cancel(Other(1))), (1500, Away(1200)), (1600, Changes(10))],
         ),
         scene(
-            "the state is read anew as jobs are cancelled",
+            "the state is read again as jobs are cancelled",
             &[
                 (0, Submit),
                 (900, Forgotten),
@@ -361,15 +360,15 @@
             ],
         ),
         scene(
-            "machines mute for longer than a lease, leaders change",
+            "machines cannot send for longer than a lease, leaders change",
             &[(0, MachinesMute(700)), (500, Cancel(Other(1))), (900, Changes(4))],
         ),
     ];
     play_scenes(&others, &[Work::Mixed]);
 }
 
-/// Four one-task jobs a second for two minutes, a quarter of them cancelled: what they
-/// cost does not grow with those that are over, and everybody is served.
+/// Four one-task jobs per second for two minutes, a quarter of them cancelled: their cost in writes
+/// does not grow with the number of ended jobs, and all jobs are served.
 #[test]
 fn a_flood_of_single_tasks_costs_what_it_did_at_first() {
     for nodes in [3, 7] {
@@ -406,7 +405,7 @@
         w.run(from + 200 * S);
         assert!(w.broken.is_empty(), "{nodes} controllers: {:?}", w.broken);
         let late = w.late();
-        assert!(late.is_empty(), "{nodes} controllers: {:?} are not over", w.describe(&late));
+        assert!(late.is_empty(), "{nodes} controllers: {:?} have not ended", w.describe(&late));
         assert_eq!(w.unserved(), Vec::<String>::new());
         let waits = w.jobs.iter().map(|j| j.accepted_at - j.asked_at).max().unwrap();
         let each: Vec<u64> = changes.windows(2).map(|c| c[1] - c[0]).collect();
@@ -420,19 +419,19 @@
     }
 }
 
-/// Jobs of two and three tasks whose ends are 20 s apart, while leaders end, one after
-/// the other, at every moment round the first ends. What is done is recorded before its
-/// worker may forget it, so that no leader's end makes a task run again, and `done` is
-/// said when all tasks are.
+/// Guards against lost and repeated tasks of jobs of two and three tasks whose ends are 20 s apart,
+/// while leaders exit at every moment around the first ends. A completed task is recorded before
+/// its worker may forget it, so that no exit of a leader makes it run again, and `done` is reported
+/// only when all tasks are done.
 #[test]
 fn tasks_that_end_far_apart_are_neither_lost_nor_run_again() {
-    // (what happens at milliseconds after a leader's end)
+    // (what happens, in milliseconds after the chosen moment)
     let after: [(&str, &[(u64, Act)]); 5] = [
-        ("it is back at once", &[(0, End(Leader, 0))]),
-        ("it stays away", &[(0, End(Leader, NEVER))]),
-        ("the next one ends, too", &[(0, End(Leader, 0)), (1500, End(All, 0))]),
-        ("the state service is away", &[(0, Away(300)), (50, End(Leader, 0))]),
-        ("it was refused before", &[(0, Refused(Leader, 500)), (1500, End(Leader, 0))]),
+        ("the leader restarts at once", &[(0, End(Leader, 0))]),
+        ("the leader stays down", &[(0, End(Leader, NEVER))]),
+        ("all exit 1.5 s later", &[(0, End(Leader, 0)), (1500, End(All, 0))]),
+        ("the state service is unavailable", &[(0, Away(300)), (50, End(Leader, 0))]),
+        ("the state service refused the leader before", &[(0, Refused(Leader, 500)), (1500, End(Leader, 0))]),
     ];
     let mut failed = Vec::new();
     let mut done = 0;
@@ -462,10 +461,10 @@
                 }
                 w.run(from + 200 * S);
                 let mut bad = w.broken.clone();
-                bad.extend(w.started_again.iter().map(|t| format!("again: {t}")));
+                bad.extend(w.started_again.iter().map(|t| format!("started again: {t}")));
                 let late = w.late();
                 if !late.is_empty() {
-                    bad.push(format!("{late:?} are not over"));
+                    bad.push(format!("{late:?} have not ended"));
                 }
                 done += w.jobs.iter().filter(|j| j.told_done).count();
                 if !bad.is_empty() {
@@ -474,6 +473,6 @@
             }
         }
     }
-    assert!(failed.is_empty(), "{} plays failed:\n{}", failed.len(), failed.join("\n"));
-    assert_eq!(done, 5 * 2 * 8 * 10, "jobs whose users were told that they are done");
+    assert!(failed.is_empty(), "{} runs failed:\n{}", failed.len(), failed.join("\n"));
+    assert_eq!(done, 5 * 2 * 8 * 10, "jobs reported done to their users");
 }
--- a/tests/world/nomad.rs
+++ b/tests/world/nomad.rs
@@ -1,5 +1,5 @@
-//! Nomad jobs in the world, beside native ones: planners who register, scale,
-//! stop and poll at whatever controller, and the rules for what runs of them.
+//! Nomad jobs beside native ones: Nomad clients register, scale, stop and poll jobs at random
+//! controllers, and the invariants of the tasks that run for them are checked.
 use super::*;
 use gorseshore_core::extension::Answer;
 use gorseshore_core::jobs::description;
@@ -17,18 +17,18 @@
 }
 "#;
 
-/// The operators' settings of a world with planners.
+/// The operators' settings of a simulation with Nomad clients.
 pub fn operator() -> Operator {
     Operator::parse(SETTINGS).unwrap()
 }
 
-/// A controller with the interface beside the scheduler.
+/// A controller with the Nomad interface beside the scheduler.
 pub fn guest(node: Node, seed: u64) -> Node {
     let settings = operator().nomad.unwrap();
     node.with_extension(Box::new(Service::new(settings, seed)))
 }
 
-/// What a planner asked for.
+/// Operation that a Nomad client requests.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Op {
     Register,
@@ -37,8 +37,8 @@
     Poll,
 }
 
-/// A request on its way: what, of which job, and the highest indexes that
-/// anybody was told before it was sent.
+/// A request in flight: operation and job, and the highest indexes that any client had received
+/// before it was sent.
 #[derive(Debug, Clone)]
 pub struct Asked {
     pub op: Op,
@@ -47,16 +47,16 @@
     index: u64,
 }
 
-/// What planners know.
+/// What the Nomad clients know.
 #[derive(Debug, Default)]
 pub struct Planners {
-    /// Highest `JobModifyIndex` that was told of each job.
+    /// Highest `JobModifyIndex` received for each job.
     told: BTreeMap<&'static str, u64>,
-    /// Highest `X-Nomad-Index` told.
+    /// Highest `X-Nomad-Index` received.
     index: u64,
-    /// Versions that were told dead.
+    /// Job versions that were reported dead.
     dead: BTreeSet<(&'static str, u64)>,
-    /// When a stop was accepted, and at which revision.
+    /// Time at which a stop was accepted, and its revision.
     stopped: BTreeMap<&'static str, (u64, u64)>,
     next: u64,
     pub accepted: usize,
@@ -64,8 +64,8 @@
     pub replaced: usize,
 }
 
-/// The planners' jobs: services of either team, batch jobs, one that fails for
-/// good, and one that launches every minute.
+/// The Nomad clients' jobs: services of both teams, batch jobs, one job that always fails, and one
+/// that is launched every minute.
 const JOBS: [&str; 7] = ["s0", "s1", "t0", "b0", "b1", "fails", "minutes"];
 
 fn file(job: &str, count: u32, image: u32) -> Value {
@@ -86,7 +86,7 @@
 }
 
 impl World {
-    /// What a worker knows of a task: the record behind it.
+    /// What a worker knows of a task of a Nomad job, from the job's record.
     pub fn own_facts(state: &State, piece: &str) -> Option<Facts> {
         let task = TaskId::parse(piece).filter(|t| t.job.own())?;
         let spec = description(task.job, &state.value(&format!("g/j/{}", task.job))?)?;
@@ -112,7 +112,7 @@
         Some((serde_json::from_value(self.state.value(&name)?).ok()?, self.state.stamp(&name)))
     }
 
-    /// Own tasks on machines, by native job.
+    /// Number of tasks of Nomad jobs on machines, by native job.
     fn own_on(&self) -> BTreeMap<JobId, u32> {
         let mut on = BTreeMap::new();
         for t in self.machines.values().flat_map(|m| &m.tasks).filter(|t| t.on()) {
@@ -123,7 +123,7 @@
         on
     }
 
-    /// Planners act.
+    /// Sends the next request of a Nomad client.
     pub fn plan(&mut self) {
         if self.now < self.planners.next {
             return;
@@ -141,7 +141,7 @@
             5 if busy => Op::Stop,
             _ => Op::Poll,
         };
-        // A batch job grows rather than shrinks: what is done stays done.
+        // The count may fall for a batch job too; tasks that are done stay done.
         let count = self.rng.u32(1..5);
         let image = self.rng.u32(0..2);
         let (method, path, body) = match op {
@@ -163,7 +163,7 @@
         self.at(d, Event::ExtensionRequest(n, me, id, method, path, body.into_bytes()));
     }
 
-    /// An answer reached its planner.
+    /// Checks an answer that reaches its Nomad client.
     pub fn planned(&mut self, id: RequestId, answer: Answer) {
         let Some(Asker::Planner(a)) = self.asked.remove(&id) else { return };
         let header = answer.headers.iter().find(|(n, _)| *n == "X-Nomad-Index").map(|(_, v)| v.clone());
@@ -173,7 +173,7 @@
             404 if a.op == Op::Poll && a.told > 0 => {
                 return self.break_rule("forgotten", format!("{}: {text}", a.job));
             }
-            // Stopped jobs can't be scaled; others say when to come back.
+            // Stopped jobs cannot be scaled; 429 and 503 ask the client to retry later.
             400 | 404 | 409 if a.op == Op::Scale || a.op == Op::Stop => return,
             429 | 503 => return,
             s => return self.break_rule("answer", format!("{:?} of {}: {s} {text}", a.op, a.job)),
@@ -207,7 +207,7 @@
         }
     }
 
-    /// The rules for an own task that starts.
+    /// Checks the invariants of a Nomad job's task that starts.
     pub fn check_own_start(&mut self, at: &str, task: TaskId) {
         let piece = task.to_string();
         let twice = self
@@ -218,7 +218,7 @@
         if !twice.is_empty() {
             self.break_rule("ran_twice", format!("{piece} starts on {at} while it is on {twice:?}"));
         }
-        // Nothing of a version starts while something of the one before is on.
+        // No task of a version starts while a task of an earlier version runs.
         let on = self.own_on();
         for (head, _) in self.heads() {
             if head.groups.iter().any(|g| g.job == task.job.0) {
@@ -235,7 +235,8 @@
         }
     }
 
-    /// The rules for own tasks that are on machines; CPUs of the tight team.
+    /// Checks the invariants of the Nomad jobs' tasks on machines; returns the CPUs of the team
+    /// with a limit.
     pub fn check_own(&mut self) -> f64 {
         let on = self.own_on();
         if on.is_empty() {
@@ -261,21 +262,23 @@
         tight
     }
 
-    /// At the end of a day that healed: what the heads ask for is there.
+    /// Checks at the end of a simulation, after the faults, that what the job heads request is
+    /// there.
     pub fn check_planned(&mut self) {
         let on = self.own_on();
         let (mut faults, mut launches) = (Vec::new(), BTreeSet::new());
         for (job, told) in self.planners.told.clone() {
             match self.head(job) {
                 Some((_, stamp)) if stamp >= told => {}
-                other => faults.push(format!("{job}: told {told}, there is {:?}", other.map(|h| h.1))),
+                other => faults
+                    .push(format!("{job}: index {told} was reported, stored is {:?}", other.map(|h| h.1))),
             }
         }
         for (head, _) in self.heads() {
             let here = |j: u64| on.get(&JobId(j)).copied().unwrap_or(0);
             let old: u32 = head.old.iter().map(|j| here(*j)).sum();
             if old > 0 {
-                faults.push(format!("{}: {old} tasks of versions before", head.id));
+                faults.push(format!("{}: {old} tasks of earlier versions", head.id));
             }
             if let Some(t) = head.id.strip_prefix("minutes/periodic-") {
                 launches.insert(t.parse::<u64>().unwrap());
@@ -292,10 +295,10 @@
                     }
                 } else {
                     match end(g.job) {
-                        // What began a moment ago goes on.
+                        // Jobs registered within the last minute may still run.
                         None if head.at + 60_000 > self.wall_ms() => {}
                         None => faults.push(format!(
-                            "{}: not over; {} on machines, failed {:?}, record {:?}, old {:?}",
+                            "{}: has not ended; {} on machines, failed {:?}, record {:?}, old {:?}",
                             head.id,
                             here(g.job),
                             self.state.value(&format!("g/r/{}/0", JobId(g.job))),
@@ -316,7 +319,8 @@
         if launches.iter().any(|t| t % 60 != 0) {
             faults.push(format!("launches at {launches:?}"));
         }
-        // The day goes on for minutes after it has healed: the last one was launched.
+        // The simulation continues for minutes after the faults: the last launch must have been
+        // made.
         let running =
             self.head("minutes").is_some_and(|(h, _)| !h.stop && h.at + 61_000 < self.wall_ms() - 30_000);
         let last = (self.wall_ms() / 1000 - 30) / 60 * 60;
@@ -330,7 +334,7 @@
     }
 }
 
-/// Nomad jobs beside native ones through rough days.
+/// Nomad jobs beside native ones under random faults.
 #[test]
 fn planners_jobs_keep_the_rules() {
     let std::ops::Range { start: from, end: to } = seeds("NOMAD_SEEDS", 1, 13);
--- a/tests/world/odd.rs
+++ b/tests/world/odd.rs
@@ -1,6 +1,6 @@
-//! Odd requests, at every controller, with the state service there and away: jobs that lack a
-//! field, have one of another type or out of its range, or can never run; repeated
-//! submissions and cancellations of what is known, over or unknown.
+//! Request validation at every controller, with the state service available and unavailable: jobs
+//! that lack a field, have one of a wrong type or out of its range, or can never run; repeated
+//! submissions and cancellations of known, ended and unknown jobs.
 use super::*;
 
 fn good(j: u64) -> Value {
@@ -10,7 +10,7 @@
         "guess_s": 3.0, "mark_s": 0.0, "stow_s": 0.0, "due_s": 900.0})
 }
 
-/// Asks a controller; the status, and the stage if the answer has one.
+/// Sends a request to a controller and returns the status, and the stage if the answer has one.
 fn ask(w: &mut World, n: usize, method: &'static str, path: &str, body: &str) -> (u16, Option<String>) {
     w.looks.odd = None;
     w.request(n, method, path.into(), body.as_bytes().to_vec(), Asker::Odd);
@@ -23,7 +23,7 @@
     (status, v["stage"].as_str().map(str::to_owned))
 }
 
-/// A quiet world in which everything is known that has to be.
+/// A simulation without faults in which every controller has started.
 fn quiet(nodes: usize) -> World {
     logs();
     let mut w = World::new(7, true, Size { nodes, jobs: 0, busy_until: 0, ends: 600 * S, ..SMALL });
@@ -31,7 +31,7 @@
     w
 }
 
-/// What makes a good submission bad, with the answer; `None` removes the field.
+/// Field, value and expected status of invalid submissions; `None` removes the field.
 fn bad() -> Vec<(&'static str, Option<Value>, u16)> {
     let mut all = Vec::new();
     let text = ["ref", "lot", "crew", "manner", "rank", "bundle"];
@@ -72,7 +72,7 @@
         ("builds", Some(json!("big")), 400),
         ("builds", Some(json!([3])), 400),
         ("yard", Some(json!(3)), 400),
-        // Well formed, and can never run.
+        // Well formed, but can never run.
         ("crew", Some(json!("nobody")), 422),
         ("cpus", Some(json!(17.0)), 422),
         ("gpus", Some(json!(1.0)), 422),
@@ -88,7 +88,7 @@
 fn odd_submissions_are_refused_everywhere_and_known_ones_never() {
     for nodes in [3, 7] {
         let mut w = quiet(nodes);
-        // Known before the odd ones, and over or not.
+        // Known before the invalid submissions; two of them have ended.
         let known = [(900_001, "queued"), (900_002, "aborted"), (900_003, "done")];
         for (j, _) in known {
             assert_eq!(ask(&mut w, 0, "POST", "/submissions", &good(j).to_string()).0, 201);
@@ -106,7 +106,8 @@
             w.run(w.now + 3 * S);
             for n in 0..nodes {
                 for (i, (field, value, want)) in bad().into_iter().enumerate() {
-                    // Each table once at each controller where the state is away: it takes time.
+                    // While the state service is unavailable, each invalid submission goes to few
+                    // controllers: an answer takes long.
                     if away && i % (4 * nodes) != n {
                         continue;
                     }
@@ -116,18 +117,21 @@
                         None => drop(s.as_object_mut().unwrap().remove(field)),
                     }
                     let (got, _) = ask(&mut w, n, "POST", "/submissions", &s.to_string());
-                    // It may be a job that is known: nobody can say while the state is away.
+                    // The job may be a known one: no controller can tell while the state service is
+                    // unavailable.
                     if got != want && !(away && got == 503) {
-                        failed.push(format!("{field} {value:?} at {n}, away {away}: {got}, not {want}"));
+                        failed.push(format!(
+                            "{field} {value:?} at {n}, state service unavailable {away}: {got}, not {want}"
+                        ));
                     }
                 }
                 for text in texts {
                     let (got, _) = ask(&mut w, n, "POST", "/submissions", text);
                     if got != 400 && !(away && got == 503) {
-                        failed.push(format!("{text} at {n}, away {away}: {got}"));
+                        failed.push(format!("{text} at {n}, state service unavailable {away}: {got}"));
                     }
                 }
-                // Whatever comes under a known name is answered for as it stands.
+                // An invalid submission of a known job is answered with the known job's state.
                 for (j, stage) in known {
                     for odd in [
                         json!({"pieces": -1}),
@@ -143,28 +147,34 @@
                         let over = stage != "queued";
                         let right = got == 200 && told.as_deref() == Some(stage);
                         if !(right || got == 200 && !over || away && !over && got == 503) {
-                            failed.push(format!("{stage} {odd} at {n}, away {away}: {got} {told:?}"));
+                            failed.push(format!(
+                                "{stage} {odd} at {n}, state service unavailable {away}: {got} {told:?}"
+                            ));
                         }
                     }
-                    // A cancellation of what is over answers how it ended.
+                    // A cancellation of an ended job is answered with how it ended.
                     if stage != "queued" {
                         let got = ask(&mut w, n, "POST", &path(j, "/abort"), "");
                         if got != (200, Some(stage.into())) {
-                            failed.push(format!("cancelling what is {stage} at {n}, away {away}: {got:?}"));
+                            failed.push(format!(
+                                "cancelling what is {stage} at {n}, state service unavailable {away}: {got:?}"
+                            ));
                         }
                     }
                 }
                 for (rest, method) in [("", "GET"), ("/abort", "POST")] {
                     let (got, _) = ask(&mut w, n, method, &path(700_000, rest), "");
                     if got != if away { 503 } else { 404 } {
-                        failed.push(format!("{method} of an unknown job at {n}, away {away}: {got}"));
+                        failed.push(format!(
+                            "{method} of an unknown job at {n}, state service unavailable {away}: {got}"
+                        ));
                     }
                 }
             }
         }
         w.state.recover(w.now);
         w.run(w.now + 5 * S);
-        // Fields that may be null may be missing, and unknown ones are ignored.
+        // Nullable fields may be missing, and unknown fields are ignored.
         for (i, n) in (0..nodes).enumerate() {
             let mut s = good(600_000 + i as u64);
             let o = s.as_object_mut().unwrap();
@@ -172,7 +182,7 @@
             o.insert("later".into(), json!({"x": [1]}));
             let (got, _) = ask(&mut w, n, "POST", "/submissions", &s.to_string());
             if got != 201 {
-                failed.push(format!("without what may be null, at {n}: {got}"));
+                failed.push(format!("without nullable fields, at {n}: {got}"));
             }
         }
         assert!(failed.is_empty(), "{nodes} controllers, {}:\n{}", failed.len(), failed.join("\n"));
@@ -184,7 +194,7 @@
 const DONE: u64 = 900_003;
 const SERVICE: u64 = 900_004;
 const UNKNOWN: u64 = 700_000;
-/// About as many names as a body holds.
+/// About as many job ids as a request body holds.
 const MOST_NAMES: u64 = 5_000;
 
 fn name(j: u64) -> String {
@@ -195,8 +205,8 @@
     json!(of.iter().map(|j| name(*j)).collect::<Vec<_>>())
 }
 
-/// What a submission may say of the jobs that it waits for, with the answer; `None` leaves
-/// the field out.
+/// Values of `awaits`, the jobs that a submission waits for, with the expected status; `None`
+/// leaves the field out.
 fn awaited(own: u64) -> Vec<(Option<Value>, u16)> {
     let forms = [
         json!(""),
@@ -239,7 +249,8 @@
     all
 }
 
-/// A quiet world with a job that runs, a cancelled one, one that is done, and a service.
+/// A simulation without faults with a queued or running job, a cancelled one, one that is done, and
+/// a service.
 fn with_known(size: Size) -> World {
     logs();
     let mut w = World::new(7, true, Size { jobs: 0, busy_until: 0, ends: 900 * S, ..size });
@@ -283,7 +294,9 @@
                     let (got, _) = ask(&mut w, n, "POST", "/submissions", &s.to_string());
                     if got != want && !(away && got == 503) {
                         let value = value.map_or(String::new(), |v| v.to_string().chars().take(60).collect());
-                        failed.push(format!("{value} at {n}, away {away}: {got}, not {want}"));
+                        failed.push(format!(
+                            "{value} at {n}, state service unavailable {away}: {got}, not {want}"
+                        ));
                     } else if got == 201 {
                         accepted.push((own, value));
                     }
@@ -292,7 +305,7 @@
         }
         w.state.recover(w.now);
         w.run(w.now + w.size.cancel);
-        // What names a cancelled job is cancelled, what waits for others queues.
+        // A job that waits for a cancelled job is cancelled; a job that waits for others is queued.
         for (own, value) in accepted {
             let text = value.map_or(String::new(), |v| v.to_string());
             for n in 0..nodes {
@@ -309,7 +322,7 @@
     }
 }
 
-/// Accepted at one controller, and named at another one in the next moment.
+/// A job accepted at one controller may be named at another one immediately afterwards.
 #[test]
 fn a_job_accepted_a_moment_ago_is_known_to_all() {
     for nodes in [3, 7] {
@@ -340,14 +353,14 @@
     }
 }
 
-/// As many names as a body holds, all of them different and known. Within short values and
-/// few changes a transaction not all of them have room: such a job is refused everywhere,
-/// and nothing of it is kept.
+/// A job that waits for as many different known jobs as a request body holds. With short values and
+/// few writes per transaction not all of them fit: such a job is refused at every controller, and
+/// nothing of it is stored.
 #[test]
 fn a_job_may_wait_for_thousands() {
     let roomy = Size { changes: 400.0, ..SMALL };
     let tight = Size { value_kb: 2.0, changes_at_once: 4, ..roomy };
-    // (state service, names, accepted)
+    // (limits of the state service, number of awaited jobs, accepted)
     let cases = [(roomy, MOST_NAMES, true), (tight, 600, true), (tight, MOST_NAMES, false)];
     for (size, count, accepted) in cases {
         let what = format!("{count} in {} KiB, {} at once", size.value_kb, size.changes_at_once);
--- a/tests/world/oncall.rs
+++ b/tests/world/oncall.rs
@@ -1,48 +1,48 @@
-//! What on-call met beside the troubles of the protocol's page: machines whose
-//! reports arrive while no answer and no command reaches them, controllers whose
-//! answers and commands reach no worker, controllers that lose the state service and
-//! the others but not their workers, and copies of reports and of users' requests
-//! that come seconds to minutes late. Checked from users' and workers' histories
-//! alone: the rules, that each accepted job is known, what is served and when the
-//! largest begin.
+//! Partial failures seen in operation, beside the faults that the protocol names: machines whose
+//! reports arrive while no answer and no command reaches them, controllers whose answers and
+//! commands reach no worker, controllers that lose the state service and the other controllers but
+//! not their workers, and duplicates of reports and of users' requests that arrive 0.5 to 60 s
+//! late. The checks use only what users and workers observe: the invariants, that each accepted job
+//! is known, which jobs are served, and when the largest ones start.
 use super::*;
 use std::collections::BTreeSet;
 
 pub const ONCALL: Size =
     Size { room: [9, 9], jobs: 8, busy_until: 150 * S, ends: 400 * S, oncall: true, ..SMALL };
-/// Seven controllers, so that a worker that finds none takes longer than its lease to
-/// ask all of them.
+/// Seven controllers, so that a worker that finds none available takes longer than its lease to try
+/// all of them.
 const ONCALL_OF_SEVEN: Size =
     Size { nodes: 7, requests: 100.0, changes: 15.0, changes_at_once: 8, value_kb: 4.0, ..ONCALL };
 
-/// A job about which no question is answered for so long is forgotten.
+/// An accepted job counts as forgotten if no question about it is answered for this time.
 const FORGOTTEN: u64 = 75 * S;
-/// The largest jobs begin within this.
+/// Longest wait of the largest jobs until their first task starts.
 const LARGEST_BEGIN: u64 = 240 * S;
-/// Copies come so late.
+/// Delay of duplicates.
 const LATE: std::ops::Range<u64> = 500 * MS..60 * S;
 
-/// What is seen of such a day.
+/// Partial failures and what is recorded of them.
 pub struct Seen {
-    /// Controllers that hear and reach nobody but workers and users, until when.
+    /// Controllers that communicate only with workers and users, and the end of that time.
     pub alone_until: Vec<u64>,
     /// Controllers whose answers and commands reach no worker.
     mute_until: Vec<u64>,
-    /// Machines that no answer and no command reaches: until when, and when they
-    /// sent reports since it began.
+    /// Machines that receive no answer and no command: the end of that time, and the times of the
+    /// reports that they sent in it.
     deaf: BTreeMap<String, (u64, Vec<u64>)>,
-    /// One report or request in so many is copied; 0 for none.
+    /// One report or request in this many is duplicated; 0 for none.
     pub copies: u32,
-    /// Planted: no question about this job is answered.
+    /// Set by a test: no question about this job is answered.
     pub ignored: Option<usize>,
-    /// When the last trouble ends.
+    /// End of the last fault.
     pub over_at: u64,
-    /// Starts sent to deaf machines: those seen, and the late ones.
+    /// Starts sent to machines that receive nothing: all of them, and those sent after the
+    /// machine's state was visible.
     sent: BTreeSet<(String, String, u64)>,
     pub work_for_deaf: Vec<String>,
-    /// Machines that were deleted with tasks on them: when, and how many tasks.
+    /// Machines that were deleted with tasks on them: time, name and number of tasks.
     pub deleted: Vec<(u64, String, usize)>,
-    /// Longest that a job went without an answered question after the troubles.
+    /// Longest time that a job went without an answer after the faults.
     pub unanswered: u64,
 }
 
@@ -72,8 +72,8 @@
         self.oncall.deaf.insert(name.into(), (self.now + length, Vec::new()));
     }
 
-    /// A start for a machine that can't hear it, and that has shown so by two reports
-    /// since, the second long enough ago to have been told to the leader.
+    /// Records a start for a machine that cannot receive it, and that has shown so by two reports
+    /// since then, the second long enough ago (1.5 s) to have been reported to the leader.
     fn note_start(&mut self, name: &str, piece: &str, attempt: u64) {
         let Some((_, reports)) = self.oncall.deaf.get(name) else { return };
         let first = self.oncall.sent.insert((name.into(), piece.into(), attempt));
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Whether a controller's answer to a worker gets lost.
+    /// Whether a controller's answer is lost; answers about `ignored_job` always are.
     pub fn oncall_swallows(&mut self, n: usize, id: RequestId, status: u16, body: &[u8]) -> bool {
         if !self.size.oncall {
             return false;
@@ -111,7 +111,7 @@
         lost
     }
 
-    /// Whether a call to a worker never arrives.
+    /// Whether a command to a worker is lost.
     pub fn oncall_unheard(&mut self, n: usize, name: &str, call: &Call) -> bool {
         if !self.size.oncall {
             return false;
@@ -124,7 +124,7 @@
         self.is_deaf(name) || self.oncall.mute_until[n] > self.now
     }
 
-    /// A worker sends a report: a copy of it may come late, to anybody.
+    /// Records a worker's report; a duplicate of it may arrive late, at any controller.
     pub fn oncall_reported(&mut self, name: &str, body: &[u8]) {
         let now = self.now;
         if let Some((until, reports)) = self.oncall.deaf.get_mut(name)
@@ -138,7 +138,7 @@
         }
     }
 
-    /// A user asks: the same may be asked again, late.
+    /// Duplicates a user's request, which then arrives late at any controller.
     pub fn oncall_asked(&mut self, method: &'static str, path: &str, body: &[u8]) {
         if self.oncall.copies > 0 && path != "/checkin" && self.rng.u32(0..self.oncall.copies) == 0 {
             let (n, late) = (self.rng.usize(0..self.size.nodes), self.rng.u64(LATE));
@@ -146,11 +146,12 @@
         }
     }
 
-    /// A guest's work, of the kinds that the operators name, or a mistaken job.
+    /// Adds a job of the `guest` team, of the kinds that the operators name, or one with a faulty
+    /// image.
     pub fn oncall_job(&mut self) {
         let j = self.jobs.len();
         let r = &mut self.rng;
-        // (class, rank, tasks, CPUs of each, run time)
+        // (class, priority, tasks, CPUs of each, run time)
         let (lot, rank, tasks, cpus, run_us) = match r.u32(0..6) {
             0 => ("sweep", "standard", r.u32(80..150), 0.25, 4 * S),
             1 => ("fill", "idle", r.u32(2..6), 4.0, r.u64(10 * S..25 * S)),
@@ -168,7 +169,7 @@
         self.jobs.push(Job { spot, mistaken, abort_at, ..job });
     }
 
-    /// The cloud deletes a machine.
+    /// Records that the cloud deletes a machine with tasks on it.
     pub fn oncall_deletes(&mut self, name: &str) {
         let on = self.machines.get(name).map_or(0, |m| m.tasks.iter().filter(|t| t.on()).count());
         if on > 0 {
@@ -176,7 +177,7 @@
         }
     }
 
-    /// Replicas of services that should be up and aren't on any machine.
+    /// Number of service replicas that should run and are on no machine.
     fn replicas_missing(&self) -> u32 {
         let due = |j: &Job| j.service && j.accepted && !j.abort_asked && j.team == "free";
         let due = self.jobs.iter().enumerate().filter(|(_, j)| due(j));
@@ -187,7 +188,7 @@
         due.map(|(j, job)| job.tasks.saturating_sub(on(j))).sum()
     }
 
-    /// How long a process stays away.
+    /// Downtime of a crashed process.
     pub fn oncall_back(&mut self) -> u64 {
         if self.rng.bool() { 100 * MS } else { self.rng.u64(2 * S..6 * S) }
     }
@@ -200,7 +201,7 @@
         self.at(pause, Event::Trouble);
         self.oncall.copies = 3;
         self.oncall.over_at = self.now + 60 * S;
-        // In pairs and threes: each with another one beside it, or without.
+        // One or two faults at a time, some of them beside earlier ones.
         for _ in 0..self.rng.u32(1..3) {
             self.oncall_strike();
         }
@@ -213,7 +214,7 @@
         let names: Vec<String> = self.machines.keys().cloned().collect();
         let kind = self.rng.u32(0..11);
         if std::env::var("WORLD_TRACE").is_ok() {
-            eprintln!("{:.3} on-call {kind} node {n} for {length}", self.now as f64 / 1e6);
+            eprintln!("{:.3} partial failure {kind} controller {n} for {length}", self.now as f64 / 1e6);
         }
         match kind {
             0 | 1 if !names.is_empty() => {
@@ -228,7 +229,7 @@
                 }
             }
             3 => self.oncall.mute_until[n] = until,
-            // Somebody keeps the state service, or nobody can do anything.
+            // At least one controller keeps the state service, or else no work is possible.
             4..=7 if (0..self.size.nodes).any(|o| o != n && self.oncall.alone_until[o] > self.now) => {}
             4 | 5 => self.oncall.alone_until[n] = until,
             6 if self.size.nodes > 2 => {
@@ -236,7 +237,7 @@
                 self.oncall.alone_until[n] = until;
                 self.oncall.alone_until[other] = until;
             }
-            // Machines stand still for a moment, and go on.
+            // All machines pause for less than a second and resume.
             8 => {
                 let now = self.now;
                 let blink = self.rng.u64(50 * MS..900 * MS);
@@ -244,7 +245,7 @@
                     m.hung_until = m.hung_until.max(now + blink);
                 }
             }
-            // Its process ends beside, at whatever step.
+            // Its process exits as well, at any step.
             7 => {
                 self.oncall.alone_until[n] = until;
                 let at = self.rng.u64(0..6 * S);
@@ -254,7 +255,8 @@
         }
     }
 
-    /// Every accepted job is known: each for itself, once the troubles are over.
+    /// Checks, for each accepted job, that questions about it are answered once the faults are
+    /// over.
     pub fn check_known(&mut self) {
         let Some(calm) = self.now.checked_sub(self.oncall.over_at).filter(|_| self.size.oncall) else {
             return;
@@ -277,7 +279,7 @@
         let mut bad = Vec::new();
         let wanted =
             |job: &&Job| !job.mistaken && job.accepted && job.aborted_at.is_none() && !job.abort_asked;
-        // What waits for others is served from when the last of them is done.
+        // A job that waits for others is served from the completion of the last of them.
         let jobs: Vec<&Job> =
             self.jobs.iter().filter(wanted).filter(|job| self.served_from(job).is_some()).collect();
         let mut classes: BTreeMap<String, Vec<&Job>> = BTreeMap::new();
@@ -292,13 +294,13 @@
             if begun * 2 < jobs.len() || done * 2 < jobs.len() {
                 bad.push(format!("{name}: {begun} begun and {done} done of {}", jobs.len()));
             }
-            // The top tenth, and the largest, by each measure.
+            // The largest tenth of the jobs by each measure.
             let measures: [fn(&Job) -> f64; 3] =
                 [|j| j.tasks as f64, |j| j.tasks as f64 * j.cpus, |j| j.cpus];
             for measure in measures {
                 let mut largest = jobs.clone();
                 largest.sort_by(|a, b| measure(b).total_cmp(&measure(a)));
-                // A team's own limit may forbid it: its tasks may never end.
+                // The team's limit may prevent the start, since the tasks that use it may never end.
                 let free = |j: &&&Job| j.team != "tight";
                 for job in largest.iter().filter(free).take(jobs.len().div_ceil(10)) {
                     let from = self.served_from(job).unwrap_or(job.accepted_at);
@@ -324,7 +326,7 @@
         bad.extend(w.oncall.work_for_deaf.clone());
         let late = w.late();
         if late.len() > 1 {
-            bad.push(format!("{:?} are not over at the end", w.describe(&late)));
+            bad.push(format!("{:?} have not ended", w.describe(&late)));
         }
         bad.extend(w.unserved());
         if !bad.is_empty() {
@@ -333,11 +335,14 @@
         (started, unanswered) = (started + w.started, unanswered.max(w.oncall.unanswered));
         days += 1;
     }
-    println!("{started} tasks started in {days} days; longest unanswered {:.1} s", unanswered as f64 / 1e6);
-    assert!(failed.is_empty(), "{} days failed:\n{}", failed.len(), failed.join("\n"));
+    println!(
+        "{started} tasks started in {days} simulations; longest unanswered {:.1} s",
+        unanswered as f64 / 1e6
+    );
+    assert!(failed.is_empty(), "{} simulations failed:\n{}", failed.len(), failed.join("\n"));
 }
 
-/// A quiet world in which so much runs after a minute, with no other trouble to come.
+/// A simulation without random faults in which jobs run after a minute, and no further jobs come.
 fn settled(seed: u64, nodes: usize) -> World {
     logs();
     let size = Size { nodes, busy_until: 40 * S, ends: 400 * S, jobs: 14, tasks: 9, ..ONCALL };
@@ -347,7 +352,7 @@
     w
 }
 
-/// Runs on a second at a time; the replicas that were missing in each.
+/// Runs on one second at a time; returns the number of missing replicas in each second.
 fn watch(w: &mut World, seconds: u64) -> Vec<u32> {
     let from = w.now;
     let missing = (1..=seconds).map(|s| {
@@ -357,8 +362,9 @@
     missing.collect()
 }
 
-/// Its reports arrive, so nothing says that it is silent; its lease runs out, its
-/// replicas die, and it comes back as a new session, for as long as it is so.
+/// Guards against replicas missing on a machine that receives nothing: its reports arrive, so it
+/// never counts as silent, while its lease runs out, its replicas are killed, and it registers as a
+/// new session, repeatedly.
 #[test]
 fn replicas_of_a_machine_that_hears_nothing_are_replaced() {
     for (seed, nodes) in [(1, 3), (2, 3), (3, 7), (4, 7)] {
@@ -372,14 +378,15 @@
         w.make_deaf(&most, 300 * S);
         let missing = watch(&mut w, 120);
         assert!(w.broken.is_empty(), "seed {seed}: {:?}", w.broken);
-        // Its lease, and a boot where there is no room.
+        // 45 s: the machine's lease, and the boot of another machine where no capacity is free.
         let late: u32 = missing.iter().skip(45).sum();
         assert_eq!(late, 0, "seed {seed}: missing each second {missing:?}");
         assert!(w.oncall.work_for_deaf.is_empty(), "seed {seed}: {:?}", w.oncall.work_for_deaf);
     }
 }
 
-/// Where no machine hears one controller, it is the controller's way out.
+/// If no machine receives anything from one controller, the controller's outgoing path is faulty,
+/// and no machine is deleted for it.
 #[test]
 fn a_controller_that_nobody_hears_costs_no_machine() {
     for (seed, nodes) in [(1, 3), (2, 3), (3, 7), (4, 7)] {
@@ -395,7 +402,8 @@
     }
 }
 
-/// A controller that loses the state service and the others, but not its workers.
+/// A controller that loses the state service and the other controllers, but not its workers, causes
+/// no deletion of a machine and no missing replica.
 #[test]
 fn a_controller_alone_costs_no_machine_and_no_task() {
     for (seed, nodes) in [(1, 3), (2, 3), (3, 7)] {
@@ -406,17 +414,17 @@
                 w.oncall.alone_until[*n] = w.now + length * S;
             }
             let mut missing = watch(&mut w, 60);
-            // Its workers are with others by then: here, new ones too.
+            // Its workers, also new ones, have moved to other controllers by then.
             let there = w.machines.values().filter(|m| w.now > m.up_at + 12 * S);
             let there =
                 there.filter(|m| alone.contains(&m.report_to) && w.oncall.alone_until[m.report_to] > w.now);
             let stay: Vec<(&str, usize)> = there.map(|m| (m.name.as_str(), m.tasks.len())).collect();
             assert!(
                 stay.is_empty(),
-                "seed {seed}, {nodes} controllers, {alone:?} alone: {stay:?} stay with it"
+                "seed {seed}, {nodes} controllers, {alone:?} isolated: {stay:?} stay with it"
             );
             missing.extend(watch(&mut w, 90));
-            let seen = format!("seed {seed}, {nodes} controllers, {alone:?} alone for {length} s");
+            let seen = format!("seed {seed}, {nodes} controllers, {alone:?} isolated for {length} s");
             assert!(w.broken.is_empty(), "{seen}: {:?}", w.broken);
             assert!(w.oncall.deleted.is_empty(), "{seen}: {:?}", w.oncall.deleted);
             assert_eq!(missing.iter().sum::<u32>(), 0, "{seen}: missing each second {missing:?}");
@@ -424,7 +432,7 @@
     }
 }
 
-/// Copies of all reports, at any controller, from half a second to a minute late.
+/// Duplicates of all reports, at any controller, 0.5 to 60 s late.
 #[test]
 fn late_copies_change_nothing() {
     for (seed, nodes) in [(1, 3), (2, 3), (3, 7)] {
@@ -436,7 +444,7 @@
         assert!(w.broken.is_empty(), "{seen}: {:?}", w.broken);
         assert_eq!((missing.iter().sum::<u32>(), moved), (0, 0), "{seen}: missing each second {missing:?}");
         assert!(w.oncall.deleted.is_empty(), "{seen}: {:?}", w.oncall.deleted);
-        // A machine that ended is known by copies alone; that doesn't keep it.
+        // A deleted machine from which only duplicates arrive does not count as alive.
         let with_replicas = |m: &&Machine| m.tasks.iter().any(|t| t.on());
         let dead = w.machines.values().filter(with_replicas).map(|m| m.name.clone()).next().unwrap();
         w.machines.remove(&dead);
@@ -446,7 +454,7 @@
     }
 }
 
-/// What the checkers are there for, planted.
+/// Checks the checkers: injected violations must be found.
 #[test]
 fn who_is_forgotten_or_not_served_is_noticed() {
     let mut w = settled(1, 3);
@@ -465,5 +473,5 @@
     job.aborted_at = None;
     job.team = "free".into();
     job.began_at = Some(job.accepted_at + LARGEST_BEGIN + S);
-    assert!(!w.unserved().is_empty(), "the largest began late, at {now}");
+    assert!(!w.unserved().is_empty(), "a late start of the largest job is not found, at {now}");
 }
--- a/tests/world/pipelines.rs
+++ b/tests/world/pipelines.rs
@@ -1,6 +1,6 @@
-//! Pipelines: jobs that wait for others. What users do with them, the rules that hold for
-//! them, and scenes in which troubles meet the end or the cancellation of a job that others
-//! need. All is checked from users' and workers' histories alone.
+//! Pipelines: jobs that wait for other jobs. What users do with them, their invariants, and
+//! scenarios in which faults coincide with the end or the cancellation of a job that others need.
+//! The checks use only what users and workers observe.
 use super::blink::BLINK;
 use super::oncall::ONCALL;
 use super::scenes::Act::{self, *};
@@ -16,7 +16,7 @@
     Never,
     /// As soon as it is accepted.
     AtOnce,
-    /// As the last task ends of the last job that it waits for.
+    /// As the last task of the last job that it waits for ends.
     AtNeedsEnd,
     /// As its own last task ends.
     AtOwnEnd,
@@ -25,35 +25,35 @@
 /// What a job's user does with it.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Habits {
-    /// Submitted only when all that it waits for is over.
+    /// Submitted only after all jobs that it waits for have ended.
     pub comes_late: bool,
     pub cancellation: Cancellation,
 }
 
-/// A trouble that strikes as the last task of a job ends that others wait for.
+/// A fault that is injected as the last task of a job ends for which others wait.
 #[derive(Debug, Clone, Copy)]
 pub enum StageEnd {
-    /// Whoever leads ends, and is back at once.
+    /// The leader exits and restarts at once.
     LeaderEnds,
-    /// All controllers end, and are back at once.
+    /// All controllers exit and restart at once.
     AllEnd,
-    /// The state service keeps no changes of before.
+    /// The state service drops its change history.
     Forgotten,
-    /// Records of ends and cancellations get no answer, and are written late.
+    /// Half of the writes of job ends and cancellations get no answer and take effect late.
     LateEnds,
     ZonesCut,
-    /// Whoever leads stands still.
+    /// The leader is paused.
     LeaderFrozen,
 }
 
-/// Time between two such strikes, in which somebody may lead.
+/// Time between two such faults, in which a leader can be elected.
 const STRIKE_PAUSE: u64 = 4 * S;
-/// A job that waited has so long from its release before it counts as late.
+/// Time from the release of a job that waited until it counts as late.
 const TIME_FROM_RELEASE: u64 = 90 * S;
 
-/// What is seen and planned of pipelines.
+/// State and statistics of the pipelines.
 pub struct Seen {
-    /// Apart from the world's own, so that other days stay as they are.
+    /// Separate from the world's generator, so that simulations without pipelines stay the same.
     rng: fastrand::Rng,
     next_plan: u64,
     planned: usize,
@@ -78,14 +78,14 @@
 
 // ---- rules ---------------------------------------------------------------
 
-/// Whether a job is called queued or running although it is long known that one before it
-/// is cancelled.
+/// Whether a job is called queued or running longer than `cancel` after a job that it needs was
+/// reported cancelled.
 fn is_orphaned(stage: &str, now: u64, cancelled_from: Option<u64>, cancel: u64) -> bool {
     matches!(stage, "queued" | "running") && cancelled_from.is_some_and(|t| now > t + cancel)
 }
 
 impl World {
-    /// A job that has to be done first, and isn't.
+    /// A job that must be done first, and is not.
     pub fn first_unfinished(&self, j: usize) -> Option<usize> {
         let awaits = &self.jobs.get(j)?.awaits;
         awaits.iter().copied().find(|needed| self.jobs[*needed].done_at.is_none())
@@ -112,14 +112,14 @@
         (j + 1..self.jobs.len()).filter(|k| marked[*k]).collect()
     }
 
-    /// Whether users asked for what would cancel it: itself, or one before it that was not
-    /// done by then.
+    /// Whether users requested a cancellation that covers it: of itself, or of a job that it needs
+    /// and that was not reported done.
     pub fn cancellation_asked(&self, j: usize) -> bool {
         let asked = |needed: &usize| self.jobs[*needed].abort_asked && !self.jobs[*needed].told_done;
         self.jobs[j].abort_asked || self.jobs_before(j).iter().any(asked)
     }
 
-    /// Users were told that it is done: jobs after it that are called cancelled must be so
+    /// Called when a job is reported done: jobs after it that were reported cancelled must be so
     /// for another reason.
     pub fn check_cancelled_after(&mut self, j: usize) {
         let told = |k: &usize| self.jobs[*k].aborted_at.is_some() && !self.cancellation_asked(*k);
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Its user was told that it is cancelled; so are all after it.
+    /// Marks a job that was reported cancelled to its user, and all jobs after it.
     pub fn note_cancelled(&mut self, j: usize) {
         let now = self.now;
         self.jobs[j].cancelled_from.get_or_insert(now);
@@ -137,8 +137,8 @@
         }
     }
 
-    /// A controller answers that it is cancelled: from then on nobody orders a start of it,
-    /// or of one after it.
+    /// Marks a job that a controller reports as cancelled, and all jobs after it: from then on no
+    /// controller may order a start of them.
     pub fn note_confirmed(&mut self, j: usize) {
         if self.faults.confirmed.insert(j) {
             let after = self.jobs_after(j);
@@ -146,7 +146,7 @@
         }
     }
 
-    /// An answer about a job leaves a controller.
+    /// Checks an answer about a job as it leaves a controller.
     pub fn check_waiting(&mut self, n: usize, id: RequestId, status: u16, body: &[u8]) {
         let Some(Asker::Abort(j) | Asker::Poll(j) | Asker::Submit(j)) = self.asked.get(&id) else { return };
         let j = *j;
@@ -168,14 +168,14 @@
         }
     }
 
-    /// From when on it may be served: its acceptance, or the end of the last job that it
-    /// waits for; none while it waits.
+    /// Time from which it may be served: its acceptance, or the completion of the last job that it
+    /// waits for; `None` while it waits.
     pub fn served_from(&self, job: &Job) -> Option<u64> {
         let ends = job.awaits.iter().map(|needed| self.jobs[*needed].done_at);
         ends.chain([Some(job.accepted_at)]).max_by_key(|end| end.unwrap_or(u64::MAX)).flatten()
     }
 
-    /// Whether it had time enough to be over; what waits for nothing always had.
+    /// Whether it had enough time to end; a job that waits for none always had.
     pub fn had_its_time(&self, j: usize) -> bool {
         let job = &self.jobs[j];
         job.awaits.is_empty() || self.served_from(job).is_some_and(|from| self.now > from + TIME_FROM_RELEASE)
@@ -185,7 +185,8 @@
 // ---- users ---------------------------------------------------------------
 
 impl World {
-    /// Whether its user submits it by now: each job as soon as all that it names is accepted.
+    /// Whether its user submits it now: each job as soon as all jobs that it names are accepted, or
+    /// have ended if it is submitted late.
     pub fn may_submit(&self, j: usize) -> bool {
         let job = &self.jobs[j];
         let over = |k: usize| self.jobs[k].told_done || self.jobs[k].aborted_at.is_some();
@@ -218,7 +219,7 @@
         (j + 1..self.jobs.len()).filter(|k| self.jobs[*k].awaits.contains(&j)).collect()
     }
 
-    /// A job is accepted: its user goes on with those that need it.
+    /// A job is accepted: its user submits the jobs that need it.
     pub fn job_accepted(&mut self, j: usize) {
         if self.jobs[j].habits.cancellation == Cancellation::AtOnce {
             self.cancel_within(j, 50 * MS);
@@ -255,7 +256,7 @@
             return;
         }
         self.pipelines.struck_at = self.now;
-        // The end is reported within half a second, and recorded some time after.
+        // The end is reported within half a second, and recorded some time after that.
         let delay = self.pipelines.rng.u64(0..1200 * MS);
         match strike {
             StageEnd::LeaderEnds => self.at(delay, Event::EndLeader),
@@ -272,7 +273,7 @@
         }
     }
 
-    /// A user plans a pipeline now and then; somebody else names a job that nobody submitted.
+    /// Submits a random pipeline now and then, and a job that names one that was never submitted.
     pub fn plan_pipelines(&mut self) {
         if self.now >= self.size.busy_until || self.now < self.pipelines.next_plan {
             return;
@@ -287,7 +288,7 @@
         self.request(n, "POST", "/submissions".into(), body.to_string().into_bytes(), Asker::Stranger);
     }
 
-    /// Jobs in stages of these widths, each waiting for some or all of the stage before.
+    /// Adds jobs in stages of these widths, each waiting for some or all jobs of the stage before.
     fn plan_pipeline(&mut self, widths: &[usize]) {
         self.pipelines.planned += 1;
         let mut stage = self.named_from_outside();
@@ -315,7 +316,7 @@
         }
     }
 
-    /// Jobs of others that a pipeline's first jobs name: in any state, of any team.
+    /// Other users' jobs that a pipeline's first jobs name: in any state, of any team.
     fn named_from_outside(&mut self) -> Vec<usize> {
         let arrays: Vec<usize> =
             (0..self.jobs.len()).filter(|j| self.jobs[*j].accepted && !self.jobs[*j].service).collect();
@@ -338,7 +339,7 @@
             names.push(names[0].clone());
         }
         r.shuffle(&mut names);
-        // Services end, or one of the team with a limit would keep it for ever.
+        // Services end; otherwise one of the team with a limit would occupy it forever.
         let abort_at = if service { self.now + r.u64(40 * S..120 * S) } else { u64::MAX };
         let mut body = waiting_body(j, &names, tasks, run_us as f64 / S as f64);
         body["crew"] = json!(team);
@@ -367,8 +368,8 @@
         }
     }
 
-    /// A job of one task a job for each of the widths' places, all waiting for all of the
-    /// stage before; the first stage runs for so long. The jobs' places.
+    /// Adds one-task jobs in stages of these widths, each waiting for all jobs of the stage before;
+    /// the first stage runs for `first_run_us`. Returns the jobs' indexes by stage.
     fn push_stages(&mut self, widths: &[usize], first_run_us: u64) -> Vec<Vec<usize>> {
         let mut stages: Vec<Vec<usize>> = Vec::new();
         for width in widths {
@@ -389,7 +390,7 @@
         self.add_waiting(Job { awaits, ..job })
     }
 
-    /// A job that may name some that are cancelled already.
+    /// Adds a job that may name cancelled jobs.
     fn add_waiting(&mut self, mut job: Job) -> usize {
         let j = self.jobs.len();
         let named = || job.awaits.iter().copied();
@@ -401,7 +402,7 @@
         j
     }
 
-    /// How many of these jobs are accepted, told done, and told cancelled.
+    /// How many of these jobs are accepted, reported done, and reported cancelled.
     fn told_of(&self, jobs: &[usize]) -> (usize, usize, usize) {
         let count = |which: &dyn Fn(&Job) -> bool| jobs.iter().filter(|j| which(&self.jobs[**j])).count();
         (count(&|j| j.accepted), count(&|j| j.told_done), count(&|j| j.aborted_at.is_some()))
@@ -416,7 +417,7 @@
         "awaits": names})
 }
 
-/// The widths of a pipeline's stages.
+/// Random widths of a pipeline's stages.
 fn some_shape(r: &mut fastrand::Rng, may_be_long: bool) -> Vec<usize> {
     match r.u32(0..10) {
         // A diamond.
@@ -436,7 +437,7 @@
     }
 }
 
-/// Some of them, at least one.
+/// A random non-empty part of them.
 fn some_of(r: &mut fastrand::Rng, all: &[usize]) -> Vec<usize> {
     let mut some: Vec<usize> = all.iter().copied().filter(|_| r.bool()).collect();
     if some.is_empty() {
@@ -445,9 +446,10 @@
     some
 }
 
-// ---- the checks themselves -------------------------------------------------
+// ---- tests of the checks ---------------------------------------------------
 
-/// A quiet world in which a job runs, another waits for it, and a third one for that.
+/// A simulation without faults in which a job runs, a second job waits for it, and a third one for
+/// the second.
 fn chain_of_three() -> World {
     logs();
     let mut w = World::new(1, true, Size { jobs: 0, busy_until: 0, ends: 600 * S, ..SMALL });
@@ -458,7 +460,7 @@
 
 #[test]
 fn a_job_called_open_after_one_before_it_is_cancelled_is_noticed() {
-    // (what it is called, when, since when one before it is cancelled, orphaned)
+    // (reported stage, time, time since which a job before it is cancelled, orphaned)
     let cases = [
         ("queued", 50, None, false),
         ("queued", 44, Some(10), false),
@@ -470,7 +472,7 @@
     for (stage, now, from, want) in cases {
         assert_eq!(is_orphaned(stage, now, from, 34), want, "{stage} at {now}, cancelled {from:?}");
     }
-    // Planted: the user of the second one was told of a cancellation that nobody knows of.
+    // Injected: the second job's user received a cancellation that no controller knows of.
     let mut w = chain_of_three();
     w.oncall.ignored = Some(1);
     w.size.oncall = true;
@@ -504,17 +506,18 @@
 
 #[test]
 fn cancellations_that_nobody_asked_for_are_noticed() {
-    // (jobs whose users cancelled them, those told done, the one called aborted, broken)
+    // (jobs whose users cancelled them, jobs reported done, job reported cancelled, violation
+    // expected)
     type Case<'a> = (&'a [usize], &'a [usize], usize, bool);
     let cases: [Case; 7] = [
         (&[], &[], 2, true),
         (&[2], &[], 2, false),
         (&[1], &[], 2, false),
         (&[0], &[], 2, false),
-        // Asked too late: it was done.
+        // Requested too late: the job was done.
         (&[0], &[0], 2, true),
         (&[0, 1], &[0], 2, false),
-        // One after it says nothing about it.
+        // The cancellation of a later job does not cover an earlier one.
         (&[2], &[], 1, true),
     ];
     for (asked, done, aborted, want) in cases {
@@ -526,7 +529,7 @@
         let found = w.broken.iter().any(|b| b.starts_with("went_back"));
         assert_eq!(found, want, "{asked:?} cancelled, {done:?} done, {aborted} called aborted");
     }
-    // It turns out later that the cancellation came too late.
+    // A later report shows that the cancellation came too late.
     let mut w = World::new(1, true, SMALL);
     w.push_stages(&[1, 1, 1], S);
     w.jobs[0].abort_asked = true;
@@ -540,7 +543,7 @@
 #[test]
 fn tasks_after_a_cancelled_job_are_noticed() {
     let mut w = chain_of_three();
-    // The one that runs: as if it needed a cancelled one.
+    // Marks the running job as if it needed a cancelled one.
     w.jobs[0].cancelled_from = Some(w.now);
     w.oncall.ignored = Some(0);
     w.size.oncall = true;
@@ -549,9 +552,9 @@
     assert!(w.broken.iter().any(|b| b.starts_with("ran_cancelled")), "{:?}", w.broken);
 }
 
-// ---- days ----------------------------------------------------------------
+// ---- simulations ---------------------------------------------------------
 
-/// Days with pipelines among the jobs.
+/// Runs simulations with pipelines among the jobs.
 fn play_days(name: &str, size: Size, default: std::ops::Range<u64>) {
     logs();
     let size = Size { pipelines: true, ..size };
@@ -603,7 +606,7 @@
     play_days("on-call", ONCALL, 0..6);
 }
 
-/// Troubles of any sort round the cancellation of some of the jobs, while stages end.
+/// Random faults around the cancellation of some of the jobs, while stages end.
 #[test]
 fn troubles_meet_round_cancelled_pipelines() {
     let (mut failed, mut plays, mut starts) = (Vec::new(), 0, 0);
@@ -620,7 +623,7 @@
         }
         w.size.busy_until = 0;
         w.oncall.over_at = u64::MAX;
-        // Some of the pipelines have come far by then, some have not begun.
+        // By then some pipelines are far advanced, and some have not begun.
         w.run(20 * S);
         let from = w.now;
         let leader = w.nodes.iter().position(|n| n.as_ref().is_some_and(Node::leads)).unwrap_or(0);
@@ -660,15 +663,15 @@
     all[r.usize(0..all.len())]
 }
 
-// ---- scenes --------------------------------------------------------------
+// ---- scenarios -----------------------------------------------------------
 
-/// What happens at some time of a scene.
+/// What happens at a set time of a scenario.
 #[derive(Debug, Clone, Copy)]
 enum Step {
     Trouble(Act),
-    /// A user cancels the first job of a stage, there.
+    /// A user cancels the first job of a stage at this controller.
     CancelIn(usize, Who),
-    /// It strikes at the ends of stages for so many seconds.
+    /// Injects the fault at the ends of stages for this many seconds.
     AtStageEnds(StageEnd, u64),
 }
 use Step::*;
@@ -676,14 +679,15 @@
 struct PipelineScene {
     name: &'static str,
     widths: &'static [usize],
-    /// How long the first stage runs from the beginning of the world.
+    /// How long the first stage runs from the start of the simulation, in seconds.
     first_run_s: u64,
     steps: &'static [(u64, Step)],
-    /// Whether all jobs are done in the end, or all from a cancelled stage on cancelled.
+    /// The stage from which on all jobs must be cancelled in the end; `None`: all jobs must be
+    /// done.
     cancelled_from: Option<usize>,
 }
 
-/// The jobs are submitted from the beginning; the steps come from 20 s on.
+/// Submits the jobs at the start, and takes the steps from 20 s on; returns what was wrong.
 fn play_scene(scene: &PipelineScene, seed: u64, nodes: usize) -> Vec<String> {
     logs();
     let size = Size { nodes, room: [20, 20], jobs: 0, busy_until: 0, ends: 600 * S, oncall: true, ..SMALL };
@@ -705,7 +709,7 @@
                     East | West | All => panic!("one controller"),
                 };
                 w.look(n, looks::Way::Abort, stages[*stage][0]);
-                // Whoever gets no answer asks again, as users do.
+                // If the request gets no answer, the user sends it again.
                 w.jobs[stages[*stage][0]].abort_at = w.now;
             }
         }
@@ -716,7 +720,7 @@
         let (accepted, done, aborted) = w.told_of(jobs);
         let right = match scene.cancelled_from {
             Some(from) if s >= from => aborted == jobs.len(),
-            // What ended in that moment may have been done or not.
+            // Jobs before the cancelled stage may have been done or not.
             Some(_) => true,
             None => done == jobs.len(),
         };
@@ -810,7 +814,7 @@
     );
 }
 
-/// The cancellation comes as the first job ends; one transaction decides for all after it.
+/// The cancellation comes as the first job ends; one transaction decides for all jobs after it.
 #[test]
 fn an_end_and_a_cancellation_at_a_time_decide_for_all_after_it() {
     let (mut failed, mut outcomes) = (Vec::new(), [0; 2]);
@@ -837,12 +841,12 @@
     assert!(failed.is_empty(), "{}:\n{}", failed.len(), failed.join("\n"));
 }
 
-/// The job that is named is cancelled at one controller while another one accepts the job
-/// that names it.
+/// The job that is named is cancelled at one controller while another one accepts the job that
+/// names it.
 #[test]
 fn a_job_submitted_as_what_it_names_is_cancelled_is_cancelled_too() {
     let mut failed = Vec::new();
-    // Milliseconds by which the submission comes after the cancellation.
+    // Milliseconds from the cancellation to the submission.
     for (after, nodes) in [-20, -3, -1, 0, 1, 3, 20, 1000, 60_000].into_iter().flat_map(|a| [(a, 3), (a, 7)])
     {
         let size = Size { nodes, room: [20, 20], jobs: 0, busy_until: 0, ends: 600 * S, ..SMALL };
@@ -875,7 +879,7 @@
     assert!(failed.is_empty(), "{}:\n{}", failed.len(), failed.join("\n"));
 }
 
-/// Whole pipelines of hundreds go with their head, at every controller, in time.
+/// Pipelines of hundreds of jobs are cancelled with their first job, at every controller, in time.
 #[test]
 fn hundreds_of_jobs_are_cancelled_with_their_head() {
     let chain = vec![1; 300];
@@ -889,7 +893,7 @@
         let size = Size { room: [20, 20], jobs: 0, busy_until: 0, ends: 900 * S, ..SMALL };
         let mut w = World::new(5, true, size);
         let all = w.push_stages(widths, 800 * S).concat();
-        // Each is submitted as soon as the one before it is accepted.
+        // Each job is submitted as soon as the one before it is accepted.
         let mut seconds = 0;
         while w.told_of(&all).0 < all.len() && seconds < 240 {
             seconds += 1;
@@ -904,7 +908,7 @@
             w.state.down = true;
             w.at(away, Event::Heal);
         }
-        // Polled by their users, and in the end at every controller.
+        // Polled by their users, and at the end at every controller.
         w.run(w.now + w.size.cancel + 10 * S + away);
         let told = w.told_of(&all);
         for j in &all {
@@ -920,7 +924,7 @@
     assert!(failed.is_empty(), "{}", failed.join("\n"));
 }
 
-/// A thousand jobs wait for one, and one for the thousand.
+/// A thousand jobs wait for one job, and one job waits for the thousand.
 #[test]
 fn a_fan_of_a_thousand_runs_when_its_head_is_done() {
     let size = Size { room: [30, 30], jobs: 0, busy_until: 0, ends: 900 * S, ..SMALL };
@@ -934,8 +938,8 @@
     }
 }
 
-/// While jobs of a team wait for another job, the team's whole limit is there for the others:
-/// a service that takes all of it runs.
+/// While jobs of a team wait for another job, they use nothing of the team's limit: a service that
+/// needs all of it runs.
 #[test]
 fn a_waiting_job_holds_nothing_of_its_teams_limit() {
     for (seed, nodes) in [(1, 3), (2, 7), (3, 3), (4, 7)] {
--- a/tests/world/scenes.rs
+++ b/tests/world/scenes.rs
@@ -1,89 +1,92 @@
-//! Scenes: acts at set times upon a world in which long jobs run, and what must hold
-//! whatever the acts are.
+//! Scenarios: actions at set times in a simulation in which long jobs run, and what must hold
+//! whatever the actions are.
 use super::*;
 use std::collections::BTreeSet;
 
-/// Whom an act is about: the leader of the time when the scene begins, others by
-/// their place after it, or all.
+/// The controllers that an action affects: the leader at the start of the scenario, others by their
+/// offset from it, those of a zone, or all.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Who {
     Leader,
     Other(usize),
-    /// Those of a zone.
+    /// The controllers of a zone.
     East,
     West,
     All,
 }
 use Who::*;
 
-/// What happens at some time of a scene. Lengths are in thousandths of the time that a
+/// What happens at a set time of a scenario. Lengths are in thousandths of the time that a
 /// cancellation may take.
 #[derive(Debug, Clone, Copy)]
 pub enum Act {
-    /// The state service refuses it alone.
+    /// The state service refuses these controllers.
     Refused(Who, u64),
-    /// The state service is away for all.
+    /// The state service is unavailable to all controllers.
     Away(u64),
-    /// Users cancel every second job at this controller.
+    /// Users cancel every second job at these controllers.
     Cancel(Who),
-    /// Its process ends, and is back after this.
+    /// The processes exit, and restart after this time.
     End(Who, u64),
-    /// It loses the other controllers and the state service.
+    /// The controllers lose the other controllers and the state service.
     Alone(Who, u64),
-    /// Every third machine can't be reached, and reaches nobody.
+    /// Every third machine is partitioned from all controllers.
     MachinesCut(u64),
     /// Every third machine hangs.
     MachinesHang(u64),
-    /// Every third machine hears nothing.
+    /// Every third machine receives nothing.
     MachinesDeaf(u64),
-    /// The cloud is out of order.
+    /// The cloud is unavailable.
     CloudAway(u64),
-    /// Every third machine reaches no controller, while direct commands reach it.
+    /// Every third machine cannot send to any controller, while direct commands reach it.
     MachinesMute(u64),
-    /// Direct commands to every third machine are held up until the end, and then arrive.
+    /// Direct commands to every third machine are delayed until the end of this time, and then
+    /// arrive.
     CommandsHeld(u64),
-    /// Users cancel every second job at this controller, and up to eight of the machines
-    /// that run their tasks hang for so long.
+    /// Users cancel every second job at these controllers, and up to eight of the machines that run
+    /// their tasks hang for this time.
     CancelAndHang(Who, u64),
-    /// Its process stands still, and then takes all that came.
+    /// The processes are paused, and then handle everything that arrived.
     Freeze(Who, u64),
-    /// What it writes to the state service is carried out; the answers are lost.
+    /// Their writes to the state service are carried out; the answers are lost.
     AnswersLost(Who, u64),
-    /// Every third transaction, of anybody, gets no answer and is carried out 2 to 12 s
+    /// Every third transaction, of any controller, gets no answer and is carried out 2 to 12 s
     /// later, after newer ones.
     LateWrites(u64),
-    /// Every second transaction that writes an end or a cancellation, likewise.
+    /// The same for every second transaction that writes a job's end or cancellation.
     LateEnds(u64),
-    /// Whoever leads ends and is back at once, so many times, 2.9 s apart.
+    /// The leader exits and restarts at once, this many times, 2.9 s apart.
     Changes(u64),
-    /// Whoever leads next ends so many milliseconds later and stays away; as long again
-    /// after that the state service is away for as long as cancellations may take.
+    /// The next leader exits this many milliseconds after its election and stays down; as long
+    /// again after that the state service becomes unavailable, for as long as a cancellation may
+    /// take.
     NextEnds(u64),
-    /// The state service keeps no changes of before: everybody reads it anew.
+    /// The state service drops its change history: every controller reads the state again.
     Forgotten,
-    /// Users submit a dozen jobs of two short tasks, some of them bound to a zone.
+    /// Users submit twelve jobs of two short tasks, some of them bound to a zone.
     Submit,
-    /// Whatever ends is called off, asked about and submitted again in that moment.
+    /// Whatever ends in this time is cancelled, polled and submitted again in the same moment.
     CancelAtEnd(u64),
-    /// Users look closely for so long.
+    /// Users send rapid requests for this time.
     Looks(u64),
     /// All machines hang.
     AllHang(u64),
-    /// The zones can't reach each other.
+    /// The zones cannot reach each other.
     ZonesCut(u64),
-    /// A copy of every report is kept for the next leader, and comes as it begins.
+    /// A copy of reports (up to 500) is kept for the next leader, and arrives as its leadership
+    /// begins.
     KeepReports,
-    /// Machines are up a second after they are rented, and every third one ends.
+    /// From now on machines boot within a second of their rental; every third machine is deleted.
     MachinesRenewed,
 }
 use Act::*;
 
 pub const NEVER: u64 = 100_000;
 
-/// What runs when a scene begins.
+/// Workload of a scenario.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Work {
-    /// Jobs of every sort.
+    /// Services, and arrays with and without placement constraints.
     Mixed,
     /// Jobs of one task each.
     Single,
@@ -94,7 +97,8 @@
 }
 
 impl Work {
-    /// Jobs, of which every second one is cancelled, and how many tasks run at least.
+    /// Number of jobs, of which every second one is cancelled, and smallest number of running
+    /// tasks.
     fn size(self) -> (usize, usize) {
         match self {
             Work::Mixed => (16, 60),
@@ -105,12 +109,12 @@
     }
 }
 
-/// Long jobs, most of them running after a minute; nothing else comes.
+/// A simulation with long jobs, most of them running after a minute; no other jobs come.
 pub fn long_jobs(seed: u64, nodes: usize, work: Work) -> World {
     long_jobs_reporting(seed, nodes, work, SMALL.report)
 }
 
-/// The same where workers report so often, in microseconds.
+/// The same with this interval between workers' reports, in microseconds.
 pub fn long_jobs_reporting(seed: u64, nodes: usize, work: Work, report: u64) -> World {
     logs();
     let size = Size { nodes, room: [20, 20], jobs: 0, busy_until: 0, ends: 600 * S, oncall: true, ..SMALL };
@@ -119,7 +123,7 @@
     let mut w = World::new(seed, true, size);
     for j in 0..work.size().0 {
         let service = j % 4 == 0 && work != Work::Hundreds;
-        // Gangs are jobs in one place; the others go anywhere or must be spread.
+        // Gangs run in one place; of the other jobs some must be spread over the zones.
         let gang = j % 4 == 1 && work == Work::Mixed;
         let spread = j % 4 == 2 && work == Work::Mixed;
         let (tasks, cpus) = match work {
@@ -142,7 +146,7 @@
     w
 }
 
-/// Troubles that only scenes know, and what is seen of cancellations.
+/// Faults that only scenarios inject, and what is recorded of cancellations.
 #[derive(Default)]
 pub struct Faults {
     mute: BTreeMap<String, u64>,
@@ -150,21 +154,23 @@
     pub frozen_until: Vec<u64>,
     lost_until: Vec<u64>,
     late_until: u64,
-    /// Records of ends are written late until then.
+    /// Records of job ends are written late until then.
     pub late_ends_until: u64,
     /// Reports kept for the next leader.
     keep: Option<Vec<Vec<u8>>>,
-    /// The process that led as the scene began.
+    /// Incarnation number of the leader at the start of the scenario.
     pub first_leader: Option<u64>,
     pub fast_boots: bool,
     next_ends: Option<u64>,
     pub cancel_at_end: u64,
-    /// Tasks that ran as the scene began, and users told before the first outage.
+    /// Tasks that ran at the start of the scenario, and users with a confirmed cancellation before
+    /// the first outage.
     running: usize,
     told_before: Option<usize>,
-    /// Jobs whose cancellation some controller has answered for.
+    /// Jobs that a controller has reported as cancelled.
     pub confirmed: BTreeSet<usize>,
-    /// Starts of cancelled tasks after their users were told: those whose order left before.
+    /// Starts of cancelled tasks after the confirmation to their users; their orders left before
+    /// it.
     pub late_starts: usize,
 }
 
@@ -182,8 +188,8 @@
 }
 
 impl World {
-    /// A controller's answer leaves. From a user's answer that says so on, no controller
-    /// orders a start of a cancelled job.
+    /// Checks an answer that leaves a controller. From the first answer to a user that a job is
+    /// cancelled, no controller may order a start of it.
     pub fn answer_leaves(&mut self, n: usize, id: RequestId, status: u16, body: &[u8]) {
         self.compare(n, id, status, body);
         self.check_waiting(n, id, status, body);
@@ -215,7 +221,7 @@
         }
     }
 
-    /// How much later than others a call leaves, or arrives; `None`: not at all.
+    /// How much later than usual a call arrives, and whether its answer reaches the controller.
     pub fn held_up(&mut self, n: usize, call: &Call) -> (u64, bool) {
         let now = self.now;
         match &call.target {
@@ -240,21 +246,21 @@
         self.faults.mute.get(name).is_some_and(|t| *t > self.now)
     }
 
-    /// A report leaves; a copy may be kept.
+    /// Keeps a copy of a report that leaves a machine, if copies are kept.
     pub fn keep_report(&mut self, body: &[u8]) {
         if let Some(kept) = self.faults.keep.as_mut().filter(|k| k.len() < 500) {
             kept.push(body.to_vec());
         }
     }
 
-    /// Whoever leads ends, and is back at once.
+    /// The leader exits and restarts at once.
     pub fn end_leader(&mut self) {
         if let Some(n) = self.nodes.iter().position(|n| n.as_ref().is_some_and(|n| n.leads())) {
             self.end_process(n, 100 * MS);
         }
     }
 
-    /// What waits for a new leader, where there is one.
+    /// Carries out what is scheduled for a new leader, if this controller is one.
     pub fn new_leader(&mut self, n: usize) {
         let leads = self.nodes[n].as_ref().is_some_and(|n| n.leads());
         if !leads || self.faults.first_leader == Some(self.incarnations[n]) {
@@ -274,7 +280,7 @@
         self.nodes.iter().position(|n| n.as_ref().is_some_and(|n| n.leads())).expect("a leader")
     }
 
-    /// Its process ends now and is back at a set time.
+    /// The process exits now and restarts after `back`.
     pub fn end_process(&mut self, n: usize, back: u64) {
         if self.nodes[n].take().is_some() {
             self.watches.retain(|w| w.node != n);
@@ -305,8 +311,8 @@
             }
             Cancel(w) => {
                 for j in (0..self.jobs.len()).step_by(2) {
-                    // An answer that is on its way to its user may be overtaken by the
-                    // next one: who waits for one cancels after it.
+                    // An answer in flight to a user may be overtaken by the answer to the
+                    // cancellation: a user with a pending request cancels after its answer.
                     let waits = |a: &Asker| matches!(a, Asker::Poll(k) | Asker::Submit(k) if *k == j);
                     if self.asked.values().any(waits) || !self.jobs[j].accepted {
                         self.jobs[j].abort_at = self.now;
@@ -392,7 +398,7 @@
         }
     }
 
-    /// A job of two short tasks comes.
+    /// Adds a job of two short tasks.
     pub fn short_job(&mut self) {
         let j = self.jobs.len();
         let (zone, gang) = (j.is_multiple_of(3).then_some(ZONES[j % 2]), j % 3 == 1);
@@ -404,28 +410,29 @@
         self.jobs.push(Job { later_us: 1200 * MS, zone, ..job });
     }
 
-    /// Tasks that are on machines.
+    /// Number of tasks that run on machines.
     fn running(&self) -> usize {
         self.machines.values().flat_map(|m| &m.tasks).filter(|t| t.on()).count()
     }
 
-    /// Jobs whose users were told of a cancellation.
+    /// Number of jobs that were reported cancelled to their users.
     fn told(&self) -> usize {
         self.jobs.iter().filter(|j| j.aborted_at.is_some()).count()
     }
 }
 
-/// A scene: acts at milliseconds from its beginning, and whether users must be told
-/// of cancellations before the state service is away. `spares`: all machines can be
-/// reached, so that none is deleted that has tasks on it.
+/// Actions, and what is expected of them beside the invariants.
 pub struct Scene {
     pub name: &'static str,
+    /// Actions with their times in milliseconds from the start.
     pub acts: &'static [(u64, Act)],
+    /// Users must receive confirmed cancellations before the state service becomes unavailable.
     pub told: bool,
+    /// All machines can be reached, so that none with tasks on it may be deleted.
     pub spares: bool,
 }
 
-/// Plays acts and what comes after them.
+/// Runs a scenario's actions and the time after them.
 pub fn play(acts: &[(u64, Act)], seed: u64, nodes: usize, work: Work) -> World {
     let mut w = long_jobs(seed, nodes, work);
     let (from, leader) = (w.now, w.leader());
@@ -445,20 +452,22 @@
     w
 }
 
-/// What was wrong with a scene.
+/// Runs a scenario and returns what was wrong.
 fn play_scene(scene: &Scene, seed: u64, nodes: usize, work: Work) -> Vec<String> {
     let w = play(scene.acts, seed, nodes, work);
     let mut bad = Vec::new();
     let (jobs, least) = work.size();
     if w.faults.running < least {
-        bad.push(format!("only {} tasks run at the beginning", w.faults.running));
+        bad.push(format!("only {} tasks run at the start", w.faults.running));
     }
     bad.extend(w.broken.clone());
     let told = w.faults.told_before.unwrap_or(0);
     if scene.told && told < 6 {
-        bad.push(format!("{told} users were told of cancellations before the state service was away"));
+        bad.push(format!(
+            "{told} users received a confirmed cancellation before the state service was unavailable"
+        ));
     }
-    // Later ones may be the fleet's, whose work is halved.
+    // Later deletions may be scale-in, since half of the work is gone.
     let soon = 60 * S + w.size.cancel;
     let deleted: Vec<_> = w.oncall.deleted.iter().filter(|(t, ..)| *t < soon).collect();
     if scene.spares && !deleted.is_empty() {
@@ -466,23 +475,28 @@
     }
     let cancels = scene.acts.iter().any(|(_, a)| matches!(a, Cancel(_) | CancelAndHang(..)));
     if bad.is_empty() && cancels && w.told() < jobs / 2 {
-        bad.push(format!("{} of {} users were told of their cancellations in the end", w.told(), jobs / 2));
+        bad.push(format!(
+            "{} of {} users received their cancellations' confirmation in the end",
+            w.told(),
+            jobs / 2
+        ));
     }
     let short = |j: &&usize| w.jobs[**j].body["lot"] == "short";
     let late = w.late();
     let late: Vec<&usize> = late.iter().filter(short).collect();
     if bad.is_empty() && !late.is_empty() {
-        bad.push(format!("short jobs {late:?} are not over"));
+        bad.push(format!("short jobs {late:?} have not ended"));
     }
-    // What a limit held back runs as soon as it is proven that the cancelled ones are gone.
+    // Jobs that the limit held back run as soon as it is proven that the cancelled tasks have
+    // exited.
     let on = w.running();
     if bad.is_empty() && work == Work::AtLimit && on < 4 {
-        bad.push(format!("{on} tasks of 5 jobs run in the end, 4 may"));
+        bad.push(format!("{on} tasks of 5 jobs run in the end, 4 are allowed"));
     }
     bad
 }
 
-/// Plays scenes with three and seven controllers.
+/// Runs scenarios with three and seven controllers.
 pub fn play_scenes(scenes: &[Scene], works: &[Work]) {
     let mut failed = Vec::new();
     let mut plays = 0;
@@ -500,10 +514,10 @@
             }
         }
     }
-    assert!(failed.is_empty(), "{} of {plays} plays failed:\n{}", failed.len(), failed.join("\n"));
+    assert!(failed.is_empty(), "{} of {plays} runs failed:\n{}", failed.len(), failed.join("\n"));
 }
 
-/// Two or three troubles at any time round cancellations.
+/// Two to four random faults around cancellations.
 pub fn random_acts(r: &mut fastrand::Rng) -> Vec<(u64, Act)> {
     let who = |r: &mut fastrand::Rng| -> Who {
         match r.u32(0..4) {
@@ -540,7 +554,7 @@
             22 => Forgotten,
             23 => Submit,
             24 => Looks(l),
-            // A zone that is cut off, often with controllers that hear of nothing.
+            // A zone is partitioned, with controllers of one zone that the state service refuses.
             _ => {
                 acts.push((0, ZonesCut(l + 500)));
                 if r.bool() { Refused(West, l + 500) } else { Refused(East, l + 500) }
