--- a/tests/world/cancelled.rs
+++ b/tests/world/cancelled.rs
@@ -2,120 +2,128 @@
 //! leaves every machine in time, and no start of it is sent (`ordered_cancelled`). One scenario for
 //! each way in which a task was left running, or might have been; then random combinations of
 //! faults.
-use super::scenes::Act::*;
-use super::scenes::Who::*;
-use super::scenes::{NEVER, Scene, Work, play, play_scenes, random_acts};
+use super::scenarios::Action::*;
+use super::scenarios::Controllers::*;
+use super::scenarios::{NEVER, Scenario, Workload, random_actions, run_scenarios, simulate};
 use super::*;
 
-const EVERY: [Work; 4] = [Work::Mixed, Work::Single, Work::Hundreds, Work::AtLimit];
+const ALL_WORKLOADS: [Workload; 4] =
+    [Workload::Mixed, Workload::Single, Workload::Hundreds, Workload::AtLimit];
 
 /// Guards against cancelled tasks left running behind a partition. The west zone is cut off with
 /// controllers that the state service refuses: they learn of nothing, and renew their workers'
 /// leases. A zone whose reports reach no other controller is given a minute before its machines
 /// count as dead, so only the handling of the cancelled jobs ends their tasks.
 #[test]
-fn cancelled_tasks_behind_a_cut_are_gone_whoever_leads() {
-    let scene = |name, acts| Scene { name, acts, told: false, spares: false };
-    play_scenes(
+fn cancelled_tasks_behind_a_partition_stop_through_leader_changes() {
+    let scenario =
+        |name, actions| Scenario { name, actions, expect_confirmed: false, expect_no_deletions: false };
+    run_scenarios(
         &[
             // A new leader once took a cancellation for handled if its record was older than the
             // cancellation time limit, though the user may receive the confirmation long after the
             // record.
-            scene(
+            scenario(
                 "confirmed long after its record",
                 &[
-                    (0, ZonesCut(3500)),
-                    (0, Refused(West, 3500)),
+                    (0, ZonesPartitioned(3500)),
+                    (0, RefusedByState(West, 3500)),
                     (5000, AnswersLost(All, 30)),
                     (5100, Cancel(East)),
-                    (5150, Away(1100)),
-                    (7000, End(Leader, 0)),
+                    (5150, StateOutage(1100)),
+                    (7000, Terminate(Leader, 0)),
                 ],
             ),
             // A new leader once counted the time from the start of its own process.
-            scene(
+            scenario(
                 "all of east restart at once, and lead right after their start",
                 &[
-                    (0, ZonesCut(3500)),
-                    (0, Refused(West, 3500)),
+                    (0, ZonesPartitioned(3500)),
+                    (0, RefusedByState(West, 3500)),
                     (5000, Cancel(East)),
-                    (24_000, End(East, 0)),
+                    (24_000, Terminate(East, 0)),
                 ],
             ),
             // Each leader once waited for 4 s from its own start.
-            scene(
+            scenario(
                 "leaders change repeatedly when machines have to be deleted",
-                &[(0, ZonesCut(3500)), (0, Refused(West, 3500)), (5000, Cancel(East)), (20_000, Changes(12))],
+                &[
+                    (0, ZonesPartitioned(3500)),
+                    (0, RefusedByState(West, 3500)),
+                    (5000, Cancel(East)),
+                    (20_000, LeaderChanges(12)),
+                ],
             ),
             // The standby replicas once held only the placement log of the previous leader.
-            scene(
+            scenario(
                 "the next leader exits within its first second, and none can be elected",
                 &[
-                    (0, ZonesCut(3500)),
-                    (0, Refused(West, 3500)),
+                    (0, ZonesPartitioned(3500)),
+                    (0, RefusedByState(West, 3500)),
                     (5000, Cancel(East)),
-                    (8000, NextEnds(300)),
-                    (8000, End(Leader, NEVER)),
+                    (8000, NextLeaderTerminates(300)),
+                    (8000, Terminate(Leader, NEVER)),
                 ],
             ),
             // The deputies' deletion budget was two machines in 10 s.
-            scene(
+            scenario(
                 "the state service unavailable, the leader terminated",
                 &[
-                    (0, ZonesCut(3500)),
-                    (0, Refused(West, 3500)),
+                    (0, ZonesPartitioned(3500)),
+                    (0, RefusedByState(West, 3500)),
                     (5000, Cancel(East)),
-                    (8000, Away(1300)),
-                    (8500, End(Leader, NEVER)),
+                    (8000, StateOutage(1300)),
+                    (8500, Terminate(Leader, NEVER)),
                 ],
             ),
             // A controller that had read the state once renewed its workers' leases forever.
-            scene(
+            scenario(
                 "no controller is left in the east",
                 &[
-                    (0, ZonesCut(3500)),
-                    (0, Refused(West, 3500)),
+                    (0, ZonesPartitioned(3500)),
+                    (0, RefusedByState(West, 3500)),
                     (5000, Cancel(East)),
-                    (8000, End(East, 3000)),
+                    (8000, Terminate(East, 3000)),
                 ],
             ),
         ],
-        &[Work::Mixed],
+        &[Workload::Mixed],
     );
 }
 
 /// Stop commands that are lost, and stop commands whose answers are lost, are repeated until they
 /// are carried out.
 #[test]
-fn stops_go_out_until_they_are_carried_out() {
-    let scene = |name, acts| Scene { name, acts, told: false, spares: false };
-    play_scenes(
+fn stop_commands_are_repeated_until_carried_out() {
+    let scenario =
+        |name, actions| Scenario { name, actions, expect_confirmed: false, expect_no_deletions: false };
+    run_scenarios(
         &[
-            scene("machines that cannot send", &[(0, MachinesMute(2000)), (100, Cancel(Other(1)))]),
-            scene(
+            scenario("machines that cannot send", &[(0, MachinesCannotSend(2000)), (100, Cancel(Other(1)))]),
+            scenario(
                 "machines that cannot send, partitioned as the stop commands leave, the cloud unavailable",
                 &[
-                    (0, MachinesMute(2000)),
-                    (0, MachinesCut(100)),
+                    (0, MachinesCannotSend(2000)),
+                    (0, MachinesPartitioned(100)),
                     (100, Cancel(Other(1))),
-                    (100, CloudAway(900)),
+                    (100, CloudOutage(900)),
                 ],
             ),
-            scene(
+            scenario(
                 "commands delayed, and the leader exits",
-                &[(0, CommandsHeld(500)), (100, Cancel(Other(1))), (3000, End(Leader, 0))],
+                &[(0, CommandsDelayed(500)), (100, Cancel(Other(1))), (3000, Terminate(Leader, 0))],
             ),
-            scene(
+            scenario(
                 "commands delayed beyond the time limit, through a series of leaders",
-                &[(0, CommandsHeld(1500)), (100, Cancel(Other(1))), (200, Changes(10))],
+                &[(0, CommandsDelayed(1500)), (100, Cancel(Other(1))), (200, LeaderChanges(10))],
             ),
-            scene("machines hang as users cancel", &[(0, CancelAndHang(Other(1), 1500))]),
-            scene(
+            scenario("machines hang as users cancel", &[(0, CancelAndHang(Other(1), 1500))]),
+            scenario(
                 "machines hang as users cancel, the leader paused, the cloud unavailable",
-                &[(0, CancelAndHang(Other(1), 1500)), (300, Freeze(Leader, 500)), (300, CloudAway(333))],
+                &[(0, CancelAndHang(Other(1), 1500)), (300, Pause(Leader, 500)), (300, CloudOutage(333))],
             ),
         ],
-        &EVERY,
+        &ALL_WORKLOADS,
     );
 }
 
@@ -123,75 +131,81 @@
 /// a start that was assigned to it, and not yet ordered, must not follow the confirmation to the
 /// user. Assignments reach it through the state service, which then sends it no events for a while.
 #[test]
-fn nothing_is_ordered_behind_a_cut_after_a_confirmation() {
-    let scene = |name, acts| Scene { name, acts, told: false, spares: false };
-    play_scenes(
+fn no_start_is_ordered_behind_a_partition_after_a_confirmation() {
+    let scenario =
+        |name, actions| Scenario { name, actions, expect_confirmed: false, expect_no_deletions: false };
+    run_scenarios(
         &[
             // The controller once processed the assignment before it read the job ends that came in
             // the same watch response.
-            scene(
+            scenario(
                 "the assignment and the cancellation come in one watch response",
-                &[(0, ZonesCut(900)), (3000, Submit), (3450, Refused(West, 75)), (4300, Cancel(Leader))],
+                &[
+                    (0, ZonesPartitioned(900)),
+                    (3000, Submit),
+                    (3450, RefusedByState(West, 75)),
+                    (4300, Cancel(Leader)),
+                ],
             ),
             // Controllers from which no heartbeat arrived were once left out altogether.
-            scene(
+            scenario(
                 "the start waits for an outstanding call, and no events come",
                 &[
-                    (0, ZonesCut(900)),
-                    (2900, CommandsHeld(300)),
+                    (0, ZonesPartitioned(900)),
+                    (2900, CommandsDelayed(300)),
                     (3000, Submit),
                     (3400, Submit),
-                    (4450, Refused(West, 300)),
+                    (4450, RefusedByState(West, 300)),
                     (4500, Cancel(Leader)),
                 ],
             ),
-            scene(
+            scenario(
                 "machines hang and resume, and no events come",
                 &[
-                    (0, ZonesCut(900)),
+                    (0, ZonesPartitioned(900)),
                     (3000, Submit),
                     (3300, MachinesHang(30)),
-                    (3700, Refused(West, 300)),
+                    (3700, RefusedByState(West, 300)),
                     (3800, Submit),
                     (4300, Cancel(Leader)),
                 ],
             ),
         ],
-        &[Work::Mixed, Work::Single],
+        &[Workload::Mixed, Workload::Single],
     );
 }
 
 /// Runs the random actions of a seed; returns their description and the world after them.
-fn play_random(seed: u64) -> (String, World) {
+fn run_random_actions(seed: u64) -> (String, World) {
     let mut r = fastrand::Rng::with_seed(seed ^ 0x5eed);
     let nodes = if r.u32(0..3) == 0 { 7 } else { 3 };
-    let work = EVERY[r.usize(0..4)];
-    let acts = random_acts(&mut r);
-    let w = play(&acts, seed, nodes, work);
-    (format!("seed {seed}, {nodes} controllers, {work:?}, {acts:?}"), w)
+    let workload = ALL_WORKLOADS[r.usize(0..4)];
+    let actions = random_actions(&mut r);
+    let w = simulate(&actions, seed, nodes, workload);
+    (format!("seed {seed}, {nodes} controllers, {workload:?}, {actions:?}"), w)
 }
 
 /// Two to four random faults around cancellations, with three or seven controllers and any
 /// workload.
 #[test]
-fn troubles_meet_round_cancellations() {
-    let (mut failed, mut late, mut plays) = (Vec::new(), 0, 0);
+fn random_faults_around_cancellations() {
+    let (mut failed, mut late, mut runs) = (Vec::new(), 0, 0);
     for seed in seeds("CANCELLED_SEEDS", 0, 60) {
-        let (what, w) = play_random(seed);
-        (late, plays) = (late + w.faults.late_starts, plays + 1);
-        if !w.broken.is_empty() {
-            let broken = &w.broken[..w.broken.len().min(3)];
-            failed.push(format!("{what}: {broken:?}"));
+        let (what, w) = run_random_actions(seed);
+        (late, runs) = (late + w.faults.starts_after_confirmation, runs + 1);
+        if !w.violations.is_empty() {
+            let violations = &w.violations[..w.violations.len().min(3)];
+            failed.push(format!("{what}: {violations:?}"));
         }
     }
-    println!("{late} starts after a confirmed cancellation, all ordered before it, in {plays} runs");
-    assert!(failed.is_empty(), "{} of {plays} runs failed:\n{}", failed.len(), failed.join("\n"));
+    println!("{late} starts after a confirmed cancellation, all ordered before it, in {runs} runs");
+    assert!(failed.is_empty(), "{} of {runs} runs failed:\n{}", failed.len(), failed.join("\n"));
 }
 
 /// All controllers exit while a machine hangs and the state service is unavailable
 /// (`docs/incidents/earlier.md`).
 #[test]
-fn a_cancelled_task_is_gone_in_time_though_nobody_is_left_who_knows_of_it() {
-    let (what, w) = play_random(5141);
-    assert!(w.broken.is_empty(), "{what}: {:?}", &w.broken[..w.broken.len().min(3)]);
+fn cancelled_tasks_stop_in_time_after_all_controllers_exit() {
+    let (what, w) = run_random_actions(5141);
+    assert!(w.violations.is_empty(), "{what}: {:?}", &w.violations[..w.violations.len().min(3)]);
 }
--- a/tests/world/looks.rs
+++ b/tests/world/consistency.rs
@@ -3,22 +3,22 @@
 //! From the moment any controller answered that a job is accepted, done or cancelled, no answer to
 //! a request that begins later, at any controller, may report an older state. A 503 reports no
 //! state; how many answers are 503 is counted.
-use super::scenes::Act::*;
-use super::scenes::Who::*;
-use super::scenes::{Act, Work, play};
+use super::scenarios::Action::*;
+use super::scenarios::Controllers::*;
+use super::scenarios::{Action, Workload, simulate};
 use super::*;
 
 /// What a user does with a job.
 #[derive(Debug, Clone, Copy)]
-pub enum Way {
+pub enum UserAction {
     Poll,
-    Again,
+    Resubmit,
     Abort,
 }
 
 /// State of a job as reported to a user.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Told {
+enum Reported {
     Accepted,
     Done,
     Aborted,
@@ -26,29 +26,29 @@
 
 /// Answers and reports recorded for the consistency checks.
 #[derive(Default)]
-pub struct Seen {
+pub struct Observations {
     /// Users send rapid requests until then.
-    pub until: u64,
+    pub rapid_requests_until: u64,
     /// Time at which each request began.
-    pub began: BTreeMap<RequestId, u64>,
+    pub requests_began_at: BTreeMap<RequestId, u64>,
     /// The first answer with each state of a job, and when it left a controller.
-    told: BTreeMap<usize, Vec<(u64, Told)>>,
+    reported: BTreeMap<usize, Vec<(u64, Reported)>>,
     /// Answers during rapid requests, and those among them with status 503.
     pub answers: usize,
-    pub later: usize,
+    pub unavailable_answers: usize,
     /// The answer to the request of a test that waits for it.
-    pub odd: Option<(u16, Vec<u8>)>,
+    pub direct_answer: Option<(u16, Vec<u8>)>,
 }
 
 /// Whether an answer to a request that began at `began` reports an older state than an answer that
 /// left before.
-fn is_older(told: &[(u64, Told)], began: u64, status: u16, stage: Option<&str>) -> bool {
-    let before = |t: Told| told.iter().any(|(at, what)| *what == t && *at < began);
-    let known = !told.is_empty() && told.iter().any(|(at, _)| *at < began);
+fn is_older(reported: &[(u64, Reported)], began: u64, status: u16, stage: Option<&str>) -> bool {
+    let before = |t: Reported| reported.iter().any(|(at, what)| *what == t && *at < began);
+    let known = !reported.is_empty() && reported.iter().any(|(at, _)| *at < began);
     match (status, stage) {
         (200 | 201, Some(stage)) => {
-            before(Told::Done) && stage != "done"
-                || before(Told::Aborted) && stage != "aborted"
+            before(Reported::Done) && stage != "done"
+                || before(Reported::Aborted) && stage != "aborted"
                 || status == 201 && known
         }
         (400 | 404 | 422, _) => known,
@@ -59,67 +59,72 @@
 impl World {
     /// Compares an answer that leaves for a user with all answers about the job that left before
     /// its request began.
-    pub fn compare(&mut self, n: usize, id: RequestId, status: u16, body: &[u8]) {
-        let Some(Asker::Abort(j) | Asker::Poll(j) | Asker::Submit(j)) = self.asked.get(&id) else { return };
-        let (j, began) = (*j, self.looks.began.get(&id).copied().unwrap_or(self.now));
+    pub fn check_answer_order(&mut self, n: usize, id: RequestId, status: u16, body: &[u8]) {
+        let Some(Requester::Abort(j) | Requester::Poll(j) | Requester::Submit(j)) =
+            self.pending_requests.get(&id)
+        else {
+            return;
+        };
+        let (j, began) = (*j, self.consistency.requests_began_at.get(&id).copied().unwrap_or(self.now));
         let v: Value = serde_json::from_slice(body).unwrap_or_default();
         let stage = v["stage"].as_str();
-        if self.now < self.looks.until {
-            self.looks.answers += 1;
-            self.looks.later += (status == 503) as usize;
+        if self.now < self.consistency.rapid_requests_until {
+            self.consistency.answers += 1;
+            self.consistency.unavailable_answers += (status == 503) as usize;
         }
-        let told = self.looks.told.entry(j).or_default();
-        if is_older(told, began, status, stage) {
-            let what = format!("job {j}: controller {n} says {status} {stage:?}, reported before {told:?}");
-            return self.break_rule("older_answer", what);
+        let reported = self.consistency.reported.entry(j).or_default();
+        if is_older(reported, began, status, stage) {
+            let what =
+                format!("job {j}: controller {n} says {status} {stage:?}, reported before {reported:?}");
+            return self.report_violation("older_answer", what);
         }
         let now = match (status, stage) {
-            (200 | 201, Some("done")) => Told::Done,
-            (200 | 201, Some("aborted")) => Told::Aborted,
-            (200 | 201, Some(_)) => Told::Accepted,
+            (200 | 201, Some("done")) => Reported::Done,
+            (200 | 201, Some("aborted")) => Reported::Aborted,
+            (200 | 201, Some(_)) => Reported::Accepted,
             _ => return,
         };
-        if told.iter().any(|(_, t)| *t == now) {
+        if reported.iter().any(|(_, t)| *t == now) {
             return;
         }
-        told.push((self.now, now));
-        if self.now < self.looks.until {
+        reported.push((self.now, now));
+        if self.now < self.consistency.rapid_requests_until {
             for n in 0..self.size.nodes {
                 for _ in 0..4 {
-                    let way = match self.rng.u32(0..9) {
-                        0 if now == Told::Accepted && n == j % self.size.nodes => Way::Abort,
-                        0..=3 => Way::Again,
-                        _ => Way::Poll,
+                    let user_action = match self.rng.u32(0..9) {
+                        0 if now == Reported::Accepted && n == j % self.size.nodes => UserAction::Abort,
+                        0..=3 => UserAction::Resubmit,
+                        _ => UserAction::Poll,
                     };
                     let d = self.rng.u64(0..40 * MS);
-                    self.at(d, Event::Look(n, way, j));
+                    self.at(d, Event::UserRequest(n, user_action, j));
                 }
             }
         }
     }
 
-    pub fn look(&mut self, n: usize, way: Way, j: usize) {
+    pub fn send_user_request(&mut self, n: usize, user_action: UserAction, j: usize) {
         let path = format!("/submissions/j-{j:06}");
-        match way {
-            Way::Poll => self.request(n, "GET", path, Vec::new(), Asker::Poll(j)),
-            Way::Again => {
+        match user_action {
+            UserAction::Poll => self.request(n, "GET", path, Vec::new(), Requester::Poll(j)),
+            UserAction::Resubmit => {
                 let body = self.jobs[j].body.to_string().into_bytes();
-                self.request(n, "POST", "/submissions".into(), body, Asker::Submit(j));
+                self.request(n, "POST", "/submissions".into(), body, Requester::Submit(j));
             }
-            Way::Abort => {
+            UserAction::Abort => {
                 let job = &mut self.jobs[j];
-                (job.abort_asked, job.abort_at) = (true, self.now.min(job.abort_at));
-                self.request(n, "POST", format!("{path}/abort"), Vec::new(), Asker::Abort(j));
+                (job.abort_requested, job.abort_at) = (true, self.now.min(job.abort_at));
+                self.request(n, "POST", format!("{path}/abort"), Vec::new(), Requester::Abort(j));
             }
         }
     }
 }
 
 #[test]
-fn an_older_answer_is_noticed() {
-    use Told::*;
+fn an_older_answer_is_detected() {
+    use Reported::*;
     // (reported states with the times at which they left; begin of the request, its answer; older)
-    type Case<'a> = (&'a [(u64, Told)], u64, u16, Option<&'a str>, bool);
+    type Case<'a> = (&'a [(u64, Reported)], u64, u16, Option<&'a str>, bool);
     let cases: &[Case] = &[
         (&[], 5, 404, None, false),
         (&[], 5, 201, Some("queued"), false),
@@ -138,54 +143,57 @@
         (&[(6, Done)], 7, 400, None, true),
         (&[(6, Done)], 7, 200, Some("done"), false),
     ];
-    for (told, began, status, stage, want) in cases {
+    for (reported, began, status, stage, want) in cases {
         assert_eq!(
-            is_older(told, *began, *status, *stage),
+            is_older(reported, *began, *status, *stage),
             *want,
-            "{told:?}, then {status} {stage:?} to what began at {began}"
+            "{reported:?}, then {status} {stage:?} to what began at {began}"
         );
     }
 }
 
 #[test]
-fn no_controller_answers_anything_older() {
+fn no_controller_reports_an_older_state() {
     // (faults, actions)
-    let scenes: [(&str, &[(u64, Act)]); 9] = [
+    let scenarios: [(&str, &[(u64, Action)]); 9] = [
         ("no trouble", &[]),
-        ("the leader ends", &[(300, End(Leader, 0)), (2500, End(Leader, 0))]),
-        ("every third write takes effect late", &[(0, LateWrites(400))]),
+        ("the leader ends", &[(300, Terminate(Leader, 0)), (2500, Terminate(Leader, 0))]),
+        ("every third write takes effect late", &[(0, DelayedWrites(400))]),
         ("answers lost, writes carried out at once", &[(0, AnswersLost(All, 150))]),
         (
             "the confirming controller's answers lost",
             &[(0, AnswersLost(Other(1), 300)), (0, AnswersLost(Leader, 300))],
         ),
-        ("the state is read again", &[(200, Forgotten), (700, Forgotten), (1500, Forgotten)]),
-        ("one refused, then another", &[(0, Refused(Other(1), 60)), (2100, Refused(Leader, 100))]),
-        ("an outage", &[(900, Away(200))]),
-        ("one controller isolated", &[(0, Alone(Other(2), 300))]),
+        ("the state is read again", &[(200, HistoryDropped), (700, HistoryDropped), (1500, HistoryDropped)]),
+        (
+            "one refused, then another",
+            &[(0, RefusedByState(Other(1), 60)), (2100, RefusedByState(Leader, 100))],
+        ),
+        ("an outage", &[(900, StateOutage(200))]),
+        ("one controller isolated", &[(0, Isolated(Other(2), 300))]),
     ];
     let mut failed = Vec::new();
-    for (name, acts) in scenes {
+    for (name, actions) in scenarios {
         for nodes in [3, 7] {
             for seed in seeds("LOOKS_SEEDS", 0, 3) {
-                let mut all = vec![(0, Looks(1000)), (1, Submit), (2000, Submit)];
+                let mut all = vec![(0, RapidRequests(1000)), (1, Submit), (2000, Submit)];
                 all.extend([(2600, Cancel(Other(1))), (4000, Submit)]);
-                all.extend(acts);
+                all.extend(actions);
                 all.sort_by_key(|a| a.0);
-                let w = play(&all, seed, nodes, Work::Mixed);
-                let mut bad = w.broken.clone();
-                let over = |t: &[(u64, Told)]| t.iter().any(|(_, t)| *t != Told::Accepted);
-                let ended = w.looks.told.values().filter(|t| over(t)).count();
-                if w.looks.answers < 250 * nodes || ended < 30 {
-                    bad.push(format!("only {} answers, {ended} jobs ended", w.looks.answers));
+                let w = simulate(&all, seed, nodes, Workload::Mixed);
+                let mut bad = w.violations.clone();
+                let over = |t: &[(u64, Reported)]| t.iter().any(|(_, t)| *t != Reported::Accepted);
+                let ended = w.consistency.reported.values().filter(|t| over(t)).count();
+                if w.consistency.answers < 250 * nodes || ended < 30 {
+                    bad.push(format!("only {} answers, {ended} jobs ended", w.consistency.answers));
                 }
-                let share = w.looks.later as f64 / w.looks.answers.max(1) as f64;
+                let share = w.consistency.unavailable_answers as f64 / w.consistency.answers.max(1) as f64;
                 println!(
                     "{name}, {nodes} controllers, seed {seed}: {} answers, 503 {share:.3}",
-                    w.looks.answers
+                    w.consistency.answers
                 );
                 // Without faults, at most 2 % of the answers may be 503.
-                if acts.is_empty() && share > 0.02 {
+                if actions.is_empty() && share > 0.02 {
                     bad.push(format!("{share:.3} of the answers are 503"));
                 }
                 if !bad.is_empty() {
--- a/tests/world/fleet.rs
+++ b/tests/world/fleet.rs
@@ -9,14 +9,14 @@
 /// Three controllers, of which the west zone has a single one.
 const FLEET: Size = Size {
     nodes: 3,
-    room: [700, 12],
-    report: 5 * S,
+    capacity: [700, 12],
+    report_interval: 5 * S,
     lease: 26 * S,
-    cancel: 48 * S,
-    requests: 400.0,
-    changes: 60.0,
-    changes_at_once: 16,
-    value_kb: 8.0,
+    cancel_timeout: 48 * S,
+    requests_per_s: 400.0,
+    writes_per_s: 60.0,
+    max_txn_writes: 16,
+    max_value_kib: 8.0,
     jobs: 330,
     tasks: 60,
     busy_until: 245 * S,
@@ -25,89 +25,95 @@
     ..SMALL
 };
 /// Seven controllers, with a tighter write budget.
-const FLEET_OF_SEVEN: Size =
-    Size { nodes: 7, changes: 40.0, changes_at_once: 8, value_kb: 4.0, requests: 250.0, ..FLEET };
+const SEVEN_CONTROLLERS_FLEET: Size = Size {
+    nodes: 7,
+    writes_per_s: 40.0,
+    max_txn_writes: 8,
+    max_value_kib: 4.0,
+    requests_per_s: 250.0,
+    ..FLEET
+};
 
 /// About 4,000 machines, with the largest site's budgets; a shorter simulation.
-const FLEET_OF_THOUSANDS: Size = Size {
-    room: [2100, 30],
-    workers_every: 200 * MS,
-    requests: 500.0,
-    changes: 180.0,
-    changes_at_once: 24,
-    value_kb: 16.0,
+const LARGE_FLEET: Size = Size {
+    capacity: [2100, 30],
+    worker_step: 200 * MS,
+    requests_per_s: 500.0,
+    writes_per_s: 180.0,
+    max_txn_writes: 24,
+    max_value_kib: 16.0,
     jobs: 1_200,
     busy_until: 100 * S,
     ends: 160 * S,
     ..FLEET
 };
 
-const CUT: [u64; 2] = [70 * S, 112 * S];
+const PARTITION: [u64; 2] = [70 * S, 112 * S];
 const OUTAGE: [u64; 2] = [215 * S, 232 * S];
 /// Time after a fault until services have all replicas back: a machine is known to be dead, its
 /// deletion is confirmed, another one has booted, and one more where that one never came up.
-const BACK: u64 = 45 * S;
+const REPLICA_RECOVERY_TIME: u64 = 45 * S;
 /// A silent zone is closed after the reports of all its workers were due.
-const CLOSED_AFTER: u64 = 12 * S;
+const ZONE_CLOSE_DELAY: u64 = 12 * S;
 
 /// Faults of a fleet simulation, with their times.
-const DAY: [(u64, Blow); 9] = [
-    (CUT[0], Blow::CutOff),
-    (CUT[0] + 2 * S, Blow::Cancel { arrays: 6, services: 2 }),
-    (CUT[0] + 6 * S, Blow::CrashThere),
-    (160 * S, Blow::Die(90)),
-    (161 * S, Blow::Sick(30)),
-    (166 * S, Blow::Taken(180)),
-    (OUTAGE[0], Blow::StateAway(OUTAGE[1] - OUTAGE[0])),
-    (OUTAGE[0] + 3 * S, Blow::CrashAll),
-    (OUTAGE[1] + BACK, Blow::Look),
+const FAULT_SCHEDULE: [(u64, FleetFault); 9] = [
+    (PARTITION[0], FleetFault::PartitionWest),
+    (PARTITION[0] + 2 * S, FleetFault::Cancel { arrays: 6, services: 2 }),
+    (PARTITION[0] + 6 * S, FleetFault::CrashWest),
+    (160 * S, FleetFault::MachinesDie(90)),
+    (161 * S, FleetFault::MachinesFailTasks(30)),
+    (166 * S, FleetFault::SpotReclaimed(180)),
+    (OUTAGE[0], FleetFault::StateOutage(OUTAGE[1] - OUTAGE[0])),
+    (OUTAGE[0] + 3 * S, FleetFault::CrashAll),
+    (OUTAGE[1] + REPLICA_RECOVERY_TIME, FleetFault::CheckReplicas),
 ];
 
 /// Faults of a simulation with thousands of machines.
-const DAY_OF_THOUSANDS: [(u64, Blow); 4] = [
-    (CUT[0], Blow::CutOff),
-    (CUT[0] + 2 * S, Blow::Cancel { arrays: 6, services: 2 }),
-    (CUT[0] + 6 * S, Blow::CrashThere),
-    (CUT[1] + BACK, Blow::Look),
+const LARGE_FLEET_SCHEDULE: [(u64, FleetFault); 4] = [
+    (PARTITION[0], FleetFault::PartitionWest),
+    (PARTITION[0] + 2 * S, FleetFault::Cancel { arrays: 6, services: 2 }),
+    (PARTITION[0] + 6 * S, FleetFault::CrashWest),
+    (PARTITION[1] + REPLICA_RECOVERY_TIME, FleetFault::CheckReplicas),
 ];
 
 #[derive(Debug, Clone, Copy)]
-enum Blow {
+enum FleetFault {
     /// The west zone can reach neither the east zone nor the state service.
-    CutOff,
+    PartitionWest,
     /// Users cancel this many running arrays and services.
     Cancel {
         arrays: usize,
         services: usize,
     },
     /// The controllers of the west zone crash.
-    CrashThere,
+    CrashWest,
     /// On-demand machines fail.
-    Die(usize),
+    MachinesDie(usize),
     /// On-demand machines fail every task that they start.
-    Sick(usize),
+    MachinesFailTasks(usize),
     /// The cloud reclaims spot machines.
-    Taken(usize),
+    SpotReclaimed(usize),
     /// The state service is unavailable for this time.
-    StateAway(u64),
+    StateOutage(u64),
     CrashAll,
     /// All replicas should be running; counts the missing ones.
-    Look,
+    CheckReplicas,
 }
 
 /// Results of a fleet simulation.
 #[derive(Default)]
-pub struct Seen {
-    done: usize,
+pub struct Observations {
+    faults_injected: usize,
     /// Machines that were made to fail all tasks.
-    struck: BTreeSet<String>,
+    made_faulty: BTreeSet<String>,
     /// Healthy machines with replicas that the service deleted: in the west zone during the
     /// partition, and elsewhere or at another time.
-    cut_lost: usize,
-    lost: Vec<String>,
+    lost_in_partition: usize,
+    healthy_deleted: Vec<String>,
     /// Machines rented in the closed zone, and largest number of machines.
-    rented_blind: usize,
-    most: usize,
+    rented_in_closed_zone: usize,
+    max_machines: usize,
     /// (second of the check, missing replicas, replicas that should run)
     missing: Vec<(u64, u32, u32)>,
 }
@@ -119,38 +125,41 @@
 impl Size {
     /// How many times larger than the usual fleet it is.
     fn times(&self) -> usize {
-        self.room[0] / FLEET.room[0]
+        self.capacity[0] / FLEET.capacity[0]
     }
 }
 
 impl World {
-    pub fn fleet_trouble(&mut self) {
-        let day = if self.size.times() > 1 { &DAY_OF_THOUSANDS[..] } else { &DAY[..] };
-        let Some((at, blow)) = day.get(self.fleet.done).copied() else { return };
+    pub fn inject_fleet_fault(&mut self) {
+        let schedule = if self.size.times() > 1 { &LARGE_FLEET_SCHEDULE[..] } else { &FAULT_SCHEDULE[..] };
+        let Some((at, fleet_fault)) = schedule.get(self.fleet.faults_injected).copied() else { return };
         if self.now < at {
-            return self.at(at - self.now, Event::Trouble);
+            return self.at(at - self.now, Event::InjectFault);
         }
-        self.fleet.done += 1;
-        self.at(0, Event::Trouble);
-        self.fleet.most = self.fleet.most.max(self.machines.len());
+        self.fleet.faults_injected += 1;
+        self.at(0, Event::InjectFault);
+        self.fleet.max_machines = self.fleet.max_machines.max(self.machines.len());
         // The effects of the last fault must be repaired before the next one, and at the end.
-        if matches!(blow, Blow::Die(_) | Blow::StateAway(_) | Blow::Look) {
-            let (missing, of) = self.missing_replicas();
+        if matches!(
+            fleet_fault,
+            FleetFault::MachinesDie(_) | FleetFault::StateOutage(_) | FleetFault::CheckReplicas
+        ) {
+            let (missing, of) = self.count_missing_replicas();
             self.fleet.missing.push((self.now / S, missing, of));
         }
         let times = self.size.times();
-        match blow {
-            Blow::CutOff => {
-                self.zones_cut_until = CUT[1];
-                for n in (0..self.size.nodes).filter(|n| node_zone(*n) == "west") {
-                    self.refused_until[n] = CUT[1];
+        match fleet_fault {
+            FleetFault::PartitionWest => {
+                self.zones_partitioned_until = PARTITION[1];
+                for n in (0..self.size.nodes).filter(|n| controller_zone(*n) == "west") {
+                    self.state_refused_until[n] = PARTITION[1];
                 }
             }
-            Blow::CrashThere => {
-                (0..self.size.nodes).filter(|n| node_zone(*n) == "west").for_each(|n| self.crash(n))
+            FleetFault::CrashWest => {
+                (0..self.size.nodes).filter(|n| controller_zone(*n) == "west").for_each(|n| self.crash(n))
             }
-            Blow::CrashAll => (0..self.size.nodes).for_each(|n| self.crash(n)),
-            Blow::Cancel { arrays, services } => {
+            FleetFault::CrashAll => (0..self.size.nodes).for_each(|n| self.crash(n)),
+            FleetFault::Cancel { arrays, services } => {
                 for (service, many) in [(false, arrays), (true, services)] {
                     let on = |w: &World, j: usize| {
                         let mine = |t: &&worker::Task| t.on() && World::job_of(&t.name).0 == j;
@@ -160,44 +169,44 @@
                             .flat_map(|m| &m.tasks)
                             .any(|t| mine(&t))
                     };
-                    let live = |j: &Job| j.accepted && !j.told_done && j.aborted_at.is_none();
+                    let live = |j: &Job| j.accepted && !j.reported_done && j.aborted_at.is_none();
                     let some: Vec<usize> = (0..self.jobs.len())
                         .filter(|j| self.jobs[*j].service == service && live(&self.jobs[*j]) && on(self, *j))
                         .take(many * times)
                         .collect();
                     for j in some {
                         self.jobs[j].abort_at = self.now;
-                        self.jobs[j].next_try = self.now;
+                        self.jobs[j].next_request_at = self.now;
                     }
                 }
             }
-            Blow::Die(n) => {
-                for name in self.some_machines(n * times, |m| !m.spot) {
+            FleetFault::MachinesDie(n) => {
+                for name in self.random_machines(n * times, |m| !m.spot) {
                     self.machines.remove(&name);
                 }
             }
-            Blow::Taken(n) => {
-                for name in self.some_machines(n * times, |m| m.spot) {
+            FleetFault::SpotReclaimed(n) => {
+                for name in self.random_machines(n * times, |m| m.spot) {
                     self.machines.remove(&name);
                 }
             }
-            Blow::Sick(n) => {
-                for name in self.some_machines(n * times, |m| !m.spot) {
+            FleetFault::MachinesFailTasks(n) => {
+                for name in self.random_machines(n * times, |m| !m.spot) {
                     if let Some(m) = self.machines.get_mut(&name) {
                         m.sick = true;
                     }
-                    self.fleet.struck.insert(name);
+                    self.fleet.made_faulty.insert(name);
                 }
             }
-            Blow::StateAway(long) => {
+            FleetFault::StateOutage(long) => {
                 self.state.down = true;
-                self.at(long, Event::Heal);
+                self.at(long, Event::StateServiceRecovers);
             }
-            Blow::Look => {}
+            FleetFault::CheckReplicas => {}
         }
     }
 
-    fn some_machines(&mut self, n: usize, which: impl Fn(&Machine) -> bool) -> Vec<String> {
+    fn random_machines(&mut self, n: usize, which: impl Fn(&Machine) -> bool) -> Vec<String> {
         let up = |m: &&Machine| m.up_at <= self.now && which(m);
         let mut names: Vec<String> = self.machines.values().filter(up).map(|m| m.name.clone()).collect();
         self.rng.shuffle(&mut names);
@@ -206,7 +215,7 @@
     }
 
     /// Replicas that should run and do not, and how many should run.
-    fn missing_replicas(&self) -> (u32, u32) {
+    fn count_missing_replicas(&self) -> (u32, u32) {
         let mut on: BTreeMap<usize, u32> = BTreeMap::new();
         for t in self.machines.values().flat_map(|m| &m.tasks).filter(|t| t.on()) {
             *on.entry(World::job_of(&t.name).0).or_default() += 1;
@@ -215,9 +224,9 @@
         let due = |j: &Job| {
             j.service
                 && j.accepted
-                && !j.abort_asked
+                && !j.abort_requested
                 && j.abort_at == u64::MAX
-                && self.now > j.accepted_at + BACK
+                && self.now > j.accepted_at + REPLICA_RECOVERY_TIME
         };
         let all = self.jobs.iter().enumerate().filter(|(_, j)| due(j));
         all.fold((0, 0), |(missing, of), (i, j)| {
@@ -226,30 +235,33 @@
     }
 
     /// Records the deletion of a healthy machine with replicas.
-    pub fn fleet_deletes(&mut self, name: &str) {
+    pub fn note_fleet_deletion(&mut self, name: &str) {
         let Some(m) = self.machines.get(name).filter(|_| self.size.fleet) else { return };
         let job = |t: &worker::Task| &self.jobs[World::job_of(&t.name).0];
         let mut on = m.tasks.iter().filter(|t| t.on());
-        let replicas = on.clone().any(|t| job(t).service && !job(t).abort_asked);
-        let cancelled = on.any(|t| job(t).abort_asked);
-        if !replicas || cancelled || self.fleet.struck.contains(name) || m.hung_until > self.now {
+        let replicas = on.clone().any(|t| job(t).service && !job(t).abort_requested);
+        let cancelled = on.any(|t| job(t).abort_requested);
+        if !replicas || cancelled || self.fleet.made_faulty.contains(name) || m.hung_until > self.now {
             return;
         }
-        if m.zone == "west" && within(self.now, CUT) {
-            self.fleet.cut_lost += 1;
+        if m.zone == "west" && within(self.now, PARTITION) {
+            self.fleet.lost_in_partition += 1;
         } else {
-            self.fleet.lost.push(format!("{name} ({}) at {:.1} s", m.zone, self.now as f64 / 1e6));
+            self.fleet.healthy_deleted.push(format!("{name} ({}) at {:.1} s", m.zone, self.now as f64 / 1e6));
         }
     }
 
     /// Records rentals in the closed zone.
-    pub fn fleet_rents(&mut self, zone: &str, n: usize) {
-        if self.size.fleet && zone == "west" && within(self.now, [CUT[0] + CLOSED_AFTER, CUT[1]]) {
-            self.fleet.rented_blind += n;
+    pub fn note_fleet_rental(&mut self, zone: &str, n: usize) {
+        if self.size.fleet
+            && zone == "west"
+            && within(self.now, [PARTITION[0] + ZONE_CLOSE_DELAY, PARTITION[1]])
+        {
+            self.fleet.rented_in_closed_zone += n;
         }
     }
 
-    pub fn fleet_job(&mut self) {
+    pub fn push_fleet_job(&mut self) {
         let j = self.jobs.len();
         let r = &mut self.rng;
         let service = j < self.size.jobs * 5 / 6 || r.u32(0..6) == 0;
@@ -270,57 +282,74 @@
 }
 
 /// Runs fleet simulations of a size, which must reach this many machines and tasks at a time.
-fn recovers(size: Size, seeds: std::ops::Range<u64>, machines: usize, tasks: usize) {
+fn assert_fleet_recovers(size: Size, seeds: std::ops::Range<u64>, machines: usize, tasks: usize) {
     let times = size.times();
     for seed in seeds {
-        let w = play(seed, false, size);
+        let w = simulate(seed, false, size);
         let (what, seen) = (format!("seed {seed}, {} controllers", size.nodes), &w.fleet);
         println!(
             "{what}: up to {} machines, {} tasks at a time, {} started; {} replicas' machines lost \
              during the partition, {} rented there; missing (at, of) {:?}",
-            seen.most, w.peak, w.started, seen.cut_lost, seen.rented_blind, seen.missing
+            seen.max_machines,
+            w.peak_tasks,
+            w.started,
+            seen.lost_in_partition,
+            seen.rented_in_closed_zone,
+            seen.missing
         );
-        assert!(w.broken.is_empty(), "{what}: {:?}", w.broken);
+        assert!(w.violations.is_empty(), "{what}: {:?}", w.violations);
         assert!(
-            seen.most >= machines && w.peak >= tasks,
+            seen.max_machines >= machines && w.peak_tasks >= tasks,
             "{what}: at most {} machines, {} tasks",
-            seen.most,
-            w.peak
+            seen.max_machines,
+            w.peak_tasks
+        );
+        assert!(
+            seen.healthy_deleted.is_empty(),
+            "{what}: healthy machines deleted: {:?}",
+            seen.healthy_deleted
         );
-        assert!(seen.lost.is_empty(), "{what}: healthy machines deleted: {:?}", seen.lost);
         // An assignment in flight when the partition begins may have gone to any machine of the
         // zone.
-        assert!(seen.cut_lost <= 20 * times, "{what}: {} machines with replicas lost", seen.cut_lost);
+        assert!(
+            seen.lost_in_partition <= 20 * times,
+            "{what}: {} machines with replicas lost",
+            seen.lost_in_partition
+        );
         let most = MAX_PROBE_MACHINES as usize;
-        assert!(seen.rented_blind <= most, "{what}: {} rented in a closed zone", seen.rented_blind);
+        assert!(
+            seen.rented_in_closed_zone <= most,
+            "{what}: {} rented in a closed zone",
+            seen.rented_in_closed_zone
+        );
         for (at, missing, of) in &seen.missing {
             // Some replicas wait for one more machine, where the first never came up.
             assert!(missing * 100 <= *of, "{what}: at {at} s {missing} of {of} replicas are missing");
         }
         let out = OUTAGE[1] - OUTAGE[0];
         for (j, job) in w.jobs.iter().enumerate().filter(|(_, j)| j.submitted) {
-            let hit = within(job.asked_at, [OUTAGE[0] - 10 * S, OUTAGE[1] + 15 * S]);
-            let took = if job.accepted { job.accepted_at } else { size.ends } - job.asked_at;
+            let hit = within(job.submitted_at, [OUTAGE[0] - 10 * S, OUTAGE[1] + 15 * S]);
+            let took = if job.accepted { job.accepted_at } else { size.ends } - job.submitted_at;
             let most = 12 * S + if hit { out + 15 * S } else { 0 };
             assert!(job.accepted && took <= most, "{what}: job {j} accepted after {} s", took / S);
         }
-        let late = w.late();
-        assert!(late.len() <= 3 * times, "{what}: {:?} have not ended", w.describe(&late));
+        let unfinished = w.unfinished_jobs();
+        assert!(unfinished.len() <= 3 * times, "{what}: {:?} have not ended", w.describe(&unfinished));
     }
 }
 
 /// Fleet simulations with three and seven controllers; `FLEET_SEEDS=1..9` sets other seeds.
 #[test]
-fn a_fleet_falls_together_and_recovers() {
-    logs();
-    for size in [FLEET, FLEET_OF_SEVEN] {
-        recovers(size, seeds("FLEET_SEEDS", 1, 2), 900, 2_500);
+fn a_fleet_recovers_from_mass_failures() {
+    start_logger();
+    for size in [FLEET, SEVEN_CONTROLLERS_FLEET] {
+        assert_fleet_recovers(size, seeds("FLEET_SEEDS", 1, 2), 900, 2_500);
     }
 }
 
 /// A fleet simulation at the operators' real size; `THOUSANDS_SEEDS=1..9` sets other seeds.
 #[test]
 fn thousands_of_machines_fall_together_and_recover() {
-    logs();
-    recovers(FLEET_OF_THOUSANDS, seeds("THOUSANDS_SEEDS", 1, 2), 3_600, 9_000);
+    start_logger();
+    assert_fleet_recovers(LARGE_FLEET, seeds("THOUSANDS_SEEDS", 1, 2), 3_600, 9_000);
 }
--- a/tests/world/limits.rs
+++ b/tests/world/limits.rs
@@ -6,9 +6,9 @@
 /// Limits that the state service applies from a time unknown to the controllers.
 #[derive(Clone, Copy)]
 pub struct NextLimits {
-    pub changes: f64,
-    pub changes_at_once: usize,
-    pub value_kb: f64,
+    pub writes_per_s: f64,
+    pub max_txn_writes: usize,
+    pub max_value_kib: f64,
     /// Whether the controllers' settings name them.
     pub announced: bool,
 }
@@ -19,42 +19,47 @@
         match self.announced {
             true => format!(
                 "[deployment.state.next]\nwrite_rps = {:.1}\nvalue_kb = {:.1}\ntxn_ops = {}\n",
-                self.changes, self.value_kb, self.changes_at_once
+                self.writes_per_s, self.max_value_kib, self.max_txn_writes
             ),
             false => String::new(),
         }
     }
 }
 
-const NEXT: NextLimits = NextLimits { changes: 15.0, changes_at_once: 4, value_kb: 2.0, announced: true };
+const NEXT: NextLimits =
+    NextLimits { writes_per_s: 15.0, max_txn_writes: 4, max_value_kib: 2.0, announced: true };
 
 /// Arrays whose progress record is larger than one value.
 const LONG_ARRAYS: Size = Size {
-    changes: 60.0,
-    changes_at_once: 8,
-    value_kb: 4.0,
+    writes_per_s: 60.0,
+    max_txn_writes: 8,
+    max_value_kib: 4.0,
     long_arrays: 2,
     jobs: 4,
-    next: Some(NEXT),
+    next_limits: Some(NEXT),
     ..SMALL
 };
 /// So many machines that the records of those that come up together do not fit into one value.
-const MANY_MACHINES: Size = Size { next: Some(NextLimits { value_kb: 1.0, ..NEXT }), ..GROWN };
+const MANY_MACHINES: Size = Size { next_limits: Some(NextLimits { max_value_kib: 1.0, ..NEXT }), ..LARGE };
 /// Nomad clients with their jobs.
-const PLANNERS: Size = Size { value_kb: 4.0, next: Some(NextLimits { changes: 30.0, ..NEXT }), ..PLANNED };
+const NOMAD_CLIENTS: Size = Size {
+    max_value_kib: 4.0,
+    next_limits: Some(NextLimits { writes_per_s: 30.0, ..NEXT }),
+    ..SMALL_WITH_NOMAD
+};
 
 impl World {
     /// Schedules the time from which the next limits apply.
     pub fn plan_next_limits(&mut self) {
-        if self.size.next.is_some() {
+        if self.size.next_limits.is_some() {
             let at = self.rng.u64(5 * S..self.size.busy_until);
             self.at(at, Event::LowerLimits);
         }
     }
 
     pub fn lower_limits(&mut self) {
-        if let Some(next) = self.size.next {
-            self.state.lower(next.changes, next.changes_at_once, next.value_kb);
+        if let Some(next) = self.size.next_limits {
+            self.state.lower(next.writes_per_s, next.max_txn_writes, next.max_value_kib);
         }
     }
 
@@ -69,15 +74,15 @@
             "apart": false, "loaners": true, "guess_s": run_us as f64 / 1e6, "mark_s": 0.0,
             "stow_s": 0.0, "due_s": null});
         let job = Job::new(body, "free", false, tasks, 0.05, run_us);
-        self.jobs.push(Job { spot: true, later_us: 2 * MS, ..job });
+        self.jobs.push(Job { spot: true, run_us_step: 2 * MS, ..job });
     }
 }
 
 /// Runs simulations with the next limits; `LIMIT_SEEDS=1..9` sets other seeds.
-fn days(name: &str, size: Size, least_completed: usize) {
-    logs();
+fn check_limits(name: &str, size: Size, least_completed: usize) {
+    start_logger();
     for seed in seeds("LIMIT_SEEDS", 1, 3) {
-        let w = play(seed, false, size);
+        let w = simulate(seed, false, size);
         println!(
             "{name}, seed {seed}: {} completed, {} started, {} times too fast, {} refused",
             w.completed,
@@ -85,39 +90,39 @@
             w.state.too_fast(),
             w.state.refused().len()
         );
-        assert!(w.broken.is_empty(), "{name}, seed {seed}: {:?}", w.broken);
+        assert!(w.violations.is_empty(), "{name}, seed {seed}: {:?}", w.violations);
         let refused = w.state.refused();
         assert!(refused.is_empty(), "{name}, seed {seed}: {} refused: {:?}", refused.len(), refused.first());
         assert!(w.completed >= least_completed, "{name}, seed {seed}: {} completed", w.completed);
-        let late = w.late();
-        assert!(late.is_empty(), "{name}, seed {seed}: {:?} have not ended", w.describe(&late).0);
+        let unfinished = w.unfinished_jobs();
+        assert!(unfinished.is_empty(), "{name}, seed {seed}: {:?} have not ended", w.describe(&unfinished).0);
     }
 }
 
 #[test]
 fn long_arrays_end_within_the_next_limits() {
-    days("long arrays", LONG_ARRAYS, 17_000);
+    check_limits("long arrays", LONG_ARRAYS, 17_000);
 }
 
 #[test]
 fn many_machines_are_recorded_within_the_next_limits() {
-    days("many machines", MANY_MACHINES, 300);
+    check_limits("many machines", MANY_MACHINES, 300);
 }
 
 #[test]
-fn planners_are_served_within_the_next_limits() {
-    days("planners", PLANNERS, 0);
+fn nomad_clients_are_served_within_the_next_limits() {
+    check_limits("Nomad clients", NOMAD_CLIENTS, 0);
 }
 
 /// The same simulations, while the controllers' settings do not name the next limits: writes are
 /// refused, which shows that the tests above can fail.
 #[test]
-fn limits_that_are_not_announced_are_overstepped() {
+fn unannounced_limits_are_exceeded() {
     for (name, size) in
-        [("long arrays", LONG_ARRAYS), ("many machines", MANY_MACHINES), ("planners", PLANNERS)]
+        [("long arrays", LONG_ARRAYS), ("many machines", MANY_MACHINES), ("Nomad clients", NOMAD_CLIENTS)]
     {
-        let next = size.next.map(|next| NextLimits { announced: false, ..next });
-        let w = play(1, false, Size { next, ..size });
+        let next_limits = size.next_limits.map(|next| NextLimits { announced: false, ..next });
+        let w = simulate(1, false, Size { next_limits, ..size });
         println!("{name}: {} refused", w.state.refused().len());
         assert!(!w.state.refused().is_empty(), "{name}");
     }
@@ -133,9 +138,9 @@
     w.run(40 * S);
     assert!(w.completed > 5, "{} tasks completed in 40 s", w.completed);
     w.run(SMALL.ends + 150 * S);
-    assert!(w.broken.is_empty(), "{:?}", w.broken);
-    let late = w.late();
-    assert!(late.is_empty(), "{:?} have not ended", w.describe(&late));
+    assert!(w.violations.is_empty(), "{:?}", w.violations);
+    let unfinished = w.unfinished_jobs();
+    assert!(unfinished.is_empty(), "{:?} have not ended", w.describe(&unfinished));
     assert!(w.completed > 60, "{} tasks completed", w.completed);
     let times: usize = keys.iter().map(|key| w.state.times_refused(key)).sum();
     println!("{times} times refused");
--- a/tests/world/load.rs
+++ b/tests/world/load.rs
@@ -8,7 +8,7 @@
 
 /// Input that waits for a busy controller, in order of arrival.
 #[derive(Debug)]
-enum Waits {
+enum WaitingInput {
     Input(Input),
     /// The next message of this sender.
     Message(NodeId),
@@ -19,7 +19,7 @@
     /// Microseconds that one entry of a message between controllers takes; 0 disables the cost.
     pub entry_cost: u64,
     busy_until: Vec<u64>,
-    waiting: Vec<VecDeque<Waits>>,
+    waiting: Vec<VecDeque<WaitingInput>>,
     /// Waiting messages, by receiver and sender.
     inboxes: Vec<Vec<Inbox>>,
     /// Number of entries that were handled.
@@ -59,13 +59,13 @@
 impl World {
     /// How far a controller is behind: the time that it takes to handle all waiting messages, in
     /// microseconds.
-    pub fn behind(&self, n: usize) -> u64 {
+    pub fn backlog(&self, n: usize) -> u64 {
         let waiting = self.load.inboxes[n].iter().flat_map(Inbox::iter).map(entries).sum::<u64>();
         self.load.busy_until[n].saturating_sub(self.now) + waiting * self.load.entry_cost
     }
 
     /// Queues an input if its controller is busy; returns it otherwise.
-    pub fn wait_while_busy(&mut self, n: usize, input: Input) -> Option<Input> {
+    pub fn queue_if_busy(&mut self, n: usize, input: Input) -> Option<Input> {
         if self.load.entry_cost == 0 || self.load.busy_until[n] <= self.now && self.load.waiting[n].is_empty()
         {
             return Some(input);
@@ -74,11 +74,11 @@
         match input {
             Input::Peer { from, incarnation, message } => {
                 self.load.inboxes[n][from.0 as usize].push(incarnation, message);
-                queue.push_back(Waits::Message(from));
+                queue.push_back(WaitingInput::Message(from));
             }
             // One waiting tick is enough.
-            Input::Tick if queue.iter().any(|w| matches!(w, Waits::Input(Input::Tick))) => {}
-            input => queue.push_back(Waits::Input(input)),
+            Input::Tick if queue.iter().any(|w| matches!(w, WaitingInput::Input(Input::Tick))) => {}
+            input => queue.push_back(WaitingInput::Input(input)),
         }
         None
     }
@@ -87,8 +87,8 @@
     fn next_waiting(&mut self, n: usize) -> Option<Input> {
         loop {
             match self.load.waiting[n].pop_front()? {
-                Waits::Input(input) => return Some(input),
-                Waits::Message(from) => {
+                WaitingInput::Input(input) => return Some(input),
+                WaitingInput::Message(from) => {
                     // Fewer messages are left than arrived if a later one superseded some.
                     if let Some((incarnation, message)) = self.load.inboxes[n][from.0 as usize].pop() {
                         return Some(Input::Peer { from, incarnation, message });
@@ -99,7 +99,7 @@
     }
 
     /// Counts the entries of an input and keeps the controller busy for their cost.
-    pub fn spend(&mut self, n: usize, input: &Input) {
+    pub fn charge_input(&mut self, n: usize, input: &Input) {
         let entries = input_entries(input);
         self.load.entries += entries;
         let cost = entries * self.load.entry_cost;
@@ -116,12 +116,12 @@
         }
         while self.load.busy_until[n] <= self.now {
             let Some(input) = self.next_waiting(n) else { return };
-            self.handle(n, input);
+            self.handle_input(n, input);
         }
     }
 
     /// Clears the waiting input of a process that has exited.
-    pub fn forget_load(&mut self, n: usize) {
+    pub fn clear_load(&mut self, n: usize) {
         self.load.busy_until[n] = 0;
         self.load.waiting[n].clear();
         self.load.inboxes[n].iter_mut().for_each(|i| *i = Inbox::default());
@@ -132,9 +132,9 @@
 /// time.
 const ENTRY_COST: u64 = 4 * MS;
 /// Time after the last fault from which no controller may be behind.
-const CATCH_UP: u64 = 30 * S;
+const CATCH_UP_TIME: u64 = 30 * S;
 /// Largest permitted time behind: more than the work of a tick or two.
-const BEHIND: u64 = S / 2;
+const MAX_BACKLOG: u64 = S / 2;
 
 /// Guards against messages that repeat everything unacknowledged, and more often the later the
 /// acknowledgements are: they once kept a leader behind forever after all controllers had exited.
@@ -142,26 +142,26 @@
 fn controllers_that_are_behind_catch_up() {
     let mut failed = Vec::new();
     for seed in seeds("LOAD_SEEDS", 0, 4) {
-        let mut w = World::new(seed, true, GROWN);
+        let mut w = World::new(seed, true, LARGE);
         w.load.entry_cost = ENTRY_COST;
         w.run(40 * S);
         let before = w.load.entries;
         for n in 0..w.size.nodes {
-            w.end_process(n, 200 * MS);
+            w.terminate(n, 200 * MS);
         }
-        let mut behind = Vec::new();
+        let mut backlog = Vec::new();
         for second in 41..=100 {
             w.run(second * S);
-            let worst = (0..w.size.nodes).map(|n| w.behind(n)).max().unwrap_or(0);
-            behind.push(worst / MS);
+            let worst = (0..w.size.nodes).map(|n| w.backlog(n)).max().unwrap_or(0);
+            backlog.push(worst / MS);
         }
         println!(
-            "seed {seed}: {before} entries before, {} after, behind {behind:?}",
+            "seed {seed}: {before} entries before, {} after, behind {backlog:?}",
             w.load.entries - before
         );
-        let late = &behind[(CATCH_UP / S) as usize..];
-        if late.iter().any(|ms| *ms > BEHIND / MS) || !w.broken.is_empty() {
-            failed.push(format!("seed {seed}: ms behind {late:?}, {:?}", w.broken.first()));
+        let late = &backlog[(CATCH_UP_TIME / S) as usize..];
+        if late.iter().any(|ms| *ms > MAX_BACKLOG / MS) || !w.violations.is_empty() {
+            failed.push(format!("seed {seed}: ms behind {late:?}, {:?}", w.violations.first()));
         }
     }
     assert!(failed.is_empty(), "{}", failed.join("\n"));
--- a/tests/world/lost_knowledge_wide.rs
+++ b/tests/world/lost_knowledge_wide.rs
@@ -7,9 +7,11 @@
 //!
 //! The run of `lost_knowledge.rs` with seed 0, 1,000 ms and 200 ms: `WIDE_SEEDS=0..1
 //! WIDE_FIX="nodes=7 work=Mixed hung=Holders report=2000 end=1000 away=200 trouble=None"`.
-use super::scenes::Act::{Away, Cancel, CancelAndHang, Freeze, MachinesDeaf, MachinesMute};
-use super::scenes::Who::Other;
-use super::scenes::{NEVER, Work, long_jobs_reporting};
+use super::scenarios::Action::{
+    Cancel, CancelAndHang, MachinesCannotSend, MachinesUnreachable, Pause, StateOutage,
+};
+use super::scenarios::Controllers::Other;
+use super::scenarios::{NEVER, Workload, long_jobs_reporting};
 use super::*;
 use std::fmt::Debug;
 use std::sync::Mutex;
@@ -26,7 +28,7 @@
 
 /// An additional fault from the exit of the log holders on.
 #[derive(Clone, Copy, Debug)]
-enum Trouble {
+enum Fault {
     None,
     /// The first controller after the leader that holds no placement log is paused for this time.
     Freeze(u64),
@@ -39,10 +41,10 @@
 /// Parameters of a run. Times are in milliseconds, those of faults in thousandths of the time that
 /// a cancellation may take.
 #[derive(Clone, Copy, Debug)]
-struct Play {
+struct Run {
     seed: u64,
     nodes: usize,
-    work: Work,
+    work: Workload,
     hung: Hung,
     report: u64,
     /// From the first confirmation of a cancellation to the exit of all controllers with a
@@ -50,16 +52,16 @@
     end: u64,
     /// Downtime of those controllers.
     away: u64,
-    trouble: Trouble,
+    trouble: Fault,
 }
 
 /// Result of a run.
 enum Outcome {
-    Kept,
+    Passed,
     /// The run tests nothing: all controllers hold the placement log, or no user received a
     /// confirmation.
-    NoScene(&'static str),
-    Broken(String),
+    NotApplicable(&'static str),
+    Violated(String),
 }
 
 /// Draws a value, and returns the one that `WIDE_FIX` sets for this name instead, if it does.
@@ -72,20 +74,24 @@
     *found.unwrap_or_else(|| panic!("{name} is none of {values:?}"))
 }
 
-impl Play {
-    fn of(seed: u64) -> Play {
+impl Run {
+    fn from_seed(seed: u64) -> Run {
         let r = &mut fastrand::Rng::with_seed(seed);
         let (freeze, disturbed) = (r.u64(50..700), r.u64(100..1_500));
         let trouble = match pick(r, "trouble", &["None", "Freeze", "Mute", "Deaf"]) {
-            "Freeze" => Trouble::Freeze(freeze),
-            "Mute" => Trouble::Mute(disturbed),
-            "Deaf" => Trouble::Deaf(disturbed),
-            _ => Trouble::None,
+            "Freeze" => Fault::Freeze(freeze),
+            "Mute" => Fault::Mute(disturbed),
+            "Deaf" => Fault::Deaf(disturbed),
+            _ => Fault::None,
         };
-        Play {
+        Run {
             seed,
             nodes: pick(r, "nodes", &[3, 5, 7]),
-            work: pick(r, "work", &[Work::Mixed, Work::Single, Work::Hundreds, Work::AtLimit]),
+            work: pick(
+                r,
+                "work",
+                &[Workload::Mixed, Workload::Single, Workload::Hundreds, Workload::AtLimit],
+            ),
             hung: pick(r, "hung", &[Hung::Holders, Hung::OneOf(2), Hung::OneOf(3)]),
             report: pick(r, "report", &[1_000, 2_000, 3_000, 5_000]),
             end: pick(r, "end", &[0, 500, 1_000, 2_000, 3_000]),
@@ -98,41 +104,41 @@
         let mut w = long_jobs_reporting(self.seed, self.nodes, self.work, self.report * MS);
         let leader = w.leader();
         self.cancel_and_hang(&mut w, leader);
-        if !run_until_told(&mut w) {
-            return Outcome::NoScene("no user received a confirmation");
+        if !run_until_confirmed(&mut w) {
+            return Outcome::NotApplicable("no user received a confirmation");
         }
         let end = w.now + self.end * MS;
         w.run(end);
-        let mut holders = w.recorded_witnesses();
+        let mut holders = w.recorded_standby_replicas();
         holders.push(leader);
         let Some(other) = (1..self.nodes).find(|i| !holders.contains(&((leader + i) % self.nodes))) else {
-            return Outcome::NoScene("all controllers hold the placement log");
+            return Outcome::NotApplicable("all controllers hold the placement log");
         };
-        holders.into_iter().for_each(|n| w.end_process(n, self.away * MS));
-        w.act(leader, Away(1_500));
-        self.trouble(&mut w, leader, other);
-        w.run(end + 4 * w.size.cancel);
-        let Some(broken) = w.broken.first() else { return Outcome::Kept };
+        holders.into_iter().for_each(|n| w.terminate(n, self.away * MS));
+        w.perform(leader, StateOutage(1_500));
+        self.inject_fault(&mut w, leader, other);
+        w.run(end + 4 * w.size.cancel_timeout);
+        let Some(violation) = w.violations.first() else { return Outcome::Passed };
         let zones = ZONES.map(|zone| hung_in(&w, zone)).join(", ");
-        Outcome::Broken(format!("{broken}; {zones}"))
+        Outcome::Violated(format!("{violation}; {zones}"))
     }
 
     fn cancel_and_hang(&self, w: &mut World, leader: usize) {
         match self.hung {
-            Hung::Holders => w.act(leader, CancelAndHang(Other(1), NEVER)),
+            Hung::Holders => w.perform(leader, CancelAndHang(Other(1), NEVER)),
             Hung::OneOf(n) => {
-                w.act(leader, Cancel(Other(1)));
+                w.perform(leader, Cancel(Other(1)));
                 w.machines.values_mut().step_by(n).for_each(|m| m.hung_until = u64::MAX / 2);
             }
         }
     }
 
-    fn trouble(&self, w: &mut World, leader: usize, other: usize) {
+    fn inject_fault(&self, w: &mut World, leader: usize, other: usize) {
         match self.trouble {
-            Trouble::None => {}
-            Trouble::Freeze(length) => w.act(leader, Freeze(Other(other), length)),
-            Trouble::Mute(length) => w.act(leader, MachinesMute(length)),
-            Trouble::Deaf(length) => w.act(leader, MachinesDeaf(length)),
+            Fault::None => {}
+            Fault::Freeze(length) => w.perform(leader, Pause(Other(other), length)),
+            Fault::Mute(length) => w.perform(leader, MachinesCannotSend(length)),
+            Fault::Deaf(length) => w.perform(leader, MachinesUnreachable(length)),
         }
     }
 }
@@ -145,7 +151,7 @@
 }
 
 /// Runs until the first user receives a confirmation of a cancellation; returns whether one did.
-fn run_until_told(w: &mut World) -> bool {
+fn run_until_confirmed(w: &mut World) -> bool {
     let mut at = w.now;
     let give_up = at + 10 * S;
     while at < give_up && w.jobs.iter().all(|j| j.aborted_at.is_none()) {
@@ -156,9 +162,9 @@
 }
 
 /// Runs all seeds, on several threads at a time.
-fn play_all(seeds: std::ops::Range<u64>, threads: u64) -> Vec<(Play, Outcome)> {
+fn run_all(seeds: std::ops::Range<u64>, threads: u64) -> Vec<(Run, Outcome)> {
     let next = AtomicU64::new(seeds.start);
-    let played = Mutex::new(Vec::new());
+    let results = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
         for _ in 0..threads {
             scope.spawn(|| {
@@ -167,33 +173,33 @@
                     if seed >= seeds.end {
                         break;
                     }
-                    let play = Play::of(seed);
-                    let outcome = play.run();
-                    played.lock().unwrap().push((play, outcome));
+                    let run = Run::from_seed(seed);
+                    let outcome = run.run();
+                    results.lock().unwrap().push((run, outcome));
                 }
             });
         }
     });
-    let mut played = played.into_inner().unwrap();
-    played.sort_by_key(|(play, _)| play.seed);
-    played
+    let mut results = results.into_inner().unwrap();
+    results.sort_by_key(|(run, _)| run.seed);
+    results
 }
 
 #[test]
 #[ignore = "a tool that plays hundreds of worlds"]
-fn machines_that_hang_go_after_the_end_of_all_who_hold_placements_whatever_the_play() {
+fn hung_machines_are_deleted_after_all_log_holders_exit_with_random_parameters() {
     let threads = std::env::var("WIDE_THREADS").map_or(3, |t| t.parse().unwrap());
-    let played = play_all(seeds("WIDE_SEEDS", 0, 600), threads);
+    let results = run_all(seeds("WIDE_SEEDS", 0, 600), threads);
     let mut skipped: BTreeMap<&str, usize> = BTreeMap::new();
     let mut failed = Vec::new();
-    for (play, outcome) in &played {
+    for (run, outcome) in &results {
         match outcome {
-            Outcome::Kept => {}
-            Outcome::NoScene(why) => *skipped.entry(why).or_default() += 1,
-            Outcome::Broken(broken) => failed.push(format!("{play:?}: {broken}")),
+            Outcome::Passed => {}
+            Outcome::NotApplicable(why) => *skipped.entry(why).or_default() += 1,
+            Outcome::Violated(violation) => failed.push(format!("{run:?}: {violation}")),
         }
     }
-    let done = played.len() - skipped.values().sum::<usize>();
+    let done = results.len() - skipped.values().sum::<usize>();
     println!("{} of {done} runs failed; not applicable: {skipped:?}", failed.len());
     assert!(failed.is_empty(), "{} of {done} runs failed:\n{}", failed.len(), failed.join("\n"));
 }
--- a/tests/world/main.rs
+++ b/tests/world/main.rs
@@ -1,21 +1,21 @@
 //! Deterministic simulation: several controllers, stand-ins for the outside systems and a network
 //! that drops, delays, duplicates and reorders messages run in memory from one seed. Faults are
 //! injected, and every invariant of the protocol is checked at each step.
-mod blink;
 mod cancelled;
-mod desk;
+mod consistency;
+mod fast_restarts;
 mod fleet;
 mod limits;
 mod load;
-mod looks;
 mod lost_knowledge;
 mod lost_knowledge_wide;
 mod meetings;
 mod nomad;
-mod odd;
-mod oncall;
+mod nomad_harness;
+mod partial_failures;
 mod pipelines;
-mod scenes;
+mod request_validation;
+mod scenarios;
 
 use gorseshore_standins::cloud::flavor;
 use gorseshore_standins::{state, worker};
@@ -35,7 +35,7 @@
 const S: u64 = 1_000_000;
 const MS: u64 = 1_000;
 /// Wall-clock time at the start of a simulation, in milliseconds since the Unix epoch.
-const WALL_MS: u64 = 1_700_000_000_000;
+const START_WALL_MS: u64 = 1_700_000_000_000;
 /// Rate limit of the cloud API, in calls per second.
 const CLOUD_RPS: u64 = 8;
 const ZONES: [&str; 2] = ["east", "west"];
@@ -45,20 +45,20 @@
 struct Size {
     nodes: usize,
     /// Machines that can be rented per zone, spot setting and machine type: `[small, big]`.
-    room: [usize; 2],
+    capacity: [usize; 2],
     /// Interval at which the machines are simulated.
-    workers_every: u64,
+    worker_step: u64,
     /// Interval between a worker's reports, its lease, and the longest time that a cancellation may
     /// take.
-    report: u64,
+    report_interval: u64,
     lease: u64,
-    cancel: u64,
+    cancel_timeout: u64,
     /// Rate limit of the state service, in requests per second.
-    requests: f64,
+    requests_per_s: f64,
     /// Limits of the state service: writes per second, writes per transaction and KiB per value.
-    changes: f64,
-    changes_at_once: usize,
-    value_kb: f64,
+    writes_per_s: f64,
+    max_txn_writes: usize,
+    max_value_kib: f64,
     /// Number of jobs at the start, and the limit of the tasks of an array.
     jobs: usize,
     tasks: u32,
@@ -66,17 +66,17 @@
     busy_until: u64,
     ends: u64,
     /// Nomad clients register jobs beside the users.
-    planners: bool,
+    nomad_clients: bool,
     /// Injects the faults of the fleet tests at set times instead of random faults at random times.
     fleet: bool,
     /// Restarts controllers within a fraction of a second, at any stage of their recovery and with
     /// a different clock.
-    blinks: bool,
+    fast_restarts: bool,
     /// Injects partial failures: machines and controllers that can only send or only receive,
     /// controllers that reach nothing but their workers, and late duplicates.
-    oncall: bool,
+    partial_failures: bool,
     /// Limits that the state service applies from a random time on.
-    next: Option<limits::NextLimits>,
+    next_limits: Option<limits::NextLimits>,
     /// Number of jobs, the first ones, that are arrays of up to 10,000 tasks.
     long_arrays: usize,
     /// Submits pipelines of jobs beside the other jobs.
@@ -85,38 +85,38 @@
 
 const SMALL: Size = Size {
     nodes: 3,
-    room: [5, 5],
-    workers_every: 50 * MS,
-    report: 2 * S,
+    capacity: [5, 5],
+    worker_step: 50 * MS,
+    report_interval: 2 * S,
     lease: 12 * S,
-    cancel: 34 * S,
-    requests: 200.0,
-    changes: 60.0,
-    changes_at_once: 12,
-    value_kb: 16.0,
+    cancel_timeout: 34 * S,
+    requests_per_s: 200.0,
+    writes_per_s: 60.0,
+    max_txn_writes: 12,
+    max_value_kib: 16.0,
     jobs: 6,
     tasks: 12,
     busy_until: 150 * S,
     ends: 300 * S,
-    planners: false,
+    nomad_clients: false,
     fleet: false,
-    blinks: false,
-    oncall: false,
-    next: None,
+    fast_restarts: false,
+    partial_failures: false,
+    next_limits: None,
     long_arrays: 0,
     pipelines: false,
 };
 /// The small simulation with Nomad clients, and with values so short that one Nomad job takes
 /// several of them.
-const PLANNED: Size =
-    Size { value_kb: 2.0, changes_at_once: 8, jobs: 3, ends: 360 * S, planners: true, ..SMALL };
+const SMALL_WITH_NOMAD: Size =
+    Size { max_value_kib: 2.0, max_txn_writes: 8, jobs: 3, ends: 360 * S, nomad_clients: true, ..SMALL };
 /// Seven controllers and hundreds of machines, started from nothing with a tight write budget.
-const GROWN: Size = Size {
+const LARGE: Size = Size {
     nodes: 7,
-    room: [60, 60],
-    changes: 15.0,
-    changes_at_once: 8,
-    value_kb: 4.0,
+    capacity: [60, 60],
+    writes_per_s: 15.0,
+    max_txn_writes: 8,
+    max_value_kib: 4.0,
     jobs: 50,
     tasks: 60,
     busy_until: 80 * S,
@@ -125,7 +125,7 @@
 };
 
 /// Assigns the controllers to the zones in turn.
-fn node_zone(n: usize) -> &'static str {
+fn controller_zone(n: usize) -> &'static str {
     ZONES[n % ZONES.len()]
 }
 
@@ -133,12 +133,12 @@
     let mut text = format!(
         "host_name = \"n{i}\"\ndomain = \"{}\"\npublic_addr = \"127.0.0.1:1\"\n\
          cluster_listen = \"127.0.0.1:2\"\n",
-        node_zone(i)
+        controller_zone(i)
     );
     for j in (0..size.nodes).filter(|j| *j != i) {
         text += &format!(
             "[[peers]]\nhost_name = \"n{j}\"\ndomain = \"{}\"\npeer_addr = \"127.0.0.1:3\"\n",
-            node_zone(j)
+            controller_zone(j)
         );
     }
     text += "[endpoints]\ncloud = \"127.0.0.1:4\"\nstate = \"127.0.0.1:5\"\n\
@@ -151,15 +151,15 @@
     let s = |t: u64| t as f64 / S as f64;
     text += &format!(
         "[deployment.workers]\nreport_s = {:.1}\nlease_s = {:.1}\ncancel_s = {:.1}\n",
-        s(size.report),
+        s(size.report_interval),
         s(size.lease),
-        s(size.cancel)
+        s(size.cancel_timeout)
     );
     text += &format!(
         "[deployment.state]\nrps = {:.1}\nwrite_rps = {:.1}\nvalue_kb = {:.1}\ntxn_ops = {}\n",
-        size.requests, size.changes, size.value_kb, size.changes_at_once
+        size.requests_per_s, size.writes_per_s, size.max_value_kib, size.max_txn_writes
     );
-    text += &size.next.map(|next| next.settings()).unwrap_or_default();
+    text += &size.next_limits.map(|limits| limits.settings()).unwrap_or_default();
     Platform::parse(&text).unwrap()
 }
 
@@ -186,39 +186,39 @@
     cpus: f64,
     run_us: u64,
     /// Each task runs this much longer than the task before it.
-    later_us: u64,
-    save_us: Option<u64>,
+    run_us_step: u64,
+    checkpoint_us: Option<u64>,
     spread: bool,
     spot: bool,
-    build: Option<&'static str>,
+    machine_type: Option<&'static str>,
     zone: Option<&'static str>,
     submitted: bool,
     accepted: bool,
     /// Time of the first submission, and time at which the user received the acceptance.
-    asked_at: u64,
+    submitted_at: u64,
     accepted_at: u64,
-    tries: usize,
-    abort_asked: bool,
+    submit_attempts: usize,
+    abort_requested: bool,
     aborted_at: Option<u64>,
-    told_done: bool,
+    reported_done: bool,
     /// Time at which the user received the first answer that the job is done or cancelled.
-    over_at: Option<u64>,
+    reported_ended_at: Option<u64>,
     done: Vec<bool>,
-    next_try: u64,
+    next_request_at: u64,
     abort_at: u64,
     /// Time of the last answer about it, and time at which its first task started.
     answered_at: u64,
-    began_at: Option<u64>,
+    started_at: Option<u64>,
     /// Its image is faulty: its tasks fail on every machine.
-    mistaken: bool,
+    faulty: bool,
     /// Jobs that must be done before one of its tasks starts.
     awaits: Vec<usize>,
     /// Time at which its last task completed.
-    done_at: Option<u64>,
+    completed_at: Option<u64>,
     /// Time at which a user first received the answer that it, or a job that it needs, is
     /// cancelled.
     cancelled_from: Option<u64>,
-    habits: pipelines::Habits,
+    behavior: pipelines::UserBehavior,
 }
 
 impl Job {
@@ -231,31 +231,31 @@
             tasks,
             cpus,
             run_us,
-            later_us: 0,
-            save_us: None,
+            run_us_step: 0,
+            checkpoint_us: None,
             spread: false,
             spot: false,
-            build: None,
+            machine_type: None,
             zone: None,
             submitted: false,
             accepted: false,
-            asked_at: 0,
+            submitted_at: 0,
             accepted_at: 0,
-            tries: 0,
-            abort_asked: false,
+            submit_attempts: 0,
+            abort_requested: false,
             aborted_at: None,
-            told_done: false,
-            over_at: None,
+            reported_done: false,
+            reported_ended_at: None,
             done: vec![false; tasks as usize],
-            next_try: 0,
+            next_request_at: 0,
             abort_at: u64::MAX,
             answered_at: 0,
-            began_at: None,
-            mistaken: false,
+            started_at: None,
+            faulty: false,
             awaits: Vec::new(),
-            done_at: None,
+            completed_at: None,
             cancelled_from: None,
-            habits: pipelines::Habits::default(),
+            behavior: pipelines::UserBehavior::default(),
         }
     }
 }
@@ -274,31 +274,31 @@
     Tick(usize, u64),
     Restart(usize),
     /// A call reaches its target.
-    Arrive(usize, u64, CallId, Call),
+    CallArrives(usize, u64, CallId, Call),
     /// A call's result reaches its controller: the response, or the timeout.
-    Called(usize, u64, CallId, CallResult),
+    CallCompleted(usize, u64, CallId, CallResult),
     Peer(usize, usize, u64, gorseshore_core::peer::Message),
     Request(usize, u64, RequestId, &'static str, String, Vec<u8>),
     Answered(RequestId, u16, Vec<u8>),
     ExtensionRequest(usize, u64, RequestId, &'static str, String, Vec<u8>),
-    GuestAnswered(RequestId, gorseshore_core::extension::Answer),
-    Workers,
-    Users,
-    Trouble,
+    ExtensionAnswered(RequestId, gorseshore_core::extension::Answer),
+    SimulateWorkers,
+    SimulateUsers,
+    InjectFault,
     Crash(usize),
-    Heal,
+    StateServiceRecovers,
     /// An input that arrived while its controller was paused.
-    Fed(usize, u64, Input),
+    DeferredInput(usize, u64, Input),
     /// A controller has finished the work that kept it busy.
     Idle(usize, u64),
-    EndLeader,
-    EndForGood(usize),
+    RestartLeader,
+    StopController(usize),
     /// A user sends a request about a job: controller, action and job index.
-    Look(usize, looks::Way, usize),
+    UserRequest(usize, consistency::UserAction, usize),
     Outage,
     LowerLimits,
     /// A duplicate of a request; its answer is discarded.
-    Copy(usize, &'static str, String, Vec<u8>),
+    Duplicate(usize, &'static str, String, Vec<u8>),
 }
 
 struct Watch {
@@ -310,15 +310,15 @@
     until: u64,
 }
 
-enum Asker {
+enum Requester {
     Worker(String, u64),
     Submit(usize),
     Poll(usize),
     Abort(usize),
-    Stranger,
+    UnknownJob,
     /// A test that waits for this one answer.
-    Odd,
-    Planner(nomad::Asked),
+    Direct,
+    NomadClient(nomad::ClientRequest),
 }
 
 struct World {
@@ -327,93 +327,93 @@
     rng: fastrand::Rng,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
     events: BTreeMap<u64, Event>,
-    next: u64,
+    next_event: u64,
     nodes: Vec<Option<Node>>,
     incarnations: Vec<u64>,
     /// Start time of each process, from which its monotonic clock counts.
-    began: Vec<u64>,
+    process_started_at: Vec<u64>,
     state: State,
-    refused_until: Vec<u64>,
+    state_refused_until: Vec<u64>,
     watches: Vec<Watch>,
     machines: BTreeMap<String, Machine>,
-    hires: BTreeMap<String, Vec<String>>,
-    history: Vec<(u64, Vec<Rental>)>,
-    born: BTreeMap<String, u64>,
+    rentals: BTreeMap<String, Vec<String>>,
+    rental_lists: Vec<(u64, Vec<Rental>)>,
+    rented_at: BTreeMap<String, u64>,
     next_machine: u64,
     cloud_down_until: u64,
     /// Time at which the calls accepted so far are worked off at the cloud's rate limit.
     cloud_busy_until: u64,
-    late_boots_until: u64,
+    slow_boots_until: u64,
     /// Ends of the partitions: between the zones, and of each controller from workers and peers.
-    zones_cut_until: u64,
-    node_cut_until: Vec<u64>,
+    zones_partitioned_until: u64,
+    controller_partitioned_until: Vec<u64>,
     jobs: Vec<Job>,
-    asked: BTreeMap<RequestId, Asker>,
+    pending_requests: BTreeMap<RequestId, Requester>,
     next_request: u64,
-    broken: Vec<String>,
+    violations: Vec<String>,
     started: usize,
     completed: usize,
     /// Tasks that started again after they were done.
-    started_again: Vec<String>,
+    reruns: Vec<String>,
     /// Largest number of tasks that ran at a time.
-    peak: usize,
+    peak_tasks: usize,
     /// CPU time used by tasks, and CPU time of the rented machines; both in CPU-microseconds.
-    used_us: u64,
-    paid_us: u64,
-    quiet: bool,
-    planners: nomad::Planners,
-    fleet: fleet::Seen,
-    blink: blink::Seen,
-    oncall: oncall::Seen,
-    faults: scenes::Faults,
-    looks: looks::Seen,
-    pipelines: pipelines::Seen,
+    used_cpu_us: u64,
+    rented_cpu_us: u64,
+    fault_free: bool,
+    nomad_clients: nomad::NomadClients,
+    fleet: fleet::Observations,
+    fast_restarts: fast_restarts::Observations,
+    partial_failures: partial_failures::Observations,
+    faults: scenarios::ScenarioFaults,
+    consistency: consistency::Observations,
+    pipelines: pipelines::Observations,
     load: load::Load,
 }
 
 impl World {
-    fn new(seed: u64, quiet: bool, size: Size) -> Self {
+    fn new(seed: u64, fault_free: bool, size: Size) -> Self {
         let mut w = World {
             size,
             now: S,
             rng: fastrand::Rng::with_seed(seed),
             queue: BinaryHeap::new(),
             events: BTreeMap::new(),
-            next: 0,
+            next_event: 0,
             nodes: Vec::new(),
             incarnations: vec![0; size.nodes],
-            began: vec![0; size.nodes],
-            state: State::limited(size.changes, size.changes_at_once, size.value_kb),
-            refused_until: vec![0; size.nodes],
+            process_started_at: vec![0; size.nodes],
+            state: State::limited(size.writes_per_s, size.max_txn_writes, size.max_value_kib),
+            state_refused_until: vec![0; size.nodes],
             watches: Vec::new(),
             machines: BTreeMap::new(),
-            hires: BTreeMap::new(),
-            history: Vec::new(),
-            born: BTreeMap::new(),
+            rentals: BTreeMap::new(),
+            rental_lists: Vec::new(),
+            rented_at: BTreeMap::new(),
             next_machine: 0,
             cloud_down_until: 0,
             cloud_busy_until: 0,
-            late_boots_until: 0,
-            zones_cut_until: 0,
-            node_cut_until: vec![0; size.nodes],
+            slow_boots_until: 0,
+            zones_partitioned_until: 0,
+            controller_partitioned_until: vec![0; size.nodes],
             jobs: Vec::new(),
-            asked: BTreeMap::new(),
+            pending_requests: BTreeMap::new(),
             next_request: 1,
-            broken: Vec::new(),
+            violations: Vec::new(),
             started: 0,
             completed: 0,
-            started_again: Vec::new(),
-            peak: 0,
-            used_us: 0,
-            paid_us: 0,
-            quiet,
-            planners: nomad::Planners::default(),
-            fleet: fleet::Seen::default(),
-            blink: blink::Seen::new(size.nodes),
-            oncall: oncall::Seen::new(size.nodes),
-            faults: scenes::Faults::new(size.nodes),
-            looks: looks::Seen::default(),
-            pipelines: pipelines::Seen::new(seed),
+            reruns: Vec::new(),
+            peak_tasks: 0,
+            used_cpu_us: 0,
+            rented_cpu_us: 0,
+            fault_free,
+            nomad_clients: nomad::NomadClients::default(),
+            fleet: fleet::Observations::default(),
+            fast_restarts: fast_restarts::Observations::new(size.nodes),
+            partial_failures: partial_failures::Observations::new(size.nodes),
+            faults: scenarios::ScenarioFaults::new(size.nodes),
+            consistency: consistency::Observations::default(),
+            pipelines: pipelines::Observations::new(seed),
             load: load::Load::new(size.nodes),
         };
         for i in 0..size.nodes {
@@ -423,23 +423,23 @@
         for z in ZONES {
             w.rent("big", z, false);
         }
-        w.at(0, Event::Workers);
-        w.at(S, Event::Users);
-        if !quiet {
-            w.at(15 * S, Event::Trouble);
+        w.at(0, Event::SimulateWorkers);
+        w.at(S, Event::SimulateUsers);
+        if !fault_free {
+            w.at(15 * S, Event::InjectFault);
         }
         w.plan_next_limits();
         w
     }
 
     fn at(&mut self, delay: u64, e: Event) {
-        self.next += 1;
-        self.queue.push(Reverse((self.now + delay, self.next)));
-        self.events.insert(self.next, e);
+        self.next_event += 1;
+        self.queue.push(Reverse((self.now + delay, self.next_event)));
+        self.events.insert(self.next_event, e);
     }
 
-    fn break_rule(&mut self, rule: &str, what: String) {
-        self.broken.push(format!("{rule} at {:.3}: {what}", self.now as f64 / 1e6));
+    fn report_violation(&mut self, rule: &str, what: String) {
+        self.violations.push(format!("{rule} at {:.3}: {what}", self.now as f64 / 1e6));
     }
 
     fn delay(&mut self) -> u64 {
@@ -450,19 +450,20 @@
 
     // ---- network ---------------------------------------------------------
 
-    fn node_machine_cut(&self, n: usize, m: &Machine) -> u64 {
-        let mut until = self.node_cut_until[n].max(m.cut_until);
-        if node_zone(n) != m.zone {
-            until = until.max(self.zones_cut_until);
+    fn machine_partition_end(&self, n: usize, m: &Machine) -> u64 {
+        let mut until = self.controller_partitioned_until[n].max(m.cut_until);
+        if controller_zone(n) != m.zone {
+            until = until.max(self.zones_partitioned_until);
         }
         if until > self.now { until } else { 0 }
     }
 
-    fn node_node_cut(&self, a: usize, b: usize) -> u64 {
-        let lost = |n: usize| self.node_cut_until[n].max(self.oncall.alone_until[n]);
+    fn peer_partition_end(&self, a: usize, b: usize) -> u64 {
+        let lost =
+            |n: usize| self.controller_partitioned_until[n].max(self.partial_failures.isolated_until[n]);
         let mut until = lost(a).max(lost(b));
-        if node_zone(a) != node_zone(b) {
-            until = until.max(self.zones_cut_until);
+        if controller_zone(a) != controller_zone(b) {
+            until = until.max(self.zones_partitioned_until);
         }
         if until > self.now { until } else { 0 }
     }
@@ -472,126 +473,130 @@
     /// The monotonic clock of a controller's process, which starts at one second as the real one
     /// does.
     fn steady(&self, n: usize) -> Micros {
-        Micros(self.now - self.began[n] + S)
+        Micros(self.now - self.process_started_at[n] + S)
     }
 
-    fn feed(&mut self, n: usize, input: Input) {
+    fn deliver_input(&mut self, n: usize, input: Input) {
         let now = self.now;
-        let me = self.incarnations[n];
-        let frozen = self.faults.frozen_until[n];
-        if frozen > now {
+        let incarnation = self.incarnations[n];
+        let paused = self.faults.paused_until[n];
+        if paused > now {
             // Delivered when the pause ends; the next tick sees the time that passed.
-            return self.at(frozen - now, Event::Fed(n, me, input));
+            return self.at(paused - now, Event::DeferredInput(n, incarnation, input));
         }
-        if let Some(input) = self.wait_while_busy(n, input) {
-            self.handle(n, input);
+        if let Some(input) = self.queue_if_busy(n, input) {
+            self.handle_input(n, input);
         }
     }
 
     /// A controller handles an input, and the simulation carries out its outputs.
-    fn handle(&mut self, n: usize, input: Input) {
+    fn handle_input(&mut self, n: usize, input: Input) {
         let now = self.now;
-        let me = self.incarnations[n];
-        self.spend(n, &input);
+        let incarnation = self.incarnations[n];
+        self.charge_input(n, &input);
         let steady = self.steady(n);
         let Some(node) = self.nodes[n].as_mut() else { return };
-        let wall_ms = WALL_MS + now / 1000 + self.blink.ahead_ms[n];
+        let wall_ms = START_WALL_MS + now / 1000 + self.fast_restarts.ahead_ms[n];
         let outputs = node.handle(steady, wall_ms, input);
         let violations = node.invariant_violations();
         if violations > 0 {
-            self.broken.push(format!("invariant at {:.3}: {violations} at controller {n}", now as f64 / 1e6));
+            self.violations
+                .push(format!("invariant at {:.3}: {violations} at controller {n}", now as f64 / 1e6));
         }
         for o in outputs {
             match o {
                 Output::Response { id, status, body, .. } => {
-                    if self.oncall_swallows(n, id, status, &body) {
+                    if self.drops_answer(n, id, status, &body) {
                         continue;
                     }
-                    self.answer_leaves(n, id, status, &body);
+                    self.check_outgoing_answer(n, id, status, &body);
                     let d = self.delay();
                     self.at(d, Event::Answered(id, status, body));
                 }
                 Output::Call { id, call } => {
-                    self.at(call.timeout.0, Event::Called(n, me, id, CallResult::Unknown));
+                    self.at(call.timeout.0, Event::CallCompleted(n, incarnation, id, CallResult::Unknown));
                     let d = self.delay();
-                    let alone = self.oncall.alone_until[n];
-                    if matches!(call.target, Target::State) && alone > now {
+                    let isolated_until = self.partial_failures.isolated_until[n];
+                    if matches!(call.target, Target::State) && isolated_until > now {
                         // Lost, or executed after the isolation ends.
                         if self.rng.bool() {
-                            self.at(alone - now + d, Event::Arrive(n, me, id, call));
+                            self.at(isolated_until - now + d, Event::CallArrives(n, incarnation, id, call));
                         }
                         continue;
                     }
                     if let Ok(d) = serde_json::from_slice::<Direct>(&call.body) {
                         self.check_orders(n, &d.orders);
                     }
-                    let (late, answered) = self.held_up(n, &call);
+                    let (late, answered) = self.call_delay(n, &call);
                     if late > 0 || !answered {
                         // The controller no longer waits for the answer.
                         let id = if answered { id } else { CallId(u64::MAX) };
-                        self.at(late + d, Event::Arrive(n, me, id, call));
+                        self.at(late + d, Event::CallArrives(n, incarnation, id, call));
                         continue;
                     }
                     if let Target::Worker(addr) = &call.target {
                         let Some(m) = self.machines.get(addr).filter(|m| m.up_at <= now) else {
-                            self.at(d, Event::Called(n, me, id, CallResult::NotSent));
+                            self.at(d, Event::CallCompleted(n, incarnation, id, CallResult::NotSent));
                             continue;
                         };
-                        let cut = self.node_machine_cut(n, m);
+                        let partition_end = self.machine_partition_end(n, m);
                         let addr = addr.clone();
-                        if self.oncall_unheard(n, &addr, &call) {
+                        if self.drops_command(n, &addr, &call) {
                             continue;
                         }
-                        if cut > 0 {
+                        if partition_end > 0 {
                             // Delivered after the partition ends, or lost.
                             if self.rng.bool() {
-                                self.at(cut - now + d, Event::Arrive(n, me, id, call));
+                                self.at(
+                                    partition_end - now + d,
+                                    Event::CallArrives(n, incarnation, id, call),
+                                );
                             }
                             continue;
                         }
                     }
                     match self.rng.u32(0..400) {
-                        0 if !self.quiet => {}
+                        0 if !self.fault_free => {}
                         // Executed 1 to 40 s later.
-                        1 if !self.quiet => {
+                        1 if !self.fault_free => {
                             let late = self.rng.u64(S..40 * S);
-                            self.at(late, Event::Arrive(n, me, id, call));
+                            self.at(late, Event::CallArrives(n, incarnation, id, call));
                         }
-                        _ => self.at(d, Event::Arrive(n, me, id, call)),
+                        _ => self.at(d, Event::CallArrives(n, incarnation, id, call)),
                     }
                 }
                 Output::ExtensionResponse(id, answer) => {
                     let d = self.delay();
-                    self.at(d, Event::GuestAnswered(id, answer));
+                    self.at(d, Event::ExtensionAnswered(id, answer));
                 }
                 Output::StreamOpen(..) | Output::StreamChunk(..) | Output::StreamClose(_) => {}
                 Output::Send { to, message } => {
                     let to = to.0 as usize;
-                    let cut = self.node_node_cut(n, to);
+                    let partition_end = self.peer_partition_end(n, to);
                     let d = self.delay();
-                    let late = if cut > 0 { cut - now } else { 0 };
-                    if cut > 0 && self.rng.bool() || !self.quiet && self.rng.u32(0..300) == 0 {
+                    let late = if partition_end > 0 { partition_end - now } else { 0 };
+                    if partition_end > 0 && self.rng.bool() || !self.fault_free && self.rng.u32(0..300) == 0 {
                         continue;
                     }
-                    if !self.quiet && self.rng.u32(0..100) == 0 {
+                    if !self.fault_free && self.rng.u32(0..100) == 0 {
                         let again = self.rng.u64(0..3 * S);
-                        self.at(late + d + again, Event::Peer(n, to, me, message.clone()));
+                        self.at(late + d + again, Event::Peer(n, to, incarnation, message.clone()));
                     }
-                    self.at(late + d, Event::Peer(n, to, me, message));
+                    self.at(late + d, Event::Peer(n, to, incarnation, message));
                 }
             }
         }
     }
 
-    fn request(&mut self, n: usize, method: &'static str, path: String, body: Vec<u8>, asker: Asker) {
+    fn request(&mut self, n: usize, method: &'static str, path: String, body: Vec<u8>, requester: Requester) {
         let id = RequestId(self.next_request);
         self.next_request += 1;
-        self.asked.insert(id, asker);
-        self.looks.began.insert(id, self.now);
+        self.pending_requests.insert(id, requester);
+        self.consistency.requests_began_at.insert(id, self.now);
         let d = self.delay();
-        let me = self.incarnations[n];
-        self.oncall_asked(method, &path, &body);
-        self.at(d, Event::Request(n, me, id, method, path, body));
+        let incarnation = self.incarnations[n];
+        self.duplicate_request(method, &path, &body);
+        self.at(d, Event::Request(n, incarnation, id, method, path, body));
     }
 
     // ---- cloud -----------------------------------------------------------
@@ -601,29 +606,29 @@
         vec![f("small", 4.0, 0.4), f("big", 16.0, 1.5)]
     }
 
-    fn rent(&mut self, build: &str, zone: &str, spot: bool) -> String {
+    fn rent(&mut self, machine_type: &str, zone: &str, spot: bool) -> String {
         let name = format!("host-{:06}", self.next_machine);
         self.next_machine += 1;
         let boot = match self.rng.u32(0..20) {
             _ if self.faults.fast_boots => S,
             0 => S,
-            1 if !self.quiet => 10_000 * S,
-            _ if self.now < self.late_boots_until => self.rng.u64(20 * S..90 * S),
+            1 if !self.fault_free => 10_000 * S,
+            _ if self.now < self.slow_boots_until => self.rng.u64(20 * S..90 * S),
             _ => self.rng.u64(5 * S..12 * S),
         };
-        let cpus = if build == "small" { 4.0 } else { 16.0 };
-        let mut m = Machine::new(&name, (build, zone, spot), cpus, self.now + boot);
+        let cpus = if machine_type == "small" { 4.0 } else { 16.0 };
+        let mut m = Machine::new(&name, (machine_type, zone, spot), cpus, self.now + boot);
         m.report_to = self.rng.usize(0..self.size.nodes);
         self.machines.insert(name.clone(), m);
-        self.born.insert(name.clone(), self.now);
+        self.rented_at.insert(name.clone(), self.now);
         name
     }
 
-    fn cloud(&mut self, method: &str, path: &str, body: &[u8]) -> (u16, Vec<u8>) {
+    fn handle_cloud_call(&mut self, method: &str, path: &str, body: &[u8]) -> (u16, Vec<u8>) {
         if self.now < self.cloud_down_until {
             return (503, br#"{"error":"trouble"}"#.to_vec());
         }
-        if self.size.fleet && !self.takes_call() {
+        if self.size.fleet && !self.accepts_call() {
             return (429, br#"{"error":"too many requests"}"#.to_vec());
         }
         match (method, path.split('?').next().unwrap()) {
@@ -631,7 +636,7 @@
             ("POST", "/rentals") => {
                 let h: Hire = serde_json::from_slice(body).unwrap();
                 assert!(h.number <= 50, "{} machines in a rental", h.number);
-                if let Some(hosts) = self.hires.get(&h.hire) {
+                if let Some(hosts) = self.rentals.get(&h.hire) {
                     return (200, serde_json::to_vec(&Hosts { hosts: hosts.clone() }).unwrap());
                 }
                 let there = self
@@ -639,29 +644,29 @@
                     .values()
                     .filter(|m| (&m.build, &m.zone, m.spot) == (&h.build, &h.yard, h.loaners))
                     .count();
-                let room = self.size.room[(h.build == "big") as usize].saturating_sub(there);
-                if room == 0 {
+                let capacity = self.size.capacity[(h.build == "big") as usize].saturating_sub(there);
+                if capacity == 0 {
                     return (503, br#"{"error":"no capacity"}"#.to_vec());
                 }
-                let n = room.min(h.number as usize);
-                self.fleet_rents(&h.yard, n);
+                let n = capacity.min(h.number as usize);
+                self.note_fleet_rental(&h.yard, n);
                 let hosts: Vec<String> = (0..n).map(|_| self.rent(&h.build, &h.yard, h.loaners)).collect();
-                self.hires.insert(h.hire, hosts.clone());
+                self.rentals.insert(h.hire, hosts.clone());
                 (200, serde_json::to_vec(&Hosts { hosts }).unwrap())
             }
             ("POST", "/rentals/delete") => {
                 let h: Hosts = serde_json::from_slice(body).unwrap();
                 assert!(h.hosts.len() <= 100, "{} names in a deletion", h.hosts.len());
                 for name in h.hosts {
-                    self.fleet_deletes(&name);
-                    self.oncall_deletes(&name);
+                    self.note_fleet_deletion(&name);
+                    self.note_deletion(&name);
                     self.machines.remove(&name);
                 }
                 (200, b"{}".to_vec())
             }
             ("GET", "/rentals") => {
                 let lag = self.rng.u64(3 * S..10 * S);
-                let view = self.history.iter().rev().find(|(t, _)| *t + lag <= self.now);
+                let view = self.rental_lists.iter().rev().find(|(t, _)| *t + lag <= self.now);
                 let (from, limit) = list_page(path);
                 let after = view.map_or(&[][..], |v| &v.1[v.1.partition_point(|r| *r.name <= *from)..]);
                 let hosts = after[..limit.min(after.len())].to_vec();
@@ -674,7 +679,7 @@
 
     /// Whether the cloud accepts one more call: at its rate limit, with bursts of two seconds'
     /// worth of calls.
-    fn takes_call(&mut self) -> bool {
+    fn accepts_call(&mut self) -> bool {
         let busy_until = self.cloud_busy_until.max(self.now) + S / CLOUD_RPS;
         let takes = busy_until <= self.now + 2 * S;
         if takes {
@@ -683,7 +688,7 @@
         takes
     }
 
-    fn remember(&mut self) {
+    fn record_rental_list(&mut self) {
         let list = self
             .machines
             .values()
@@ -694,12 +699,12 @@
                 yard: m.zone.clone(),
                 loaners: m.spot,
                 stage: if m.up_at <= self.now { "running" } else { "starting" }.into(),
-                held_s: (self.now - self.born[&m.name]) as f64 / 1e6,
+                held_s: (self.now - self.rented_at[&m.name]) as f64 / 1e6,
             })
             .collect();
-        self.history.push((self.now, list));
-        if self.history.len() > 60 {
-            self.history.remove(0);
+        self.rental_lists.push((self.now, list));
+        if self.rental_lists.len() > 60 {
+            self.rental_lists.remove(0);
         }
     }
 
@@ -711,15 +716,15 @@
         f: impl FnOnce(&mut Machine, &dyn Fn(&str) -> Option<Facts>, u64) -> T,
     ) -> Option<T> {
         let (jobs, state, now) = (&self.jobs, &self.state, self.now);
-        let facts = |piece: &str| match own(piece) {
-            Some(_) => World::own_facts(state, piece),
-            None => facts(jobs, piece),
+        let task_profile = |task_id: &str| match nomad_task(task_id) {
+            Some(_) => World::nomad_task_profile(state, task_id),
+            None => task_profile(jobs, task_id),
         };
-        self.machines.get_mut(name).map(|m| f(m, &facts, now))
+        self.machines.get_mut(name).map(|m| f(m, &task_profile, now))
     }
 
-    fn workers(&mut self) {
-        let Size { nodes, report, lease, .. } = self.size;
+    fn simulate_workers(&mut self) {
+        let Size { nodes, report_interval, lease, .. } = self.size;
         let names: Vec<String> = self.machines.keys().cloned().collect();
         for name in names {
             let now = self.now;
@@ -733,8 +738,8 @@
             }
             m.check_lease(now, lease);
             let started = self.with_machine(&name, |m, f, now| m.advance(f, now)).unwrap_or_default();
-            for piece in started {
-                self.check_start(&name, &piece);
+            for task_id in started {
+                self.check_start(&name, &task_id);
             }
             let Some(m) = self.machines.get_mut(&name) else { continue };
             if let Some((_, sent, _)) = m.open
@@ -748,38 +753,39 @@
             if m.open.is_none() && due && (now >= m.next_report || m.changed) {
                 m.changed = false;
                 m.last_sent = now;
-                m.next_report = now + self.rng.u64(report * 3 / 4..report * 5 / 4);
+                m.next_report = now + self.rng.u64(report_interval * 3 / 4..report_interval * 5 / 4);
                 let body = serde_json::to_vec(&m.report()).unwrap();
                 let to = m.report_to;
                 let key = self.next_request;
                 m.open = Some((key, now, m.shift));
-                self.oncall_reported(&name, &body);
+                self.note_report_sent(&name, &body);
                 self.keep_report(&body);
-                if self.is_mute(&name) {
+                if self.cannot_send(&name) {
                     self.next_request += 1;
                     continue;
                 }
-                let cut = {
+                let partition_end = {
                     let m = &self.machines[&name];
-                    self.node_machine_cut(to, m)
+                    self.machine_partition_end(to, m)
                 };
-                if cut > 0 {
+                if partition_end > 0 {
                     // The late report's requester has timed out by then.
                     self.next_request += 1;
                     if self.rng.bool() {
-                        let me = self.incarnations[to];
-                        let e = Event::Request(to, me, RequestId(key), "POST", "/checkin".into(), body);
-                        self.at(cut - now, e);
+                        let incarnation = self.incarnations[to];
+                        let e =
+                            Event::Request(to, incarnation, RequestId(key), "POST", "/checkin".into(), body);
+                        self.at(partition_end - now, e);
                     }
                 } else {
-                    self.request(to, "POST", "/checkin".into(), body, Asker::Worker(name.clone(), key));
+                    self.request(to, "POST", "/checkin".into(), body, Requester::Worker(name.clone(), key));
                 }
             }
         }
         self.check_all();
     }
 
-    fn checkin_answered(&mut self, name: &str, key: u64, status: u16, body: &[u8]) {
+    fn handle_checkin_answer(&mut self, name: &str, key: u64, status: u16, body: &[u8]) {
         let now = self.now;
         let Some(m) = self.machines.get_mut(name) else { return };
         if now < m.hung_until {
@@ -787,7 +793,7 @@
             let d = m.hung_until - now + 1000;
             let id = RequestId(self.next_request);
             self.next_request += 1;
-            self.asked.insert(id, Asker::Worker(name.into(), key));
+            self.pending_requests.insert(id, Requester::Worker(name.into(), key));
             self.at(d, Event::Answered(id, status, body.to_vec()));
             return;
         }
@@ -831,37 +837,37 @@
         }
     }
 
-    // ---- rules -----------------------------------------------------------
+    // ---- invariants -----------------------------------------------------------
 
-    fn job_of(piece: &str) -> (usize, u32) {
-        let (j, i) = piece.split_once('/').unwrap();
+    fn job_of(task_id: &str) -> (usize, u32) {
+        let (j, i) = task_id.split_once('/').unwrap();
         (j[2..].parse().unwrap(), i.parse().unwrap())
     }
 
-    fn check_start(&mut self, at: &str, piece: &str) {
+    fn check_start(&mut self, at: &str, task_id: &str) {
         self.started += 1;
-        if let Some(task) = own(piece) {
-            return self.check_own_start(at, task);
+        if let Some(task) = nomad_task(task_id) {
+            return self.check_nomad_start(at, task);
         }
-        let (j, index) = Self::job_of(piece);
+        let (j, index) = Self::job_of(task_id);
         let now = self.now;
-        self.jobs[j].began_at.get_or_insert(now);
+        self.jobs[j].started_at.get_or_insert(now);
         if self.jobs[j].done[index as usize] {
-            self.started_again.push(format!("{piece} on {at} at {:.1}", now as f64 / 1e6));
+            self.reruns.push(format!("{task_id} on {at} at {:.1}", now as f64 / 1e6));
         }
         let m = &self.machines[at];
         let job = &self.jobs[j];
         let mut faults: Vec<(&str, String)> = Vec::new();
         for (name, o) in &self.machines {
-            if name != at && o.tasks.iter().any(|t| t.name == piece && t.on()) {
-                faults.push(("ran_twice", format!("{piece} starts on {at} while it is on {name}")));
+            if name != at && o.tasks.iter().any(|t| t.name == task_id && t.on()) {
+                faults.push(("ran_twice", format!("{task_id} starts on {at} while it is on {name}")));
             }
         }
         if job.zone.is_some_and(|z| z != m.zone) {
-            faults.push(("wrong_place", format!("{piece} on {at} in {}", m.zone)));
+            faults.push(("wrong_place", format!("{task_id} on {at} in {}", m.zone)));
         }
-        if m.spot && !job.spot || job.build.is_some_and(|b| b != m.build) || index >= job.tasks {
-            faults.push(("wrong_place", format!("{piece} on {at} ({}, spot {})", m.build, m.spot)));
+        if m.spot && !job.spot || job.machine_type.is_some_and(|b| b != m.build) || index >= job.tasks {
+            faults.push(("wrong_place", format!("{task_id} on {at} ({}, spot {})", m.build, m.spot)));
         }
         if job.spread {
             let here = self
@@ -869,7 +875,7 @@
                 .values()
                 .filter(|o| o.zone == m.zone)
                 .flat_map(|o| o.tasks.iter())
-                .filter(|t| t.on() && own(&t.name).is_none() && Self::job_of(&t.name).0 == j)
+                .filter(|t| t.on() && nomad_task(&t.name).is_none() && Self::job_of(&t.name).0 == j)
                 .count() as u32;
             if here > job.tasks.div_ceil(2) {
                 faults.push(("wrong_place", format!("{here} tasks of job {j} in {}", m.zone)));
@@ -877,27 +883,27 @@
         }
         // The start order left before the confirmation; `check_orders` checks the orders
         // themselves.
-        self.faults.late_starts += job.aborted_at.is_some() as usize;
-        if job.cancelled_from.is_some_and(|t| self.now > t + self.size.cancel) {
-            faults.push(("ran_cancelled", format!("{piece} starts on {at}")));
+        self.faults.starts_after_confirmation += job.aborted_at.is_some() as usize;
+        if job.cancelled_from.is_some_and(|t| self.now > t + self.size.cancel_timeout) {
+            faults.push(("ran_cancelled", format!("{task_id} starts on {at}")));
         }
         if let Some(needed) = self.first_unfinished(j) {
-            faults.push(("too_early", format!("{piece} starts on {at} before job {needed} is done")));
+            faults.push(("too_early", format!("{task_id} starts on {at} before job {needed} is done")));
         }
         self.pipelines.starts += !job.awaits.is_empty() as usize;
         for (rule, what) in faults {
-            self.break_rule(rule, what);
+            self.report_violation(rule, what);
         }
     }
 
     fn check_all(&mut self) {
-        let mut tight = if self.size.planners { self.check_own() } else { 0.0 };
+        let mut tight = if self.size.nomad_clients { self.check_nomad_tasks() } else { 0.0 };
         let mut on = 0;
         let mut faults: Vec<(&str, String)> = Vec::new();
         let mut done = Vec::new();
         for (name, m) in &self.machines {
-            self.paid_us += (m.cpus * self.size.workers_every as f64) as u64;
-            for t in m.tasks.iter().filter(|t| own(&t.name).is_none()) {
+            self.rented_cpu_us += (m.cpus * self.size.worker_step as f64) as u64;
+            for t in m.tasks.iter().filter(|t| nomad_task(&t.name).is_none()) {
                 let (j, i) = Self::job_of(&t.name);
                 // A job of `request_validation.rs`, which the simulated workers do not know.
                 let Some(job) = self.jobs.get(j) else { continue };
@@ -908,11 +914,11 @@
                     continue;
                 }
                 on += 1;
-                self.used_us += (job.cpus * self.size.workers_every as f64) as u64;
+                self.used_cpu_us += (job.cpus * self.size.worker_step as f64) as u64;
                 if job.team == "tight" {
                     tight += job.cpus;
                 }
-                if job.cancelled_from.is_some_and(|at| self.now > at + self.size.cancel) {
+                if job.cancelled_from.is_some_and(|at| self.now > at + self.size.cancel_timeout) {
                     faults.push(("ran_cancelled", format!("{} is on {name}", t.name)));
                 }
             }
@@ -920,47 +926,51 @@
         if tight > 9.0 + 1e-9 {
             faults.push(("quota", format!("{tight} of 9 CPUs")));
         }
-        self.peak = self.peak.max(on);
+        self.peak_tasks = self.peak_tasks.max(on);
         for (j, i) in done {
             let d = &mut self.jobs[j].done[i as usize];
-            let news = !std::mem::replace(d, true);
-            self.completed += news as usize;
-            if news && self.jobs[j].done.iter().all(|d| *d) {
-                self.jobs[j].done_at = Some(self.now);
+            let newly_done = !std::mem::replace(d, true);
+            self.completed += newly_done as usize;
+            if newly_done && self.jobs[j].done.iter().all(|d| *d) {
+                self.jobs[j].completed_at = Some(self.now);
                 self.job_completed(j);
             }
-            if news && self.now < self.faults.cancel_at_end && self.jobs[j].done.iter().all(|d| *d) {
+            if newly_done
+                && self.now < self.faults.cancel_at_end_until
+                && self.jobs[j].done.iter().all(|d| *d)
+            {
                 let at = self.rng.usize(0..self.size.nodes);
                 for n in 0..self.size.nodes {
                     let d = self.rng.u64(0..3 * MS);
-                    let way = if n == at { looks::Way::Abort } else { looks::Way::Poll };
-                    self.at(d, Event::Look(n, way, j));
-                    self.at(d, Event::Look(n, looks::Way::Again, j));
+                    let user_action =
+                        if n == at { consistency::UserAction::Abort } else { consistency::UserAction::Poll };
+                    self.at(d, Event::UserRequest(n, user_action, j));
+                    self.at(d, Event::UserRequest(n, consistency::UserAction::Resubmit, j));
                 }
             }
         }
         for (rule, what) in faults {
-            self.break_rule(rule, what);
+            self.report_violation(rule, what);
         }
     }
 
-    fn answered(&mut self, id: RequestId, status: u16, body: Vec<u8>) {
-        let Some(asker) = self.asked.remove(&id) else { return };
-        let began = self.looks.began.remove(&id).unwrap_or(self.now);
+    fn handle_answer(&mut self, id: RequestId, status: u16, body: Vec<u8>) {
+        let Some(requester) = self.pending_requests.remove(&id) else { return };
+        let began = self.consistency.requests_began_at.remove(&id).unwrap_or(self.now);
         let stage = |b: &[u8]| {
             serde_json::from_slice::<Value>(b).ok().and_then(|v| v["stage"].as_str().map(str::to_owned))
         };
-        match asker {
+        match requester {
             // Answers to Nomad clients arrive as `Event::ExtensionAnswered`.
-            Asker::Planner(_) => {}
-            Asker::Worker(name, key) => self.checkin_answered(&name, key, status, &body),
-            Asker::Odd => self.looks.odd = Some((status, body)),
-            Asker::Stranger => {
+            Requester::NomadClient(_) => {}
+            Requester::Worker(name, key) => self.handle_checkin_answer(&name, key, status, &body),
+            Requester::Direct => self.consistency.direct_answer = Some((status, body)),
+            Requester::UnknownJob => {
                 if matches!(status, 200 | 201) {
-                    self.break_rule("invented", "a job that nobody submitted".into());
+                    self.report_violation("invented", "a job that nobody submitted".into());
                 }
             }
-            Asker::Submit(j) => match status {
+            Requester::Submit(j) => match status {
                 200 | 201 => {
                     if !std::mem::replace(&mut self.jobs[j].accepted, true) {
                         self.jobs[j].accepted_at = self.now;
@@ -969,25 +979,27 @@
                     self.check_stage(j, &stage(&body).unwrap(), began);
                 }
                 400 | 422 if self.jobs[j].accepted && began > self.jobs[j].accepted_at => {
-                    self.break_rule("forgotten", format!("job {j}: {status}"))
+                    self.report_violation("forgotten", format!("job {j}: {status}"))
                 }
                 // Every job that it names was accepted before.
-                422 if !self.jobs[j].awaits.is_empty() => self
-                    .break_rule("forgotten", format!("job {j} refused: {}", String::from_utf8_lossy(&body))),
+                422 if !self.jobs[j].awaits.is_empty() => self.report_violation(
+                    "forgotten",
+                    format!("job {j} refused: {}", String::from_utf8_lossy(&body)),
+                ),
                 400 | 422 => panic!("job {j} refused: {}", String::from_utf8_lossy(&body)),
                 _ => {}
             },
-            Asker::Poll(j) => match status {
+            Requester::Poll(j) => match status {
                 200 => self.check_stage(j, &stage(&body).unwrap(), began),
-                404 if self.jobs[j].accepted => self.break_rule("forgotten", format!("job {j} is 404")),
+                404 if self.jobs[j].accepted => self.report_violation("forgotten", format!("job {j} is 404")),
                 _ => {}
             },
-            Asker::Abort(j) => {
+            Requester::Abort(j) => {
                 if status == 200 {
                     let s = stage(&body).unwrap();
                     self.check_stage(j, &s, began);
                 } else if status == 404 && self.jobs[j].accepted {
-                    self.break_rule("forgotten", format!("job {j} is 404"));
+                    self.report_violation("forgotten", format!("job {j} is 404"));
                 }
             }
         }
@@ -998,10 +1010,10 @@
     /// leave the controllers.
     fn check_stage(&mut self, j: usize, stage: &str, began: u64) {
         let now = self.now;
-        let asked = self.cancellation_asked(j);
+        let requested = self.cancellation_requested(j);
         let job = &mut self.jobs[j];
         job.answered_at = now;
-        let (was_done, was_aborted) = (job.told_done, job.aborted_at.is_some());
+        let (was_done, was_aborted) = (job.reported_done, job.aborted_at.is_some());
         let mut fault = None;
         match stage {
             "done" => {
@@ -1010,23 +1022,23 @@
                 } else if job.aborted_at.is_some() {
                     fault = Some("went_back");
                 }
-                job.told_done = true;
+                job.reported_done = true;
             }
             "aborted" => {
-                if job.told_done || !asked {
+                if job.reported_done || !requested {
                     fault = Some("went_back");
                 }
                 job.aborted_at.get_or_insert(now);
             }
-            _ if job.over_at.is_some_and(|t| began > t) => fault = Some("went_back"),
+            _ if job.reported_ended_at.is_some_and(|t| began > t) => fault = Some("went_back"),
             _ => {}
         }
-        if job.told_done || job.aborted_at.is_some() {
-            job.over_at.get_or_insert(now);
+        if job.reported_done || job.aborted_at.is_some() {
+            job.reported_ended_at.get_or_insert(now);
         }
-        let (is_done, is_aborted) = (job.told_done, job.aborted_at.is_some());
+        let (is_done, is_aborted) = (job.reported_done, job.aborted_at.is_some());
         if let Some(rule) = fault {
-            self.break_rule(rule, format!("job {j} is called {stage}"));
+            self.report_violation(rule, format!("job {j} is called {stage}"));
         }
         if is_done && !was_done {
             self.check_cancelled_after(j);
@@ -1039,12 +1051,12 @@
     // ---- users and faults -------------------------------------------------
 
     fn wall_ms(&self) -> u64 {
-        WALL_MS + self.now / 1000
+        START_WALL_MS + self.now / 1000
     }
 
-    fn users(&mut self) {
-        if self.size.planners {
-            self.plan();
+    fn simulate_users(&mut self) {
+        if self.size.nomad_clients {
+            self.send_nomad_request();
         }
         if self.size.pipelines {
             self.plan_pipelines();
@@ -1056,27 +1068,27 @@
             (0..at_once.min(left.max(1))).for_each(|_| self.new_job());
         }
         for j in 0..self.jobs.len() {
-            if self.now < self.jobs[j].next_try || !self.may_submit(j) {
+            if self.now < self.jobs[j].next_request_at || !self.may_submit(j) {
                 continue;
             }
-            self.jobs[j].next_try = self.now + self.rng.u64(2 * S..5 * S);
+            self.jobs[j].next_request_at = self.now + self.rng.u64(2 * S..5 * S);
             let mut n = self.rng.usize(0..self.size.nodes);
             let id = format!("j-{j:06}");
             let job = &mut self.jobs[j];
             if self.size.fleet {
                 // Users try the next controller when they get no answer.
-                job.tries += 1;
-                n = (j + job.tries) % self.size.nodes;
+                job.submit_attempts += 1;
+                n = (j + job.submit_attempts) % self.size.nodes;
             }
             if !job.accepted {
                 if !std::mem::replace(&mut job.submitted, true) {
-                    job.asked_at = self.now;
+                    job.submitted_at = self.now;
                 }
                 let body = job.body.to_string().into_bytes();
-                self.request(n, "POST", "/submissions".into(), body, Asker::Submit(j));
-            } else if self.now > job.abort_at && job.aborted_at.is_none() && !job.told_done {
-                job.abort_asked = true;
-                self.request(n, "POST", format!("/submissions/{id}/abort"), Vec::new(), Asker::Abort(j));
+                self.request(n, "POST", "/submissions".into(), body, Requester::Submit(j));
+            } else if self.now > job.abort_at && job.aborted_at.is_none() && !job.reported_done {
+                job.abort_requested = true;
+                self.request(n, "POST", format!("/submissions/{id}/abort"), Vec::new(), Requester::Abort(j));
             } else if self.rng.u32(0..8) == 0 {
                 // Resubmits a known job with an invalid task count: the answer must be the known
                 // job's stage.
@@ -1087,30 +1099,30 @@
                     "POST",
                     "/submissions".into(),
                     body.to_string().into_bytes(),
-                    Asker::Submit(j),
+                    Requester::Submit(j),
                 );
             } else {
-                self.request(n, "GET", format!("/submissions/{id}"), Vec::new(), Asker::Poll(j));
+                self.request(n, "GET", format!("/submissions/{id}"), Vec::new(), Requester::Poll(j));
             }
         }
-        self.check_known();
-        let sums: Vec<String> =
+        self.check_answered();
+        let inconsistent: Vec<String> =
             self.nodes.iter().flatten().filter_map(|n| n.check_aggregates().err()).collect();
-        for s in sums {
-            self.break_rule("sums", s);
+        for s in inconsistent {
+            self.report_violation("sums", s);
         }
         if self.rng.u32(0..10) == 0 {
             let n = self.rng.usize(0..self.size.nodes);
-            self.request(n, "GET", "/submissions/j-900000".into(), Vec::new(), Asker::Stranger);
+            self.request(n, "GET", "/submissions/j-900000".into(), Vec::new(), Requester::UnknownJob);
         }
     }
 
     fn new_job(&mut self) {
         if self.size.fleet {
-            return self.fleet_job();
+            return self.push_fleet_job();
         }
-        if self.size.oncall && self.rng.u32(0..4) == 0 {
-            return self.oncall_job();
+        if self.size.partial_failures && self.rng.u32(0..4) == 0 {
+            return self.push_extension_job();
         }
         let j = self.jobs.len();
         if j < self.size.long_arrays {
@@ -1124,8 +1136,8 @@
         let run_us = r.u64(S..20 * S);
         let spread = r.u32(0..3) == 0;
         let spot = !service && r.bool();
-        let build = (r.u32(0..6) == 0).then_some("big");
-        let save_us = (!service && r.bool()).then_some(2 * S);
+        let machine_type = (r.u32(0..6) == 0).then_some("big");
+        let checkpoint_us = (!service && r.bool()).then_some(2 * S);
         let team = if tight { "tight" } else { "free" };
         // Services of the team with a limit end; otherwise its arrays would wait forever.
         let ends = tight && service || r.u32(0..3) == 0;
@@ -1134,24 +1146,24 @@
             "manner": if service { "standing" } else { "array" },
             "rank": if service { "prod" } else { "standard" },
             "pieces": tasks, "cpus": cpus, "gpus": 0.0, "memory_gb": 1.0, "bundle": "i",
-            "image_gb": 0.4, "builds": build.map(|b| vec![b]), "yard": null, "same_place": false,
+            "image_gb": 0.4, "builds": machine_type.map(|b| vec![b]), "yard": null, "same_place": false,
             "apart": spread, "loaners": spot, "guess_s": run_us as f64 / 1e6,
-            "mark_s": if save_us.is_some() { 5.0 } else { 0.0 }, "stow_s": 2.0, "due_s": null});
+            "mark_s": if checkpoint_us.is_some() { 5.0 } else { 0.0 }, "stow_s": 2.0, "due_s": null});
         let job = Job::new(body, team, service, tasks, cpus, run_us);
-        self.jobs.push(Job { save_us, spread, spot, build, abort_at, ..job });
+        self.jobs.push(Job { checkpoint_us, spread, spot, machine_type, abort_at, ..job });
     }
 
-    fn trouble(&mut self) {
+    fn schedule_random_fault(&mut self) {
         if self.now > self.size.busy_until + 20 * S {
             return;
         }
         let pause = self.rng.u64(2 * S..16 * S);
-        self.at(pause, Event::Trouble);
-        self.strike();
+        self.at(pause, Event::InjectFault);
+        self.inject_random_fault();
     }
 
     /// Injects one fault of any kind that the protocol names.
-    fn strike(&mut self) {
+    fn inject_random_fault(&mut self) {
         let n = self.rng.usize(0..self.size.nodes);
         let length = self.rng.u64(3 * S..40 * S);
         let names: Vec<String> = self.machines.keys().cloned().collect();
@@ -1166,13 +1178,13 @@
         match kind {
             0 => {
                 self.state.down = true;
-                self.at(length.min(25 * S), Event::Heal);
+                self.at(length.min(25 * S), Event::StateServiceRecovers);
             }
             1 => self.crash(n),
             2 => (0..self.size.nodes).for_each(|n| self.crash(n)),
-            3 => self.refused_until[n] = self.now + length,
-            4 => self.zones_cut_until = self.now + length,
-            5 => self.node_cut_until[n] = self.now + length,
+            3 => self.state_refused_until[n] = self.now + length,
+            4 => self.zones_partitioned_until = self.now + length,
+            5 => self.controller_partitioned_until[n] = self.now + length,
             6 => {
                 if let Some(m) = some {
                     let until = self.now + length;
@@ -1193,16 +1205,16 @@
                 }
             }
             10 => self.cloud_down_until = self.now + length.min(15 * S),
-            _ => self.late_boots_until = self.now + length,
+            _ => self.slow_boots_until = self.now + length,
         }
     }
 
     fn crash(&mut self, n: usize) {
         if self.nodes[n].take().is_some() {
             self.watches.retain(|w| w.node != n);
-            let back = match (self.size.blinks, self.size.oncall) {
-                (true, _) => self.back_at_once(n),
-                (_, true) => self.oncall_back(),
+            let back = match (self.size.fast_restarts, self.size.partial_failures) {
+                (true, _) => self.fast_restart_delay(n),
+                (_, true) => self.restart_delay(),
                 _ => self.rng.u64(2 * S..6 * S),
             };
             self.at(back, Event::Restart(n));
@@ -1210,11 +1222,15 @@
     }
 
     /// Accepted arrays of the team without a limit that are neither done nor cancelled.
-    fn late(&self) -> Vec<usize> {
+    fn unfinished_jobs(&self) -> Vec<usize> {
         let late = |job: &Job| {
-            job.team == "free" && !job.service && job.accepted && !job.told_done && job.aborted_at.is_none()
+            job.team == "free"
+                && !job.service
+                && job.accepted
+                && !job.reported_done
+                && job.aborted_at.is_none()
         };
-        (0..self.jobs.len()).filter(|j| late(&self.jobs[*j]) && self.had_its_time(*j)).collect()
+        (0..self.jobs.len()).filter(|j| late(&self.jobs[*j]) && self.had_time_to_end(*j)).collect()
     }
 
     /// Describes jobs and machines for the message of a failed test.
@@ -1233,23 +1249,23 @@
     // ---- event loop -------------------------------------------------------
 
     fn run(&mut self, until: u64) {
-        let mut last_history = 0;
+        let mut last_rental_list = 0;
         while let Some(Reverse((t, key))) = self.queue.peek().copied() {
-            if t > until || !self.broken.is_empty() {
+            if t > until || !self.violations.is_empty() {
                 break;
             }
             self.queue.pop();
             self.now = t;
             let Some(e) = self.events.remove(&key) else { continue };
-            self.step(e);
-            if self.now > last_history + S / 2 {
-                last_history = self.now;
-                self.remember();
+            self.handle_event(e);
+            if self.now > last_rental_list + S / 2 {
+                last_rental_list = self.now;
+                self.record_rental_list();
             }
         }
     }
 
-    fn watches(&mut self) {
+    fn answer_watches(&mut self) {
         if self.state.down {
             return;
         }
@@ -1257,132 +1273,133 @@
         let (mut i, now) = (0, self.now);
         while i < self.watches.len() {
             let w = &self.watches[i];
-            let body = if self.refused_until[w.node].max(self.oncall.alone_until[w.node]) > now {
-                None
-            } else {
-                let over = now >= w.until || self.state.too_old(w.from);
-                let late = over.then(|| self.state.no_news());
-                self.state.news(&w.prefix, w.from).or(late)
-            };
+            let body =
+                if self.state_refused_until[w.node].max(self.partial_failures.isolated_until[w.node]) > now {
+                    None
+                } else {
+                    let over = now >= w.until || self.state.too_old(w.from);
+                    let late = over.then(|| self.state.no_news());
+                    self.state.news(&w.prefix, w.from).or(late)
+                };
             match body {
                 Some(body) => {
                     let w = self.watches.remove(i);
                     let d = self.delay();
                     let status = if self.state.too_old(w.from) { 410 } else { 200 };
                     let r = CallResult::Response { status, body };
-                    self.at(d, Event::Called(w.node, w.incarnation, w.call, r));
+                    self.at(d, Event::CallCompleted(w.node, w.incarnation, w.call, r));
                 }
                 None => i += 1,
             }
         }
     }
 
-    fn step(&mut self, e: Event) {
+    fn handle_event(&mut self, e: Event) {
         let now = self.now;
         match e {
-            Event::Tick(n, me) => {
-                if self.nodes[n].is_some() && self.incarnations[n] == me {
-                    if self.faults.frozen_until[n] <= now {
-                        self.feed(n, Input::Tick);
-                        self.new_leader(n);
+            Event::Tick(n, incarnation) => {
+                if self.nodes[n].is_some() && self.incarnations[n] == incarnation {
+                    if self.faults.paused_until[n] <= now {
+                        self.deliver_input(n, Input::Tick);
+                        self.act_on_new_leader(n);
                     }
-                    self.at(20 * MS, Event::Tick(n, me));
-                    if self.size.blinks {
-                        self.look_at(n);
+                    self.at(20 * MS, Event::Tick(n, incarnation));
+                    if self.size.fast_restarts {
+                        self.track_recovery(n);
                     }
                 }
-                self.watches();
+                self.answer_watches();
             }
             Event::Restart(n) => {
                 let seed = self.rng.u64(..) >> 1;
-                let number = if self.size.blinks { self.process_number(n, seed) } else { now };
-                self.began[n] = now;
+                let number = if self.size.fast_restarts { self.take_incarnation(n, seed) } else { now };
+                self.process_started_at[n] = now;
                 let steady = self.steady(n);
                 let mut node = Node::new(&platform(n, &self.size), Operator::default(), seed, number, steady);
-                if self.size.planners {
-                    node = nomad::guest(node, seed);
+                if self.size.nomad_clients {
+                    node = nomad::with_nomad(node, seed);
                 }
                 self.incarnations[n] = node.incarnation();
                 self.nodes[n] = Some(node);
-                self.forget_load(n);
+                self.clear_load(n);
                 self.at(0, Event::Tick(n, self.incarnations[n]));
             }
-            Event::Arrive(n, me, id, call) => {
+            Event::CallArrives(n, incarnation, id, call) => {
                 if std::env::var("WORLD_TRACE").is_ok() && !call.path.starts_with("/follow") {
                     let body = String::from_utf8_lossy(&call.body);
                     eprintln!("{:.3} n{n} {:?} {} {body}", now as f64 / 1e6, call.target, call.path);
                 }
-                self.arrive(n, me, id, call)
+                self.execute_call(n, incarnation, id, call)
             }
-            Event::Called(n, me, id, result) => {
-                if self.incarnations[n] == me {
-                    self.feed(n, Input::CallCompleted { id, result });
+            Event::CallCompleted(n, incarnation, id, result) => {
+                if self.incarnations[n] == incarnation {
+                    self.deliver_input(n, Input::CallCompleted { id, result });
                 }
             }
             Event::Peer(from, to, incarnation, message) => {
                 let from = gorseshore_protocol::ids::NodeId(from as u8);
-                self.feed(to, Input::Peer { from, incarnation, message });
+                self.deliver_input(to, Input::Peer { from, incarnation, message });
             }
-            Event::Request(n, me, id, method, path, body) => {
-                if self.incarnations[n] == me && self.nodes[n].is_some() {
-                    self.feed(n, Input::Request { id, method: method.into(), path, body });
-                } else if let Some(Asker::Worker(..)) = self.asked.get(&id) {
+            Event::Request(n, incarnation, id, method, path, body) => {
+                if self.incarnations[n] == incarnation && self.nodes[n].is_some() {
+                    self.deliver_input(n, Input::Request { id, method: method.into(), path, body });
+                } else if let Some(Requester::Worker(..)) = self.pending_requests.get(&id) {
                     // Connection refused: the worker tries the next controller.
                     self.at(500, Event::Answered(id, 599, Vec::new()));
                 }
             }
-            Event::Answered(id, status, body) => self.answered(id, status, body),
-            Event::ExtensionRequest(n, me, id, method, path, body) => {
-                if self.incarnations[n] == me && self.nodes[n].is_some() {
+            Event::Answered(id, status, body) => self.handle_answer(id, status, body),
+            Event::ExtensionRequest(n, incarnation, id, method, path, body) => {
+                if self.incarnations[n] == incarnation && self.nodes[n].is_some() {
                     let method = method.into();
-                    self.feed(n, Input::ExtensionRequest { id, method, path, token: None, body });
+                    self.deliver_input(n, Input::ExtensionRequest { id, method, path, token: None, body });
                 }
             }
-            Event::GuestAnswered(id, answer) => self.planned(id, answer),
-            Event::Workers => {
-                self.workers();
-                self.at(self.size.workers_every, Event::Workers);
+            Event::ExtensionAnswered(id, answer) => self.check_nomad_answer(id, answer),
+            Event::SimulateWorkers => {
+                self.simulate_workers();
+                self.at(self.size.worker_step, Event::SimulateWorkers);
             }
-            Event::Users => {
-                self.users();
-                self.at(300 * MS, Event::Users);
+            Event::SimulateUsers => {
+                self.simulate_users();
+                self.at(300 * MS, Event::SimulateUsers);
             }
-            Event::Trouble if self.size.fleet => self.fleet_trouble(),
-            Event::Trouble if self.size.blinks => self.blink_trouble(),
-            Event::Trouble if self.size.oncall => self.oncall_trouble(),
+            Event::InjectFault if self.size.fleet => self.inject_fleet_fault(),
+            Event::InjectFault if self.size.fast_restarts => self.inject_fast_restart(),
+            Event::InjectFault if self.size.partial_failures => self.inject_partial_failures(),
             Event::Crash(n) => self.crash(n),
-            Event::Trouble => self.trouble(),
-            Event::Heal => self.state.recover(now),
-            Event::EndLeader => self.end_leader(),
-            Event::Look(n, way, j) => self.look(n, way, j),
-            Event::EndForGood(n) => self.end_process(n, scenes::NEVER * S),
+            Event::InjectFault => self.schedule_random_fault(),
+            Event::StateServiceRecovers => self.state.recover(now),
+            Event::RestartLeader => self.restart_leader(),
+            Event::UserRequest(n, user_action, j) => self.send_user_request(n, user_action, j),
+            Event::StopController(n) => self.terminate(n, scenarios::NEVER * S),
             Event::Outage => {
                 self.state.down = true;
-                self.at(self.size.cancel, Event::Heal);
+                self.at(self.size.cancel_timeout, Event::StateServiceRecovers);
             }
             Event::LowerLimits => self.lower_limits(),
-            Event::Idle(n, me) => self.idle(n, me),
-            Event::Fed(n, me, input) => {
-                if self.incarnations[n] == me {
-                    self.feed(n, input);
+            Event::Idle(n, incarnation) => self.idle(n, incarnation),
+            Event::DeferredInput(n, incarnation, input) => {
+                if self.incarnations[n] == incarnation {
+                    self.deliver_input(n, input);
                 }
             }
-            Event::Copy(n, method, path, body) => {
+            Event::Duplicate(n, method, path, body) => {
                 let id = RequestId(self.next_request);
                 self.next_request += 1;
-                self.feed(n, Input::Request { id, method: method.into(), path, body });
+                self.deliver_input(n, Input::Request { id, method: method.into(), path, body });
             }
         }
     }
 
-    fn arrive(&mut self, n: usize, me: u64, id: CallId, call: Call) {
+    fn execute_call(&mut self, n: usize, incarnation: u64, id: CallId, call: Call) {
         let now = self.now;
         let answer = match &call.target {
-            Target::State if self.refused_until[n] > now && !call.path.starts_with("/follow") => {
+            Target::State if self.state_refused_until[n] > now && !call.path.starts_with("/follow") => {
                 Some((503, Vec::new()))
             }
             Target::State => {
-                let refused = self.refused_until[n] > now;
+                let refused = self.state_refused_until[n] > now;
                 if refused && call.path.contains("hold_ms=0") {
                     Some((503, Vec::new()))
                 } else {
@@ -1390,26 +1407,19 @@
                         Outcome::Answer(status, body) if !refused => Some((status, body)),
                         Outcome::Answer(..) => None,
                         Outcome::Wait { prefix, from, until } => {
-                            self.watches.push(Watch {
-                                node: n,
-                                incarnation: me,
-                                call: id,
-                                prefix,
-                                from,
-                                until,
-                            });
+                            self.watches.push(Watch { node: n, incarnation, call: id, prefix, from, until });
                             None
                         }
                     }
                 }
             }
-            Target::Cloud => Some(self.cloud(call.method, &call.path, &call.body)),
+            Target::Cloud => Some(self.handle_cloud_call(call.method, &call.path, &call.body)),
             Target::Worker(addr) => {
                 let (addr, lease) = (addr.clone(), self.size.lease);
                 let hung = self.machines.get(&addr).map_or(0, |m| m.hung_until);
                 if hung > now {
                     // Executed when the machine resumes.
-                    self.at(hung - now + 500, Event::Arrive(n, me, id, call));
+                    self.at(hung - now + 500, Event::CallArrives(n, incarnation, id, call));
                     return;
                 }
                 let out = self.with_machine(&addr, |m, f, now| {
@@ -1420,31 +1430,31 @@
                     let d: Direct = serde_json::from_slice(&call.body).unwrap();
                     m.direct(&d, f, now)
                 });
-                let cut = self.machines.get(&addr).map_or(1, |m| self.node_machine_cut(n, m));
-                out.filter(|_| cut == 0)
+                let partition_end = self.machines.get(&addr).map_or(1, |m| self.machine_partition_end(n, m));
+                out.filter(|_| partition_end == 0)
             }
         };
         if let Some((status, body)) = answer {
             let d = self.delay();
-            self.at(d, Event::Called(n, me, id, CallResult::Response { status, body }));
+            self.at(d, Event::CallCompleted(n, incarnation, id, CallResult::Response { status, body }));
         }
     }
 }
 
 /// Parses a task id and returns it if the service itself created its job (a Nomad job).
-fn own(piece: &str) -> Option<TaskId> {
-    TaskId::parse(piece).filter(|t| t.job.own())
+fn nomad_task(task_id: &str) -> Option<TaskId> {
+    TaskId::parse(task_id).filter(|t| t.job.own())
 }
 
-fn facts(jobs: &[Job], piece: &str) -> Option<Facts> {
-    let (j, i) = World::job_of(piece);
+fn task_profile(jobs: &[Job], task_id: &str) -> Option<Facts> {
+    let (j, i) = World::job_of(task_id);
     let job = jobs.get(j).filter(|job| job.submitted && i < job.tasks)?;
     Some(Facts {
         cpus: job.cpus,
-        run_us: (!job.service).then_some(job.run_us + job.later_us * i as u64),
+        run_us: (!job.service).then_some(job.run_us + job.run_us_step * i as u64),
         tasks: job.tasks,
-        save_us: job.save_us,
-        fails: job.mistaken,
+        save_us: job.checkpoint_us,
+        fails: job.faulty,
     })
     .filter(|f| f.tasks > 0)
 }
@@ -1460,29 +1470,29 @@
 }
 
 /// Starts the logger if `LOG_LEVEL` is set.
-fn logs() {
+fn start_logger() {
     if std::env::var("LOG_LEVEL").is_ok() {
         gorseshore_shell::logger::start(gorseshore_settings::LogFormat::Plain);
     }
 }
 
 /// Runs one simulation to its end and returns it for inspection.
-fn play(seed: u64, quiet: bool, size: Size) -> World {
-    let mut w = World::new(seed, quiet, size);
+fn simulate(seed: u64, fault_free: bool, size: Size) -> World {
+    let mut w = World::new(seed, fault_free, size);
     // New jobs come for 150 s. Without faults a job that fits only a machine type without free
     // capacity gets its own machine after 90 s more, one job at a time.
-    w.run(if quiet { size.ends + 150 * S } else { size.ends });
+    w.run(if fault_free { size.ends + 150 * S } else { size.ends });
     w
 }
 
 #[test]
-fn a_quiet_day_serves_everybody() {
+fn all_jobs_are_served_without_faults() {
     for seed in [1, 2] {
-        let w = play(seed, true, SMALL);
-        assert!(w.broken.is_empty(), "seed {seed}: {:?}", w.broken);
+        let w = simulate(seed, true, SMALL);
+        assert!(w.violations.is_empty(), "seed {seed}: {:?}", w.violations);
         for (j, job) in w.jobs.iter().enumerate() {
-            let over = job.told_done || job.aborted_at.is_some();
-            assert!(job.accepted && (job.service || over), "seed {seed}: job {j} is not over");
+            let over = job.reported_done || job.aborted_at.is_some();
+            assert!(job.accepted && (job.service || over), "seed {seed}: job {j} has not ended");
             if job.service && !over {
                 let on = w
                     .machines
@@ -1503,7 +1513,7 @@
 /// holding up all others: a leader once recorded no further machine and no further job end because
 /// of one such key.
 #[test]
-fn a_record_that_cant_be_written_holds_up_no_other() {
+fn an_unwritable_record_delays_no_other() {
     let mut w = World::new(3, true, SMALL);
     // Not readable to any controller, and stored before the first controller starts.
     let keys = ["g/h/host-000000", "g/h/host-000003", "g/p/j-000002/0"];
@@ -1515,52 +1525,52 @@
     w.run(30 * S);
     assert!(w.completed > 5, "{} tasks completed in 30 s", w.completed);
     w.run(SMALL.ends + 150 * S);
-    assert!(w.broken.is_empty(), "{:?}", w.broken);
-    let late = w.late();
-    assert!(late.is_empty(), "{:?} are not over", w.describe(&late));
+    assert!(w.violations.is_empty(), "{:?}", w.violations);
+    let unfinished = w.unfinished_jobs();
+    assert!(unfinished.is_empty(), "{:?} have not ended", w.describe(&unfinished));
     assert!(w.completed > 60, "{} tasks completed", w.completed);
 }
 
 /// Injects overlapping faults of every kind for 170 s; after the faults end, all arrays must
 /// complete.
 #[test]
-fn rough_days_keep_the_rules() {
-    logs();
+fn random_faults_violate_no_invariant() {
+    start_logger();
     let std::ops::Range { start: from, end: to } = seeds("WORLD_SEEDS", 100, 124);
     let mut started = 0;
     // Seeds that once violated an invariant. 186: a controller refused only by the state service
     // never learned of a cancellation. 1145: a standby replica of the leader's placement log lacked
     // assignments made without it.
     for seed in (from..to).chain([186, 1145]) {
-        let w = play(seed, false, SMALL);
-        assert!(w.broken.is_empty(), "seed {seed}: {:?}", w.broken);
+        let w = simulate(seed, false, SMALL);
+        assert!(w.violations.is_empty(), "seed {seed}: {:?}", w.violations);
         started += w.started;
         assert!(w.started > 20, "seed {seed}: only {} tasks started", w.started);
-        let late = w.late();
-        assert!(late.len() <= 1, "seed {seed}: {:?} are not over at the end", w.describe(&late));
+        let unfinished = w.unfinished_jobs();
+        assert!(unfinished.len() <= 1, "seed {seed}: {:?} have not ended", w.describe(&unfinished));
     }
     println!("{started} tasks started in {} simulations", to - from);
 }
 
 /// The same faults with seven controllers and hundreds of machines.
 #[test]
-fn a_grown_world_keeps_the_rules() {
+fn random_faults_in_a_large_cluster_violate_no_invariant() {
     for seed in seeds("GROWN_SEEDS", 1, 3) {
-        let w = play(seed, false, GROWN);
-        assert!(w.broken.is_empty(), "seed {seed}: {:?}", w.broken);
+        let w = simulate(seed, false, LARGE);
+        assert!(w.violations.is_empty(), "seed {seed}: {:?}", w.violations);
         // The cluster counts as large only if many tasks ran at a time; if no runnable job is left
         // over, enough machines were rented for them.
-        assert!(w.peak >= 100, "seed {seed}: at most {} tasks ran at a time", w.peak);
+        assert!(w.peak_tasks >= 100, "seed {seed}: at most {} tasks ran at a time", w.peak_tasks);
         assert!(w.completed > 300, "seed {seed}: only {} tasks were completed", w.completed);
-        let late = w.late();
-        assert!(late.len() <= 1, "seed {seed}: {:?} are not over at the end", w.describe(&late));
+        let unfinished = w.unfinished_jobs();
+        assert!(unfinished.len() <= 1, "seed {seed}: {:?} have not ended", w.describe(&unfinished));
         println!(
             "seed {seed}: {} machines, {} tasks at a time, {} started, {} late, {:.2} of the CPU time used",
-            w.born.len(),
-            w.peak,
+            w.rented_at.len(),
+            w.peak_tasks,
             w.started,
-            late.len(),
-            w.used_us as f64 / w.paid_us.max(1) as f64
+            unfinished.len(),
+            w.used_cpu_us as f64 / w.rented_cpu_us.max(1) as f64
         );
     }
 }
--- a/tests/world/nomad.rs
+++ b/tests/world/nomad.rs
@@ -23,7 +23,7 @@
 }
 
 /// A controller with the Nomad interface beside the scheduler.
-pub fn guest(node: Node, seed: u64) -> Node {
+pub fn with_nomad(node: Node, seed: u64) -> Node {
     let settings = operator().nomad.unwrap();
     node.with_extension(Box::new(Service::new(settings, seed)))
 }
@@ -40,18 +40,18 @@
 /// A request in flight: operation and job, and the highest indexes that any client had received
 /// before it was sent.
 #[derive(Debug, Clone)]
-pub struct Asked {
+pub struct ClientRequest {
     pub op: Op,
     pub job: &'static str,
-    told: u64,
+    reported: u64,
     index: u64,
 }
 
 /// What the Nomad clients know.
 #[derive(Debug, Default)]
-pub struct Planners {
+pub struct NomadClients {
     /// Highest `JobModifyIndex` received for each job.
-    told: BTreeMap<&'static str, u64>,
+    reported: BTreeMap<&'static str, u64>,
     /// Highest `X-Nomad-Index` received.
     index: u64,
     /// Job versions that were reported dead.
@@ -87,8 +87,8 @@
 
 impl World {
     /// What a worker knows of a task of a Nomad job, from the job's record.
-    pub fn own_facts(state: &State, piece: &str) -> Option<Facts> {
-        let task = TaskId::parse(piece).filter(|t| t.job.own())?;
+    pub fn nomad_task_profile(state: &State, task_id: &str) -> Option<Facts> {
+        let task = TaskId::parse(task_id).filter(|t| t.job.own())?;
         let spec = description(task.job, &state.value(&format!("g/j/{}", task.job))?)?;
         (task.index < spec.tasks).then(|| Facts {
             cpus: spec.need.cpu as f64 / 1000.0,
@@ -113,7 +113,7 @@
     }
 
     /// Number of tasks of Nomad jobs on machines, by native job.
-    fn own_on(&self) -> BTreeMap<JobId, u32> {
+    fn nomad_tasks_by_job(&self) -> BTreeMap<JobId, u32> {
         let mut on = BTreeMap::new();
         for t in self.machines.values().flat_map(|m| &m.tasks).filter(|t| t.on()) {
             if let Some(t) = TaskId::parse(&t.name).filter(|t| t.job.own()) {
@@ -124,16 +124,16 @@
     }
 
     /// Sends the next request of a Nomad client.
-    pub fn plan(&mut self) {
-        if self.now < self.planners.next {
+    pub fn send_nomad_request(&mut self) {
+        if self.now < self.nomad_clients.next {
             return;
         }
         let job = JOBS[self.rng.usize(0..JOBS.len())];
-        self.planners.next = self.now + self.rng.u64(200 * MS..1200 * MS);
+        self.nomad_clients.next = self.now + self.rng.u64(200 * MS..1200 * MS);
         let n = self.rng.usize(0..self.size.nodes);
         let busy = self.now < self.size.busy_until;
         let path = format!("/v1/job/{job}");
-        let there = self.planners.told.contains_key(job);
+        let there = self.nomad_clients.reported.contains_key(job);
         let op = match self.rng.u32(0..12) {
             _ if !there => Op::Register,
             0..=2 if busy => Op::Register,
@@ -153,92 +153,95 @@
             Op::Stop => ("DELETE", path, String::new()),
             Op::Poll => ("GET", path, String::new()),
         };
-        let told = self.planners.told.get(job).copied().unwrap_or(0);
-        let asked = Asked { op, job, told, index: self.planners.index };
+        let reported = self.nomad_clients.reported.get(job).copied().unwrap_or(0);
+        let request = ClientRequest { op, job, reported, index: self.nomad_clients.index };
         let id = RequestId(self.next_request);
         self.next_request += 1;
-        self.asked.insert(id, Asker::Planner(asked));
+        self.pending_requests.insert(id, Requester::NomadClient(request));
         let me = self.incarnations[n];
         let d = self.delay();
         self.at(d, Event::ExtensionRequest(n, me, id, method, path, body.into_bytes()));
     }
 
     /// Checks an answer that reaches its Nomad client.
-    pub fn planned(&mut self, id: RequestId, answer: Answer) {
-        let Some(Asker::Planner(a)) = self.asked.remove(&id) else { return };
+    pub fn check_nomad_answer(&mut self, id: RequestId, answer: Answer) {
+        let Some(Requester::NomadClient(a)) = self.pending_requests.remove(&id) else { return };
         let header = answer.headers.iter().find(|(n, _)| *n == "X-Nomad-Index").map(|(_, v)| v.clone());
         let text = String::from_utf8_lossy(&answer.body).into_owned();
         match answer.status {
             200 => {}
-            404 if a.op == Op::Poll && a.told > 0 => {
-                return self.break_rule("forgotten", format!("{}: {text}", a.job));
+            404 if a.op == Op::Poll && a.reported > 0 => {
+                return self.report_violation("forgotten", format!("{}: {text}", a.job));
             }
             // Stopped jobs cannot be scaled; 429 and 503 ask the client to retry later.
             400 | 404 | 409 if a.op == Op::Scale || a.op == Op::Stop => return,
             429 | 503 => return,
-            s => return self.break_rule("answer", format!("{:?} of {}: {s} {text}", a.op, a.job)),
+            s => return self.report_violation("answer", format!("{:?} of {}: {s} {text}", a.op, a.job)),
         }
         let index: u64 = header.and_then(|h| h.parse().ok()).unwrap_or(0);
         if index < a.index {
-            self.break_rule("index", format!("{}: {index} after {}", a.job, a.index));
+            self.report_violation("index", format!("{}: {index} after {}", a.job, a.index));
         }
-        self.planners.index = self.planners.index.max(index);
+        self.nomad_clients.index = self.nomad_clients.index.max(index);
         let v: Value = serde_json::from_slice(&answer.body).unwrap();
         let modified = v["JobModifyIndex"].as_u64().unwrap();
-        if modified < a.told {
-            self.break_rule("went_back", format!("{}: version {modified} after {}", a.job, a.told));
+        if modified < a.reported {
+            self.report_violation("went_back", format!("{}: version {modified} after {}", a.job, a.reported));
         }
-        let known = self.planners.told.entry(a.job).or_default();
+        let known = self.nomad_clients.reported.entry(a.job).or_default();
         *known = modified.max(*known);
         match a.op {
             Op::Poll => {
                 let dead = v["Status"] == "dead";
                 if dead && v["Type"] == "batch" && v["Stop"] == false {
-                    self.planners.dead.insert((a.job, modified));
-                } else if self.planners.dead.contains(&(a.job, modified)) && v["Stop"] == false {
-                    self.break_rule("went_back", format!("{} is {} again", a.job, v["Status"]));
+                    self.nomad_clients.dead.insert((a.job, modified));
+                } else if self.nomad_clients.dead.contains(&(a.job, modified)) && v["Stop"] == false {
+                    self.report_violation("went_back", format!("{} is {} again", a.job, v["Status"]));
                 }
             }
             Op::Stop => {
-                self.planners.accepted += 1;
-                self.planners.stopped.insert(a.job, (self.now, modified));
+                self.nomad_clients.accepted += 1;
+                self.nomad_clients.stopped.insert(a.job, (self.now, modified));
             }
-            _ => self.planners.accepted += 1,
+            _ => self.nomad_clients.accepted += 1,
         }
     }
 
     /// Checks the invariants of a Nomad job's task that starts.
-    pub fn check_own_start(&mut self, at: &str, task: TaskId) {
-        let piece = task.to_string();
-        let twice = self
+    pub fn check_nomad_start(&mut self, at: &str, task: TaskId) {
+        let task_id = task.to_string();
+        let elsewhere = self
             .machines
             .iter()
-            .filter(|(n, m)| *n != at && m.tasks.iter().any(|t| t.name == piece && t.on()));
-        let twice: Vec<String> = twice.map(|(n, _)| n.clone()).collect();
-        if !twice.is_empty() {
-            self.break_rule("ran_twice", format!("{piece} starts on {at} while it is on {twice:?}"));
+            .filter(|(n, m)| *n != at && m.tasks.iter().any(|t| t.name == task_id && t.on()));
+        let elsewhere: Vec<String> = elsewhere.map(|(n, _)| n.clone()).collect();
+        if !elsewhere.is_empty() {
+            self.report_violation(
+                "ran_twice",
+                format!("{task_id} starts on {at} while it is on {elsewhere:?}"),
+            );
         }
         // No task of a version starts while a task of an earlier version runs.
-        let on = self.own_on();
+        let on = self.nomad_tasks_by_job();
         for (head, _) in self.heads() {
             if head.groups.iter().any(|g| g.job == task.job.0) {
                 let left: Vec<u64> =
                     head.old.iter().copied().filter(|o| on.contains_key(&JobId(*o))).collect();
                 if !left.is_empty() {
-                    self.break_rule(
+                    self.report_violation(
                         "both_versions",
-                        format!("{piece} of {} starts beside {left:?}", head.id),
+                        format!("{task_id} of {} starts beside {left:?}", head.id),
                     );
                 }
-                self.planners.replaced += !head.old.is_empty() as usize;
+                self.nomad_clients.replaced += !head.old.is_empty() as usize;
             }
         }
     }
 
     /// Checks the invariants of the Nomad jobs' tasks on machines; returns the CPUs of the team
     /// with a limit.
-    pub fn check_own(&mut self) -> f64 {
-        let on = self.own_on();
+    pub fn check_nomad_tasks(&mut self) -> f64 {
+        let on = self.nomad_tasks_by_job();
         if on.is_empty() {
             return 0.0;
         }
@@ -249,29 +252,32 @@
             if head.team == "tight" {
                 tight += here as f64;
             }
-            let Some((job, (at, revision))) = self.planners.stopped.get_key_value(head.id.as_str()) else {
+            let Some((job, (at, revision))) = self.nomad_clients.stopped.get_key_value(head.id.as_str())
+            else {
                 continue;
             };
-            if head.stop && stamp == *revision && here > 0 && self.now > at + self.size.cancel {
+            if head.stop && stamp == *revision && here > 0 && self.now > at + self.size.cancel_timeout {
                 faults.push(format!("{here} tasks of {job}, stopped {} s ago", (self.now - at) / S));
             }
         }
         for f in faults {
-            self.break_rule("ran_cancelled", f);
+            self.report_violation("ran_cancelled", f);
         }
         tight
     }
 
     /// Checks at the end of a simulation, after the faults, that what the job heads request is
     /// there.
-    pub fn check_planned(&mut self) {
-        let on = self.own_on();
+    pub fn check_nomad_jobs(&mut self) {
+        let on = self.nomad_tasks_by_job();
         let (mut faults, mut launches) = (Vec::new(), BTreeSet::new());
-        for (job, told) in self.planners.told.clone() {
+        for (job, reported) in self.nomad_clients.reported.clone() {
             match self.head(job) {
-                Some((_, stamp)) if stamp >= told => {}
-                other => faults
-                    .push(format!("{job}: index {told} was reported, stored is {:?}", other.map(|h| h.1))),
+                Some((_, stamp)) if stamp >= reported => {}
+                other => faults.push(format!(
+                    "{job}: index {reported} was reported, stored is {:?}",
+                    other.map(|h| h.1)
+                )),
             }
         }
         for (head, _) in self.heads() {
@@ -327,28 +333,28 @@
         if running && !launches.contains(&last) {
             faults.push(format!("minute {last} was not launched, but {launches:?}"));
         }
-        self.planners.launched = launches.len();
+        self.nomad_clients.launched = launches.len();
         for f in faults {
-            self.break_rule("planned", f);
+            self.report_violation("planned", f);
         }
     }
 }
 
 /// Nomad jobs beside native ones under random faults.
 #[test]
-fn planners_jobs_keep_the_rules() {
+fn nomad_jobs_keep_the_invariants() {
     let std::ops::Range { start: from, end: to } = seeds("NOMAD_SEEDS", 1, 13);
-    logs();
+    start_logger();
     let (mut accepted, mut replaced, mut launched) = (0, 0, 0);
     for seed in from..to {
-        let mut w = play(seed, false, PLANNED);
-        if w.broken.is_empty() {
-            w.check_planned();
+        let mut w = simulate(seed, false, SMALL_WITH_NOMAD);
+        if w.violations.is_empty() {
+            w.check_nomad_jobs();
         }
-        assert!(w.broken.is_empty(), "seed {seed}: {:?} {:#?}", w.broken, w.describe(&[]).1);
-        accepted += w.planners.accepted;
-        replaced += w.planners.replaced;
-        launched += w.planners.launched;
+        assert!(w.violations.is_empty(), "seed {seed}: {:?} {:#?}", w.violations, w.describe(&[]).1);
+        accepted += w.nomad_clients.accepted;
+        replaced += w.nomad_clients.replaced;
+        launched += w.nomad_clients.launched;
     }
     println!("{accepted} changes accepted, {replaced} starts after a replacement, {launched} launches");
     assert!(accepted > 10 * (to - from) as usize && replaced > 0 && launched > 0);
--- a/tests/world/desk.rs
+++ b/tests/world/nomad_harness.rs
@@ -10,7 +10,7 @@
 const LEADER: &str = "g/leader";
 
 /// The state service, and the Nomad interface of one controller.
-struct Desk {
+struct NomadHarness {
     state: State,
     service: Service,
     ledger: Ledger,
@@ -20,13 +20,13 @@
     wall_ms: u64,
     leads: bool,
     /// Keeps the leader's writes in `held` instead of executing them.
-    hold: bool,
+    hold_writes: bool,
     held: Vec<Multi>,
     answers: Vec<(RequestId, Answer)>,
     next: u64,
 }
 
-impl Desk {
+impl NomadHarness {
     fn new(wall_ms: u64) -> Self {
         let mut state = State::limited(1e9, 24, 4.0);
         let m = json!({"when": [], "writes": [{"put": LEADER, "v": {"node": "n0", "term": 1, "lease": 1}}]});
@@ -34,7 +34,7 @@
         let settings = nomad::operator().nomad.unwrap();
         let team =
             |name: &str| Team { name: name.into(), cpus: 0.0, cpus_max: 0.0, gpus: 0.0, gpus_max: 0.0 };
-        let mut d = Desk {
+        let mut h = NomadHarness {
             state,
             service: Service::new(settings, 1),
             ledger: Ledger::default(),
@@ -43,15 +43,15 @@
             now: Micros::secs(1),
             wall_ms,
             leads: true,
-            hold: false,
+            hold_writes: false,
             held: Vec::new(),
             answers: Vec::new(),
             next: 1,
         };
-        d.service.reset(0);
-        d.catch_up();
-        d.pass(3);
-        d
+        h.service.reset(0);
+        h.catch_up();
+        h.advance(3);
+        h
     }
 
     /// Starts another process, which knows only what is recorded.
@@ -61,7 +61,7 @@
         self.service.reset(0);
         self.held.clear();
         self.catch_up();
-        self.pass(3);
+        self.advance(3);
     }
 
     fn catch_up(&mut self) {
@@ -141,7 +141,7 @@
                         if as_leader {
                             multi.when.push(When { path: LEADER.into(), stamp: self.state.stamp(LEADER) });
                         }
-                        if as_leader && self.hold {
+                        if as_leader && self.hold_writes {
                             self.held.push(multi);
                             continue;
                         }
@@ -156,7 +156,7 @@
     }
 
     /// Advances the time by whole seconds, with a tick every half second.
-    fn pass(&mut self, seconds: u64) {
+    fn advance(&mut self, seconds: u64) {
         for _ in 0..seconds * 2 {
             self.now = self.now + Micros::millis(500);
             self.wall_ms += 500;
@@ -165,7 +165,7 @@
     }
 
     /// Sends a request and returns its answer, or `None` while it waits.
-    fn ask(&mut self, method: &str, path: &str, body: &str) -> Option<(u16, String)> {
+    fn request(&mut self, method: &str, path: &str, body: &str) -> Option<(u16, String)> {
         let id = RequestId(self.next);
         self.next += 1;
         let (method, path, body) = (method.to_owned(), path.to_owned(), body.as_bytes().to_vec());
@@ -176,7 +176,7 @@
     }
 
     fn put(&mut self, job: &Value) -> u16 {
-        self.ask("PUT", "/v1/jobs", &job.to_string()).unwrap().0
+        self.request("PUT", "/v1/jobs", &job.to_string()).unwrap().0
     }
 
     fn launches(&self) -> Vec<u64> {
@@ -188,7 +188,7 @@
     }
 }
 
-fn file(id: &str, image: &str, more: Value) -> Value {
+fn job_file(id: &str, image: &str, more: Value) -> Value {
     let mut j = json!({"ID": id, "Type": "batch", "TaskGroups": [{"Name": "g", "Count": 2, "Tasks":
         [{"Name": "t", "Driver": "docker", "Config": {"image": image}, "Resources": {"Cores": 1}}]}]});
     j.as_object_mut().unwrap().extend(more.as_object().unwrap().clone());
@@ -198,117 +198,117 @@
 /// Guards against a late write of the leader for a job version that was replaced meanwhile: it must
 /// change nothing, or else both versions would run.
 #[test]
-fn a_late_write_for_an_older_head_changes_nothing() {
-    let mut d = Desk::new(1_700_000_000_000);
-    d.hold = true;
-    assert_eq!(d.put(&file("j", "one", json!({}))), 200);
-    d.pass(2);
-    assert!(!d.held.is_empty(), "the leader writes no native job");
-    let late = std::mem::take(&mut d.held);
+fn a_late_write_for_an_older_version_changes_nothing() {
+    let mut h = NomadHarness::new(1_700_000_000_000);
+    h.hold_writes = true;
+    assert_eq!(h.put(&job_file("j", "one", json!({}))), 200);
+    h.advance(2);
+    assert!(!h.held.is_empty(), "the leader writes no native job");
+    let late = std::mem::take(&mut h.held);
     // Another controller accepts the next version; then the leader creates its native job.
-    (d.hold, d.leads) = (false, false);
-    d.restart(2);
-    assert_eq!(d.put(&file("j", "two", json!({}))), 200);
-    d.leads = true;
-    d.pass(2);
-    let natives = d.state.names("g/j/");
+    (h.hold_writes, h.leads) = (false, false);
+    h.restart(2);
+    assert_eq!(h.put(&job_file("j", "two", json!({}))), 200);
+    h.leads = true;
+    h.advance(2);
+    let natives = h.state.names("g/j/");
     assert_eq!(natives.len(), 1);
     for m in &late {
-        let r = d.execute(m);
+        let r = h.execute(m);
         assert!(matches!(r, CallResult::Response { status: 409, .. }), "{r:?}");
     }
-    assert_eq!(d.state.names("g/j/"), natives, "not only the newer version's job is stored");
+    assert_eq!(h.state.names("g/j/"), natives, "not only the newer version's job is stored");
     // The same for a job that was stopped.
-    d.hold = true;
-    assert_eq!(d.put(&file("k", "one", json!({}))), 200);
-    d.pass(2);
-    let late = std::mem::take(&mut d.held);
-    d.leads = false;
-    assert_eq!(d.ask("DELETE", "/v1/job/k", "").unwrap().0, 200);
+    h.hold_writes = true;
+    assert_eq!(h.put(&job_file("k", "one", json!({}))), 200);
+    h.advance(2);
+    let late = std::mem::take(&mut h.held);
+    h.leads = false;
+    assert_eq!(h.request("DELETE", "/v1/job/k", "").unwrap().0, 200);
     assert!(!late.is_empty());
     for m in &late {
-        assert!(matches!(d.execute(m), CallResult::Response { status: 409, .. }));
+        assert!(matches!(h.execute(m), CallResult::Response { status: 409, .. }));
     }
-    assert_eq!(d.state.names("g/j/"), natives);
+    assert_eq!(h.state.names("g/j/"), natives);
 }
 
 /// Each launch of a periodic job is made once through clock steps, restarts and repeated checks; of
 /// missed launches only the last one is made up for.
 #[test]
-fn launches_are_made_once_whatever_the_clock_does() {
+fn periodic_launches_are_made_once_through_clock_steps() {
     // 2026-11-28 10:00:30 UTC.
     let start = 1_795_860_030_000;
-    let mut d = Desk::new(start);
-    assert_eq!(d.put(&file("p", "i", json!({"Periodic": {"Specs": ["*/10 * * * *"]}}))), 200);
+    let mut h = NomadHarness::new(start);
+    assert_eq!(h.put(&job_file("p", "i", json!({"Periodic": {"Specs": ["*/10 * * * *"]}}))), 200);
     let at = |minute: u64| 1_795_860_000 + minute * 60;
     // (what happens, launches after it, in minutes from 10:00)
-    type Step = (&'static str, fn(&mut Desk), &'static [u64]);
+    type Step = (&'static str, fn(&mut NomadHarness), &'static [u64]);
     let steps: [Step; 9] = [
-        ("nothing is due", |d| d.pass(60), &[]),
-        ("ten past", |d| d.pass(600), &[10]),
-        ("checked repeatedly", |d| d.pass(60), &[10]),
-        ("a restart", |d| d.restart(5), &[10]),
-        ("the clock is set back by half an hour", |d| d.wall_ms -= 1_800_000, &[10]),
-        ("time passes after the step back", |d| d.pass(1500), &[10]),
-        ("the clock is set forward by two hours", |d| d.wall_ms += 7_200_000, &[10]),
-        ("only the last missed launch is made up for", |d| d.pass(5), &[10, 120]),
+        ("nothing is due", |h| h.advance(60), &[]),
+        ("ten past", |h| h.advance(600), &[10]),
+        ("checked repeatedly", |h| h.advance(60), &[10]),
+        ("a restart", |h| h.restart(5), &[10]),
+        ("the clock is set back by half an hour", |h| h.wall_ms -= 1_800_000, &[10]),
+        ("time passes after the step back", |h| h.advance(1500), &[10]),
+        ("the clock is set forward by two hours", |h| h.wall_ms += 7_200_000, &[10]),
+        ("only the last missed launch is made up for", |h| h.advance(5), &[10, 120]),
         (
             "no leader for an hour",
-            |d| {
-                d.leads = false;
-                d.pass(3600);
-                d.leads = true;
-                d.pass(5);
+            |h| {
+                h.leads = false;
+                h.advance(3600);
+                h.leads = true;
+                h.advance(5);
             },
             &[10, 120, 180],
         ),
     ];
-    for (what, act, want) in steps {
-        act(&mut d);
+    for (what, action, want) in steps {
+        action(&mut h);
         let want: Vec<u64> = want.iter().map(|m| at(*m)).collect();
-        assert_eq!(d.launches(), want, "{what}, at {}", (d.wall_ms - start) / 60_000);
+        assert_eq!(h.launches(), want, "{what}, at {}", (h.wall_ms - start) / 60_000);
     }
 }
 
 /// A blocking query with the index of the last answer waits until its own job changes or its wait
 /// time ends, and does not return for changes of other jobs.
 #[test]
-fn a_query_waits_for_its_own_job() {
-    let mut d = Desk::new(1_700_000_000_000);
-    assert_eq!(d.put(&file("j", "one", json!({}))), 200);
-    d.pass(3);
+fn a_blocking_query_waits_for_its_own_job() {
+    let mut h = NomadHarness::new(1_700_000_000_000);
+    assert_eq!(h.put(&job_file("j", "one", json!({}))), 200);
+    h.advance(3);
     // (what happens meanwhile, whether the query is answered by then)
-    type Step = (&'static str, fn(&mut Desk), bool);
+    type Step = (&'static str, fn(&mut NomadHarness), bool);
     let steps: [Step; 4] = [
-        ("nothing", |d| d.pass(3), false),
-        ("its wait time ends", |d| d.pass(11), true),
-        ("another job", |d| assert_eq!(d.put(&file("other", "x", json!({}))), 200), false),
-        ("the job itself", |d| assert_eq!(d.put(&file("j", "two", json!({}))), 200), true),
+        ("nothing", |h| h.advance(3), false),
+        ("its wait time ends", |h| h.advance(11), true),
+        ("another job", |h| assert_eq!(h.put(&job_file("other", "x", json!({}))), 200), false),
+        ("the job itself", |h| assert_eq!(h.put(&job_file("j", "two", json!({}))), 200), true),
     ];
-    for (what, act, answered) in steps {
-        d.pass(3);
-        assert_eq!(d.ask("GET", "/v1/job/j/summary", "").unwrap().0, 200);
-        let index = d.ledger.applied;
-        let told = d.ask("GET", &format!("/v1/job/j/summary?index={index}&wait=10s"), "");
-        assert!(told.is_none(), "{what}: answered at once: {told:?}");
-        d.answers.clear();
-        act(&mut d);
-        let there = d.answers.iter().any(|(_, a)| String::from_utf8_lossy(&a.body).contains("Summary"));
+    for (what, action, answered) in steps {
+        h.advance(3);
+        assert_eq!(h.request("GET", "/v1/job/j/summary", "").unwrap().0, 200);
+        let index = h.ledger.applied;
+        let answer = h.request("GET", &format!("/v1/job/j/summary?index={index}&wait=10s"), "");
+        assert!(answer.is_none(), "{what}: answered at once: {answer:?}");
+        h.answers.clear();
+        action(&mut h);
+        let there = h.answers.iter().any(|(_, a)| String::from_utf8_lossy(&a.body).contains("Summary"));
         assert_eq!(there, answered, "{what}");
-        d.pass(12);
-        d.answers.clear();
+        h.advance(12);
+        h.answers.clear();
     }
 }
 
 /// Random requests in random order: nothing panics, and each is answered once with a status of the
 /// interface, or waits because the request asked for it.
 #[test]
-fn any_requests_are_answered() {
+fn random_requests_are_answered() {
     let mut rng = fastrand::Rng::with_seed(7);
     let seeds: u64 = std::env::var("DESK_SEEDS").ok().and_then(|s| s.parse().ok()).unwrap_or(6);
-    let (mut asked, mut good) = (0, 0);
+    let (mut requested, mut good) = (0, 0);
     for seed in 0..seeds {
-        let mut d = Desk::new(1_700_000_000_000 + seed * 86_400_000);
+        let mut h = NomadHarness::new(1_700_000_000_000 + seed * 86_400_000);
         for _ in 0..250 {
             let id = ["a", "b", "a%2Fb", "%00", "a/periodic-1", "", "é"][rng.usize(0..7)];
             let verb = [
@@ -360,16 +360,17 @@
                 1 => "{".into(),
                 2 => json!({"Count": rng.u32(0..5), "Target": {"Group": "g"}}).to_string(),
                 3 => json!({"Meta": {"k": "v"}, "Payload": "aGk="}).to_string(),
-                4 => file("a", "i", json!({"Periodic": {"Specs": ["@hourly"]}})).to_string(),
-                5 => file("b", "i", json!({"ParameterizedJob": {"MetaRequired": ["k"]}})).to_string(),
+                4 => job_file("a", "i", json!({"Periodic": {"Specs": ["@hourly"]}})).to_string(),
+                5 => job_file("b", "i", json!({"ParameterizedJob": {"MetaRequired": ["k"]}})).to_string(),
                 6 => json!({"JobHCL": "job \"x\" {\n}\n", "Variables": 7}).to_string(),
                 7 => json!({"Job": {"ID": 7, "TaskGroups": {"Name": []}}}).to_string(),
-                _ => file(["a", "b"][rng.usize(0..2)], &format!("i{}", rng.u32(0..2)), json!({})).to_string(),
+                _ => job_file(["a", "b"][rng.usize(0..2)], &format!("i{}", rng.u32(0..2)), json!({}))
+                    .to_string(),
             };
             let method = ["GET", "PUT", "POST", "DELETE", "PATCH"][rng.usize(0..5)];
-            let told = d.ask(method, &format!("{path}{query}"), &body);
-            asked += 1;
-            match told {
+            let answer = h.request(method, &format!("{path}{query}"), &body);
+            requested += 1;
+            match answer {
                 Some((s, text)) => {
                     assert!(
                         [200, 400, 403, 404, 405, 409, 429, 501, 503].contains(&s),
@@ -383,13 +384,13 @@
                 ),
             }
             if rng.u32(0..10) == 0 {
-                d.pass(rng.u64(1..4));
+                h.advance(rng.u64(1..4));
             }
             if rng.u32(0..60) == 0 {
-                d.restart(rng.u64(..));
+                h.restart(rng.u64(..));
             }
-            d.answers.clear();
+            h.answers.clear();
         }
     }
-    assert!(good * 20 > asked, "{good} of {asked} were served");
+    assert!(good * 20 > requested, "{good} of {requested} were served");
 }
