--- a/tests/world/oncall.rs
+++ b/tests/world/partial_failures.rs
@@ -7,95 +7,103 @@
 use super::*;
 use std::collections::BTreeSet;
 
-pub const ONCALL: Size =
-    Size { room: [9, 9], jobs: 8, busy_until: 150 * S, ends: 400 * S, oncall: true, ..SMALL };
+pub const PARTIAL_FAILURES: Size =
+    Size { capacity: [9, 9], jobs: 8, busy_until: 150 * S, ends: 400 * S, partial_failures: true, ..SMALL };
 /// Seven controllers, so that a worker that finds none available takes longer than its lease to try
 /// all of them.
-const ONCALL_OF_SEVEN: Size =
-    Size { nodes: 7, requests: 100.0, changes: 15.0, changes_at_once: 8, value_kb: 4.0, ..ONCALL };
+const SEVEN_CONTROLLERS_PARTIAL_FAILURES: Size = Size {
+    nodes: 7,
+    requests_per_s: 100.0,
+    writes_per_s: 15.0,
+    max_txn_writes: 8,
+    max_value_kib: 4.0,
+    ..PARTIAL_FAILURES
+};
 
 /// An accepted job counts as forgotten if no question about it is answered for this time.
-const FORGOTTEN: u64 = 75 * S;
+const FORGOTTEN_AFTER: u64 = 75 * S;
 /// Longest wait of the largest jobs until their first task starts.
-const LARGEST_BEGIN: u64 = 240 * S;
+const MAX_START_WAIT: u64 = 240 * S;
 /// Delay of duplicates.
-const LATE: std::ops::Range<u64> = 500 * MS..60 * S;
+const DUPLICATE_DELAY: std::ops::Range<u64> = 500 * MS..60 * S;
 
 /// Partial failures and what is recorded of them.
-pub struct Seen {
+pub struct Observations {
     /// Controllers that communicate only with workers and users, and the end of that time.
-    pub alone_until: Vec<u64>,
+    pub isolated_until: Vec<u64>,
     /// Controllers whose answers and commands reach no worker.
-    mute_until: Vec<u64>,
+    outgoing_lost_until: Vec<u64>,
     /// Machines that receive no answer and no command: the end of that time, and the times of the
     /// reports that they sent in it.
-    deaf: BTreeMap<String, (u64, Vec<u64>)>,
+    unreachable: BTreeMap<String, (u64, Vec<u64>)>,
     /// One report or request in this many is duplicated; 0 for none.
-    pub copies: u32,
+    pub duplicate_one_in: u32,
     /// Set by a test: no question about this job is answered.
-    pub ignored: Option<usize>,
+    pub ignored_job: Option<usize>,
     /// End of the last fault.
-    pub over_at: u64,
+    pub faults_end_at: u64,
     /// Starts sent to machines that receive nothing: all of them, and those sent after the
     /// machine's state was visible.
-    sent: BTreeSet<(String, String, u64)>,
-    pub work_for_deaf: Vec<String>,
+    starts_sent: BTreeSet<(String, String, u64)>,
+    pub starts_for_unreachable: Vec<String>,
     /// Machines that were deleted with tasks on them: time, name and number of tasks.
     pub deleted: Vec<(u64, String, usize)>,
     /// Longest time that a job went without an answer after the faults.
-    pub unanswered: u64,
+    pub max_unanswered: u64,
 }
 
-impl Seen {
+impl Observations {
     pub fn new(nodes: usize) -> Self {
-        Seen {
-            alone_until: vec![0; nodes],
-            mute_until: vec![0; nodes],
-            deaf: BTreeMap::new(),
-            copies: 0,
-            ignored: None,
-            over_at: 0,
-            sent: BTreeSet::new(),
-            work_for_deaf: Vec::new(),
+        Observations {
+            isolated_until: vec![0; nodes],
+            outgoing_lost_until: vec![0; nodes],
+            unreachable: BTreeMap::new(),
+            duplicate_one_in: 0,
+            ignored_job: None,
+            faults_end_at: 0,
+            starts_sent: BTreeSet::new(),
+            starts_for_unreachable: Vec::new(),
             deleted: Vec::new(),
-            unanswered: 0,
+            max_unanswered: 0,
         }
     }
 }
 
 impl World {
-    fn is_deaf(&self, name: &str) -> bool {
-        self.oncall.deaf.get(name).is_some_and(|(until, _)| self.now < *until)
+    fn is_unreachable(&self, name: &str) -> bool {
+        self.partial_failures.unreachable.get(name).is_some_and(|(until, _)| self.now < *until)
     }
 
-    pub fn make_deaf(&mut self, name: &str, length: u64) {
-        self.oncall.deaf.insert(name.into(), (self.now + length, Vec::new()));
+    pub fn make_unreachable(&mut self, name: &str, length: u64) {
+        self.partial_failures.unreachable.insert(name.into(), (self.now + length, Vec::new()));
     }
 
     /// Records a start for a machine that cannot receive it, and that has shown so by two reports
     /// since then, the second long enough ago (1.5 s) to have been reported to the leader.
-    fn note_start(&mut self, name: &str, piece: &str, attempt: u64) {
-        let Some((_, reports)) = self.oncall.deaf.get(name) else { return };
-        let first = self.oncall.sent.insert((name.into(), piece.into(), attempt));
+    fn note_start(&mut self, name: &str, task_id: &str, attempt: u64) {
+        let Some((_, reports)) = self.partial_failures.unreachable.get(name) else { return };
+        let first = self.partial_failures.starts_sent.insert((name.into(), task_id.into(), attempt));
         let shown = reports.get(1).is_some_and(|t| self.now > t + 1500 * MS);
-        if first && shown && self.is_deaf(name) {
+        if first && shown && self.is_unreachable(name) {
             let since = self.now - reports[0];
-            self.oncall.work_for_deaf.push(format!("{piece} for {name}, {:.1} s on", since as f64 / 1e6));
+            self.partial_failures
+                .starts_for_unreachable
+                .push(format!("{task_id} for {name}, {:.1} s on", since as f64 / 1e6));
         }
     }
 
     /// Whether a controller's answer is lost; answers about `ignored_job` always are.
-    pub fn oncall_swallows(&mut self, n: usize, id: RequestId, status: u16, body: &[u8]) -> bool {
-        if !self.size.oncall {
+    pub fn drops_answer(&mut self, n: usize, id: RequestId, status: u16, body: &[u8]) -> bool {
+        if !self.size.partial_failures {
             return false;
         }
-        let asker = self.asked.get(&id);
-        if let Some(Asker::Poll(j) | Asker::Submit(j) | Asker::Abort(j)) = asker
-            && self.oncall.ignored == Some(*j)
+        let requester = self.pending_requests.get(&id);
+        if let Some(Requester::Poll(j) | Requester::Submit(j) | Requester::Abort(j)) = requester
+            && self.partial_failures.ignored_job == Some(*j)
         {
             return true;
         }
-        let Some(Asker::Worker(name, _)) = asker else { return false };
+        let Some(Requester::Worker(name, _)) = requester else { return false };
         let name = name.clone();
         if status == 200
             && let Ok(a) = serde_json::from_slice::<CheckinAnswer>(body)
@@ -104,16 +112,16 @@
                 self.note_start(&name, &o.piece, o.attempt);
             }
         }
-        let lost = self.is_deaf(&name) || self.oncall.mute_until[n] > self.now;
+        let lost = self.is_unreachable(&name) || self.partial_failures.outgoing_lost_until[n] > self.now;
         if lost {
-            self.asked.remove(&id);
+            self.pending_requests.remove(&id);
         }
         lost
     }
 
     /// Whether a command to a worker is lost.
-    pub fn oncall_unheard(&mut self, n: usize, name: &str, call: &Call) -> bool {
-        if !self.size.oncall {
+    pub fn drops_command(&mut self, n: usize, name: &str, call: &Call) -> bool {
+        if !self.size.partial_failures {
             return false;
         }
         if let Ok(d) = serde_json::from_slice::<Direct>(&call.body) {
@@ -121,34 +129,39 @@
                 self.note_start(name, &o.piece, o.attempt);
             }
         }
-        self.is_deaf(name) || self.oncall.mute_until[n] > self.now
+        self.is_unreachable(name) || self.partial_failures.outgoing_lost_until[n] > self.now
     }
 
     /// Records a worker's report; a duplicate of it may arrive late, at any controller.
-    pub fn oncall_reported(&mut self, name: &str, body: &[u8]) {
+    pub fn note_report_sent(&mut self, name: &str, body: &[u8]) {
         let now = self.now;
-        if let Some((until, reports)) = self.oncall.deaf.get_mut(name)
+        if let Some((until, reports)) = self.partial_failures.unreachable.get_mut(name)
             && now < *until
         {
             reports.push(now);
         }
-        if self.oncall.copies > 0 && self.rng.u32(0..self.oncall.copies) == 0 {
-            let (n, late) = (self.rng.usize(0..self.size.nodes), self.rng.u64(LATE));
-            self.at(late, Event::Copy(n, "POST", "/checkin".into(), body.to_vec()));
+        if self.partial_failures.duplicate_one_in > 0
+            && self.rng.u32(0..self.partial_failures.duplicate_one_in) == 0
+        {
+            let (n, late) = (self.rng.usize(0..self.size.nodes), self.rng.u64(DUPLICATE_DELAY));
+            self.at(late, Event::Duplicate(n, "POST", "/checkin".into(), body.to_vec()));
         }
     }
 
     /// Duplicates a user's request, which then arrives late at any controller.
-    pub fn oncall_asked(&mut self, method: &'static str, path: &str, body: &[u8]) {
-        if self.oncall.copies > 0 && path != "/checkin" && self.rng.u32(0..self.oncall.copies) == 0 {
-            let (n, late) = (self.rng.usize(0..self.size.nodes), self.rng.u64(LATE));
-            self.at(late, Event::Copy(n, method, path.to_owned(), body.to_vec()));
+    pub fn duplicate_request(&mut self, method: &'static str, path: &str, body: &[u8]) {
+        if self.partial_failures.duplicate_one_in > 0
+            && path != "/checkin"
+            && self.rng.u32(0..self.partial_failures.duplicate_one_in) == 0
+        {
+            let (n, late) = (self.rng.usize(0..self.size.nodes), self.rng.u64(DUPLICATE_DELAY));
+            self.at(late, Event::Duplicate(n, method, path.to_owned(), body.to_vec()));
         }
     }
 
     /// Adds a job of the `guest` team, of the kinds that the operators name, or one with a faulty
     /// image.
-    pub fn oncall_job(&mut self) {
+    pub fn push_extension_job(&mut self) {
         let j = self.jobs.len();
         let r = &mut self.rng;
         // (class, priority, tasks, CPUs of each, run time)
@@ -159,27 +172,27 @@
             3 => ("mistaken", "standard", r.u32(5..30), 1.0, r.u64(S..3 * S)),
             _ => ("ping", "standard", 1, 0.5, S),
         };
-        let (mistaken, spot) = (lot == "mistaken", r.bool());
-        let abort_at = if mistaken { self.now + r.u64(20 * S..100 * S) } else { u64::MAX };
+        let (faulty, spot) = (lot == "mistaken", r.bool());
+        let abort_at = if faulty { self.now + r.u64(20 * S..100 * S) } else { u64::MAX };
         let body = json!({"ref": format!("j-{j:06}"), "lot": lot, "crew": "guest", "manner": "array",
             "rank": rank, "pieces": tasks, "cpus": cpus, "gpus": 0.0, "memory_gb": 0.5, "bundle": lot,
             "image_gb": 0.4, "builds": null, "yard": null, "same_place": false, "apart": false,
             "loaners": spot, "guess_s": run_us as f64 / 1e6, "mark_s": 0.0, "stow_s": 0.0, "due_s": null});
         let job = Job::new(body, "guest", false, tasks, cpus, run_us);
-        self.jobs.push(Job { spot, mistaken, abort_at, ..job });
+        self.jobs.push(Job { spot, faulty, abort_at, ..job });
     }
 
     /// Records that the cloud deletes a machine with tasks on it.
-    pub fn oncall_deletes(&mut self, name: &str) {
+    pub fn note_deletion(&mut self, name: &str) {
         let on = self.machines.get(name).map_or(0, |m| m.tasks.iter().filter(|t| t.on()).count());
         if on > 0 {
-            self.oncall.deleted.push((self.now, name.into(), on));
+            self.partial_failures.deleted.push((self.now, name.into(), on));
         }
     }
 
     /// Number of service replicas that should run and are on no machine.
-    fn replicas_missing(&self) -> u32 {
-        let due = |j: &Job| j.service && j.accepted && !j.abort_asked && j.team == "free";
+    fn missing_replicas(&self) -> u32 {
+        let due = |j: &Job| j.service && j.accepted && !j.abort_requested && j.team == "free";
         let due = self.jobs.iter().enumerate().filter(|(_, j)| due(j));
         let on = |j: usize| {
             let tasks = self.machines.values().flat_map(|m| &m.tasks);
@@ -189,25 +202,25 @@
     }
 
     /// Downtime of a crashed process.
-    pub fn oncall_back(&mut self) -> u64 {
+    pub fn restart_delay(&mut self) -> u64 {
         if self.rng.bool() { 100 * MS } else { self.rng.u64(2 * S..6 * S) }
     }
 
-    pub fn oncall_trouble(&mut self) {
+    pub fn inject_partial_failures(&mut self) {
         if self.now > self.size.busy_until + 20 * S {
             return;
         }
         let pause = self.rng.u64(2 * S..14 * S);
-        self.at(pause, Event::Trouble);
-        self.oncall.copies = 3;
-        self.oncall.over_at = self.now + 60 * S;
+        self.at(pause, Event::InjectFault);
+        self.partial_failures.duplicate_one_in = 3;
+        self.partial_failures.faults_end_at = self.now + 60 * S;
         // One or two faults at a time, some of them beside earlier ones.
         for _ in 0..self.rng.u32(1..3) {
-            self.oncall_strike();
+            self.inject_partial_failure();
         }
     }
 
-    fn oncall_strike(&mut self) {
+    fn inject_partial_failure(&mut self) {
         let n = self.rng.usize(0..self.size.nodes);
         let length = [5 * S, 30 * S, 60 * S][self.rng.usize(0..3)];
         let until = self.now + length;
@@ -219,58 +232,62 @@
         match kind {
             0 | 1 if !names.is_empty() => {
                 let name = names[self.rng.usize(0..names.len())].clone();
-                self.make_deaf(&name, length);
+                self.make_unreachable(&name, length);
             }
             2 => {
                 for name in names {
                     if self.rng.u32(0..4) == 0 {
-                        self.make_deaf(&name, length);
+                        self.make_unreachable(&name, length);
                     }
                 }
             }
-            3 => self.oncall.mute_until[n] = until,
+            3 => self.partial_failures.outgoing_lost_until[n] = until,
             // At least one controller keeps the state service, or else no work is possible.
-            4..=7 if (0..self.size.nodes).any(|o| o != n && self.oncall.alone_until[o] > self.now) => {}
-            4 | 5 => self.oncall.alone_until[n] = until,
+            4..=7
+                if (0..self.size.nodes)
+                    .any(|o| o != n && self.partial_failures.isolated_until[o] > self.now) => {}
+            4 | 5 => self.partial_failures.isolated_until[n] = until,
             6 if self.size.nodes > 2 => {
                 let other = (n + 1) % self.size.nodes;
-                self.oncall.alone_until[n] = until;
-                self.oncall.alone_until[other] = until;
+                self.partial_failures.isolated_until[n] = until;
+                self.partial_failures.isolated_until[other] = until;
             }
             // All machines pause for less than a second and resume.
             8 => {
                 let now = self.now;
-                let blink = self.rng.u64(50 * MS..900 * MS);
+                let pause = self.rng.u64(50 * MS..900 * MS);
                 for m in self.machines.values_mut().filter(|m| m.up_at < now) {
-                    m.hung_until = m.hung_until.max(now + blink);
+                    m.hung_until = m.hung_until.max(now + pause);
                 }
             }
             // Its process exits as well, at any step.
             7 => {
-                self.oncall.alone_until[n] = until;
+                self.partial_failures.isolated_until[n] = until;
                 let at = self.rng.u64(0..6 * S);
                 self.at(at, Event::Crash(n));
             }
-            _ => self.strike(),
+            _ => self.inject_random_fault(),
         }
     }
 
     /// Checks, for each accepted job, that questions about it are answered once the faults are
     /// over.
-    pub fn check_known(&mut self) {
-        let Some(calm) = self.now.checked_sub(self.oncall.over_at).filter(|_| self.size.oncall) else {
+    pub fn check_answered(&mut self) {
+        let Some(calm) =
+            self.now.checked_sub(self.partial_failures.faults_end_at).filter(|_| self.size.partial_failures)
+        else {
             return;
         };
         let mut forgotten = Vec::new();
         for (j, job) in self.jobs.iter().enumerate().filter(|(_, job)| job.accepted) {
             let gap = self.now.saturating_sub(job.answered_at.max(job.accepted_at)).min(calm);
-            self.oncall.unanswered = self.oncall.unanswered.max(gap);
-            if gap >= FORGOTTEN {
+            self.partial_failures.max_unanswered = self.partial_failures.max_unanswered.max(gap);
+            if gap >= FORGOTTEN_AFTER {
                 forgotten.push(format!("no question about job {j} was answered for {} s", gap / S));
             }
         }
         for what in forgotten {
-            self.break_rule("forgotten", what);
+            self.report_violation("forgotten", what);
         }
     }
 
@@ -278,7 +295,7 @@
     pub fn unserved(&self) -> Vec<String> {
         let mut bad = Vec::new();
         let wanted =
-            |job: &&Job| !job.mistaken && job.accepted && job.aborted_at.is_none() && !job.abort_asked;
+            |job: &&Job| !job.faulty && job.accepted && job.aborted_at.is_none() && !job.abort_requested;
         // A job that waits for others is served from the completion of the last of them.
         let jobs: Vec<&Job> =
             self.jobs.iter().filter(wanted).filter(|job| self.served_from(job).is_some()).collect();
@@ -288,8 +305,8 @@
             classes.entry(format!("team {}", job.team)).or_default().push(job);
         }
         for (name, jobs) in &classes {
-            let begun = jobs.iter().filter(|j| j.began_at.is_some()).count();
-            let over = |j: &&&Job| j.service || j.told_done;
+            let begun = jobs.iter().filter(|j| j.started_at.is_some()).count();
+            let over = |j: &&&Job| j.service || j.reported_done;
             let done = jobs.iter().filter(over).count();
             if begun * 2 < jobs.len() || done * 2 < jobs.len() {
                 bad.push(format!("{name}: {begun} begun and {done} done of {}", jobs.len()));
@@ -304,8 +321,8 @@
                 let free = |j: &&&Job| j.team != "tight";
                 for job in largest.iter().filter(free).take(jobs.len().div_ceil(10)) {
                     let from = self.served_from(job).unwrap_or(job.accepted_at);
-                    let wait = job.began_at.unwrap_or(self.now).saturating_sub(from);
-                    if wait > LARGEST_BEGIN {
+                    let wait = job.started_at.unwrap_or(self.now).saturating_sub(from);
+                    if wait > MAX_START_WAIT {
                         bad.push(format!("{name}: {} waited {} s", job.body["ref"], wait / S));
                     }
                 }
@@ -316,48 +333,50 @@
 }
 
 #[test]
-fn what_on_call_met_breaks_no_rule() {
-    logs();
-    let (mut started, mut unanswered, mut days, mut failed) = (0, 0, 0, Vec::new());
-    let all = seeds("ONCALL_SEEDS", 0, 30).map(|s| (s, if s % 5 == 4 { ONCALL_OF_SEVEN } else { ONCALL }));
+fn partial_failures_violate_no_invariant() {
+    start_logger();
+    let (mut started, mut max_unanswered, mut simulations, mut failed) = (0, 0, 0, Vec::new());
+    let all = seeds("ONCALL_SEEDS", 0, 30)
+        .map(|s| (s, if s % 5 == 4 { SEVEN_CONTROLLERS_PARTIAL_FAILURES } else { PARTIAL_FAILURES }));
     for (seed, size) in all {
-        let w = play(seed, false, size);
-        let mut bad = w.broken.clone();
-        bad.extend(w.oncall.work_for_deaf.clone());
-        let late = w.late();
-        if late.len() > 1 {
-            bad.push(format!("{:?} have not ended", w.describe(&late)));
+        let w = simulate(seed, false, size);
+        let mut bad = w.violations.clone();
+        bad.extend(w.partial_failures.starts_for_unreachable.clone());
+        let unfinished = w.unfinished_jobs();
+        if unfinished.len() > 1 {
+            bad.push(format!("{:?} have not ended", w.describe(&unfinished)));
         }
         bad.extend(w.unserved());
         if !bad.is_empty() {
             failed.push(format!("seed {seed}: {bad:?}"));
         }
-        (started, unanswered) = (started + w.started, unanswered.max(w.oncall.unanswered));
-        days += 1;
+        (started, max_unanswered) =
+            (started + w.started, max_unanswered.max(w.partial_failures.max_unanswered));
+        simulations += 1;
     }
     println!(
-        "{started} tasks started in {days} simulations; longest unanswered {:.1} s",
-        unanswered as f64 / 1e6
+        "{started} tasks started in {simulations} simulations; longest unanswered {:.1} s",
+        max_unanswered as f64 / 1e6
     );
     assert!(failed.is_empty(), "{} simulations failed:\n{}", failed.len(), failed.join("\n"));
 }
 
 /// A simulation without random faults in which jobs run after a minute, and no further jobs come.
-fn settled(seed: u64, nodes: usize) -> World {
-    logs();
-    let size = Size { nodes, busy_until: 40 * S, ends: 400 * S, jobs: 14, tasks: 9, ..ONCALL };
+fn running_world(seed: u64, nodes: usize) -> World {
+    start_logger();
+    let size = Size { nodes, busy_until: 40 * S, ends: 400 * S, jobs: 14, tasks: 9, ..PARTIAL_FAILURES };
     let mut w = World::new(seed, true, size);
     w.run(60 * S);
-    w.oncall.over_at = w.now;
+    w.partial_failures.faults_end_at = w.now;
     w
 }
 
 /// Runs on one second at a time; returns the number of missing replicas in each second.
-fn watch(w: &mut World, seconds: u64) -> Vec<u32> {
+fn run_and_count_missing(w: &mut World, seconds: u64) -> Vec<u32> {
     let from = w.now;
     let missing = (1..=seconds).map(|s| {
         w.run(from + s * S);
-        w.replicas_missing()
+        w.missing_replicas()
     });
     missing.collect()
 }
@@ -366,37 +385,41 @@
 /// never counts as silent, while its lease runs out, its replicas are killed, and it registers as a
 /// new session, repeatedly.
 #[test]
-fn replicas_of_a_machine_that_hears_nothing_are_replaced() {
+fn replicas_of_an_unreachable_machine_are_replaced() {
     for (seed, nodes) in [(1, 3), (2, 3), (3, 7), (4, 7)] {
-        let mut w = settled(seed, nodes);
+        let mut w = running_world(seed, nodes);
         let replicas = |m: &Machine| {
             let of_service = |t: &&worker::Task| t.on() && w.jobs[World::job_of(&t.name).0].service;
             m.tasks.iter().filter(of_service).count()
         };
         let most = w.machines.values().max_by_key(|m| replicas(m)).map(|m| m.name.clone()).unwrap();
         assert!(replicas(&w.machines[&most]) > 0, "seed {seed}: no replicas");
-        w.make_deaf(&most, 300 * S);
-        let missing = watch(&mut w, 120);
-        assert!(w.broken.is_empty(), "seed {seed}: {:?}", w.broken);
+        w.make_unreachable(&most, 300 * S);
+        let missing = run_and_count_missing(&mut w, 120);
+        assert!(w.violations.is_empty(), "seed {seed}: {:?}", w.violations);
         // 45 s: the machine's lease, and the boot of another machine where no capacity is free.
         let late: u32 = missing.iter().skip(45).sum();
         assert_eq!(late, 0, "seed {seed}: missing each second {missing:?}");
-        assert!(w.oncall.work_for_deaf.is_empty(), "seed {seed}: {:?}", w.oncall.work_for_deaf);
+        assert!(
+            w.partial_failures.starts_for_unreachable.is_empty(),
+            "seed {seed}: {:?}",
+            w.partial_failures.starts_for_unreachable
+        );
     }
 }
 
 /// If no machine receives anything from one controller, the controller's outgoing path is faulty,
 /// and no machine is deleted for it.
 #[test]
-fn a_controller_that_nobody_hears_costs_no_machine() {
+fn a_controller_that_reaches_no_worker_causes_no_deletion() {
     for (seed, nodes) in [(1, 3), (2, 3), (3, 7), (4, 7)] {
         for n in 0..2 {
-            let mut w = settled(seed, nodes);
-            w.oncall.mute_until[n] = w.now + 60 * S;
-            let missing = watch(&mut w, 120);
+            let mut w = running_world(seed, nodes);
+            w.partial_failures.outgoing_lost_until[n] = w.now + 60 * S;
+            let missing = run_and_count_missing(&mut w, 120);
             let seen = format!("seed {seed}, controller {n}");
-            assert!(w.broken.is_empty(), "{seen}: {:?}", w.broken);
-            assert!(w.oncall.deleted.is_empty(), "{seen}: {:?}", w.oncall.deleted);
+            assert!(w.violations.is_empty(), "{seen}: {:?}", w.violations);
+            assert!(w.partial_failures.deleted.is_empty(), "{seen}: {:?}", w.partial_failures.deleted);
             assert_eq!(missing.iter().sum::<u32>(), 0, "{seen}: missing each second {missing:?}");
         }
     }
@@ -405,28 +428,30 @@
 /// A controller that loses the state service and the other controllers, but not its workers, causes
 /// no deletion of a machine and no missing replica.
 #[test]
-fn a_controller_alone_costs_no_machine_and_no_task() {
+fn an_isolated_controller_causes_no_deletion_and_no_missing_replica() {
     for (seed, nodes) in [(1, 3), (2, 3), (3, 7)] {
-        for (alone, length) in [(vec![0], 5), (vec![0], 30), (vec![1], 120), (vec![0, 2], 30), (vec![1], 900)]
+        for (isolated, length) in
+            [(vec![0], 5), (vec![0], 30), (vec![1], 120), (vec![0, 2], 30), (vec![1], 900)]
         {
-            let mut w = settled(seed, nodes);
-            for n in &alone {
-                w.oncall.alone_until[*n] = w.now + length * S;
+            let mut w = running_world(seed, nodes);
+            for n in &isolated {
+                w.partial_failures.isolated_until[*n] = w.now + length * S;
             }
-            let mut missing = watch(&mut w, 60);
+            let mut missing = run_and_count_missing(&mut w, 60);
             // Its workers, also new ones, have moved to other controllers by then.
             let there = w.machines.values().filter(|m| w.now > m.up_at + 12 * S);
-            let there =
-                there.filter(|m| alone.contains(&m.report_to) && w.oncall.alone_until[m.report_to] > w.now);
+            let there = there.filter(|m| {
+                isolated.contains(&m.report_to) && w.partial_failures.isolated_until[m.report_to] > w.now
+            });
             let stay: Vec<(&str, usize)> = there.map(|m| (m.name.as_str(), m.tasks.len())).collect();
             assert!(
                 stay.is_empty(),
-                "seed {seed}, {nodes} controllers, {alone:?} isolated: {stay:?} stay with it"
+                "seed {seed}, {nodes} controllers, {isolated:?} isolated: {stay:?} stay with it"
             );
-            missing.extend(watch(&mut w, 90));
-            let seen = format!("seed {seed}, {nodes} controllers, {alone:?} isolated for {length} s");
-            assert!(w.broken.is_empty(), "{seen}: {:?}", w.broken);
-            assert!(w.oncall.deleted.is_empty(), "{seen}: {:?}", w.oncall.deleted);
+            missing.extend(run_and_count_missing(&mut w, 90));
+            let seen = format!("seed {seed}, {nodes} controllers, {isolated:?} isolated for {length} s");
+            assert!(w.violations.is_empty(), "{seen}: {:?}", w.violations);
+            assert!(w.partial_failures.deleted.is_empty(), "{seen}: {:?}", w.partial_failures.deleted);
             assert_eq!(missing.iter().sum::<u32>(), 0, "{seen}: missing each second {missing:?}");
         }
     }
@@ -434,21 +459,21 @@
 
 /// Duplicates of all reports, at any controller, 0.5 to 60 s late.
 #[test]
-fn late_copies_change_nothing() {
+fn late_duplicates_change_nothing() {
     for (seed, nodes) in [(1, 3), (2, 3), (3, 7)] {
-        let mut w = settled(seed, nodes);
-        w.oncall.copies = 1;
-        let missing = watch(&mut w, 60);
+        let mut w = running_world(seed, nodes);
+        w.partial_failures.duplicate_one_in = 1;
+        let missing = run_and_count_missing(&mut w, 60);
         let moved = w.machines.values().filter(|m| m.shift > 1).count();
         let seen = format!("seed {seed}, {nodes} controllers");
-        assert!(w.broken.is_empty(), "{seen}: {:?}", w.broken);
+        assert!(w.violations.is_empty(), "{seen}: {:?}", w.violations);
         assert_eq!((missing.iter().sum::<u32>(), moved), (0, 0), "{seen}: missing each second {missing:?}");
-        assert!(w.oncall.deleted.is_empty(), "{seen}: {:?}", w.oncall.deleted);
+        assert!(w.partial_failures.deleted.is_empty(), "{seen}: {:?}", w.partial_failures.deleted);
         // A deleted machine from which only duplicates arrive does not count as alive.
         let with_replicas = |m: &&Machine| m.tasks.iter().any(|t| t.on());
         let dead = w.machines.values().filter(with_replicas).map(|m| m.name.clone()).next().unwrap();
         w.machines.remove(&dead);
-        let missing = watch(&mut w, 60);
+        let missing = run_and_count_missing(&mut w, 60);
         let late: u32 = missing.iter().skip(25).sum();
         assert_eq!(late, 0, "{seen}: missing each second after a death {missing:?}");
     }
@@ -456,22 +481,22 @@
 
 /// Checks the checkers: injected violations must be found.
 #[test]
-fn who_is_forgotten_or_not_served_is_noticed() {
-    let mut w = settled(1, 3);
+fn forgotten_and_unserved_jobs_are_detected() {
+    let mut w = running_world(1, 3);
     let j = w.jobs.iter().position(|j| j.accepted && !j.service && j.abort_at == u64::MAX).unwrap();
-    assert!(w.broken.is_empty(), "{:?}", w.broken);
-    w.oncall.ignored = Some(j);
-    watch(&mut w, 90);
-    assert!(w.broken.iter().any(|b| b.contains(&format!("about job {j}"))), "{:?}", w.broken);
-    let mut w = settled(1, 3);
-    w.run(ONCALL.ends);
+    assert!(w.violations.is_empty(), "{:?}", w.violations);
+    w.partial_failures.ignored_job = Some(j);
+    run_and_count_missing(&mut w, 90);
+    assert!(w.violations.iter().any(|b| b.contains(&format!("about job {j}"))), "{:?}", w.violations);
+    let mut w = running_world(1, 3);
+    w.run(PARTIAL_FAILURES.ends);
     assert_eq!(w.unserved(), Vec::<String>::new());
     let accepted: Vec<usize> = (0..w.jobs.len()).filter(|j| w.jobs[*j].accepted).collect();
     let largest = accepted.iter().copied().max_by_key(|j| w.jobs[*j].tasks).unwrap();
     let (job, now) = (&mut w.jobs[largest], w.now);
-    job.abort_asked = false;
+    job.abort_requested = false;
     job.aborted_at = None;
     job.team = "free".into();
-    job.began_at = Some(job.accepted_at + LARGEST_BEGIN + S);
+    job.started_at = Some(job.accepted_at + MAX_START_WAIT + S);
     assert!(!w.unserved().is_empty(), "a late start of the largest job is not found, at {now}");
 }
--- a/tests/world/pipelines.rs
+++ b/tests/world/pipelines.rs
@@ -1,11 +1,11 @@
 //! Pipelines: jobs that wait for other jobs. What users do with them, their invariants, and
 //! scenarios in which faults coincide with the end or the cancellation of a job that others need.
 //! The checks use only what users and workers observe.
-use super::blink::BLINK;
-use super::oncall::ONCALL;
-use super::scenes::Act::{self, *};
-use super::scenes::Who::{self, *};
-use super::scenes::{NEVER, long_jobs, random_acts};
+use super::fast_restarts::FAST_RESTARTS;
+use super::partial_failures::PARTIAL_FAILURES;
+use super::scenarios::Action::{self, *};
+use super::scenarios::Controllers::{self, *};
+use super::scenarios::{NEVER, long_jobs, random_actions};
 use super::*;
 use std::collections::BTreeSet;
 
@@ -17,78 +17,78 @@
     /// As soon as it is accepted.
     AtOnce,
     /// As the last task of the last job that it waits for ends.
-    AtNeedsEnd,
+    AtDependenciesEnd,
     /// As its own last task ends.
     AtOwnEnd,
 }
 
 /// What a job's user does with it.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Habits {
+pub struct UserBehavior {
     /// Submitted only after all jobs that it waits for have ended.
-    pub comes_late: bool,
+    pub submitted_late: bool,
     pub cancellation: Cancellation,
 }
 
 /// A fault that is injected as the last task of a job ends for which others wait.
 #[derive(Debug, Clone, Copy)]
-pub enum StageEnd {
+pub enum StageEndFault {
     /// The leader exits and restarts at once.
-    LeaderEnds,
+    LeaderRestarts,
     /// All controllers exit and restart at once.
-    AllEnd,
+    AllRestart,
     /// The state service drops its change history.
-    Forgotten,
+    HistoryDropped,
     /// Half of the writes of job ends and cancellations get no answer and take effect late.
-    LateEnds,
-    ZonesCut,
+    DelayedEndRecords,
+    ZonesPartitioned,
     /// The leader is paused.
-    LeaderFrozen,
+    LeaderPaused,
 }
 
 /// Time between two such faults, in which a leader can be elected.
-const STRIKE_PAUSE: u64 = 4 * S;
+const MIN_FAULT_INTERVAL: u64 = 4 * S;
 /// Time from the release of a job that waited until it counts as late.
-const TIME_FROM_RELEASE: u64 = 90 * S;
+const MAX_TIME_FROM_RELEASE: u64 = 90 * S;
 
 /// State and statistics of the pipelines.
-pub struct Seen {
+pub struct Observations {
     /// Separate from the world's generator, so that simulations without pipelines stay the same.
     rng: fastrand::Rng,
     next_plan: u64,
     planned: usize,
     /// Starts of tasks whose jobs waited.
     pub starts: usize,
-    strike: Option<(StageEnd, u64)>,
-    struck_at: u64,
+    stage_fault: Option<(StageEndFault, u64)>,
+    last_fault_at: u64,
 }
 
-impl Seen {
+impl Observations {
     pub fn new(seed: u64) -> Self {
-        Seen {
+        Observations {
             rng: fastrand::Rng::with_seed(seed ^ 0x91be),
             next_plan: 3 * S,
             planned: 0,
             starts: 0,
-            strike: None,
-            struck_at: 0,
+            stage_fault: None,
+            last_fault_at: 0,
         }
     }
 }
 
-// ---- rules ---------------------------------------------------------------
+// ---- invariants ---------------------------------------------------------------
 
 /// Whether a job is called queued or running longer than `cancel` after a job that it needs was
 /// reported cancelled.
-fn is_orphaned(stage: &str, now: u64, cancelled_from: Option<u64>, cancel: u64) -> bool {
-    matches!(stage, "queued" | "running") && cancelled_from.is_some_and(|t| now > t + cancel)
+fn is_orphaned(stage: &str, now: u64, cancelled_from: Option<u64>, cancel_timeout: u64) -> bool {
+    matches!(stage, "queued" | "running") && cancelled_from.is_some_and(|t| now > t + cancel_timeout)
 }
 
 impl World {
     /// A job that must be done first, and is not.
     pub fn first_unfinished(&self, j: usize) -> Option<usize> {
         let awaits = &self.jobs.get(j)?.awaits;
-        awaits.iter().copied().find(|needed| self.jobs[*needed].done_at.is_none())
+        awaits.iter().copied().find(|needed| self.jobs[*needed].completed_at.is_none())
     }
 
     /// Jobs that it needs, directly or through others.
@@ -114,17 +114,18 @@
 
     /// Whether users requested a cancellation that covers it: of itself, or of a job that it needs
     /// and that was not reported done.
-    pub fn cancellation_asked(&self, j: usize) -> bool {
-        let asked = |needed: &usize| self.jobs[*needed].abort_asked && !self.jobs[*needed].told_done;
-        self.jobs[j].abort_asked || self.jobs_before(j).iter().any(asked)
+    pub fn cancellation_requested(&self, j: usize) -> bool {
+        let requested =
+            |needed: &usize| self.jobs[*needed].abort_requested && !self.jobs[*needed].reported_done;
+        self.jobs[j].abort_requested || self.jobs_before(j).iter().any(requested)
     }
 
     /// Called when a job is reported done: jobs after it that were reported cancelled must be so
     /// for another reason.
     pub fn check_cancelled_after(&mut self, j: usize) {
-        let told = |k: &usize| self.jobs[*k].aborted_at.is_some() && !self.cancellation_asked(*k);
-        if let Some(k) = self.jobs_after(j).into_iter().find(told) {
-            self.break_rule("went_back", format!("job {k} was called aborted, and job {j} is done"));
+        let reported = |k: &usize| self.jobs[*k].aborted_at.is_some() && !self.cancellation_requested(*k);
+        if let Some(k) = self.jobs_after(j).into_iter().find(reported) {
+            self.report_violation("went_back", format!("job {k} was called aborted, and job {j} is done"));
         }
     }
 
@@ -148,37 +149,42 @@
 
     /// Checks an answer about a job as it leaves a controller.
     pub fn check_waiting(&mut self, n: usize, id: RequestId, status: u16, body: &[u8]) {
-        let Some(Asker::Abort(j) | Asker::Poll(j) | Asker::Submit(j)) = self.asked.get(&id) else { return };
+        let Some(Requester::Abort(j) | Requester::Poll(j) | Requester::Submit(j)) =
+            self.pending_requests.get(&id)
+        else {
+            return;
+        };
         let j = *j;
         if !matches!(status, 200 | 201) {
             return;
         }
         let answer: Value = serde_json::from_slice(body).unwrap_or_default();
         let stage = answer["stage"].as_str().unwrap_or_default();
-        if is_orphaned(stage, self.now, self.jobs[j].cancelled_from, self.size.cancel) {
+        if is_orphaned(stage, self.now, self.jobs[j].cancelled_from, self.size.cancel_timeout) {
             let what = format!("job {j} is called {stage} ({status}) by controller {n}");
-            self.break_rule("orphaned", what);
+            self.report_violation("orphaned", what);
         }
         let counted = answer["running"].as_u64().unwrap_or(0) + answer["done"].as_u64().unwrap_or(0);
         if let Some(needed) = self.first_unfinished(j)
             && (stage == "running" || counted > 0)
         {
             let what = format!("job {j} is called {answer} by controller {n} before job {needed} is done");
-            self.break_rule("not_queued", what);
+            self.report_violation("not_queued", what);
         }
     }
 
     /// Time from which it may be served: its acceptance, or the completion of the last job that it
     /// waits for; `None` while it waits.
     pub fn served_from(&self, job: &Job) -> Option<u64> {
-        let ends = job.awaits.iter().map(|needed| self.jobs[*needed].done_at);
+        let ends = job.awaits.iter().map(|needed| self.jobs[*needed].completed_at);
         ends.chain([Some(job.accepted_at)]).max_by_key(|end| end.unwrap_or(u64::MAX)).flatten()
     }
 
     /// Whether it had enough time to end; a job that waits for none always had.
-    pub fn had_its_time(&self, j: usize) -> bool {
+    pub fn had_time_to_end(&self, j: usize) -> bool {
         let job = &self.jobs[j];
-        job.awaits.is_empty() || self.served_from(job).is_some_and(|from| self.now > from + TIME_FROM_RELEASE)
+        job.awaits.is_empty()
+            || self.served_from(job).is_some_and(|from| self.now > from + MAX_TIME_FROM_RELEASE)
     }
 }
 
@@ -189,8 +195,8 @@
     /// have ended if it is submitted late.
     pub fn may_submit(&self, j: usize) -> bool {
         let job = &self.jobs[j];
-        let over = |k: usize| self.jobs[k].told_done || self.jobs[k].aborted_at.is_some();
-        let ready = |k: usize| if job.habits.comes_late { over(k) } else { self.jobs[k].accepted };
+        let over = |k: usize| self.jobs[k].reported_done || self.jobs[k].aborted_at.is_some();
+        let ready = |k: usize| if job.behavior.submitted_late { over(k) } else { self.jobs[k].accepted };
         job.submitted || job.awaits.iter().all(|needed| ready(*needed))
     }
 
@@ -198,20 +204,20 @@
         let pause = self.pipelines.rng.u64(2 * S..5 * S);
         let job = &mut self.jobs[j];
         if !std::mem::replace(&mut job.submitted, true) {
-            job.asked_at = self.now;
+            job.submitted_at = self.now;
         }
-        job.next_try = self.now + pause;
+        job.next_request_at = self.now + pause;
         let body = job.body.to_string().into_bytes();
-        self.request(n, "POST", "/submissions".into(), body, Asker::Submit(j));
+        self.request(n, "POST", "/submissions".into(), body, Requester::Submit(j));
     }
 
-    fn some_controller(&mut self) -> usize {
+    fn random_controller(&mut self) -> usize {
         self.pipelines.rng.usize(0..self.size.nodes)
     }
 
     fn cancel_within(&mut self, j: usize, delay: u64) {
-        let (n, delay) = (self.some_controller(), self.pipelines.rng.u64(0..delay));
-        self.at(delay, Event::Look(n, looks::Way::Abort, j));
+        let (n, delay) = (self.random_controller(), self.pipelines.rng.u64(0..delay));
+        self.at(delay, Event::UserRequest(n, consistency::UserAction::Abort, j));
     }
 
     /// Jobs that name it.
@@ -221,12 +227,12 @@
 
     /// A job is accepted: its user submits the jobs that need it.
     pub fn job_accepted(&mut self, j: usize) {
-        if self.jobs[j].habits.cancellation == Cancellation::AtOnce {
+        if self.jobs[j].behavior.cancellation == Cancellation::AtOnce {
             self.cancel_within(j, 50 * MS);
         }
         for k in self.named_by(j) {
             if !self.jobs[k].submitted && self.may_submit(k) {
-                let n = self.some_controller();
+                let n = self.random_controller();
                 self.submit(k, n);
             }
         }
@@ -234,40 +240,40 @@
 
     /// The last task of a job completed.
     pub fn job_completed(&mut self, j: usize) {
-        if self.jobs[j].habits.cancellation == Cancellation::AtOwnEnd {
+        if self.jobs[j].behavior.cancellation == Cancellation::AtOwnEnd {
             self.cancel_within(j, 1500 * MS);
         }
         let named_by = self.named_by(j);
         for k in &named_by {
             let job = &self.jobs[*k];
-            let cancelled = job.accepted && job.habits.cancellation == Cancellation::AtNeedsEnd;
+            let cancelled = job.accepted && job.behavior.cancellation == Cancellation::AtDependenciesEnd;
             if cancelled && self.first_unfinished(*k).is_none() {
                 self.cancel_within(*k, 1500 * MS);
             }
         }
         if !named_by.is_empty() {
-            self.strike_at_stage_end();
+            self.inject_at_stage_end();
         }
     }
 
-    fn strike_at_stage_end(&mut self) {
-        let Some((strike, until)) = self.pipelines.strike else { return };
-        if self.now > until || self.now < self.pipelines.struck_at + STRIKE_PAUSE {
+    fn inject_at_stage_end(&mut self) {
+        let Some((stage_fault, until)) = self.pipelines.stage_fault else { return };
+        if self.now > until || self.now < self.pipelines.last_fault_at + MIN_FAULT_INTERVAL {
             return;
         }
-        self.pipelines.struck_at = self.now;
+        self.pipelines.last_fault_at = self.now;
         // The end is reported within half a second, and recorded some time after that.
         let delay = self.pipelines.rng.u64(0..1200 * MS);
-        match strike {
-            StageEnd::LeaderEnds => self.at(delay, Event::EndLeader),
-            StageEnd::AllEnd => (0..self.size.nodes).for_each(|n| self.end_process(n, 100 * MS)),
-            StageEnd::Forgotten => self.state.forget(),
-            StageEnd::LateEnds => self.faults.late_ends_until = self.now + 2 * S,
-            StageEnd::ZonesCut => self.zones_cut_until = self.now + 5 * S,
-            StageEnd::LeaderFrozen => {
+        match stage_fault {
+            StageEndFault::LeaderRestarts => self.at(delay, Event::RestartLeader),
+            StageEndFault::AllRestart => (0..self.size.nodes).for_each(|n| self.terminate(n, 100 * MS)),
+            StageEndFault::HistoryDropped => self.state.forget(),
+            StageEndFault::DelayedEndRecords => self.faults.end_records_delayed_until = self.now + 2 * S,
+            StageEndFault::ZonesPartitioned => self.zones_partitioned_until = self.now + 5 * S,
+            StageEndFault::LeaderPaused => {
                 let leader = self.nodes.iter().position(|n| n.as_ref().is_some_and(Node::leads));
                 if let Some(n) = leader {
-                    self.faults.frozen_until[n] = self.now + 5 * S;
+                    self.faults.paused_until[n] = self.now + 5 * S;
                 }
             }
         }
@@ -280,12 +286,12 @@
         }
         let pause = self.pipelines.rng.u64(8 * S..25 * S);
         self.pipelines.next_plan = self.now + pause;
-        let shape = some_shape(&mut self.pipelines.rng, self.size.changes >= 30.0);
+        let shape = random_widths(&mut self.pipelines.rng, self.size.writes_per_s >= 30.0);
         self.plan_pipeline(&shape);
-        let n = self.some_controller();
+        let n = self.random_controller();
         let id = 950_000 + self.pipelines.planned;
         let body = waiting_body(id, &["j-900000".to_owned()], 1, 1.0);
-        self.request(n, "POST", "/submissions".into(), body.to_string().into_bytes(), Asker::Stranger);
+        self.request(n, "POST", "/submissions".into(), body.to_string().into_bytes(), Requester::UnknownJob);
     }
 
     /// Adds jobs in stages of these widths, each waiting for some or all jobs of the stage before.
@@ -304,7 +310,7 @@
                 let awaits = if all || stage.is_empty() {
                     stage.clone()
                 } else {
-                    some_of(&mut self.pipelines.rng, &stage)
+                    random_subset(&mut self.pipelines.rng, &stage)
                 };
                 let j = self.plan_job(awaits, team, last);
                 if cancelled && s == victim_stage && i == victim {
@@ -333,7 +339,7 @@
         let service = last && r.u32(0..8) == 0;
         let (tasks, run_us) = (r.u32(1..5), r.u64(300 * MS..4 * S));
         let (spot, zone) = (!service && r.bool(), (r.u32(0..5) == 0).then_some(ZONES[r.usize(0..2)]));
-        let comes_late = last && !awaits.is_empty() && r.u32(0..3) == 0;
+        let submitted_late = last && !awaits.is_empty() && r.u32(0..3) == 0;
         let mut names: Vec<String> = awaits.iter().map(|needed| format!("j-{needed:06}")).collect();
         if !names.is_empty() && r.u32(0..4) == 0 {
             names.push(names[0].clone());
@@ -353,17 +359,17 @@
             body["rank"] = json!(if service { "prod" } else { "high" });
             body["due_s"] = json!(90.0);
         }
-        let habits = Habits { comes_late, ..Habits::default() };
+        let behavior = UserBehavior { submitted_late, ..UserBehavior::default() };
         let job = Job::new(body, team, service, tasks, 1.0, run_us);
-        self.add_waiting(Job { awaits, spot, zone, abort_at, habits, ..job })
+        self.add_waiting(Job { awaits, spot, zone, abort_at, behavior, ..job })
     }
 
     fn plan_cancellation(&mut self, j: usize) {
         let r = &mut self.pipelines.rng;
         match r.u32(0..4) {
-            0 => self.jobs[j].habits.cancellation = Cancellation::AtOnce,
-            1 => self.jobs[j].habits.cancellation = Cancellation::AtNeedsEnd,
-            2 => self.jobs[j].habits.cancellation = Cancellation::AtOwnEnd,
+            0 => self.jobs[j].behavior.cancellation = Cancellation::AtOnce,
+            1 => self.jobs[j].behavior.cancellation = Cancellation::AtDependenciesEnd,
+            2 => self.jobs[j].behavior.cancellation = Cancellation::AtOwnEnd,
             _ => self.jobs[j].abort_at = self.now + r.u64(S..40 * S),
         }
     }
@@ -403,9 +409,9 @@
     }
 
     /// How many of these jobs are accepted, reported done, and reported cancelled.
-    fn told_of(&self, jobs: &[usize]) -> (usize, usize, usize) {
+    fn count_reported(&self, jobs: &[usize]) -> (usize, usize, usize) {
         let count = |which: &dyn Fn(&Job) -> bool| jobs.iter().filter(|j| which(&self.jobs[**j])).count();
-        (count(&|j| j.accepted), count(&|j| j.told_done), count(&|j| j.aborted_at.is_some()))
+        (count(&|j| j.accepted), count(&|j| j.reported_done), count(&|j| j.aborted_at.is_some()))
     }
 }
 
@@ -418,7 +424,7 @@
 }
 
 /// Random widths of a pipeline's stages.
-fn some_shape(r: &mut fastrand::Rng, may_be_long: bool) -> Vec<usize> {
+fn random_widths(r: &mut fastrand::Rng, may_be_long: bool) -> Vec<usize> {
     match r.u32(0..10) {
         // A diamond.
         0 | 1 => vec![1, r.usize(2..6), 1],
@@ -438,7 +444,7 @@
 }
 
 /// A random non-empty part of them.
-fn some_of(r: &mut fastrand::Rng, all: &[usize]) -> Vec<usize> {
+fn random_subset(r: &mut fastrand::Rng, all: &[usize]) -> Vec<usize> {
     let mut some: Vec<usize> = all.iter().copied().filter(|_| r.bool()).collect();
     if some.is_empty() {
         some.push(all[r.usize(0..all.len())]);
@@ -451,7 +457,7 @@
 /// A simulation without faults in which a job runs, a second job waits for it, and a third one for
 /// the second.
 fn chain_of_three() -> World {
-    logs();
+    start_logger();
     let mut w = World::new(1, true, Size { jobs: 0, busy_until: 0, ends: 600 * S, ..SMALL });
     w.push_stages(&[1, 1, 1], 500 * S);
     w.run(30 * S);
@@ -459,7 +465,7 @@
 }
 
 #[test]
-fn a_job_called_open_after_one_before_it_is_cancelled_is_noticed() {
+fn orphaned_jobs_are_detected() {
     // (reported stage, time, time since which a job before it is cancelled, orphaned)
     let cases = [
         ("queued", 50, None, false),
@@ -474,21 +480,25 @@
     }
     // Injected: the second job's user received a cancellation that no controller knows of.
     let mut w = chain_of_three();
-    w.oncall.ignored = Some(1);
-    w.size.oncall = true;
-    w.oncall.over_at = u64::MAX;
-    w.jobs[1].abort_asked = true;
+    w.partial_failures.ignored_job = Some(1);
+    w.size.partial_failures = true;
+    w.partial_failures.faults_end_at = u64::MAX;
+    w.jobs[1].abort_requested = true;
     w.note_cancelled(1);
-    w.run(w.now + w.size.cancel);
-    assert!(w.broken.is_empty(), "{:?}", w.broken);
+    w.run(w.now + w.size.cancel_timeout);
+    assert!(w.violations.is_empty(), "{:?}", w.violations);
     w.run(w.now + 10 * S);
-    assert!(w.broken.iter().any(|b| b.starts_with("orphaned") && b.contains("job 2")), "{:?}", w.broken);
+    assert!(
+        w.violations.iter().any(|b| b.starts_with("orphaned") && b.contains("job 2")),
+        "{:?}",
+        w.violations
+    );
 }
 
 #[test]
-fn a_start_before_what_it_needs_is_done_is_noticed() {
+fn starts_before_dependencies_are_done_are_detected() {
     let mut w = chain_of_three();
-    assert!(w.broken.is_empty(), "{:?}", w.broken);
+    assert!(w.violations.is_empty(), "{:?}", w.violations);
     let order = gorseshore_protocol::workers::Order {
         verb: "run".into(),
         piece: "j-000001/0".into(),
@@ -496,16 +506,20 @@
         wind_down_s: None,
     };
     w.check_orders(0, std::slice::from_ref(&order));
-    assert!(w.broken.iter().any(|b| b.starts_with("ordered_early")), "{:?}", w.broken);
-    w.broken.clear();
+    assert!(w.violations.iter().any(|b| b.starts_with("ordered_early")), "{:?}", w.violations);
+    w.violations.clear();
     let machine = w.machines.keys().next().unwrap().clone();
-    w.with_machine(&machine, |m, facts, now| m.execute(&[order], facts, now));
+    w.with_machine(&machine, |m, task_profile, now| m.execute(&[order], task_profile, now));
     w.run(w.now + 5 * S);
-    assert!(w.broken.iter().any(|b| b.starts_with("too_early") && b.contains("job 0")), "{:?}", w.broken);
+    assert!(
+        w.violations.iter().any(|b| b.starts_with("too_early") && b.contains("job 0")),
+        "{:?}",
+        w.violations
+    );
 }
 
 #[test]
-fn cancellations_that_nobody_asked_for_are_noticed() {
+fn unrequested_cancellations_are_detected() {
     // (jobs whose users cancelled them, jobs reported done, job reported cancelled, violation
     // expected)
     type Case<'a> = (&'a [usize], &'a [usize], usize, bool);
@@ -520,59 +534,63 @@
         // The cancellation of a later job does not cover an earlier one.
         (&[2], &[], 1, true),
     ];
-    for (asked, done, aborted, want) in cases {
+    for (requested, done, aborted, want) in cases {
         let mut w = World::new(1, true, SMALL);
         w.push_stages(&[1, 1, 1], S);
-        asked.iter().for_each(|j| w.jobs[*j].abort_asked = true);
-        done.iter().for_each(|j| w.jobs[*j].told_done = true);
+        requested.iter().for_each(|j| w.jobs[*j].abort_requested = true);
+        done.iter().for_each(|j| w.jobs[*j].reported_done = true);
         w.check_stage(aborted, "aborted", 0);
-        let found = w.broken.iter().any(|b| b.starts_with("went_back"));
-        assert_eq!(found, want, "{asked:?} cancelled, {done:?} done, {aborted} called aborted");
+        let found = w.violations.iter().any(|b| b.starts_with("went_back"));
+        assert_eq!(found, want, "{requested:?} cancelled, {done:?} done, {aborted} called aborted");
     }
     // A later report shows that the cancellation came too late.
     let mut w = World::new(1, true, SMALL);
     w.push_stages(&[1, 1, 1], S);
-    w.jobs[0].abort_asked = true;
+    w.jobs[0].abort_requested = true;
     w.check_stage(2, "aborted", 0);
-    assert!(w.broken.is_empty(), "{:?}", w.broken);
+    assert!(w.violations.is_empty(), "{:?}", w.violations);
     w.jobs[0].done[0] = true;
     w.check_stage(0, "done", 0);
-    assert!(w.broken.iter().any(|b| b.starts_with("went_back") && b.contains("job 2")), "{:?}", w.broken);
+    assert!(
+        w.violations.iter().any(|b| b.starts_with("went_back") && b.contains("job 2")),
+        "{:?}",
+        w.violations
+    );
 }
 
 #[test]
-fn tasks_after_a_cancelled_job_are_noticed() {
+fn tasks_of_jobs_after_a_cancelled_one_are_detected() {
     let mut w = chain_of_three();
     // Marks the running job as if it needed a cancelled one.
     w.jobs[0].cancelled_from = Some(w.now);
-    w.oncall.ignored = Some(0);
-    w.size.oncall = true;
-    w.oncall.over_at = u64::MAX;
-    w.run(w.now + w.size.cancel + S);
-    assert!(w.broken.iter().any(|b| b.starts_with("ran_cancelled")), "{:?}", w.broken);
+    w.partial_failures.ignored_job = Some(0);
+    w.size.partial_failures = true;
+    w.partial_failures.faults_end_at = u64::MAX;
+    w.run(w.now + w.size.cancel_timeout + S);
+    assert!(w.violations.iter().any(|b| b.starts_with("ran_cancelled")), "{:?}", w.violations);
 }
 
 // ---- simulations ---------------------------------------------------------
 
 /// Runs simulations with pipelines among the jobs.
-fn play_days(name: &str, size: Size, default: std::ops::Range<u64>) {
-    logs();
+fn run_simulations(name: &str, size: Size, default: std::ops::Range<u64>) {
+    start_logger();
     let size = Size { pipelines: true, ..size };
-    let (mut failed, mut days) = (Vec::new(), 0);
+    let (mut failed, mut simulations) = (Vec::new(), 0);
     let (mut starts, mut done, mut aborted, mut planned) = (0, 0, 0, 0);
     for seed in seeds("PIPELINE_SEEDS", default.start, default.end) {
-        let w = play(seed, false, size);
-        days += 1;
+        let w = simulate(seed, false, size);
+        simulations += 1;
         let waiting: Vec<usize> = (0..w.jobs.len()).filter(|j| !w.jobs[*j].awaits.is_empty()).collect();
-        let told = w.told_of(&waiting);
+        let reported = w.count_reported(&waiting);
         (starts, planned) = (starts + w.pipelines.starts, planned + waiting.len());
-        (done, aborted) = (done + told.1, aborted + told.2);
-        let mut bad: Vec<String> = w.broken.iter().take(3).cloned().collect();
-        let late = w.late();
-        if bad.is_empty() && late.len() > 1 {
-            bad.push(format!("{:?} are not over at the end", w.describe(&late).0));
+        (done, aborted) = (done + reported.1, aborted + reported.2);
+        let mut bad: Vec<String> = w.violations.iter().take(3).cloned().collect();
+        let unfinished = w.unfinished_jobs();
+        if bad.is_empty() && unfinished.len() > 1 {
+            bad.push(format!("{:?} have not ended", w.describe(&unfinished).0));
         }
-        if bad.is_empty() && size.oncall {
+        if bad.is_empty() && size.partial_failures {
             bad.extend(w.unserved());
         }
         if !bad.is_empty() {
@@ -580,85 +598,96 @@
         }
     }
     println!(
-        "{name}: {planned} jobs that wait in {days} days, {done} done, {aborted} cancelled, {starts} starts"
+        "{name}: {planned} jobs that wait in {simulations} simulations, {done} done, {aborted} cancelled, {starts} starts"
+    );
+    assert!(
+        failed.is_empty(),
+        "{name}: {} of {simulations} simulations failed:\n{}",
+        failed.len(),
+        failed.join("\n")
     );
-    assert!(failed.is_empty(), "{name}: {} of {days} days failed:\n{}", failed.len(), failed.join("\n"));
     assert!(starts > 0 && done > 0 && aborted > 0, "{name}: {starts} starts, {done} done, {aborted} aborted");
 }
 
 #[test]
-fn pipelines_keep_the_rules_on_rough_days() {
-    play_days("rough", SMALL, 0..8);
+fn pipelines_with_random_faults() {
+    run_simulations("random faults", SMALL, 0..8);
 }
 
 #[test]
-fn pipelines_keep_the_rules_in_a_grown_world() {
-    play_days("grown", GROWN, 0..2);
+fn pipelines_in_a_large_cluster() {
+    run_simulations("large cluster", LARGE, 0..2);
 }
 
 #[test]
-fn pipelines_keep_the_rules_when_processes_are_back_at_once() {
-    play_days("blink", BLINK, 0..6);
+fn pipelines_with_fast_restarts() {
+    run_simulations("fast restarts", FAST_RESTARTS, 0..6);
 }
 
 #[test]
-fn pipelines_keep_the_rules_in_what_on_call_met() {
-    play_days("on-call", ONCALL, 0..6);
+fn pipelines_with_partial_failures() {
+    run_simulations("partial failures", PARTIAL_FAILURES, 0..6);
 }
 
 /// Random faults around the cancellation of some of the jobs, while stages end.
 #[test]
-fn troubles_meet_round_cancelled_pipelines() {
-    let (mut failed, mut plays, mut starts) = (Vec::new(), 0, 0);
+fn random_faults_around_cancelled_pipelines() {
+    let (mut failed, mut runs, mut starts) = (Vec::new(), 0, 0);
     for seed in seeds("PIPELINE_SEEDS", 0, 10) {
         let mut r = fastrand::Rng::with_seed(seed ^ 0x5eed);
         let nodes = if r.u32(0..3) == 0 { 7 } else { 3 };
-        let acts = random_acts(&mut r);
-        let strike = some_strike(&mut r);
-        let mut w = World::new(seed, true, Size { nodes, room: [20, 20], jobs: 0, ends: 600 * S, ..ONCALL });
-        w.pipelines.strike = r.bool().then_some((strike, 90 * S));
+        let actions = random_actions(&mut r);
+        let stage_fault = random_stage_fault(&mut r);
+        let mut w = World::new(
+            seed,
+            true,
+            Size { nodes, capacity: [20, 20], jobs: 0, ends: 600 * S, ..PARTIAL_FAILURES },
+        );
+        w.pipelines.stage_fault = r.bool().then_some((stage_fault, 90 * S));
         for _ in 0..5 {
-            let shape = some_shape(&mut r, true);
+            let shape = random_widths(&mut r, true);
             w.plan_pipeline(&shape);
         }
         w.size.busy_until = 0;
-        w.oncall.over_at = u64::MAX;
+        w.partial_failures.faults_end_at = u64::MAX;
         // By then some pipelines are far advanced, and some have not begun.
         w.run(20 * S);
         let from = w.now;
         let leader = w.nodes.iter().position(|n| n.as_ref().is_some_and(Node::leads)).unwrap_or(0);
         w.faults.first_leader = Some(w.incarnations[leader]);
-        for (at, act) in &acts {
+        for (at, action) in &actions {
             w.run(from + at * MS);
-            w.act(leader, *act);
+            w.perform(leader, *action);
         }
-        w.run(from + 4 * w.size.cancel);
-        w.oncall.over_at = w.now;
-        w.run(from + 7 * w.size.cancel);
-        if w.broken.is_empty() && w.late().len() > 1 {
-            let late = w.late();
-            let what = format!("{:?} are not over at the end", w.describe(&late).0);
-            w.broken.push(what);
+        w.run(from + 4 * w.size.cancel_timeout);
+        w.partial_failures.faults_end_at = w.now;
+        w.run(from + 7 * w.size.cancel_timeout);
+        if w.violations.is_empty() && w.unfinished_jobs().len() > 1 {
+            let unfinished = w.unfinished_jobs();
+            let what = format!("{:?} have not ended", w.describe(&unfinished).0);
+            w.violations.push(what);
         }
-        (plays, starts) = (plays + 1, starts + w.pipelines.starts);
-        if !w.broken.is_empty() {
-            let broken = &w.broken[..w.broken.len().min(3)];
-            failed.push(format!("seed {seed}, {nodes} controllers, {strike:?}, {acts:?}: {broken:?}"));
+        (runs, starts) = (runs + 1, starts + w.pipelines.starts);
+        if !w.violations.is_empty() {
+            let violations = &w.violations[..w.violations.len().min(3)];
+            failed.push(format!(
+                "seed {seed}, {nodes} controllers, {stage_fault:?}, {actions:?}: {violations:?}"
+            ));
         }
     }
-    println!("{starts} starts of jobs that waited in {plays} plays");
-    assert!(failed.is_empty(), "{} of {plays} plays failed:\n{}", failed.len(), failed.join("\n"));
+    println!("{starts} starts of jobs that waited in {runs} runs");
+    assert!(failed.is_empty(), "{} of {runs} runs failed:\n{}", failed.len(), failed.join("\n"));
     assert!(starts > 0);
 }
 
-fn some_strike(r: &mut fastrand::Rng) -> StageEnd {
+fn random_stage_fault(r: &mut fastrand::Rng) -> StageEndFault {
     let all = [
-        StageEnd::LeaderEnds,
-        StageEnd::AllEnd,
-        StageEnd::Forgotten,
-        StageEnd::LateEnds,
-        StageEnd::ZonesCut,
-        StageEnd::LeaderFrozen,
+        StageEndFault::LeaderRestarts,
+        StageEndFault::AllRestart,
+        StageEndFault::HistoryDropped,
+        StageEndFault::DelayedEndRecords,
+        StageEndFault::ZonesPartitioned,
+        StageEndFault::LeaderPaused,
     ];
     all[r.usize(0..all.len())]
 }
@@ -668,15 +697,15 @@
 /// What happens at a set time of a scenario.
 #[derive(Debug, Clone, Copy)]
 enum Step {
-    Trouble(Act),
+    Perform(Action),
     /// A user cancels the first job of a stage at this controller.
-    CancelIn(usize, Who),
+    CancelIn(usize, Controllers),
     /// Injects the fault at the ends of stages for this many seconds.
-    AtStageEnds(StageEnd, u64),
+    InjectAtStageEnds(StageEndFault, u64),
 }
 use Step::*;
 
-struct PipelineScene {
+struct PipelineScenario {
     name: &'static str,
     widths: &'static [usize],
     /// How long the first stage runs from the start of the simulation, in seconds.
@@ -688,37 +717,47 @@
 }
 
 /// Submits the jobs at the start, and takes the steps from 20 s on; returns what was wrong.
-fn play_scene(scene: &PipelineScene, seed: u64, nodes: usize) -> Vec<String> {
-    logs();
-    let size = Size { nodes, room: [20, 20], jobs: 0, busy_until: 0, ends: 600 * S, oncall: true, ..SMALL };
+fn run_scenario(scenario: &PipelineScenario, seed: u64, nodes: usize) -> Vec<String> {
+    start_logger();
+    let size = Size {
+        nodes,
+        capacity: [20, 20],
+        jobs: 0,
+        busy_until: 0,
+        ends: 600 * S,
+        partial_failures: true,
+        ..SMALL
+    };
     let mut w = World::new(seed, true, size);
-    w.oncall.over_at = u64::MAX;
-    let stages = w.push_stages(scene.widths, scene.first_run_s * S);
+    w.partial_failures.faults_end_at = u64::MAX;
+    let stages = w.push_stages(scenario.widths, scenario.first_run_s * S);
     w.run(20 * S);
     let (from, leader) = (w.now, w.leader());
     w.faults.first_leader = Some(w.incarnations[leader]);
-    for (at, step) in scene.steps {
+    for (at, step) in scenario.steps {
         w.run(from + at * MS);
         match step {
-            Trouble(act) => w.act(leader, *act),
-            AtStageEnds(strike, seconds) => w.pipelines.strike = Some((*strike, w.now + seconds * S)),
-            CancelIn(stage, who) => {
-                let n = match who {
+            Perform(action) => w.perform(leader, *action),
+            InjectAtStageEnds(stage_fault, seconds) => {
+                w.pipelines.stage_fault = Some((*stage_fault, w.now + seconds * S))
+            }
+            CancelIn(stage, controllers) => {
+                let n = match controllers {
                     Leader => leader,
                     Other(i) => (leader + i) % nodes,
-                    East | West | All => panic!("one controller"),
+                    East | West | All => panic!("one controller only"),
                 };
-                w.look(n, looks::Way::Abort, stages[*stage][0]);
+                w.send_user_request(n, consistency::UserAction::Abort, stages[*stage][0]);
                 // If the request gets no answer, the user sends it again.
                 w.jobs[stages[*stage][0]].abort_at = w.now;
             }
         }
     }
-    w.run(from + 8 * w.size.cancel);
-    let mut bad: Vec<String> = w.broken.iter().take(3).cloned().collect();
-    for (s, jobs) in stages.iter().enumerate().filter(|_| w.broken.is_empty()) {
-        let (accepted, done, aborted) = w.told_of(jobs);
-        let right = match scene.cancelled_from {
+    w.run(from + 8 * w.size.cancel_timeout);
+    let mut bad: Vec<String> = w.violations.iter().take(3).cloned().collect();
+    for (s, jobs) in stages.iter().enumerate().filter(|_| w.violations.is_empty()) {
+        let (accepted, done, aborted) = w.count_reported(jobs);
+        let right = match scenario.cancelled_from {
             Some(from) if s >= from => aborted == jobs.len(),
             // Jobs before the cancelled stage may have been done or not.
             Some(_) => true,
@@ -732,82 +771,102 @@
     bad
 }
 
-fn play_pipeline_scenes(scenes: &[PipelineScene], plays_of: std::ops::Range<u64>) {
-    let (mut failed, mut plays) = (Vec::new(), 0);
-    for scene in scenes {
+fn run_pipeline_scenarios(scenarios: &[PipelineScenario], default_seeds: std::ops::Range<u64>) {
+    let (mut failed, mut runs) = (Vec::new(), 0);
+    for scenario in scenarios {
         for nodes in [3, 7] {
-            for seed in seeds("PIPELINE_SEEDS", plays_of.start, plays_of.end) {
-                plays += 1;
-                let bad = play_scene(scene, seed, nodes);
+            for seed in seeds("PIPELINE_SEEDS", default_seeds.start, default_seeds.end) {
+                runs += 1;
+                let bad = run_scenario(scenario, seed, nodes);
                 if !bad.is_empty() {
                     let bad = &bad[..bad.len().min(3)];
-                    failed.push(format!("{}, seed {seed}, {nodes} controllers: {bad:?}", scene.name));
+                    failed.push(format!("{}, seed {seed}, {nodes} controllers: {bad:?}", scenario.name));
                 }
             }
         }
     }
-    assert!(failed.is_empty(), "{} of {plays} plays failed:\n{}", failed.len(), failed.join("\n"));
+    assert!(failed.is_empty(), "{} of {runs} runs failed:\n{}", failed.len(), failed.join("\n"));
 }
 
 const STEPS: &[usize] = &[1, 3, 2, 1, 4, 1];
 
 #[test]
-fn stages_follow_each_other_whatever_strikes_as_one_ends() {
-    let scene =
-        |name, steps| PipelineScene { name, widths: STEPS, first_run_s: 25, steps, cancelled_from: None };
-    play_pipeline_scenes(
+fn stages_complete_through_faults_at_stage_ends() {
+    let scenario =
+        |name, steps| PipelineScenario { name, widths: STEPS, first_run_s: 25, steps, cancelled_from: None };
+    run_pipeline_scenarios(
         &[
-            scene("nothing", &[]),
-            scene("the leader ends", &[(0, AtStageEnds(StageEnd::LeaderEnds, 60))]),
-            scene("all controllers end", &[(0, AtStageEnds(StageEnd::AllEnd, 60))]),
-            scene("the state is read anew", &[(0, AtStageEnds(StageEnd::Forgotten, 60))]),
-            scene("ends are written late", &[(0, AtStageEnds(StageEnd::LateEnds, 60))]),
-            scene("the zones are cut", &[(0, AtStageEnds(StageEnd::ZonesCut, 60))]),
-            scene("the leader stands still", &[(0, AtStageEnds(StageEnd::LeaderFrozen, 60))]),
-            scene(
+            scenario("no fault", &[]),
+            scenario("the leader ends", &[(0, InjectAtStageEnds(StageEndFault::LeaderRestarts, 60))]),
+            scenario("all controllers end", &[(0, InjectAtStageEnds(StageEndFault::AllRestart, 60))]),
+            scenario("the state is read again", &[(0, InjectAtStageEnds(StageEndFault::HistoryDropped, 60))]),
+            scenario(
+                "ends are written late",
+                &[(0, InjectAtStageEnds(StageEndFault::DelayedEndRecords, 60))],
+            ),
+            scenario(
+                "the zones are partitioned",
+                &[(0, InjectAtStageEnds(StageEndFault::ZonesPartitioned, 60))],
+            ),
+            scenario("the leader is paused", &[(0, InjectAtStageEnds(StageEndFault::LeaderPaused, 60))]),
+            scenario(
                 "ends are written late and the leader ends",
-                &[(0, Trouble(LateEnds(1500))), (0, AtStageEnds(StageEnd::LeaderEnds, 60))],
+                &[
+                    (0, Perform(DelayedEndRecords(1500))),
+                    (0, InjectAtStageEnds(StageEndFault::LeaderRestarts, 60)),
+                ],
             ),
-            scene("leaders change", &[(0, Trouble(Changes(10)))]),
-            scene("an outage as the first stage ends", &[(2000, Trouble(Away(500)))]),
+            scenario("leaders change", &[(0, Perform(LeaderChanges(10)))]),
+            scenario("an outage as the first stage ends", &[(2000, Perform(StateOutage(500)))]),
         ],
         0..2,
     );
 }
 
 #[test]
-fn what_comes_after_a_cancelled_job_is_cancelled_with_it() {
-    let scene =
-        |name, steps| PipelineScene { name, widths: STEPS, first_run_s: 400, steps, cancelled_from: Some(0) };
-    play_pipeline_scenes(
+fn jobs_after_a_cancelled_job_are_cancelled() {
+    let scenario = |name, steps| PipelineScenario {
+        name,
+        widths: STEPS,
+        first_run_s: 400,
+        steps,
+        cancelled_from: Some(0),
+    };
+    run_pipeline_scenarios(
         &[
-            scene("no trouble", &[(0, CancelIn(0, Other(1)))]),
-            scene("the state is away right after", &[(0, CancelIn(0, Other(1))), (100, Trouble(Away(1300)))]),
-            scene(
+            scenario("no fault", &[(0, CancelIn(0, Other(1)))]),
+            scenario(
+                "the state service is unavailable right after",
+                &[(0, CancelIn(0, Other(1))), (100, Perform(StateOutage(1300)))],
+            ),
+            scenario(
                 "the leader, refused by the state service, ends right after",
                 &[
-                    (0, Trouble(Refused(Leader, 1500))),
+                    (0, Perform(RefusedByState(Leader, 1500))),
                     (100, CancelIn(0, Other(1))),
-                    (300, Trouble(End(Leader, NEVER))),
+                    (300, Perform(Terminate(Leader, NEVER))),
                 ],
             ),
-            scene("all controllers end right after", &[(0, CancelIn(0, Leader)), (20, Trouble(End(All, 0)))]),
-            scene(
+            scenario(
+                "all controllers end right after",
+                &[(0, CancelIn(0, Leader)), (20, Perform(Terminate(All, 0)))],
+            ),
+            scenario(
                 "the cancellation is written late",
-                &[(0, Trouble(LateEnds(300))), (10, CancelIn(0, Other(1)))],
+                &[(0, Perform(DelayedEndRecords(300))), (10, CancelIn(0, Other(1)))],
             ),
-            scene(
-                "the zones are cut, west refused",
+            scenario(
+                "the zones are partitioned, west refused",
                 &[
-                    (0, Trouble(ZonesCut(3500))),
-                    (0, Trouble(Refused(West, 3500))),
+                    (0, Perform(ZonesPartitioned(3500))),
+                    (0, Perform(RefusedByState(West, 3500))),
                     (3000, CancelIn(0, Other(1))),
                     (3000, CancelIn(0, Other(2))),
                 ],
             ),
-            scene(
-                "the state is read anew",
-                &[(0, CancelIn(0, Other(1))), (2, Trouble(Forgotten)), (500, Trouble(Forgotten))],
+            scenario(
+                "the state is read again",
+                &[(0, CancelIn(0, Other(1))), (2, Perform(HistoryDropped)), (500, Perform(HistoryDropped))],
             ),
         ],
         0..2,
@@ -816,23 +875,23 @@
 
 /// The cancellation comes as the first job ends; one transaction decides for all jobs after it.
 #[test]
-fn an_end_and_a_cancellation_at_a_time_decide_for_all_after_it() {
+fn a_concurrent_end_and_cancellation_decide_for_all_later_jobs() {
     let (mut failed, mut outcomes) = (Vec::new(), [0; 2]);
     for nodes in [3, 7] {
         for seed in seeds("PIPELINE_SEEDS", 0, 8) {
-            let size = Size { nodes, room: [20, 20], jobs: 0, busy_until: 0, ends: 600 * S, ..SMALL };
+            let size = Size { nodes, capacity: [20, 20], jobs: 0, busy_until: 0, ends: 600 * S, ..SMALL };
             let mut w = World::new(seed, true, size);
             let stages = w.push_stages(&[1, 2, 1], 15 * S);
-            w.jobs[0].habits.cancellation = Cancellation::AtOwnEnd;
-            w.faults.late_ends_until = if seed % 2 == 0 { 60 * S } else { 0 };
+            w.jobs[0].behavior.cancellation = Cancellation::AtOwnEnd;
+            w.faults.end_records_delayed_until = if seed % 2 == 0 { 60 * S } else { 0 };
             w.run(120 * S);
             let all: Vec<usize> = stages.concat();
-            let (_, done, aborted) = w.told_of(&all);
+            let (_, done, aborted) = w.count_reported(&all);
             outcomes[(aborted > 0) as usize] += 1;
-            if !w.broken.is_empty() || done != all.len() && aborted != all.len() {
+            if !w.violations.is_empty() || done != all.len() && aborted != all.len() {
                 failed.push(format!(
                     "seed {seed}, {nodes} controllers: {done} done, {aborted} cancelled; {:?}",
-                    w.broken
+                    w.violations
                 ));
             }
         }
@@ -844,19 +903,19 @@
 /// The job that is named is cancelled at one controller while another one accepts the job that
 /// names it.
 #[test]
-fn a_job_submitted_as_what_it_names_is_cancelled_is_cancelled_too() {
+fn a_job_submitted_during_the_cancellation_of_its_dependency_is_cancelled() {
     let mut failed = Vec::new();
     // Milliseconds from the cancellation to the submission.
     for (after, nodes) in [-20, -3, -1, 0, 1, 3, 20, 1000, 60_000].into_iter().flat_map(|a| [(a, 3), (a, 7)])
     {
-        let size = Size { nodes, room: [20, 20], jobs: 0, busy_until: 0, ends: 600 * S, ..SMALL };
+        let size = Size { nodes, capacity: [20, 20], jobs: 0, busy_until: 0, ends: 600 * S, ..SMALL };
         let mut w = World::new(after as u64 ^ 77, true, size);
         w.push_stages(&[1, 1], 500 * S);
         w.run(20 * S);
         let leader = w.leader();
         let late = w.push_waiting(vec![0], S);
         let later = w.push_waiting(vec![late, 0], S);
-        w.jobs[late].next_try = u64::MAX;
+        w.jobs[late].next_request_at = u64::MAX;
         let (submitted, cancelled) = ((20_000 + after.max(0)) * 1000, (20_000 - after.min(0)) * 1000);
         let mut moments = [(submitted, true), (cancelled, false)];
         moments.sort();
@@ -865,14 +924,14 @@
             if submits {
                 w.submit(late, (leader + 1) % nodes);
             } else {
-                w.look((leader + 2) % nodes, looks::Way::Abort, 0);
+                w.send_user_request((leader + 2) % nodes, consistency::UserAction::Abort, 0);
                 w.jobs[0].abort_at = w.now;
             }
         }
-        w.run(w.now + 2 * w.size.cancel);
-        let (accepted, _, aborted) = w.told_of(&[0, 1, late, later]);
-        if !w.broken.is_empty() || (accepted, aborted) != (4, 4) {
-            let what = format!("{accepted} accepted, {aborted} cancelled of 4; {:?}", w.broken);
+        w.run(w.now + 2 * w.size.cancel_timeout);
+        let (accepted, _, aborted) = w.count_reported(&[0, 1, late, later]);
+        if !w.violations.is_empty() || (accepted, aborted) != (4, 4) {
+            let what = format!("{accepted} accepted, {aborted} cancelled of 4; {:?}", w.violations);
             failed.push(format!("submitted {after} ms after, {nodes} controllers: {what}"));
         }
     }
@@ -881,44 +940,44 @@
 
 /// Pipelines of hundreds of jobs are cancelled with their first job, at every controller, in time.
 #[test]
-fn hundreds_of_jobs_are_cancelled_with_their_head() {
+fn hundreds_of_jobs_are_cancelled_with_the_first() {
     let chain = vec![1; 300];
     let fan = vec![1, 1000];
     let mut failed = Vec::new();
-    for (name, widths, away) in [
+    for (name, widths, outage) in [
         ("a chain of 300", &chain, 0),
         ("a chain of 300 and an outage", &chain, 40 * S),
         ("a fan of 1,000", &fan, 0),
     ] {
-        let size = Size { room: [20, 20], jobs: 0, busy_until: 0, ends: 900 * S, ..SMALL };
+        let size = Size { capacity: [20, 20], jobs: 0, busy_until: 0, ends: 900 * S, ..SMALL };
         let mut w = World::new(5, true, size);
         let all = w.push_stages(widths, 800 * S).concat();
         // Each job is submitted as soon as the one before it is accepted.
         let mut seconds = 0;
-        while w.told_of(&all).0 < all.len() && seconds < 240 {
+        while w.count_reported(&all).0 < all.len() && seconds < 240 {
             seconds += 1;
             w.run(seconds * S);
         }
-        let accepted = w.told_of(&all).0;
+        let accepted = w.count_reported(&all).0;
         let leader = w.leader();
-        w.look((leader + 1) % 3, looks::Way::Abort, all[0]);
+        w.send_user_request((leader + 1) % 3, consistency::UserAction::Abort, all[0]);
         w.jobs[all[0]].abort_at = w.now;
         w.run(w.now + 200 * MS);
-        if away > 0 {
+        if outage > 0 {
             w.state.down = true;
-            w.at(away, Event::Heal);
+            w.at(outage, Event::StateServiceRecovers);
         }
         // Polled by their users, and at the end at every controller.
-        w.run(w.now + w.size.cancel + 10 * S + away);
-        let told = w.told_of(&all);
+        w.run(w.now + w.size.cancel_timeout + 10 * S + outage);
+        let reported = w.count_reported(&all);
         for j in &all {
-            (0..3).for_each(|n| w.at(0, Event::Look(n, looks::Way::Poll, *j)));
+            (0..3).for_each(|n| w.at(0, Event::UserRequest(n, consistency::UserAction::Poll, *j)));
         }
         w.run(w.now + 5 * S);
-        println!("{name}: accepted within {seconds} s, then {} of {} told cancelled", told.2, all.len());
-        if !w.broken.is_empty() || accepted < all.len() || told.2 < all.len() {
-            let broken = &w.broken[..w.broken.len().min(3)];
-            failed.push(format!("{name}: {accepted} accepted, {} cancelled; {broken:?}", told.2));
+        println!("{name}: accepted within {seconds} s, then {} of {} told cancelled", reported.2, all.len());
+        if !w.violations.is_empty() || accepted < all.len() || reported.2 < all.len() {
+            let violations = &w.violations[..w.violations.len().min(3)];
+            failed.push(format!("{name}: {accepted} accepted, {} cancelled; {violations:?}", reported.2));
         }
     }
     assert!(failed.is_empty(), "{}", failed.join("\n"));
@@ -926,14 +985,14 @@
 
 /// A thousand jobs wait for one job, and one job waits for the thousand.
 #[test]
-fn a_fan_of_a_thousand_runs_when_its_head_is_done() {
-    let size = Size { room: [30, 30], jobs: 0, busy_until: 0, ends: 900 * S, ..SMALL };
+fn a_thousand_jobs_start_after_the_first_is_done() {
+    let size = Size { capacity: [30, 30], jobs: 0, busy_until: 0, ends: 900 * S, ..SMALL };
     let mut w = World::new(6, true, size);
     let stages = w.push_stages(&[1, 1000, 1], 60 * S);
     w.run(400 * S);
-    assert!(w.broken.is_empty(), "{:?}", &w.broken[..w.broken.len().min(3)]);
+    assert!(w.violations.is_empty(), "{:?}", &w.violations[..w.violations.len().min(3)]);
     for (s, jobs) in stages.iter().enumerate() {
-        let (accepted, done, _) = w.told_of(jobs);
+        let (accepted, done, _) = w.count_reported(jobs);
         assert_eq!((accepted, done), (jobs.len(), jobs.len()), "stage {s}: accepted, done");
     }
 }
@@ -941,9 +1000,9 @@
 /// While jobs of a team wait for another job, they use nothing of the team's limit: a service that
 /// needs all of it runs.
 #[test]
-fn a_waiting_job_holds_nothing_of_its_teams_limit() {
+fn waiting_jobs_use_nothing_of_their_teams_limit() {
     for (seed, nodes) in [(1, 3), (2, 7), (3, 3), (4, 7)] {
-        let mut w = long_jobs(seed, nodes, scenes::Work::Single);
+        let mut w = long_jobs(seed, nodes, scenarios::Workload::Single);
         let head = w.jobs.iter().position(|j| !j.service && j.accepted).unwrap();
         // Twice the limit of 9 CPUs.
         let waiting: Vec<usize> = (0..6).map(|_| w.push_waiting(vec![head], S)).collect();
@@ -954,14 +1013,14 @@
             job.body["rank"] = json!("high");
         }
         w.run(w.now + 10 * S);
-        assert_eq!(w.told_of(&waiting).0, waiting.len(), "accepted");
+        assert_eq!(w.count_reported(&waiting).0, waiting.len(), "accepted");
         let service = w.jobs.len();
         let mut body = waiting_body(service, &[], 3, 0.0);
         (body["crew"], body["cpus"]) = (json!("tight"), json!(3.0));
         (body["manner"], body["rank"]) = (json!("standing"), json!("prod"));
         w.jobs.push(Job::new(body, "tight", true, 3, 3.0, S));
         w.run(w.now + 40 * S);
-        assert!(w.broken.is_empty(), "{:?}", w.broken);
+        assert!(w.violations.is_empty(), "{:?}", w.violations);
         let mine = |t: &&worker::Task| t.on() && World::job_of(&t.name).0 == service;
         let on = w.machines.values().flat_map(|m| &m.tasks).filter(mine).count();
         assert_eq!(on, 3, "seed {seed}: replicas that run while other jobs of the team wait");
--- a/tests/world/odd.rs
+++ b/tests/world/request_validation.rs
@@ -3,7 +3,7 @@
 //! submissions and cancellations of known, ended and unknown jobs.
 use super::*;
 
-fn good(j: u64) -> Value {
+fn valid_job(j: u64) -> Value {
     json!({"ref": format!("j-{j:06}"), "lot": "odd", "crew": "free", "manner": "array", "rank": "high",
         "pieces": 2, "cpus": 0.5, "gpus": 0.0, "memory_gb": 0.5, "bundle": "i", "image_gb": 0.4,
         "builds": ["big"], "yard": "east", "same_place": false, "apart": false, "loaners": false,
@@ -11,28 +11,28 @@
 }
 
 /// Sends a request to a controller and returns the status, and the stage if the answer has one.
-fn ask(w: &mut World, n: usize, method: &'static str, path: &str, body: &str) -> (u16, Option<String>) {
-    w.looks.odd = None;
-    w.request(n, method, path.into(), body.as_bytes().to_vec(), Asker::Odd);
+fn send(w: &mut World, n: usize, method: &'static str, path: &str, body: &str) -> (u16, Option<String>) {
+    w.consistency.direct_answer = None;
+    w.request(n, method, path.into(), body.as_bytes().to_vec(), Requester::Direct);
     let until = w.now + 5 * S;
-    while w.looks.odd.is_none() && w.now < until {
+    while w.consistency.direct_answer.is_none() && w.now < until {
         w.run(w.now + 20 * MS);
     }
-    let (status, body) = w.looks.odd.take().unwrap_or((0, Vec::new()));
+    let (status, body) = w.consistency.direct_answer.take().unwrap_or((0, Vec::new()));
     let v: Value = serde_json::from_slice(&body).unwrap_or_default();
     (status, v["stage"].as_str().map(str::to_owned))
 }
 
 /// A simulation without faults in which every controller has started.
-fn quiet(nodes: usize) -> World {
-    logs();
+fn started_world(nodes: usize) -> World {
+    start_logger();
     let mut w = World::new(7, true, Size { nodes, jobs: 0, busy_until: 0, ends: 600 * S, ..SMALL });
     w.run(20 * S);
     w
 }
 
 /// Field, value and expected status of invalid submissions; `None` removes the field.
-fn bad() -> Vec<(&'static str, Option<Value>, u16)> {
+fn invalid_fields() -> Vec<(&'static str, Option<Value>, u16)> {
     let mut all = Vec::new();
     let text = ["ref", "lot", "crew", "manner", "rank", "bundle"];
     let amounts = ["cpus", "gpus", "memory_gb", "image_gb", "guess_s", "mark_s", "stow_s"];
@@ -85,88 +85,90 @@
 }
 
 #[test]
-fn odd_submissions_are_refused_everywhere_and_known_ones_never() {
+fn invalid_submissions_are_refused_and_known_jobs_never() {
     for nodes in [3, 7] {
-        let mut w = quiet(nodes);
+        let mut w = started_world(nodes);
         // Known before the invalid submissions; two of them have ended.
         let known = [(900_001, "queued"), (900_002, "aborted"), (900_003, "done")];
         for (j, _) in known {
-            assert_eq!(ask(&mut w, 0, "POST", "/submissions", &good(j).to_string()).0, 201);
+            assert_eq!(send(&mut w, 0, "POST", "/submissions", &valid_job(j).to_string()).0, 201);
         }
         let path = |j: u64, rest: &str| format!("/submissions/j-{j:06}{rest}");
-        assert_eq!(ask(&mut w, 1, "POST", &path(900_002, "/abort"), "").0, 200);
+        assert_eq!(send(&mut w, 1, "POST", &path(900_002, "/abort"), "").0, 200);
         let end = json!({"end": "done", "at": 1});
         let m = json!({"when": [], "writes": [{"put": "g/x/j-900003", "v": end}]}).to_string();
         w.state.request("POST", "/multi", m.as_bytes(), w.now);
         w.run(w.now + S);
         let texts = ["", "[]", "{", "null", "{}", "7", "\"x\"", "{\"ref\":\"j-000777\",\"cpus\":NaN}"];
         let mut failed = Vec::new();
-        for away in [false, true] {
-            w.state.down = away;
+        for state_unavailable in [false, true] {
+            w.state.down = state_unavailable;
             w.run(w.now + 3 * S);
             for n in 0..nodes {
-                for (i, (field, value, want)) in bad().into_iter().enumerate() {
+                for (i, (field, value, want)) in invalid_fields().into_iter().enumerate() {
                     // While the state service is unavailable, each invalid submission goes to few
                     // controllers: an answer takes long.
-                    if away && i % (4 * nodes) != n {
+                    if state_unavailable && i % (4 * nodes) != n {
                         continue;
                     }
-                    let mut s = good(800_000 + (n * 1000 + i) as u64);
+                    let mut s = valid_job(800_000 + (n * 1000 + i) as u64);
                     match &value {
                         Some(v) => s[field] = v.clone(),
                         None => drop(s.as_object_mut().unwrap().remove(field)),
                     }
-                    let (got, _) = ask(&mut w, n, "POST", "/submissions", &s.to_string());
+                    let (got, _) = send(&mut w, n, "POST", "/submissions", &s.to_string());
                     // The job may be a known one: no controller can tell while the state service is
                     // unavailable.
-                    if got != want && !(away && got == 503) {
+                    if got != want && !(state_unavailable && got == 503) {
                         failed.push(format!(
-                            "{field} {value:?} at {n}, state service unavailable {away}: {got}, not {want}"
+                            "{field} {value:?} at {n}, state service unavailable {state_unavailable}: {got}, not {want}"
                         ));
                     }
                 }
                 for text in texts {
-                    let (got, _) = ask(&mut w, n, "POST", "/submissions", text);
-                    if got != 400 && !(away && got == 503) {
-                        failed.push(format!("{text} at {n}, state service unavailable {away}: {got}"));
+                    let (got, _) = send(&mut w, n, "POST", "/submissions", text);
+                    if got != 400 && !(state_unavailable && got == 503) {
+                        failed.push(format!(
+                            "{text} at {n}, state service unavailable {state_unavailable}: {got}"
+                        ));
                     }
                 }
                 // An invalid submission of a known job is answered with the known job's state.
                 for (j, stage) in known {
-                    for odd in [
+                    for invalid in [
                         json!({"pieces": -1}),
                         json!({"crew": "nobody"}),
                         json!({"cpus": 1e9}),
                         json!({"awaits": 7}),
                         json!({"awaits": ["j-700000"]}),
                     ] {
-                        let mut s = good(j);
-                        let o = odd.as_object().unwrap();
+                        let mut s = valid_job(j);
+                        let o = invalid.as_object().unwrap();
                         o.iter().for_each(|(k, v)| s[k] = v.clone());
-                        let (got, told) = ask(&mut w, n, "POST", "/submissions", &s.to_string());
+                        let (got, reported) = send(&mut w, n, "POST", "/submissions", &s.to_string());
                         let over = stage != "queued";
-                        let right = got == 200 && told.as_deref() == Some(stage);
-                        if !(right || got == 200 && !over || away && !over && got == 503) {
+                        let right = got == 200 && reported.as_deref() == Some(stage);
+                        if !(right || got == 200 && !over || state_unavailable && !over && got == 503) {
                             failed.push(format!(
-                                "{stage} {odd} at {n}, state service unavailable {away}: {got} {told:?}"
+                                "{stage} {invalid} at {n}, state service unavailable {state_unavailable}: {got} {reported:?}"
                             ));
                         }
                     }
                     // A cancellation of an ended job is answered with how it ended.
                     if stage != "queued" {
-                        let got = ask(&mut w, n, "POST", &path(j, "/abort"), "");
+                        let got = send(&mut w, n, "POST", &path(j, "/abort"), "");
                         if got != (200, Some(stage.into())) {
                             failed.push(format!(
-                                "cancelling what is {stage} at {n}, state service unavailable {away}: {got:?}"
+                                "cancelling what is {stage} at {n}, state service unavailable {state_unavailable}: {got:?}"
                             ));
                         }
                     }
                 }
                 for (rest, method) in [("", "GET"), ("/abort", "POST")] {
-                    let (got, _) = ask(&mut w, n, method, &path(700_000, rest), "");
-                    if got != if away { 503 } else { 404 } {
+                    let (got, _) = send(&mut w, n, method, &path(700_000, rest), "");
+                    if got != if state_unavailable { 503 } else { 404 } {
                         failed.push(format!(
-                            "{method} of an unknown job at {n}, state service unavailable {away}: {got}"
+                            "{method} of an unknown job at {n}, state service unavailable {state_unavailable}: {got}"
                         ));
                     }
                 }
@@ -176,11 +178,11 @@
         w.run(w.now + 5 * S);
         // Nullable fields may be missing, and unknown fields are ignored.
         for (i, n) in (0..nodes).enumerate() {
-            let mut s = good(600_000 + i as u64);
+            let mut s = valid_job(600_000 + i as u64);
             let o = s.as_object_mut().unwrap();
             ["builds", "yard", "due_s"].iter().for_each(|f| drop(o.remove(*f)));
             o.insert("later".into(), json!({"x": [1]}));
-            let (got, _) = ask(&mut w, n, "POST", "/submissions", &s.to_string());
+            let (got, _) = send(&mut w, n, "POST", "/submissions", &s.to_string());
             if got != 201 {
                 failed.push(format!("without nullable fields, at {n}: {got}"));
             }
@@ -189,80 +191,80 @@
     }
 }
 
-const OPEN: u64 = 900_001;
+const ACTIVE: u64 = 900_001;
 const ABORTED: u64 = 900_002;
 const DONE: u64 = 900_003;
 const SERVICE: u64 = 900_004;
 const UNKNOWN: u64 = 700_000;
 /// About as many job ids as a request body holds.
-const MOST_NAMES: u64 = 5_000;
+const MAX_NAMES: u64 = 5_000;
 
 fn name(j: u64) -> String {
     format!("j-{j:06}")
 }
 
-fn names(of: &[u64]) -> Value {
-    json!(of.iter().map(|j| name(*j)).collect::<Vec<_>>())
+fn names(jobs: &[u64]) -> Value {
+    json!(jobs.iter().map(|j| name(*j)).collect::<Vec<_>>())
 }
 
 /// Values of `awaits`, the jobs that a submission waits for, with the expected status; `None`
 /// leaves the field out.
-fn awaited(own: u64) -> Vec<(Option<Value>, u16)> {
+fn awaits_cases(own: u64) -> Vec<(Option<Value>, u16)> {
     let forms = [
         json!(""),
-        json!(name(OPEN)),
+        json!(name(ACTIVE)),
         json!(7),
         json!(1.5),
         json!(true),
         json!({}),
-        json!({"0": name(OPEN)}),
+        json!({"0": name(ACTIVE)}),
         json!([7]),
         json!([null]),
-        json!([[name(OPEN)]]),
-        json!([{"ref": name(OPEN)}]),
+        json!([[name(ACTIVE)]]),
+        json!([{"ref": name(ACTIVE)}]),
         json!([""]),
         json!(["j-"]),
         json!(["k-900001"]),
         json!(["j-900001 "]),
         json!(["j-12345678901234567890"]),
-        json!([name(OPEN), 7]),
-        json!([name(OPEN), "j-"]),
+        json!([name(ACTIVE), 7]),
+        json!([name(ACTIVE), "j-"]),
     ];
     let mut all: Vec<(Option<Value>, u16)> = forms.into_iter().map(|v| (Some(v), 400)).collect();
     let never: [&[u64]; 7] = [
         &[own],
-        &[OPEN, own],
+        &[ACTIVE, own],
         &[UNKNOWN],
         &[UNKNOWN, UNKNOWN],
-        &[OPEN, UNKNOWN],
+        &[ACTIVE, UNKNOWN],
         &[SERVICE],
-        &[OPEN, SERVICE],
+        &[ACTIVE, SERVICE],
     ];
-    all.extend(never.into_iter().map(|of| (Some(names(of)), 422)));
-    let unknown: Vec<u64> = (0..MOST_NAMES).map(|i| UNKNOWN + i).collect();
+    all.extend(never.into_iter().map(|jobs| (Some(names(jobs)), 422)));
+    let unknown: Vec<u64> = (0..MAX_NAMES).map(|i| UNKNOWN + i).collect();
     all.push((Some(names(&unknown)), 422));
     let known: [&[u64]; 7] =
-        [&[], &[OPEN], &[OPEN, OPEN], &[ABORTED], &[DONE], &[DONE, OPEN], &[OPEN, DONE, ABORTED]];
-    all.extend(known.into_iter().map(|of| (Some(names(of)), 201)));
-    all.push((Some(names(&vec![OPEN; MOST_NAMES as usize])), 201));
+        [&[], &[ACTIVE], &[ACTIVE, ACTIVE], &[ABORTED], &[DONE], &[DONE, ACTIVE], &[ACTIVE, DONE, ABORTED]];
+    all.extend(known.into_iter().map(|jobs| (Some(names(jobs)), 201)));
+    all.push((Some(names(&vec![ACTIVE; MAX_NAMES as usize])), 201));
     all.extend([(None, 201), (Some(Value::Null), 201)]);
     all
 }
 
 /// A simulation without faults with a queued or running job, a cancelled one, one that is done, and
 /// a service.
-fn with_known(size: Size) -> World {
-    logs();
+fn world_with_known_jobs(size: Size) -> World {
+    start_logger();
     let mut w = World::new(7, true, Size { jobs: 0, busy_until: 0, ends: 900 * S, ..size });
     w.run(20 * S);
-    for j in [OPEN, ABORTED, DONE] {
-        assert_eq!(ask(&mut w, 0, "POST", "/submissions", &good(j).to_string()).0, 201);
+    for j in [ACTIVE, ABORTED, DONE] {
+        assert_eq!(send(&mut w, 0, "POST", "/submissions", &valid_job(j).to_string()).0, 201);
     }
-    let mut service = good(SERVICE);
+    let mut service = valid_job(SERVICE);
     service["manner"] = json!("standing");
     service["guess_s"] = json!(0.0);
-    assert_eq!(ask(&mut w, 0, "POST", "/submissions", &service.to_string()).0, 201);
-    assert_eq!(ask(&mut w, 1, "POST", &format!("/submissions/{}/abort", name(ABORTED)), "").0, 200);
+    assert_eq!(send(&mut w, 0, "POST", "/submissions", &service.to_string()).0, 201);
+    assert_eq!(send(&mut w, 1, "POST", &format!("/submissions/{}/abort", name(ABORTED)), "").0, 200);
     let end = json!({"end": "done", "at": 1});
     let m = json!({"when": [], "writes": [{"put": "g/x/j-900003", "v": end}]}).to_string();
     w.state.request("POST", "/multi", m.as_bytes(), w.now);
@@ -271,31 +273,31 @@
 }
 
 #[test]
-fn what_a_job_waits_for_is_checked_everywhere() {
+fn awaited_jobs_are_validated_at_every_controller() {
     for nodes in [3, 7] {
-        let mut w = with_known(Size { nodes, ..SMALL });
+        let mut w = world_with_known_jobs(Size { nodes, ..SMALL });
         let mut failed = Vec::new();
         let mut accepted: Vec<(u64, Option<Value>)> = Vec::new();
-        for away in [false, true] {
-            w.state.down = away;
+        for state_unavailable in [false, true] {
+            w.state.down = state_unavailable;
             w.run(w.now + 3 * S);
             for n in 0..nodes {
-                let rows = awaited(0).len();
+                let rows = awaits_cases(0).len();
                 for i in 0..rows {
-                    if away && i % (4 * nodes) != n {
+                    if state_unavailable && i % (4 * nodes) != n {
                         continue;
                     }
-                    let own = 800_000 + (away as usize * 10_000 + n * 1000 + i) as u64;
-                    let (value, want) = awaited(own).swap_remove(i);
-                    let mut s = good(own);
+                    let own = 800_000 + (state_unavailable as usize * 10_000 + n * 1000 + i) as u64;
+                    let (value, want) = awaits_cases(own).swap_remove(i);
+                    let mut s = valid_job(own);
                     if let Some(v) = &value {
                         s["awaits"] = v.clone();
                     }
-                    let (got, _) = ask(&mut w, n, "POST", "/submissions", &s.to_string());
-                    if got != want && !(away && got == 503) {
+                    let (got, _) = send(&mut w, n, "POST", "/submissions", &s.to_string());
+                    if got != want && !(state_unavailable && got == 503) {
                         let value = value.map_or(String::new(), |v| v.to_string().chars().take(60).collect());
                         failed.push(format!(
-                            "{value} at {n}, state service unavailable {away}: {got}, not {want}"
+                            "{value} at {n}, state service unavailable {state_unavailable}: {got}, not {want}"
                         ));
                     } else if got == 201 {
                         accepted.push((own, value));
@@ -304,14 +306,14 @@
             }
         }
         w.state.recover(w.now);
-        w.run(w.now + w.size.cancel);
+        w.run(w.now + w.size.cancel_timeout);
         // A job that waits for a cancelled job is cancelled; a job that waits for others is queued.
         for (own, value) in accepted {
             let text = value.map_or(String::new(), |v| v.to_string());
             for n in 0..nodes {
-                let (got, stage) = ask(&mut w, n, "GET", &format!("/submissions/{}", name(own)), "");
+                let (got, stage) = send(&mut w, n, "GET", &format!("/submissions/{}", name(own)), "");
                 let want = if text.contains(&name(ABORTED)) { "aborted" } else { "queued" };
-                let waits = text.contains(&name(OPEN)) || want == "aborted";
+                let waits = text.contains(&name(ACTIVE)) || want == "aborted";
                 if got != 200 || waits && stage.as_deref() != Some(want) {
                     let text: String = text.chars().take(60).collect();
                     failed.push(format!("{text} at {n}: {got} {stage:?}, not {want}"));
@@ -324,21 +326,21 @@
 
 /// A job accepted at one controller may be named at another one immediately afterwards.
 #[test]
-fn a_job_accepted_a_moment_ago_is_known_to_all() {
+fn a_newly_accepted_job_is_known_to_all_controllers() {
     for nodes in [3, 7] {
-        let mut w = with_known(Size { nodes, ..SMALL });
+        let mut w = world_with_known_jobs(Size { nodes, ..SMALL });
         let mut failed = Vec::new();
-        let mut before = OPEN;
+        let mut before = ACTIVE;
         for i in 0..60 {
             let (own, n) = (800_000 + i, (i as usize * 5 + 1) % nodes);
-            let mut s = good(own);
+            let mut s = valid_job(own);
             s["awaits"] = names(&[before, ABORTED][..1 + (i == 59) as usize]);
             if i % 10 == 9 {
                 w.state.forget();
             }
             let mut got = 503;
             for _ in 0..10 {
-                got = ask(&mut w, n, "POST", "/submissions", &s.to_string()).0;
+                got = send(&mut w, n, "POST", "/submissions", &s.to_string()).0;
                 if got != 503 {
                     break;
                 }
@@ -357,55 +359,55 @@
 /// few writes per transaction not all of them fit: such a job is refused at every controller, and
 /// nothing of it is stored.
 #[test]
-fn a_job_may_wait_for_thousands() {
-    let roomy = Size { changes: 400.0, ..SMALL };
-    let tight = Size { value_kb: 2.0, changes_at_once: 4, ..roomy };
+fn a_job_may_wait_for_thousands_of_jobs() {
+    let roomy = Size { writes_per_s: 400.0, ..SMALL };
+    let tight = Size { max_value_kib: 2.0, max_txn_writes: 4, ..roomy };
     // (limits of the state service, number of awaited jobs, accepted)
-    let cases = [(roomy, MOST_NAMES, true), (tight, 600, true), (tight, MOST_NAMES, false)];
+    let cases = [(roomy, MAX_NAMES, true), (tight, 600, true), (tight, MAX_NAMES, false)];
     for (size, count, accepted) in cases {
-        let what = format!("{count} in {} KiB, {} at once", size.value_kb, size.changes_at_once);
-        let mut w = with_known(size);
+        let what = format!("{count} in {} KiB, {} at once", size.max_value_kib, size.max_txn_writes);
+        let mut w = world_with_known_jobs(size);
         for i in 0..count {
-            let mut s = good(100_000 + i);
-            s["awaits"] = names(&[OPEN]);
+            let mut s = valid_job(100_000 + i);
+            s["awaits"] = names(&[ACTIVE]);
             w.request(
                 (i % 3) as usize,
                 "POST",
                 "/submissions".into(),
                 s.to_string().into_bytes(),
-                Asker::Odd,
+                Requester::Direct,
             );
             if i % 50 == 49 {
                 w.run(w.now + 200 * MS);
             }
         }
         w.run(w.now + 5 * S);
-        let of: Vec<u64> = (0..count).map(|i| 100_000 + i).collect();
-        let mut s = good(800_000);
-        s["awaits"] = names(&of);
+        let jobs: Vec<u64> = (0..count).map(|i| 100_000 + i).collect();
+        let mut s = valid_job(800_000);
+        s["awaits"] = names(&jobs);
         let path = format!("/submissions/{}", name(800_000));
         if !accepted {
             for n in 0..3 {
-                assert_eq!(ask(&mut w, n, "POST", "/submissions", &s.to_string()).0, 400, "{what}, at {n}");
-                assert_eq!(ask(&mut w, n, "GET", &path, "").0, 404, "{what}, at {n}");
+                assert_eq!(send(&mut w, n, "POST", "/submissions", &s.to_string()).0, 400, "{what}, at {n}");
+                assert_eq!(send(&mut w, n, "GET", &path, "").0, 404, "{what}, at {n}");
             }
             continue;
         }
-        let (got, stage) = ask(&mut w, 1, "POST", "/submissions", &s.to_string());
+        let (got, stage) = send(&mut w, 1, "POST", "/submissions", &s.to_string());
         assert_eq!((got, stage.as_deref()), (201, Some("queued")), "{what}");
         let everywhere = |w: &mut World, want: &str| {
             for n in 0..3 {
-                let got = ask(w, n, "GET", &path, "");
+                let got = send(w, n, "GET", &path, "");
                 assert_eq!(got, (200, Some(want.to_owned())), "{what}, at {n}");
             }
         };
         everywhere(&mut w, "queued");
-        (0..3).for_each(|n| w.end_process(n, 100 * MS));
+        (0..3).for_each(|n| w.terminate(n, 100 * MS));
         w.run(w.now + 30 * S);
         everywhere(&mut w, "queued");
-        let (got, _) = ask(&mut w, 2, "POST", &format!("/submissions/{}/abort", name(OPEN)), "");
+        let (got, _) = send(&mut w, 2, "POST", &format!("/submissions/{}/abort", name(ACTIVE)), "");
         assert_eq!(got, 200, "{what}");
-        w.run(w.now + w.size.cancel);
+        w.run(w.now + w.size.cancel_timeout);
         everywhere(&mut w, "aborted");
     }
 }
--- a/tests/world/scenes.rs
+++ b/tests/world/scenarios.rs
@@ -6,7 +6,7 @@
 /// The controllers that an action affects: the leader at the start of the scenario, others by their
 /// offset from it, those of a zone, or all.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Who {
+pub enum Controllers {
     Leader,
     Other(usize),
     /// The controllers of a zone.
@@ -14,78 +14,78 @@
     West,
     All,
 }
-use Who::*;
+use Controllers::*;
 
 /// What happens at a set time of a scenario. Lengths are in thousandths of the time that a
 /// cancellation may take.
 #[derive(Debug, Clone, Copy)]
-pub enum Act {
+pub enum Action {
     /// The state service refuses these controllers.
-    Refused(Who, u64),
+    RefusedByState(Controllers, u64),
     /// The state service is unavailable to all controllers.
-    Away(u64),
+    StateOutage(u64),
     /// Users cancel every second job at these controllers.
-    Cancel(Who),
+    Cancel(Controllers),
     /// The processes exit, and restart after this time.
-    End(Who, u64),
+    Terminate(Controllers, u64),
     /// The controllers lose the other controllers and the state service.
-    Alone(Who, u64),
+    Isolated(Controllers, u64),
     /// Every third machine is partitioned from all controllers.
-    MachinesCut(u64),
+    MachinesPartitioned(u64),
     /// Every third machine hangs.
     MachinesHang(u64),
     /// Every third machine receives nothing.
-    MachinesDeaf(u64),
+    MachinesUnreachable(u64),
     /// The cloud is unavailable.
-    CloudAway(u64),
+    CloudOutage(u64),
     /// Every third machine cannot send to any controller, while direct commands reach it.
-    MachinesMute(u64),
+    MachinesCannotSend(u64),
     /// Direct commands to every third machine are delayed until the end of this time, and then
     /// arrive.
-    CommandsHeld(u64),
+    CommandsDelayed(u64),
     /// Users cancel every second job at these controllers, and up to eight of the machines that run
     /// their tasks hang for this time.
-    CancelAndHang(Who, u64),
+    CancelAndHang(Controllers, u64),
     /// The processes are paused, and then handle everything that arrived.
-    Freeze(Who, u64),
+    Pause(Controllers, u64),
     /// Their writes to the state service are carried out; the answers are lost.
-    AnswersLost(Who, u64),
+    AnswersLost(Controllers, u64),
     /// Every third transaction, of any controller, gets no answer and is carried out 2 to 12 s
     /// later, after newer ones.
-    LateWrites(u64),
+    DelayedWrites(u64),
     /// The same for every second transaction that writes a job's end or cancellation.
-    LateEnds(u64),
+    DelayedEndRecords(u64),
     /// The leader exits and restarts at once, this many times, 2.9 s apart.
-    Changes(u64),
+    LeaderChanges(u64),
     /// The next leader exits this many milliseconds after its election and stays down; as long
     /// again after that the state service becomes unavailable, for as long as a cancellation may
     /// take.
-    NextEnds(u64),
+    NextLeaderTerminates(u64),
     /// The state service drops its change history: every controller reads the state again.
-    Forgotten,
+    HistoryDropped,
     /// Users submit twelve jobs of two short tasks, some of them bound to a zone.
     Submit,
     /// Whatever ends in this time is cancelled, polled and submitted again in the same moment.
     CancelAtEnd(u64),
     /// Users send rapid requests for this time.
-    Looks(u64),
+    RapidRequests(u64),
     /// All machines hang.
-    AllHang(u64),
+    AllMachinesHang(u64),
     /// The zones cannot reach each other.
-    ZonesCut(u64),
+    ZonesPartitioned(u64),
     /// A copy of reports (up to 500) is kept for the next leader, and arrives as its leadership
     /// begins.
-    KeepReports,
+    ReplayReports,
     /// From now on machines boot within a second of their rental; every third machine is deleted.
-    MachinesRenewed,
+    MachinesReplaced,
 }
-use Act::*;
+use Action::*;
 
 pub const NEVER: u64 = 100_000;
 
 /// Workload of a scenario.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Work {
+pub enum Workload {
     /// Services, and arrays with and without placement constraints.
     Mixed,
     /// Jobs of one task each.
@@ -96,42 +96,50 @@
     AtLimit,
 }
 
-impl Work {
+impl Workload {
     /// Number of jobs, of which every second one is cancelled, and smallest number of running
     /// tasks.
     fn size(self) -> (usize, usize) {
         match self {
-            Work::Mixed => (16, 60),
-            Work::Single => (24, 20),
-            Work::Hundreds => (4, 150),
-            Work::AtLimit => (10, 4),
+            Workload::Mixed => (16, 60),
+            Workload::Single => (24, 20),
+            Workload::Hundreds => (4, 150),
+            Workload::AtLimit => (10, 4),
         }
     }
 }
 
 /// A simulation with long jobs, most of them running after a minute; no other jobs come.
-pub fn long_jobs(seed: u64, nodes: usize, work: Work) -> World {
-    long_jobs_reporting(seed, nodes, work, SMALL.report)
+pub fn long_jobs(seed: u64, nodes: usize, workload: Workload) -> World {
+    long_jobs_reporting(seed, nodes, workload, SMALL.report_interval)
 }
 
 /// The same with this interval between workers' reports, in microseconds.
-pub fn long_jobs_reporting(seed: u64, nodes: usize, work: Work, report: u64) -> World {
-    logs();
-    let size = Size { nodes, room: [20, 20], jobs: 0, busy_until: 0, ends: 600 * S, oncall: true, ..SMALL };
-    let size = Size { report, ..size };
-    let size = if work == Work::Mixed { Size { room: [20, 10], ..size } } else { size };
+pub fn long_jobs_reporting(seed: u64, nodes: usize, workload: Workload, report_interval: u64) -> World {
+    start_logger();
+    let size = Size {
+        nodes,
+        capacity: [20, 20],
+        jobs: 0,
+        busy_until: 0,
+        ends: 600 * S,
+        partial_failures: true,
+        ..SMALL
+    };
+    let size = Size { report_interval, ..size };
+    let size = if workload == Workload::Mixed { Size { capacity: [20, 10], ..size } } else { size };
     let mut w = World::new(seed, true, size);
-    for j in 0..work.size().0 {
-        let service = j % 4 == 0 && work != Work::Hundreds;
+    for j in 0..workload.size().0 {
+        let service = j % 4 == 0 && workload != Workload::Hundreds;
         // Gangs run in one place; of the other jobs some must be spread over the zones.
-        let gang = j % 4 == 1 && work == Work::Mixed;
-        let spread = j % 4 == 2 && work == Work::Mixed;
-        let (tasks, cpus) = match work {
-            Work::Mixed => (if service { 3 } else { 5 }, 2.0),
-            Work::Single | Work::AtLimit => (1, 2.0),
-            Work::Hundreds => (100, 0.5),
+        let gang = j % 4 == 1 && workload == Workload::Mixed;
+        let spread = j % 4 == 2 && workload == Workload::Mixed;
+        let (tasks, cpus) = match workload {
+            Workload::Mixed => (if service { 3 } else { 5 }, 2.0),
+            Workload::Single | Workload::AtLimit => (1, 2.0),
+            Workload::Hundreds => (100, 0.5),
         };
-        let team = if work == Work::AtLimit { "tight" } else { "free" };
+        let team = if workload == Workload::AtLimit { "tight" } else { "free" };
         let body = json!({"ref": format!("j-{j:06}"), "lot": "long", "crew": team,
             "manner": if service { "standing" } else { "array" },
             "rank": if service { "prod" } else { "standard" }, "pieces": tasks, "cpus": cpus, "gpus": 0.0,
@@ -142,41 +150,45 @@
         w.jobs.push(Job { spread, ..job });
     }
     w.run(60 * S);
-    w.oncall.over_at = u64::MAX;
+    w.partial_failures.faults_end_at = u64::MAX;
     w
 }
 
 /// Faults that only scenarios inject, and what is recorded of cancellations.
 #[derive(Default)]
-pub struct Faults {
-    mute: BTreeMap<String, u64>,
-    held: BTreeMap<String, u64>,
-    pub frozen_until: Vec<u64>,
-    lost_until: Vec<u64>,
-    late_until: u64,
+pub struct ScenarioFaults {
+    cannot_send_until: BTreeMap<String, u64>,
+    commands_delayed_until: BTreeMap<String, u64>,
+    pub paused_until: Vec<u64>,
+    answers_lost_until: Vec<u64>,
+    writes_delayed_until: u64,
     /// Records of job ends are written late until then.
-    pub late_ends_until: u64,
+    pub end_records_delayed_until: u64,
     /// Reports kept for the next leader.
-    keep: Option<Vec<Vec<u8>>>,
+    kept_reports: Option<Vec<Vec<u8>>>,
     /// Incarnation number of the leader at the start of the scenario.
     pub first_leader: Option<u64>,
     pub fast_boots: bool,
-    next_ends: Option<u64>,
-    pub cancel_at_end: u64,
+    next_leader_lifetime: Option<u64>,
+    pub cancel_at_end_until: u64,
     /// Tasks that ran at the start of the scenario, and users with a confirmed cancellation before
     /// the first outage.
     running: usize,
-    told_before: Option<usize>,
+    confirmed_before_outage: Option<usize>,
     /// Jobs that a controller has reported as cancelled.
     pub confirmed: BTreeSet<usize>,
     /// Starts of cancelled tasks after the confirmation to their users; their orders left before
     /// it.
-    pub late_starts: usize,
+    pub starts_after_confirmation: usize,
 }
 
-impl Faults {
+impl ScenarioFaults {
     pub fn new(nodes: usize) -> Self {
-        Faults { frozen_until: vec![0; nodes], lost_until: vec![0; nodes], ..Faults::default() }
+        ScenarioFaults {
+            paused_until: vec![0; nodes],
+            answers_lost_until: vec![0; nodes],
+            ..ScenarioFaults::default()
+        }
     }
 }
 
@@ -190,18 +202,18 @@
 impl World {
     /// Checks an answer that leaves a controller. From the first answer to a user that a job is
     /// cancelled, no controller may order a start of it.
-    pub fn answer_leaves(&mut self, n: usize, id: RequestId, status: u16, body: &[u8]) {
-        self.compare(n, id, status, body);
+    pub fn check_outgoing_answer(&mut self, n: usize, id: RequestId, status: u16, body: &[u8]) {
+        self.check_answer_order(n, id, status, body);
         self.check_waiting(n, id, status, body);
-        match self.asked.get(&id) {
-            Some(Asker::Abort(j) | Asker::Poll(j) | Asker::Submit(j)) if status == 200 => {
+        match self.pending_requests.get(&id) {
+            Some(Requester::Abort(j) | Requester::Poll(j) | Requester::Submit(j)) if status == 200 => {
                 let v: Value = serde_json::from_slice(body).unwrap();
                 if v["stage"] == "aborted" {
                     let j = *j;
                     self.note_confirmed(j);
                 }
             }
-            Some(Asker::Worker(..)) if status == 200 => {
+            Some(Requester::Worker(..)) if status == 200 => {
                 let a: CheckinAnswer = serde_json::from_slice(body).unwrap();
                 self.check_orders(n, &a.orders);
             }
@@ -210,69 +222,70 @@
     }
 
     pub fn check_orders(&mut self, n: usize, orders: &[gorseshore_protocol::workers::Order]) {
-        for o in orders.iter().filter(|o| o.verb == "run" && own(&o.piece).is_none()) {
+        for o in orders.iter().filter(|o| o.verb == "run" && nomad_task(&o.piece).is_none()) {
             if self.faults.confirmed.contains(&Self::job_of(&o.piece).0) {
-                self.break_rule("ordered_cancelled", format!("{} by controller {n}", o.piece));
+                self.report_violation("ordered_cancelled", format!("{} by controller {n}", o.piece));
             }
             if let Some(needed) = self.first_unfinished(Self::job_of(&o.piece).0) {
                 let what = format!("{} by controller {n} before job {needed} is done", o.piece);
-                self.break_rule("ordered_early", what);
+                self.report_violation("ordered_early", what);
             }
         }
     }
 
     /// How much later than usual a call arrives, and whether its answer reaches the controller.
-    pub fn held_up(&mut self, n: usize, call: &Call) -> (u64, bool) {
+    pub fn call_delay(&mut self, n: usize, call: &Call) -> (u64, bool) {
         let now = self.now;
         match &call.target {
             Target::Worker(addr) => {
-                let until = self.faults.held.get(addr).copied().unwrap_or(0);
+                let until = self.faults.commands_delayed_until.get(addr).copied().unwrap_or(0);
                 (until.saturating_sub(now), true)
             }
             Target::State if call.method == "POST" => {
-                if self.faults.late_until > now && call.path == "/multi" && self.rng.u32(0..3) == 0 {
+                if self.faults.writes_delayed_until > now && call.path == "/multi" && self.rng.u32(0..3) == 0
+                {
                     return (self.rng.u64(2 * S..12 * S), false);
                 }
-                if self.faults.late_ends_until > now && writes_end(&call.body) && self.rng.bool() {
+                if self.faults.end_records_delayed_until > now && writes_end(&call.body) && self.rng.bool() {
                     return (self.rng.u64(2 * S..12 * S), false);
                 }
-                (0, self.faults.lost_until[n] <= now)
+                (0, self.faults.answers_lost_until[n] <= now)
             }
             _ => (0, true),
         }
     }
 
-    pub fn is_mute(&self, name: &str) -> bool {
-        self.faults.mute.get(name).is_some_and(|t| *t > self.now)
+    pub fn cannot_send(&self, name: &str) -> bool {
+        self.faults.cannot_send_until.get(name).is_some_and(|t| *t > self.now)
     }
 
     /// Keeps a copy of a report that leaves a machine, if copies are kept.
     pub fn keep_report(&mut self, body: &[u8]) {
-        if let Some(kept) = self.faults.keep.as_mut().filter(|k| k.len() < 500) {
+        if let Some(kept) = self.faults.kept_reports.as_mut().filter(|k| k.len() < 500) {
             kept.push(body.to_vec());
         }
     }
 
     /// The leader exits and restarts at once.
-    pub fn end_leader(&mut self) {
+    pub fn restart_leader(&mut self) {
         if let Some(n) = self.nodes.iter().position(|n| n.as_ref().is_some_and(|n| n.leads())) {
-            self.end_process(n, 100 * MS);
+            self.terminate(n, 100 * MS);
         }
     }
 
     /// Carries out what is scheduled for a new leader, if this controller is one.
-    pub fn new_leader(&mut self, n: usize) {
+    pub fn act_on_new_leader(&mut self, n: usize) {
         let leads = self.nodes[n].as_ref().is_some_and(|n| n.leads());
         if !leads || self.faults.first_leader == Some(self.incarnations[n]) {
             return;
         }
-        if let Some(after) = self.faults.next_ends.take() {
-            self.at(after, Event::EndForGood(n));
+        if let Some(after) = self.faults.next_leader_lifetime.take() {
+            self.at(after, Event::StopController(n));
             self.at(2 * after, Event::Outage);
         }
-        for body in self.faults.keep.take().unwrap_or_default() {
+        for body in self.faults.kept_reports.take().unwrap_or_default() {
             let d = self.delay();
-            self.at(d, Event::Copy(n, "POST", "/checkin".into(), body));
+            self.at(d, Event::Duplicate(n, "POST", "/checkin".into(), body));
         }
     }
 
@@ -281,61 +294,62 @@
     }
 
     /// The process exits now and restarts after `back`.
-    pub fn end_process(&mut self, n: usize, back: u64) {
+    pub fn terminate(&mut self, n: usize, back: u64) {
         if self.nodes[n].take().is_some() {
             self.watches.retain(|w| w.node != n);
             self.at(back, Event::Restart(n));
         }
     }
 
-    pub fn act(&mut self, leader: usize, act: Act) {
+    pub fn perform(&mut self, leader: usize, action: Action) {
         let nodes = self.size.nodes;
-        let who = |w: Who| match w {
+        let controllers = |w: Controllers| match w {
             Leader => vec![leader],
             Other(i) => vec![(leader + i) % nodes],
-            East => (0..nodes).filter(|n| node_zone(*n) == "east").collect(),
-            West => (0..nodes).filter(|n| node_zone(*n) == "west").collect(),
+            East => (0..nodes).filter(|n| controller_zone(*n) == "east").collect(),
+            West => (0..nodes).filter(|n| controller_zone(*n) == "west").collect(),
             All => (0..nodes).collect(),
         };
-        let (now, cancel) = (self.now, self.size.cancel);
-        let until = |l: u64| now + l * cancel / 1000;
+        let (now, cancel_timeout) = (self.now, self.size.cancel_timeout);
+        let until = |l: u64| now + l * cancel_timeout / 1000;
         let third: Vec<String> = self.machines.keys().step_by(3).cloned().collect();
-        match act {
-            Refused(w, l) => {
+        match action {
+            RefusedByState(w, l) => {
                 let t = until(l);
-                who(w).into_iter().for_each(|n| self.refused_until[n] = t);
+                controllers(w).into_iter().for_each(|n| self.state_refused_until[n] = t);
             }
-            Away(l) => {
+            StateOutage(l) => {
                 self.state.down = true;
-                self.at(l * self.size.cancel / 1000, Event::Heal);
+                self.at(l * self.size.cancel_timeout / 1000, Event::StateServiceRecovers);
             }
             Cancel(w) => {
                 for j in (0..self.jobs.len()).step_by(2) {
                     // An answer in flight to a user may be overtaken by the answer to the
                     // cancellation: a user with a pending request cancels after its answer.
-                    let waits = |a: &Asker| matches!(a, Asker::Poll(k) | Asker::Submit(k) if *k == j);
-                    if self.asked.values().any(waits) || !self.jobs[j].accepted {
+                    let waits =
+                        |a: &Requester| matches!(a, Requester::Poll(k) | Requester::Submit(k) if *k == j);
+                    if self.pending_requests.values().any(waits) || !self.jobs[j].accepted {
                         self.jobs[j].abort_at = self.now;
                         continue;
                     }
                     let job = &mut self.jobs[j];
-                    (job.abort_asked, job.abort_at) = (true, self.now);
-                    job.next_try = self.now + S;
+                    (job.abort_requested, job.abort_at) = (true, self.now);
+                    job.next_request_at = self.now + S;
                     let path = format!("/submissions/j-{j:06}/abort");
-                    for n in who(w) {
-                        self.request(n, "POST", path.clone(), Vec::new(), Asker::Abort(j));
+                    for n in controllers(w) {
+                        self.request(n, "POST", path.clone(), Vec::new(), Requester::Abort(j));
                     }
                 }
             }
-            End(w, l) => {
-                let back = l * self.size.cancel / 1000;
-                who(w).into_iter().for_each(|n| self.end_process(n, back.max(100 * MS)));
+            Terminate(w, l) => {
+                let back = l * self.size.cancel_timeout / 1000;
+                controllers(w).into_iter().for_each(|n| self.terminate(n, back.max(100 * MS)));
             }
-            Alone(w, l) => {
+            Isolated(w, l) => {
                 let t = until(l);
-                who(w).into_iter().for_each(|n| self.oncall.alone_until[n] = t);
+                controllers(w).into_iter().for_each(|n| self.partial_failures.isolated_until[n] = t);
             }
-            MachinesCut(l) => {
+            MachinesPartitioned(l) => {
                 let t = until(l);
                 third.iter().for_each(|m| self.machines.get_mut(m).unwrap().cut_until = t);
             }
@@ -343,55 +357,55 @@
                 let t = until(l);
                 third.iter().for_each(|m| self.machines.get_mut(m).unwrap().hung_until = t);
             }
-            MachinesDeaf(l) => {
-                let length = l * self.size.cancel / 1000;
-                third.iter().for_each(|m| self.make_deaf(m, length));
+            MachinesUnreachable(l) => {
+                let length = l * self.size.cancel_timeout / 1000;
+                third.iter().for_each(|m| self.make_unreachable(m, length));
             }
-            CloudAway(l) => self.cloud_down_until = until(l),
-            MachinesMute(l) => {
+            CloudOutage(l) => self.cloud_down_until = until(l),
+            MachinesCannotSend(l) => {
                 let t = until(l);
                 third.into_iter().for_each(|m| {
-                    self.faults.mute.insert(m, t);
+                    self.faults.cannot_send_until.insert(m, t);
                 });
             }
-            CommandsHeld(l) => {
+            CommandsDelayed(l) => {
                 let t = until(l);
                 third.into_iter().for_each(|m| {
-                    self.faults.held.insert(m, t);
+                    self.faults.commands_delayed_until.insert(m, t);
                 });
             }
             CancelAndHang(w, l) => {
-                self.act(leader, Cancel(w));
+                self.perform(leader, Cancel(w));
                 let t = until(l);
                 let cancelled = |t: &worker::Task| t.on() && Self::job_of(&t.name).0.is_multiple_of(2);
                 let theirs = self.machines.values_mut().filter(|m| m.tasks.iter().any(cancelled));
                 theirs.take(8).for_each(|m| m.hung_until = t);
             }
-            Freeze(w, l) => {
+            Pause(w, l) => {
                 let t = until(l);
-                who(w).into_iter().for_each(|n| self.faults.frozen_until[n] = t);
+                controllers(w).into_iter().for_each(|n| self.faults.paused_until[n] = t);
             }
             AnswersLost(w, l) => {
                 let t = until(l);
-                who(w).into_iter().for_each(|n| self.faults.lost_until[n] = t);
+                controllers(w).into_iter().for_each(|n| self.faults.answers_lost_until[n] = t);
             }
-            LateWrites(l) => self.faults.late_until = until(l),
-            LateEnds(l) => self.faults.late_ends_until = until(l),
-            Changes(times) => {
-                (0..times).for_each(|i| self.at(i * 2900 * MS, Event::EndLeader));
+            DelayedWrites(l) => self.faults.writes_delayed_until = until(l),
+            DelayedEndRecords(l) => self.faults.end_records_delayed_until = until(l),
+            LeaderChanges(times) => {
+                (0..times).for_each(|i| self.at(i * 2900 * MS, Event::RestartLeader));
             }
-            Forgotten => self.state.forget(),
+            HistoryDropped => self.state.forget(),
             Submit => (0..12).for_each(|_| self.short_job()),
-            CancelAtEnd(l) => self.faults.cancel_at_end = until(l),
-            Looks(l) => self.looks.until = until(l),
-            ZonesCut(l) => self.zones_cut_until = until(l),
-            NextEnds(ms) => self.faults.next_ends = Some(ms * MS),
-            AllHang(l) => {
+            CancelAtEnd(l) => self.faults.cancel_at_end_until = until(l),
+            RapidRequests(l) => self.consistency.rapid_requests_until = until(l),
+            ZonesPartitioned(l) => self.zones_partitioned_until = until(l),
+            NextLeaderTerminates(ms) => self.faults.next_leader_lifetime = Some(ms * MS),
+            AllMachinesHang(l) => {
                 let t = until(l);
                 self.machines.values_mut().for_each(|m| m.hung_until = t);
             }
-            KeepReports => self.faults.keep = Some(Vec::new()),
-            MachinesRenewed => {
+            ReplayReports => self.faults.kept_reports = Some(Vec::new()),
+            MachinesReplaced => {
                 self.faults.fast_boots = true;
                 third.iter().for_each(|m| drop(self.machines.remove(m)));
             }
@@ -407,7 +421,7 @@
             "image_gb": 0.4, "builds": null, "yard": zone, "same_place": gang, "apart": false,
             "loaners": false, "guess_s": 3.0, "mark_s": 0.0, "stow_s": 0.0, "due_s": null});
         let job = Job::new(body, "free", false, 2, 0.5, 1500 * MS);
-        self.jobs.push(Job { later_us: 1200 * MS, zone, ..job });
+        self.jobs.push(Job { run_us_step: 1200 * MS, zone, ..job });
     }
 
     /// Number of tasks that run on machines.
@@ -416,110 +430,111 @@
     }
 
     /// Number of jobs that were reported cancelled to their users.
-    fn told(&self) -> usize {
+    fn reported_cancellations(&self) -> usize {
         self.jobs.iter().filter(|j| j.aborted_at.is_some()).count()
     }
 }
 
 /// Actions, and what is expected of them beside the invariants.
-pub struct Scene {
+pub struct Scenario {
     pub name: &'static str,
     /// Actions with their times in milliseconds from the start.
-    pub acts: &'static [(u64, Act)],
+    pub actions: &'static [(u64, Action)],
     /// Users must receive confirmed cancellations before the state service becomes unavailable.
-    pub told: bool,
+    pub expect_confirmed: bool,
     /// All machines can be reached, so that none with tasks on it may be deleted.
-    pub spares: bool,
+    pub expect_no_deletions: bool,
 }
 
 /// Runs a scenario's actions and the time after them.
-pub fn play(acts: &[(u64, Act)], seed: u64, nodes: usize, work: Work) -> World {
-    let mut w = long_jobs(seed, nodes, work);
+pub fn simulate(actions: &[(u64, Action)], seed: u64, nodes: usize, workload: Workload) -> World {
+    let mut w = long_jobs(seed, nodes, workload);
     let (from, leader) = (w.now, w.leader());
     w.faults.first_leader = Some(w.incarnations[leader]);
     w.faults.running = w.running();
-    for (at, act) in acts {
+    for (at, action) in actions {
         w.run(from + at * MS);
-        if matches!(act, Away(_)) {
-            let told = w.told();
-            w.faults.told_before.get_or_insert(told);
+        if matches!(action, StateOutage(_)) {
+            let reported = w.reported_cancellations();
+            w.faults.confirmed_before_outage.get_or_insert(reported);
         }
-        w.act(leader, *act);
+        w.perform(leader, *action);
     }
-    w.run(from + 4 * w.size.cancel);
-    w.oncall.over_at = w.now;
-    w.run(w.now + 3 * w.size.cancel);
+    w.run(from + 4 * w.size.cancel_timeout);
+    w.partial_failures.faults_end_at = w.now;
+    w.run(w.now + 3 * w.size.cancel_timeout);
     w
 }
 
 /// Runs a scenario and returns what was wrong.
-fn play_scene(scene: &Scene, seed: u64, nodes: usize, work: Work) -> Vec<String> {
-    let w = play(scene.acts, seed, nodes, work);
+fn run_scenario(scenario: &Scenario, seed: u64, nodes: usize, workload: Workload) -> Vec<String> {
+    let w = simulate(scenario.actions, seed, nodes, workload);
     let mut bad = Vec::new();
-    let (jobs, least) = work.size();
+    let (jobs, least) = workload.size();
     if w.faults.running < least {
         bad.push(format!("only {} tasks run at the start", w.faults.running));
     }
-    bad.extend(w.broken.clone());
-    let told = w.faults.told_before.unwrap_or(0);
-    if scene.told && told < 6 {
+    bad.extend(w.violations.clone());
+    let reported = w.faults.confirmed_before_outage.unwrap_or(0);
+    if scenario.expect_confirmed && reported < 6 {
         bad.push(format!(
-            "{told} users received a confirmed cancellation before the state service was unavailable"
+            "{reported} users received a confirmed cancellation before the state service was unavailable"
         ));
     }
     // Later deletions may be scale-in, since half of the work is gone.
-    let soon = 60 * S + w.size.cancel;
-    let deleted: Vec<_> = w.oncall.deleted.iter().filter(|(t, ..)| *t < soon).collect();
-    if scene.spares && !deleted.is_empty() {
+    let soon = 60 * S + w.size.cancel_timeout;
+    let deleted: Vec<_> = w.partial_failures.deleted.iter().filter(|(t, ..)| *t < soon).collect();
+    if scenario.expect_no_deletions && !deleted.is_empty() {
         bad.push(format!("deleted with tasks on them: {deleted:?}"));
     }
-    let cancels = scene.acts.iter().any(|(_, a)| matches!(a, Cancel(_) | CancelAndHang(..)));
-    if bad.is_empty() && cancels && w.told() < jobs / 2 {
+    let cancels = scenario.actions.iter().any(|(_, a)| matches!(a, Cancel(_) | CancelAndHang(..)));
+    if bad.is_empty() && cancels && w.reported_cancellations() < jobs / 2 {
         bad.push(format!(
             "{} of {} users received their cancellations' confirmation in the end",
-            w.told(),
+            w.reported_cancellations(),
             jobs / 2
         ));
     }
     let short = |j: &&usize| w.jobs[**j].body["lot"] == "short";
-    let late = w.late();
-    let late: Vec<&usize> = late.iter().filter(short).collect();
-    if bad.is_empty() && !late.is_empty() {
-        bad.push(format!("short jobs {late:?} have not ended"));
+    let unfinished = w.unfinished_jobs();
+    let unfinished: Vec<&usize> = unfinished.iter().filter(short).collect();
+    if bad.is_empty() && !unfinished.is_empty() {
+        bad.push(format!("short jobs {unfinished:?} have not ended"));
     }
     // Jobs that the limit held back run as soon as it is proven that the cancelled tasks have
     // exited.
     let on = w.running();
-    if bad.is_empty() && work == Work::AtLimit && on < 4 {
+    if bad.is_empty() && workload == Workload::AtLimit && on < 4 {
         bad.push(format!("{on} tasks of 5 jobs run in the end, 4 are allowed"));
     }
     bad
 }
 
 /// Runs scenarios with three and seven controllers.
-pub fn play_scenes(scenes: &[Scene], works: &[Work]) {
+pub fn run_scenarios(scenarios: &[Scenario], workloads: &[Workload]) {
     let mut failed = Vec::new();
-    let mut plays = 0;
-    for scene in scenes {
-        for work in works {
+    let mut runs = 0;
+    for scenario in scenarios {
+        for workload in workloads {
             for nodes in [3, 7] {
                 for seed in seeds("MEETING_SEEDS", 0, 3) {
-                    let bad = play_scene(scene, seed, nodes, *work);
-                    plays += 1;
+                    let bad = run_scenario(scenario, seed, nodes, *workload);
+                    runs += 1;
                     if !bad.is_empty() {
-                        let what = format!("{}, {work:?}, seed {seed}, {nodes} controllers", scene.name);
+                        let what =
+                            format!("{}, {workload:?}, seed {seed}, {nodes} controllers", scenario.name);
                         failed.push(format!("{what}: {:?}", &bad[..bad.len().min(4)]));
                     }
                 }
             }
         }
     }
-    assert!(failed.is_empty(), "{} of {plays} runs failed:\n{}", failed.len(), failed.join("\n"));
+    assert!(failed.is_empty(), "{} of {runs} runs failed:\n{}", failed.len(), failed.join("\n"));
 }
 
 /// Two to four random faults around cancellations.
-pub fn random_acts(r: &mut fastrand::Rng) -> Vec<(u64, Act)> {
-    let who = |r: &mut fastrand::Rng| -> Who {
+pub fn random_actions(r: &mut fastrand::Rng) -> Vec<(u64, Action)> {
+    let controllers = |r: &mut fastrand::Rng| -> Controllers {
         match r.u32(0..4) {
             0 => Leader,
             1 => Other(1),
@@ -527,41 +542,41 @@
             _ => All,
         }
     };
-    let mut acts: Vec<(u64, Act)> = vec![(r.u64(0..6000), Cancel(who(r)))];
+    let mut actions: Vec<(u64, Action)> = vec![(r.u64(0..6000), Cancel(controllers(r)))];
     if r.bool() {
-        acts.push((r.u64(0..6000), CancelAndHang(who(r), r.u64(100..2000))));
+        actions.push((r.u64(0..6000), CancelAndHang(controllers(r), r.u64(100..2000))));
     }
     for _ in 0..r.u32(2..5) {
-        let (w, l) = (who(r), r.u64(50..2500));
-        let act = match r.u32(0..29) {
-            0 | 1 => Refused(w, l),
-            2 | 3 => Away(l.min(1500)),
-            4 | 5 => End(w, if r.bool() { 0 } else { l.min(600) }),
-            6 => Alone(w, l),
-            7 => MachinesCut(l),
+        let (w, l) = (controllers(r), r.u64(50..2500));
+        let action = match r.u32(0..29) {
+            0 | 1 => RefusedByState(w, l),
+            2 | 3 => StateOutage(l.min(1500)),
+            4 | 5 => Terminate(w, if r.bool() { 0 } else { l.min(600) }),
+            6 => Isolated(w, l),
+            7 => MachinesPartitioned(l),
             8 | 9 => MachinesHang(l),
-            10 => MachinesDeaf(l),
-            11 => CloudAway(l.min(333)),
-            12 => MachinesMute(l),
-            13 => CommandsHeld(l),
-            14 => Freeze(w, l.min(700)),
+            10 => MachinesUnreachable(l),
+            11 => CloudOutage(l.min(333)),
+            12 => MachinesCannotSend(l),
+            13 => CommandsDelayed(l),
+            14 => Pause(w, l.min(700)),
             15 => AnswersLost(w, l.min(300)),
-            16 => LateWrites(l.min(600)),
-            17 | 18 => Changes(r.u64(1..11)),
-            19 => KeepReports,
-            20 => MachinesRenewed,
-            21 => AllHang(l),
-            22 => Forgotten,
+            16 => DelayedWrites(l.min(600)),
+            17 | 18 => LeaderChanges(r.u64(1..11)),
+            19 => ReplayReports,
+            20 => MachinesReplaced,
+            21 => AllMachinesHang(l),
+            22 => HistoryDropped,
             23 => Submit,
-            24 => Looks(l),
+            24 => RapidRequests(l),
             // A zone is partitioned, with controllers of one zone that the state service refuses.
             _ => {
-                acts.push((0, ZonesCut(l + 500)));
-                if r.bool() { Refused(West, l + 500) } else { Refused(East, l + 500) }
+                actions.push((0, ZonesPartitioned(l + 500)));
+                if r.bool() { RefusedByState(West, l + 500) } else { RefusedByState(East, l + 500) }
             }
         };
-        acts.push((r.u64(0..12_000), act));
+        actions.push((r.u64(0..12_000), action));
     }
-    acts.sort_by_key(|a| a.0);
-    acts
+    actions.sort_by_key(|a| a.0);
+    actions
 }
