--- a/tests/world/consistency.rs
+++ b/tests/world/consistency.rs
@@ -156,8 +156,8 @@
 fn no_controller_reports_an_older_state() {
     // (faults, actions)
     let scenarios: [(&str, &[(u64, Action)]); 9] = [
-        ("no trouble", &[]),
-        ("the leader ends", &[(300, Terminate(Leader, 0)), (2500, Terminate(Leader, 0))]),
+        ("no fault", &[]),
+        ("the leader exits", &[(300, Terminate(Leader, 0)), (2500, Terminate(Leader, 0))]),
         ("every third write takes effect late", &[(0, DelayedWrites(400))]),
         ("answers lost, writes carried out at once", &[(0, AnswersLost(All, 150))]),
         (
--- a/tests/world/fast_restarts.rs
+++ b/tests/world/fast_restarts.rs
@@ -5,10 +5,10 @@
 use super::*;
 use gorseshore_core::peer::{incarnation_delay, incarnation_number};
 
-pub const FAST_RESTARTS: Size = Size { busy_until: 120 * S, ends: 280 * S, fast_restarts: true, ..SMALL };
+pub const FAST_RESTARTS: Size = Size { busy_until: 120 * S, end_at: 280 * S, fast_restarts: true, ..SMALL };
 /// Seven controllers that read the whole state within a tight request budget.
 const SEVEN_CONTROLLERS_FAST_RESTARTS: Size = Size { requests_per_s: 100.0, ..LARGE_FAST_RESTARTS };
-const LARGE_FAST_RESTARTS: Size = Size { busy_until: 60 * S, ends: 200 * S, fast_restarts: true, ..LARGE };
+const LARGE_FAST_RESTARTS: Size = Size { busy_until: 60 * S, end_at: 200 * S, fast_restarts: true, ..LARGE };
 
 /// Downtimes of a restarted process.
 const DOWNTIMES: [u64; 4] = [0, 20 * MS, 100 * MS, 300 * MS];
@@ -172,7 +172,7 @@
                 let there = w.nodes[n].as_ref().is_some_and(Node::in_service);
                 assert!(there || !w.violations.is_empty(), "{what}: n{n} is not back in service");
             }
-            w.run(size.ends);
+            w.run(size.end_at);
             assert!(w.violations.is_empty(), "{what}: {:?}", w.violations);
             let unfinished = w.unfinished_jobs();
             assert!(unfinished.len() <= 1, "{what}: {:?} have not ended", w.describe(&unfinished));
--- a/tests/world/fleet.rs
+++ b/tests/world/fleet.rs
@@ -20,7 +20,7 @@
     jobs: 330,
     tasks: 60,
     busy_until: 245 * S,
-    ends: 300 * S,
+    end_at: 300 * S,
     fleet: true,
     ..SMALL
 };
@@ -44,7 +44,7 @@
     max_value_kib: 16.0,
     jobs: 1_200,
     busy_until: 100 * S,
-    ends: 160 * S,
+    end_at: 160 * S,
     ..FLEET
 };
 
@@ -329,7 +329,7 @@
         let out = OUTAGE[1] - OUTAGE[0];
         for (j, job) in w.jobs.iter().enumerate().filter(|(_, j)| j.submitted) {
             let hit = within(job.submitted_at, [OUTAGE[0] - 10 * S, OUTAGE[1] + 15 * S]);
-            let took = if job.accepted { job.accepted_at } else { size.ends } - job.submitted_at;
+            let took = if job.accepted { job.accepted_at } else { size.end_at } - job.submitted_at;
             let most = 12 * S + if hit { out + 15 * S } else { 0 };
             assert!(job.accepted && took <= most, "{what}: job {j} accepted after {} s", took / S);
         }
--- a/tests/world/limits.rs
+++ b/tests/world/limits.rs
@@ -137,7 +137,7 @@
     keys.iter().for_each(|key| w.state.refuse_key(key));
     w.run(40 * S);
     assert!(w.completed > 5, "{} tasks completed in 40 s", w.completed);
-    w.run(SMALL.ends + 150 * S);
+    w.run(SMALL.end_at + 150 * S);
     assert!(w.violations.is_empty(), "{:?}", w.violations);
     let unfinished = w.unfinished_jobs();
     assert!(unfinished.is_empty(), "{:?} have not ended", w.describe(&unfinished));
--- a/tests/world/load.rs
+++ b/tests/world/load.rs
@@ -37,11 +37,11 @@
 /// Number of entries of a message that cost processing time.
 fn entries(message: &Message) -> u64 {
     let count = match message {
-        Message::Sync { machines, contacts: heard, outcomes, .. } => {
-            machines.len() + heard.len() + outcomes.len()
+        Message::Sync { machines, contacts, outcomes, .. } => {
+            machines.len() + contacts.len() + outcomes.len()
         }
-        Message::Update { block, not_in_block: elsewhere, assignments: handouts, stops, .. } => {
-            block.len() + elsewhere.len() + handouts.len() + stops.len()
+        Message::Update { block, not_in_block, assignments, stops, .. } => {
+            block.len() + not_in_block.len() + assignments.len() + stops.len()
         }
         Message::PlacementLogUpdate(page) | Message::PlacementLogSnapshot(page) => page.tasks.len(),
         _ => 0,
--- a/tests/world/lost_knowledge.rs
+++ b/tests/world/lost_knowledge.rs
@@ -75,7 +75,7 @@
 impl World {
     /// Controllers that are on record as holding a replica of the leader's placement log.
     pub fn recorded_standby_replicas(&self) -> Vec<usize> {
-        let record = self.state.value("g/books").expect("a record of witnesses");
+        let record = self.state.value("g/books").expect("a record of the standby replicas");
         let names = record["nodes"].as_array().unwrap().iter();
         names.map(|n| n[0].as_str().unwrap()[1..].parse().unwrap()).collect()
     }
@@ -100,7 +100,7 @@
                 w.perform(leader, StateOutage(1500));
                 w.run(at + 4 * w.size.cancel_timeout);
                 if let Some(violation) = w.violations.first() {
-                    failed.push(format!("{end_after} ms, away {downtime} ms, seed {seed}: {violation}"));
+                    failed.push(format!("{end_after} ms, downtime {downtime} ms, seed {seed}: {violation}"));
                 }
             }
         }
@@ -164,7 +164,7 @@
                 w.run(at + 4 * w.size.cancel_timeout);
                 if let Some(violation) = w.violations.first() {
                     let what =
-                        format!("{extra_fault:?}, away {downtime} ms, seed {seed}, {nodes} controllers");
+                        format!("{extra_fault:?}, downtime {downtime} ms, seed {seed}, {nodes} controllers");
                     failed.push(format!("{what}: {violation}"));
                 }
             }
@@ -220,10 +220,10 @@
             }
             // About as long as the state service is unavailable.
             w.run(back + 11_000 * MS);
-            let gone: Vec<&String> = machines.iter().filter(|m| !w.machines.contains_key(*m)).collect();
-            if !gone.is_empty() || !w.violations.is_empty() {
+            let deleted: Vec<&String> = machines.iter().filter(|m| !w.machines.contains_key(*m)).collect();
+            if !deleted.is_empty() || !w.violations.is_empty() {
                 let what = format!("{disturbance:?}, seed {seed}, {nodes} controllers");
-                failed.push(format!("{what}: deleted {gone:?}, broken {:?}", w.violations.first()));
+                failed.push(format!("{what}: deleted {deleted:?}, violation {:?}", w.violations.first()));
             }
         }
     }
--- a/tests/world/lost_knowledge_wide.rs
+++ b/tests/world/lost_knowledge_wide.rs
@@ -38,8 +38,8 @@
     Deaf(u64),
 }
 
-/// Parameters of a run. Times are in milliseconds, those of faults in thousandths of the time that
-/// a cancellation may take.
+/// Parameters of a run; `WIDE_FIX` names these fields. Times are in milliseconds, those of faults in
+/// thousandths of the time that a cancellation may take.
 #[derive(Clone, Copy, Debug)]
 struct Run {
     seed: u64,
@@ -186,7 +186,7 @@
 }
 
 #[test]
-#[ignore = "a tool that plays hundreds of worlds"]
+#[ignore = "a tool that runs hundreds of simulations"]
 fn hung_machines_are_deleted_after_all_log_holders_exit_with_random_parameters() {
     let threads = std::env::var("WIDE_THREADS").map_or(3, |t| t.parse().unwrap());
     let results = run_all(seeds("WIDE_SEEDS", 0, 600), threads);
--- a/tests/world/main.rs
+++ b/tests/world/main.rs
@@ -32,7 +32,9 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use worker::{Facts, Machine, Stage};
 
+/// A second in microseconds.
 const S: u64 = 1_000_000;
+/// A millisecond in microseconds.
 const MS: u64 = 1_000;
 /// Wall-clock time at the start of a simulation, in milliseconds since the Unix epoch.
 const START_WALL_MS: u64 = 1_700_000_000_000;
@@ -64,7 +66,7 @@
     tasks: u32,
     /// End of new jobs and faults, and end of the simulation.
     busy_until: u64,
-    ends: u64,
+    end_at: u64,
     /// Nomad clients register jobs beside the users.
     nomad_clients: bool,
     /// Injects the faults of the fleet tests at set times instead of random faults at random times.
@@ -97,7 +99,7 @@
     jobs: 6,
     tasks: 12,
     busy_until: 150 * S,
-    ends: 300 * S,
+    end_at: 300 * S,
     nomad_clients: false,
     fleet: false,
     fast_restarts: false,
@@ -109,7 +111,7 @@
 /// The small simulation with Nomad clients, and with values so short that one Nomad job takes
 /// several of them.
 const SMALL_WITH_NOMAD: Size =
-    Size { max_value_kib: 2.0, max_txn_writes: 8, jobs: 3, ends: 360 * S, nomad_clients: true, ..SMALL };
+    Size { max_value_kib: 2.0, max_txn_writes: 8, jobs: 3, end_at: 360 * S, nomad_clients: true, ..SMALL };
 /// Seven controllers and hundreds of machines, started from nothing with a tight write budget.
 const LARGE: Size = Size {
     nodes: 7,
@@ -120,7 +122,7 @@
     jobs: 50,
     tasks: 60,
     busy_until: 80 * S,
-    ends: 200 * S,
+    end_at: 200 * S,
     ..SMALL
 };
 
@@ -1223,14 +1225,14 @@
 
     /// Accepted arrays of the team without a limit that are neither done nor cancelled.
     fn unfinished_jobs(&self) -> Vec<usize> {
-        let late = |job: &Job| {
+        let unfinished = |job: &Job| {
             job.team == "free"
                 && !job.service
                 && job.accepted
                 && !job.reported_done
                 && job.aborted_at.is_none()
         };
-        (0..self.jobs.len()).filter(|j| late(&self.jobs[*j]) && self.had_time_to_end(*j)).collect()
+        (0..self.jobs.len()).filter(|j| unfinished(&self.jobs[*j]) && self.had_time_to_end(*j)).collect()
     }
 
     /// Describes jobs and machines for the message of a failed test.
@@ -1481,7 +1483,7 @@
     let mut w = World::new(seed, fault_free, size);
     // New jobs come for 150 s. Without faults a job that fits only a machine type without free
     // capacity gets its own machine after 90 s more, one job at a time.
-    w.run(if fault_free { size.ends + 150 * S } else { size.ends });
+    w.run(if fault_free { size.end_at + 150 * S } else { size.end_at });
     w
 }
 
@@ -1524,7 +1526,7 @@
     // given up.
     w.run(30 * S);
     assert!(w.completed > 5, "{} tasks completed in 30 s", w.completed);
-    w.run(SMALL.ends + 150 * S);
+    w.run(SMALL.end_at + 150 * S);
     assert!(w.violations.is_empty(), "{:?}", w.violations);
     let unfinished = w.unfinished_jobs();
     assert!(unfinished.is_empty(), "{:?} have not ended", w.describe(&unfinished));
@@ -1565,7 +1567,7 @@
         let unfinished = w.unfinished_jobs();
         assert!(unfinished.len() <= 1, "seed {seed}: {:?} have not ended", w.describe(&unfinished));
         println!(
-            "seed {seed}: {} machines, {} tasks at a time, {} started, {} late, {:.2} of the CPU time used",
+            "seed {seed}: {} machines, {} tasks at a time, {} started, {} unfinished, {:.2} of the CPU time used",
             w.rented_at.len(),
             w.peak_tasks,
             w.started,
--- a/tests/world/meetings.rs
+++ b/tests/world/meetings.rs
@@ -10,7 +10,7 @@
 /// controller can be elected, and the leader's workers continue to report to it.
 #[test]
 fn cancellations_confirmed_before_an_outage_reach_the_leader() {
-    let away = |expect_confirmed, name, actions| Scenario {
+    let with_outage = |expect_confirmed, name, actions| Scenario {
         name,
         actions,
         expect_confirmed,
@@ -18,22 +18,22 @@
     };
     run_scenarios(
         &[
-            away(
+            with_outage(
                 true,
                 "refused before",
                 &[(0, RefusedByState(Leader, 3000)), (500, Cancel(Other(1))), (2200, StateOutage(1300))],
             ),
-            away(
+            with_outage(
                 true,
                 "refused at",
                 &[(500, RefusedByState(Leader, 3000)), (500, Cancel(Other(1))), (2200, StateOutage(1300))],
             ),
-            away(
+            with_outage(
                 true,
                 "refused after",
                 &[(500, Cancel(Other(1))), (503, RefusedByState(Leader, 3000)), (2200, StateOutage(1300))],
             ),
-            away(
+            with_outage(
                 true,
                 "all but one refused, state service unavailable for three times as long",
                 &[
@@ -43,7 +43,7 @@
                     (2200, StateOutage(3000)),
                 ],
             ),
-            away(
+            with_outage(
                 true,
                 "the confirming controller exits right after, and restarts at once",
                 &[
@@ -53,7 +53,7 @@
                     (2250, Terminate(Other(1), 0)),
                 ],
             ),
-            away(
+            with_outage(
                 true,
                 "the leader exits, and restarts at once",
                 &[
@@ -63,12 +63,12 @@
                     (2500, Terminate(Leader, 0)),
                 ],
             ),
-            away(
+            with_outage(
                 true,
                 "the same jobs cancelled at all controllers",
                 &[(0, RefusedByState(Leader, 3000)), (500, Cancel(All)), (2200, StateOutage(1300))],
             ),
-            away(
+            with_outage(
                 false,
                 "the leader isolated from the other controllers as well",
                 &[
@@ -78,7 +78,7 @@
                     (2200, StateOutage(1300)),
                 ],
             ),
-            away(
+            with_outage(
                 true,
                 "one ends before, and is back without the state",
                 &[
@@ -88,7 +88,7 @@
                     (3700, StateOutage(1300)),
                 ],
             ),
-            away(
+            with_outage(
                 true,
                 "the leader isolated after it",
                 &[
@@ -421,7 +421,7 @@
             max_value_kib: 4.0,
             jobs: 0,
             busy_until: 0,
-            ends: 600 * S,
+            end_at: 600 * S,
             partial_failures: true,
             ..SMALL
         };
@@ -482,7 +482,7 @@
         for nodes in [3, 7] {
             for (seed, at) in (4..=11).map(|s| (s, s * S)) {
                 let size =
-                    Size { nodes, jobs: 0, busy_until: 0, ends: 600 * S, partial_failures: true, ..SMALL };
+                    Size { nodes, jobs: 0, busy_until: 0, end_at: 600 * S, partial_failures: true, ..SMALL };
                 let mut w = World::new(seed, true, size);
                 w.partial_failures.faults_end_at = u64::MAX;
                 w.run(30 * S);
--- a/tests/world/nomad.rs
+++ b/tests/world/nomad.rs
@@ -141,7 +141,7 @@
             5 if busy => Op::Stop,
             _ => Op::Poll,
         };
-        // The count may fall for a batch job too; tasks that are done stay done.
+        // Also drawn for batch jobs: a smaller count does not undo tasks that are done.
         let count = self.rng.u32(1..5);
         let image = self.rng.u32(0..2);
         let (method, path, body) = match op {
--- a/tests/world/partial_failures.rs
+++ b/tests/world/partial_failures.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeSet;
 
 pub const PARTIAL_FAILURES: Size =
-    Size { capacity: [9, 9], jobs: 8, busy_until: 150 * S, ends: 400 * S, partial_failures: true, ..SMALL };
+    Size { capacity: [9, 9], jobs: 8, busy_until: 150 * S, end_at: 400 * S, partial_failures: true, ..SMALL };
 /// Seven controllers, so that a worker that finds none available takes longer than its lease to try
 /// all of them.
 const SEVEN_CONTROLLERS_PARTIAL_FAILURES: Size = Size {
@@ -364,7 +364,7 @@
 /// A simulation without random faults in which jobs run after a minute, and no further jobs come.
 fn running_world(seed: u64, nodes: usize) -> World {
     start_logger();
-    let size = Size { nodes, busy_until: 40 * S, ends: 400 * S, jobs: 14, tasks: 9, ..PARTIAL_FAILURES };
+    let size = Size { nodes, busy_until: 40 * S, end_at: 400 * S, jobs: 14, tasks: 9, ..PARTIAL_FAILURES };
     let mut w = World::new(seed, true, size);
     w.run(60 * S);
     w.partial_failures.faults_end_at = w.now;
@@ -489,7 +489,7 @@
     run_and_count_missing(&mut w, 90);
     assert!(w.violations.iter().any(|b| b.contains(&format!("about job {j}"))), "{:?}", w.violations);
     let mut w = running_world(1, 3);
-    w.run(PARTIAL_FAILURES.ends);
+    w.run(PARTIAL_FAILURES.end_at);
     assert_eq!(w.unserved(), Vec::<String>::new());
     let accepted: Vec<usize> = (0..w.jobs.len()).filter(|j| w.jobs[*j].accepted).collect();
     let largest = accepted.iter().copied().max_by_key(|j| w.jobs[*j].tasks).unwrap();
--- a/tests/world/pipelines.rs
+++ b/tests/world/pipelines.rs
@@ -458,7 +458,7 @@
 /// the second.
 fn chain_of_three() -> World {
     start_logger();
-    let mut w = World::new(1, true, Size { jobs: 0, busy_until: 0, ends: 600 * S, ..SMALL });
+    let mut w = World::new(1, true, Size { jobs: 0, busy_until: 0, end_at: 600 * S, ..SMALL });
     w.push_stages(&[1, 1, 1], 500 * S);
     w.run(30 * S);
     w
@@ -641,7 +641,7 @@
         let mut w = World::new(
             seed,
             true,
-            Size { nodes, capacity: [20, 20], jobs: 0, ends: 600 * S, ..PARTIAL_FAILURES },
+            Size { nodes, capacity: [20, 20], jobs: 0, end_at: 600 * S, ..PARTIAL_FAILURES },
         );
         w.pipelines.stage_fault = r.bool().then_some((stage_fault, 90 * S));
         for _ in 0..5 {
@@ -724,7 +724,7 @@
         capacity: [20, 20],
         jobs: 0,
         busy_until: 0,
-        ends: 600 * S,
+        end_at: 600 * S,
         partial_failures: true,
         ..SMALL
     };
@@ -797,8 +797,8 @@
     run_pipeline_scenarios(
         &[
             scenario("no fault", &[]),
-            scenario("the leader ends", &[(0, InjectAtStageEnds(StageEndFault::LeaderRestarts, 60))]),
-            scenario("all controllers end", &[(0, InjectAtStageEnds(StageEndFault::AllRestart, 60))]),
+            scenario("the leader exits", &[(0, InjectAtStageEnds(StageEndFault::LeaderRestarts, 60))]),
+            scenario("all controllers exit", &[(0, InjectAtStageEnds(StageEndFault::AllRestart, 60))]),
             scenario("the state is read again", &[(0, InjectAtStageEnds(StageEndFault::HistoryDropped, 60))]),
             scenario(
                 "ends are written late",
@@ -810,7 +810,7 @@
             ),
             scenario("the leader is paused", &[(0, InjectAtStageEnds(StageEndFault::LeaderPaused, 60))]),
             scenario(
-                "ends are written late and the leader ends",
+                "ends are written late and the leader exits",
                 &[
                     (0, Perform(DelayedEndRecords(1500))),
                     (0, InjectAtStageEnds(StageEndFault::LeaderRestarts, 60)),
@@ -840,7 +840,7 @@
                 &[(0, CancelIn(0, Other(1))), (100, Perform(StateOutage(1300)))],
             ),
             scenario(
-                "the leader, refused by the state service, ends right after",
+                "the leader, refused by the state service, exits right after",
                 &[
                     (0, Perform(RefusedByState(Leader, 1500))),
                     (100, CancelIn(0, Other(1))),
@@ -848,7 +848,7 @@
                 ],
             ),
             scenario(
-                "all controllers end right after",
+                "all controllers exit right after",
                 &[(0, CancelIn(0, Leader)), (20, Perform(Terminate(All, 0)))],
             ),
             scenario(
@@ -879,7 +879,7 @@
     let (mut failed, mut outcomes) = (Vec::new(), [0; 2]);
     for nodes in [3, 7] {
         for seed in seeds("PIPELINE_SEEDS", 0, 8) {
-            let size = Size { nodes, capacity: [20, 20], jobs: 0, busy_until: 0, ends: 600 * S, ..SMALL };
+            let size = Size { nodes, capacity: [20, 20], jobs: 0, busy_until: 0, end_at: 600 * S, ..SMALL };
             let mut w = World::new(seed, true, size);
             let stages = w.push_stages(&[1, 2, 1], 15 * S);
             w.jobs[0].behavior.cancellation = Cancellation::AtOwnEnd;
@@ -908,7 +908,7 @@
     // Milliseconds from the cancellation to the submission.
     for (after, nodes) in [-20, -3, -1, 0, 1, 3, 20, 1000, 60_000].into_iter().flat_map(|a| [(a, 3), (a, 7)])
     {
-        let size = Size { nodes, capacity: [20, 20], jobs: 0, busy_until: 0, ends: 600 * S, ..SMALL };
+        let size = Size { nodes, capacity: [20, 20], jobs: 0, busy_until: 0, end_at: 600 * S, ..SMALL };
         let mut w = World::new(after as u64 ^ 77, true, size);
         w.push_stages(&[1, 1], 500 * S);
         w.run(20 * S);
@@ -949,7 +949,7 @@
         ("a chain of 300 and an outage", &chain, 40 * S),
         ("a fan of 1,000", &fan, 0),
     ] {
-        let size = Size { capacity: [20, 20], jobs: 0, busy_until: 0, ends: 900 * S, ..SMALL };
+        let size = Size { capacity: [20, 20], jobs: 0, busy_until: 0, end_at: 900 * S, ..SMALL };
         let mut w = World::new(5, true, size);
         let all = w.push_stages(widths, 800 * S).concat();
         // Each job is submitted as soon as the one before it is accepted.
@@ -974,7 +974,11 @@
             (0..3).for_each(|n| w.at(0, Event::UserRequest(n, consistency::UserAction::Poll, *j)));
         }
         w.run(w.now + 5 * S);
-        println!("{name}: accepted within {seconds} s, then {} of {} told cancelled", reported.2, all.len());
+        println!(
+            "{name}: accepted within {seconds} s, then {} of {} reported cancelled",
+            reported.2,
+            all.len()
+        );
         if !w.violations.is_empty() || accepted < all.len() || reported.2 < all.len() {
             let violations = &w.violations[..w.violations.len().min(3)];
             failed.push(format!("{name}: {accepted} accepted, {} cancelled; {violations:?}", reported.2));
@@ -986,7 +990,7 @@
 /// A thousand jobs wait for one job, and one job waits for the thousand.
 #[test]
 fn a_thousand_jobs_start_after_the_first_is_done() {
-    let size = Size { capacity: [30, 30], jobs: 0, busy_until: 0, ends: 900 * S, ..SMALL };
+    let size = Size { capacity: [30, 30], jobs: 0, busy_until: 0, end_at: 900 * S, ..SMALL };
     let mut w = World::new(6, true, size);
     let stages = w.push_stages(&[1, 1000, 1], 60 * S);
     w.run(400 * S);
--- a/tests/world/request_validation.rs
+++ b/tests/world/request_validation.rs
@@ -26,7 +26,7 @@
 /// A simulation without faults in which every controller has started.
 fn started_world(nodes: usize) -> World {
     start_logger();
-    let mut w = World::new(7, true, Size { nodes, jobs: 0, busy_until: 0, ends: 600 * S, ..SMALL });
+    let mut w = World::new(7, true, Size { nodes, jobs: 0, busy_until: 0, end_at: 600 * S, ..SMALL });
     w.run(20 * S);
     w
 }
@@ -255,7 +255,7 @@
 /// a service.
 fn world_with_known_jobs(size: Size) -> World {
     start_logger();
-    let mut w = World::new(7, true, Size { jobs: 0, busy_until: 0, ends: 900 * S, ..size });
+    let mut w = World::new(7, true, Size { jobs: 0, busy_until: 0, end_at: 900 * S, ..size });
     w.run(20 * S);
     for j in [ACTIVE, ABORTED, DONE] {
         assert_eq!(send(&mut w, 0, "POST", "/submissions", &valid_job(j).to_string()).0, 201);
--- a/tests/world/scenarios.rs
+++ b/tests/world/scenarios.rs
@@ -81,6 +81,7 @@
 }
 use Action::*;
 
+/// A length that outlasts every scenario.
 pub const NEVER: u64 = 100_000;
 
 /// Workload of a scenario.
@@ -122,7 +123,7 @@
         capacity: [20, 20],
         jobs: 0,
         busy_until: 0,
-        ends: 600 * S,
+        end_at: 600 * S,
         partial_failures: true,
         ..SMALL
     };
