--- a/tests/world/cancelled.rs
+++ b/tests/world/cancelled.rs
@@ -10,7 +10,7 @@
 const ALL_WORKLOADS: [Workload; 4] =
     [Workload::Mixed, Workload::Single, Workload::Hundreds, Workload::AtLimit];
 
-/// Guards against cancelled tasks left running behind a partition. The west zone is cut off with
+/// Guards against cancelled tasks left running behind a partition. The west zone is partitioned with
 /// controllers that the state service refuses: they learn of nothing, and renew their workers'
 /// leases. A zone whose reports reach no other controller is given a minute before its machines
 /// count as dead, so only the handling of the cancelled jobs ends their tasks.
--- a/tests/world/limits.rs
+++ b/tests/world/limits.rs
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Adds an array of almost 10,000 small tasks, the first of which end long before the last.
+    /// Adds an array of 8,500 to 10,000 small tasks, the first of which end long before the last.
     pub fn long_array(&mut self) {
         let j = self.jobs.len();
         let tasks = self.rng.u32(8_500..10_000);
--- a/tests/world/load.rs
+++ b/tests/world/load.rs
@@ -133,7 +133,7 @@
 const ENTRY_COST: u64 = 4 * MS;
 /// Time after the last fault from which no controller may be behind.
 const CATCH_UP_TIME: u64 = 30 * S;
-/// Largest permitted time behind: more than the work of a tick or two.
+/// Largest permitted backlog: more than the work of a tick or two.
 const MAX_BACKLOG: u64 = S / 2;
 
 /// Guards against messages that repeat everything unacknowledged, and more often the later the
--- a/tests/world/lost_knowledge.rs
+++ b/tests/world/lost_knowledge.rs
@@ -14,7 +14,7 @@
     downtime: u64,
 }
 
-/// Converts milliseconds to the unit of scenario lengths, thousandths of `cancel`.
+/// Converts milliseconds to the unit of scenario lengths, thousandths of `cancel_timeout`.
 fn share_of_cancel(ms: u64) -> u64 {
     (ms * MS * 1000).div_ceil(SMALL.cancel_timeout)
 }
--- a/tests/world/nomad.rs
+++ b/tests/world/nomad.rs
@@ -301,7 +301,7 @@
                     }
                 } else {
                     match end(g.job) {
-                        // Jobs registered within the last minute may still run.
+                        // A job that was changed within the last minute may still run.
                         None if head.at + 60_000 > self.wall_ms() => {}
                         None => faults.push(format!(
                             "{}: has not ended; {} on machines, failed {:?}, record {:?}, old {:?}",
--- a/tests/world/pipelines.rs
+++ b/tests/world/pipelines.rs
@@ -78,8 +78,8 @@
 
 // ---- invariants ---------------------------------------------------------------
 
-/// Whether a job is called queued or running longer than `cancel` after a job that it needs was
-/// reported cancelled.
+/// Whether a job is called queued or running longer than `cancel_timeout` after a job that it needs
+/// was reported cancelled.
 fn is_orphaned(stage: &str, now: u64, cancelled_from: Option<u64>, cancel_timeout: u64) -> bool {
     matches!(stage, "queued" | "running") && cancelled_from.is_some_and(|t| now > t + cancel_timeout)
 }
