--- a/crates/core/src/leader/bindings.rs
+++ b/crates/core/src/leader/bindings.rs
@@ -1,74 +1,84 @@
-//! What controllers say, and where that binds tasks.
-use super::assignments::{may_hold, next_open};
+//! Applies what controllers report, and updates where tasks are bound.
+use super::assignments::{may_hold, next_candidate};
 use super::blocks::CONTACT_TIMEOUT;
 use super::*;
 
 impl Leader {
-    /// A controller's view. Stale ones are dropped.
-    pub fn sync(&mut self, from: NodeId, incarnation: u64, view: &View<'_>, ledger: &Ledger, now: Micros) {
+    /// Applies a controller's `Sync`. A stale one is dropped.
+    pub fn apply_sync(
+        &mut self,
+        from: NodeId,
+        incarnation: u64,
+        sync: &SyncView<'_>,
+        state_replica: &Ledger,
+        now: Micros,
+    ) {
         let Some(node) = self.nodes.get_mut(from.0 as usize) else { return };
         if incarnation < node.incarnation {
-            // Held up on the way since before the node's restart.
+            // Sent before the controller restarted, and delayed in the network.
             return;
         }
         if incarnation != node.incarnation {
-            // Another process: what the last one held or was handed is in
-            // nobody's mind now. Its machines need a new grant.
+            // Another process: the block and the assignments of the earlier one are lost with
+            // it. Its machines need a new grant.
             let first = node.incarnation == 0;
-            *node = Node { incarnation, since: now, ..Node::default() };
+            *node = Node { incarnation, incarnation_since: now, ..Node::default() };
             if !first {
                 info!("controller {} restarted", from.0);
-                let stamp = self.version + 1;
+                let next_update = self.update_seq + 1;
                 for m in self.machines.values_mut().filter(|m| m.holder == Some(from)) {
                     m.last_holder = m.holder.take();
                     m.confirmed = false;
-                    m.stamp = stamp;
+                    m.changed_in = next_update;
                 }
                 self.blocks.clear();
-                self.blocks_at = Micros(0);
-                self.handouts.retain(|_, h| h.to != from);
+                self.blocks_checked_at = Micros(0);
+                self.pending_assignments.retain(|_, h| h.to != from);
             }
-            self.dirty = true;
-        } else if view.seq <= node.sync_seq {
+            self.needs_scheduling = true;
+        } else if sync.seq <= node.sync_seq {
             return;
         }
         let Some(node) = self.nodes.get_mut(from.0 as usize) else { return };
-        if view.base > node.sync_seq {
-            // It builds on one that was not taken; the next update says so.
+        if sync.base > node.sync_seq {
+            // It builds on a `Sync` that was not applied; the next update names the last one.
             return;
         }
-        node.sync_seq = view.seq;
-        node.seen = view.seen;
-        node.pacer.acknowledged(view.seen, now);
-        node.owed |= !view.machines.is_empty() || !view.outcomes.is_empty();
-        if node.heard.is_none_or(|t| now.since(t) > CONTACT_TIMEOUT) {
+        node.sync_seq = sync.seq;
+        node.acked_update = sync.acked_update;
+        node.pacer.acknowledged(sync.acked_update, now);
+        node.ack_due |= !sync.machines.is_empty() || !sync.outcomes.is_empty();
+        if node.last_contact.is_none_or(|t| now.since(t) > CONTACT_TIMEOUT) {
             node.contact_since = now;
         }
-        node.heard = Some(now);
-        for o in view.outcomes {
-            self.outcome(from, incarnation, o);
+        node.last_contact = Some(now);
+        for o in sync.outcomes {
+            self.apply_outcome(from, incarnation, o);
         }
-        for s in view.machines {
-            self.machine_state(from, s, ledger, now);
+        for s in sync.machines {
+            self.apply_machine_state(from, s, state_replica, now);
         }
-        for (id, ago, report) in view.heard {
+        for (id, ago, report) in sync.contacts {
             if let Some(m) = self.machines.get_mut(id) {
-                m.heard_at(now - *ago, from, *report);
+                m.record_contact(now - *ago, from, *report);
                 m.holder_reported_unchanged(from, now - *ago, now);
             }
         }
-        for s in view.strangers {
+        for s in sync.unleased_reports {
             if let Some(m) = self.machines.get(&s.id) {
                 let rec = m.record();
-                self.seen(from, s, &rec, &MachineSizes::new(), now);
+                self.apply_unleased_report(from, s, &rec, &MachineSizes::new(), now);
             }
         }
     }
 
-    pub(super) fn outcome(&mut self, from: NodeId, incarnation: u64, o: &AssignmentOutcome) {
-        let Some(OnItsWay { to, out: h, .. }) = self.handouts.remove(&o.attempt) else { return };
+    pub(super) fn apply_outcome(&mut self, from: NodeId, incarnation: u64, o: &AssignmentOutcome) {
+        let Some(PendingAssignment { to, assignment: h, .. }) = self.pending_assignments.remove(&o.attempt)
+        else {
+            return;
+        };
         debug_assert_eq!(to, from);
-        self.dirty = true;
+        self.needs_scheduling = true;
         if let Some(m) = self.machines.get_mut(&h.preferred_machine) {
             m.reserved.remove(&o.attempt);
         }
@@ -79,106 +89,113 @@
         {
             return;
         }
-        let Some(handed) = b.unresolved_assignment.take() else { return };
-        self.handed.remove(h.task, &handed);
+        let Some(unresolved) = b.unresolved_assignment.take() else { return };
+        self.unresolved_tasks.remove(h.task, &unresolved);
         if let Some(id) = &o.machine
-            && handed.machines.contains(id)
+            && unresolved.candidates.contains(id)
             && let Some(m) = self.machines.get_mut(id).filter(|m| may_hold(m, o.attempt))
         {
             b.reported_on.insert(id.clone());
             m.bound.insert(h.task);
             m.tasks.insert(h.task, (o.attempt, TaskState::Starting));
-            m.stale = true;
+            m.used_stale = true;
         }
-        self.books.note(h.task);
-        self.free_if_nowhere(h.task);
+        self.placement_log.record_change(h.task);
+        self.release_if_unplaced(h.task);
     }
 
-    pub(super) fn machine_state(&mut self, from: NodeId, s: &MachineState, ledger: &Ledger, now: Micros) {
+    pub(super) fn apply_machine_state(
+        &mut self,
+        from: NodeId,
+        s: &MachineState,
+        state_replica: &Ledger,
+        now: Micros,
+    ) {
         let Some(m) = self.machines.get_mut(&s.id) else { return };
-        if !self.granted {
-            // What the controllers know already is no news when it comes again.
-            m.is_news(s.last_report, from);
-            // Gathering: who held it last under the highest token is its best holder.
-            if s.fencing_token > m.baton && s.fencing_token.term() < self.term {
-                m.baton = s.fencing_token;
+        if !self.grants_started {
+            // A heartbeat that the controllers know already is not new when it comes again.
+            m.is_new_heartbeat(s.last_report, from);
+            // Before the first grants: the controller that held it under the highest token is
+            // its best holder.
+            if s.fencing_token > m.fencing_token && s.fencing_token.term() < self.term {
+                m.fencing_token = s.fencing_token;
                 m.holder = Some(from);
             }
             return;
         }
-        // That it was heard is true under any token: a holder back from a cut
-        // has not seen its newest grant, and its machines are not dead.
+        // A heartbeat counts as contact under any token: a holder that was partitioned has not
+        // received its newest grant, and its machines are not dead.
         if let Some(ago) = s.last_contact_age {
-            m.heard_at(now - ago, from, s.last_report);
+            m.record_contact(now - ago, from, s.last_report);
         }
-        if m.holder != Some(from) || m.baton != s.fencing_token {
+        if m.holder != Some(from) || m.fencing_token != s.fencing_token {
             return;
         }
-        m.warning = s.preemption_notice.map(|w| now + w);
-        m.want_baton = s.needs_new_fencing_token;
-        let confirmed = s.seen_fencing_token >= m.baton;
+        m.preemption_at = s.preemption_notice.map(|w| now + w);
+        m.needs_new_token = s.needs_new_fencing_token;
+        let confirmed = s.seen_fencing_token >= m.fencing_token;
         if let Some(ago) = s.last_contact_age {
-            m.hearing.holder_reported(s.acknowledges_commands, now - ago, now);
+            m.command_reachability.holder_reported(s.acknowledges_commands, now - ago, now);
         }
-        let fresh = confirmed && !m.confirmed;
-        if fresh {
+        let newly_confirmed = confirmed && !m.confirmed;
+        if newly_confirmed {
             m.confirmed = true;
-            m.unknown = false;
-            self.dirty = true;
+            m.tasks_unknown = false;
+            self.needs_scheduling = true;
         }
-        let mut here: BTreeMap<TaskId, (Attempt, TaskState)> = BTreeMap::new();
+        let mut reported: BTreeMap<TaskId, (Attempt, TaskState)> = BTreeMap::new();
         let mut exits = Vec::new();
         for t in &s.tasks {
             if t.state.exited() {
                 exits.push(t.clone());
             } else {
-                here.insert(t.task, (t.attempt, t.state));
+                reported.insert(t.task, (t.attempt, t.state));
             }
         }
         let old = m.tasks.clone();
-        if old != here {
-            self.dirty = true;
-            m.stale = true;
+        if old != reported {
+            self.needs_scheduling = true;
+            m.used_stale = true;
         }
         if confirmed {
-            m.started.retain(|t, _| here.contains_key(t));
-            m.tasks = here.clone();
+            m.started.retain(|t, _| reported.contains_key(t));
+            m.tasks = reported.clone();
         } else {
-            m.tasks.extend(here.clone());
+            m.tasks.extend(reported.clone());
         }
-        let token = m.baton;
-        for (task, (attempt, state)) in &here {
+        let token = m.fencing_token;
+        for (task, (attempt, state)) in &reported {
             if *state == TaskState::Running && !m.started.contains_key(task) {
                 debug!("{task}: runs on {}", s.id);
                 m.started.insert(*task, now);
             }
-            let Some(spec) = ledger.jobs.get(&task.job).and_then(|j| j.spec.clone()) else { continue };
+            let Some(spec) = state_replica.jobs.get(&task.job).and_then(|j| j.spec.clone()) else { continue };
             m.images.insert(spec.image.clone());
-            // A long run is the proof that a job is not broken itself.
+            // A task that runs for more than 8 s proves that its job is not broken itself.
             let proven = m.started.get(task).is_some_and(|t| now.since(*t) > Micros::secs(8));
             if proven {
                 m.failures = 0;
                 m.failed_jobs.clear();
             }
-            if let Some(job) = ledger.jobs.get(&task.job) {
-                // A job that is over may still be here: its tasks count.
+            if let Some(job) = state_replica.jobs.get(&task.job) {
+                // Tasks of an ended job may still be on the machine, and count.
                 let run = self
                     .jobs
                     .entry(task.job)
-                    .or_insert_with(|| JobRun::new(job, spec.clone(), &self.ctx.objectives));
+                    .or_insert_with(|| JobRun::new(job, spec.clone(), &self.config.objectives));
                 run.ran_well |= proven;
-                let sums = &mut self.sums;
+                let totals = &mut self.bound_totals;
                 let b = run.bound.entry(task.index).or_insert_with(|| {
-                    sums.bound(&spec);
+                    totals.add(&spec);
                     Binding { attempt: *attempt, unresolved_assignment: None, reported_on: BTreeSet::new() }
                 });
                 m.bound.insert(*task);
-                // That a start has arrived is in the books, too: a witness that stands in
-                // for a leader deletes where it may not have.
+                // The placement log also says that a start has arrived: the cancellation enforcer
+                // at a replica, in place of a leader, deletes machines where it may not have.
                 let arrived = *state != TaskState::Starting
                     && old.get(task).is_some_and(|(_, s)| *s == TaskState::Starting);
                 if b.reported_on.insert(s.id.clone()) || arrived {
-                    self.books.note(*task);
+                    self.placement_log.record_change(*task);
                     if b.reported_on.len() > 1 {
                         warn!("{task} may be on several machines: {:?}", b.reported_on);
                     }
@@ -187,21 +204,21 @@
         }
         for e in exits {
             if old.contains_key(&e.task) || e.state == TaskState::Done {
-                self.ended(&s.id, e.task, e.state, ledger, now);
+                self.task_exited(&s.id, e.task, e.state, state_replica, now);
             }
         }
         if confirmed {
-            for task in old.keys().filter(|t| !here.contains_key(t)) {
+            for task in old.keys().filter(|t| !reported.contains_key(t)) {
                 self.unbind(*task, &s.id);
             }
-            if fresh {
-                self.clear_handed(&s.id, Some(token));
-                // Tasks bound here by an earlier grant and not in the report.
+            if newly_confirmed {
+                self.rule_out_assignments(&s.id, Some(token));
+                // Tasks bound here under an earlier grant that are not in the heartbeat.
                 let lost: Vec<TaskId> = self
                     .machines
                     .get(&s.id)
                     .iter()
-                    .flat_map(|m| m.bound.iter().filter(|t| !here.contains_key(t)).copied())
+                    .flat_map(|m| m.bound.iter().filter(|t| !reported.contains_key(t)).copied())
                     .collect();
                 for t in lost {
                     self.unbind(t, &s.id);
@@ -211,12 +228,12 @@
     }
 
     /// A task exited on a machine.
-    pub(super) fn ended(
+    pub(super) fn task_exited(
         &mut self,
         id: &MachineId,
         task: TaskId,
         state: TaskState,
-        ledger: &Ledger,
+        state_replica: &Ledger,
         now: Micros,
     ) {
         let Some(run) = self.jobs.get_mut(&task.job) else { return };
@@ -224,13 +241,13 @@
         match state {
             TaskState::Done if run.spec.kind == Kind::Array && task.index < run.spec.tasks => {
                 (run.ran_well, run.started) = (true, true);
-                self.progressed.insert(task.job);
+                self.arrays_with_progress.insert(task.job);
                 if run.done.insert(task.index)
-                    && ledger.jobs.get(&task.job).is_some_and(|j| !j.done.contains(task.index))
+                    && state_replica.jobs.get(&task.job).is_some_and(|j| !j.done.contains(task.index))
                 {
                     run.unrecorded_since.get_or_insert(now);
                     run.unrecorded.insert(task.index);
-                    self.books.note(task);
+                    self.placement_log.record_change(task);
                 }
                 if let Some(m) = self.machines.get_mut(id) {
                     m.failures = 0;
@@ -238,7 +255,7 @@
                 }
             }
             TaskState::Failed if known => {
-                let mut again = run.failures + 1;
+                let mut failures = run.failures + 1;
                 if run.spec.attempts.is_some()
                     && let Some(attempt) = run.bound.get(&task.index).map(|b| b.attempt.0)
                 {
@@ -247,41 +264,41 @@
                         *f = Failures { count: f.count + 1, last: attempt };
                         run.unrecorded_failures.insert(task.index);
                     }
-                    again = f.count;
+                    failures = f.count;
                 }
                 run.failures += 1;
                 run.failed_on.insert(id.clone());
                 if run.failed_on.len() > 1 && !run.ran_well {
-                    // It fails wherever it is: wait longer each time.
-                    run.retry_at = now + Micros::millis(500 << again.min(7));
+                    // It fails on more than one machine: the delay doubles with each failure.
+                    run.retry_at = now + Micros::millis(500 << failures.min(7));
                 } else {
                     run.retry_at = now + Micros::millis(200);
                 }
                 if run.is_faulty() && run.failures == FAULTY_JOB_FAILURES + 1 {
-                    info!("{}: fails wherever it is: one task at a time from here on", task.job);
+                    info!("{}: fails on several machines; limited to one task at a time", task.job);
                 }
                 if let Some(m) = self.machines.get_mut(id) {
                     m.failures += 1;
                     *m.failed_jobs.entry(task.job).or_default() += 1;
                 }
-                self.take_out_if_guilty(id);
+                self.drain_if_faulty(id);
             }
             _ => {}
         }
-        self.dirty = true;
+        self.needs_scheduling = true;
     }
 
-    /// Takes a machine out of use on which tasks fail that run well elsewhere. A job
-    /// that has run well nowhere may be mistaken itself and says nothing of it yet.
-    pub(super) fn take_out_if_guilty(&mut self, id: &MachineId) {
+    /// Drains a machine on which tasks fail that run well elsewhere. Failures of a job that
+    /// has not run well anywhere may be its own fault and are no evidence yet.
+    pub(super) fn drain_if_faulty(&mut self, id: &MachineId) {
         let Some(m) = self.machines.get_mut(id).filter(|m| m.draining.is_none()) else { return };
         let jobs = &self.jobs;
         let proven = |j: &JobId| jobs.get(j).is_some_and(|r| r.ran_well);
-        let told: Vec<u32> = m.failed_jobs.iter().filter(|(j, _)| proven(j)).map(|(_, n)| *n).collect();
-        if told.iter().sum::<u32>() >= 2 {
-            info!("{id}: tasks of {} jobs that run elsewhere failed on it; taken out of use", told.len());
+        let failures: Vec<u32> = m.failed_jobs.iter().filter(|(j, _)| proven(j)).map(|(_, n)| *n).collect();
+        if failures.iter().sum::<u32>() >= 2 {
+            info!("{id}: cordoned: tasks failed on it of jobs that run elsewhere; jobs={}", failures.len());
             m.draining = Some("tasks fail on it");
-            self.tell(id);
+            self.mark_changed(id);
         }
     }
 
@@ -290,15 +307,15 @@
             && let Some(b) = run.bound.get_mut(&task.index)
         {
             b.reported_on.remove(id);
-            self.books.note(task);
+            self.placement_log.record_change(task);
         }
         if let Some(m) = self.machines.get_mut(id) {
             m.bound.remove(&task);
         }
-        self.free_if_nowhere(task);
+        self.release_if_unplaced(task);
     }
 
-    pub(super) fn free_if_nowhere(&mut self, task: TaskId) {
+    pub(super) fn release_if_unplaced(&mut self, task: TaskId) {
         if let Some(run) = self.jobs.get_mut(&task.job)
             && let Some(b) = run.bound.get(&task.index)
             && b.reported_on.is_empty()
@@ -306,71 +323,73 @@
         {
             let attempt = b.attempt;
             run.bound.remove(&task.index);
-            self.books.note(task);
-            self.sums.freed(&run.spec);
+            self.placement_log.record_change(task);
+            self.bound_totals.subtract(&run.spec);
             if !run.done.contains(task.index) {
                 run.requeued.insert(task.index);
-                self.requeue = true;
+                self.queue_stale = true;
             }
-            self.stops.remove(&(task, attempt));
-            self.dirty = true;
+            self.pending_stops.remove(&(task, attempt));
+            self.needs_scheduling = true;
         }
     }
 
-    /// The machine's task list is known under `token` (or it is gone): no
-    /// hand-out from before can be started on it any more.
-    pub(super) fn clear_handed(&mut self, id: &MachineId, token: Option<Baton>) {
+    /// The machine's task list is known under `token`, or (`None`) the machine is deleted:
+    /// no assignment made before can be started on it any more.
+    pub(super) fn rule_out_assignments(&mut self, id: &MachineId, token: Option<Baton>) {
         if let (Some(token), Some(m)) = (token, self.machines.get_mut(id)) {
             m.task_list_token = m.task_list_token.max(token);
         }
-        let mut free = Vec::new();
-        for task in self.handed.take_watched(id) {
+        let mut released = Vec::new();
+        for task in self.unresolved_tasks.take_watched(id) {
             let Some(run) = self.jobs.get_mut(&task.job) else { continue };
             let Some(b) = run.bound.get_mut(&task.index) else { continue };
             let Some(h) = b.unresolved_assignment.as_mut() else { continue };
             if token.is_none_or(|t| b.attempt.0 < t.0) {
-                let next = |after| next_open(&h.machines, after, &run.spec, b.attempt, &self.machines);
-                // Free only if none of them may hold it: what a job allows may have changed.
-                h.watched = next(Some(id)).or_else(|| next(None));
+                let next = |after| next_candidate(&h.candidates, after, &run.spec, b.attempt, &self.machines);
+                // Release it only if no machine of the block may hold it: the machines that the job
+                // allows may have changed.
+                h.watched_at = next(Some(id)).or_else(|| next(None));
             }
-            if h.watched.is_some() {
-                self.handed.watch(task, h.watched.as_ref());
-            } else if let Some(handed) = b.unresolved_assignment.take() {
-                self.handed.remove(task, &handed);
-                self.books.note(task);
-                free.push((task, b.attempt, handed.hint));
+            if h.watched_at.is_some() {
+                self.unresolved_tasks.watch(task, h.watched_at.as_ref());
+            } else if let Some(unresolved) = b.unresolved_assignment.take() {
+                self.unresolved_tasks.remove(task, &unresolved);
+                self.placement_log.record_change(task);
+                released.push((task, b.attempt, unresolved.preferred_machine));
             }
         }
-        for (task, attempt, hint) in free {
-            self.handouts.remove(&attempt);
-            if let Some(m) = self.machines.get_mut(&hint) {
+        for (task, attempt, preferred) in released {
+            self.pending_assignments.remove(&attempt);
+            if let Some(m) = self.machines.get_mut(&preferred) {
                 m.reserved.remove(&attempt);
             }
-            self.free_if_nowhere(task);
+            self.release_if_unplaced(task);
         }
     }
 
-    /// The cloud said that the machine and everything on it are gone.
-    pub(super) fn machine_gone(&mut self, id: &MachineId, now: Micros) {
+    /// The cloud confirmed that the machine is deleted, and with it everything on it.
+    pub(super) fn remove_machine(&mut self, id: &MachineId, now: Micros) {
         let tasks = match self.machines.remove(id) {
             Some(mut m) => {
-                self.rooms.remove(id, &mut m);
+                self.capacity_index.remove(id, &mut m);
                 m.bound
             }
             None => BTreeSet::new(),
         };
         self.blocks.clear();
-        self.gone.insert(id.clone(), (now, self.version + 1));
+        self.deleted_machines.insert(id.clone(), (now, self.update_seq + 1));
         self.last_seen.remove(id);
-        self.clear_handed(id, None);
+        self.rule_out_assignments(id, None);
         for t in tasks {
             self.unbind(t, id);
         }
-        self.dirty = true;
+        self.needs_scheduling = true;
     }
 
-    /// A machine reported to a controller that doesn't hold it, or answered it.
-    pub fn seen(
+    /// Applies a heartbeat of a machine to a controller that doesn't hold it, or the machine's
+    /// answer to a probe.
+    pub fn apply_unleased_report(
         &mut self,
         from: NodeId,
         s: &UnleasedReport,
@@ -379,13 +398,13 @@
         now: Micros,
     ) {
         let id = &s.id;
-        if self.gone.contains_key(id) {
+        if self.deleted_machines.contains_key(id) {
             return;
         }
         match self.machines.get_mut(id) {
-            // A copy of a report may outlive its machine, and a new leader has nothing
-            // to compare it with: only a worker that answers is taken on. One that was
-            // not expected and can't be asked shows in the cloud's list.
+            // A copy of a heartbeat may arrive after its machine was deleted, and a new leader has
+            // nothing to compare it with: only a worker that answers a probe is adopted. An
+            // unexpected one that can't be probed appears in the cloud's list.
             None if !s.probed => {
                 if self.last_seen.get(id).is_none_or(|(_, t)| now.since(*t) > Micros::millis(1500)) {
                     self.last_seen.insert(id.clone(), (from, now));
@@ -397,31 +416,31 @@
                 info!("{id}: adopted ({} in {})", rec.build, rec.zone);
                 self.last_seen.insert(id.clone(), (from, now));
                 self.machines.insert(id.clone(), Machine::new(rec, *size, Stage::Up, now));
-                self.dirty = true;
+                self.needs_scheduling = true;
             }
-            Some(m) if (&m.build, &m.zone, m.spot) != (&rec.build, &rec.zone, rec.spot) => {
-                if self.apart.insert(id.clone()) {
+            Some(m) if (&m.machine_type, &m.zone, m.spot) != (&rec.build, &rec.zone, rec.spot) => {
+                if self.mismatched.insert(id.clone()) {
                     warn!(
-                        "{id}: reports as {} in {}, is {} in {}: left aside",
-                        rec.build, rec.zone, m.build, m.zone
+                        "{id}: heartbeat ignored: it names {} in {}, the record {} in {}",
+                        rec.build, rec.zone, m.machine_type, m.zone
                     );
                 }
             }
             Some(m) => {
-                if !m.is_news(s.report, from) {
+                if !m.is_new_heartbeat(s.report, from) {
                     return;
                 }
                 self.last_seen.insert(id.clone(), (from, now));
-                m.hearing.contacted_by_other(s.probed, m.holder != Some(from), now);
+                m.command_reachability.contacted_by_other(s.probed, m.holder != Some(from), now);
                 if m.stage == Stage::Booting {
                     m.stage = Stage::Up;
-                    m.since = now;
-                    m.hearing = command_reachability::CommandReachability::new(now);
-                    self.dirty = true;
+                    m.stage_since = now;
+                    m.command_reachability = command_reachability::CommandReachability::new(now);
+                    self.needs_scheduling = true;
                 }
                 if !rec.addr.is_empty() && m.addr != rec.addr {
                     m.addr = rec.addr.clone();
-                    self.tell(id);
+                    self.mark_changed(id);
                 }
             }
         }
--- a/crates/core/src/leader/blocks.rs
+++ b/crates/core/src/leader/blocks.rs
@@ -1,34 +1,35 @@
-//! Blocks: who holds which machine, and machines that fall silent.
+//! Blocks: grants of machines to controllers, and deletion of silent machines.
 use super::assignments::may_hold;
 use super::*;
 
-/// How often the fleet is gone through for machines to move or to watch.
-const BLOCKS_EVERY: Micros = Micros::millis(100);
-/// How often it is gone through for tasks of cancelled jobs.
-const STOPS_EVERY: Micros = Micros::millis(200);
+/// Interval between scans of the fleet for machines to move or to watch.
+const BLOCK_SCAN_INTERVAL: Micros = Micros::millis(100);
+/// Interval between scans of the fleet for tasks of cancelled jobs.
+const CANCELLATION_SCAN_INTERVAL: Micros = Micros::millis(200);
 
-/// A controller that said nothing for so long is out of contact.
+/// A controller that has sent no `Sync` for this long is out of contact.
 pub(super) const CONTACT_TIMEOUT: Micros = Micros::millis(2500);
-/// What waits for a leader that is behind may be its word; this long after the last one it isn't,
-/// but for `CONTACT_TIMEOUT`.
-const CONTACT_LOST_FOR_CERTAIN: Micros = Micros::secs(5);
+/// A leader that was behind may still have unhandled messages of a controller. It counts the
+/// controller's silence from when it was last behind, but from this long after the last
+/// handled message at the latest; `CONTACT_TIMEOUT` comes on top.
+const MAX_BACKLOG_ALLOWANCE: Micros = Micros::secs(5);
 
-/// Silent machines that the other controllers ask after at a time, so often.
-const PROBES_AT_ONCE: usize = 25;
+/// Silent machines that the other controllers are asked to probe in one scan.
+const MAX_PROBES_PER_SCAN: usize = 25;
 
-/// The books of the term before are waited for so long.
-const BOOKS_WAIT: Micros = Micros::millis(1200);
+/// How long a new leader waits for the placement log of the earlier term.
+const LOG_WAIT_TIMEOUT: Micros = Micros::millis(1200);
 
 impl Leader {
     pub(super) fn in_contact(&self, n: NodeId, now: Micros) -> bool {
-        let heard = self.nodes.get(n.0 as usize).and_then(|x| x.heard);
+        let heard = self.nodes.get(n.0 as usize).and_then(|x| x.last_contact);
         heard.is_some_and(|t| {
-            now.since(self.lateness.silence_start_capped(t, CONTACT_LOST_FOR_CERTAIN)) < CONTACT_TIMEOUT
+            now.since(self.lateness.silence_start_capped(t, MAX_BACKLOG_ALLOWANCE)) < CONTACT_TIMEOUT
         })
     }
 
-    /// Which controllers are in contact, by their number.
-    pub(super) fn contacts(&self, now: Micros) -> Vec<bool> {
+    /// Which controllers are in contact, by their index.
+    pub(super) fn controllers_in_contact(&self, now: Micros) -> Vec<bool> {
         (0..self.nodes.len()).map(|i| self.in_contact(NodeId(i as u8), now)).collect()
     }
 
@@ -53,54 +54,58 @@
     ) -> Option<NodeId> {
         (0..self.nodes.len())
             .map(|i| NodeId(i as u8))
-            .filter(|n| self.in_contact(*n, now) && load[n.0 as usize] < self.ctx.operator.block_size)
+            .filter(|n| self.in_contact(*n, now) && load[n.0 as usize] < self.config.operator.block_size)
             .min_by_key(|n| {
-                (Some(*n) != prefer, self.ctx.zones[n.0 as usize] != zone, load[n.0 as usize], *n)
+                (Some(*n) != prefer, self.config.zones[n.0 as usize] != zone, load[n.0 as usize], *n)
             })
     }
 
     pub(super) fn grant(&mut self, id: &MachineId, to: NodeId, why: &str, now: Micros) {
-        let baton = Baton(self.draw());
+        let token = Baton(self.next_token());
         let Some(m) = self.machines.get_mut(id) else { return };
         if m.holder.is_some_and(|h| h != to) {
             info!("{id}: block moves from controller {} to {}: {why}", m.holder.map_or(0, |h| h.0), to.0);
         }
         if m.holder != Some(to) {
-            m.held_heard = Micros(0);
-            m.moved_at = now;
+            m.holder_contact = Micros(0);
+            m.holder_changed_at = now;
         }
         m.holder = Some(to);
-        m.baton = baton;
+        m.fencing_token = token;
         m.confirmed = false;
         m.granted_at = now;
-        m.want_baton = false;
-        m.probed = None;
-        // The new holder's word is needed; what the last one heard says nothing
-        // about it. The others learn of it with their next message, and the one
-        // that its worker reports to at once.
-        self.tell(id);
+        m.needs_new_token = false;
+        m.probed_at = None;
+        // The new holder has to receive a heartbeat itself; those to the last holder say nothing
+        // about that. The other controllers learn of the grant with their next update, and the
+        // one that the worker sends heartbeats to at once.
+        self.mark_changed(id);
         if let Some((n, _)) = self.last_seen.get(id)
             && let Some(n) = self.nodes.get_mut(n.0 as usize)
         {
-            n.dirty = true;
+            n.update_due = true;
         }
     }
 
-    /// Grants, moves, watches and decides. Called about every 20 ms while
-    /// this node may lead.
-    pub fn tick(&mut self, ledger: &Ledger, now: Micros) {
+    /// Grants and moves machines, watches them, and schedules tasks. Called about every 20 ms
+    /// while this node may lead.
+    pub fn tick(&mut self, state_replica: &Ledger, now: Micros) {
         self.lateness.record_tick(now);
-        if !self.granted {
-            let all = self.contacts(now).into_iter().all(|c| c);
-            let waited = now.since(self.began);
-            if !(all || waited >= Micros::millis(700)) || self.wants_books && waited < BOOKS_WAIT {
+        if !self.grants_started {
+            let all_in_contact = self.controllers_in_contact(now).into_iter().all(|c| c);
+            let waited = now.since(self.term_start);
+            if !(all_in_contact || waited >= Micros::millis(700))
+                || self.awaits_log && waited < LOG_WAIT_TIMEOUT
+            {
                 return;
             }
-            if self.wants_books {
-                self.wants_books = false;
-                warn!("the books of before are not to be had: machines that are not heard may hold anything");
+            if self.awaits_log {
+                self.awaits_log = false;
+                warn!(
+                    "no replica of the earlier placement log is available; silent machines may hold any task"
+                );
             }
-            self.granted = true;
+            self.grants_started = true;
             let ids: Vec<(MachineId, Option<NodeId>, String)> =
                 self.machines.iter().map(|(i, m)| (i.clone(), m.holder, m.zone.clone())).collect();
             for (id, holder, _) in &ids {
@@ -114,25 +119,25 @@
                 self.grant_unheld(&mut load, &id, &zone, now);
             }
         }
-        if !self.held.is_empty() {
-            self.release(ledger);
+        if !self.unreleased_jobs.is_empty() {
+            self.release(state_replica);
         }
-        // Passes over the whole fleet: often enough for what they watch.
-        if now.since(self.blocks_at) >= BLOCKS_EVERY {
-            self.blocks_at = now;
-            self.move_blocks(now);
-            self.watch_silent(now);
+        // Scans of the whole fleet run only as often as what they watch requires.
+        if now.since(self.blocks_checked_at) >= BLOCK_SCAN_INTERVAL {
+            self.blocks_checked_at = now;
+            self.move_machines(now);
+            self.delete_silent(now);
             self.delete_unreachable_for_commands(now);
         }
-        self.stop_cancelled(ledger, now);
-        if self.dirty && now.since(self.scheduled) >= Micros::millis(20) {
-            self.dirty = false;
-            self.scheduled = now;
+        self.stop_cancelled(state_replica, now);
+        if self.needs_scheduling && now.since(self.scheduled_at) >= Micros::millis(20) {
+            self.needs_scheduling = false;
+            self.scheduled_at = now;
             self.schedule(now);
         }
     }
 
-    pub(super) fn move_blocks(&mut self, now: Micros) {
+    pub(super) fn move_machines(&mut self, now: Micros) {
         let mut moves: Vec<(MachineId, NodeId, &'static str)> = Vec::new();
         let mut unheld = Vec::new();
         let mut load = self.loads();
@@ -144,7 +149,7 @@
             match m.holder {
                 None => unheld.push((id.clone(), m.zone.clone())),
                 Some(h) => {
-                    let silence_start = m.heard.map(|t| self.lateness.silence_start(t));
+                    let silence_start = m.last_contact.map(|t| self.lateness.silence_start(t));
                     let silent = silence_start.is_none_or(|t| now.since(t) > Micros::millis(3500))
                         && now.since(m.granted_at) > Micros::millis(1500);
                     if let Some(s) = seen
@@ -152,19 +157,19 @@
                         && self.in_contact(s, now)
                         && (silent || !self.in_contact(h, now))
                     {
-                        moves.push((id.clone(), s, "its worker reports there"));
-                    } else if m.want_baton && m.confirmed && now.since(m.granted_at) > Micros::secs(1) {
-                        moves.push((id.clone(), h, "a late start is ruled out"));
+                        moves.push((id.clone(), s, "its worker sends heartbeats to that controller"));
+                    } else if m.needs_new_token && m.confirmed && now.since(m.granted_at) > Micros::secs(1) {
+                        moves.push((id.clone(), h, "a new token rules out a delayed start"));
                     } else if m.confirmed
-                        && self.ctx.zones[h.0 as usize] != m.zone
+                        && self.config.zones[h.0 as usize] != m.zone
                         && now.since(m.granted_at) > Micros::secs(10)
                         && m.reserved.is_empty()
                         && let Some(to) = self.choose_holder(&load, &m.zone, None, now)
-                        && self.ctx.zones[to.0 as usize] == m.zone
-                        && now.since(self.nodes[to.0 as usize].since) > Micros::secs(4)
+                        && self.config.zones[to.0 as usize] == m.zone
+                        && now.since(self.nodes[to.0 as usize].incarnation_since) > Micros::secs(4)
                         && (silent || moves.len() < 2)
                     {
-                        moves.push((id.clone(), to, "a controller of its zone is back"));
+                        moves.push((id.clone(), to, "a controller of its zone is available again"));
                     }
                 }
             }
@@ -178,113 +183,121 @@
         for (id, zone) in unheld {
             self.grant_unheld(&mut load, &id, &zone, now);
         }
-        let full = !load.is_empty() && load.iter().all(|n| *n >= self.ctx.operator.block_size);
+        let full = !load.is_empty() && load.iter().all(|n| *n >= self.config.operator.block_size);
         if std::mem::replace(&mut self.blocks_full, full) != full && full {
-            warn!("every block holds block_size machines; the rest are held by nobody");
+            warn!("every block holds block_size machines; no controller holds the rest");
         }
     }
 
-    /// Grants a machine without a holder: to the one that held it, to one of
-    /// its zone, or to one that its worker reports to. When none of these is
-    /// in contact, the zone may be cut off with its controller, which goes on
-    /// renewing its workers; a grant to a node beyond the cut would help nobody.
+    /// Grants a machine without a holder to the controller that held it, to one of its zone,
+    /// or to one that its worker sends heartbeats to. If none of these is in contact, the zone may be
+    /// partitioned together with its controller, which goes on renewing its workers' leases;
+    /// a grant to a controller on the other side of the partition would not help.
     pub(super) fn grant_unheld(&mut self, load: &mut [usize], id: &MachineId, zone: &str, now: Micros) {
         let Some(m) = self.machines.get(id) else { return };
         let seen = self.last_seen.get(id).filter(|(_, t)| now.since(*t) < Micros::secs(4)).map(|x| x.0);
         let last = m.last_holder.filter(|h| self.in_contact(*h, now));
         let own = self
             .choose_holder(load, zone, last, now)
-            .filter(|n| Some(*n) == last || self.ctx.zones[n.0 as usize] == zone);
+            .filter(|n| Some(*n) == last || self.config.zones[n.0 as usize] == zone);
         let Some(to) = own.or_else(|| self.choose_holder(load, zone, seen, now)) else { return };
-        let of_zone = self.ctx.zones[to.0 as usize] == zone;
-        let no_own = !self.ctx.zones.iter().any(|z| z == zone);
-        if of_zone || no_own || Some(to) == last || seen.is_some() {
+        let of_zone = self.config.zones[to.0 as usize] == zone;
+        let zone_without_controller = !self.config.zones.iter().any(|z| z == zone);
+        if of_zone || zone_without_controller || Some(to) == last || seen.is_some() {
             self.grant(id, to, "no holder", now);
             load[to.0 as usize] += 1;
         }
     }
 
-    pub(super) fn watch_silent(&mut self, now: Micros) {
-        let mut doomed = Vec::new();
+    pub(super) fn delete_silent(&mut self, now: Micros) {
+        let mut to_delete = Vec::new();
         let mut probes = Vec::new();
-        // A cut between zones looks like the death of all machines behind it,
-        // one after the other as their reports fall due. A machine is taken for
-        // dead quickly only on proof that the way is open: its holder heard
-        // another machine of the zone after this one's report was overdue.
+        // A partition between zones looks as if all machines beyond it failed, one after the
+        // other as their heartbeats fall due. A machine is taken for dead quickly only on proof
+        // that the network path is open: its holder received a heartbeat from another machine of
+        // the zone after this one's heartbeat was overdue.
         let mut latest: BTreeMap<(NodeId, &str), (Micros, u32)> = BTreeMap::new();
         let mut zone_latest: BTreeMap<&str, Micros> = BTreeMap::new();
         for m in self.machines.values().filter(|m| m.stage == Stage::Up) {
-            let (Some(h), Some(t)) = (m.holder, m.heard) else { continue };
+            let (Some(h), Some(t)) = (m.holder, m.last_contact) else { continue };
             if !self.in_contact(h, now) {
                 continue;
             }
             let (last, n) = latest.entry((h, &m.zone)).or_default();
-            *last = (*last).max(m.held_heard);
+            *last = (*last).max(m.holder_contact);
             *n += 1;
             let last = zone_latest.entry(&m.zone).or_default();
             *last = (*last).max(t);
         }
-        // By then it should have reported, or have answered its holder.
-        let overdue = (self.ctx.report.scale(5, 4) + Micros::secs(1)).min(PROBE_AFTER + PROBE_TIMEOUT);
+        // Within this time it should have sent a heartbeat, or have answered its holder's probe.
+        let overdue =
+            (self.config.report_interval.scale(5, 4) + Micros::secs(1)).min(PROBE_AFTER + PROBE_TIMEOUT);
         let heard_by = latest.iter().map(|((h, zone), (t, _))| (Some(*h), *zone, *t));
         for (by, zone, at) in heard_by.chain(zone_latest.iter().map(|(z, t)| (None, *z, *t))) {
-            self.ways.record_contact(by, zone, at, overdue);
+            self.network_paths.record_contact(by, zone, at, overdue);
         }
         for (id, m) in &self.machines {
             if m.stage != Stage::Up {
                 continue;
             }
-            // A holder that was out of contact first gets to say what it heard.
+            // A holder that was out of contact first gets 3 s to report its machines.
             let contact = m.holder.map_or(Micros(0), |h| self.nodes[h.0 as usize].contact_since);
-            let limit = self.ctx.operator.silent_delete;
-            let spoke = (contact + Micros::secs(3)) - limit;
-            // A new holder gets its time too: a day lost a hundred machines in
-            // the moment in which they were given to their zone's controller.
-            // So does a way that has just opened, to its holder or to anybody.
-            let way = |by| self.ways.open_since(by, &m.zone);
-            let opened = m.holder.map_or(Micros(0), |h| way(Some(h))).max(way(None));
-            let last = m.heard.unwrap_or(m.since);
-            let base =
-                self.lateness.silence_start(last).max(self.began).max(spoke).max(m.moved_at).max(opened);
+            let limit = self.config.operator.silent_delete;
+            let reported = (contact + Micros::secs(3)) - limit;
+            // The time also starts again with a new holder: without that, a day's run deleted a
+            // hundred machines at the moment they were granted to their zone's controller. So
+            // it does when the network path to the holder, or to any controller, has just
+            // opened.
+            let open_since = |by| self.network_paths.open_since(by, &m.zone);
+            let opened = m.holder.map_or(Micros(0), |h| open_since(Some(h))).max(open_since(None));
+            let last = m.last_contact.unwrap_or(m.stage_since);
+            let base = self
+                .lateness
+                .silence_start(last)
+                .max(self.term_start)
+                .max(reported)
+                .max(m.holder_changed_at)
+                .max(opened);
             let silent = now.since(base);
             let seen = self.last_seen.get(id).is_some_and(|(_, t)| now.since(*t) < Micros::secs(5));
-            let lost =
-                silent > Micros::millis(3200) && m.probed.is_none_or(|t| now.since(t) > Micros::millis(1500));
-            if lost || m.hearing.probe_due(now) {
-                probes.push((m.probed, id.clone()));
+            let probe_due = silent > Micros::millis(3200)
+                && m.probed_at.is_none_or(|t| now.since(t) > Micros::millis(1500));
+            if probe_due || m.command_reachability.probe_due(now) {
+                probes.push((m.probed_at, id.clone()));
             }
-            let open = base + overdue;
-            let (here, held) =
+            let path_proven_from = base + overdue;
+            let (holder_contact, holder_machines) =
                 m.holder.and_then(|h| latest.get(&(h, m.zone.as_str()))).copied().unwrap_or_default();
-            let near =
-                m.holder.is_some_and(|h| self.in_contact(h, now) && self.ctx.zones[h.0 as usize] == m.zone);
-            let zone = zone_latest.get(m.zone.as_str()).copied().unwrap_or_default();
-            let limit = if here >= open || near && held < 2 {
+            let holder_in_zone = m
+                .holder
+                .is_some_and(|h| self.in_contact(h, now) && self.config.zones[h.0 as usize] == m.zone);
+            let zone_contact = zone_latest.get(m.zone.as_str()).copied().unwrap_or_default();
+            let limit = if holder_contact >= path_proven_from || holder_in_zone && holder_machines < 2 {
                 limit
-            } else if near {
-                // The holder hears none of its machines: it may be the one that
-                // is cut off, and the workers turn to others soon.
+            } else if holder_in_zone {
+                // The holder receives no heartbeat from any machine of the zone: it may itself be
+                // partitioned, and the workers soon turn to other controllers.
                 limit.scale(2, 1)
-            } else if zone >= open {
-                // Others hear the zone: its workers turn to them one after the
-                // other, each after a few that do not answer.
+            } else if zone_contact >= path_proven_from {
+                // Other controllers receive heartbeats from the zone: its workers switch to them
+                // one after the other, each after a few controllers that do not answer.
                 limit.scale(4, 1)
             } else {
                 Micros::secs(60)
             };
             if silent > limit && !seen {
-                doomed.push((id.clone(), silent));
+                to_delete.push((id.clone(), silent));
             }
         }
-        // Those that were asked longest ago first, as many as a controller can
-        // ask beside its work: after the loss of most controllers all machines
-        // are silent at once, and their reports come by themselves.
+        // Least recently probed first, and only as many as a controller can probe beside its
+        // work: after the loss of most controllers all machines are silent at once, and their
+        // heartbeats resume without probes.
         probes.sort();
-        probes.truncate(PROBES_AT_ONCE);
+        probes.truncate(MAX_PROBES_PER_SCAN);
         for (_, id) in probes {
             let Some(m) = self.machines.get_mut(&id) else { continue };
-            m.probed = Some(now);
-            m.hearing.record_probe(now);
+            m.probed_at = Some(now);
+            m.command_reachability.record_probe(now);
             let (holder, addr) = (m.holder, m.addr.clone());
             for n in 0..self.nodes.len() {
                 let n = NodeId(n as u8);
@@ -293,34 +306,33 @@
                 }
             }
         }
-        for (id, silent) in doomed {
+        for (id, silent) in to_delete {
             let holder = self.machines.get(&id).and_then(|m| m.holder);
             let contact = holder.is_some_and(|h| self.in_contact(h, now));
             let by = match holder {
                 Some(h) if contact => format!("controller {}, which is in contact", h.0),
                 Some(h) => format!("controller {}, which is out of contact", h.0),
-                None => "nobody".into(),
+                None => "no controller".into(),
             };
             self.delete(&id, &format!("silent for {:.1} s, held by {by}", silent.as_secs_f64()), now);
         }
     }
 
-    /// Stops what is left of cancelled jobs. Also called while the lease is not
-    /// confirmed: a stop does no harm, and a cancellation doesn't wait for the
-    /// state service.
-    pub fn stop_cancelled(&mut self, ledger: &Ledger, now: Micros) {
-        if now.since(self.stops_at) < STOPS_EVERY {
+    /// Stops the remaining tasks of cancelled jobs. Also called while the leader's lease is not
+    /// confirmed: a stop does no harm, and a cancellation must not wait for the state service.
+    pub fn stop_cancelled(&mut self, state_replica: &Ledger, now: Micros) {
+        if now.since(self.cancellations_checked_at) < CANCELLATION_SCAN_INTERVAL {
             return;
         }
-        self.stops_at = now;
-        self.watch_cancelled(ledger, now);
-        // A controller that the state service refuses doesn't know of the
-        // cancellation; the leader tells it.
+        self.cancellations_checked_at = now;
+        self.delete_for_cancelled(state_replica, now);
+        // A controller that the state service refuses doesn't know of the cancellation, so the
+        // leader sends it the stops.
         let mut stops = Vec::new();
         for (id, m) in &self.machines {
             for (t, (a, _)) in &m.tasks {
-                if self.aborted.contains_key(&t.job)
-                    && self.stops.get(&(*t, *a)).is_none_or(|s| s.0.grace.0 > 0)
+                if self.cancelled_jobs.contains_key(&t.job)
+                    && self.pending_stops.get(&(*t, *a)).is_none_or(|s| s.0.grace.0 > 0)
                 {
                     stops.push((*t, *a, id.clone()));
                 }
@@ -331,67 +343,71 @@
         }
     }
 
-    /// A cancelled job's task that can't be stopped goes with its machine.
-    pub(super) fn watch_cancelled(&mut self, ledger: &Ledger, now: Micros) {
-        let mut doomed = Vec::new();
-        let mut over = Vec::new();
-        for (job, by) in &self.aborted {
+    /// Deletes machines that may hold a cancelled job's task that could not be stopped.
+    pub(super) fn delete_for_cancelled(&mut self, state_replica: &Ledger, now: Micros) {
+        let mut to_delete = Vec::new();
+        let mut finished = Vec::new();
+        for (job, by) in &self.cancelled_jobs {
             let run = self.jobs.get(job);
-            // What is not recorded as gone stays here until it is: a machine that could
-            // hold it may turn up at any later time.
-            let record = ledger.jobs.get(job).filter(|j| !j.settled);
-            if run.is_none_or(|r| r.bound.is_empty()) && record.is_none() && now > *by + self.ctx.cancel {
-                over.push(*job);
+            // A job stays here until it is recorded that no task of it is left: a machine that
+            // could hold one may appear at any later time.
+            let record = state_replica.jobs.get(job).filter(|j| !j.settled);
+            if run.is_none_or(|r| r.bound.is_empty())
+                && record.is_none()
+                && now > *by + self.config.cancel_timeout
+            {
+                finished.push(*job);
             }
             if now >= self.deletion_due(*by, 95, Micros::millis(1500)) {
                 let bound = || run.iter().flat_map(|r| r.bound.values());
-                doomed.extend(bound().flat_map(|b| b.reported_on.iter()).map(|id| (id.clone(), *job)));
-                // A hand-out went to a machine that its job may use.
+                to_delete.extend(bound().flat_map(|b| b.reported_on.iter()).map(|id| (id.clone(), *job)));
+                // An assigned task may be on any machine of the block that its job allows.
                 let holds = |id: &MachineId, attempt: Attempt| {
                     let (Some(r), Some(m)) = (run, self.machines.get(id)) else { return false };
                     m.suits(&r.spec) && may_hold(m, attempt)
                 };
                 for (b, h) in bound().filter_map(|b| Some((b, b.unresolved_assignment.as_ref()?))) {
-                    let machines = h.machines.iter().filter(|id| holds(id, b.attempt));
-                    doomed.extend(machines.map(|id| (id.clone(), *job)));
+                    let machines = h.candidates.iter().filter(|id| holds(id, b.attempt));
+                    to_delete.extend(machines.map(|id| (id.clone(), *job)));
                 }
             }
-            // Machines that nobody heard in this term may hold its tasks.
+            // Machines without a heartbeat in this term may hold its tasks.
             if now >= self.deletion_due(*by, 90, Micros::millis(2500))
                 && let Some(spec) = record.and_then(|j| j.spec.as_ref())
             {
-                for (id, m) in self.machines.iter().filter(|(_, m)| m.unknown) {
+                for (id, m) in self.machines.iter().filter(|(_, m)| m.tasks_unknown) {
                     if m.suits(spec) {
-                        doomed.push((id.clone(), *job));
+                        to_delete.push((id.clone(), *job));
                     }
                 }
             }
         }
-        for (id, job) in doomed {
+        for (id, job) in to_delete {
             if self.machines.get(&id).is_some_and(|m| m.stage == Stage::Up) {
                 self.delete(&id, &format!("a task of cancelled {job} may be on it"), now);
             }
         }
-        for j in over {
-            self.aborted.remove(&j);
+        for j in finished {
+            self.cancelled_jobs.remove(&j);
         }
-        // Jobs that are over and hold nothing any more.
+        // Removes ended jobs without bound tasks.
         self.jobs.retain(|id, r| {
-            !r.bound.is_empty() || ledger.jobs.get(id).is_none_or(|j| j.phase == Phase::Active)
+            !r.bound.is_empty() || state_replica.jobs.get(id).is_none_or(|j| j.phase == Phase::Active)
         });
     }
 
-    /// When machines go that may hold tasks which have to be gone `by` then: early enough
-    /// for a cloud that is out of order for a while. A new leader first hears what its
-    /// controllers know, but not beyond `last` hundredths of the time that there was from
-    /// the telling on: a string of leaders that each begin to wait must not use it up. One
-    /// that begins after that, or has not had `least` by then, takes its whole time; what is
-    /// left in time is the deputies' (`crate::deputy`).
+    /// When to delete machines that may hold tasks which have to be terminated `by` a given
+    /// time: early enough to bridge a temporary outage of the cloud. A new leader first waits
+    /// 4 s for its controllers' reports, but only until `last` percent of the time allowed
+    /// since the confirmation to the client have passed, so that a series of leaders that each
+    /// start to wait does not use it up. A leader whose term begins too late to have waited
+    /// `least` by then waits the full 4 s; then the cancellation enforcers at the other
+    /// controllers have to meet the deadline (`crate::cancellation_enforcer`).
     fn deletion_due(&self, by: Micros, last: u64, least: Micros) -> Micros {
-        let heard = self.began + Micros::secs(4);
-        let last = by - self.ctx.cancel.scale(100 - last, 100);
-        let wait = if last >= self.began + least { heard.min(last) } else { heard };
-        wait.max(by - self.ctx.cancel.scale(35, 100))
+        let reports_in = self.term_start + Micros::secs(4);
+        let last = by - self.config.cancel_timeout.scale(100 - last, 100);
+        let wait = if last >= self.term_start + least { reports_in.min(last) } else { reports_in };
+        wait.max(by - self.config.cancel_timeout.scale(35, 100))
     }
 
     pub(super) fn delete(&mut self, id: &MachineId, why: &str, now: Micros) {
@@ -399,20 +415,20 @@
         if m.stage == Stage::Deleting {
             return;
         }
-        let age = now.since(m.born);
-        let whole = m.size.cpu as u128 * age.0 as u128;
+        let age = now.since(m.first_known_at);
+        let total = m.size.cpu as u128 * age.0 as u128;
         info!(
             "{id}: deleted ({} in {}{}) after {:.0} s, {}% used: {why}",
-            m.build,
+            m.machine_type,
             m.zone,
             if m.spot { ", spot" } else { "" },
             age.as_secs_f64(),
-            m.busy * 100 / whole.max(1)
+            m.used_cpu_time * 100 / total.max(1)
         );
         m.stage = Stage::Deleting;
-        m.since = now;
-        m.delete_sent = None;
-        self.dirty = true;
-        self.tell(id);
+        m.stage_since = now;
+        m.delete_sent_at = None;
+        self.needs_scheduling = true;
+        self.mark_changed(id);
     }
 }
--- a/crates/core/src/leader/command_reachability.rs
+++ b/crates/core/src/leader/command_reachability.rs
@@ -109,8 +109,8 @@
 impl Machine {
     /// Its holder reports a heartbeat that changed nothing.
     pub(super) fn holder_reported_unchanged(&mut self, from: NodeId, at: Micros, now: Micros) {
-        if self.holder == Some(from) && self.confirmed && self.hearing.acknowledges_commands {
-            self.hearing.acknowledged(at, now);
+        if self.holder == Some(from) && self.confirmed && self.command_reachability.acknowledges_commands {
+            self.command_reachability.acknowledged(at, now);
         }
     }
 }
@@ -119,11 +119,11 @@
     /// Deletes machines that commands do not reach. A machine with tasks is deleted shortly
     /// before its worker's lease ends, so that one that recovers in time loses no task.
     pub(super) fn delete_unreachable_for_commands(&mut self, now: Micros) {
-        let lease = self.ctx.lease;
+        let lease = self.config.worker_lease;
         let mut held: BTreeMap<NodeId, (usize, usize)> = BTreeMap::new();
         let (mut up, mut any_unacknowledged) = (0, false);
         for m in self.machines.values().filter(|m| m.stage == Stage::Up) {
-            let unacknowledged = m.hearing.unacknowledged_since.is_some();
+            let unacknowledged = m.command_reachability.unacknowledged_since.is_some();
             (up, any_unacknowledged) = (up + 1, any_unacknowledged || unacknowledged);
             if let Some(h) = m.holder {
                 let (n, of) = held.entry(h).or_default();
@@ -133,14 +133,14 @@
         if !any_unacknowledged {
             return;
         }
-        while self.deaf_gone.front().is_some_and(|t| now.since(*t) > DELETION_WINDOW) {
-            self.deaf_gone.pop_front();
+        while self.unreachable_deletions.front().is_some_and(|t| now.since(*t) > DELETION_WINDOW) {
+            self.unreachable_deletions.pop_front();
         }
-        let left = (up / MACHINES_PER_DELETION).max(2).saturating_sub(self.deaf_gone.len());
+        let left = (up / MACHINES_PER_DELETION).max(2).saturating_sub(self.unreachable_deletions.len());
         let mut to_delete = Vec::new();
         for (id, m) in &self.machines {
-            let h = &m.hearing;
-            let last = m.heard.max(self.last_seen.get(id).map(|x| x.1));
+            let h = &m.command_reachability;
+            let last = m.last_contact.max(self.last_seen.get(id).map(|x| x.1));
             let alive = last.is_some_and(|t| now.since(t) < SILENCE_TIMEOUT);
             // The last probe may still be answered.
             if m.stage != Stage::Up
@@ -162,7 +162,7 @@
         }
         to_delete.sort();
         for (span, id) in to_delete.into_iter().take(left) {
-            self.deaf_gone.push_back(now);
+            self.unreachable_deletions.push_back(now);
             let why =
                 format!("it sends heartbeats but has acknowledged nothing for {:.1} s", span.0.as_secs_f64());
             self.delete(&id, &why, now);
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -1,10 +1,9 @@
-//! The leader: which machines there are, which controller holds them, where
-//! each task is bound, and what goes next.
+//! The leader: which machines exist, which controller holds each of them, where each task
+//! is bound, and which task is assigned next.
 mod assignments;
 mod autoscaling;
 mod bindings;
 mod blocks;
-mod books;
 mod cancelled;
 mod capacity_index;
 pub mod changes;
@@ -12,6 +11,7 @@
 mod dependents;
 mod intents;
 mod job_run;
+mod log_replication;
 mod machine;
 mod messages;
 pub mod network_paths;
@@ -25,13 +25,12 @@
 pub mod zone_health;
 
 use crate::lateness::Lateness;
-use assignments::{AssignedTasks, Handed, may_hold};
+use assignments::{UnresolvedAssignment, UnresolvedTasks, may_hold};
 use intents::ScaleOutStage;
 pub use intents::{CloudRequest, LeaderWrite, ScaleOutRequest};
 use job_run::{Binding, FAULTY_JOB_FAILURES, JobRun};
 pub use machine::{Machine, Stage};
 
-use crate::books::Ledgers;
 use crate::controller::{MachineSizes, PROBE_AFTER, PROBE_TIMEOUT};
 use crate::dependencies::Urgency;
 use crate::fair_queue::FairQueue;
@@ -45,6 +44,7 @@
     UnleasedReport,
 };
 use crate::placement::{self, Candidate};
+use crate::placement_log::PlacementLog;
 use gorseshore_protocol::cloud::{Flavor, Rentals};
 use gorseshore_protocol::ids::{
     Attempt, Baton, EPOCH_BITS, JobId, MachineId, Micros, NodeId, Resources, TaskId,
@@ -56,17 +56,17 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
-/// Sums over bound tasks, kept as tasks are bound and freed.
+/// Totals over bound tasks, updated as tasks are bound and released.
 #[derive(Debug, Default, Clone, PartialEq)]
-struct Sums {
-    /// CPUs and GPUs of each team's tasks, wherever they may be.
+struct BoundTotals {
+    /// CPUs and GPUs of each team's bound tasks.
     teams: BTreeMap<String, (u64, u64)>,
-    /// Tasks of arrays.
+    /// Number of bound tasks of arrays.
     arrays: u64,
 }
 
-impl Sums {
-    fn bound(&mut self, spec: &JobSpec) {
+impl BoundTotals {
+    fn add(&mut self, spec: &JobSpec) {
         self.arrays += (spec.kind == Kind::Array) as u64;
         let (c, g) = match self.teams.get_mut(&spec.team) {
             Some(t) => t,
@@ -74,7 +74,7 @@
         };
         (*c, *g) = (*c + spec.need.cpu, *g + spec.need.gpu);
     }
-    fn freed(&mut self, spec: &JobSpec) {
+    fn subtract(&mut self, spec: &JobSpec) {
         self.arrays -= (spec.kind == Kind::Array) as u64;
         if let Some((c, g)) = self.teams.get_mut(&spec.team) {
             (*c, *g) = (*c - spec.need.cpu, *g - spec.need.gpu);
@@ -82,80 +82,73 @@
     }
 }
 
-/// Another controller, as the leader sees it.
+/// The state of the leader's communication with one controller.
 #[derive(Debug, Default, Clone)]
 struct Node {
     incarnation: u64,
     sync_seq: u64,
-    /// The last update that it has taken.
-    seen: u64,
-    /// It waits for the acknowledgement of what it told.
-    owed: bool,
-    heard: Option<Micros>,
-    since: Micros,
+    /// The last update that it has acknowledged.
+    acked_update: u64,
+    /// It waits for the acknowledgement of its last `Sync`.
+    ack_due: bool,
+    last_contact: Option<Micros>,
+    incarnation_since: Micros,
     contact_since: Micros,
-    /// Updates to it.
+    /// Paces the updates to it.
     pacer: Pacer,
-    dirty: bool,
+    update_due: bool,
 }
 
-/// A hand-out whose outcome is not known.
+/// An assignment whose outcome is not known.
 #[derive(Debug)]
-struct OnItsWay {
+struct PendingAssignment {
     to: NodeId,
-    out: Assignment,
-    /// The change of the books that has to be at the witnesses before it goes.
-    covered_by: u64,
-    /// When it last went.
+    assignment: Assignment,
+    /// The change of the placement log that all replicas have to acknowledge before the
+    /// assignment is sent.
+    log_seq: u64,
+    /// When it was last sent.
     sent: Option<Micros>,
 }
 
-/// What a controller says in a `Sync`.
+/// The content of a controller's `Sync`.
 #[derive(Debug, Clone, Copy)]
-pub struct View<'a> {
-    /// Counts up.
+pub struct SyncView<'a> {
+    /// Sequence number of the `Sync`.
     pub seq: u64,
-    /// The `Sync` that it builds on.
+    /// Sequence number of the `Sync` that it builds on.
     pub base: u64,
-    /// The last update taken.
-    pub seen: u64,
+    /// The last update that the controller applied.
+    pub acked_update: u64,
     /// Machines that changed.
     pub machines: &'a [MachineState],
-    /// Machines that were heard, and how long ago.
-    pub heard: &'a [(MachineId, Micros, ReportNo)],
-    /// Machines of others whose workers report to it.
-    pub strangers: &'a [UnleasedReport],
-    /// Hand-outs that were decided on.
+    /// Machines that sent a heartbeat without a change, and how long ago.
+    pub contacts: &'a [(MachineId, Micros, ReportNo)],
+    /// Machines that the controller does not hold and whose workers send it heartbeats.
+    pub unleased_reports: &'a [UnleasedReport],
+    /// Assignments that the controller has carried out or refused.
     pub outcomes: &'a [AssignmentOutcome],
 }
 
-impl<'a> View<'a> {
-    /// What a `Sync` says, and to the leader of which term; `None` of any other
-    /// message.
-    pub fn of(m: &'a Message) -> Option<(u64, View<'a>)> {
-        let Message::Sync {
-            term,
-            seq,
-            base,
-            acked_update: seen,
-            machines,
-            contacts: heard,
-            unleased_reports: strangers,
-            outcomes,
-        } = m
+impl<'a> SyncView<'a> {
+    /// The content of a `Sync`, and the term of the leader that it is meant for; `None` for
+    /// any other message.
+    pub fn of(m: &'a Message) -> Option<(u64, SyncView<'a>)> {
+        let Message::Sync { term, seq, base, acked_update, machines, contacts, unleased_reports, outcomes } =
+            m
         else {
             return None;
         };
-        let (seq, base, seen) = (*seq, *base, *seen);
-        Some((*term, View { seq, base, seen, machines, heard, strangers, outcomes }))
+        let (seq, base, acked_update) = (*seq, *base, *acked_update);
+        Some((*term, SyncView { seq, base, acked_update, machines, contacts, unleased_reports, outcomes }))
     }
 }
 
-/// Things that stay the same for a term.
+/// Settings that stay the same for a term.
 #[derive(Debug, Clone)]
-pub struct Context {
+pub struct LeaderConfig {
     /// This node.
-    pub me: NodeId,
+    pub node_id: NodeId,
     /// All nodes' names.
     pub names: Vec<String>,
     /// All nodes' zones.
@@ -164,17 +157,17 @@
     pub operator: Operator,
     /// Teams.
     pub teams: Vec<Team>,
-    /// What is expected of classes of jobs.
+    /// Objectives of job classes.
     pub objectives: Vec<Objective>,
-    /// Workers' lease.
-    pub lease: Micros,
-    /// Workers' report interval.
-    pub report: Micros,
-    /// Time for a cancellation.
-    pub cancel: Micros,
-    /// How old a list may be.
+    /// Duration of a worker's lease.
+    pub worker_lease: Micros,
+    /// Interval between a worker's heartbeats.
+    pub report_interval: Micros,
+    /// Time within which all tasks of a cancelled job have to be terminated.
+    pub cancel_timeout: Micros,
+    /// How far the cloud's list of machines may lag behind.
     pub list_lag: Micros,
-    /// Calls a second that the cloud takes.
+    /// Calls per second that the cloud accepts.
     pub cloud_rps: f64,
 }
 
@@ -183,204 +176,212 @@
 pub struct Leader {
     /// Its term.
     pub term: u64,
-    ctx: Context,
-    epoch: u64,
-    began: Micros,
-    began_ms: u64,
-    /// Revision of the leader's key: jobs recorded later were never handed
-    /// out by an earlier leader.
-    began_stamp: u64,
+    config: LeaderConfig,
+    token_sequence: u64,
+    term_start: Micros,
+    term_start_wall_ms: u64,
+    /// Revision of the leader's key: no earlier leader assigned tasks of jobs recorded later.
+    leader_key_revision: u64,
     lateness: Lateness,
-    granted: bool,
+    grants_started: bool,
     queues: BTreeMap<Rank, FairQueue>,
     nodes: Vec<Node>,
     machines: BTreeMap<MachineId, Machine>,
-    /// Deleted machines, when, and the update that first tells of it.
-    gone: BTreeMap<MachineId, (Micros, u64)>,
-    /// Number of the last update sent to anybody.
-    version: u64,
-    /// Deletions told before this are forgotten.
-    forgotten: u64,
+    /// Deleted machines: when, and the first update that reports the deletion.
+    deleted_machines: BTreeMap<MachineId, (Micros, u64)>,
+    /// Sequence number of the last update sent to any controller.
+    update_seq: u64,
+    /// An incremental update can't build on one before this: deletions reported before it
+    /// are no longer stored.
+    min_update_base: u64,
     jobs: BTreeMap<JobId, JobRun>,
-    /// Cancelled jobs that are not proven to be nowhere, and by when their tasks have to
-    /// be gone.
-    aborted: BTreeMap<JobId, Micros>,
-    /// Hand-outs whose outcome is not known.
-    handouts: BTreeMap<Attempt, OnItsWay>,
-    books: Ledgers,
-    /// The books of before are waited for.
-    wants_books: bool,
-    /// Jobs that wait for the end of others: which they replace, or depend on.
-    held: BTreeSet<JobId>,
-    /// A job was recorded as done, so that others may be released.
+    /// Cancelled jobs that may still have tasks on machines, and by when those have to be
+    /// terminated.
+    cancelled_jobs: BTreeMap<JobId, Micros>,
+    /// Assignments whose outcome is not known.
+    pending_assignments: BTreeMap<Attempt, PendingAssignment>,
+    placement_log: PlacementLog,
+    /// It waits for the placement log of the earlier leader.
+    awaits_log: bool,
+    /// Jobs that wait for the end of jobs that they replace or depend on.
+    unreleased_jobs: BTreeSet<JobId>,
+    /// A job was recorded as done, so jobs that depend on it may be released.
     dependency_done: bool,
-    /// Jobs that were cancelled with one that they depend on and have no record of it.
+    /// Jobs that were cancelled with a job that they depend on, and whose own cancellation
+    /// is not recorded.
     unrecorded_cancellations: BTreeSet<JobId>,
-    /// Tasks that are handed out and whose place is not known.
-    handed: AssignedTasks,
-    /// How often an invariant that is checked at run time did not hold.
+    /// Tasks that are assigned to a controller and whose machine is not known.
+    unresolved_tasks: UnresolvedTasks,
+    /// Number of violations of invariants that are checked at run time.
     violations: u64,
-    /// The blocks as sets, made when they are needed.
+    /// The machines of each controller's block, computed when needed.
     blocks: BTreeMap<NodeId, Rc<BTreeSet<MachineId>>>,
-    /// Bound tasks: what teams use of CPUs and GPUs, and how many are of arrays.
-    sums: Sums,
-    stops: BTreeMap<(TaskId, Attempt), (StopRequest, Micros)>,
-    hires: BTreeMap<String, (ScaleOutRequest, ScaleOutStage, Micros)>,
-    refused: BTreeMap<(String, String, bool), Micros>,
-    /// Spot machines that were rented of late: when, and how many.
-    spot_had: VecDeque<(Micros, usize)>,
-    /// Zones, as far as they are heard.
-    health: ZoneHealth,
-    /// When the ways to the zones opened.
-    ways: NetworkPaths,
-    /// Arrays of which more is done than was recorded when last looked at.
-    progressed: BTreeSet<JobId>,
-    /// Machines with room, in order.
-    rooms: capacity_index::CapacityIndex,
-    /// Jobs that wait, in order; `requeue`: some began to wait since.
-    waiting: schedule::PendingJobs,
-    requeue: bool,
-    /// Something changed: schedule.
-    pub dirty: bool,
-    fleet_at: Micros,
-    measured: Micros,
-    /// When a page of the cloud's list was read, and after which machine it goes on.
-    listed: Micros,
-    list_from: Option<String>,
-    listing: bool,
-    hire_count: u64,
+    /// CPUs and GPUs that each team's bound tasks use, and the number of bound array tasks.
+    bound_totals: BoundTotals,
+    pending_stops: BTreeMap<(TaskId, Attempt), (StopRequest, Micros)>,
+    scale_out_requests: BTreeMap<String, (ScaleOutRequest, ScaleOutStage, Micros)>,
+    refused_offers: BTreeMap<(String, String, bool), Micros>,
+    /// Recent rentals of spot machines: when, and how many machines.
+    recent_spot_rentals: VecDeque<(Micros, usize)>,
+    /// Which zones are closed to renting because no machine in them sends heartbeats.
+    zone_health: ZoneHealth,
+    /// Since when the network path to each zone is open.
+    network_paths: NetworkPaths,
+    /// Arrays that had more tasks done than recorded when they were last checked.
+    arrays_with_progress: BTreeSet<JobId>,
+    /// Machines with free capacity, in order.
+    capacity_index: capacity_index::CapacityIndex,
+    /// Pending jobs, in order; `queue_stale`: the order has to be computed again.
+    pending_jobs: schedule::PendingJobs,
+    queue_stale: bool,
+    /// Something changed that the next scheduling pass has to consider.
+    pub needs_scheduling: bool,
+    next_autoscale_at: Micros,
+    usage_measured_at: Micros,
+    /// When a page of the cloud's list was read, and the machine after which the next starts.
+    listed_at: Micros,
+    list_cursor: Option<String>,
+    list_pending: bool,
+    scale_out_count: u64,
     rent_not_before: Micros,
-    /// The operators' bounds are reached, and the log said so.
+    /// `block_size` or `max_machines` is reached, and that was logged.
     blocks_full: bool,
     fleet_full: bool,
-    scheduled: Micros,
-    /// When blocks, silent machines and cancellations were last looked at.
-    blocks_at: Micros,
-    stops_at: Micros,
-    counted: Micros,
-    waits_told: Micros,
+    scheduled_at: Micros,
+    /// When blocks and silent machines, and cancellations, were last checked.
+    blocks_checked_at: Micros,
+    cancellations_checked_at: Micros,
+    running_counted_at: Micros,
+    pending_logged_at: Micros,
     probes: Vec<(NodeId, MachineId, String)>,
     last_seen: BTreeMap<MachineId, (NodeId, Micros)>,
-    /// When machines were deleted because they hear nothing.
-    deaf_gone: VecDeque<Micros>,
-    /// Machines whose reports contradict what is known of them, and the log said so.
-    apart: BTreeSet<MachineId>,
+    /// When machines were deleted because they were unreachable for commands.
+    unreachable_deletions: VecDeque<Micros>,
+    /// Machines whose heartbeats contradict their records, and for which that was logged.
+    mismatched: BTreeSet<MachineId>,
 }
 
 impl Leader {
-    /// A leader of a new term: tags at zero, nothing known but the records.
+    /// A leader of a new term: it knows only the records, and all fair-queue tags are zero.
     pub fn new(
-        ctx: Context,
+        ctx: LeaderConfig,
         term: u64,
-        stamp: u64,
-        ledger: &Ledger,
+        leader_key_revision: u64,
+        state_replica: &Ledger,
         sizes: &MachineSizes,
         now: Micros,
         wall_ms: u64,
     ) -> Self {
         let nodes = vec![Node::default(); ctx.zones.len()];
         let lag = ctx.list_lag;
-        let (record, stamp_of) = ledger.books.clone();
-        let books = Ledgers::new(term, ctx.me, ctx.names.clone(), ctx.zones.clone(), record, stamp_of);
+        let (record, record_revision) = state_replica.books.clone();
+        let books = PlacementLog::new(
+            term,
+            ctx.node_id,
+            ctx.names.clone(),
+            ctx.zones.clone(),
+            record,
+            record_revision,
+        );
         let mut l = Leader {
             term,
-            ctx,
-            epoch: 0,
-            began: now,
-            began_ms: wall_ms,
-            began_stamp: stamp,
+            config: ctx,
+            token_sequence: 0,
+            term_start: now,
+            term_start_wall_ms: wall_ms,
+            leader_key_revision,
             lateness: Lateness::new(now),
-            granted: false,
+            grants_started: false,
             queues: BTreeMap::new(),
             nodes,
             machines: BTreeMap::new(),
-            gone: BTreeMap::new(),
-            version: 0,
-            forgotten: 0,
+            deleted_machines: BTreeMap::new(),
+            update_seq: 0,
+            min_update_base: 0,
             jobs: BTreeMap::new(),
-            aborted: BTreeMap::new(),
-            handouts: BTreeMap::new(),
-            books,
-            wants_books: ledger.books.0.term > 0 && !ledger.books.0.nodes.is_empty(),
-            held: BTreeSet::new(),
+            cancelled_jobs: BTreeMap::new(),
+            pending_assignments: BTreeMap::new(),
+            placement_log: books,
+            awaits_log: state_replica.books.0.term > 0 && !state_replica.books.0.nodes.is_empty(),
+            unreleased_jobs: BTreeSet::new(),
             dependency_done: true,
             unrecorded_cancellations: BTreeSet::new(),
-            handed: AssignedTasks::default(),
+            unresolved_tasks: UnresolvedTasks::default(),
             violations: 0,
             blocks: BTreeMap::new(),
-            sums: Sums::default(),
-            stops: BTreeMap::new(),
-            hires: BTreeMap::new(),
-            refused: BTreeMap::new(),
-            spot_had: VecDeque::new(),
-            health: ZoneHealth::default(),
-            ways: NetworkPaths::default(),
-            progressed: BTreeSet::new(),
-            rooms: capacity_index::CapacityIndex::default(),
-            waiting: schedule::PendingJobs::new(),
-            requeue: true,
-            dirty: true,
-            fleet_at: now,
-            measured: now,
-            listed: Micros(0),
-            list_from: None,
-            listing: false,
-            hire_count: 0,
-            // Machines that the last leader rented show in the list only
-            // after its lag; renting before that would rent them twice.
+            bound_totals: BoundTotals::default(),
+            pending_stops: BTreeMap::new(),
+            scale_out_requests: BTreeMap::new(),
+            refused_offers: BTreeMap::new(),
+            recent_spot_rentals: VecDeque::new(),
+            zone_health: ZoneHealth::default(),
+            network_paths: NetworkPaths::default(),
+            arrays_with_progress: BTreeSet::new(),
+            capacity_index: capacity_index::CapacityIndex::default(),
+            pending_jobs: schedule::PendingJobs::new(),
+            queue_stale: true,
+            needs_scheduling: true,
+            next_autoscale_at: now,
+            usage_measured_at: now,
+            listed_at: Micros(0),
+            list_cursor: None,
+            list_pending: false,
+            scale_out_count: 0,
+            // Machines that the last leader rented appear in the cloud's list only after its
+            // lag; renting earlier would rent them twice.
             rent_not_before: if term == 1 { now } else { now + lag },
             blocks_full: false,
             fleet_full: false,
-            scheduled: Micros(0),
-            blocks_at: Micros(0),
-            stops_at: Micros(0),
-            counted: Micros(0),
-            waits_told: now,
+            scheduled_at: Micros(0),
+            blocks_checked_at: Micros(0),
+            cancellations_checked_at: Micros(0),
+            running_counted_at: Micros(0),
+            pending_logged_at: now,
             probes: Vec::new(),
             last_seen: BTreeMap::new(),
-            deaf_gone: VecDeque::new(),
-            apart: BTreeSet::new(),
+            unreachable_deletions: VecDeque::new(),
+            mismatched: BTreeSet::new(),
         };
-        for (id, rec) in &ledger.machines {
+        for (id, rec) in &state_replica.machines {
             let size = sizes.get(&rec.build).copied().unwrap_or_default();
             let mut m = Machine::new(rec, size, Stage::Up, now);
             m.recorded = true;
-            m.unknown = true;
+            m.tasks_unknown = true;
             l.machines.insert(id.clone(), m);
         }
-        for (id, job) in &ledger.jobs {
-            // What ends a cancellation is the proof that it is nowhere, never its age: a
-            // user may have been told long after its record, and whatever is left of it
-            // breaks the rule at any later time.
+        for (id, job) in &state_replica.jobs {
+            // A cancellation ends only with the proof that no task of the job is left, never by
+            // its age: it may have been confirmed to the user long after it was recorded, and
+            // a task that still runs violates that confirmation at any later time.
             match job.phase {
                 Phase::Aborted if job.settled => l.note_cancelled_by_another(*id, job),
                 Phase::Aborted => {
                     let by = crate::cancellation_enforcer::cancellation_deadline(
                         job.ended_ms,
                         wall_ms,
-                        l.ctx.cancel,
+                        l.config.cancel_timeout,
                         now,
                     );
-                    l.aborted.insert(*id, by);
+                    l.cancelled_jobs.insert(*id, by);
                 }
-                _ => l.job_changed(*id, ledger, now),
+                _ => l.job_changed(*id, state_replica, now),
             }
         }
         info!("elected term={term} machines={} active_jobs={}", l.machines.len(), l.jobs.len());
         l
     }
 
-    /// Compares what is kept as things change with a fresh count: for tests.
-    pub fn check_sums(&self) -> Result<(), String> {
-        let mut sums = Sums::default();
-        let mut handed = AssignedTasks::default();
+    /// Compares the incrementally updated totals with a full count; for tests.
+    pub fn check_totals(&self) -> Result<(), String> {
+        let mut sums = BoundTotals::default();
+        let mut unresolved = UnresolvedTasks::default();
         let mut on: BTreeMap<&MachineId, BTreeSet<TaskId>> = BTreeMap::new();
         for (job, r) in &self.jobs {
             for (index, b) in &r.bound {
                 let task = TaskId { job: *job, index: *index };
-                sums.bound(&r.spec);
+                sums.add(&r.spec);
                 if let Some(h) = &b.unresolved_assignment {
-                    handed.watch(task, h.watched.as_ref());
+                    unresolved.watch(task, h.watched_at.as_ref());
                     self.check_watched(task, b.attempt, h)?;
                 }
                 for id in &b.reported_on {
@@ -388,88 +389,97 @@
                 }
             }
         }
-        let mut kept = self.sums.clone();
-        kept.teams.retain(|_, u| *u != (0, 0));
+        let mut stored = self.bound_totals.clone();
+        stored.teams.retain(|_, u| *u != (0, 0));
         sums.teams.retain(|_, u| *u != (0, 0));
-        if sums != kept {
-            return Err(format!("bound tasks: {kept:?} kept, {sums:?} counted"));
+        if sums != stored {
+            return Err(format!("bound tasks: {stored:?} stored, {sums:?} counted"));
         }
         self.check_capacity_index()?;
-        if handed != self.handed {
-            return Err(format!("handed: {:?} kept, {handed:?} counted", self.handed));
+        if unresolved != self.unresolved_tasks {
+            return Err(format!(
+                "unresolved tasks: {:?} stored, {unresolved:?} counted",
+                self.unresolved_tasks
+            ));
         }
         for (id, m) in &self.machines {
             let counted = on.remove(id).unwrap_or_default();
             if m.bound != counted {
-                return Err(format!("bound to {id}: {:?} kept, {counted:?} counted", m.bound));
+                return Err(format!("bound to {id}: {:?} stored, {counted:?} counted", m.bound));
             }
-            if !m.stale && m.used != schedule::used_resources(m, &self.jobs) {
-                return Err(format!("used of {id}: {:?} kept", m.used));
+            if !m.used_stale && m.used != schedule::used_resources(m, &self.jobs) {
+                return Err(format!("used of {id}: {:?} stored", m.used));
             }
         }
         Ok(())
     }
 
-    /// Whether a task is watched at a machine whose word is still to come.
-    fn check_watched(&self, task: TaskId, attempt: Attempt, handed: &Handed) -> Result<(), String> {
+    /// Checks that an assigned task is watched at a machine that may hold it, if there is one.
+    fn check_watched(
+        &self,
+        task: TaskId,
+        attempt: Attempt,
+        unresolved: &UnresolvedAssignment,
+    ) -> Result<(), String> {
         let there = |id: &MachineId| self.machines.get(id).is_some_and(|m| may_hold(m, attempt));
-        let watched = handed.watched.as_ref().filter(|id| handed.machines.contains(*id) && there(id));
-        if watched.is_none() && handed.machines.iter().any(there) {
-            return Err(format!("{task}: watched at {:?}, which can't hold it", handed.watched));
+        let watched =
+            unresolved.watched_at.as_ref().filter(|id| unresolved.candidates.contains(*id) && there(id));
+        if watched.is_none() && unresolved.candidates.iter().any(there) {
+            return Err(format!("{task}: watched at {:?}, which can't hold it", unresolved.watched_at));
         }
         Ok(())
     }
 
-    /// How often an invariant that is checked at run time did not hold.
+    /// Number of violations of invariants that are checked at run time.
     pub fn violations(&self) -> u64 {
         self.violations
     }
 
-    /// A number never used before in this deployment.
-    fn draw(&mut self) -> u64 {
-        self.epoch += 1;
-        Baton::new(self.term, self.epoch).0
+    /// A fencing token that was never used before in this deployment.
+    fn next_token(&mut self) -> u64 {
+        self.token_sequence += 1;
+        Baton::new(self.term, self.token_sequence).0
     }
 
-    /// Whether the term's numbers are used up; the leader must step down.
-    pub fn exhausted(&self) -> bool {
-        self.epoch + 100_000 >= 1 << EPOCH_BITS
+    /// Whether the term's fencing tokens are nearly used up, so the leader must step down.
+    pub fn tokens_exhausted(&self) -> bool {
+        self.token_sequence + 100_000 >= 1 << EPOCH_BITS
     }
 
-    /// A job's record changed.
-    pub fn job_changed(&mut self, id: JobId, ledger: &Ledger, now: Micros) {
-        let Some(job) = ledger.jobs.get(&id) else { return };
-        self.dirty = true;
-        self.requeue = true;
+    /// Applies a changed job record.
+    pub fn job_changed(&mut self, id: JobId, state_replica: &Ledger, now: Micros) {
+        let Some(job) = state_replica.jobs.get(&id) else { return };
+        self.needs_scheduling = true;
+        self.queue_stale = true;
         match job.phase {
             Phase::Active => {
                 if !job.done.is_empty() {
-                    self.progressed.insert(id);
+                    self.arrays_with_progress.insert(id);
                 }
                 let Some(spec) = &job.spec else { return };
                 match self.jobs.get_mut(&id) {
                     None => {
-                        let mut run = JobRun::new(job, spec.clone(), &self.ctx.objectives);
-                        run.held = !spec.after.is_empty() || !ledger.dependencies.released(id);
+                        let mut run = JobRun::new(job, spec.clone(), &self.config.objectives);
+                        run.held = !spec.after.is_empty() || !state_replica.dependencies.released(id);
                         if run.held {
-                            self.held.insert(id);
+                            self.unreleased_jobs.insert(id);
                         } else {
-                            run.set_ready_ms(ledger.released_ms(id));
+                            run.set_ready_ms(state_replica.released_ms(id));
                         }
                         self.jobs.insert(id, run);
-                        self.inherit_urgency(id, ledger);
+                        self.inherit_urgency(id, state_replica);
                     }
                     Some(run) => {
                         for index in run.apply_record(job, spec) {
-                            self.books.note(TaskId { job: id, index });
+                            self.placement_log.record_change(TaskId { job: id, index });
                         }
                     }
                 }
             }
             Phase::Aborted if job.settled => self.note_cancelled_by_another(id, job),
             Phase::Aborted => {
-                self.aborted.entry(id).or_insert(now + self.ctx.cancel);
-                self.stops_at = Micros(0);
+                self.cancelled_jobs.entry(id).or_insert(now + self.config.cancel_timeout);
+                self.cancellations_checked_at = Micros(0);
             }
             Phase::Done => self.dependency_done = true,
         }
@@ -478,67 +488,68 @@
         {
             run.ended = true;
             for index in std::mem::take(&mut run.unrecorded) {
-                self.books.note(TaskId { job: id, index });
+                self.placement_log.record_change(TaskId { job: id, index });
             }
-            self.inherit_urgency(id, ledger);
+            self.inherit_urgency(id, state_replica);
         }
     }
 
-    /// A controller asks, before it tells a user, whether this leader acts on a
-    /// cancellation: also one that was on record for long.
-    pub fn told_cancelled(&mut self, id: JobId, ledger: &Ledger, now: Micros) {
-        if ledger.jobs.get(&id).is_some_and(|j| j.phase == Phase::Aborted && !j.settled) {
-            self.aborted.entry(id).or_insert(now + self.ctx.cancel);
+    /// Starts to enforce a cancellation, even one recorded long ago: a controller requires
+    /// this before it confirms the cancellation to the client.
+    pub fn track_cancellation(&mut self, id: JobId, state_replica: &Ledger, now: Micros) {
+        if state_replica.jobs.get(&id).is_some_and(|j| j.phase == Phase::Aborted && !j.settled) {
+            self.cancelled_jobs.entry(id).or_insert(now + self.config.cancel_timeout);
         }
     }
 
-    /// Lets go of jobs that wait for the end of others.
-    fn release(&mut self, ledger: &Ledger) {
+    /// Releases jobs whose dependencies and replaced jobs have ended.
+    fn release(&mut self, state_replica: &Ledger) {
         let done = std::mem::take(&mut self.dependency_done);
         let free = |id: &JobId| {
             let Some(run) = self.jobs.get(id) else { return true };
             if run.spec.after.is_empty() && !done {
                 return false;
             }
-            ledger.dependencies.released(*id) && run.spec.after.iter().all(|a| self.gone_for_good(*a, ledger))
+            state_replica.dependencies.released(*id)
+                && run.spec.after.iter().all(|a| self.ended_for_good(*a, state_replica))
         };
-        let free: Vec<JobId> = self.held.iter().filter(|id| free(id)).copied().collect();
+        let free: Vec<JobId> = self.unreleased_jobs.iter().filter(|id| free(id)).copied().collect();
         for id in free {
-            self.held.remove(&id);
-            self.dirty = true;
-            self.requeue = true;
+            self.unreleased_jobs.remove(&id);
+            self.needs_scheduling = true;
+            self.queue_stale = true;
             if let Some(run) = self.jobs.get_mut(&id) {
                 run.held = false;
-                run.set_ready_ms(ledger.released_ms(id));
+                run.set_ready_ms(state_replica.released_ms(id));
             }
-            self.inherit_urgency(id, ledger);
+            self.inherit_urgency(id, state_replica);
         }
     }
 
-    /// Whether nothing of a job is on any machine, nor can come there: it is over, no
-    /// task of it is bound, and if it was cancelled, that is on record.
-    fn gone_for_good(&self, id: JobId, ledger: &Ledger) -> bool {
+    /// Whether no task of a job is on any machine or can get there: the job has ended, no
+    /// task of it is bound, and if it was cancelled, that no task is left is recorded.
+    fn ended_for_good(&self, id: JobId, state_replica: &Ledger) -> bool {
         let bound = self.jobs.get(&id).is_some_and(|r| !r.bound.is_empty());
         let settled = |job: &Job| match job.phase {
             Phase::Active => false,
             Phase::Done => true,
             Phase::Aborted => job.settled,
         };
-        !bound && ledger.jobs.get(&id).is_none_or(settled)
+        !bound && state_replica.jobs.get(&id).is_none_or(settled)
     }
 
-    /// Whether nothing of a job that is over is on any machine, nor can come there: no
-    /// task of it is bound, and no machine that could hold one is unheard in this term.
-    pub(super) fn nowhere(&self, id: JobId, job: &Job) -> bool {
-        let unheard = |spec: &JobSpec| {
-            let mut unknown = self.machines.values().filter(|m| m.unknown);
+    /// Whether no task of an ended job is on any machine or can get there: no task of it is
+    /// bound, and every machine that could hold one has sent its task list in this term.
+    pub(super) fn has_no_tasks(&self, id: JobId, job: &Job) -> bool {
+        let unknown_machine_suits = |spec: &JobSpec| {
+            let mut unknown = self.machines.values().filter(|m| m.tasks_unknown);
             unknown.any(|m| m.suits(spec))
         };
-        // Without its description, which is kept for long, any machine could.
-        let may = || match &job.spec {
-            Some(spec) => unheard(spec),
-            None => self.machines.values().any(|m| m.unknown),
+        // The job specification is stored for a long time; without it, any machine could.
+        let may_hold_task = || match &job.spec {
+            Some(spec) => unknown_machine_suits(spec),
+            None => self.machines.values().any(|m| m.tasks_unknown),
         };
-        self.jobs.get(&id).is_none_or(|r| r.bound.is_empty()) && !may()
+        self.jobs.get(&id).is_none_or(|r| r.bound.is_empty()) && !may_hold_task()
     }
 }
--- a/crates/core/src/node/cancellations.rs
+++ b/crates/core/src/node/cancellations.rs
@@ -207,7 +207,7 @@
         let down: Vec<NodeId> =
             self.peers.all().filter(|n| self.peers.is_process_down(*n, self.now)).collect();
         let start_possible =
-            leader.start_may_follow(tracked.record.job, &tracked.record.acknowledged_by, &down, self.now);
+            leader.may_still_start(tracked.record.job, &tracked.record.acknowledged_by, &down, self.now);
         (!start_possible).then_some(leader.term)
     }
 
@@ -223,7 +223,7 @@
         // Drops cancellations whose completion is on record. Without a waiting request, one is kept
         // for four times the cancellation time only: by then its tasks have left their machines, or
         // the state service provides the record.
-        let (keep, replica) = (self.leader_config.cancel.scale(4, 1), &self.replica_sync.replica);
+        let (keep, replica) = (self.leader_config.cancel_timeout.scale(4, 1), &self.replica_sync.replica);
         self.cancellations.jobs.retain(|job, tracked| {
             !tracked.requesters.is_empty()
                 || now.since(tracked.since) < keep && replica.jobs.get(job).is_none_or(|j| !j.settled)
@@ -343,7 +343,7 @@
             }
         }
         if let Some(l) = self.leadership.leader.as_mut() {
-            l.told_cancelled(c.job, &self.replica_sync.replica, self.now);
+            l.track_cancellation(c.job, &self.replica_sync.replica, self.now);
         }
     }
 
@@ -411,7 +411,7 @@
     /// process started may have been confirmed at any earlier time; half of the spare time is left
     /// for that.
     pub(super) fn may_renew_leases(&self) -> bool {
-        let spare = self.leader_config.cancel - self.leader_config.lease;
+        let spare = self.leader_config.cancel_timeout - self.leader_config.worker_lease;
         match self.informed_at {
             Some(t) => self.now.since(t) + Micros::secs(1) <= spare,
             None => self.now.since(self.started_at) <= spare.scale(1, 2),
--- a/crates/core/tests/wire_compatibility.rs
+++ b/crates/core/tests/wire_compatibility.rs
@@ -7,12 +7,12 @@
 //! production doesn't know may only go to processes that have said that they know
 //! it (`docs/operations.md`).
 use data_encoding::HEXLOWER;
-use gorseshore_core::books::{Entry, Page};
 use gorseshore_core::peer::{
     Assignment, AssignmentOutcome, Cancellation, Envelope, FRAME_HEADER_LEN, FrameError, GrantedMachine,
     MAX_FRAME_BYTES, MachineState, Message, PROTOCOL_VERSION, StopRequest, TaskState, TaskStatus,
     UnleasedReport, decode_body, decode_header, encode_frame,
 };
+use gorseshore_core::placement_log::{LogUpdate, PlacementEntry};
 use gorseshore_protocol::ids::{Attempt, Baton, JobId, MachineId, Micros, NodeId, TaskId};
 use gorseshore_protocol::workers::ReportNo;
 
@@ -160,22 +160,22 @@
     vec![silent, busy]
 }
 
-fn page(base: u64) -> Page {
-    let on_machines = Entry {
+fn page(base: u64) -> LogUpdate {
+    let on_machines = PlacementEntry {
         attempt: Attempt(0x7000_0001),
-        on: vec![MachineId::from("host-000001"), MachineId::from("host-000002")],
+        machines: vec![MachineId::from("host-000001"), MachineId::from("host-000002")],
         starting: true,
         done: false,
-        handed: None,
+        unresolved_assignment: None,
     };
-    let handed = |zone: Option<&str>| Entry {
+    let handed = |zone: Option<&str>| PlacementEntry {
         attempt: Attempt(0x7000_0002),
-        on: Vec::new(),
+        machines: Vec::new(),
         starting: false,
         done: true,
-        handed: Some((MachineId::from("host-000003"), zone.map(str::to_owned))),
+        unresolved_assignment: Some((MachineId::from("host-000003"), zone.map(str::to_owned))),
     };
-    Page {
+    LogUpdate {
         term: 7,
         seq: 1000,
         base,
@@ -185,7 +185,7 @@
             (task(412, 2), Some(handed(Some("east")))),
             (task(1_000_000_000_000_000_007, 3), None),
         ],
-        unknown: vec![MachineId::from("host-000009")],
+        unknown_machines: vec![MachineId::from("host-000009")],
     }
 }
 
@@ -400,9 +400,9 @@
         assert_eq!(Envelope::from_bytes(&packed), Some(envelope(message.clone())), "{name}");
         assert_eq!(envelope(message).to_bytes(), packed, "{name}");
     }
-    let books_taken = bytes("05030807060504030201090700000000000000e803000000000000");
+    let log_acknowledged = bytes("05030807060504030201090700000000000000e803000000000000");
     assert_eq!(
-        Envelope::from_bytes(&books_taken),
+        Envelope::from_bytes(&log_acknowledged),
         Some(envelope(Message::PlacementLogAck { term: 7, seq: 1000 }))
     );
 }
