--- a/crates/standins/src/worker.rs
+++ b/crates/standins/src/worker.rs
@@ -1,140 +1,141 @@
-//! Stand-in for a machine with its worker, written from the protocol.
+//! Stand-in for a machine and its worker agent, implemented from the protocol.
 use gorseshore_protocol::workers::{Direct, Order, Piece, Report};
 
-/// Where a task stands; times are microseconds of the caller's clock.
+/// State of a task; times are in microseconds of the caller's clock.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Stage {
-    /// Has its image at that time.
-    Fetching(u64),
-    /// Completes at that time.
+    /// Pulls its image until this time.
+    PullingImage(u64),
+    /// Runs, and completes at this time.
     Running(u64),
-    /// Has saved at that time.
-    Saving(u64),
-    /// Ended, for this cause.
+    /// Was told to halt and saves its progress until this time.
+    Checkpointing(u64),
+    /// Exited with this cause.
     Exited(&'static str),
 }
 
 /// A task on the machine.
 #[derive(Debug, Clone)]
 pub struct Task {
-    /// Job and index, as `j-000412/3`.
+    /// Job id and task index, as `j-000412/3`.
     pub name: String,
-    /// Attempt.
+    /// Attempt of the task.
     pub attempt: u64,
-    /// Where it stands.
+    /// State.
     pub stage: Stage,
 }
 
 impl Task {
-    /// From having its image until it ends.
-    pub fn on(&self) -> bool {
-        matches!(self.stage, Stage::Running(_) | Stage::Saving(_))
+    /// Whether the task has its image and has not exited.
+    pub fn is_running(&self) -> bool {
+        matches!(self.stage, Stage::Running(_) | Stage::Checkpointing(_))
     }
 }
 
-/// The machine.
+/// A machine with its worker agent; times are in microseconds of the caller's clock.
 pub struct Machine {
-    /// Name, which is its address too in worlds in memory.
+    /// Name; also the machine's address in in-memory simulations.
     pub name: String,
-    /// Type.
-    pub build: String,
+    /// Machine type.
+    pub machine_type: String,
     /// Zone.
     pub zone: String,
-    /// Spot.
+    /// Whether it is a spot machine.
     pub spot: bool,
     /// CPUs.
     pub cpus: f64,
-    /// When it is up.
+    /// When it has booted.
     pub up_at: u64,
-    /// Does nothing until then.
+    /// Does nothing until this time.
     pub hung_until: u64,
-    /// Out of reach until then.
-    pub cut_until: u64,
-    /// Every task fails.
-    pub sick: bool,
-    /// Session.
-    pub shift: u64,
-    /// Number of the last report or answer.
-    pub tally: u64,
-    /// Highest token seen.
-    pub baton: u64,
-    /// Tasks, with those that exited and are not cleared.
+    /// Unreachable over the network until this time.
+    pub unreachable_until: u64,
+    /// Every running task fails.
+    pub fails_all_tasks: bool,
+    /// Agent epoch; increases when the agent loses its tasks.
+    pub agent_epoch: u64,
+    /// Sequence number of the last report or command response.
+    pub sequence: u64,
+    /// Highest fencing token seen.
+    pub fencing_token: u64,
+    /// Tasks, including exited ones that are not cleared yet.
     pub tasks: Vec<Task>,
-    /// Which controller it reports to.
-    pub report_to: usize,
-    /// When the next report is due.
-    pub next_report: u64,
-    /// The open report: its number, when it was sent, its session.
-    pub open: Option<(u64, u64, u64)>,
-    /// What the lease counts from.
-    pub lease_from: u64,
-    /// When the last report went out.
-    pub last_sent: u64,
-    /// Something is to be reported.
-    pub changed: bool,
+    /// Index of the controller that it reports to.
+    pub target_controller: usize,
+    /// Earliest time of the next report.
+    pub next_report_at: u64,
+    /// The unanswered report: a number that identifies the request, when it was sent, its
+    /// agent epoch.
+    pub outstanding_report: Option<(u64, u64, u64)>,
+    /// Start of the current lease.
+    pub lease_start: u64,
+    /// When the last report was sent.
+    pub last_report_at: u64,
+    /// Whether there are changes that no report contains yet.
+    pub has_changes: bool,
 }
 
-/// What the worker knows of a job from its user.
-pub struct Facts {
-    /// CPUs of a task.
+/// How the tasks of a job behave on a worker.
+pub struct TaskProfile {
+    /// CPUs per task.
     pub cpus: f64,
-    /// Run time; none for replicas.
+    /// Run time in microseconds; `None` for service tasks, which run until they are stopped.
     pub run_us: Option<u64>,
-    /// Number of tasks.
+    /// Number of tasks in the job.
     pub tasks: u32,
-    /// Time to save; none if the task never saves.
-    pub save_us: Option<u64>,
-    /// It fails instead of completing.
+    /// Time to save progress in microseconds; `None` if the task never saves.
+    pub checkpoint_us: Option<u64>,
+    /// The task fails instead of completing.
     pub fails: bool,
 }
 
 impl Machine {
-    /// A machine that is up at a time; nothing runs on it.
+    /// A machine without tasks that has booted at `up_at`.
     pub fn new(name: &str, (build, zone, spot): (&str, &str, bool), cpus: f64, up_at: u64) -> Self {
         Machine {
             name: name.to_owned(),
-            build: build.to_owned(),
+            machine_type: build.to_owned(),
             zone: zone.to_owned(),
             spot,
             cpus,
             up_at,
             hung_until: 0,
-            cut_until: 0,
-            sick: false,
-            shift: 1,
-            tally: 0,
-            baton: 0,
+            unreachable_until: 0,
+            fails_all_tasks: false,
+            agent_epoch: 1,
+            sequence: 0,
+            fencing_token: 0,
             tasks: Vec::new(),
-            report_to: 0,
-            next_report: up_at,
-            open: None,
-            lease_from: up_at,
-            last_sent: 0,
-            changed: false,
+            target_controller: 0,
+            next_report_at: up_at,
+            outstanding_report: None,
+            lease_start: up_at,
+            last_report_at: 0,
+            has_changes: false,
         }
     }
 
-    /// The report as of now; each has a number of its own.
+    /// Builds a report of the current state with the next sequence number.
     pub fn report(&mut self) -> Report {
-        self.tally += 1;
+        self.sequence += 1;
         Report {
             host: self.name.clone(),
             addr: self.name.clone(),
-            build: self.build.clone(),
+            build: self.machine_type.clone(),
             yard: self.zone.clone(),
             loaners: self.spot,
-            shift: self.shift,
-            tally: self.tally,
-            baton: self.baton,
+            shift: self.agent_epoch,
+            tally: self.sequence,
+            baton: self.fencing_token,
             warning_s: None,
             pieces: self
                 .tasks
                 .iter()
                 .map(|t| {
                     let (stage, cause) = match t.stage {
-                        Stage::Fetching(_) => ("pulling", None),
+                        Stage::PullingImage(_) => ("pulling", None),
                         Stage::Running(_) => ("running", None),
-                        Stage::Saving(_) => ("flushing", None),
+                        Stage::Checkpointing(_) => ("flushing", None),
                         Stage::Exited(c) => ("exited", Some(c.to_owned())),
                     };
                     Piece {
@@ -149,32 +150,32 @@
         }
     }
 
-    /// The lease ran out: everything is killed and forgotten.
-    pub fn check_lease(&mut self, now: u64, lease: u64) {
-        if now > self.lease_from + lease {
+    /// If the lease has expired, kills and removes all tasks and starts a new agent epoch.
+    pub fn enforce_lease(&mut self, now: u64, lease: u64) {
+        if now > self.lease_start + lease {
             self.tasks.clear();
-            self.shift += 1;
-            self.lease_from = now;
-            self.changed = true;
+            self.agent_epoch += 1;
+            self.lease_start = now;
+            self.has_changes = true;
         }
     }
 
-    /// Executes orders in their order.
-    pub fn execute(&mut self, orders: &[Order], facts: &dyn Fn(&str) -> Option<Facts>, now: u64) {
+    /// Executes commands in the given order.
+    pub fn execute(&mut self, orders: &[Order], profile_of: &dyn Fn(&str) -> Option<TaskProfile>, now: u64) {
         for o in orders {
-            self.changed = true;
+            self.has_changes = true;
             let at = self.tasks.iter().position(|t| t.name == o.piece && t.attempt == o.attempt);
             match (o.verb.as_str(), at) {
                 ("run", Some(_)) => {}
                 ("run", None) => {
-                    let used: f64 = self
+                    let used_cpus: f64 = self
                         .tasks
                         .iter()
                         .filter(|t| !matches!(t.stage, Stage::Exited(_)))
-                        .filter_map(|t| facts(&t.name))
+                        .filter_map(|t| profile_of(&t.name))
                         .map(|f| f.cpus)
                         .sum();
-                    let stage = match facts(&o.piece) {
+                    let stage = match profile_of(&o.piece) {
                         None => Stage::Exited("no_such"),
                         Some(_)
                             if self
@@ -184,19 +185,19 @@
                         {
                             Stage::Exited("busy")
                         }
-                        Some(f) if used + f.cpus > self.cpus + 1e-9 => Stage::Exited("no_room"),
-                        Some(_) => Stage::Fetching(now + 400_000),
+                        Some(f) if used_cpus + f.cpus > self.cpus + 1e-9 => Stage::Exited("no_room"),
+                        Some(_) => Stage::PullingImage(now + 400_000),
                     };
                     self.tasks.push(Task { name: o.piece.clone(), attempt: o.attempt, stage });
                 }
                 ("halt", Some(i)) => {
                     let grace = (o.wind_down_s.unwrap_or(0.0) * 1e6) as u64;
-                    let save = facts(&o.piece).and_then(|f| f.save_us);
+                    let checkpoint_us = profile_of(&o.piece).and_then(|f| f.checkpoint_us);
                     let t = &mut self.tasks[i];
-                    t.stage = match (t.stage, save) {
+                    t.stage = match (t.stage, checkpoint_us) {
                         (Stage::Exited(c), _) => Stage::Exited(c),
-                        (Stage::Running(_), Some(s)) if grace >= s => Stage::Saving(now + s),
-                        (Stage::Saving(until), _) if grace > 0 => Stage::Saving(until),
+                        (Stage::Running(_), Some(s)) if grace >= s => Stage::Checkpointing(now + s),
+                        (Stage::Checkpointing(until), _) if grace > 0 => Stage::Checkpointing(until),
                         _ => Stage::Exited("halted"),
                     };
                 }
@@ -208,38 +209,44 @@
         }
     }
 
-    /// `POST /do`.
-    pub fn direct(&mut self, d: &Direct, facts: &dyn Fn(&str) -> Option<Facts>, now: u64) -> (u16, Vec<u8>) {
-        let ok = d.baton >= self.baton && d.shift == self.shift;
-        if ok {
-            if d.baton > self.baton {
-                self.baton = d.baton;
-                self.changed = true;
+    /// Handles `POST /do`: executes the commands unless the fencing token or the agent
+    /// epoch is outdated. Returns HTTP status and body.
+    pub fn apply_command_request(
+        &mut self,
+        d: &Direct,
+        profile_of: &dyn Fn(&str) -> Option<TaskProfile>,
+        now: u64,
+    ) -> (u16, Vec<u8>) {
+        let accepted = d.baton >= self.fencing_token && d.shift == self.agent_epoch;
+        if accepted {
+            if d.baton > self.fencing_token {
+                self.fencing_token = d.baton;
+                self.has_changes = true;
             }
-            self.execute(&d.orders, facts, now);
+            self.execute(&d.orders, profile_of, now);
         }
-        (if ok { 200 } else { 409 }, serde_json::to_vec(&self.report()).unwrap())
+        (if accepted { 200 } else { 409 }, serde_json::to_vec(&self.report()).unwrap())
     }
 
-    /// Lets time pass for the tasks; true if one got its image.
-    pub fn advance(&mut self, facts: &dyn Fn(&str) -> Option<Facts>, now: u64) -> Vec<String> {
+    /// Advances the tasks to `now`; returns the names of those that started to run.
+    pub fn advance(&mut self, profile_of: &dyn Fn(&str) -> Option<TaskProfile>, now: u64) -> Vec<String> {
         let mut started = Vec::new();
         for t in &mut self.tasks {
-            let f = facts(&t.name);
+            let f = profile_of(&t.name);
             let fails = f.as_ref().is_some_and(|f| f.fails);
             let next = match t.stage {
-                Stage::Fetching(at) if now >= at => {
+                Stage::PullingImage(at) if now >= at => {
                     started.push(t.name.clone());
                     Stage::Running(f.and_then(|f| f.run_us).map_or(u64::MAX, |r| now + r))
                 }
-                Stage::Running(_) if self.sick => Stage::Exited("error"),
+                Stage::Running(_) if self.fails_all_tasks => Stage::Exited("error"),
                 Stage::Running(end) if now >= end => Stage::Exited(if fails { "error" } else { "done" }),
-                Stage::Saving(end) if now >= end => Stage::Exited("halted"),
+                Stage::Checkpointing(end) if now >= end => Stage::Exited("halted"),
                 s => s,
             };
             if next != t.stage {
                 t.stage = next;
-                self.changed = true;
+                self.has_changes = true;
             }
         }
         started
--- a/tests/world/limits.rs
+++ b/tests/world/limits.rs
@@ -59,7 +59,7 @@
 
     pub fn lower_limits(&mut self) {
         if let Some(next) = self.size.next_limits {
-            self.state.lower(next.writes_per_s, next.max_txn_writes, next.max_value_kib);
+            self.state.lower_limits(next.writes_per_s, next.max_txn_writes, next.max_value_kib);
         }
     }
 
@@ -87,11 +87,11 @@
             "{name}, seed {seed}: {} completed, {} started, {} times too fast, {} refused",
             w.completed,
             w.started,
-            w.state.too_fast(),
-            w.state.refused().len()
+            w.state.rate_limited_count(),
+            w.state.rejected_transactions().len()
         );
         assert!(w.violations.is_empty(), "{name}, seed {seed}: {:?}", w.violations);
-        let refused = w.state.refused();
+        let refused = w.state.rejected_transactions();
         assert!(refused.is_empty(), "{name}, seed {seed}: {} refused: {:?}", refused.len(), refused.first());
         assert!(w.completed >= least_completed, "{name}, seed {seed}: {} completed", w.completed);
         let unfinished = w.unfinished_jobs();
@@ -123,8 +123,8 @@
     {
         let next_limits = size.next_limits.map(|next| NextLimits { announced: false, ..next });
         let w = simulate(1, false, Size { next_limits, ..size });
-        println!("{name}: {} refused", w.state.refused().len());
-        assert!(!w.state.refused().is_empty(), "{name}");
+        println!("{name}: {} refused", w.state.rejected_transactions().len());
+        assert!(!w.state.rejected_transactions().is_empty(), "{name}");
     }
 }
 
@@ -134,7 +134,7 @@
 fn a_record_that_is_refused_holds_up_no_other() {
     let mut w = World::new(3, true, SMALL);
     let keys = ["g/h/host-000000", "g/p/j-000002/0"];
-    keys.iter().for_each(|key| w.state.refuse_key(key));
+    keys.iter().for_each(|key| w.state.reject_puts_of(key));
     w.run(40 * S);
     assert!(w.completed > 5, "{} tasks completed in 40 s", w.completed);
     w.run(SMALL.end_at + 150 * S);
@@ -142,7 +142,7 @@
     let unfinished = w.unfinished_jobs();
     assert!(unfinished.is_empty(), "{:?} have not ended", w.describe(&unfinished));
     assert!(w.completed > 60, "{} tasks completed", w.completed);
-    let times: usize = keys.iter().map(|key| w.state.times_refused(key)).sum();
+    let times: usize = keys.iter().map(|key| w.state.rejected_put_count(key)).sum();
     println!("{times} times refused");
     // The retry pauses grow from one second on, under every leader.
     assert!((1..40).contains(&times), "{times} times refused");
--- a/tests/world/nomad.rs
+++ b/tests/world/nomad.rs
@@ -87,35 +87,37 @@
 
 impl World {
     /// What a worker knows of a task of a Nomad job, from the job's record.
-    pub fn nomad_task_profile(state: &State, task_id: &str) -> Option<Facts> {
+    pub fn nomad_task_profile(state: &StateService, task_id: &str) -> Option<TaskProfile> {
         let task = TaskId::parse(task_id).filter(|t| t.job.own())?;
         let spec = description(task.job, &state.value(&format!("g/j/{}", task.job))?)?;
-        (task.index < spec.tasks).then(|| Facts {
+        (task.index < spec.tasks).then(|| TaskProfile {
             cpus: spec.need.cpu as f64 / 1000.0,
             run_us: (spec.kind == Kind::Array).then_some((spec.estimate_s * 1e6) as u64),
             tasks: spec.tasks,
-            save_us: None,
+            checkpoint_us: None,
             fails: spec.image == "fails",
         })
     }
 
     fn heads(&self) -> Vec<(Head, u64)> {
-        let names = self.state.names("g/n/j/");
+        let names = self.state.keys_with_prefix("g/n/j/");
         names
             .iter()
-            .filter_map(|n| Some((serde_json::from_value(self.state.value(n)?).ok()?, self.state.stamp(n))))
+            .filter_map(|n| {
+                Some((serde_json::from_value(self.state.value(n)?).ok()?, self.state.key_revision(n)))
+            })
             .collect()
     }
 
     fn head(&self, job: &str) -> Option<(Head, u64)> {
         let name = format!("g/n/j/{}", JobKey::of("default", job).0);
-        Some((serde_json::from_value(self.state.value(&name)?).ok()?, self.state.stamp(&name)))
+        Some((serde_json::from_value(self.state.value(&name)?).ok()?, self.state.key_revision(&name)))
     }
 
     /// Number of tasks of Nomad jobs on machines, by native job.
     fn nomad_tasks_by_job(&self) -> BTreeMap<JobId, u32> {
         let mut on = BTreeMap::new();
-        for t in self.machines.values().flat_map(|m| &m.tasks).filter(|t| t.on()) {
+        for t in self.machines.values().flat_map(|m| &m.tasks).filter(|t| t.is_running()) {
             if let Some(t) = TaskId::parse(&t.name).filter(|t| t.job.own()) {
                 *on.entry(t.job).or_default() += 1;
             }
@@ -213,7 +215,7 @@
         let elsewhere = self
             .machines
             .iter()
-            .filter(|(n, m)| *n != at && m.tasks.iter().any(|t| t.name == task_id && t.on()));
+            .filter(|(n, m)| *n != at && m.tasks.iter().any(|t| t.name == task_id && t.is_running()));
         let elsewhere: Vec<String> = elsewhere.map(|(n, _)| n.clone()).collect();
         if !elsewhere.is_empty() {
             self.report_violation(
--- a/tests/world/nomad_harness.rs
+++ b/tests/world/nomad_harness.rs
@@ -11,7 +11,7 @@
 
 /// The state service, and the Nomad interface of one controller.
 struct NomadHarness {
-    state: State,
+    state: StateService,
     service: Service,
     ledger: Ledger,
     flavors: Vec<Flavor>,
@@ -28,7 +28,7 @@
 
 impl NomadHarness {
     fn new(wall_ms: u64) -> Self {
-        let mut state = State::limited(1e9, 24, 4.0);
+        let mut state = StateService::with_limits(1e9, 24, 4.0);
         let m = json!({"when": [], "writes": [{"put": LEADER, "v": {"node": "n0", "term": 1, "lease": 1}}]});
         state.request("POST", "/multi", m.to_string().as_bytes(), 0);
         let settings = nomad::operator().nomad.unwrap();
@@ -139,7 +139,9 @@
                     }
                     ExtensionOutput::Write { ticket, mut multi, as_leader } => {
                         if as_leader {
-                            multi.when.push(When { path: LEADER.into(), stamp: self.state.stamp(LEADER) });
+                            multi
+                                .when
+                                .push(When { path: LEADER.into(), stamp: self.state.key_revision(LEADER) });
                         }
                         if as_leader && self.hold_writes {
                             self.held.push(multi);
@@ -180,7 +182,7 @@
     }
 
     fn launches(&self) -> Vec<u64> {
-        let heads = self.state.names("g/n/j/").into_iter().filter_map(|n| self.state.value(&n));
+        let heads = self.state.keys_with_prefix("g/n/j/").into_iter().filter_map(|n| self.state.value(&n));
         let mut times: Vec<u64> =
             heads.filter_map(|h| h["id"].as_str()?.split_once("/periodic-")?.1.parse().ok()).collect();
         times.sort();
@@ -211,13 +213,13 @@
     assert_eq!(h.put(&job_file("j", "two", json!({}))), 200);
     h.leads = true;
     h.advance(2);
-    let natives = h.state.names("g/j/");
+    let natives = h.state.keys_with_prefix("g/j/");
     assert_eq!(natives.len(), 1);
     for m in &late {
         let r = h.execute(m);
         assert!(matches!(r, CallResult::Response { status: 409, .. }), "{r:?}");
     }
-    assert_eq!(h.state.names("g/j/"), natives, "not only the newer version's job is stored");
+    assert_eq!(h.state.keys_with_prefix("g/j/"), natives, "not only the newer version's job is stored");
     // The same for a job that was stopped.
     h.hold_writes = true;
     assert_eq!(h.put(&job_file("k", "one", json!({}))), 200);
@@ -229,7 +231,7 @@
     for m in &late {
         assert!(matches!(h.execute(m), CallResult::Response { status: 409, .. }));
     }
-    assert_eq!(h.state.names("g/j/"), natives);
+    assert_eq!(h.state.keys_with_prefix("g/j/"), natives);
 }
 
 /// Each launch of a periodic job is made once through clock steps, restarts and repeated checks; of
--- a/tests/world/partial_failures.rs
+++ b/tests/world/partial_failures.rs
@@ -184,7 +184,7 @@
 
     /// Records that the cloud deletes a machine with tasks on it.
     pub fn note_deletion(&mut self, name: &str) {
-        let on = self.machines.get(name).map_or(0, |m| m.tasks.iter().filter(|t| t.on()).count());
+        let on = self.machines.get(name).map_or(0, |m| m.tasks.iter().filter(|t| t.is_running()).count());
         if on > 0 {
             self.partial_failures.deleted.push((self.now, name.into(), on));
         }
@@ -196,7 +196,7 @@
         let due = self.jobs.iter().enumerate().filter(|(_, j)| due(j));
         let on = |j: usize| {
             let tasks = self.machines.values().flat_map(|m| &m.tasks);
-            tasks.filter(|t| t.on() && Self::job_of(&t.name).0 == j).count() as u32
+            tasks.filter(|t| t.is_running() && Self::job_of(&t.name).0 == j).count() as u32
         };
         due.map(|(j, job)| job.tasks.saturating_sub(on(j))).sum()
     }
@@ -389,7 +389,7 @@
     for (seed, nodes) in [(1, 3), (2, 3), (3, 7), (4, 7)] {
         let mut w = running_world(seed, nodes);
         let replicas = |m: &Machine| {
-            let of_service = |t: &&worker::Task| t.on() && w.jobs[World::job_of(&t.name).0].service;
+            let of_service = |t: &&worker::Task| t.is_running() && w.jobs[World::job_of(&t.name).0].service;
             m.tasks.iter().filter(of_service).count()
         };
         let most = w.machines.values().max_by_key(|m| replicas(m)).map(|m| m.name.clone()).unwrap();
@@ -441,7 +441,8 @@
             // Its workers, also new ones, have moved to other controllers by then.
             let there = w.machines.values().filter(|m| w.now > m.up_at + 12 * S);
             let there = there.filter(|m| {
-                isolated.contains(&m.report_to) && w.partial_failures.isolated_until[m.report_to] > w.now
+                isolated.contains(&m.target_controller)
+                    && w.partial_failures.isolated_until[m.target_controller] > w.now
             });
             let stay: Vec<(&str, usize)> = there.map(|m| (m.name.as_str(), m.tasks.len())).collect();
             assert!(
@@ -464,13 +465,13 @@
         let mut w = running_world(seed, nodes);
         w.partial_failures.duplicate_one_in = 1;
         let missing = run_and_count_missing(&mut w, 60);
-        let moved = w.machines.values().filter(|m| m.shift > 1).count();
+        let moved = w.machines.values().filter(|m| m.agent_epoch > 1).count();
         let seen = format!("seed {seed}, {nodes} controllers");
         assert!(w.violations.is_empty(), "{seen}: {:?}", w.violations);
         assert_eq!((missing.iter().sum::<u32>(), moved), (0, 0), "{seen}: missing each second {missing:?}");
         assert!(w.partial_failures.deleted.is_empty(), "{seen}: {:?}", w.partial_failures.deleted);
         // A deleted machine from which only duplicates arrive does not count as alive.
-        let with_replicas = |m: &&Machine| m.tasks.iter().any(|t| t.on());
+        let with_replicas = |m: &&Machine| m.tasks.iter().any(|t| t.is_running());
         let dead = w.machines.values().filter(with_replicas).map(|m| m.name.clone()).next().unwrap();
         w.machines.remove(&dead);
         let missing = run_and_count_missing(&mut w, 60);
--- a/tests/world/pipelines.rs
+++ b/tests/world/pipelines.rs
@@ -267,7 +267,7 @@
         match stage_fault {
             StageEndFault::LeaderRestarts => self.at(delay, Event::RestartLeader),
             StageEndFault::AllRestart => (0..self.size.nodes).for_each(|n| self.terminate(n, 100 * MS)),
-            StageEndFault::HistoryDropped => self.state.forget(),
+            StageEndFault::HistoryDropped => self.state.compact(),
             StageEndFault::DelayedEndRecords => self.faults.end_records_delayed_until = self.now + 2 * S,
             StageEndFault::ZonesPartitioned => self.zones_partitioned_until = self.now + 5 * S,
             StageEndFault::LeaderPaused => {
@@ -964,7 +964,7 @@
         w.jobs[all[0]].abort_at = w.now;
         w.run(w.now + 200 * MS);
         if outage > 0 {
-            w.state.down = true;
+            w.state.unavailable = true;
             w.at(outage, Event::StateServiceRecovers);
         }
         // Polled by their users, and at the end at every controller.
@@ -1025,7 +1025,7 @@
         w.jobs.push(Job::new(body, "tight", true, 3, 3.0, S));
         w.run(w.now + 40 * S);
         assert!(w.violations.is_empty(), "{:?}", w.violations);
-        let mine = |t: &&worker::Task| t.on() && World::job_of(&t.name).0 == service;
+        let mine = |t: &&worker::Task| t.is_running() && World::job_of(&t.name).0 == service;
         let on = w.machines.values().flat_map(|m| &m.tasks).filter(mine).count();
         assert_eq!(on, 3, "seed {seed}: replicas that run while other jobs of the team wait");
     }
--- a/tests/world/request_validation.rs
+++ b/tests/world/request_validation.rs
@@ -102,7 +102,7 @@
         let texts = ["", "[]", "{", "null", "{}", "7", "\"x\"", "{\"ref\":\"j-000777\",\"cpus\":NaN}"];
         let mut failed = Vec::new();
         for state_unavailable in [false, true] {
-            w.state.down = state_unavailable;
+            w.state.unavailable = state_unavailable;
             w.run(w.now + 3 * S);
             for n in 0..nodes {
                 for (i, (field, value, want)) in invalid_fields().into_iter().enumerate() {
@@ -174,7 +174,7 @@
                 }
             }
         }
-        w.state.recover(w.now);
+        w.state.end_outage(w.now);
         w.run(w.now + 5 * S);
         // Nullable fields may be missing, and unknown fields are ignored.
         for (i, n) in (0..nodes).enumerate() {
@@ -279,7 +279,7 @@
         let mut failed = Vec::new();
         let mut accepted: Vec<(u64, Option<Value>)> = Vec::new();
         for state_unavailable in [false, true] {
-            w.state.down = state_unavailable;
+            w.state.unavailable = state_unavailable;
             w.run(w.now + 3 * S);
             for n in 0..nodes {
                 let rows = awaits_cases(0).len();
@@ -305,7 +305,7 @@
                 }
             }
         }
-        w.state.recover(w.now);
+        w.state.end_outage(w.now);
         w.run(w.now + w.size.cancel_timeout);
         // A job that waits for a cancelled job is cancelled; a job that waits for others is queued.
         for (own, value) in accepted {
@@ -336,7 +336,7 @@
             let mut s = valid_job(own);
             s["awaits"] = names(&[before, ABORTED][..1 + (i == 59) as usize]);
             if i % 10 == 9 {
-                w.state.forget();
+                w.state.compact();
             }
             let mut got = 503;
             for _ in 0..10 {
--- a/tests/world/scenarios.rs
+++ b/tests/world/scenarios.rs
@@ -320,7 +320,7 @@
                 controllers(w).into_iter().for_each(|n| self.state_refused_until[n] = t);
             }
             StateOutage(l) => {
-                self.state.down = true;
+                self.state.unavailable = true;
                 self.at(l * self.size.cancel_timeout / 1000, Event::StateServiceRecovers);
             }
             Cancel(w) => {
@@ -352,7 +352,7 @@
             }
             MachinesPartitioned(l) => {
                 let t = until(l);
-                third.iter().for_each(|m| self.machines.get_mut(m).unwrap().cut_until = t);
+                third.iter().for_each(|m| self.machines.get_mut(m).unwrap().unreachable_until = t);
             }
             MachinesHang(l) => {
                 let t = until(l);
@@ -378,7 +378,8 @@
             CancelAndHang(w, l) => {
                 self.perform(leader, Cancel(w));
                 let t = until(l);
-                let cancelled = |t: &worker::Task| t.on() && Self::job_of(&t.name).0.is_multiple_of(2);
+                let cancelled =
+                    |t: &worker::Task| t.is_running() && Self::job_of(&t.name).0.is_multiple_of(2);
                 let theirs = self.machines.values_mut().filter(|m| m.tasks.iter().any(cancelled));
                 theirs.take(8).for_each(|m| m.hung_until = t);
             }
@@ -395,7 +396,7 @@
             LeaderChanges(times) => {
                 (0..times).for_each(|i| self.at(i * 2900 * MS, Event::RestartLeader));
             }
-            HistoryDropped => self.state.forget(),
+            HistoryDropped => self.state.compact(),
             Submit => (0..12).for_each(|_| self.short_job()),
             CancelAtEnd(l) => self.faults.cancel_at_end_until = until(l),
             RapidRequests(l) => self.consistency.rapid_requests_until = until(l),
@@ -427,7 +428,7 @@
 
     /// Number of tasks that run on machines.
     fn running(&self) -> usize {
-        self.machines.values().flat_map(|m| &m.tasks).filter(|t| t.on()).count()
+        self.machines.values().flat_map(|m| &m.tasks).filter(|t| t.is_running()).count()
     }
 
     /// Number of jobs that were reported cancelled to their users.
