--- a/tests/world/main.rs
+++ b/tests/world/main.rs
@@ -744,23 +744,23 @@
                 self.check_start(&name, &task_id);
             }
             let Some(m) = self.machines.get_mut(&name) else { continue };
-            if let Some((_, sent, _)) = m.accepts_tasks
+            if let Some((_, sent, _)) = m.outstanding_report
                 && now > sent + 4 * S
             {
-                m.accepts_tasks = None;
+                m.outstanding_report = None;
                 m.target_controller = (m.target_controller + 1) % nodes;
                 m.next_report_at = now + S;
             }
             let due = now >= m.next_report_at
                 || m.has_changes && now >= m.last_report_at + S / 2 && m.next_report_at > now;
-            if m.accepts_tasks.is_none() && due && (now >= m.next_report_at || m.has_changes) {
+            if m.outstanding_report.is_none() && due && (now >= m.next_report_at || m.has_changes) {
                 m.has_changes = false;
                 m.last_report_at = now;
                 m.next_report_at = now + self.rng.u64(report_interval * 3 / 4..report_interval * 5 / 4);
                 let body = serde_json::to_vec(&m.report()).unwrap();
                 let to = m.target_controller;
                 let key = self.next_request;
-                m.accepts_tasks = Some((key, now, m.agent_epoch));
+                m.outstanding_report = Some((key, now, m.agent_epoch));
                 self.note_report_sent(&name, &body);
                 self.keep_report(&body);
                 if self.cannot_send(&name) {
@@ -800,11 +800,11 @@
             self.at(d, Event::Answered(id, status, body.to_vec()));
             return;
         }
-        let Some((open, sent, shift)) = m.accepts_tasks else { return };
+        let Some((open, sent, shift)) = m.outstanding_report else { return };
         if open != key || now > sent + 4 * S {
             return;
         }
-        m.accepts_tasks = None;
+        m.outstanding_report = None;
         m.enforce_lease(now, self.size.lease);
         match status {
             200 => {
