--- a/crates/core/src/cancellation_enforcer.rs
+++ b/crates/core/src/cancellation_enforcer.rs
@@ -10,7 +10,7 @@
 //! deleted. A report without the task proves that the task is not on the machine, unless its
 //! start may still be in transit: then the worker must have reported that very attempt.
 use gorseshore_protocol::ids::{Attempt, MachineId, Micros, TaskId};
-use gorseshore_protocol::workers::{Direct, Order, Report};
+use gorseshore_protocol::workers::{Command, CommandRequest, Report};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -356,12 +356,16 @@
 
     /// Records a machine's report and returns the stop commands for its cancelled tasks. They carry
     /// the fencing token and the agent epoch of the report, so that a newer grant is not affected.
-    pub fn record_probe_response(&mut self, r: &Report, unwanted: Vec<Order>) -> Option<Direct> {
-        let p = self.suspects.get_mut(&MachineId::from(&*r.host))?;
-        let reported = r.pieces.iter().filter_map(|t| Some((TaskId::parse(&t.piece)?, Attempt(t.attempt))));
+    pub fn record_probe_response(&mut self, r: &Report, unwanted: Vec<Command>) -> Option<CommandRequest> {
+        let p = self.suspects.get_mut(&MachineId::from(&*r.machine))?;
+        let reported = r.tasks.iter().filter_map(|t| Some((TaskId::parse(&t.task)?, Attempt(t.attempt))));
         p.reported.extend(reported);
         p.clean = unwanted.is_empty();
-        (!p.clean).then_some(Direct { baton: r.baton, shift: r.shift, orders: unwanted })
+        (!p.clean).then_some(CommandRequest {
+            fencing_token: r.fencing_token,
+            agent_epoch: r.agent_epoch,
+            commands: unwanted,
+        })
     }
 
     /// Records the result of a deletion: `Some(true)` if it was carried out, `Some(false)` if it was
--- a/crates/core/src/controller/commands.rs
+++ b/crates/core/src/controller/commands.rs
@@ -8,18 +8,18 @@
     pub(super) fn commands(
         &mut self,
         id: &MachineId,
-        ledger: &Ledger,
+        ledger: &StateReplica,
         response: bool,
         may_start: bool,
-    ) -> Vec<Order> {
+    ) -> Vec<Command> {
         let acked = self.acked;
         let Some(w) = self.workers.get_mut(id) else { return Vec::new() };
         let mut out = Vec::new();
-        let command = |verb: &str, k: &(TaskId, Attempt), grace: Option<f64>| Order {
-            verb: verb.into(),
-            piece: k.0.to_string(),
+        let command = |verb: &str, k: &(TaskId, Attempt), grace: Option<f64>| Command {
+            action: verb.into(),
+            task: k.0.to_string(),
             attempt: k.1.0,
-            wind_down_s: grace,
+            grace_period_s: grace,
         };
         for t in &w.tasks {
             let k = (t.task, t.attempt);
@@ -104,7 +104,7 @@
     }
 
     /// Drops starts of finished or stopped tasks that cannot have arrived.
-    pub(super) fn drop_obsolete_starts(&mut self, id: &MachineId, ledger: &Ledger) {
+    pub(super) fn drop_obsolete_starts(&mut self, id: &MachineId, ledger: &StateReplica) {
         let Some(w) = self.workers.get_mut(id) else { return };
         let before = w.starts.len();
         let (stops, tasks) = (&w.stops, &w.tasks);
@@ -123,7 +123,7 @@
     /// Returns the calls sent.
     pub fn send_commands(
         &mut self,
-        ledger: &Ledger,
+        ledger: &StateReplica,
         now: Micros,
         out: &mut Outbox,
     ) -> Vec<(CallId, MachineId)> {
@@ -175,8 +175,8 @@
             }
             w.announce_token = false;
             let sent = |verb: &str| -> Vec<(TaskId, Attempt)> {
-                let matching = commands.iter().filter(|o| o.verb == verb);
-                matching.filter_map(|o| Some((TaskId::parse(&o.piece)?, Attempt(o.attempt)))).collect()
+                let matching = commands.iter().filter(|o| o.action == verb);
+                matching.filter_map(|o| Some((TaskId::parse(&o.task)?, Attempt(o.attempt)))).collect()
             };
             let (runs, stops) = (sent("run"), sent("halt"));
             for k in &runs {
@@ -184,7 +184,8 @@
                     s.delivery = Delivery::InFlight;
                 }
             }
-            let body = Direct { baton: w.fencing_token.0, shift: w.agent_epoch, orders: commands };
+            let body =
+                CommandRequest { fencing_token: w.fencing_token.0, agent_epoch: w.agent_epoch, commands };
             let call = out.call(Call {
                 target: Target::Worker(w.addr.clone()),
                 method: "POST",
@@ -235,14 +236,14 @@
                     self.mark_changed(id);
                     return;
                 };
-                if r.host != id.as_str() {
+                if r.machine != id.as_str() {
                     // Another machine uses the address now.
                     w.next_call_at = now + Micros::secs(1);
                     self.mark_changed(id);
                     return;
                 }
-                if Baton(r.baton) > w.fencing_token {
-                    info!("{id}: lease superseded by a higher fencing token {}", r.baton);
+                if FencingToken(r.fencing_token) > w.fencing_token {
+                    info!("{id}: lease superseded by a higher fencing token {}", r.fencing_token);
                     self.workers.remove(id);
                     return;
                 }
--- a/crates/core/src/controller/stale_heartbeats.rs
+++ b/crates/core/src/controller/stale_heartbeats.rs
@@ -1,7 +1,7 @@
 //! Delayed, duplicate and reordered reports: a report that arrives after the newest one changes
 //! nothing, and one that arrives before it is superseded by it.
 use super::*;
-use gorseshore_protocol::workers::Piece;
+use gorseshore_protocol::workers::ReportedTask;
 use proptest::prelude::*;
 
 /// Reports of one worker in the order in which it sent them: its agent restarts at times, tasks
@@ -9,7 +9,7 @@
 fn history() -> impl Strategy<Value = Vec<Report>> {
     let step = (0u8..8, 0u64..4, 0usize..4);
     proptest::collection::vec(step, 2..20).prop_map(|steps| {
-        let (mut shift, mut baton, mut pieces) = (1, 0, Vec::<Piece>::new());
+        let (mut shift, mut baton, mut pieces) = (1, 0, Vec::<ReportedTask>::new());
         let mut reports = Vec::new();
         for (n, (what, task, stage)) in steps.into_iter().enumerate() {
             let stages =
@@ -23,20 +23,26 @@
                     let (stage, cause) = stages[stage];
                     let piece = format!("j-00000{task}/0");
                     let cause = cause.map(str::to_owned);
-                    pieces.push(Piece { piece, attempt: task, stage: stage.into(), cause, kept: None });
+                    pieces.push(ReportedTask {
+                        task: piece,
+                        attempt: task,
+                        state: stage.into(),
+                        cause,
+                        checkpointed: None,
+                    });
                 }
             }
             reports.push(Report {
-                host: "m".into(),
+                machine: "m".into(),
                 addr: "m:1".into(),
-                build: "b".into(),
-                yard: "z".into(),
-                loaners: false,
-                shift,
-                tally: n as u64 + 1,
-                baton,
-                warning_s: (what == 3).then_some(9.0),
-                pieces: pieces.clone(),
+                machine_type: "b".into(),
+                zone: "z".into(),
+                spot: false,
+                agent_epoch: shift,
+                sequence: n as u64 + 1,
+                fencing_token: baton,
+                preemption_notice_s: (what == 3).then_some(9.0),
+                tasks: pieces.clone(),
             });
         }
         reports
@@ -60,12 +66,17 @@
 }
 
 fn receive(c: &mut Controller, r: &Report, at: u64) -> HeartbeatReply {
-    c.checkin(r, parse_tasks(r).unwrap(), &Ledger::default(), Micros::secs(at))
+    c.checkin(r, parse_tasks(r).unwrap(), &StateReplica::default(), Micros::secs(at))
 }
 
 fn controller() -> Controller {
     let mut c = Controller::default();
-    let g = GrantedMachine { id: "m".into(), fencing_token: Baton(7), addr: "m:1".into(), draining: false };
+    let g = GrantedMachine {
+        id: "m".into(),
+        fencing_token: FencingToken(7),
+        addr: "m:1".into(),
+        draining: false,
+    };
     assert!(c.accept_update(1, 1, 0));
     c.apply_block(true, &[g], &[]);
     c
@@ -94,7 +105,7 @@
         for i in &order {
             let reply = receive(&mut c, &history[i % history.len()], 90);
             // The reply to a duplicate holds no command.
-            prop_assert_eq!(reply, HeartbeatReply::Commands(Baton(7), Vec::new()));
+            prop_assert_eq!(reply, HeartbeatReply::Commands(FencingToken(7), Vec::new()));
         }
         prop_assert_eq!(format!("{:?}", derived_state(&c)), before);
         prop_assert_eq!((c.sync_seq, c.sync_pending), (sync, dirty), "a duplicate triggers no sync");
--- a/crates/core/src/controller/sync.rs
+++ b/crates/core/src/controller/sync.rs
@@ -8,7 +8,7 @@
         &mut self,
         term: u64,
         unleased_reports: Vec<UnleasedReport>,
-        ledger: &Ledger,
+        ledger: &StateReplica,
         now: Micros,
     ) -> Message {
         self.sync_seq += 1;
--- a/crates/core/src/extension.rs
+++ b/crates/core/src/extension.rs
@@ -4,11 +4,11 @@
 //!
 //! Invariant: an extension changes the scheduler's records only through conditional writes, which
 //! count against the clients' write budget.
-use crate::jobs::Ledger;
+use crate::jobs::StateReplica;
 use crate::{CallResult, RequestId};
 use gorseshore_protocol::cloud::Flavor;
 use gorseshore_protocol::ids::{JobId, Micros};
-use gorseshore_protocol::state::Multi;
+use gorseshore_protocol::state::Transaction;
 use gorseshore_settings::Team;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -24,7 +24,7 @@
     /// Time of day in milliseconds.
     pub wall_ms: u64,
     /// The state replica.
-    pub replica: &'a Ledger,
+    pub replica: &'a StateReplica,
     /// Number of running tasks by job, for display.
     pub running: &'a BTreeMap<JobId, u32>,
     /// Machine types; empty until they are known.
@@ -96,7 +96,7 @@
         /// Identifies the write.
         ticket: OperationId,
         /// The transaction.
-        multi: Multi,
+        multi: Transaction,
         /// The leader key is added to the conditions.
         as_leader: bool,
     },
--- a/crates/core/src/leader/bindings.rs
+++ b/crates/core/src/leader/bindings.rs
@@ -10,7 +10,7 @@
         from: NodeId,
         incarnation: u64,
         sync: &SyncView<'_>,
-        state_replica: &Ledger,
+        state_replica: &StateReplica,
         now: Micros,
     ) {
         let Some(node) = self.nodes.get_mut(from.0 as usize) else { return };
@@ -108,7 +108,7 @@
         &mut self,
         from: NodeId,
         s: &MachineState,
-        state_replica: &Ledger,
+        state_replica: &StateReplica,
         now: Micros,
     ) {
         let Some(m) = self.machines.get_mut(&s.id) else { return };
@@ -233,7 +233,7 @@
         id: &MachineId,
         task: TaskId,
         state: TaskState,
-        state_replica: &Ledger,
+        state_replica: &StateReplica,
         now: Micros,
     ) {
         let Some(run) = self.jobs.get_mut(&task.job) else { return };
@@ -256,12 +256,12 @@
             }
             TaskState::Failed if known => {
                 let mut failures = run.failures + 1;
-                if run.spec.attempts.is_some()
+                if run.spec.max_attempts.is_some()
                     && let Some(attempt) = run.bound.get(&task.index).map(|b| b.attempt.0)
                 {
                     let f = run.failed_attempts.entry(task.index).or_default();
-                    if attempt > f.last {
-                        *f = Failures { count: f.count + 1, last: attempt };
+                    if attempt > f.last_attempt {
+                        *f = Failures { count: f.count + 1, last_attempt: attempt };
                         run.unrecorded_failures.insert(task.index);
                     }
                     failures = f.count;
@@ -336,7 +336,7 @@
 
     /// The machine's task list is known under `token`, or (`None`) the machine is deleted:
     /// no assignment made before can be started on it any more.
-    pub(super) fn rule_out_assignments(&mut self, id: &MachineId, token: Option<Baton>) {
+    pub(super) fn rule_out_assignments(&mut self, id: &MachineId, token: Option<FencingToken>) {
         if let (Some(token), Some(m)) = (token, self.machines.get_mut(id)) {
             m.task_list_token = m.task_list_token.max(token);
         }
@@ -412,17 +412,17 @@
                 }
             }
             None => {
-                let Some(size) = sizes.get(&rec.build) else { return };
-                info!("{id}: adopted ({} in {})", rec.build, rec.zone);
+                let Some(size) = sizes.get(&rec.machine_type) else { return };
+                info!("{id}: adopted ({} in {})", rec.machine_type, rec.zone);
                 self.last_seen.insert(id.clone(), (from, now));
                 self.machines.insert(id.clone(), Machine::new(rec, *size, Stage::Up, now));
                 self.needs_scheduling = true;
             }
-            Some(m) if (&m.machine_type, &m.zone, m.spot) != (&rec.build, &rec.zone, rec.spot) => {
+            Some(m) if (&m.machine_type, &m.zone, m.spot) != (&rec.machine_type, &rec.zone, rec.spot) => {
                 if self.mismatched.insert(id.clone()) {
                     warn!(
                         "{id}: heartbeat ignored: it names {} in {}, the record {} in {}",
-                        rec.build, rec.zone, m.machine_type, m.zone
+                        rec.machine_type, rec.zone, m.machine_type, m.zone
                     );
                 }
             }
--- a/crates/core/src/leader/dependents.rs
+++ b/crates/core/src/leader/dependents.rs
@@ -9,7 +9,7 @@
     /// Recomputes the urgency of a job, and of the jobs that it depends on as long as that
     /// changes something. The graph has no cycles: a job can only name jobs that were accepted
     /// before it.
-    pub(super) fn inherit_urgency(&mut self, id: JobId, state_replica: &Ledger) {
+    pub(super) fn inherit_urgency(&mut self, id: JobId, state_replica: &StateReplica) {
         let mut queue = VecDeque::from([id]);
         while let Some(next) = queue.pop_front() {
             let changed = self.join_urgency(next, state_replica);
@@ -20,7 +20,7 @@
     }
 
     /// Recomputes the urgency of one job; whether it changed.
-    fn join_urgency(&mut self, id: JobId, state_replica: &Ledger) -> bool {
+    fn join_urgency(&mut self, id: JobId, state_replica: &StateReplica) -> bool {
         let Some(run) = self.jobs.get(&id).filter(|r| !r.ended) else { return false };
         let dependents = state_replica.dependencies.dependents(id).iter().filter_map(|d| self.jobs.get(d));
         let urgency = dependents
@@ -39,7 +39,7 @@
     /// Notes whether a job's cancellation together with another job still has to be recorded,
     /// for versions of the program that don't know dependencies.
     pub(super) fn note_cancelled_by_another(&mut self, id: JobId, job: &Job) {
-        match job.cancelled_by_another() {
+        match job.cancelled_by_dependency() {
             true => self.unrecorded_cancellations.insert(id),
             false => self.unrecorded_cancellations.remove(&id),
         };
--- a/crates/core/src/leader/job_run.rs
+++ b/crates/core/src/leader/job_run.rs
@@ -85,17 +85,17 @@
     pub(super) fn new(job: &Job, spec: Rc<JobSpec>, objectives: &[Objective]) -> Self {
         let of_class = || objectives.iter().filter(|o| o.class == spec.class);
         let within = of_class().filter(|o| o.kind == "finished").filter_map(|o| o.within_s).reduce(f64::max);
-        let times = of_class().filter_map(|o| o.times).fold(1.0, f64::max);
+        let times = of_class().filter_map(|o| o.deadline_multiple).fold(1.0, f64::max);
         let millis = |s: f64| (s.max(0.0) * 1000.0) as u64;
         let due = spec.deadline_s.unwrap_or(DEFAULT_DEADLINE_S);
         let own_urgency = Urgency {
-            rank: spec.rank,
+            priority: spec.priority,
             due_ms: job.submitted_ms + millis(due),
-            last_ms: job.submitted_ms + millis(due * times),
-            deadline: spec.deadline_s.is_some(),
+            latest_ms: job.submitted_ms + millis(due * times),
+            has_user_deadline: spec.deadline_s.is_some(),
         };
         let mut run = JobRun {
-            stamp: job.stamp,
+            stamp: job.revision,
             own_urgency,
             urgency: own_urgency,
             ready_ms: job.submitted_ms,
@@ -116,7 +116,7 @@
             preempt_not_before: Micros(0),
             image_wait_until: None,
             ended: job.phase != Phase::Active,
-            failed_attempts: job.failed.clone(),
+            failed_attempts: job.failures.clone(),
             unrecorded_failures: BTreeSet::new(),
             reported_running: (0, 0),
         };
@@ -127,19 +127,19 @@
     /// count. A deadline of its own still counts from its submission.
     pub(super) fn set_ready_ms(&mut self, ready_ms: u64) {
         self.ready_ms = ready_ms;
-        if let (Some(within), false) = (self.objective_ms, self.own_urgency.deadline) {
+        if let (Some(within), false) = (self.objective_ms, self.own_urgency.has_user_deadline) {
             self.own_urgency.due_ms = ready_ms + within;
-            self.own_urgency.last_ms = ready_ms + within;
+            self.own_urgency.latest_ms = ready_ms + within;
         }
     }
     /// Time from its release to its record as done, in milliseconds, by its owner's estimate.
     /// Jobs that it depends on have to end this much earlier.
     pub(super) fn estimated_span_ms(&self) -> u64 {
-        (self.spec.estimate_s * 1000.0) as u64 + STAGE_OVERHEAD_MS
+        (self.spec.estimated_runtime_s * 1000.0) as u64 + STAGE_OVERHEAD_MS
     }
     /// The first task whose attempts are used up.
     pub(super) fn exhausted_task(&self) -> Option<u32> {
-        let max_attempts = self.spec.attempts?;
+        let max_attempts = self.spec.max_attempts?;
         self.failed_attempts.iter().find(|(_, f)| f.count >= max_attempts).map(|(i, _)| *i)
     }
     /// Applies a changed job record: number of tasks, progress and failures. Returns the tasks
@@ -155,9 +155,9 @@
             s.tasks = spec.tasks;
             self.spec = Rc::new(s);
         }
-        for (i, f) in &job.failed {
+        for (i, f) in &job.failures {
             let own = self.failed_attempts.entry(*i).or_default();
-            if f.last >= own.last {
+            if f.last_attempt >= own.last_attempt {
                 *own = *f;
                 self.unrecorded_failures.remove(i);
             }
@@ -169,7 +169,7 @@
     /// faulty. A job with bounded attempts is not throttled: it uses them up.
     pub(super) fn is_faulty(&self) -> bool {
         !self.ran_well
-            && self.spec.attempts.is_none()
+            && self.spec.max_attempts.is_none()
             && self.failures > FAULTY_JOB_FAILURES
             && self.failed_on.len() > 1
     }
@@ -179,12 +179,12 @@
     /// off these machines because a faulty machine once used up all attempts within a second,
     /// but only for `RETRY_ELSEWHERE_TIMEOUT`, so that its end is not delayed forever.
     pub(super) fn may_retry_on_failed_machine(&self, now: Micros) -> bool {
-        let waited = self.spec.attempts.is_some() && now >= self.retry_at + RETRY_ELSEWHERE_TIMEOUT;
+        let waited = self.spec.max_attempts.is_some() && now >= self.retry_at + RETRY_ELSEWHERE_TIMEOUT;
         self.ran_well || self.failed_on.len() > 3 || waited
     }
     /// When that becomes true with time alone; `None` if it is true or does not depend on time.
     pub(super) fn retry_on_failed_machine_at(&self, now: Micros) -> Option<Micros> {
-        let waits = self.spec.attempts.is_some()
+        let waits = self.spec.max_attempts.is_some()
             && !self.failed_on.is_empty()
             && !self.may_retry_on_failed_machine(now);
         waits.then(|| self.retry_at + RETRY_ELSEWHERE_TIMEOUT)
@@ -218,11 +218,11 @@
     /// times the span from its ready time to that due time. `slots` is the number of array tasks
     /// that run at a time.
     pub(super) fn queue_key(&self, wall_ms: u64, slots: u64) -> (bool, u64, u64) {
-        let Urgency { due_ms, last_ms, deadline, .. } = self.urgency;
-        let span = last_ms.saturating_sub(self.ready_ms);
+        let Urgency { due_ms, latest_ms, has_user_deadline: deadline, .. } = self.urgency;
+        let span = latest_ms.saturating_sub(self.ready_ms);
         let waves = 1.0 + self.pending_tasks() as f64 / slots.max(1) as f64;
-        let end = wall_ms + (self.spec.estimate_s * waves * 1000.0) as u64;
-        let late = end > last_ms && wall_ms < last_ms + 3 * span;
+        let end = wall_ms + (self.spec.estimated_runtime_s * waves * 1000.0) as u64;
+        let late = end > latest_ms && wall_ms < latest_ms + 3 * span;
         // A large job delays many small ones that could still complete in time, so its due time
         // is moved back in proportion to the slots that it would take. A deadline set by its
         // owner is not moved.
@@ -236,6 +236,6 @@
     pub(super) fn pending_tasks(&self) -> u32 {
         let n = self.spec.tasks;
         let bound = self.bound.keys().filter(|i| **i < n && !self.done.contains(**i)).count() as u32;
-        n.saturating_sub(self.done.below(n)).saturating_sub(bound)
+        n.saturating_sub(self.done.count_below(n)).saturating_sub(bound)
     }
 }
--- a/crates/core/src/leader/log_replication.rs
+++ b/crates/core/src/leader/log_replication.rs
@@ -45,7 +45,7 @@
                 return done.then_some(done_entry);
             };
             let unresolved = b.unresolved_assignment.as_ref().map(|h| {
-                let zone = run.spec.has_zone_rule().then(|| h.zone.clone());
+                let zone = run.spec.has_zone_constraint().then(|| h.zone.clone());
                 (h.preferred_machine.clone(), zone)
             });
             let starting = b.reported_on.iter().any(|id| {
@@ -85,11 +85,11 @@
     /// controllers whose hosts report that their process has exited.
     pub fn due_replica_record(
         &mut self,
-        state_replica: &Ledger,
+        state_replica: &StateReplica,
         exited: &[NodeId],
         now: Micros,
     ) -> Option<(StandbyReplicas, u64)> {
-        self.placement_log.update_record(&state_replica.books.0, state_replica.books.1);
+        self.placement_log.update_record(&state_replica.standby_replicas.0, state_replica.standby_replicas.1);
         if !self.grants_started {
             return None;
         }
@@ -111,7 +111,7 @@
     /// Adopts the placement log of the earlier leader. It contains all places where a task
     /// may be, so a machine without a heartbeat in this term holds what the log says and
     /// nothing else.
-    pub fn adopt_log(&mut self, term: u64, log: &LogReplica, state_replica: &Ledger) {
+    pub fn adopt_log(&mut self, term: u64, log: &LogReplica, state_replica: &StateReplica) {
         if self.grants_started || !self.awaits_log || self.placement_log.record().term != term {
             return;
         }
--- a/crates/core/src/leader/machine.rs
+++ b/crates/core/src/leader/machine.rs
@@ -35,9 +35,9 @@
     pub(super) tasks_unknown: bool,
     pub(super) holder: Option<NodeId>,
     pub(super) last_holder: Option<NodeId>,
-    pub(super) fencing_token: Baton,
+    pub(super) fencing_token: FencingToken,
     /// The last token under which its complete task list was received.
-    pub(super) task_list_token: Baton,
+    pub(super) task_list_token: FencingToken,
     /// The holder has received a heartbeat under `fencing_token`, so its task list is complete.
     pub(super) confirmed: bool,
     pub(super) tasks: BTreeMap<TaskId, (Attempt, TaskState)>,
@@ -50,7 +50,7 @@
     pub(super) bound: BTreeSet<TaskId>,
     pub(super) last_contact: Option<Micros>,
     /// The newest heartbeat of its worker that any controller forwarded, and which controller.
-    pub(super) newest_heartbeat: ReportNo,
+    pub(super) newest_heartbeat: HeartbeatSeq,
     pub(super) newest_heartbeat_from: Option<NodeId>,
     pub(super) command_reachability: command_reachability::CommandReachability,
     pub(super) holder_contact: Micros,
@@ -68,7 +68,7 @@
     pub(super) failures: u32,
     pub(super) images: BTreeSet<String>,
     pub(super) probed_at: Option<Micros>,
-    pub(super) reserved_priority: Option<(Rank, Micros)>,
+    pub(super) reserved_priority: Option<(Priority, Micros)>,
     /// The job that free capacity is accumulated for on it, and until when.
     pub(super) accumulates_for: Option<(JobId, Micros)>,
     pub(super) needs_new_token: bool,
@@ -85,7 +85,7 @@
     }
     pub(super) fn new(rec: &MachineRecord, size: Resources, stage: Stage, now: Micros) -> Self {
         Machine {
-            machine_type: rec.build.clone(),
+            machine_type: rec.machine_type.clone(),
             zone: rec.zone.clone(),
             spot: rec.spot,
             addr: rec.addr.clone(),
@@ -97,8 +97,8 @@
             tasks_unknown: false,
             holder: None,
             last_holder: None,
-            fencing_token: Baton(0),
-            task_list_token: Baton(0),
+            fencing_token: FencingToken(0),
+            task_list_token: FencingToken(0),
             confirmed: false,
             tasks: BTreeMap::new(),
             started: BTreeMap::new(),
@@ -107,7 +107,7 @@
             used_stale: true,
             bound: BTreeSet::new(),
             last_contact: None,
-            newest_heartbeat: ReportNo::default(),
+            newest_heartbeat: HeartbeatSeq::default(),
             newest_heartbeat_from: None,
             command_reachability: command_reachability::CommandReachability::new(now),
             holder_contact: Micros(0),
@@ -133,18 +133,18 @@
     /// The content of its record.
     pub fn record(&self) -> MachineRecord {
         MachineRecord {
-            build: self.machine_type.clone(),
+            machine_type: self.machine_type.clone(),
             zone: self.zone.clone(),
             spot: self.spot,
             addr: self.addr.clone(),
         }
     }
     pub(super) fn free(&self) -> Resources {
-        self.reserved.values().fold(self.size.minus(self.used), |f, r| f.minus(*r))
+        self.reserved.values().fold(self.size.saturating_sub(self.used), |f, r| f.saturating_sub(*r))
     }
     /// Whether a heartbeat forwarded by `from` is new: neither a copy of one that another
     /// controller forwarded, nor a delayed one.
-    pub(super) fn is_new_heartbeat(&mut self, report: ReportNo, from: NodeId) -> bool {
+    pub(super) fn is_new_heartbeat(&mut self, report: HeartbeatSeq, from: NodeId) -> bool {
         if report > self.newest_heartbeat {
             (self.newest_heartbeat, self.newest_heartbeat_from) = (report, Some(from));
             return true;
@@ -153,7 +153,7 @@
     }
     /// Records that a controller received a heartbeat at `at`. From its holder, that proves that
     /// the network path between them is open. Copies of heartbeats prove nothing.
-    pub(super) fn record_contact(&mut self, at: Micros, from: NodeId, report: ReportNo) {
+    pub(super) fn record_contact(&mut self, at: Micros, from: NodeId, report: HeartbeatSeq) {
         if !self.is_new_heartbeat(report, from) {
             return;
         }
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -35,7 +35,7 @@
 use crate::dependencies::Urgency;
 use crate::fair_queue::FairQueue;
 use crate::fleet::{self, Demand, MachineCapacity, Offer, RentalKind, ScalingPolicy};
-use crate::jobs::{Failures, Job, Ledger, MachineRecord, Phase, TaskSet};
+use crate::jobs::{Failures, Job, MachineRecord, Phase, StateReplica, TaskSet};
 use crate::leader::network_paths::NetworkPaths;
 use crate::leader::zone_health::{ZoneHealth, ZoneObservation, ZoneTransition};
 use crate::peer::pacing::Pacer;
@@ -47,10 +47,10 @@
 use crate::placement_log::PlacementLog;
 use gorseshore_protocol::cloud::{Flavor, Rentals};
 use gorseshore_protocol::ids::{
-    Attempt, Baton, EPOCH_BITS, JobId, MachineId, Micros, NodeId, Resources, TaskId,
+    Attempt, FencingToken, JobId, MachineId, Micros, NodeId, Resources, TOKEN_SEQUENCE_BITS, TaskId,
 };
-use gorseshore_protocol::job::{JobSpec, Kind, RANKS, Rank};
-use gorseshore_protocol::workers::ReportNo;
+use gorseshore_protocol::job::{JobSpec, Kind, PRIORITIES, Priority};
+use gorseshore_protocol::workers::HeartbeatSeq;
 use gorseshore_settings::{Objective, Operator, Team};
 use log::{debug, error, info, warn};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -72,12 +72,12 @@
             Some(t) => t,
             None => self.teams.entry(spec.team.clone()).or_default(),
         };
-        (*c, *g) = (*c + spec.need.cpu, *g + spec.need.gpu);
+        (*c, *g) = (*c + spec.task_resources.cpu, *g + spec.task_resources.gpu);
     }
     fn subtract(&mut self, spec: &JobSpec) {
         self.arrays -= (spec.kind == Kind::Array) as u64;
         if let Some((c, g)) = self.teams.get_mut(&spec.team) {
-            (*c, *g) = (*c - spec.need.cpu, *g - spec.need.gpu);
+            (*c, *g) = (*c - spec.task_resources.cpu, *g - spec.task_resources.gpu);
         }
     }
 }
@@ -123,7 +123,7 @@
     /// Machines that changed.
     pub machines: &'a [MachineState],
     /// Machines that sent a heartbeat without a change, and how long ago.
-    pub contacts: &'a [(MachineId, Micros, ReportNo)],
+    pub contacts: &'a [(MachineId, Micros, HeartbeatSeq)],
     /// Machines that the controller does not hold and whose workers send it heartbeats.
     pub unleased_reports: &'a [UnleasedReport],
     /// Assignments that the controller has carried out or refused.
@@ -184,7 +184,7 @@
     leader_key_revision: u64,
     lateness: Lateness,
     grants_started: bool,
-    queues: BTreeMap<Rank, FairQueue>,
+    queues: BTreeMap<Priority, FairQueue>,
     nodes: Vec<Node>,
     machines: BTreeMap<MachineId, Machine>,
     /// Deleted machines: when, and the first update that reports the deletion.
@@ -267,14 +267,14 @@
         ctx: LeaderConfig,
         term: u64,
         leader_key_revision: u64,
-        state_replica: &Ledger,
+        state_replica: &StateReplica,
         sizes: &MachineSizes,
         now: Micros,
         wall_ms: u64,
     ) -> Self {
         let nodes = vec![Node::default(); ctx.zones.len()];
         let lag = ctx.list_lag;
-        let (record, record_revision) = state_replica.books.clone();
+        let (record, record_revision) = state_replica.standby_replicas.clone();
         let books = PlacementLog::new(
             term,
             ctx.node_id,
@@ -302,7 +302,8 @@
             cancelled_jobs: BTreeMap::new(),
             pending_assignments: BTreeMap::new(),
             placement_log: books,
-            awaits_log: state_replica.books.0.term > 0 && !state_replica.books.0.nodes.is_empty(),
+            awaits_log: state_replica.standby_replicas.0.term > 0
+                && !state_replica.standby_replicas.0.nodes.is_empty(),
             unreleased_jobs: BTreeSet::new(),
             dependency_done: true,
             unrecorded_cancellations: BTreeSet::new(),
@@ -343,7 +344,7 @@
             mismatched: BTreeSet::new(),
         };
         for (id, rec) in &state_replica.machines {
-            let size = sizes.get(&rec.build).copied().unwrap_or_default();
+            let size = sizes.get(&rec.machine_type).copied().unwrap_or_default();
             let mut m = Machine::new(rec, size, Stage::Up, now);
             m.recorded = true;
             m.tasks_unknown = true;
@@ -354,8 +355,8 @@
             // its age: it may have been confirmed to the user long after it was recorded, and
             // a task that still runs violates that confirmation at any later time.
             match job.phase {
-                Phase::Aborted if job.settled => l.note_cancelled_by_another(*id, job),
-                Phase::Aborted => {
+                Phase::Cancelled if job.fully_stopped => l.note_cancelled_by_another(*id, job),
+                Phase::Cancelled => {
                     let by = crate::cancellation_enforcer::cancellation_deadline(
                         job.ended_ms,
                         wall_ms,
@@ -438,16 +439,16 @@
     /// A fencing token that was never used before in this deployment.
     fn next_token(&mut self) -> u64 {
         self.token_sequence += 1;
-        Baton::new(self.term, self.token_sequence).0
+        FencingToken::new(self.term, self.token_sequence).0
     }
 
     /// Whether the term's fencing tokens are nearly used up, so the leader must step down.
     pub fn tokens_exhausted(&self) -> bool {
-        self.token_sequence + 100_000 >= 1 << EPOCH_BITS
+        self.token_sequence + 100_000 >= 1 << TOKEN_SEQUENCE_BITS
     }
 
     /// Applies a changed job record.
-    pub fn job_changed(&mut self, id: JobId, state_replica: &Ledger, now: Micros) {
+    pub fn job_changed(&mut self, id: JobId, state_replica: &StateReplica, now: Micros) {
         let Some(job) = state_replica.jobs.get(&id) else { return };
         self.needs_scheduling = true;
         self.queue_stale = true;
@@ -460,7 +461,7 @@
                 match self.jobs.get_mut(&id) {
                     None => {
                         let mut run = JobRun::new(job, spec.clone(), &self.config.objectives);
-                        run.held = !spec.after.is_empty() || !state_replica.dependencies.released(id);
+                        run.held = !spec.replaces.is_empty() || !state_replica.dependencies.is_released(id);
                         if run.held {
                             self.unreleased_jobs.insert(id);
                         } else {
@@ -476,8 +477,8 @@
                     }
                 }
             }
-            Phase::Aborted if job.settled => self.note_cancelled_by_another(id, job),
-            Phase::Aborted => {
+            Phase::Cancelled if job.fully_stopped => self.note_cancelled_by_another(id, job),
+            Phase::Cancelled => {
                 self.cancelled_jobs.entry(id).or_insert(now + self.config.cancel_timeout);
                 self.cancellations_checked_at = Micros(0);
             }
@@ -496,22 +497,22 @@
 
     /// Starts to enforce a cancellation, even one recorded long ago: a controller requires
     /// this before it confirms the cancellation to the client.
-    pub fn track_cancellation(&mut self, id: JobId, state_replica: &Ledger, now: Micros) {
-        if state_replica.jobs.get(&id).is_some_and(|j| j.phase == Phase::Aborted && !j.settled) {
+    pub fn track_cancellation(&mut self, id: JobId, state_replica: &StateReplica, now: Micros) {
+        if state_replica.jobs.get(&id).is_some_and(|j| j.phase == Phase::Cancelled && !j.fully_stopped) {
             self.cancelled_jobs.entry(id).or_insert(now + self.config.cancel_timeout);
         }
     }
 
     /// Releases jobs whose dependencies and replaced jobs have ended.
-    fn release(&mut self, state_replica: &Ledger) {
+    fn release(&mut self, state_replica: &StateReplica) {
         let done = std::mem::take(&mut self.dependency_done);
         let free = |id: &JobId| {
             let Some(run) = self.jobs.get(id) else { return true };
-            if run.spec.after.is_empty() && !done {
+            if run.spec.replaces.is_empty() && !done {
                 return false;
             }
-            state_replica.dependencies.released(*id)
-                && run.spec.after.iter().all(|a| self.ended_for_good(*a, state_replica))
+            state_replica.dependencies.is_released(*id)
+                && run.spec.replaces.iter().all(|a| self.ended_for_good(*a, state_replica))
         };
         let free: Vec<JobId> = self.unreleased_jobs.iter().filter(|id| free(id)).copied().collect();
         for id in free {
@@ -528,12 +529,12 @@
 
     /// Whether no task of a job is on any machine or can get there: the job has ended, no
     /// task of it is bound, and if it was cancelled, that no task is left is recorded.
-    fn ended_for_good(&self, id: JobId, state_replica: &Ledger) -> bool {
+    fn ended_for_good(&self, id: JobId, state_replica: &StateReplica) -> bool {
         let bound = self.jobs.get(&id).is_some_and(|r| !r.bound.is_empty());
         let settled = |job: &Job| match job.phase {
             Phase::Active => false,
             Phase::Done => true,
-            Phase::Aborted => job.settled,
+            Phase::Cancelled => job.fully_stopped,
         };
         !bound && state_replica.jobs.get(&id).is_none_or(settled)
     }
--- a/crates/core/src/leader/schedule.rs
+++ b/crates/core/src/leader/schedule.rs
@@ -9,7 +9,7 @@
     let mut sum = Resources::default();
     for t in m.tasks.keys() {
         match jobs.get(&t.job) {
-            Some(r) => sum = sum.plus(r.spec.need),
+            Some(r) => sum = sum.plus(r.spec.task_resources),
             None => return m.size,
         }
     }
@@ -20,9 +20,9 @@
 #[derive(Debug, Default)]
 pub(super) struct PendingJobs {
     /// Jobs by priority and team.
-    by_priority: BTreeMap<Rank, BTreeMap<String, Rc<[JobId]>>>,
+    by_priority: BTreeMap<Priority, BTreeMap<String, Rc<[JobId]>>>,
     /// Smallest CPU demand of a task, by priority, in thousandths of a CPU.
-    min_cpu: BTreeMap<Rank, u64>,
+    min_cpu: BTreeMap<Priority, u64>,
     /// Jobs that have waited longer than `STARVATION_TIMEOUT_MS` for their first task, the
     /// earliest ready first; at most 50.
     pub(super) starved: Vec<JobId>,
@@ -105,8 +105,9 @@
             return true;
         }
         let (c, g) = self.team_usage(&spec.team);
-        let max = Resources::have(team.cpus_max, team.gpus_max, 0.0);
-        (max.cpu > 0 && c + spec.need.cpu > max.cpu) || (max.gpu > 0 && g + spec.need.gpu > max.gpu)
+        let max = Resources::capacity(team.cpus_max, team.gpus_max, 0.0);
+        (max.cpu > 0 && c + spec.task_resources.cpu > max.cpu)
+            || (max.gpu > 0 && g + spec.task_resources.gpu > max.gpu)
     }
 
     /// Whether some machine has had no contact in this term. Once all have had contact, this
@@ -125,7 +126,7 @@
     /// Bound tasks by zone, for a job with a zone rule; empty for any other.
     pub(super) fn tasks_per_zone(&self, run: &JobRun) -> BTreeMap<String, u32> {
         let mut zones: BTreeMap<String, u32> = BTreeMap::new();
-        if !run.spec.has_zone_rule() {
+        if !run.spec.has_zone_constraint() {
             return zones;
         }
         for b in run.bound.values() {
@@ -170,7 +171,7 @@
         let borrowing = self.config.teams.iter().any(|t| t.cpus > 0.0 || t.gpus > 0.0);
         for guaranteed in [true, false].into_iter().filter(|g| borrowing || !g) {
             let mut pass = Pass { guaranteed, preemption: PreemptionCandidates::default(), now };
-            for priority in RANKS {
+            for priority in PRIORITIES {
                 self.serve_priority(priority, &mut pass);
             }
         }
@@ -190,7 +191,7 @@
             has_unconfirmed_machines: self.has_unconfirmed_machines(),
             ..PendingJobs::default()
         };
-        let mut by_priority: BTreeMap<Rank, BTreeMap<String, Vec<((bool, u64, u64), JobId)>>> =
+        let mut by_priority: BTreeMap<Priority, BTreeMap<String, Vec<((bool, u64, u64), JobId)>>> =
             BTreeMap::new();
         let mut ready: Vec<JobId> = Vec::new();
         let (mut starved, mut begun): (Vec<(u64, JobId)>, Vec<JobId>) = Default::default();
@@ -219,7 +220,7 @@
                     false => starved.push((run.ready_ms, id)),
                 }
             }
-            let (priority, cpu) = (run.urgency.rank, run.spec.need.cpu);
+            let (priority, cpu) = (run.urgency.priority, run.spec.task_resources.cpu);
             let least = waiting.min_cpu.entry(priority).or_insert(cpu);
             *least = cpu.min(*least);
             let teams = by_priority.entry(priority).or_default();
@@ -251,7 +252,7 @@
     }
 
     /// Serves the pending jobs of one priority, the team with the smallest start tag first.
-    fn serve_priority(&mut self, priority: Rank, pass: &mut Pass) {
+    fn serve_priority(&mut self, priority: Priority, pass: &mut Pass) {
         let teams = self.pending_jobs.by_priority.get(&priority).cloned().unwrap_or_default();
         let least = self.pending_jobs.min_cpu.get(&priority).copied().unwrap_or(0);
         let mut queue = self.queues.remove(&priority).unwrap_or_default();
@@ -262,7 +263,7 @@
         let mut next: BTreeMap<&str, usize> = BTreeMap::new();
         let mut unservable: BTreeSet<String> = BTreeSet::new();
         let need = Resources { cpu: least, gpu: 0, mem: 0 };
-        let preempts = pass.guaranteed || priority == Rank::Production;
+        let preempts = pass.guaranteed || priority == Priority::Production;
         'priority: while let Some((_, team)) =
             queue.order().into_iter().find(|(_, t)| !unservable.contains(t))
         {
@@ -295,9 +296,9 @@
         let now = pass.now;
         let Some(run) = self.jobs.get_mut(&id).filter(|r| !r.ended) else { return false };
         let Some(index) = run.next_pending() else { return false };
-        let may_preempt =
-            (pass.guaranteed || run.urgency.rank == Rank::Production) && now >= run.preempt_not_before;
-        let need = run.spec.need;
+        let may_preempt = (pass.guaranteed || run.urgency.priority == Priority::Production)
+            && now >= run.preempt_not_before;
+        let need = run.spec.task_resources;
         if !(self.capacity_index.any_with_cpu(need.cpu) || may_preempt && pass.preemption.may_fit(&need)) {
             return false;
         }
@@ -357,16 +358,16 @@
     fn within_guarantee(&self, spec: &JobSpec) -> bool {
         let Some(team) = self.config.teams.iter().find(|t| t.name == spec.team) else { return false };
         let (c, g) = self.team_usage(&spec.team);
-        let own = Resources::have(team.cpus, team.gpus, 0.0);
-        (c + spec.need.cpu <= own.cpu || spec.need.cpu == 0)
-            && (g + spec.need.gpu <= own.gpu || spec.need.gpu == 0)
+        let own = Resources::capacity(team.cpus, team.gpus, 0.0);
+        (c + spec.task_resources.cpu <= own.cpu || spec.task_resources.cpu == 0)
+            && (g + spec.task_resources.gpu <= own.gpu || spec.task_resources.gpu == 0)
     }
 
     /// CPUs and GPUs that teams use beyond their guarantee.
     fn borrowed(&self) -> BTreeMap<String, (u64, u64)> {
         let teams = self.config.teams.iter().map(|t| {
             let (c, g) = self.team_usage(&t.name);
-            let own = Resources::have(t.cpus, t.gpus, 0.0);
+            let own = Resources::capacity(t.cpus, t.gpus, 0.0);
             (t.name.clone(), (c.saturating_sub(own.cpu), g.saturating_sub(own.gpu)))
         });
         teams.filter(|(_, b)| *b != (0, 0)).collect()
@@ -391,10 +392,10 @@
         let incarnation = self.nodes.get(node.0 as usize).map_or(0, |n| n.incarnation);
         let image = if m.images.contains(&run.spec.image) { "has" } else { "fetches" };
         debug!("{task}: assigned to {hint}, which {image} its image, attempt {}", attempt.0);
-        let fixed = run.spec.has_zone_rule();
+        let fixed = run.spec.has_zone_constraint();
         let out =
             Assignment { task, attempt, zone: fixed.then(|| zone.clone()), preferred_machine: hint.clone() };
-        let need = run.spec.need;
+        let need = run.spec.task_resources;
         run.requeued.remove(&task.index);
         self.bound_totals.add(&run.spec);
         let watched = first_candidate(&machines, &run.spec, attempt, &self.machines);
@@ -432,7 +433,7 @@
     pub(super) fn should_wait_for_image(&self, id: JobId, found: &MachineId, now: Micros) -> bool {
         let Some(run) = self.jobs.get(&id) else { return false };
         run.spec.kind == Kind::Service
-            && run.spec.rank == Rank::Production
+            && run.spec.priority == Priority::Production
             && run.image_wait_until.is_none_or(|until| now < until)
             && self.machines.get(found).is_some_and(|m| !m.images.contains(&run.spec.image))
             && self.machines.values().any(|m| m.images.contains(&run.spec.image))
@@ -451,7 +452,7 @@
     ) -> Option<(String, u32)> {
         let (guaranteed, now) = (pass.guaranteed, pass.now);
         let run = self.jobs.get(&id)?;
-        let (spec, priority) = (run.spec.clone(), run.urgency.rank);
+        let (spec, priority) = (run.spec.clone(), run.urgency.priority);
         if pass.preemption.machines.is_none() {
             pass.preemption = self.preemption_candidates(guaranteed, now);
         }
@@ -459,12 +460,12 @@
         else {
             return None;
         };
-        if !max_capacity.fits(&spec.need) {
+        if !max_capacity.fits(&spec.task_resources) {
             return None;
         }
         let borrowed = if guaranteed { self.borrowed() } else { BTreeMap::new() };
         let mut best: Option<(u64, MachineId, Vec<(TaskId, Attempt)>, u32)> = None;
-        for (machine_id, _) in candidates.iter().filter(|(_, capacity)| capacity.fits(&spec.need)) {
+        for (machine_id, _) in candidates.iter().filter(|(_, capacity)| capacity.fits(&spec.task_resources)) {
             *scanned += 1;
             let Some(m) = self.machines.get(machine_id) else { continue };
             if image && !m.images.contains(&spec.image)
@@ -493,27 +494,27 @@
             let mut free = m.free();
             let (mut lost, mut chosen) = (0, Vec::new());
             for (_, ran, t, a) in victims {
-                if free.fits(&spec.need) {
+                if free.fits(&spec.task_resources) {
                     break;
                 }
                 let Some(r) = self.jobs.get(&t.job) else { continue };
-                let lower = r.urgency.rank < priority;
+                let lower = r.urgency.priority < priority;
                 let reclaims = r.spec.team != spec.team
-                    && reclaimable
-                        .get(&r.spec.team)
-                        .is_some_and(|(c, g)| r.spec.need.cpu <= *c && r.spec.need.gpu <= *g);
+                    && reclaimable.get(&r.spec.team).is_some_and(|(c, g)| {
+                        r.spec.task_resources.cpu <= *c && r.spec.task_resources.gpu <= *g
+                    });
                 if !lower && !reclaims {
                     continue;
                 }
                 if let Some((c, g)) = reclaimable.get_mut(&r.spec.team) {
-                    *c = c.saturating_sub(r.spec.need.cpu);
-                    *g = g.saturating_sub(r.spec.need.gpu);
+                    *c = c.saturating_sub(r.spec.task_resources.cpu);
+                    *g = g.saturating_sub(r.spec.task_resources.gpu);
                 }
-                free = free.plus(r.spec.need);
+                free = free.plus(r.spec.task_resources);
                 lost += ran + 1;
                 chosen.push((t, a));
             }
-            let fitting = free.count(&spec.need, 1000) as u32;
+            let fitting = free.max_copies(&spec.task_resources, 1000) as u32;
             if fitting > 0 && !chosen.is_empty() && best.as_ref().is_none_or(|(l, ..)| lost < *l) {
                 best = Some((lost, machine_id.clone(), chosen, fitting));
             }
@@ -526,7 +527,7 @@
         let m = self.machines.get_mut(&machine_id)?;
         m.reserved_priority = Some((priority, now + Micros::secs(2)));
         let here = zones.get(&m.zone).copied().unwrap_or(0);
-        Some((m.zone.clone(), fitting.min(spec.zone_cap().saturating_sub(here)).max(1)))
+        Some((m.zone.clone(), fitting.min(spec.max_tasks_per_zone().saturating_sub(here)).max(1)))
     }
 
     /// Machines with tasks that replicas, or a team within its guarantee, may preempt, and the
@@ -540,8 +541,8 @@
             let mut preemptible = false;
             for (t, _) in m.tasks.iter().filter(|(_, (_, s))| *s != TaskState::Starting) {
                 let Some(r) = self.jobs.get(&t.job) else { continue };
-                if guaranteed || r.urgency.rank < Rank::Production {
-                    capacity = capacity.plus(r.spec.need);
+                if guaranteed || r.urgency.priority < Priority::Production {
+                    capacity = capacity.plus(r.spec.task_resources);
                     preemptible = true;
                 }
             }
--- a/crates/core/src/leader/tests/limits.rs
+++ b/crates/core/src/leader/tests/limits.rs
@@ -1,6 +1,6 @@
 //! Every record of the leader stays within the limits of the state service.
 use super::*;
-use crate::jobs::{CHUNK, FAILED_CHUNK};
+use crate::jobs::{FAILURES_CHUNK_TASKS, PROGRESS_CHUNK_TASKS};
 use crate::leader::changes::{Changes, RecordContext};
 use crate::limits::{StoreLimits, value_len};
 use gorseshore_protocol::state::Write;
@@ -36,12 +36,12 @@
     let length = record.to_string().len();
     assert!((3500..4096).contains(&length), "{length}");
     b.state_replica.apply(RECORD, Some(&record), 1);
-    let sizes = MachineSizes::from([("sedlo".into(), Resources::have(8.0, 0.0, 32.0))]);
+    let sizes = MachineSizes::from([("sedlo".into(), Resources::capacity(8.0, 0.0, 32.0))]);
     b.leader = Leader::new(context(), TERM, 50, &b.state_replica, &sizes, b.now, 1_000_000);
     b.add_job(LONG.0, 60, "t", "array", "standard", TASKS, 1.0);
     b.add_job(FAILING.0, 61, "t", "array", "standard", 100, 1.0);
-    b.edit_job(FAILING.0, 62, |spec| spec.attempts = Some(9));
-    for chunk in 0..TASKS / CHUNK {
+    b.edit_job(FAILING.0, 62, |spec| spec.max_attempts = Some(9));
+    for chunk in 0..TASKS / PROGRESS_CHUNK_TASKS {
         b.state_replica.apply(&keys::progress(LONG, chunk), Some(&json!("ff")), 63);
     }
     let long = b.leader.jobs.get_mut(&LONG).unwrap();
@@ -49,8 +49,8 @@
         long.done.insert(i);
     }
     let failing = b.leader.jobs.get_mut(&FAILING).unwrap();
-    for i in 0..FAILED_CHUNK {
-        failing.failed_attempts.insert(i, Failures { count: 8, last: (700 << 28) + u64::from(i) });
+    for i in 0..FAILURES_CHUNK_TASKS {
+        failing.failed_attempts.insert(i, Failures { count: 8, last_attempt: (700 << 28) + u64::from(i) });
     }
     b
 }
@@ -65,11 +65,11 @@
     b.leader.changes(write, &context)
 }
 
-fn apply(state_replica: &mut Ledger, changes: &Changes, stamp: u64) {
+fn apply(state_replica: &mut StateReplica, changes: &Changes, stamp: u64) {
     for write in &changes.writes {
         match write {
-            Write::Put { put, v, .. } => state_replica.apply(put, Some(v), stamp),
-            Write::Remove { remove } => state_replica.apply(remove, None, stamp),
+            Write::Put { key: put, value: v, .. } => state_replica.apply(put, Some(v), stamp),
+            Write::Remove { key: remove } => state_replica.apply(remove, None, stamp),
         };
     }
 }
@@ -80,7 +80,7 @@
     assert!(changes.conditions.len() < limits.txn_conditions(), "{what}");
     assert!(changes.len() < 60_000, "{what}: {} bytes", changes.len());
     for write in &changes.writes {
-        if let Write::Put { put, v, .. } = write {
+        if let Write::Put { key: put, value: v, .. } = write {
             assert!(value_len(v) <= limits.value_bytes, "{what}: {put} takes {}", value_len(v));
         }
     }
@@ -101,7 +101,7 @@
             machines,
             LeaderWrite::ScaleOutName("t0000000003-000000001".into()),
             LeaderWrite::Progress(LONG, 0),
-            LeaderWrite::Progress(LONG, TASKS / CHUNK),
+            LeaderWrite::Progress(LONG, TASKS / PROGRESS_CHUNK_TASKS),
             LeaderWrite::FailureCounts(FAILING, 0),
             LeaderWrite::JobFailed(FAILING, 7),
             LeaderWrite::CancellationComplete(LONG),
@@ -130,22 +130,25 @@
             // Applied in the order of the keys, and in that of the transaction.
             let mut sorted = changes.clone();
             sorted.writes.sort_by_key(|w| match w {
-                Write::Put { put, .. } => put.clone(),
-                Write::Remove { remove } => remove.clone(),
+                Write::Put { key: put, .. } => put.clone(),
+                Write::Remove { key: remove } => remove.clone(),
             });
             apply(&mut b.state_replica, &sorted, stamp);
             apply(&mut b.state_replica, &changes, stamp);
         }
         let long = &b.state_replica.jobs[&LONG];
-        assert!((0..CHUNK).all(|i| long.done.contains(i)), "{limit:?}");
-        assert!(!long.done.contains(CHUNK + 8) && long.done.contains(CHUNK + 7), "{limit:?}");
-        assert_eq!((long.chunks[&0], long.chunks[&1]), (70, 63), "{limit:?}");
+        assert!((0..PROGRESS_CHUNK_TASKS).all(|i| long.done.contains(i)), "{limit:?}");
+        assert!(
+            !long.done.contains(PROGRESS_CHUNK_TASKS + 8) && long.done.contains(PROGRESS_CHUNK_TASKS + 7),
+            "{limit:?}"
+        );
+        assert_eq!((long.progress_revisions[&0], long.progress_revisions[&1]), (70, 63), "{limit:?}");
         let failing = &b.state_replica.jobs[&FAILING];
-        assert_eq!(failing.failed, b.leader.jobs[&FAILING].failed_attempts, "{limit:?}");
-        assert_eq!(failing.failed_stamps[&0], 71, "{limit:?}");
+        assert_eq!(failing.failures, b.leader.jobs[&FAILING].failed_attempts, "{limit:?}");
+        assert_eq!(failing.failure_revisions[&0], 71, "{limit:?}");
         // The next write is on the condition of the version that was read.
         let again = changes(&b, &listings[0], &limits).unwrap();
-        assert_eq!(again.conditions[0].stamp, 70, "{limit:?}");
+        assert_eq!(again.conditions[0].revision, 70, "{limit:?}");
     }
 }
 
@@ -158,7 +161,7 @@
     assert_eq!(changes.writes.len(), 2);
     let mut done = TaskSet::default();
     for write in &changes.writes {
-        let Write::Put { put, v: Value::String(text), .. } = write else { panic!("{write:?}") };
+        let Write::Put { key: put, value: Value::String(text), .. } = write else { panic!("{write:?}") };
         let (id, chunk) = put.strip_prefix("g/p/").unwrap().split_once('/').unwrap();
         assert_eq!((JobId::parse(id), chunk.parse::<u32>()), (Some(LONG), Ok(0)));
         for (place, word) in text.split(',').enumerate().take(128) {
@@ -168,7 +171,7 @@
             });
         }
     }
-    assert_eq!(done.len(), CHUNK);
+    assert_eq!(done.len(), PROGRESS_CHUNK_TASKS);
 }
 
 /// A record of the previous version is rewritten within the limits, over several keys, and no
@@ -183,7 +186,7 @@
         let records = if limit.0 == 4000 { 1 } else { 3 };
         assert_eq!((changes.writes.len(), changes.conditions.len()), (records, records), "{limit:?}");
         for write in &changes.writes {
-            let Write::Put { put, v, .. } = write else { panic!("{write:?}") };
+            let Write::Put { key: put, value: v, .. } = write else { panic!("{write:?}") };
             b.state_replica.apply(put, Some(v), 80);
             let known = b.state_replica.machines.len();
             assert!(known >= MACHINES - 1, "{limit:?}: {known} machines known after {put}");
@@ -201,12 +204,12 @@
     b.leader.deleted_machines.insert(name(3), (b.now, 0));
     let small = limits((2000, 4));
     let first = changes(&b, &LeaderWrite::RemoveDeletedMachines(RECORD.into()), &small).unwrap();
-    let unavailable = first.conditions[1].path.clone();
+    let unavailable = first.conditions[1].key.clone();
     let free = |key: &str| key != unavailable;
     let context =
         RecordContext { state_replica: &b.state_replica, limits: &small, wall_ms: 0, may_create: &free };
     let second = b.leader.changes(&LeaderWrite::RemoveDeletedMachines(RECORD.into()), &context).unwrap();
-    assert!(second.conditions.iter().all(|c| c.path != unavailable));
+    assert!(second.conditions.iter().all(|c| c.key != unavailable));
     assert_eq!(second.writes.len(), first.writes.len());
 }
 
@@ -224,5 +227,5 @@
     apply(&mut b.state_replica, &end, 71);
     apply(&mut b.state_replica, &progress, 70);
     let job = &b.state_replica.jobs[&LONG];
-    assert_eq!((job.phase, job.done.len(), job.further_parts.len()), (Phase::Done, 0, 0));
+    assert_eq!((job.phase, job.done.len(), job.further_part_keys.len()), (Phase::Done, 0, 0));
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -182,7 +182,7 @@
     }
     /// Adds a 503 response that asks the client to retry after one second.
     pub fn respond_unavailable(&mut self, id: RequestId, reason: &str) {
-        let body = gorseshore_protocol::users::error(reason);
+        let body = gorseshore_protocol::users::error_body(reason);
         self.items.push(Output::Response { id, status: 503, body, retry_after: Some(1) });
     }
     /// Adds a message.
--- a/crates/core/src/liveness/tests.rs
+++ b/crates/core/src/liveness/tests.rs
@@ -13,17 +13,17 @@
     Rental {
         name: format!("host-{i:06}"),
         addr: format!("address-{i}"),
-        build: "b".into(),
-        yard: match i {
+        machine_type: "b".into(),
+        zone: match i {
             0 => "south",
             1 => "west",
             _ if i.is_multiple_of(2) => "east",
             _ => "north",
         }
         .into(),
-        loaners: false,
-        stage: if i == 19 { "starting" } else { "running" }.into(),
-        held_s: 100.0,
+        spot: false,
+        state: if i == 19 { "starting" } else { "running" }.into(),
+        age_s: 100.0,
     }
 }
 
@@ -66,7 +66,13 @@
             if outages.iter().any(|(i, when)| id(*i) == machine && when.contains(&ms)) {
                 pending.push((ms + 1_200, machine, ms));
             } else {
-                monitor.record_probe_response(machine, ReportNo { shift: 1, tally: ms + 1 }, !idle, now, now);
+                monitor.record_probe_response(
+                    machine,
+                    HeartbeatSeq { agent_epoch: 1, sequence: ms + 1 },
+                    !idle,
+                    now,
+                    now,
+                );
             }
         }
     }
--- a/crates/core/src/liveness/tests/scenarios.rs
+++ b/crates/core/src/liveness/tests/scenarios.rs
@@ -238,13 +238,13 @@
 }
 
 /// The number of the next message. Numbers always rise: no message is a duplicate.
-fn next_message(messages: &mut u64) -> ReportNo {
+fn next_message(messages: &mut u64) -> HeartbeatSeq {
     *messages += 1;
-    ReportNo { shift: 1, tally: *messages }
+    HeartbeatSeq { agent_epoch: 1, sequence: *messages }
 }
 
 fn rental_of(i: usize, m: &Machine) -> Rental {
-    Rental { name: name(i).to_string(), yard: m.zone.into(), stage: "running".into(), ..rental(i) }
+    Rental { name: name(i).to_string(), zone: m.zone.into(), state: "running".into(), ..rental(i) }
 }
 
 /// The monitor's knowledge after a scan.
--- a/crates/core/src/node/heartbeats.rs
+++ b/crates/core/src/node/heartbeats.rs
@@ -4,21 +4,21 @@
 impl Node {
     pub(super) fn receive_heartbeat(&mut self, id: RequestId, body: &[u8]) {
         let Ok(r) = serde_json::from_slice::<Report>(body) else {
-            return self.out.respond(id, 400, users::error("invalid report"));
+            return self.out.respond(id, 400, users::error_body("invalid report"));
         };
         let Some(tasks) = parse_tasks(&r) else {
-            return self.out.respond(id, 400, users::error("invalid task id in the report"));
+            return self.out.respond(id, 400, users::error_body("invalid task id in the report"));
         };
         self.record_heartbeat(&r, &tasks);
-        let machine = MachineId::from(&*r.host);
+        let machine = MachineId::from(&*r.machine);
         // A report that contradicts the machine's record does not come from that machine: two
         // workers share a name, or one is misconfigured. It is ignored and its lease is not
         // renewed.
-        if self.replica_sync.replica.machines.get(&machine).is_some_and(|rec| !rec.is_kind_of(&r)) {
+        if self.replica_sync.replica.machines.get(&machine).is_some_and(|rec| !rec.matches_report(&r)) {
             if self.deferred_heartbeats.contradicting.insert(machine.clone()) {
                 warn!(
                     "{machine}: ignored a report with type={} zone={}, which contradicts its record",
-                    r.build, r.yard
+                    r.machine_type, r.zone
                 );
             }
             return self.redirect(id, None);
@@ -28,19 +28,19 @@
                 self.renew_lease(id, fencing_token.0, commands)
             }
             HeartbeatReply::Misdirected(to) | HeartbeatReply::Superseded(to)
-                if !self.deferred_heartbeats.is_newest(&machine, r.number()) =>
+                if !self.deferred_heartbeats.is_newest(&machine, r.heartbeat_seq()) =>
             {
                 // A copy, or a delayed report: no worker waits for this answer.
                 self.redirect(id, to);
             }
             reply @ (HeartbeatReply::Misdirected(to) | HeartbeatReply::Superseded(to)) => {
-                self.report_unleased(&machine, MachineRecord::of(&r), r.number(), false);
+                self.report_unleased(&machine, MachineRecord::from_report(&r), r.heartbeat_seq(), false);
                 // Other controllers reach the worker if it has a token from them, now or since its
                 // lease was renewed here. A worker without tasks loses nothing on the way to them.
                 let renewed_token = self.deferred_heartbeats.renewed_tokens.get(&machine).copied();
                 let may_redirect = matches!(reply, HeartbeatReply::Superseded(_))
-                    || renewed_token.is_some_and(|b| r.baton > b)
-                    || r.pieces.is_empty();
+                    || renewed_token.is_some_and(|b| r.fencing_token > b)
+                    || r.tasks.is_empty();
                 match self.redirect_target(&machine, to) {
                     Some(n) => self.redirect(id, Some(n)),
                     // This node has no contact with the state service or any controller and can't
@@ -50,7 +50,7 @@
                         debug!("{machine}: redirected, this controller can't serve it");
                         // If it returns with the same token, no other controller could serve it
                         // either.
-                        self.deferred_heartbeats.record_renewal(machine, r.baton);
+                        self.deferred_heartbeats.record_renewal(machine, r.fencing_token);
                         self.redirect(id, None);
                     }
                     // A grant may arrive shortly, so the answer is deferred.
@@ -90,17 +90,16 @@
     fn renew_unheld(&mut self, id: RequestId, r: &Report) {
         let tasks = parse_tasks(r).unwrap_or_default();
         let commands = Controller::stops_for_unleased(&tasks, &self.replica_sync.replica);
-        self.deferred_heartbeats.record_renewal(MachineId::from(&*r.host), r.baton);
-        self.renew_lease(id, r.baton, commands);
+        self.deferred_heartbeats.record_renewal(MachineId::from(&*r.machine), r.fencing_token);
+        self.renew_lease(id, r.fencing_token, commands);
     }
 
     /// Answers a heartbeat, which renews the worker's lease, if this process may renew leases.
-    fn renew_lease(&mut self, id: RequestId, fencing_token: u64, commands: Vec<Order>) {
+    fn renew_lease(&mut self, id: RequestId, fencing_token: u64, commands: Vec<Command>) {
         if !self.may_renew_leases() {
             return self.redirect(id, None);
         }
-        let body =
-            serde_json::to_vec(&CheckinAnswer { baton: fencing_token, orders: commands }).unwrap_or_default();
+        let body = serde_json::to_vec(&HeartbeatResponse { fencing_token, commands }).unwrap_or_default();
         self.out.respond(id, 200, body);
     }
 
@@ -122,7 +121,7 @@
         &mut self,
         id: &MachineId,
         rec: MachineRecord,
-        report: ReportNo,
+        report: HeartbeatSeq,
         probed: bool,
     ) {
         if self.replica_sync.replica.machines.contains_key(id) {
@@ -132,7 +131,7 @@
         } else if let Some(to) = self.leader_node() {
             let m = Message::MachineDiscovered {
                 id: id.clone(),
-                build: rec.build,
+                build: rec.machine_type,
                 zone: rec.zone,
                 spot: rec.spot,
                 addr: rec.addr,
--- a/crates/core/src/node/leadership.rs
+++ b/crates/core/src/node/leadership.rs
@@ -101,7 +101,7 @@
             | LeaderWrite::CancelDependent(id) => may_use(keys::end(*id)),
             LeaderWrite::JobFailed(id, _) => may_use(keys::end(*id)) && may_use(keys::job(*id)),
             LeaderWrite::Progress(id, c) => may_use(keys::progress(*id, *c)) && may_use(keys::end(*id)),
-            LeaderWrite::FailureCounts(id, c) => may_use(keys::failed(*id, *c)) && may_use(keys::end(*id)),
+            LeaderWrite::FailureCounts(id, c) => may_use(keys::failures(*id, *c)) && may_use(keys::end(*id)),
             LeaderWrite::RemoveDeletedMachines(key) => may_use(key.clone()),
             LeaderWrite::ScaleOutName(_) => true,
         };
--- a/crates/core/src/node/messaging.rs
+++ b/crates/core/src/node/messaging.rs
@@ -138,7 +138,7 @@
             }
             Message::MachineDiscovered { id, build, zone, spot, addr, report, probed: asked } => {
                 if let Some(l) = self.leadership.leader.as_mut() {
-                    let rec = MachineRecord { build, zone, spot, addr };
+                    let rec = MachineRecord { machine_type: build, zone, spot, addr };
                     let s = UnleasedReport { id, report, probed: asked };
                     l.apply_unleased_report(from, &s, &rec, &self.catalogue.sizes, self.now);
                 }
@@ -181,7 +181,7 @@
                 self.send_sync(false);
             }
             Message::PlacementLogUpdate(page) => {
-                let (on_record, _) = &self.replica_sync.replica.books;
+                let (on_record, _) = &self.replica_sync.replica.standby_replicas;
                 self.log_replicas.remove_before(on_record.term);
                 // No placement log is kept for a leader that has a successor.
                 if page.term < self.replica_sync.replica.term.0 {
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -32,19 +32,23 @@
 use crate::controller::{Controller, HeartbeatReply, parse_tasks};
 use crate::election::Role;
 use crate::extension::{Extension, ExtensionContext, ExtensionInput, ExtensionOutput, OperationId};
-use crate::jobs::{self, Change, LeaderRecord, Ledger, MachineRecord, Phase, keys};
+use crate::jobs::{self, Change, LeaderRecord, MachineRecord, Phase, StateReplica, keys};
 use crate::leader::{CloudRequest, Leader, LeaderConfig, LeaderWrite, ScaleOutRequest, SyncView};
 use crate::limits::StoreLimits;
 use crate::liveness::LivenessMonitor;
 use crate::peer::{Envelope, Message, UnleasedReport};
 use crate::placement_log::{LogReplica, LogReplicas};
 use crate::{Call, CallId, CallResult, Input, Outbox, Output, RequestId, Target};
-use gorseshore_protocol::cloud::{Flavors, Hosts, Rentals};
-use gorseshore_protocol::ids::{Attempt, JobId, MachineId, Micros, NodeId, OWN_IDS, Resources, TaskId};
+use gorseshore_protocol::cloud::{Flavors, MachineNames, Rentals};
+use gorseshore_protocol::ids::{
+    Attempt, JobId, MIN_INTERNAL_JOB_ID, MachineId, Micros, NodeId, Resources, TaskId,
+};
 use gorseshore_protocol::job::JobSpec;
-use gorseshore_protocol::state::{Grant, Listing, Multi, MultiAnswer, News, When, Write};
+use gorseshore_protocol::state::{
+    LeaseGrant, Listing, Precondition, Transaction, TransactionResponse, WatchResponse, Write,
+};
 use gorseshore_protocol::users;
-use gorseshore_protocol::workers::{CheckinAnswer, Order, Report, ReportNo};
+use gorseshore_protocol::workers::{Command, HeartbeatResponse, HeartbeatSeq, Report};
 use gorseshore_settings::{Operator, Platform, Team};
 use log::{debug, error, info, warn};
 use serde_json::json;
@@ -80,7 +84,7 @@
     List {
         from: Option<String>,
         first_revision: Option<u64>,
-        replica: Box<Ledger>,
+        replica: Box<StateReplica>,
     },
     Watch,
     ReadBarrier(Vec<(Waiter, Micros)>),
@@ -263,7 +267,7 @@
     /// The `status` line, if one is due.
     pub fn status_line(&mut self) -> Option<String> {
         let gauges = Gauges {
-            revision: self.replica_sync.replica.applied,
+            revision: self.replica_sync.replica.applied_revision,
             ready: self.is_ready(),
             machines_held: self.controller.held_count(),
             leader: self.leader_node().map(|n| n.0),
@@ -325,22 +329,23 @@
             CallPurpose::Watch => {
                 self.replica_sync.watch_in_flight = false;
                 match result {
-                    CallResult::Response { status: 200, body } => match serde_json::from_slice::<News>(&body)
-                    {
-                        Ok(n) => {
-                            self.replica_sync.last_success = Some(self.now);
-                            self.status.caught_up(self.now);
-                            self.apply_events(n);
+                    CallResult::Response { status: 200, body } => {
+                        match serde_json::from_slice::<WatchResponse>(&body) {
+                            Ok(n) => {
+                                self.replica_sync.last_success = Some(self.now);
+                                self.status.caught_up(self.now);
+                                self.apply_events(n);
+                            }
+                            Err(e) => {
+                                warn!("invalid watch response: {e}");
+                                self.replica_sync.next_watch_at = self.now + Micros::millis(500);
+                            }
                         }
-                        Err(e) => {
-                            warn!("invalid watch response: {e}");
-                            self.replica_sync.next_watch_at = self.now + Micros::millis(500);
-                        }
-                    },
+                    }
                     CallResult::Response { status: 410, .. } => {
                         info!(
                             "watch expired revision={}: reading the state from the start",
-                            self.replica_sync.replica.applied
+                            self.replica_sync.replica.applied_revision
                         );
                         self.replica_sync.listed = false;
                     }
@@ -358,7 +363,9 @@
             }
             CallPurpose::CreateLease { requested_at } => {
                 let lease = match &result {
-                    CallResult::Response { status: 200, body } => serde_json::from_slice::<Grant>(body).ok(),
+                    CallResult::Response { status: 200, body } => {
+                        serde_json::from_slice::<LeaseGrant>(body).ok()
+                    }
                     _ => None,
                 };
                 match lease {
@@ -367,33 +374,42 @@
                         let rec = LeaderRecord {
                             node: self.members.names[self.members.own_id.0 as usize].clone(),
                             term: term + 1,
-                            lease: g.hold,
+                            lease: g.lease,
                         };
-                        let m = Multi {
-                            when: vec![
-                                When { path: keys::LEADER.into(), stamp: 0 },
-                                When { path: keys::TERM.into(), stamp: term_revision },
-                                When { path: keys::BOOKS.into(), stamp: self.replica_sync.replica.books.1 },
+                        let m = Transaction {
+                            preconditions: vec![
+                                Precondition { key: keys::LEADER.into(), revision: 0 },
+                                Precondition { key: keys::TERM.into(), revision: term_revision },
+                                Precondition {
+                                    key: keys::STANDBY_REPLICAS.into(),
+                                    revision: self.replica_sync.replica.standby_replicas.1,
+                                },
                             ],
                             writes: vec![
                                 Write::Put {
-                                    put: keys::BOOKS.into(),
-                                    v: json!(self.replica_sync.replica.books.0.for_new_term(term + 1)),
-                                    hold: None,
+                                    key: keys::STANDBY_REPLICAS.into(),
+                                    value: json!(
+                                        self.replica_sync.replica.standby_replicas.0.for_new_term(term + 1)
+                                    ),
+                                    lease: None,
+                                },
+                                Write::Put { key: keys::TERM.into(), value: json!(term + 1), lease: None },
+                                Write::Put {
+                                    key: keys::LEADER.into(),
+                                    value: json!(rec),
+                                    lease: Some(g.lease),
                                 },
-                                Write::Put { put: keys::TERM.into(), v: json!(term + 1), hold: None },
-                                Write::Put { put: keys::LEADER.into(), v: json!(rec), hold: Some(g.hold) },
                             ],
                         };
                         let id = self.send_transaction(&m);
                         self.calls.insert(
                             id,
-                            CallPurpose::AcquireLeaderKey { requested_at, lease: g.hold, term: term + 1 },
+                            CallPurpose::AcquireLeaderKey { requested_at, lease: g.lease, term: term + 1 },
                         );
                     }
                     lease => {
                         if let Some(g) = lease {
-                            self.revoke_lease(g.hold);
+                            self.revoke_lease(g.lease);
                         }
                         let pause = Micros::millis(150 + self.rng.u64(0..300));
                         self.leadership.election.step_down(self.now, pause);
@@ -402,7 +418,8 @@
             }
             CallPurpose::AcquireLeaderKey { requested_at, lease, term } => match &result {
                 CallResult::Response { status: 200, body } => {
-                    let key_revision = serde_json::from_slice::<MultiAnswer>(body).map_or(0, |a| a.ledger);
+                    let key_revision =
+                        serde_json::from_slice::<TransactionResponse>(body).map_or(0, |a| a.revision);
                     self.leadership.election.elected(term, lease, key_revision, requested_at);
                     self.leadership.had_peers = false;
                     self.leadership.acquired = Some((term, key_revision));
@@ -457,9 +474,9 @@
             CallPurpose::Probe(m) => {
                 if let CallResult::Response { status: 200, body } = &result
                     && let Ok(r) = serde_json::from_slice::<Report>(body)
-                    && r.host == m.as_str()
+                    && r.machine == m.as_str()
                 {
-                    self.report_unleased(&m, MachineRecord::of(&r), r.number(), true);
+                    self.report_unleased(&m, MachineRecord::from_report(&r), r.heartbeat_seq(), true);
                 }
             }
         }
@@ -475,7 +492,7 @@
         &mut self,
         from: Option<String>,
         first_revision: Option<u64>,
-        mut replica: Box<Ledger>,
+        mut replica: Box<StateReplica>,
         result: CallResult,
     ) {
         self.replica_sync.list_in_flight = false;
@@ -499,17 +516,17 @@
         if let CallResult::Response { body, .. } = &result {
             self.replica_sync.read_progress.bytes += body.len();
         }
-        for p in &page.pairs {
-            replica.apply(&p.path, Some(&p.v), p.stamp);
+        for p in &page.entries {
+            replica.apply(&p.key, Some(&p.value), p.revision);
         }
         // Later pages are newer: the watch starts at the first page's revision and its events are
         // applied over them.
-        let first_revision = first_revision.unwrap_or(page.ledger);
-        if let (true, Some(last)) = (page.truncated, page.pairs.last()) {
-            return self.list_state(Some(last.path.clone()), Some(first_revision), replica);
+        let first_revision = first_revision.unwrap_or(page.revision);
+        if let (true, Some(last)) = (page.truncated, page.entries.last()) {
+            return self.list_state(Some(last.key.clone()), Some(first_revision), replica);
         }
-        replica.applied = first_revision;
-        let extension_entries = replica.aside.take().unwrap_or_default();
+        replica.applied_revision = first_revision;
+        let extension_entries = replica.extension_entries.take().unwrap_or_default();
         self.replica_sync.replica = *replica;
         self.reapply_cancellations();
         if let Some(g) = self.extension.as_mut() {
@@ -517,8 +534,8 @@
             for (name, v, revision) in &extension_entries {
                 g.apply(name, Some(v), *revision);
             }
-            for (id, job) in self.replica_sync.replica.jobs.range(JobId(OWN_IDS)..) {
-                g.job_changed(*id, job.stamp.max(job.end_stamp));
+            for (id, job) in self.replica_sync.replica.jobs.range(JobId(MIN_INTERNAL_JOB_ID)..) {
+                g.job_changed(*id, job.revision.max(job.end_revision));
             }
         }
         self.replica_sync.listed = true;
@@ -534,7 +551,7 @@
         info!(
             "state read revision={first_revision} last_revision={} pages={pages} bytes={bytes} \
              interruptions={interruptions} duration_ms={} jobs={} machines={}",
-            page.ledger,
+            page.revision,
             self.now.since(started_at).0 / 1000,
             self.replica_sync.replica.jobs.len(),
             self.replica_sync.replica.machines.len()
@@ -546,12 +563,12 @@
     fn read_barrier_completed(&mut self, waiting: Vec<(Waiter, Micros)>, result: CallResult) {
         self.pending.barrier_in_flight = false;
         self.status.read_barrier_completed(&result, self.now);
-        let response: Option<News> = match &result {
+        let response: Option<WatchResponse> = match &result {
             CallResult::Response { status: 200, body } => serde_json::from_slice(body).ok(),
             CallResult::Response { status: 410, .. } => {
                 info!(
                     "proof expired revision={}: reading the state from the start",
-                    self.replica_sync.replica.applied
+                    self.replica_sync.replica.applied_revision
                 );
                 self.replica_sync.listed = false;
                 None
--- a/crates/core/src/node/placement_knowledge.rs
+++ b/crates/core/src/node/placement_knowledge.rs
@@ -23,7 +23,7 @@
 
     /// Whether a controller is in contact and on record as a standby replica of the placement log.
     fn has_placement_log(&self, n: NodeId) -> bool {
-        let (record, _) = &self.replica_sync.replica.books;
+        let (record, _) = &self.replica_sync.replica.standby_replicas;
         let process = if n == self.members.own_id {
             self.incarnation
         } else if self.in_contact(n, PEER_TIMEOUT) {
@@ -55,8 +55,12 @@
         if self.now.since(self.placements_known_at) < PEER_TIMEOUT {
             return None;
         }
-        let unsettled =
-            self.replica_sync.replica.jobs.values().filter(|j| j.phase == Phase::Aborted && !j.settled);
+        let unsettled = self
+            .replica_sync
+            .replica
+            .jobs
+            .values()
+            .filter(|j| j.phase == Phase::Cancelled && !j.fully_stopped);
         unsettled
             .map(|job| {
                 cancellation_deadline(job.ended_ms, self.wall_ms, self.leader_config.cancel_timeout, self.now)
--- a/crates/core/src/node/rejected_writes.rs
+++ b/crates/core/src/node/rejected_writes.rs
@@ -76,9 +76,9 @@
         | LeaderWrite::CancelDependent(id)
         | LeaderWrite::JobFailed(id, _) => keys::end(*id),
         LeaderWrite::Machines(ids) => ids.first().map(keys::machines).unwrap_or_default(),
-        LeaderWrite::ScaleOutName(_) => keys::HIRE.into(),
+        LeaderWrite::ScaleOutName(_) => keys::LAST_RENTAL_REQUEST.into(),
         LeaderWrite::Progress(id, chunk) => keys::progress(*id, *chunk),
-        LeaderWrite::FailureCounts(id, chunk) => keys::failed(*id, *chunk),
+        LeaderWrite::FailureCounts(id, chunk) => keys::failures(*id, *chunk),
         LeaderWrite::RemoveDeletedMachines(key) => key.clone(),
     }
 }
--- a/crates/core/src/node/replica_sync.rs
+++ b/crates/core/src/node/replica_sync.rs
@@ -1,5 +1,5 @@
 //! The state replica's list and watch calls, and whether the state service is reachable.
-use crate::jobs::Ledger;
+use crate::jobs::StateReplica;
 use gorseshore_protocol::ids::Micros;
 
 /// Progress of reading all keys, page by page.
@@ -14,7 +14,7 @@
 /// The state replica and the calls that keep it up to date.
 #[derive(Debug, Default)]
 pub(super) struct ReplicaSync {
-    pub replica: Ledger,
+    pub replica: StateReplica,
     /// All keys were read.
     pub listed: bool,
     /// It has been up to date at least once.
@@ -29,7 +29,7 @@
     pub next_list_at: Micros,
     /// An interrupted read: the key after which it resumes, the revision of its first page, and
     /// what was read.
-    pub interrupted_list: Option<(Option<String>, Option<u64>, Box<Ledger>)>,
+    pub interrupted_list: Option<(Option<String>, Option<u64>, Box<StateReplica>)>,
     /// When the state service last answered, and when a call to it last failed.
     pub last_success: Option<Micros>,
     pub last_failure: Option<Micros>,
--- a/crates/core/src/node/requests.rs
+++ b/crates/core/src/node/requests.rs
@@ -16,7 +16,7 @@
             ("POST", "/checkin", _) => self.receive_heartbeat(id, body),
             ("POST", "/submissions", _) => self.submit(id, body),
             (_, "/ready" | "/checkin" | "/submissions", _) => {
-                self.out.respond(id, 405, users::error("wrong method"))
+                self.out.respond(id, 405, users::error_body("wrong method"))
             }
             (m, _, Some(rest)) => {
                 let (job, abort) = match rest.strip_suffix("/abort") {
@@ -24,12 +24,12 @@
                     None => (rest, false),
                 };
                 if m != if abort { "POST" } else { "GET" } {
-                    return self.out.respond(id, 405, users::error("wrong method"));
+                    return self.out.respond(id, 405, users::error_body("wrong method"));
                 }
                 // Jobs with an id assigned by the service (from the extension) can be queried here,
                 // but are cancelled only through the interface that submitted them.
-                match JobId::parse(job).filter(|j| !(abort && j.own())) {
-                    None => self.out.respond(id, 404, users::error("no such job")),
+                match JobId::parse(job).filter(|j| !(abort && j.is_internal())) {
+                    None => self.out.respond(id, 404, users::error_body("no such job")),
                     Some(j) if abort => self.await_read_barrier(Waiter::Abort(id, j), Micros::millis(3500)),
                     Some(j) => {
                         self.status.poll_received(id, self.now);
@@ -37,7 +37,7 @@
                     }
                 }
             }
-            _ => self.out.respond(id, 404, users::error("no such path")),
+            _ => self.out.respond(id, 404, users::error_body("no such path")),
         }
     }
 
@@ -64,11 +64,11 @@
         match j.phase {
             Phase::Active => return false,
             Phase::Done => {
-                let answer = users::job_answer(job, "done", j.tasks, 0);
+                let answer = users::job_status_body(job, "done", j.tasks, 0);
                 self.out.respond(id, 200, answer);
             }
-            Phase::Aborted if self.is_confirmed(job) => self.answer_cancelled(id, job),
-            Phase::Aborted => self.confirm_to_client(id, job),
+            Phase::Cancelled if self.is_confirmed(job) => self.answer_cancelled(id, job),
+            Phase::Cancelled => self.confirm_to_client(id, job),
         }
         true
     }
@@ -76,8 +76,8 @@
     pub(super) fn answer_cancelled(&mut self, id: RequestId, job: JobId) {
         let cause = self.replica_sync.replica.jobs.get(&job).and_then(|j| j.cause.as_ref());
         let answer = match cause {
-            Some(cause) => users::failed_answer(job, cause),
-            None => users::job_answer(job, "aborted", 0, 0),
+            Some(cause) => users::failed_job_body(job, cause),
+            None => users::job_status_body(job, "aborted", 0, 0),
         };
         self.out.respond(id, 200, answer);
     }
@@ -87,11 +87,11 @@
             return;
         }
         let Some(j) = self.replica_sync.replica.jobs.get(&job) else {
-            return self.out.respond(id, 404, users::error("no such job"));
+            return self.out.respond(id, 404, users::error_body("no such job"));
         };
         let running = self.controller.running_counts.get(&job).copied().unwrap_or(0);
         let stage = if running > 0 { "running" } else { "queued" };
-        self.out.respond(id, 200, users::job_answer(job, stage, j.done.below(j.tasks), running));
+        self.out.respond(id, 200, users::job_status_body(job, stage, j.done.count_below(j.tasks), running));
     }
 
     pub(super) fn await_read_barrier(&mut self, w: Waiter, limit: Micros) {
@@ -130,11 +130,11 @@
         let parsed = users::parse_submission(body);
         let job = match &parsed {
             Ok(spec) => Some(spec.id),
-            Err(_) => users::ref_of(body),
+            Err(_) => users::peek_job_id(body),
         };
         let Some(job) = job else {
             let reason = parsed.err().unwrap_or_default();
-            return self.out.respond(id, 400, users::error(&reason));
+            return self.out.respond(id, 400, users::error_body(&reason));
         };
         let checked = parsed.map_err(|e| (400, e)).and_then(|s| self.validate_submission(s));
         let known = self.replica_sync.replica.jobs.contains_key(&job);
@@ -165,8 +165,8 @@
             return Err((503, RefusalReason::MachineTypesUnknown.message().into()));
         }
         let fits = self.catalogue.flavors.iter().any(|f| {
-            let size = Resources::have(f.cpus, f.gpus, f.memory_gb);
-            f.yards.iter().any(|z| s.allows(&f.sku, z, false, &size))
+            let size = Resources::capacity(f.cpus, f.gpus, f.memory_gb);
+            f.zones.iter().any(|z| s.allows(&f.name, z, false, &size))
         });
         if !fits {
             return Err((422, "a task fits no allowed machine type".into()));
@@ -177,7 +177,7 @@
         if s.dependencies.contains(&s.id) {
             return Err((422, "awaits: the job itself".into()));
         }
-        let service = |id: &&JobId| self.replica_sync.replica.jobs.get(*id).is_some_and(|j| j.service);
+        let service = |id: &&JobId| self.replica_sync.replica.jobs.get(*id).is_some_and(|j| j.is_service);
         if let Some(id) = s.dependencies.iter().find(service) {
             return Err((422, format!("awaits: {id} is a service, which never completes")));
         }
@@ -199,8 +199,11 @@
             return;
         }
         let waiting = std::mem::take(&mut self.pending.waiters);
-        let path =
-            format!("/follow?prefix={}&from={}&hold_ms=0", keys::ROOT, self.replica_sync.replica.applied);
+        let path = format!(
+            "/follow?prefix={}&from={}&hold_ms=0",
+            keys::ROOT_PREFIX,
+            self.replica_sync.replica.applied_revision
+        );
         let id = self.call_state_service("GET", path, Vec::new(), Micros::millis(1200));
         self.calls.insert(id, CallPurpose::ReadBarrier(waiting));
         self.pending.barrier_in_flight = true;
@@ -217,7 +220,7 @@
         self.out.call(Call { target: Target::State, method, path, body, timeout })
     }
 
-    pub(super) fn send_transaction(&mut self, m: &Multi) -> CallId {
+    pub(super) fn send_transaction(&mut self, m: &Transaction) -> CallId {
         let body = serde_json::to_vec(m).unwrap_or_default();
         self.call_state_service("POST", "/multi".into(), body, Micros::millis(2500))
     }
@@ -238,14 +241,14 @@
                     Ok(spec) => {
                         if let Some(dependency) = self.unknown_dependency(&spec) {
                             let reason = format!("awaits: {dependency} was never accepted");
-                            return self.out.respond(id, 422, users::error(&reason));
+                            return self.out.respond(id, 422, users::error_body(&reason));
                         }
                         let until = self.now + Micros::millis(3000);
                         self.pending.writes.push_back((PendingWrite::Submit(id, Box::new(spec)), until));
                         self.send_pending_writes();
                     }
                     Err((503, _)) => self.refuse(id, RefusalReason::MachineTypesUnknown),
-                    Err((status, reason)) => self.out.respond(id, status, users::error(&reason)),
+                    Err((status, reason)) => self.out.respond(id, status, users::error_body(&reason)),
                 }
             }
             Waiter::Abort(id, job) => {
@@ -253,7 +256,7 @@
                     return;
                 }
                 if !self.replica_sync.replica.jobs.contains_key(&job) {
-                    return self.out.respond(id, 404, users::error("no such job"));
+                    return self.out.respond(id, 404, users::error_body("no such job"));
                 }
                 let until = self.now + Micros::millis(3000);
                 let end = jobs::cancelled_value(self.wall_ms, None, false);
@@ -296,11 +299,12 @@
             }
             let (when, writes) = match &w {
                 PendingWrite::Extension(t, m, as_leader) => {
-                    let mut m = Multi::clone(m);
+                    let mut m = Transaction::clone(m);
                     if *as_leader {
                         match self.leadership.election.role {
                             Role::Leader { key_revision, .. } if self.leadership.leader.is_some() => {
-                                m.when.push(When { path: keys::LEADER.into(), stamp: key_revision });
+                                m.preconditions
+                                    .push(Precondition { key: keys::LEADER.into(), revision: key_revision });
                             }
                             _ => {
                                 let t = *t;
@@ -316,19 +320,22 @@
                     self.calls.insert(call, CallPurpose::Write(w));
                     continue;
                 }
-                PendingWrite::Submit(_, spec) => (vec![When { path: keys::job(spec.id), stamp: 0 }], records),
+                PendingWrite::Submit(_, spec) => {
+                    (vec![Precondition { key: keys::job(spec.id), revision: 0 }], records)
+                }
                 PendingWrite::Abort(_, job, end) => {
                     let key = keys::end(*job);
-                    let revision = self.replica_sync.replica.jobs.get(job).map_or(0, |j| j.stamp);
+                    let revision = self.replica_sync.replica.jobs.get(job).map_or(0, |j| j.revision);
                     let when = vec![
-                        When { path: key.clone(), stamp: 0 },
-                        When { path: keys::job(*job), stamp: revision },
+                        Precondition { key: key.clone(), revision: 0 },
+                        Precondition { key: keys::job(*job), revision },
                     ];
                     (when, vec![(key, end.clone())])
                 }
             };
-            let writes = writes.into_iter().map(|(put, v)| Write::Put { put, v, hold: None }).collect();
-            let call = self.send_transaction(&Multi { when, writes });
+            let writes =
+                writes.into_iter().map(|(put, v)| Write::Put { key: put, value: v, lease: None }).collect();
+            let call = self.send_transaction(&Transaction { preconditions: when, writes });
             self.calls.insert(call, CallPurpose::Write(w));
         }
     }
@@ -337,26 +344,26 @@
         match (w, result) {
             (PendingWrite::Submit(id, spec), CallResult::Response { status: 200, body }) => {
                 let job = spec.id;
-                let revision = serde_json::from_slice::<MultiAnswer>(body).map_or(0, |a| a.ledger);
+                let revision = serde_json::from_slice::<TransactionResponse>(body).map_or(0, |a| a.revision);
                 debug!("{job}: accepted revision={revision}");
                 let cancelled = |id: &JobId| {
-                    self.replica_sync.replica.jobs.get(id).is_some_and(|j| j.phase == Phase::Aborted)
+                    self.replica_sync.replica.jobs.get(id).is_some_and(|j| j.phase == Phase::Cancelled)
                 };
                 // Accepted, but cancelled together with its dependency.
                 let stage = if spec.dependencies.iter().any(cancelled) { "aborted" } else { "queued" };
-                self.out.respond(id, 201, users::job_answer(job, stage, 0, 0));
+                self.out.respond(id, 201, users::job_status_body(job, stage, 0, 0));
             }
             (PendingWrite::Abort(id, job, end), CallResult::Response { status: 200, body }) => {
                 info!("{job}: cancelled");
-                let revision = serde_json::from_slice::<MultiAnswer>(body).map_or(0, |a| a.ledger);
+                let revision = serde_json::from_slice::<TransactionResponse>(body).map_or(0, |a| a.revision);
                 self.apply_confirmed_ends(
-                    &[Write::Put { put: keys::end(job), v: end, hold: None }],
+                    &[Write::Put { key: keys::end(job), value: end, lease: None }],
                     revision,
                 );
                 self.confirm_to_client(id, job);
             }
             (PendingWrite::Extension(t, m, _), CallResult::Response { status: 200, body }) => {
-                let revision = serde_json::from_slice::<MultiAnswer>(body).map_or(0, |a| a.ledger);
+                let revision = serde_json::from_slice::<TransactionResponse>(body).map_or(0, |a| a.revision);
                 let ended = self.apply_confirmed_ends(&m.writes, revision);
                 self.confirm_to_extension(t, &ended, result.clone());
             }
--- a/crates/protocol/src/users.rs
+++ b/crates/protocol/src/users.rs
@@ -1,60 +1,72 @@
-//! Users: submissions and answers.
+//! Messages of the users' API: job submissions and responses.
 use crate::ids::{JobId, Resources};
-use crate::job::{JobSpec, Kind, Rank};
+use crate::job::{JobSpec, Kind, Priority};
 use serde::Deserialize;
 use serde_json::{Map, Value, json};
 use std::collections::BTreeSet;
 
-/// A submission as users write it.
+/// A submission under the API's field names, before validation.
 #[derive(Debug, Deserialize)]
 struct Submission {
     #[serde(rename = "ref")]
     id: String,
-    lot: String,
-    crew: String,
-    manner: Kind,
-    rank: Rank,
-    pieces: u32,
+    #[serde(rename = "lot")]
+    class: String,
+    #[serde(rename = "crew")]
+    team: String,
+    #[serde(rename = "manner")]
+    kind: Kind,
+    #[serde(rename = "rank")]
+    priority: Priority,
+    #[serde(rename = "pieces")]
+    tasks: u32,
     cpus: f64,
     gpus: f64,
     memory_gb: f64,
-    bundle: String,
+    #[serde(rename = "bundle")]
+    image: String,
     image_gb: f64,
-    #[serde(default)]
-    builds: Option<Vec<String>>,
-    #[serde(default)]
-    yard: Option<String>,
-    same_place: bool,
-    apart: bool,
-    loaners: bool,
-    guess_s: f64,
-    mark_s: f64,
-    stow_s: f64,
-    #[serde(default)]
-    due_s: Option<f64>,
-    #[serde(default)]
-    awaits: Option<Vec<String>>,
+    #[serde(rename = "builds", default)]
+    machine_types: Option<Vec<String>>,
+    #[serde(rename = "yard", default)]
+    zone: Option<String>,
+    #[serde(rename = "same_place")]
+    one_zone: bool,
+    #[serde(rename = "apart")]
+    spread: bool,
+    #[serde(rename = "loaners")]
+    spot: bool,
+    #[serde(rename = "guess_s")]
+    estimated_runtime_s: f64,
+    #[serde(rename = "mark_s")]
+    checkpoint_interval_s: f64,
+    #[serde(rename = "stow_s")]
+    checkpoint_save_s: f64,
+    #[serde(rename = "due_s", default)]
+    deadline_s: Option<f64>,
+    #[serde(rename = "awaits", default)]
+    dependencies: Option<Vec<String>>,
 }
 
-/// Most tasks that a job may have.
+/// Maximum number of tasks in a job.
 pub const MAX_TASKS: u32 = 100_000;
 
-/// The job id of a body, when it can be read at all: a job that is known is
-/// answered 200 whatever else the retry says.
-pub fn ref_of(body: &[u8]) -> Option<JobId> {
+/// Extracts the job id from a submission without validating the rest: a retried
+/// submission of a known job is answered 200 whatever else its body holds.
+pub fn peek_job_id(body: &[u8]) -> Option<JobId> {
     let map: Map<String, Value> = serde_json::from_slice(body).ok()?;
-    JobId::of_user(map.get("ref")?.as_str()?)
+    JobId::parse_user_id(map.get("ref")?.as_str()?)
 }
 
-/// Reads and checks a submission; the error is the reason for a 400.
+/// Parses and validates a submission; the error is the reason of a 400 response.
 pub fn parse_submission(body: &[u8]) -> Result<JobSpec, String> {
     let value: Value = serde_json::from_slice(body).map_err(|e| format!("not JSON: {e}"))?;
     if !value.is_object() {
         return Err("not an object".into());
     }
     let s: Submission = serde_json::from_value(value).map_err(|e| e.to_string())?;
-    let id = JobId::of_user(&s.id).ok_or("ref: not of the form j-000412")?;
-    if s.pieces == 0 || s.pieces > MAX_TASKS {
+    let id = JobId::parse_user_id(&s.id).ok_or("ref: not of the form j-000412")?;
+    if s.tasks == 0 || s.tasks > MAX_TASKS {
         return Err(format!("pieces: must be 1 to {MAX_TASKS}"));
     }
     let amounts = [
@@ -62,79 +74,80 @@
         ("gpus", s.gpus),
         ("memory_gb", s.memory_gb),
         ("image_gb", s.image_gb),
-        ("guess_s", s.guess_s),
-        ("mark_s", s.mark_s),
-        ("stow_s", s.stow_s),
-        ("due_s", s.due_s.unwrap_or(0.0)),
+        ("guess_s", s.estimated_runtime_s),
+        ("mark_s", s.checkpoint_interval_s),
+        ("stow_s", s.checkpoint_save_s),
+        ("due_s", s.deadline_s.unwrap_or(0.0)),
     ];
     for (name, v) in amounts {
         if !v.is_finite() || !(0.0..=1e9).contains(&v) {
             return Err(format!("{name}: must be a number from 0 to 1e9"));
         }
     }
-    let texts = [("lot", &s.lot), ("crew", &s.crew), ("bundle", &s.bundle)];
+    let texts = [("lot", &s.class), ("crew", &s.team), ("bundle", &s.image)];
     for (name, t) in texts {
         if t.is_empty() || t.len() > 256 {
             return Err(format!("{name}: must have 1 to 256 bytes"));
         }
     }
-    if s.builds.as_ref().is_some_and(|b| b.len() > 64 || b.iter().any(|t| t.len() > 64)) {
+    if s.machine_types.as_ref().is_some_and(|b| b.len() > 64 || b.iter().any(|t| t.len() > 64)) {
         return Err("builds: at most 64 names of 64 bytes".into());
     }
-    if s.yard.as_ref().is_some_and(|y| y.len() > 64) {
+    if s.zone.as_ref().is_some_and(|y| y.len() > 64) {
         return Err("yard: at most 64 bytes".into());
     }
-    let dependencies = parse_dependencies(&s.awaits.unwrap_or_default())?;
+    let dependencies = parse_dependencies(&s.dependencies.unwrap_or_default())?;
     Ok(JobSpec {
         id,
-        class: s.lot,
-        team: s.crew,
-        kind: s.manner,
-        rank: s.rank,
-        tasks: s.pieces,
-        need: Resources::need(s.cpus, s.gpus, s.memory_gb),
-        types: s.builds,
-        zones: s.yard.map(|z| vec![z]),
-        one_zone: s.same_place,
-        spread: s.apart,
-        spot: s.loaners,
-        image: s.bundle,
+        class: s.class,
+        team: s.team,
+        kind: s.kind,
+        priority: s.priority,
+        tasks: s.tasks,
+        task_resources: Resources::request(s.cpus, s.gpus, s.memory_gb),
+        machine_types: s.machine_types,
+        zones: s.zone.map(|z| vec![z]),
+        one_zone: s.one_zone,
+        spread: s.spread,
+        spot: s.spot,
+        image: s.image,
         image_gb: s.image_gb,
-        estimate_s: s.guess_s,
-        checkpoint_s: s.mark_s,
-        save_s: s.stow_s,
-        deadline_s: s.due_s,
-        attempts: None,
-        prefer: Vec::new(),
-        after: Vec::new(),
+        estimated_runtime_s: s.estimated_runtime_s,
+        checkpoint_interval_s: s.checkpoint_interval_s,
+        checkpoint_save_s: s.checkpoint_save_s,
+        deadline_s: s.deadline_s,
+        max_attempts: None,
+        preferences: Vec::new(),
+        replaces: Vec::new(),
         dependencies,
     })
 }
 
-/// Reads the ids of the jobs that a submission depends on; a repeated id counts once.
+/// Parses the ids of the jobs that a submission depends on and drops duplicates.
 fn parse_dependencies(names: &[String]) -> Result<Vec<JobId>, String> {
     let mut ids = BTreeSet::new();
     for name in names {
-        let id = JobId::of_user(name).ok_or("awaits: must hold job ids of the form j-000412")?;
+        let id = JobId::parse_user_id(name).ok_or("awaits: must hold job ids of the form j-000412")?;
         ids.insert(id);
     }
     Ok(ids.into_iter().collect())
 }
 
-/// The state of a job as users see it.
-pub fn job_answer(id: JobId, stage: &str, done: u32, running: u32) -> Vec<u8> {
+/// JSON body with the state of a job; `done` and `running` count tasks.
+pub fn job_status_body(id: JobId, stage: &str, done: u32, running: u32) -> Vec<u8> {
     json!({"ref": id.to_string(), "stage": stage, "done": done, "running": running}).to_string().into_bytes()
 }
 
-/// The state of a job that has failed for good: what its users see, and why.
-pub fn failed_answer(id: JobId, cause: &str) -> Vec<u8> {
+/// JSON body with the state of a permanently failed job, which users see as
+/// `aborted`, and the cause.
+pub fn failed_job_body(id: JobId, cause: &str) -> Vec<u8> {
     json!({"ref": id.to_string(), "stage": "aborted", "done": 0, "running": 0, "cause": cause})
         .to_string()
         .into_bytes()
 }
 
-/// A short reason.
-pub fn error(reason: &str) -> Vec<u8> {
+/// JSON body of an error response.
+pub fn error_body(reason: &str) -> Vec<u8> {
     json!({ "error": reason }).to_string().into_bytes()
 }
 
@@ -142,7 +155,7 @@
 mod tests {
     use super::*;
 
-    fn good() -> Value {
+    fn valid_submission() -> Value {
         json!({"ref":"j-000412","lot":"train","crew":"vision","manner":"array","rank":"high",
             "pieces":16,"cpus":8.0,"gpus":1.0,"memory_gb":64.0,"bundle":"img-07","image_gb":6.2,
             "builds":["g8"],"yard":null,"same_place":true,"apart":false,"loaners":true,
@@ -150,10 +163,10 @@
     }
 
     #[test]
-    fn submissions_are_checked() {
-        assert!(parse_submission(good().to_string().as_bytes()).is_ok());
-        // (field, value that makes it invalid; null removes a required one)
-        let bad = [
+    fn invalid_submissions_are_rejected() {
+        assert!(parse_submission(valid_submission().to_string().as_bytes()).is_ok());
+        // (field, invalid value; null stands for a missing required field)
+        let invalid = [
             ("ref", json!("x")),
             ("ref", json!(7)),
             ("lot", json!("")),
@@ -179,8 +192,8 @@
             ("awaits", json!({"j-000398": 1})),
             ("awaits", json!(["j-1000000000000000000"])),
         ];
-        for (field, v) in bad {
-            let mut s = good();
+        for (field, v) in invalid {
+            let mut s = valid_submission();
             s[field] = v.clone();
             assert!(parse_submission(s.to_string().as_bytes()).is_err(), "{field}={v}");
         }
@@ -190,8 +203,8 @@
     }
 
     #[test]
-    fn optional_fields_may_be_missing_and_unknown_ones_ignored() {
-        let mut s = good();
+    fn optional_fields_may_be_missing_and_unknown_fields_are_ignored() {
+        let mut s = valid_submission();
         let m = s.as_object_mut().unwrap();
         for f in ["builds", "yard", "due_s", "awaits"] {
             m.remove(f);
@@ -201,7 +214,7 @@
     }
 
     #[test]
-    fn dependencies_are_read_once_each() {
+    fn duplicate_dependencies_are_dropped() {
         // (field, ids)
         let cases = [
             (Value::Null, vec![]),
@@ -210,7 +223,7 @@
             (json!(["j-000398", "j-000398"]), vec![JobId(398)]),
         ];
         for (awaits, ids) in cases {
-            let mut s = good();
+            let mut s = valid_submission();
             s["awaits"] = awaits;
             assert_eq!(parse_submission(s.to_string().as_bytes()).unwrap().dependencies, ids);
         }
--- a/crates/standins/src/scale.rs
+++ b/crates/standins/src/scale.rs
@@ -5,7 +5,7 @@
 use crate::cloud::flavor;
 use crate::worker::{Machine, TaskProfile};
 use gorseshore_core::controller::{Controller, HeartbeatReply, MachineSizes, parse_tasks};
-use gorseshore_core::jobs::{Ledger, job_value, keys, machines_value};
+use gorseshore_core::jobs::{StateReplica, job_value, keys, machines_value};
 use gorseshore_core::leader::{Leader, LeaderConfig, SyncView};
 use gorseshore_core::peer::Message;
 use gorseshore_core::placement_log::LogReplicas;
@@ -73,7 +73,7 @@
 
 /// Leader, controllers and workers with a simulated clock.
 struct Bench {
-    state_replica: Ledger,
+    state_replica: StateReplica,
     sizes: MachineSizes,
     leader: Leader,
     controllers: Vec<Controller>,
@@ -101,10 +101,10 @@
 }
 
 fn machine_sizes() -> MachineSizes {
-    MachineSizes::from([("big".into(), Resources::have(CPUS, 0.0, CPUS * 4.0))])
+    MachineSizes::from([("big".into(), Resources::capacity(CPUS, 0.0, CPUS * 4.0))])
 }
 
-fn add_machine_records(state_replica: &mut Ledger, machines: usize) -> Vec<Machine> {
+fn add_machine_records(state_replica: &mut StateReplica, machines: usize) -> Vec<Machine> {
     let mut workers = Vec::new();
     for i in 0..machines {
         let name = format!("host-{i:06}");
@@ -119,7 +119,7 @@
 
 impl Bench {
     fn new(machines: usize, controllers: usize) -> Result<Self, ScaleError> {
-        let mut state_replica = Ledger::default();
+        let mut state_replica = StateReplica::default();
         let workers = add_machine_records(&mut state_replica, machines);
         let now = Micros::secs(100);
         let leader =
@@ -175,7 +175,7 @@
     fn exchange(&mut self) {
         if let Some((record, _)) = self.leader.due_replica_record(&self.state_replica, &[], self.now) {
             self.revision += 1;
-            self.state_replica.apply(keys::BOOKS, Some(&json!(record)), self.revision);
+            self.state_replica.apply(keys::STANDBY_REPLICAS, Some(&json!(record)), self.revision);
             self.leader.replica_record_write_ended();
         }
         for (to, m) in self.leader.due_messages(self.now, true) {
@@ -233,7 +233,7 @@
             let task = TaskId::parse(task_name)?;
             let spec = self.state_replica.jobs.get(&task.job)?.spec.clone()?;
             Some(TaskProfile {
-                cpus: spec.need.cpu as f64 / 1000.0,
+                cpus: spec.task_resources.cpu as f64 / 1000.0,
                 run_us: None,
                 tasks: spec.tasks,
                 checkpoint_us: None,
@@ -383,7 +383,7 @@
     for i in 0..300 {
         rows.push((keys::job(JobId(i)), job_record(i, "standing", 10, 1.0)?.to_string()));
     }
-    let mut state_replica = Ledger::default();
+    let mut state_replica = StateReplica::default();
     add_machine_records(&mut state_replica, machines);
     let t = Instant::now();
     for (i, (key, text)) in rows.iter().enumerate() {
--- a/tests/world/nomad_harness.rs
+++ b/tests/world/nomad_harness.rs
@@ -2,9 +2,9 @@
 //! need a certain order of events, and for arbitrary requests.
 use super::*;
 use gorseshore_core::extension::{Answer, Extension, ExtensionContext, ExtensionInput, ExtensionOutput};
-use gorseshore_core::jobs::{Ledger, keys};
+use gorseshore_core::jobs::{StateReplica, keys};
 use gorseshore_nomad::service::Service;
-use gorseshore_protocol::state::{Listing, Multi, News, When};
+use gorseshore_protocol::state::{Listing, News, Precondition, Transaction};
 use gorseshore_settings::Team;
 
 const LEADER: &str = "g/leader";
@@ -13,7 +13,7 @@
 struct NomadHarness {
     state: StateService,
     service: Service,
-    ledger: Ledger,
+    ledger: StateReplica,
     flavors: Vec<Flavor>,
     teams: Vec<Team>,
     now: Micros,
@@ -21,7 +21,7 @@
     leads: bool,
     /// Keeps the leader's writes in `held` instead of executing them.
     hold_writes: bool,
-    held: Vec<Multi>,
+    held: Vec<Transaction>,
     answers: Vec<(RequestId, Answer)>,
     next: u64,
 }
@@ -37,7 +37,7 @@
         let mut h = NomadHarness {
             state,
             service: Service::new(settings, 1),
-            ledger: Ledger::default(),
+            ledger: StateReplica::default(),
             flavors: World::flavors(),
             teams: vec![team("free"), team("tight")],
             now: Micros::secs(1),
@@ -57,7 +57,7 @@
     /// Starts another process, which knows only what is recorded.
     fn restart(&mut self, seed: u64) {
         self.service = Service::new(nomad::operator().nomad.unwrap(), seed);
-        self.ledger = Ledger::default();
+        self.ledger = StateReplica::default();
         self.service.reset(0);
         self.held.clear();
         self.catch_up();
@@ -65,7 +65,7 @@
     }
 
     fn catch_up(&mut self) {
-        let from = self.ledger.applied;
+        let from = self.ledger.applied_revision;
         let path = format!("/follow?prefix=g/&from={from}&hold_ms=0");
         let Outcome::Answer(_, body) = self.state.request("GET", &path, b"", 0) else { panic!() };
         let news: News = serde_json::from_slice(&body).unwrap();
@@ -76,16 +76,16 @@
                 _ => continue,
             };
             let change = self.ledger.apply(key, v, e.stamp);
-            if let Some(name) = key.strip_prefix(keys::GUEST) {
+            if let Some(name) = key.strip_prefix(keys::EXTENSION_PREFIX) {
                 self.service.apply(name, v, e.stamp);
             } else if let gorseshore_core::jobs::Change::Job { id, .. } = change {
                 self.service.job_changed(id, e.stamp);
             }
         }
-        self.ledger.applied = news.ledger;
+        self.ledger.applied_revision = news.ledger;
     }
 
-    fn execute(&mut self, m: &Multi) -> CallResult {
+    fn execute(&mut self, m: &Transaction) -> CallResult {
         let body = serde_json::to_vec(m).unwrap();
         let Outcome::Answer(status, body) = self.state.request("POST", "/multi", &body, 0) else { panic!() };
         CallResult::Response { status, body }
@@ -119,17 +119,17 @@
                         inputs.push_back(ExtensionInput::ReadBarrierDone(t, true));
                     }
                     ExtensionOutput::Read(t, prefix) => {
-                        let mut all = Listing { pairs: Vec::new(), truncated: true, ledger: 0 };
+                        let mut all = Listing { entries: Vec::new(), truncated: true, revision: 0 };
                         while all.truncated {
                             let from =
-                                all.pairs.last().map_or(String::new(), |p| format!("&from={}", p.path));
+                                all.entries.last().map_or(String::new(), |p| format!("&from={}", p.key));
                             let path = format!("/store?prefix=g/n/{prefix}&limit=1000{from}");
                             let Outcome::Answer(_, body) = self.state.request("GET", &path, b"", 0) else {
                                 panic!()
                             };
                             let page: Listing = serde_json::from_slice(&body).unwrap();
                             all.truncated = page.truncated;
-                            all.pairs.extend(page.pairs);
+                            all.entries.extend(page.entries);
                         }
                         let body = serde_json::to_vec(&all).unwrap();
                         inputs.push_back(ExtensionInput::OperationCompleted(
@@ -139,9 +139,10 @@
                     }
                     ExtensionOutput::Write { ticket, mut multi, as_leader } => {
                         if as_leader {
-                            multi
-                                .when
-                                .push(When { path: LEADER.into(), stamp: self.state.key_revision(LEADER) });
+                            multi.preconditions.push(Precondition {
+                                key: LEADER.into(),
+                                revision: self.state.key_revision(LEADER),
+                            });
                         }
                         if as_leader && self.hold_writes {
                             self.held.push(multi);
@@ -290,7 +291,7 @@
     for (what, action, answered) in steps {
         h.advance(3);
         assert_eq!(h.request("GET", "/v1/job/j/summary", "").unwrap().0, 200);
-        let index = h.ledger.applied;
+        let index = h.ledger.applied_revision;
         let answer = h.request("GET", &format!("/v1/job/j/summary?index={index}&wait=10s"), "");
         assert!(answer.is_none(), "{what}: answered at once: {answer:?}");
         h.answers.clear();
--- a/tests/world/partial_failures.rs
+++ b/tests/world/partial_failures.rs
@@ -106,10 +106,10 @@
         let Some(Requester::Worker(name, _)) = requester else { return false };
         let name = name.clone();
         if status == 200
-            && let Ok(a) = serde_json::from_slice::<CheckinAnswer>(body)
+            && let Ok(a) = serde_json::from_slice::<HeartbeatResponse>(body)
         {
-            for o in a.orders.iter().filter(|o| o.verb == "run") {
-                self.note_start(&name, &o.piece, o.attempt);
+            for o in a.commands.iter().filter(|o| o.action == "run") {
+                self.note_start(&name, &o.task, o.attempt);
             }
         }
         let lost = self.is_unreachable(&name) || self.partial_failures.outgoing_lost_until[n] > self.now;
@@ -124,9 +124,9 @@
         if !self.size.partial_failures {
             return false;
         }
-        if let Ok(d) = serde_json::from_slice::<Direct>(&call.body) {
-            for o in d.orders.iter().filter(|o| o.verb == "run") {
-                self.note_start(name, &o.piece, o.attempt);
+        if let Ok(d) = serde_json::from_slice::<CommandRequest>(&call.body) {
+            for o in d.commands.iter().filter(|o| o.action == "run") {
+                self.note_start(name, &o.task, o.attempt);
             }
         }
         self.is_unreachable(name) || self.partial_failures.outgoing_lost_until[n] > self.now
--- a/tests/world/pipelines.rs
+++ b/tests/world/pipelines.rs
@@ -499,11 +499,11 @@
 fn starts_before_dependencies_are_done_are_detected() {
     let mut w = chain_of_three();
     assert!(w.violations.is_empty(), "{:?}", w.violations);
-    let order = gorseshore_protocol::workers::Order {
-        verb: "run".into(),
-        piece: "j-000001/0".into(),
+    let order = gorseshore_protocol::workers::Command {
+        action: "run".into(),
+        task: "j-000001/0".into(),
         attempt: 1,
-        wind_down_s: None,
+        grace_period_s: None,
     };
     w.check_orders(0, std::slice::from_ref(&order));
     assert!(w.violations.iter().any(|b| b.starts_with("ordered_early")), "{:?}", w.violations);
