--- a/tests/world/main.rs
+++ b/tests/world/main.rs
@@ -22,7 +22,7 @@
 
 use gorseshore_core::node::Node;
 use gorseshore_core::{Call, CallId, CallResult, Input, Output, RequestId, Target};
-use gorseshore_protocol::cloud::{Flavor, Flavors, Hire, MachineNames, Rental, Rentals};
+use gorseshore_protocol::cloud::{Flavor, Flavors, MachineNames, Rental, RentalRequest, Rentals};
 use gorseshore_protocol::ids::{Micros, TaskId};
 use gorseshore_protocol::workers::{CommandRequest, HeartbeatResponse};
 use gorseshore_settings::{Operator, Platform};
@@ -636,24 +636,25 @@
         match (method, path.split('?').next().unwrap()) {
             ("GET", "/flavors") => (200, serde_json::to_vec(&Flavors { flavors: Self::flavors() }).unwrap()),
             ("POST", "/rentals") => {
-                let h: Hire = serde_json::from_slice(body).unwrap();
-                assert!(h.number <= 50, "{} machines in a rental", h.number);
-                if let Some(hosts) = self.rentals.get(&h.hire) {
+                let h: RentalRequest = serde_json::from_slice(body).unwrap();
+                assert!(h.count <= 50, "{} machines in a rental", h.count);
+                if let Some(hosts) = self.rentals.get(&h.request_id) {
                     return (200, serde_json::to_vec(&MachineNames { names: hosts.clone() }).unwrap());
                 }
                 let there = self
                     .machines
                     .values()
-                    .filter(|m| (&m.machine_type, &m.zone, m.spot) == (&h.build, &h.yard, h.loaners))
+                    .filter(|m| (&m.machine_type, &m.zone, m.spot) == (&h.machine_type, &h.zone, h.spot))
                     .count();
-                let capacity = self.size.capacity[(h.build == "big") as usize].saturating_sub(there);
+                let capacity = self.size.capacity[(h.machine_type == "big") as usize].saturating_sub(there);
                 if capacity == 0 {
                     return (503, br#"{"error":"no capacity"}"#.to_vec());
                 }
-                let n = capacity.min(h.number as usize);
-                self.note_fleet_rental(&h.yard, n);
-                let hosts: Vec<String> = (0..n).map(|_| self.rent(&h.build, &h.yard, h.loaners)).collect();
-                self.rentals.insert(h.hire, hosts.clone());
+                let n = capacity.min(h.count as usize);
+                self.note_fleet_rental(&h.zone, n);
+                let hosts: Vec<String> =
+                    (0..n).map(|_| self.rent(&h.machine_type, &h.zone, h.spot)).collect();
+                self.rentals.insert(h.request_id, hosts.clone());
                 (200, serde_json::to_vec(&MachineNames { names: hosts }).unwrap())
             }
             ("POST", "/rentals/delete") => {
--- a/tests/world/nomad_harness.rs
+++ b/tests/world/nomad_harness.rs
@@ -4,7 +4,7 @@
 use gorseshore_core::extension::{Answer, Extension, ExtensionContext, ExtensionInput, ExtensionOutput};
 use gorseshore_core::jobs::{StateReplica, keys};
 use gorseshore_nomad::service::Service;
-use gorseshore_protocol::state::{Listing, News, Precondition, Transaction};
+use gorseshore_protocol::state::{Listing, Precondition, Transaction, WatchResponse};
 use gorseshore_settings::Team;
 
 const LEADER: &str = "g/leader";
@@ -68,21 +68,21 @@
         let from = self.ledger.applied_revision;
         let path = format!("/follow?prefix=g/&from={from}&hold_ms=0");
         let Outcome::Answer(_, body) = self.state.request("GET", &path, b"", 0) else { panic!() };
-        let news: News = serde_json::from_slice(&body).unwrap();
-        for e in news.news {
+        let news: WatchResponse = serde_json::from_slice(&body).unwrap();
+        for e in news.events {
             let (key, v) = match (&e.put, &e.remove) {
-                (Some(k), _) => (k, Some(&e.v)),
+                (Some(k), _) => (k, Some(&e.value)),
                 (None, Some(k)) => (k, None),
                 _ => continue,
             };
-            let change = self.ledger.apply(key, v, e.stamp);
+            let change = self.ledger.apply(key, v, e.revision);
             if let Some(name) = key.strip_prefix(keys::EXTENSION_PREFIX) {
-                self.service.apply(name, v, e.stamp);
+                self.service.apply(name, v, e.revision);
             } else if let gorseshore_core::jobs::Change::Job { id, .. } = change {
-                self.service.job_changed(id, e.stamp);
+                self.service.job_changed(id, e.revision);
             }
         }
-        self.ledger.applied_revision = news.ledger;
+        self.ledger.applied_revision = news.revision;
     }
 
     fn execute(&mut self, m: &Transaction) -> CallResult {
