--- a/tests/world/nomad.rs
+++ b/tests/world/nomad.rs
@@ -1,5 +1,5 @@
-//! Nomad jobs in the world, beside native ones: planners who register, scale,
-//! stop and poll at whatever controller, and the rules for what runs of them.
+//! Nomad jobs beside native ones: Nomad clients register, scale, stop and poll jobs at random
+//! controllers, and the invariants of the tasks that run for them are checked.
 use super::*;
 use gorseshore_core::extension::Answer;
 use gorseshore_core::jobs::parse_job_spec;
@@ -17,18 +17,18 @@
 }
 "#;
 
-/// The operators' settings of a world with planners.
+/// The operators' settings of a simulation with Nomad clients.
 pub fn operator() -> Operator {
     Operator::parse(SETTINGS).unwrap()
 }
 
-/// A controller with the interface beside the scheduler.
-pub fn guest(node: Node, seed: u64) -> Node {
+/// A controller with the Nomad interface beside the scheduler.
+pub fn with_nomad(node: Node, seed: u64) -> Node {
     let settings = operator().nomad.unwrap();
     node.with_extension(Box::new(Service::new(settings, seed)))
 }
 
-/// What a planner asked for.
+/// Operation that a Nomad client requests.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Op {
     Register,
@@ -37,26 +37,26 @@
     Poll,
 }
 
-/// A request on its way: what, of which job, and the highest indexes that
-/// anybody was told before it was sent.
+/// A request in flight: operation and job, and the highest indexes that any client had received
+/// before it was sent.
 #[derive(Debug, Clone)]
-pub struct Asked {
+pub struct ClientRequest {
     pub op: Op,
     pub job: &'static str,
-    told: u64,
+    reported: u64,
     index: u64,
 }
 
-/// What planners know.
+/// What the Nomad clients know.
 #[derive(Debug, Default)]
-pub struct Planners {
-    /// Highest `JobModifyIndex` that was told of each job.
-    told: BTreeMap<&'static str, u64>,
-    /// Highest `X-Nomad-Index` told.
+pub struct NomadClients {
+    /// Highest `JobModifyIndex` received for each job.
+    reported: BTreeMap<&'static str, u64>,
+    /// Highest `X-Nomad-Index` received.
     index: u64,
-    /// Versions that were told dead.
+    /// Job versions that were reported dead.
     dead: BTreeSet<(&'static str, u64)>,
-    /// When a stop was accepted, and at which revision.
+    /// Time at which a stop was accepted, and its revision.
     stopped: BTreeMap<&'static str, (u64, u64)>,
     next: u64,
     pub accepted: usize,
@@ -64,8 +64,8 @@
     pub replaced: usize,
 }
 
-/// The planners' jobs: services of either team, batch jobs, one that fails for
-/// good, and one that launches every minute.
+/// The Nomad clients' jobs: services of both teams, batch jobs, one job that always fails, and one
+/// that is launched every minute.
 const JOBS: [&str; 7] = ["s0", "s1", "t0", "b0", "b1", "fails", "minutes"];
 
 fn file(job: &str, count: u32, image: u32) -> Value {
@@ -86,9 +86,9 @@
 }
 
 impl World {
-    /// What a worker knows of a task: the record behind it.
-    pub fn own_facts(state: &StateService, piece: &str) -> Option<TaskProfile> {
-        let task = TaskId::parse(piece).filter(|t| t.job.is_internal())?;
+    /// What a worker knows of a task of a Nomad job, from the job's record.
+    pub fn nomad_task_profile(state: &StateService, task_id: &str) -> Option<TaskProfile> {
+        let task = TaskId::parse(task_id).filter(|t| t.job.is_internal())?;
         let spec = parse_job_spec(task.job, &state.value(&format!("g/j/{}", task.job))?)?;
         (task.index < spec.tasks).then(|| TaskProfile {
             cpus: spec.task_resources.cpu as f64 / 1000.0,
@@ -114,8 +114,8 @@
         Some((serde_json::from_value(self.state.value(&name)?).ok()?, self.state.key_revision(&name)))
     }
 
-    /// Own tasks on machines, by native job.
-    fn own_on(&self) -> BTreeMap<JobId, u32> {
+    /// Number of tasks of Nomad jobs on machines, by native job.
+    fn nomad_tasks_by_job(&self) -> BTreeMap<JobId, u32> {
         let mut on = BTreeMap::new();
         for t in self.machines.values().flat_map(|m| &m.tasks).filter(|t| t.is_running()) {
             if let Some(t) = TaskId::parse(&t.name).filter(|t| t.job.is_internal()) {
@@ -125,17 +125,17 @@
         on
     }
 
-    /// Planners act.
-    pub fn plan(&mut self) {
-        if self.now < self.planners.next {
+    /// Sends the next request of a Nomad client.
+    pub fn send_nomad_request(&mut self) {
+        if self.now < self.nomad_clients.next {
             return;
         }
         let job = JOBS[self.rng.usize(0..JOBS.len())];
-        self.planners.next = self.now + self.rng.u64(200 * MS..1200 * MS);
+        self.nomad_clients.next = self.now + self.rng.u64(200 * MS..1200 * MS);
         let n = self.rng.usize(0..self.size.nodes);
         let busy = self.now < self.size.busy_until;
         let path = format!("/v1/job/{job}");
-        let there = self.planners.told.contains_key(job);
+        let there = self.nomad_clients.reported.contains_key(job);
         let op = match self.rng.u32(0..12) {
             _ if !there => Op::Register,
             0..=2 if busy => Op::Register,
@@ -143,7 +143,7 @@
             5 if busy => Op::Stop,
             _ => Op::Poll,
         };
-        // A batch job grows rather than shrinks: what is done stays done.
+        // Also drawn for batch jobs: a smaller count does not undo tasks that are done.
         let count = self.rng.u32(1..5);
         let image = self.rng.u32(0..2);
         let (method, path, body) = match op {
@@ -155,91 +155,95 @@
             Op::Stop => ("DELETE", path, String::new()),
             Op::Poll => ("GET", path, String::new()),
         };
-        let told = self.planners.told.get(job).copied().unwrap_or(0);
-        let asked = Asked { op, job, told, index: self.planners.index };
+        let reported = self.nomad_clients.reported.get(job).copied().unwrap_or(0);
+        let request = ClientRequest { op, job, reported, index: self.nomad_clients.index };
         let id = RequestId(self.next_request);
         self.next_request += 1;
-        self.asked.insert(id, Asker::Planner(asked));
+        self.pending_requests.insert(id, Requester::NomadClient(request));
         let me = self.incarnations[n];
         let d = self.delay();
         self.at(d, Event::ExtensionRequest(n, me, id, method, path, body.into_bytes()));
     }
 
-    /// An answer reached its planner.
-    pub fn planned(&mut self, id: RequestId, answer: Answer) {
-        let Some(Asker::Planner(a)) = self.asked.remove(&id) else { return };
+    /// Checks an answer that reaches its Nomad client.
+    pub fn check_nomad_answer(&mut self, id: RequestId, answer: Answer) {
+        let Some(Requester::NomadClient(a)) = self.pending_requests.remove(&id) else { return };
         let header = answer.headers.iter().find(|(n, _)| *n == "X-Nomad-Index").map(|(_, v)| v.clone());
         let text = String::from_utf8_lossy(&answer.body).into_owned();
         match answer.status {
             200 => {}
-            404 if a.op == Op::Poll && a.told > 0 => {
-                return self.break_rule("forgotten", format!("{}: {text}", a.job));
+            404 if a.op == Op::Poll && a.reported > 0 => {
+                return self.report_violation("forgotten", format!("{}: {text}", a.job));
             }
-            // Stopped jobs can't be scaled; others say when to come back.
+            // Stopped jobs cannot be scaled; 429 and 503 ask the client to retry later.
             400 | 404 | 409 if a.op == Op::Scale || a.op == Op::Stop => return,
             429 | 503 => return,
-            s => return self.break_rule("answer", format!("{:?} of {}: {s} {text}", a.op, a.job)),
+            s => return self.report_violation("answer", format!("{:?} of {}: {s} {text}", a.op, a.job)),
         }
         let index: u64 = header.and_then(|h| h.parse().ok()).unwrap_or(0);
         if index < a.index {
-            self.break_rule("index", format!("{}: {index} after {}", a.job, a.index));
+            self.report_violation("index", format!("{}: {index} after {}", a.job, a.index));
         }
-        self.planners.index = self.planners.index.max(index);
+        self.nomad_clients.index = self.nomad_clients.index.max(index);
         let v: Value = serde_json::from_slice(&answer.body).unwrap();
         let modified = v["JobModifyIndex"].as_u64().unwrap();
-        if modified < a.told {
-            self.break_rule("went_back", format!("{}: version {modified} after {}", a.job, a.told));
+        if modified < a.reported {
+            self.report_violation("went_back", format!("{}: version {modified} after {}", a.job, a.reported));
         }
-        let known = self.planners.told.entry(a.job).or_default();
+        let known = self.nomad_clients.reported.entry(a.job).or_default();
         *known = modified.max(*known);
         match a.op {
             Op::Poll => {
                 let dead = v["Status"] == "dead";
                 if dead && v["Type"] == "batch" && v["Stop"] == false {
-                    self.planners.dead.insert((a.job, modified));
-                } else if self.planners.dead.contains(&(a.job, modified)) && v["Stop"] == false {
-                    self.break_rule("went_back", format!("{} is {} again", a.job, v["Status"]));
+                    self.nomad_clients.dead.insert((a.job, modified));
+                } else if self.nomad_clients.dead.contains(&(a.job, modified)) && v["Stop"] == false {
+                    self.report_violation("went_back", format!("{} is {} again", a.job, v["Status"]));
                 }
             }
             Op::Stop => {
-                self.planners.accepted += 1;
-                self.planners.stopped.insert(a.job, (self.now, modified));
+                self.nomad_clients.accepted += 1;
+                self.nomad_clients.stopped.insert(a.job, (self.now, modified));
             }
-            _ => self.planners.accepted += 1,
+            _ => self.nomad_clients.accepted += 1,
         }
     }
 
-    /// The rules for an own task that starts.
-    pub fn check_own_start(&mut self, at: &str, task: TaskId) {
-        let piece = task.to_string();
-        let twice = self
+    /// Checks the invariants of a Nomad job's task that starts.
+    pub fn check_nomad_start(&mut self, at: &str, task: TaskId) {
+        let task_id = task.to_string();
+        let elsewhere = self
             .machines
             .iter()
-            .filter(|(n, m)| *n != at && m.tasks.iter().any(|t| t.name == piece && t.is_running()));
-        let twice: Vec<String> = twice.map(|(n, _)| n.clone()).collect();
-        if !twice.is_empty() {
-            self.break_rule("ran_twice", format!("{piece} starts on {at} while it is on {twice:?}"));
+            .filter(|(n, m)| *n != at && m.tasks.iter().any(|t| t.name == task_id && t.is_running()));
+        let elsewhere: Vec<String> = elsewhere.map(|(n, _)| n.clone()).collect();
+        if !elsewhere.is_empty() {
+            self.report_violation(
+                "ran_twice",
+                format!("{task_id} starts on {at} while it is on {elsewhere:?}"),
+            );
         }
-        // Nothing of a version starts while something of the one before is on.
-        let on = self.own_on();
+        // No task of a version starts while a task of an earlier version runs.
+        let on = self.nomad_tasks_by_job();
         for (head, _) in self.heads() {
             if head.groups.iter().any(|g| g.job == task.job.0) {
                 let left: Vec<u64> =
                     head.superseded_jobs.iter().copied().filter(|o| on.contains_key(&JobId(*o))).collect();
                 if !left.is_empty() {
-                    self.break_rule(
+                    self.report_violation(
                         "both_versions",
-                        format!("{piece} of {} starts beside {left:?}", head.id),
+                        format!("{task_id} of {} starts beside {left:?}", head.id),
                     );
                 }
-                self.planners.replaced += !head.superseded_jobs.is_empty() as usize;
+                self.nomad_clients.replaced += !head.superseded_jobs.is_empty() as usize;
             }
         }
     }
 
-    /// The rules for own tasks that are on machines; CPUs of the tight team.
-    pub fn check_own(&mut self) -> f64 {
-        let on = self.own_on();
+    /// Checks the invariants of the Nomad jobs' tasks on machines; returns the CPUs of the team
+    /// with a limit.
+    pub fn check_nomad_tasks(&mut self) -> f64 {
+        let on = self.nomad_tasks_by_job();
         if on.is_empty() {
             return 0.0;
         }
@@ -250,34 +254,39 @@
             if head.team == "tight" {
                 tight += here as f64;
             }
-            let Some((job, (at, revision))) = self.planners.stopped.get_key_value(head.id.as_str()) else {
+            let Some((job, (at, revision))) = self.nomad_clients.stopped.get_key_value(head.id.as_str())
+            else {
                 continue;
             };
-            if head.stop && stamp == *revision && here > 0 && self.now > at + self.size.cancel {
+            if head.stop && stamp == *revision && here > 0 && self.now > at + self.size.cancel_timeout {
                 faults.push(format!("{here} tasks of {job}, stopped {} s ago", (self.now - at) / S));
             }
         }
         for f in faults {
-            self.break_rule("ran_cancelled", f);
+            self.report_violation("ran_cancelled", f);
         }
         tight
     }
 
-    /// At the end of a day that healed: what the heads ask for is there.
-    pub fn check_planned(&mut self) {
-        let on = self.own_on();
+    /// Checks at the end of a simulation, after the faults, that what the job heads request is
+    /// there.
+    pub fn check_nomad_jobs(&mut self) {
+        let on = self.nomad_tasks_by_job();
         let (mut faults, mut launches) = (Vec::new(), BTreeSet::new());
-        for (job, told) in self.planners.told.clone() {
+        for (job, reported) in self.nomad_clients.reported.clone() {
             match self.head(job) {
-                Some((_, stamp)) if stamp >= told => {}
-                other => faults.push(format!("{job}: told {told}, there is {:?}", other.map(|h| h.1))),
+                Some((_, stamp)) if stamp >= reported => {}
+                other => faults.push(format!(
+                    "{job}: index {reported} was reported, stored is {:?}",
+                    other.map(|h| h.1)
+                )),
             }
         }
         for (head, _) in self.heads() {
             let here = |j: u64| on.get(&JobId(j)).copied().unwrap_or(0);
             let old: u32 = head.superseded_jobs.iter().map(|j| here(*j)).sum();
             if old > 0 {
-                faults.push(format!("{}: {old} tasks of versions before", head.id));
+                faults.push(format!("{}: {old} tasks of earlier versions", head.id));
             }
             if let Some(t) = head.id.strip_prefix("minutes/periodic-") {
                 launches.insert(t.parse::<u64>().unwrap());
@@ -294,10 +303,10 @@
                     }
                 } else {
                     match end(g.job) {
-                        // What began a moment ago goes on.
+                        // A job that was changed within the last minute may still run.
                         None if head.at + 60_000 > self.wall_ms() => {}
                         None => faults.push(format!(
-                            "{}: not over; {} on machines, failed {:?}, record {:?}, old {:?}",
+                            "{}: has not ended; {} on machines, failed {:?}, record {:?}, old {:?}",
                             head.id,
                             here(g.job),
                             self.state.value(&format!("g/r/{}/0", JobId(g.job))),
@@ -318,35 +327,36 @@
         if launches.iter().any(|t| t % 60 != 0) {
             faults.push(format!("launches at {launches:?}"));
         }
-        // The day goes on for minutes after it has healed: the last one was launched.
+        // The simulation continues for minutes after the faults: the last launch must have been
+        // made.
         let running =
             self.head("minutes").is_some_and(|(h, _)| !h.stop && h.at + 61_000 < self.wall_ms() - 30_000);
         let last = (self.wall_ms() / 1000 - 30) / 60 * 60;
         if running && !launches.contains(&last) {
             faults.push(format!("minute {last} was not launched, but {launches:?}"));
         }
-        self.planners.launched = launches.len();
+        self.nomad_clients.launched = launches.len();
         for f in faults {
-            self.break_rule("planned", f);
+            self.report_violation("planned", f);
         }
     }
 }
 
-/// Nomad jobs beside native ones through rough days.
+/// Nomad jobs beside native ones under random faults.
 #[test]
-fn planners_jobs_keep_the_rules() {
+fn nomad_jobs_keep_the_invariants() {
     let std::ops::Range { start: from, end: to } = seeds("NOMAD_SEEDS", 1, 13);
-    logs();
+    start_logger();
     let (mut accepted, mut replaced, mut launched) = (0, 0, 0);
     for seed in from..to {
-        let mut w = play(seed, false, PLANNED);
-        if w.broken.is_empty() {
-            w.check_planned();
+        let mut w = simulate(seed, false, SMALL_WITH_NOMAD);
+        if w.violations.is_empty() {
+            w.check_nomad_jobs();
         }
-        assert!(w.broken.is_empty(), "seed {seed}: {:?} {:#?}", w.broken, w.describe(&[]).1);
-        accepted += w.planners.accepted;
-        replaced += w.planners.replaced;
-        launched += w.planners.launched;
+        assert!(w.violations.is_empty(), "seed {seed}: {:?} {:#?}", w.violations, w.describe(&[]).1);
+        accepted += w.nomad_clients.accepted;
+        replaced += w.nomad_clients.replaced;
+        launched += w.nomad_clients.launched;
     }
     println!("{accepted} changes accepted, {replaced} starts after a replacement, {launched} launches");
     assert!(accepted > 10 * (to - from) as usize && replaced > 0 && launched > 0);
