--- a/crates/core/src/node/heartbeats.rs
+++ b/crates/core/src/node/heartbeats.rs
@@ -4,10 +4,10 @@
 impl Node {
     pub(super) fn receive_heartbeat(&mut self, id: RequestId, body: &[u8]) {
         let Ok(r) = serde_json::from_slice::<Report>(body) else {
-            return self.out.respond(id, 400, users::error_body("invalid report"));
+            return self.out.respond(id, 400, users::error_body("not a report"));
         };
         let Some(tasks) = parse_tasks(&r) else {
-            return self.out.respond(id, 400, users::error_body("invalid task id in the report"));
+            return self.out.respond(id, 400, users::error_body("a task's name is unreadable"));
         };
         self.record_heartbeat(&r, &tasks);
         let machine = MachineId::from(&*r.machine);
--- a/crates/core/src/node/requests.rs
+++ b/crates/core/src/node/requests.rs
@@ -159,7 +159,7 @@
             return Err((422, format!("unknown team {}", s.team)));
         };
         if !team.could_run(&s) {
-            return Err((422, format!("exceeds the limits of team {}", s.team)));
+            return Err((422, format!("more than the limit of team {}", s.team)));
         }
         if self.catalogue.flavors.is_empty() {
             return Err((503, RefusalReason::MachineTypesUnknown.message().into()));
@@ -179,7 +179,7 @@
         }
         let service = |id: &&JobId| self.replica_sync.replica.jobs.get(*id).is_some_and(|j| j.is_service);
         if let Some(id) = s.dependencies.iter().find(service) {
-            return Err((422, format!("awaits: {id} is a service, which never completes")));
+            return Err((422, format!("awaits: {id} is a service, which is never done")));
         }
         Ok(s)
     }
--- a/crates/core/src/node/status.rs
+++ b/crates/core/src/node/status.rs
@@ -43,12 +43,10 @@
             RefusalReason::StateUnread
             | RefusalReason::StateRefused
             | RefusalReason::TooManyWaiting
-            | RefusalReason::ReadBarrierFailed => "the state service is unavailable",
-            RefusalReason::WriteBudget => "timed out waiting for the write budget",
-            RefusalReason::WriteUnconfirmed => "the state service did not confirm the write",
-            RefusalReason::CancellationUnconfirmed => {
-                "the cancellation is not confirmed by every controller yet"
-            }
+            | RefusalReason::ReadBarrierFailed => "the state service can't be asked",
+            RefusalReason::WriteBudget => "the state service is slow",
+            RefusalReason::WriteUnconfirmed => "the state service did not confirm it",
+            RefusalReason::CancellationUnconfirmed => "not every controller knows of the cancellation yet",
             RefusalReason::MachineTypesUnknown => "the machine types are not known yet",
             RefusalReason::NotReady => "not ready",
         }
--- a/crates/shell/src/http.rs
+++ b/crates/shell/src/http.rs
@@ -33,13 +33,13 @@
 #[derive(Debug, Error, PartialEq)]
 pub enum HttpError {
     /// Not valid HTTP. The client also uses it for a connection that failed or ended early.
-    #[error("malformed HTTP message")]
+    #[error("broken HTTP")]
     Malformed,
     /// The body exceeds its limit.
-    #[error("the body exceeds the size limit of this address")]
+    #[error("the body is longer than this address takes")]
     BodyTooLong,
     /// The body has no `Content-Length`.
-    #[error("a request body requires a Content-Length header")]
+    #[error("a body needs Content-Length")]
     LengthRequired,
 }
 
--- a/crates/shell/src/server.rs
+++ b/crates/shell/src/server.rs
@@ -188,12 +188,8 @@
             Some(Ok(Some(r))) => r,
             Some(Ok(None)) => return,
             None => {
-                let a = http::encode_response(
-                    408,
-                    &users::error_body("the request was not received in time"),
-                    None,
-                    false,
-                );
+                let a =
+                    http::encode_response(408, &users::error_body("the request took too long"), None, false);
                 let _ = with_timeout(IO_TIMEOUT, stream.write_all(&a)).await;
                 return;
             }
