--- a/crates/nomad/src/service/reconcile.rs
+++ b/crates/nomad/src/service/reconcile.rs
@@ -32,7 +32,7 @@
 ) -> Option<Value> {
     let native = job_value(spec, submitted_ms);
     if value_len(&native) > ctx.max_value_bytes {
-        log::error!("native job record exceeds the value limit job={} group={group}", record.id);
+        log::error!("record too long job={} group={group}", record.id);
         return None;
     }
     Some(native)
