--- a/crates/core/src/cancellation_enforcer/tests.rs
+++ b/crates/core/src/cancellation_enforcer/tests.rs
@@ -32,14 +32,14 @@
 fn report(host: &str, answer: Answer) -> Report {
     let i: usize = host[1..].parse().unwrap();
     let (t, a) = task(i);
-    let pieces = match answer {
+    let tasks = match answer {
         Stopped => vec![
             serde_json::json!({"piece": t.to_string(), "try": a.0, "stage": "exited", "cause": "halted"}),
         ],
         _ => Vec::new(),
     };
     serde_json::from_value(serde_json::json!({"host": host, "addr": "a", "build": "b", "yard": "z",
-        "loaners": false, "shift": 1, "tally": 5, "baton": 7, "warning_s": null, "pieces": pieces}))
+        "loaners": false, "shift": 1, "tally": 5, "baton": 7, "warning_s": null, "pieces": tasks}))
     .unwrap()
 }
 
@@ -153,8 +153,12 @@
     let mut d = CancellationEnforcer::default();
     // (seconds, term; whether leadership is established)
     let steps = [(0, 1, false), (3, 1, false), (4, 1, true), (5, 2, false), (8, 3, false), (13, 3, true)];
-    for (s, term, want) in steps {
-        assert_eq!(d.leadership_established(term, CONFIRMED + Micros::secs(s)), want, "term {term} at {s} s");
+    for (s, term, expected) in steps {
+        assert_eq!(
+            d.leadership_established(term, CONFIRMED + Micros::secs(s)),
+            expected,
+            "term {term} at {s} s"
+        );
     }
 }
 
@@ -236,8 +240,8 @@
     ];
     for (life, names) in cases {
         let of = ThreeProcesses { with_task: 20, life, cleared: none() };
-        let got = run_three(&of);
-        assert_eq!((got.0, got.1), (20, names), "{:?}", of.life);
-        assert!(got.2 <= 10, "{} machines in ten seconds: {:?}", got.2, of.life);
+        let actual = run_three(&of);
+        assert_eq!((actual.0, actual.1), (20, names), "{:?}", of.life);
+        assert!(actual.2 <= 10, "{} machines in ten seconds: {:?}", actual.2, of.life);
     }
 }
--- a/crates/core/src/controller/assignments.rs
+++ b/crates/core/src/controller/assignments.rs
@@ -7,7 +7,7 @@
     pub fn apply_assignments(
         &mut self,
         assignments: &[Assignment],
-        ledger: &StateReplica,
+        state_replica: &StateReplica,
         sizes: &MachineSizes,
         now: Micros,
     ) {
@@ -15,7 +15,7 @@
             if self.outcomes.contains_key(&h.attempt) {
                 continue;
             }
-            let machine = self.place(h, ledger, sizes, now);
+            let machine = self.place(h, state_replica, sizes, now);
             match &machine {
                 Some(id) => self.mark_changed(id),
                 None => debug!("{}: no capacity for assignment attempt={}", h.task, h.attempt.0),
@@ -28,18 +28,18 @@
     pub(super) fn place(
         &mut self,
         h: &Assignment,
-        ledger: &StateReplica,
+        state_replica: &StateReplica,
         sizes: &MachineSizes,
         now: Micros,
     ) -> Option<MachineId> {
-        let job = ledger.jobs.get(&h.task.job)?;
+        let job = state_replica.jobs.get(&h.task.job)?;
         let spec = job.spec.as_ref()?;
         if is_finished(Some(job), h.task.index) || now >= self.lease_until {
             return None;
         }
         // The leader chose by the same score and reserved capacity on its preferred machine. If that
         // machine cannot start the task, the best other one is taken.
-        let score = |id: &MachineId, w: &Worker| self.score(h, spec, id, w, ledger, sizes, now);
+        let score = |id: &MachineId, w: &Worker| self.score(h, spec, id, w, state_replica, sizes, now);
         let id = match self.workers.get(&h.preferred_machine).and_then(|w| score(&h.preferred_machine, w)) {
             Some(_) => h.preferred_machine.clone(),
             None => self.workers.iter().filter_map(|(id, w)| Some((score(id, w)?, id))).min()?.1.clone(),
@@ -68,7 +68,7 @@
         spec: &JobSpec,
         id: &MachineId,
         w: &Worker,
-        ledger: &StateReplica,
+        state_replica: &StateReplica,
         sizes: &MachineSizes,
         now: Micros,
     ) -> Option<placement::Score> {
@@ -88,14 +88,14 @@
         {
             return None;
         }
-        let m = ledger.machines.get(id)?;
+        let m = state_replica.machines.get(id)?;
         let size = sizes.get(&m.machine_type)?;
         let c = Candidate {
             machine_type: &m.machine_type,
             zone: &m.zone,
             spot: m.spot,
             size,
-            free: size.saturating_sub(w.used(ledger)),
+            free: size.saturating_sub(w.used(state_replica)),
             has_image: w.images.contains(&spec.image),
             zone_cpu: 0,
         };
--- a/crates/core/src/controller/commands.rs
+++ b/crates/core/src/controller/commands.rs
@@ -8,7 +8,7 @@
     pub(super) fn commands(
         &mut self,
         id: &MachineId,
-        ledger: &StateReplica,
+        state_replica: &StateReplica,
         response: bool,
         may_start: bool,
     ) -> Vec<Command> {
@@ -29,7 +29,7 @@
                 // would start the task again if it arrived late.
                 let settled = w.starts.get(&k).is_none_or(|s| s.delivery == Delivery::Settled);
                 let recorded = match t.state {
-                    TaskState::Done => is_finished(ledger.jobs.get(&t.task.job), t.task.index),
+                    TaskState::Done => is_finished(state_replica.jobs.get(&t.task.job), t.task.index),
                     _ => w.exits.get(&k).copied().flatten().is_some_and(|seq| seq <= acked),
                 };
                 if response && settled && recorded {
@@ -37,7 +37,7 @@
                 }
                 continue;
             }
-            let unwanted = is_finished(ledger.jobs.get(&t.task.job), t.task.index);
+            let unwanted = is_finished(state_replica.jobs.get(&t.task.job), t.task.index);
             let stop = w.stops.get(&k).copied();
             let grace = if unwanted {
                 Some(Micros(0))
@@ -56,7 +56,8 @@
         if may_start && w.acknowledges_commands {
             let present: BTreeSet<(TaskId, Attempt)> = w.tasks.iter().map(|t| (t.task, t.attempt)).collect();
             for (k, s) in w.starts.iter_mut() {
-                let unwanted = is_finished(ledger.jobs.get(&k.0.job), k.0.index) || w.stops.contains_key(k);
+                let unwanted =
+                    is_finished(state_replica.jobs.get(&k.0.job), k.0.index) || w.stops.contains_key(k);
                 if s.reported
                     || present.contains(k)
                     || unwanted
@@ -104,7 +105,7 @@
     }
 
     /// Drops starts of finished or stopped tasks that cannot have arrived.
-    pub(super) fn drop_obsolete_starts(&mut self, id: &MachineId, ledger: &StateReplica) {
+    pub(super) fn drop_obsolete_starts(&mut self, id: &MachineId, state_replica: &StateReplica) {
         let Some(w) = self.workers.get_mut(id) else { return };
         let before = w.starts.len();
         let (stops, tasks) = (&w.stops, &w.tasks);
@@ -112,7 +113,7 @@
             let may_arrive = s.reported || s.delivery != Delivery::Settled || s.in_response_to.is_some();
             may_arrive
                 || tasks.iter().any(|t| (t.task, t.attempt) == *k)
-                || !(is_finished(ledger.jobs.get(&k.0.job), k.0.index) || stops.contains_key(k))
+                || !(is_finished(state_replica.jobs.get(&k.0.job), k.0.index) || stops.contains_key(k))
         });
         if before != w.starts.len() {
             self.mark_changed(id);
@@ -123,7 +124,7 @@
     /// Returns the calls sent.
     pub fn send_commands(
         &mut self,
-        ledger: &StateReplica,
+        state_replica: &StateReplica,
         now: Micros,
         out: &mut Outbox,
     ) -> Vec<(CallId, MachineId)> {
@@ -138,7 +139,7 @@
         };
         let mut calls = Vec::new();
         for id in ids {
-            self.drop_obsolete_starts(&id, ledger);
+            self.drop_obsolete_starts(&id, state_replica);
             let Some(w) = self.workers.get(&id) else { continue };
             if w.direct.is_some() || w.addr.is_empty() || now < w.next_call_at {
                 continue;
@@ -152,7 +153,7 @@
             // worker that reaches no controller learns of a cancellation in no other way.
             let commands = match w.agent_epoch {
                 0 => Vec::new(),
-                _ => self.commands(&id, ledger, false, may_start && !unconfirmed),
+                _ => self.commands(&id, state_replica, false, may_start && !unconfirmed),
             };
             let Some(w) = self.workers.get_mut(&id) else { continue };
             if w.agent_epoch == 0 || unconfirmed && commands.is_empty() {
--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -124,11 +124,11 @@
     }
 
     /// Processes a heartbeat and returns the reply.
-    pub fn checkin(
+    pub fn receive_heartbeat(
         &mut self,
         r: &Report,
         tasks: Vec<TaskStatus>,
-        ledger: &StateReplica,
+        state_replica: &StateReplica,
         now: Micros,
     ) -> HeartbeatReply {
         let id = MachineId::from(&*r.machine);
@@ -156,16 +156,17 @@
             self.mark_changed(&id);
         }
         let may_start = now < self.lease_until;
-        let commands = self.commands(&id, ledger, true, may_start);
+        let commands = self.commands(&id, state_replica, true, may_start);
         let w = &self.workers[&id];
         HeartbeatReply::Commands(w.fencing_token, commands)
     }
 
     /// Stop commands for the finished tasks of a machine that this controller does not hold. No
     /// other command may be sent there.
-    pub fn stops_for_unleased(tasks: &[TaskStatus], ledger: &StateReplica) -> Vec<Command> {
-        let unwanted =
-            |t: &&TaskStatus| !t.state.exited() && is_finished(ledger.jobs.get(&t.task.job), t.task.index);
+    pub fn stops_for_unleased(tasks: &[TaskStatus], state_replica: &StateReplica) -> Vec<Command> {
+        let unwanted = |t: &&TaskStatus| {
+            !t.state.exited() && is_finished(state_replica.jobs.get(&t.task.job), t.task.index)
+        };
         let halt = |t: &TaskStatus| Command {
             action: "halt".into(),
             task: t.task.to_string(),
@@ -207,15 +208,15 @@
             (3, 99, 0, false),
         ];
         let mut c = Controller::default();
-        for (i, (term, seq, base, want)) in steps.into_iter().enumerate() {
-            assert_eq!(c.accept_update(term, seq, base), want, "step {i}");
+        for (i, (term, seq, base, expected)) in steps.into_iter().enumerate() {
+            assert_eq!(c.accept_update(term, seq, base), expected, "step {i}");
         }
     }
 
     #[test]
     fn a_sync_holds_what_was_not_acknowledged() {
-        let (ledger, now) = (StateReplica::default(), Micros::secs(9));
-        let sent = |c: &mut Controller, term| match c.sync(term, Vec::new(), &ledger, now) {
+        let (state_replica, now) = (StateReplica::default(), Micros::secs(9));
+        let sent = |c: &mut Controller, term| match c.sync(term, Vec::new(), &state_replica, now) {
             Message::Sync { seq, base, machines, .. } => {
                 (seq, base, machines.iter().map(|m| m.id.to_string()).collect::<Vec<_>>().join(","))
             }
@@ -245,16 +246,17 @@
             attempt: Attempt(job),
             state,
         };
-        let mut ledger = StateReplica::default();
-        ledger.apply("g/x/j-000001", Some(&serde_json::json!({"end": "aborted", "at": 1})), 1);
+        let mut state_replica = StateReplica::default();
+        state_replica.apply("g/x/j-000001", Some(&serde_json::json!({"end": "aborted", "at": 1})), 1);
         let tasks = [
             status(1, TaskState::Running),
             status(1, TaskState::Stopped),
             status(2, TaskState::Running),
             status(2, TaskState::Done),
         ];
-        let commands = Controller::stops_for_unleased(&tasks, &ledger);
-        let got: Vec<(&str, &str)> = commands.iter().map(|o| (o.action.as_str(), o.task.as_str())).collect();
-        assert_eq!(got, [("halt", "j-000001/0")]);
+        let commands = Controller::stops_for_unleased(&tasks, &state_replica);
+        let actual: Vec<(&str, &str)> =
+            commands.iter().map(|o| (o.action.as_str(), o.task.as_str())).collect();
+        assert_eq!(actual, [("halt", "j-000001/0")]);
     }
 }
--- a/crates/core/src/controller/stale_heartbeats.rs
+++ b/crates/core/src/controller/stale_heartbeats.rs
@@ -9,22 +9,22 @@
 fn history() -> impl Strategy<Value = Vec<Report>> {
     let step = (0u8..8, 0u64..4, 0usize..4);
     proptest::collection::vec(step, 2..20).prop_map(|steps| {
-        let (mut shift, mut baton, mut pieces) = (1, 0, Vec::<ReportedTask>::new());
+        let (mut agent_epoch, mut fencing_token, mut tasks) = (1, 0, Vec::<ReportedTask>::new());
         let mut reports = Vec::new();
         for (n, (what, task, stage)) in steps.into_iter().enumerate() {
             let stages =
                 [("pulling", None), ("running", None), ("exited", Some("done")), ("exited", Some("error"))];
             match what {
-                0 => (shift, pieces) = (shift + 1, Vec::new()),
-                1 => baton = 7,
-                2 => pieces.retain(|p| p.attempt != task),
+                0 => (agent_epoch, tasks) = (agent_epoch + 1, Vec::new()),
+                1 => fencing_token = 7,
+                2 => tasks.retain(|p| p.attempt != task),
                 _ => {
-                    pieces.retain(|p| p.attempt != task);
+                    tasks.retain(|p| p.attempt != task);
                     let (stage, cause) = stages[stage];
-                    let piece = format!("j-00000{task}/0");
+                    let task_id = format!("j-00000{task}/0");
                     let cause = cause.map(str::to_owned);
-                    pieces.push(ReportedTask {
-                        task: piece,
+                    tasks.push(ReportedTask {
+                        task: task_id,
                         attempt: task,
                         state: stage.into(),
                         cause,
@@ -38,11 +38,11 @@
                 machine_type: "b".into(),
                 zone: "z".into(),
                 spot: false,
-                agent_epoch: shift,
+                agent_epoch,
                 sequence: n as u64 + 1,
-                fencing_token: baton,
+                fencing_token,
                 preemption_notice_s: (what == 3).then_some(9.0),
-                tasks: pieces.clone(),
+                tasks: tasks.clone(),
             });
         }
         reports
@@ -66,7 +66,7 @@
 }
 
 fn receive(c: &mut Controller, r: &Report, at: u64) -> HeartbeatReply {
-    c.checkin(r, parse_tasks(r).unwrap(), &StateReplica::default(), Micros::secs(at))
+    c.receive_heartbeat(r, parse_tasks(r).unwrap(), &StateReplica::default(), Micros::secs(at))
 }
 
 fn controller() -> Controller {
--- a/crates/core/src/controller/stops.rs
+++ b/crates/core/src/controller/stops.rs
@@ -6,8 +6,8 @@
 use crate::jobs::keys;
 use gorseshore_protocol::workers::ReportedTask;
 
-fn report(tally: u64) -> Report {
-    let piece = ReportedTask {
+fn report(sequence: u64) -> Report {
+    let reported = ReportedTask {
         task: "j-000001/0".into(),
         attempt: 3,
         state: "running".into(),
@@ -21,10 +21,10 @@
         zone: "z".into(),
         spot: false,
         agent_epoch: 1,
-        sequence: tally,
+        sequence,
         fencing_token: 7,
         preemption_notice_s: None,
-        tasks: vec![piece],
+        tasks: vec![reported],
     }
 }
 
@@ -40,24 +40,29 @@
     };
     assert!(c.accept_update(1, 1, 0));
     c.apply_block(true, &[g], &[]);
-    let mut ledger = StateReplica::default();
-    for tally in [1, 2] {
-        c.checkin(&report(tally), parse_tasks(&report(tally)).unwrap(), &ledger, contact);
+    let mut state_replica = StateReplica::default();
+    for sequence in [1, 2] {
+        c.receive_heartbeat(
+            &report(sequence),
+            parse_tasks(&report(sequence)).unwrap(),
+            &state_replica,
+            contact,
+        );
     }
     // The worker is sent its fencing token first.
     let mut out = Outbox::default();
-    for (id, _) in c.send_commands(&ledger, contact, &mut out) {
+    for (id, _) in c.send_commands(&state_replica, contact, &mut out) {
         let body = serde_json::to_vec(&report(3)).unwrap();
         c.call_completed(&"m".into(), id, &CallResult::Response { status: 200, body }, contact);
     }
-    ledger.apply(&keys::end(JobId(1)), Some(&serde_json::json!({"end": "aborted", "at": 1})), 9);
-    (c, ledger)
+    state_replica.apply(&keys::end(JobId(1)), Some(&serde_json::json!({"end": "aborted", "at": 1})), 9);
+    (c, state_replica)
 }
 
 /// The calls that are sent: their paths, and whether they stop the task.
-fn sent_calls(c: &mut Controller, ledger: &StateReplica, now: Micros) -> Vec<(CallId, String, bool)> {
+fn sent_calls(c: &mut Controller, state_replica: &StateReplica, now: Micros) -> Vec<(CallId, String, bool)> {
     let mut out = Outbox::default();
-    c.send_commands(ledger, now, &mut out);
+    c.send_commands(state_replica, now, &mut out);
     let calls = out.items.into_iter().filter_map(|o| match o {
         Output::Call { id, call } => {
             let commands =
@@ -85,12 +90,12 @@
     ];
     for (result, resent) in cases {
         let start = Micros::secs(50);
-        let (mut c, ledger) = controller(start);
-        let calls = sent_calls(&mut c, &ledger, start + Micros::millis(300));
+        let (mut c, state_replica) = controller(start);
+        let calls = sent_calls(&mut c, &state_replica, start + Micros::millis(300));
         assert_eq!(calls.len(), 1, "{result:?}: {calls:?}");
         assert!(calls[0].1 == "/do" && calls[0].2, "{result:?}: {calls:?}");
         c.call_completed(&"m".into(), calls[0].0, &result, start + Micros::millis(400));
-        let calls = sent_calls(&mut c, &ledger, start + Micros::millis(2200));
+        let calls = sent_calls(&mut c, &state_replica, start + Micros::millis(2200));
         let stopped = calls.iter().any(|(_, path, stops)| path == "/do" && *stops);
         assert_eq!(stopped, resent, "{result:?}: {calls:?}");
     }
@@ -99,8 +104,8 @@
 #[test]
 fn a_worker_without_recent_contact_is_sent_stops() {
     let start = Micros::secs(50);
-    let (mut c, ledger) = controller(start);
-    let calls = sent_calls(&mut c, &ledger, start + PROBE_AFTER + Micros::secs(1));
+    let (mut c, state_replica) = controller(start);
+    let calls = sent_calls(&mut c, &state_replica, start + PROBE_AFTER + Micros::secs(1));
     assert!(calls.len() == 1 && calls[0].1 == "/do" && calls[0].2, "{calls:?}");
     // A worker with nothing to stop is probed.
     let (mut c, _) = controller(start);
--- a/crates/core/src/controller/sync.rs
+++ b/crates/core/src/controller/sync.rs
@@ -8,7 +8,7 @@
         &mut self,
         term: u64,
         unleased_reports: Vec<UnleasedReport>,
-        ledger: &StateReplica,
+        state_replica: &StateReplica,
         now: Micros,
     ) -> Message {
         self.sync_seq += 1;
@@ -40,7 +40,7 @@
                         tasks.push(TaskStatus { task: k.0, attempt: k.1, state: TaskState::Starting });
                     }
                     let unwanted =
-                        is_finished(ledger.jobs.get(&k.0.job), k.0.index) || w.stops.contains_key(k);
+                        is_finished(state_replica.jobs.get(&k.0.job), k.0.index) || w.stops.contains_key(k);
                     let exited = in_report.is_some_and(|t| t.state.exited());
                     let cleared = s.reported && in_report.is_none();
                     needs_new_fencing_token |= s.delivery == Delivery::Uncertain
--- a/crates/core/src/controller/worker.rs
+++ b/crates/core/src/controller/worker.rs
@@ -111,13 +111,13 @@
     }
 
     /// Applies a report unless it is outdated or a duplicate; returns whether it was applied.
-    /// `checkin` is true for a heartbeat, which proves that no earlier response is still to be
+    /// `is_heartbeat` is true for a heartbeat, which proves that no earlier response is still to be
     /// executed.
     pub(super) fn apply_report(
         &mut self,
         r: &Report,
         tasks: Vec<TaskStatus>,
-        checkin: bool,
+        is_heartbeat: bool,
         now: Micros,
     ) -> bool {
         if r.heartbeat_seq() <= self.heartbeat_seq() {
@@ -129,7 +129,7 @@
         let follows = r.agent_epoch == self.agent_epoch && r.sequence == self.sequence + 1;
         let raised = self.seen_fencing_token < self.fencing_token
             && FencingToken(r.fencing_token) == self.fencing_token;
-        self.acknowledges_commands = !checkin || follows || raised;
+        self.acknowledges_commands = !is_heartbeat || follows || raised;
         self.agent_epoch = r.agent_epoch;
         self.sequence = r.sequence;
         self.seen_fencing_token = self.seen_fencing_token.max(FencingToken(r.fencing_token));
@@ -161,7 +161,7 @@
             }
             // A heartbeat after the one whose response carried the start: that response was lost.
             // The start is sent again.
-            if checkin && s.in_response_to.is_some_and(|t| (agent_epoch, sequence) > t) {
+            if is_heartbeat && s.in_response_to.is_some_and(|t| (agent_epoch, sequence) > t) {
                 s.in_response_to = None;
             }
             true
@@ -188,10 +188,10 @@
         )
     }
 
-    pub(super) fn used(&self, ledger: &StateReplica) -> Resources {
+    pub(super) fn used(&self, state_replica: &StateReplica) -> Resources {
         let mut used = Resources::default();
         for t in self.tasks.iter().filter(|t| !t.state.exited()) {
-            used = used.plus(resources_of(ledger, t.task.job));
+            used = used.plus(resources_of(state_replica, t.task.job));
         }
         for s in self.starts.iter().filter(|(k, _)| !self.has(k)) {
             used = used.plus(s.1.need);
@@ -202,8 +202,8 @@
 
 /// The resources that a task of the job needs; if its specification is not known, more than any
 /// machine has.
-pub(super) fn resources_of(ledger: &StateReplica, job: JobId) -> Resources {
-    ledger
+pub(super) fn resources_of(state_replica: &StateReplica, job: JobId) -> Resources {
+    state_replica
         .jobs
         .get(&job)
         .and_then(|j| j.spec.as_ref())
--- a/crates/core/src/dependencies/tests.rs
+++ b/crates/core/src/dependencies/tests.rs
@@ -79,8 +79,8 @@
         // Job 2's own recorded end takes precedence over the cancellation of its dependency.
         (after(&[Done(2), Cancelled(1)]), &[3, 4]),
     ];
-    for (steps, want) in cases {
-        assert_eq!(apply_steps(&steps).1, want, "{steps:?}");
+    for (steps, expected) in cases {
+        assert_eq!(apply_steps(&steps).1, expected, "{steps:?}");
     }
 }
 
--- a/crates/core/src/election.rs
+++ b/crates/core/src/election.rs
@@ -97,14 +97,14 @@
         assert!(!e.may_lead(ms(0)));
         e.elected(4, 7, 9, ms(100));
         // (time in ms, may lead)
-        for (t, want) in [(100, true), (3019, true), (3020, false), (9000, false)] {
-            assert_eq!(e.may_lead(ms(t)), want, "{t}");
+        for (t, expected) in [(100, true), (3019, true), (3020, false), (9000, false)] {
+            assert_eq!(e.may_lead(ms(t)), expected, "{t}");
         }
         // A renewal sent at 2000 ms and answered late extends the lease from 2000 ms, not from its
         // answer.
         e.renewal_confirmed(ms(2000));
-        for (t, want) in [(4919, true), (4920, false)] {
-            assert_eq!(e.may_lead(ms(t)), want, "{t}");
+        for (t, expected) in [(4919, true), (4920, false)] {
+            assert_eq!(e.may_lead(ms(t)), expected, "{t}");
         }
         // A late confirmation of an older renewal does not shorten the lease.
         e.renewal_confirmed(ms(500));
--- a/crates/core/src/fair_queue.rs
+++ b/crates/core/src/fair_queue.rs
@@ -91,12 +91,12 @@
             (&[("a", 1.0), ("b", 1.0), ("c", 1.0)], "b", "acacac"),
             (&[("a", 1.0)], "a", ""),
         ];
-        for (teams, limited, want) in cases {
+        for (teams, limited, expected) in cases {
             let mut q = FairQueue::default();
             for (t, w) in teams {
                 q.set_waiting(t, true, 1.0, *w);
             }
-            assert_eq!(run(&mut q, 6, |t| !limited.contains(t)), want, "{teams:?}");
+            assert_eq!(run(&mut q, 6, |t| !limited.contains(t)), expected, "{teams:?}");
         }
     }
 
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -303,10 +303,10 @@
 mod tests {
     use super::*;
 
-    fn offer(build: &str, zone: &str, spot: bool, cpus: f64, price: f64) -> Offer {
+    fn offer(machine_type: &str, zone: &str, spot: bool, cpus: f64, price: f64) -> Offer {
         let size = Resources::capacity(cpus, 0.0, cpus * 4.0);
         Offer {
-            machine_type: build.into(),
+            machine_type: machine_type.into(),
             zone: zone.into(),
             spot,
             size,
@@ -346,11 +346,11 @@
             // A spot machine is available in another zone.
             (vec![offer("a", false, false), offer("a", true, true), offer("b", true, false)], true, 2, 8),
         ];
-        for (i, (offers, on_demand_allowed, allowed, want)) in cases.into_iter().enumerate() {
+        for (i, (offers, on_demand_allowed, allowed, expected)) in cases.into_iter().enumerate() {
             let d = Demand { on_demand_allowed, ..demand("array", 8, 4.0, true, false) };
             let p = ScalingPolicy { on_demand_for_arrays: allowed, ..policy(0.0, BTreeMap::new()) };
-            let got = plan(Vec::new(), &[d], &offers, &p);
-            assert_eq!(got.values().sum::<u32>(), want, "case {i}: {got:?}");
+            let actual = plan(Vec::new(), &[d], &offers, &p);
+            assert_eq!(actual.values().sum::<u32>(), expected, "case {i}: {actual:?}");
         }
     }
 
@@ -362,34 +362,34 @@
             offer("big", "a", true, 64.0, 0.6),
             offer("small", "b", false, 4.0, 0.17),
         ];
-        let want =
+        let expected =
             |b: &str, z: &str, s, n| (RentalKind { machine_type: b.into(), zone: z.into(), spot: s }, n);
         // (demands, array tasks running; machines rented)
         let cases = [
             (vec![], 0.0, vec![]),
-            (vec![demand("array", 2, 4.0, true, false)], 0.0, vec![want("small", "a", true, 2)]),
-            (vec![demand("array", 64, 4.0, true, false)], 0.0, vec![want("big", "a", true, 4)]),
+            (vec![demand("array", 2, 4.0, true, false)], 0.0, vec![expected("small", "a", true, 2)]),
+            (vec![demand("array", 64, 4.0, true, false)], 0.0, vec![expected("big", "a", true, 4)]),
             // Running tasks complete soon: a small backlog waits for them.
             (vec![demand("array", 10, 4.0, true, false)], 20.0, vec![]),
-            (vec![demand("standing", 1, 2.0, false, false)], 99.0, vec![want("small", "a", false, 1)]),
+            (vec![demand("standing", 1, 2.0, false, false)], 99.0, vec![expected("small", "a", false, 1)]),
             // Spread: one of the two tasks in each zone.
             (
                 vec![demand("standing", 2, 2.0, false, true)],
                 0.0,
-                vec![want("small", "a", false, 1), want("small", "b", false, 1)],
+                vec![expected("small", "a", false, 1), expected("small", "b", false, 1)],
             ),
             // Two jobs share a machine.
             (
                 vec![demand("standing", 1, 2.0, false, false), demand("standing", 1, 2.0, false, false)],
                 0.0,
-                vec![want("small", "a", false, 1)],
+                vec![expected("small", "a", false, 1)],
             ),
             (vec![demand("array", 1, 99.0, true, false)], 0.0, vec![]),
         ];
         for (i, (demands, running, wanted)) in cases.into_iter().enumerate() {
             let policy = policy(running, BTreeMap::new());
-            let got = plan(Vec::new(), &demands, &offers, &policy);
-            assert_eq!(got.into_iter().collect::<Vec<_>>(), wanted, "case {i}");
+            let actual = plan(Vec::new(), &demands, &offers, &policy);
+            assert_eq!(actual.into_iter().collect::<Vec<_>>(), wanted, "case {i}");
         }
     }
 
@@ -400,8 +400,8 @@
         for (starved, machines) in [(false, 0), (true, 1)] {
             let mut d = demand("array", 3, 4.0, false, false);
             d.starved = starved;
-            let got = plan(Vec::new(), &[d], &offers, &policy);
-            assert_eq!(got.values().sum::<u32>(), machines, "{starved}");
+            let actual = plan(Vec::new(), &[d], &offers, &policy);
+            assert_eq!(actual.values().sum::<u32>(), machines, "{starved}");
         }
     }
 
@@ -431,12 +431,13 @@
             (vec![machine(6.0, 6000, true)], 6, &[("small", 2)]),
             (vec![], 60, &[("big", 1)]),
         ];
-        for (machines, target, want) in cases {
+        for (machines, target, expected) in cases {
             let spare = BTreeMap::from([("a".to_owned(), target * 1000)]);
             let policy = policy(0.0, spare);
-            let got = plan(machines, &[], &offers, &policy);
-            let got: Vec<(&str, u32)> = got.iter().map(|(w, n)| (w.machine_type.as_str(), *n)).collect();
-            assert_eq!(got, want, "{target}");
+            let actual = plan(machines, &[], &offers, &policy);
+            let actual: Vec<(&str, u32)> =
+                actual.iter().map(|(w, n)| (w.machine_type.as_str(), *n)).collect();
+            assert_eq!(actual, expected, "{target}");
         }
         // No machine several times the target is rented when the right size is refused.
         let refused = [Offer { refused: true, ..offers[0].clone() }, offers[1].clone()];
--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -988,12 +988,12 @@
                 (Kind::Array, Priority::Low, 65, None, Some(900.0)),
             ),
         ];
-        for (row, want) in rows {
+        for (row, expected) in rows {
             let mut replica = StateReplica::default();
             let v = json!({"d": serde_json::from_str::<Value>(row).unwrap(), "at": 77});
             replica.apply("g/j/j-000412", Some(&v), 9);
             let s = replica.jobs[&JobId(412)].spec.clone().expect(row);
-            assert_eq!((s.kind, s.priority, s.tasks, s.zones.clone(), s.deadline_s), want, "{row}");
+            assert_eq!((s.kind, s.priority, s.tasks, s.zones.clone(), s.deadline_s), expected, "{row}");
             // Writing it in the current format preserves the specification.
             let rewritten = job_value(&s, 77);
             assert_eq!(parse_job_spec(JobId(412), &rewritten).as_ref(), Some(&*s), "{row}");
--- a/crates/core/src/jobs/dependency_records.rs
+++ b/crates/core/src/jobs/dependency_records.rs
@@ -105,7 +105,7 @@
         (vec![job.clone(), aborted(412), aborted(1_000_000)], (Phase::Cancelled, false, true)),
         (vec![job.clone(), done(1_000_000), done(412)], (Phase::Done, false, true)),
     ];
-    for (i, (records, want)) in cases.into_iter().enumerate() {
-        assert_eq!(dependent_state(&records), want, "case {i}");
+    for (i, (records, expected)) in cases.into_iter().enumerate() {
+        assert_eq!(dependent_state(&records), expected, "case {i}");
     }
 }
--- a/crates/core/src/lateness.rs
+++ b/crates/core/src/lateness.rs
@@ -69,10 +69,10 @@
             (&[1_000, 3_000, 3_200, 3_400], 3_100, 3_100),
             (&[1_000, 100_000], 10_000, 70_000),
         ];
-        for (ticks, last_contact, want) in cases {
+        for (ticks, last_contact, expected) in cases {
             let mut lateness = Lateness::new(ms(1_000));
             ticks.iter().for_each(|at| lateness.record_tick(ms(*at)));
-            assert_eq!(lateness.silence_start(ms(last_contact)), ms(want), "{ticks:?} {last_contact}");
+            assert_eq!(lateness.silence_start(ms(last_contact)), ms(expected), "{ticks:?} {last_contact}");
         }
     }
 }
--- a/crates/core/src/leader/autoscaling.rs
+++ b/crates/core/src/leader/autoscaling.rs
@@ -43,10 +43,10 @@
             if now >= self.rent_not_before {
                 self.plan_scale_out(flavors, now);
             }
-            let forgotten = &mut self.min_update_base;
-            self.deleted_machines.retain(|_, (t, stamp)| {
+            let min_base = &mut self.min_update_base;
+            self.deleted_machines.retain(|_, (t, update_seq)| {
                 let keep = now.since(*t) < Micros::secs(600);
-                *forgotten = if keep { *forgotten } else { (*forgotten).max(*stamp) };
+                *min_base = if keep { *min_base } else { (*min_base).max(*update_seq) };
                 keep
             });
         }
@@ -127,7 +127,7 @@
         sizes: &MachineSizes,
         now: Micros,
     ) {
-        let Some(hosts) = result else {
+        let Some(machines) = result else {
             // Sent again under the same name, for which the cloud returns the same machines.
             if let Some(h) = self.scale_out_requests.get_mut(&req.name) {
                 h.1 = ScaleOutStage::Recorded;
@@ -135,21 +135,21 @@
             return;
         };
         self.scale_out_requests.remove(&req.name);
-        if req.spot && !hosts.is_empty() {
-            self.recent_spot_rentals.push_back((now, hosts.len()));
+        if req.spot && !machines.is_empty() {
+            self.recent_spot_rentals.push_back((now, machines.len()));
         }
-        if hosts.len() < req.count as usize {
+        if machines.len() < req.count as usize {
             self.refused_offers.insert((req.machine_type.clone(), req.zone.clone(), req.spot), now);
         }
         info!(
             "rented {} of {} {} in {}{}",
-            hosts.len(),
+            machines.len(),
             req.count,
             req.machine_type,
             req.zone,
             if req.spot { ", spot" } else { "" }
         );
-        for h in hosts {
+        for h in machines {
             let id = MachineId::from(&**h);
             if self.deleted_machines.contains_key(&id) || self.machines.contains_key(&id) {
                 continue;
@@ -372,8 +372,8 @@
 
     /// Creates scale-out requests for the pending tasks.
     pub(super) fn plan_scale_out(&mut self, flavors: &[Flavor], now: Micros) {
-        let open = scaling_limits::max_open_rentals(self.config.cloud_rps);
-        if self.scale_out_requests.len() >= open {
+        let max_open = scaling_limits::max_open_rentals(self.config.cloud_rps);
+        if self.scale_out_requests.len() >= max_open {
             return;
         }
         let mut offers = Vec::new();
@@ -516,7 +516,7 @@
         }
         rentals.extend(fleet::plan(capacities, &demands, &offers, &policy));
         for (kind, machines) in rentals {
-            self.create_scale_out_requests(&kind, machines, open, now);
+            self.create_scale_out_requests(&kind, machines, max_open, now);
         }
     }
 
@@ -526,7 +526,7 @@
         &mut self,
         kind: &RentalKind,
         machines: u32,
-        open: usize,
+        max_open: usize,
         now: Micros,
     ) {
         let mut left = machines;
@@ -543,7 +543,7 @@
             };
             self.scale_out_requests.insert(name, (req, ScaleOutStage::Unrecorded, now));
             left -= count;
-            if left == 0 || self.scale_out_requests.len() >= open {
+            if left == 0 || self.scale_out_requests.len() >= max_open {
                 return;
             }
         }
--- a/crates/core/src/leader/blocks.rs
+++ b/crates/core/src/leader/blocks.rs
@@ -22,8 +22,8 @@
 
 impl Leader {
     pub(super) fn in_contact(&self, n: NodeId, now: Micros) -> bool {
-        let heard = self.nodes.get(n.0 as usize).and_then(|x| x.last_contact);
-        heard.is_some_and(|t| {
+        let last_contact = self.nodes.get(n.0 as usize).and_then(|x| x.last_contact);
+        last_contact.is_some_and(|t| {
             now.since(self.lateness.silence_start_capped(t, MAX_BACKLOG_ALLOWANCE)) < CONTACT_TIMEOUT
         })
     }
--- a/crates/core/src/leader/capacity_index.rs
+++ b/crates/core/src/leader/capacity_index.rs
@@ -26,7 +26,7 @@
 /// Machines of the same type, zone, price class and size.
 #[derive(Debug)]
 struct KindIndex {
-    build: String,
+    machine_type: String,
     zone: String,
     spot: bool,
     size: Resources,
@@ -61,11 +61,11 @@
 impl CapacityIndex {
     fn kind(&mut self, m: &Machine) -> usize {
         let same = |k: &KindIndex| {
-            k.spot == m.spot && k.size == m.size && k.build == m.machine_type && k.zone == m.zone
+            k.spot == m.spot && k.size == m.size && k.machine_type == m.machine_type && k.zone == m.zone
         };
         self.kinds.iter().position(same).unwrap_or_else(|| {
             self.kinds.push(KindIndex {
-                build: m.machine_type.clone(),
+                machine_type: m.machine_type.clone(),
                 zone: m.zone.clone(),
                 spot: m.spot,
                 size: m.size,
@@ -76,9 +76,9 @@
         })
     }
 
-    /// Updates a machine's entry; a machine that does not accept tasks (`open` false) has none.
-    pub(super) fn update(&mut self, id: &MachineId, m: &mut Machine, open: bool) {
-        let entry = open.then(|| IndexEntry {
+    /// Updates a machine's entry; a machine that does not accept tasks has none.
+    pub(super) fn update(&mut self, id: &MachineId, m: &mut Machine, accepts_tasks: bool) {
+        let entry = accepts_tasks.then(|| IndexEntry {
             kind: m.index_entry.map_or_else(|| self.kind(m), |p| p.kind),
             failed: m.failures > 0,
             free: m.free(),
@@ -140,7 +140,7 @@
         let mut best: Option<((bool, placement::Score), &MachineId)> = None;
         for k in &self.kinds {
             if k.by_cpu.is_empty()
-                || !spec.allows(&k.build, &k.zone, k.spot, &k.size)
+                || !spec.allows(&k.machine_type, &k.zone, k.spot, &k.size)
                 || !fleet::zone_allows_task(spec, &k.zone, query.zones)
             {
                 continue;
@@ -158,7 +158,7 @@
                     let first = set.range(enough).find_map(|(_, _, id)| Some((fits(id)?, id)));
                     let Some((free, id)) = first else { continue };
                     let c = Candidate {
-                        machine_type: &k.build,
+                        machine_type: &k.machine_type,
                         zone: &k.zone,
                         spot: k.spot,
                         size: &k.size,
@@ -190,8 +190,8 @@
                     None => drop(self.capacity_index.zone_cpu.insert(m.zone.clone(), m.size.cpu)),
                 }
             }
-            let open = m.accepts_tasks(&contact, now);
-            self.capacity_index.update(id, m, open);
+            let accepts_tasks = m.accepts_tasks(&contact, now);
+            self.capacity_index.update(id, m, accepts_tasks);
         }
     }
 
@@ -270,9 +270,9 @@
             };
             Some((m.failures > 0, placement::score(a.spec, &c, None)?))
         };
-        let open = machines.iter().filter(|(_, m)| m.index_entry.is_some());
-        let there = open.filter(|(_, m)| fleet::zone_allows_task(a.spec, &m.zone, a.zones));
-        there.filter_map(|(id, m)| Some((score(m)?, id))).min().map(|(_, id)| id.clone())
+        let indexed = machines.iter().filter(|(_, m)| m.index_entry.is_some());
+        let allowed = indexed.filter(|(_, m)| fleet::zone_allows_task(a.spec, &m.zone, a.zones));
+        allowed.filter_map(|(id, m)| Some((score(m)?, id))).min().map(|(_, id)| id.clone())
     }
 
     #[test]
@@ -307,17 +307,17 @@
             };
             m.failures = (rng.u32(0..9) == 0) as u32;
             m.images.insert(images[rng.usize(0..4)].into());
-            let open = rng.u32(0..7) > 0;
-            index.update(id, m, open);
+            let accepts_tasks = rng.u32(0..7) > 0;
+            index.update(id, m, accepts_tasks);
             let kind = if rng.bool() { "standing" } else { "array" };
             let s = spec(kind, rng.u64(1..9), rng.u64(1..20), images[rng.usize(0..4)], rng.bool());
             let taken = BTreeMap::from([(zones[rng.usize(0..3)].to_owned(), rng.u32(0..6))]);
             let query = PlacementQuery { spec: &s, zones: &taken };
-            let got =
+            let actual =
                 index.best(&query, |id| Some(machines[id].free()).filter(|f| f.fits(&s.task_resources)));
-            assert_eq!(got, by_full_scan(&machines, &index, &query), "step {step}: {s:?}");
-            assert!(got.is_none() || index.any_with_cpu(s.task_resources.cpu), "step {step}");
-            found += got.is_some() as u32;
+            assert_eq!(actual, by_full_scan(&machines, &index, &query), "step {step}: {s:?}");
+            assert!(actual.is_none() || index.any_with_cpu(s.task_resources.cpu), "step {step}");
+            found += actual.is_some() as u32;
         }
         assert!(found > 1000, "{found} found a machine");
         for id in &ids {
--- a/crates/core/src/leader/changes.rs
+++ b/crates/core/src/leader/changes.rs
@@ -24,8 +24,8 @@
 }
 
 impl Changes {
-    fn on_condition(mut self, path: String, stamp: u64) -> Self {
-        self.conditions.push(Precondition { key: path, revision: stamp });
+    fn on_condition(mut self, path: String, revision: u64) -> Self {
+        self.conditions.push(Precondition { key: path, revision });
         self
     }
 
@@ -86,9 +86,9 @@
             LeaderWrite::FailureCounts(id, chunk) => {
                 let parts = split_failures(self.failures(*id, *chunk)?, limits.value_bytes);
                 let job = state_replica.jobs.get(id);
-                let stamp = job.and_then(|j| j.failure_revisions.get(chunk).copied()).unwrap_or(0);
+                let revision = job.and_then(|j| j.failure_revisions.get(chunk).copied()).unwrap_or(0);
                 let key = |part| keys::failures_part(*id, *chunk, part);
-                Some(chunk_changes(*id, stamp, key, parts, limits))
+                Some(chunk_changes(*id, revision, key, parts, limits))
             }
             LeaderWrite::JobFailed(id, index) => {
                 let job = state_replica.jobs.get(id)?;
@@ -101,9 +101,9 @@
             LeaderWrite::Progress(id, chunk) => {
                 let parts = split_progress_text(&self.progress(*id, *chunk)?, limits.value_bytes);
                 let job = state_replica.jobs.get(id);
-                let stamp = job.and_then(|j| j.progress_revisions.get(chunk).copied()).unwrap_or(0);
+                let revision = job.and_then(|j| j.progress_revisions.get(chunk).copied()).unwrap_or(0);
                 let key = |part| keys::progress_part(*id, *chunk, part);
-                Some(chunk_changes(*id, stamp, key, parts, limits))
+                Some(chunk_changes(*id, revision, key, parts, limits))
             }
             LeaderWrite::CancellationComplete(id) => {
                 let job = state_replica.jobs.get(id)?;
@@ -131,8 +131,8 @@
     /// may contain, the record stays unchanged.
     fn forget_changes(&self, key: &str, context: &RecordContext<'_>) -> Option<Changes> {
         let RecordContext { state_replica, limits, .. } = *context;
-        let (ids, stamp) = state_replica.machine_records.get(key)?;
-        let changes = Changes::default().on_condition(key.to_owned(), *stamp);
+        let (ids, revision) = state_replica.machine_records.get(key)?;
+        let changes = Changes::default().on_condition(key.to_owned(), *revision);
         let mut lists = match key.starts_with(keys::MACHINES_PREFIX) {
             true => self.split_into_records(ids, context),
             false => Vec::new(),
@@ -200,16 +200,16 @@
     changes.put(keys::end(id), json!({"end": "done", "at": context.wall_ms}))
 }
 
-/// Writes the parts of a chunk's record in one transaction over version `stamp` of the first.
+/// Writes the parts of a chunk's record in one transaction over revision `revision` of the first.
 /// Parts that exceed the transaction are left out: each part is valid on its own.
 fn chunk_changes(
     id: JobId,
-    stamp: u64,
+    revision: u64,
     key: impl Fn(usize) -> String,
     parts: Vec<Value>,
     limits: &StoreLimits,
 ) -> Changes {
-    let mut changes = Changes::default().on_condition(key(0), stamp).on_condition(keys::end(id), 0);
+    let mut changes = Changes::default().on_condition(key(0), revision).on_condition(keys::end(id), 0);
     for (part, value) in parts.into_iter().take(limits.txn_ops).enumerate() {
         changes = changes.put(key(part), value);
     }
--- a/crates/core/src/leader/command_reachability.rs
+++ b/crates/core/src/leader/command_reachability.rs
@@ -17,7 +17,7 @@
 const DOUBT_BEFORE_PROBE: Micros = Micros::secs(2);
 /// After this many unanswered probes, commands do not reach the machine.
 const MIN_UNANSWERED_PROBES: u32 = 3;
-/// A machine without contact for longer is silent, which `Leader::watch_silent` handles.
+/// A machine without contact for longer is silent, which `Leader::delete_silent` handles.
 const SILENCE_TIMEOUT: Micros = Micros::secs(12);
 /// One machine in this many, and always two, may be deleted for this in `DELETION_WINDOW`.
 const MACHINES_PER_DELETION: usize = 20;
@@ -53,9 +53,9 @@
     }
 
     /// Its holder reports the heartbeat that it received at `at`.
-    pub(super) fn holder_reported(&mut self, obeys: bool, at: Micros, now: Micros) {
-        self.acknowledges_commands = obeys;
-        if obeys {
+    pub(super) fn holder_reported(&mut self, acknowledges_commands: bool, at: Micros, now: Micros) {
+        self.acknowledges_commands = acknowledges_commands;
+        if acknowledges_commands {
             self.acknowledged(at, now);
         } else {
             // Counts from the arrival of the heartbeat, so that an acknowledgement that arrives
--- a/crates/core/src/leader/job_run.rs
+++ b/crates/core/src/leader/job_run.rs
@@ -34,7 +34,7 @@
 #[derive(Debug)]
 pub(super) struct JobRun {
     pub(super) spec: Rc<JobSpec>,
-    pub(super) stamp: u64,
+    pub(super) revision: u64,
     /// Its own priority and due times.
     pub(super) own_urgency: Urgency,
     /// The same, with what it inherits from jobs that depend on it.
@@ -95,7 +95,7 @@
             has_user_deadline: spec.deadline_s.is_some(),
         };
         let mut run = JobRun {
-            stamp: job.revision,
+            revision: job.revision,
             own_urgency,
             urgency: own_urgency,
             ready_ms: job.submitted_ms,
--- a/crates/core/src/leader/messages.rs
+++ b/crates/core/src/leader/messages.rs
@@ -75,7 +75,7 @@
                 not_in_block.push((id.clone(), m.holder));
             }
         }
-        let deleted = self.deleted_machines.iter().filter(|(_, (_, stamp))| base > 0 && *stamp > base);
+        let deleted = self.deleted_machines.iter().filter(|(_, (_, seq))| base > 0 && *seq > base);
         not_in_block.extend(deleted.map(|(id, _)| (id.clone(), None)));
         let held = |id: &MachineId| self.machines.get(id).is_some_and(|m| m.holder == Some(to));
         // Without a confirmed lease no task is assigned and no block lease renewed. Nor is an
@@ -129,10 +129,10 @@
 
     /// Marks that a machine changed in a way that controllers have to be notified of.
     pub(super) fn mark_changed(&mut self, id: &MachineId) {
-        let stamp = self.update_seq + 1;
+        let seq = self.update_seq + 1;
         self.blocks.clear();
         if let Some(m) = self.machines.get_mut(id) {
-            m.changed_in = stamp;
+            m.changed_in = seq;
             if let Some(n) = m.holder.and_then(|h| self.nodes.get_mut(h.0 as usize)) {
                 n.update_due = true;
             }
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -191,7 +191,7 @@
     deleted_machines: BTreeMap<MachineId, (Micros, u64)>,
     /// Sequence number of the last update sent to any controller.
     update_seq: u64,
-    /// An incremental update can't build on one before this: deletions reported before it
+    /// An incremental update cannot be based on one before this: deletions reported before it
     /// are no longer stored.
     min_update_base: u64,
     jobs: BTreeMap<JobId, JobRun>,
@@ -275,7 +275,7 @@
         let nodes = vec![Node::default(); ctx.zones.len()];
         let lag = ctx.list_lag;
         let (record, record_revision) = state_replica.standby_replicas.clone();
-        let books = PlacementLog::new(
+        let placement_log = PlacementLog::new(
             term,
             ctx.node_id,
             ctx.names.clone(),
@@ -301,7 +301,7 @@
             jobs: BTreeMap::new(),
             cancelled_jobs: BTreeMap::new(),
             pending_assignments: BTreeMap::new(),
-            placement_log: books,
+            placement_log,
             awaits_log: state_replica.standby_replicas.0.term > 0
                 && !state_replica.standby_replicas.0.nodes.is_empty(),
             unreleased_jobs: BTreeSet::new(),
@@ -422,10 +422,10 @@
         attempt: Attempt,
         unresolved: &UnresolvedAssignment,
     ) -> Result<(), String> {
-        let there = |id: &MachineId| self.machines.get(id).is_some_and(|m| may_hold(m, attempt));
+        let may_be_on = |id: &MachineId| self.machines.get(id).is_some_and(|m| may_hold(m, attempt));
         let watched =
-            unresolved.watched_at.as_ref().filter(|id| unresolved.candidates.contains(*id) && there(id));
-        if watched.is_none() && unresolved.candidates.iter().any(there) {
+            unresolved.watched_at.as_ref().filter(|id| unresolved.candidates.contains(*id) && may_be_on(id));
+        if watched.is_none() && unresolved.candidates.iter().any(may_be_on) {
             return Err(format!("{task}: watched at {:?}, which can't hold it", unresolved.watched_at));
         }
         Ok(())
--- a/crates/core/src/leader/pending_reasons.rs
+++ b/crates/core/src/leader/pending_reasons.rs
@@ -81,10 +81,9 @@
         let recent = |t: &Micros| now.since(*t) < Micros::secs(20);
         let in_zones = |z: &str| spec.zones.as_ref().is_none_or(|l| l.iter().any(|x| x == z));
         let of_types = |b: &str| spec.machine_types.as_ref().is_none_or(|l| l.iter().any(|x| x == b));
-        let refused = self
-            .refused_offers
-            .iter()
-            .any(|((build, z, spot), t)| recent(t) && of_types(build) && in_zones(z) && (spec.spot || !spot));
+        let refused = self.refused_offers.iter().any(|((machine_type, z, spot), t)| {
+            recent(t) && of_types(machine_type) && in_zones(z) && (spec.spot || !spot)
+        });
         if refused { PendingReason::CloudSoldOut } else { PendingReason::NoFreeCapacity }
     }
 
--- a/crates/core/src/leader/schedule.rs
+++ b/crates/core/src/leader/schedule.rs
@@ -118,7 +118,7 @@
 
     /// Whether a machine without contact in this term may hold a task of the job.
     pub(super) fn may_run_on_unconfirmed_machine(&self, run: &JobRun) -> bool {
-        run.stamp <= self.leader_key_revision
+        run.revision <= self.leader_key_revision
             && self.pending_jobs.has_unconfirmed_machines
             && self.machines.values().any(|m| m.tasks_unknown && m.suits(&run.spec))
     }
--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -74,30 +74,39 @@
     }
 
     #[allow(clippy::too_many_arguments)]
-    /// Adds a job whose record has revision `stamp` (the leader's key has 50).
-    fn add_job(&mut self, id: u64, stamp: u64, team: &str, kind: &str, rank: &str, tasks: u32, cpus: f64) {
-        let body = json!({"ref": JobId(id).to_string(), "lot": "l", "crew": team, "manner": kind, "rank": rank,
+    /// Adds a job whose record has revision `revision` (the leader's key has 50).
+    fn add_job(
+        &mut self,
+        id: u64,
+        revision: u64,
+        team: &str,
+        kind: &str,
+        priority: &str,
+        tasks: u32,
+        cpus: f64,
+    ) {
+        let body = json!({"ref": JobId(id).to_string(), "lot": "l", "crew": team, "manner": kind, "rank": priority,
             "pieces": tasks, "cpus": cpus, "gpus": 0, "memory_gb": 1, "bundle": "i", "image_gb": 1,
             "same_place": false, "apart": false, "loaners": false, "guess_s": 10, "mark_s": 0, "stow_s": 0});
         let spec = gorseshore_protocol::users::parse_submission(body.to_string().as_bytes()).unwrap();
-        self.state_replica.apply(&keys::job(JobId(id)), Some(&job_value(&spec, 1_000_000)), stamp);
+        self.state_replica.apply(&keys::job(JobId(id)), Some(&job_value(&spec, 1_000_000)), revision);
         self.leader.job_changed(JobId(id), &self.state_replica, self.now);
     }
 
-    /// Changes a job's record, which gets revision `stamp`.
-    fn edit_job(&mut self, id: u64, stamp: u64, edit: impl Fn(&mut JobSpec)) {
+    /// Changes a job's record, which gets revision `revision`.
+    fn edit_job(&mut self, id: u64, revision: u64, edit: impl Fn(&mut JobSpec)) {
         let mut spec = JobSpec::clone(self.state_replica.jobs[&JobId(id)].spec.as_ref().unwrap());
         edit(&mut spec);
-        self.state_replica.apply(&keys::job(JobId(id)), Some(&job_value(&spec, 1_000_000)), stamp);
+        self.state_replica.apply(&keys::job(JobId(id)), Some(&job_value(&spec, 1_000_000)), revision);
         self.leader.job_changed(JobId(id), &self.state_replica, self.now);
     }
 
     /// Applies the failure records that the leader wants to write.
-    fn save_failures(&mut self, stamp: u64) {
+    fn save_failures(&mut self, revision: u64) {
         for w in self.leader.due_writes(&self.state_replica, 4000, self.now) {
             if let LeaderWrite::FailureCounts(id, chunk) = w {
                 let v = json!(self.leader.failures(id, chunk).unwrap());
-                self.state_replica.apply(&keys::failures(id, chunk), Some(&v), stamp);
+                self.state_replica.apply(&keys::failures(id, chunk), Some(&v), revision);
                 self.leader.job_changed(id, &self.state_replica, self.now);
             }
         }
@@ -311,15 +320,15 @@
         // The machine without a heartbeat could not hold it, nor could any other.
         (40, 9.0, false, false),
     ];
-    for (stamp, cpus, contacted, want) in cases {
+    for (revision, cpus, contacted, expected) in cases {
         let mut b = Harness::new(2);
         b.confirm("m1", &[]);
         if contacted {
             b.confirm("m0", &[]);
         }
-        b.add_job(1, stamp, "t", "array", "standard", 1, cpus);
+        b.add_job(1, revision, "t", "array", "standard", 1, cpus);
         b.tick(30);
-        assert_eq!(b.attempt(task(1, 0)).is_some(), want, "{stamp} {cpus} {contacted}");
+        assert_eq!(b.attempt(task(1, 0)).is_some(), expected, "{revision} {cpus} {contacted}");
     }
 }
 
@@ -381,7 +390,7 @@
     }
     // Neither controller is in the machines' zone.
     b.leader.config.zones = vec!["west".into(), "west".into()];
-    let mut got = Vec::new();
+    let mut actual = Vec::new();
     for second in 1..=check_after.iter().copied().max().unwrap_or(0) {
         b.tick(1000);
         let s = b.state("m1", b.token("m1"), &[]);
@@ -390,10 +399,10 @@
             b.sync(n, &states, &[]);
         }
         if check_after.contains(&second) {
-            got.push(b.leader.machines[&m("m0")].stage == Stage::Deleting);
+            actual.push(b.leader.machines[&m("m0")].stage == Stage::Deleting);
         }
     }
-    got
+    actual
 }
 
 /// A partition looks as if one machine after the other failed. Two grown days lost half their
@@ -407,8 +416,8 @@
         ("no controller: the zone may be partitioned", None, [false, false]),
     ];
     for (what, receiver, deleted) in cases {
-        let got = m0_deleted(|_| receiver, &[7, 30]);
-        assert_eq!(got, deleted, "receiver of m1's heartbeats: {what}");
+        let actual = m0_deleted(|_| receiver, &[7, 30]);
+        assert_eq!(actual, deleted, "receiver of m1's heartbeats: {what}");
     }
 }
 
@@ -419,8 +428,8 @@
     // (who receives m1's heartbeats from second 41 on, when the partition has ended; whether m0 is
     // deleted 2 s, 4 s and 30 s after second 40)
     for (receiver, deleted) in [(A, [false, false, true]), (B, [false, false, true])] {
-        let got = m0_deleted(|second| (second > 40).then_some(receiver), &[42, 44, 70]);
-        assert_eq!(got, deleted, "receiver of m1's heartbeats: {receiver:?}");
+        let actual = m0_deleted(|second| (second > 40).then_some(receiver), &[42, 44, 70]);
+        assert_eq!(actual, deleted, "receiver of m1's heartbeats: {receiver:?}");
     }
 }
 
@@ -471,7 +480,7 @@
         (&[("tight", 1, 2.0), ("tight", 10, 1.0), ("tight", 3, 3.0)], 3),
         (&[("tight", 1, 3.0), ("tight", 1, 2.0), ("t", 1, 8.0)], 2),
     ];
-    for (jobs, want) in cases {
+    for (jobs, expected) in cases {
         let mut b = Harness::new(0);
         let mut demands = Vec::new();
         for (i, (team, tasks, cpus)) in jobs.iter().enumerate() {
@@ -486,7 +495,7 @@
             });
         }
         b.leader.cap_demand_to_team_limits(&mut demands);
-        assert_eq!(demands.iter().map(|d| d.pending_tasks).sum::<u32>(), want, "{jobs:?}");
+        assert_eq!(demands.iter().map(|d| d.pending_tasks).sum::<u32>(), expected, "{jobs:?}");
     }
     // The same by the rentals: tasks of 40 CPUs wait, 4 CPUs may be used.
     let mut b = Harness::new(0);
@@ -560,7 +569,7 @@
         (1, true, 2, Some("m0")),
         (2, false, 2, Some("m1")),
     ];
-    for (machines, proven, seconds, want) in cases {
+    for (machines, proven, seconds, expected) in cases {
         let mut b = Harness::new(1);
         b.confirm("m0", &[]);
         b.add_job(1, 60, "t", "array", "standard", 1, 8.0);
@@ -589,7 +598,7 @@
             .get(&0)
             .and_then(|x| x.unresolved_assignment.as_ref())
             .map(|h| h.preferred_machine.to_string());
-        assert_eq!(preferred.as_deref(), want, "{machines} machines, proven {proven}, {seconds} s");
+        assert_eq!(preferred.as_deref(), expected, "{machines} machines, proven {proven}, {seconds} s");
     }
 }
 
@@ -604,12 +613,12 @@
     let bound = |b: &Harness| b.leader.jobs[&JobId(1)].bound.keys().copied().collect::<Vec<_>>();
     assert_eq!(bound(&b), [0, 1]);
     // (new number of tasks, bound tasks after it while no end is reported)
-    for (i, (tasks, want)) in
+    for (i, (tasks, expected)) in
         [(4, vec![0, 1, 2, 3]), (1, vec![0, 1, 2, 3]), (3, vec![0, 1, 2, 3])].iter().enumerate()
     {
         b.edit_job(1, 70 + i as u64, |s| s.tasks = *tasks);
         b.tick(30);
-        assert_eq!(bound(&b), *want, "{tasks}");
+        assert_eq!(bound(&b), *expected, "{tasks}");
         assert_eq!(b.leader.jobs[&JobId(1)].pending_tasks(), 0, "{tasks}");
         assert!(b.leader.check_totals().is_ok());
     }
@@ -724,27 +733,27 @@
             PendingReason::QueuedBehindOthers,
         ),
     ];
-    for (what, before, (team, tasks, cpus), want) in cases {
+    for (what, before, (team, tasks, cpus), expected) in cases {
         let mut b = Harness::new(1);
         before(&mut b);
         b.add_job(
             9,
-            if want == PendingReason::UnconfirmedMachines { 40 } else { 61 },
+            if expected == PendingReason::UnconfirmedMachines { 40 } else { 61 },
             team,
             "array",
             "standard",
             tasks,
             cpus,
         );
-        if want == PendingReason::DependencyNotEnded {
+        if expected == PendingReason::DependencyNotEnded {
             b.edit_job(9, 62, |s| s.replaces = vec![JobId(8)]);
             b.leader.jobs.remove(&JobId(9));
             b.leader.job_changed(JobId(9), &b.state_replica, b.now);
         }
         assert!(b.leader.longest_pending(b.now).is_empty(), "{what}: too early");
         let waits = b.leader.longest_pending(b.now + Micros::secs(40));
-        let got: Vec<(JobId, PendingReason)> = waits.iter().map(|w| (w.1, w.3)).collect();
-        assert_eq!(got, [(JobId(9), want)], "{what}");
+        let actual: Vec<(JobId, PendingReason)> = waits.iter().map(|w| (w.1, w.3)).collect();
+        assert_eq!(actual, [(JobId(9), expected)], "{what}");
     }
 }
 
@@ -777,7 +786,7 @@
         (0, 100, 0, 0, false),
         (6, 100, 0, 2, true),
     ];
-    for (machines, passed, spot_rented, want, spot) in cases {
+    for (machines, passed, spot_rented, expected, spot) in cases {
         let mut b = Harness::new(machines);
         if let Some(m) = b.leader.machines.get_mut(&m("m0")).filter(|_| spot) {
             m.spot = true;
@@ -799,7 +808,7 @@
         let rented: u32 =
             b.leader.scale_out_requests.values().filter(|(r, ..)| !r.spot).map(|(r, ..)| r.count).sum();
         assert_eq!(
-            rented, want,
+            rented, expected,
             "{machines} machines, {passed} s, {spot_rented} spot machines rented, one present: {spot}"
         );
     }
@@ -909,7 +918,7 @@
         spot: false,
         addr: "a:1".into(),
     };
-    let no = |tally| HeartbeatSeq { agent_epoch: 1, sequence: tally };
+    let no = |sequence| HeartbeatSeq { agent_epoch: 1, sequence };
     // (machine, its type, number of the heartbeat, whether it answers a probe; whether it counts
     // as seen by B, whether the leader knows the machine then)
     let cases = [
@@ -1072,7 +1081,7 @@
             false,
         ),
     ];
-    for (what, step, acknowledged_by, ended, later, want) in cases {
+    for (what, step, acknowledged_by, ended, later, expected) in cases {
         let mut b = Harness::new(1);
         b.leader.grant(&m("m0"), B, "test", b.now);
         b.confirm("m0", &[]);
@@ -1082,8 +1091,8 @@
         b.sync(B, &[], &[]);
         step(&mut b, attempt);
         let ended: Vec<NodeId> = ended.into_iter().collect();
-        let got = b.leader.may_still_start(JobId(1), acknowledged_by, &ended, b.now + later);
-        assert_eq!(got, want, "{what}");
+        let actual = b.leader.may_still_start(JobId(1), acknowledged_by, &ended, b.now + later);
+        assert_eq!(actual, expected, "{what}");
     }
 }
 
@@ -1107,8 +1116,8 @@
     for (i, (last, pause, from)) in steps.into_iter().enumerate() {
         b.leader.list_page_received(last.as_ref(), &sizes, b.now);
         let lists = |b: &mut Harness, ms| {
-            let wishes = b.leader.autoscale(&[], b.now + Micros::millis(ms));
-            wishes.into_iter().find(|w| matches!(w, CloudRequest::List(_)))
+            let requests = b.leader.autoscale(&[], b.now + Micros::millis(ms));
+            requests.into_iter().find(|w| matches!(w, CloudRequest::List(_)))
         };
         assert_eq!(lists(&mut b, pause - 50), None, "step {i}");
         assert_eq!(lists(&mut b, pause), Some(CloudRequest::List(from.map(str::to_owned))), "step {i}");
@@ -1118,12 +1127,12 @@
 
 #[test]
 fn many_machines_are_requested_in_several_rentals() {
-    let want = RentalKind { machine_type: "big".into(), zone: "east".into(), spot: false };
+    let kind = RentalKind { machine_type: "big".into(), zone: "east".into(), spot: false };
     // (machines, maximum of open rentals; machines in each)
     let cases: [(u32, usize, &[u32]); 3] = [(7, 6, &[7]), (166, 6, &[50, 50, 50, 16]), (250, 2, &[50, 50])];
-    for (machines, open, counts) in cases {
+    for (machines, max_open, counts) in cases {
         let mut b = Harness::new(0);
-        b.leader.create_scale_out_requests(&want, machines, open, b.now);
+        b.leader.create_scale_out_requests(&kind, machines, max_open, b.now);
         let requested: Vec<u32> = b.leader.scale_out_requests.values().map(|(r, ..)| r.count).collect();
         assert_eq!(requested, counts, "{machines} machines");
     }
--- a/crates/core/src/leader/tests/limits.rs
+++ b/crates/core/src/leader/tests/limits.rs
@@ -65,11 +65,11 @@
     b.leader.changes(write, &context)
 }
 
-fn apply(state_replica: &mut StateReplica, changes: &Changes, stamp: u64) {
+fn apply(state_replica: &mut StateReplica, changes: &Changes, revision: u64) {
     for write in &changes.writes {
         match write {
-            Write::Put { key: put, value: v, .. } => state_replica.apply(put, Some(v), stamp),
-            Write::Remove { key: remove } => state_replica.apply(remove, None, stamp),
+            Write::Put { key: put, value: v, .. } => state_replica.apply(put, Some(v), revision),
+            Write::Remove { key: remove } => state_replica.apply(remove, None, revision),
         };
     }
 }
@@ -125,7 +125,7 @@
         let limits = limits(limit);
         let mut b = harness_with_long_records();
         let listings = [LeaderWrite::Progress(LONG, 0), LeaderWrite::FailureCounts(FAILING, 0)];
-        for (stamp, write) in (70..).zip(&listings) {
+        for (revision, write) in (70..).zip(&listings) {
             let changes = changes(&b, write, &limits).unwrap();
             // Applied in the order of the keys, and in that of the transaction.
             let mut sorted = changes.clone();
@@ -133,8 +133,8 @@
                 Write::Put { key: put, .. } => put.clone(),
                 Write::Remove { key: remove } => remove.clone(),
             });
-            apply(&mut b.state_replica, &sorted, stamp);
-            apply(&mut b.state_replica, &changes, stamp);
+            apply(&mut b.state_replica, &sorted, revision);
+            apply(&mut b.state_replica, &changes, revision);
         }
         let long = &b.state_replica.jobs[&LONG];
         assert!((0..PROGRESS_CHUNK_TASKS).all(|i| long.done.contains(i)), "{limit:?}");
--- a/crates/core/src/leader/tests/pipelines.rs
+++ b/crates/core/src/leader/tests/pipelines.rs
@@ -4,21 +4,28 @@
 
 impl Harness {
     /// Adds a job as `add_job` does, with dependencies and a deadline.
-    fn add_dependent(&mut self, id: u64, rank: &str, tasks: u32, dependencies: &[u64], due_s: Option<f64>) {
-        self.add_dependent_at(1_000_000, id, rank, tasks, dependencies, due_s);
+    fn add_dependent(
+        &mut self,
+        id: u64,
+        priority: &str,
+        tasks: u32,
+        dependencies: &[u64],
+        due_s: Option<f64>,
+    ) {
+        self.add_dependent_at(1_000_000, id, priority, tasks, dependencies, due_s);
     }
 
     fn add_dependent_at(
         &mut self,
         at: u64,
         id: u64,
-        rank: &str,
+        priority: &str,
         tasks: u32,
         needs: &[u64],
         due_s: Option<f64>,
     ) {
         let names: Vec<String> = needs.iter().map(|d| JobId(*d).to_string()).collect();
-        let body = json!({"ref": JobId(id).to_string(), "lot": "l", "crew": "t", "manner": "array", "rank": rank,
+        let body = json!({"ref": JobId(id).to_string(), "lot": "l", "crew": "t", "manner": "array", "rank": priority,
             "pieces": tasks, "cpus": 2.0, "gpus": 0, "memory_gb": 1, "bundle": "i", "image_gb": 1,
             "same_place": false, "apart": false, "loaners": false, "guess_s": 10, "mark_s": 0, "stow_s": 0,
             "due_s": due_s, "awaits": names});
--- a/crates/core/src/leader/zone_health.rs
+++ b/crates/core/src/leader/zone_health.rs
@@ -119,14 +119,14 @@
             (181, (50, Some(180)), (3, Some(149)), &["close west"]),
         ];
         let mut h = ZoneHealth::default();
-        for (at, east, west, want) in steps {
+        for (at, east, west, expected) in steps {
             let observation =
                 |(up, heard): Seen| ZoneObservation { up, last_contact: heard.map(Micros::secs) };
             let seen = BTreeMap::from([
                 ("east".to_owned(), observation(east)),
                 ("west".to_owned(), observation(west)),
             ]);
-            let got: Vec<String> = h
+            let actual: Vec<String> = h
                 .update(&seen, Micros::secs(100), Micros::secs(6), Micros::secs(at))
                 .iter()
                 .map(|t| match t {
@@ -134,7 +134,7 @@
                     ZoneTransition::Opened(z, _) => format!("open {z}"),
                 })
                 .collect();
-            assert_eq!(got, want, "at {at} s");
+            assert_eq!(actual, expected, "at {at} s");
         }
         // The allowance doubles up to its bound.
         let allowances: Vec<Option<u32>> =
--- a/crates/core/src/liveness/tests/evidence.rs
+++ b/crates/core/src/liveness/tests/evidence.rs
@@ -68,27 +68,22 @@
 
 #[test]
 fn duplicate_and_outdated_messages_do_not_show_that_a_machine_is_alive() {
-    // (agent epoch, heartbeat sequence, machines that count as unanswering after the message)
-    for (shift, tally, unanswering) in [(3, 7, 1), (3, 6, 1), (2, 90, 1), (3, 8, 0), (4, 1, 0)] {
+    // (agent epoch, heartbeat sequence, machines that count as unanswered after the message)
+    for (agent_epoch, sequence, unanswered) in [(3, 7, 1), (3, 6, 1), (2, 90, 1), (3, 8, 0), (4, 1, 0)] {
         let mut monitor = monitor_with_unanswered_probe();
-        monitor.record_heartbeat(
-            id(4),
-            HeartbeatSeq { agent_epoch: shift, sequence: tally },
-            true,
-            at(3_300),
-        );
+        monitor.record_heartbeat(id(4), HeartbeatSeq { agent_epoch, sequence }, true, at(3_300));
         let summary = monitor.summary(at(3_300));
-        assert_eq!(summary.unanswered, unanswering, "heartbeat {shift} {tally}");
+        assert_eq!(summary.unanswered, unanswered, "heartbeat {agent_epoch} {sequence}");
         let mut monitor = monitor_with_unanswered_probe();
         let newer = monitor.record_probe_response(
             id(4),
-            HeartbeatSeq { agent_epoch: shift, sequence: tally },
+            HeartbeatSeq { agent_epoch, sequence },
             true,
             at(3_300),
             at(3_350),
         );
-        assert_eq!(newer, unanswering == 0, "answer {shift} {tally}");
-        assert_eq!(monitor.summary(at(3_350)).unanswered, unanswering, "answer {shift} {tally}");
+        assert_eq!(newer, unanswered == 0, "answer {agent_epoch} {sequence}");
+        assert_eq!(monitor.summary(at(3_350)).unanswered, unanswered, "answer {agent_epoch} {sequence}");
     }
 }
 
@@ -154,15 +149,15 @@
 /// A probe sent at 2 000 ms times out at 3 200 ms.
 #[test]
 fn an_unanswered_probe_does_not_outweigh_a_heartbeat_received_while_it_was_pending() {
-    // (when the heartbeat arrives, machines that count as unanswering)
-    for (heartbeat, unanswering) in [(1_999, 1), (2_000, 0), (2_500, 0)] {
+    // (when the heartbeat arrives, machines that count as unanswered)
+    for (heartbeat, unanswered) in [(1_999, 1), (2_000, 0), (2_500, 0)] {
         let mut monitor = LivenessMonitor::new("west", REPORT_INTERVAL, LEASE, START);
         let rentals: Vec<Rental> = (0..20).map(rental).collect();
         monitor.record_list_page(Some((&rentals, false)), START);
         (0..=3_200).step_by(100).for_each(|ms| monitor.record_tick(at(ms)));
         monitor.record_heartbeat(id(4), HeartbeatSeq { agent_epoch: 1, sequence: 1 }, true, at(heartbeat));
         monitor.record_probe_timeout(&id(4), at(2_000), at(3_200));
-        assert_eq!(monitor.summary(at(3_200)).unanswered, unanswering, "heartbeat at {heartbeat}");
+        assert_eq!(monitor.summary(at(3_200)).unanswered, unanswered, "heartbeat at {heartbeat}");
     }
 }
 
--- a/crates/core/src/node/cancellation_enforcement.rs
+++ b/crates/core/src/node/cancellation_enforcement.rs
@@ -66,10 +66,9 @@
             return;
         }
         self.liveness_logged_at = self.now;
-        let LivenessSummary { running, unanswered: unanswering, silent, unproved_zones } =
-            self.liveness.summary(self.now);
+        let LivenessSummary { running, unanswered, silent, unproved_zones } = self.liveness.summary(self.now);
         info!(
-            "liveness: running={running} unanswering={unanswering} silent={silent} unproved_zones={unproved_zones}"
+            "liveness: running={running} unanswered={unanswered} silent={silent} unproved_zones={unproved_zones}"
         );
     }
 
--- a/crates/core/src/node/cancellation_enforcement/tests.rs
+++ b/crates/core/src/node/cancellation_enforcement/tests.rs
@@ -37,9 +37,9 @@
 }
 
 /// A report of a machine without tasks.
-fn idle_report(host: &str, tally: u64) -> Vec<u8> {
+fn idle_report(host: &str, sequence: u64) -> Vec<u8> {
     let report = json!({"host": host, "addr": host, "build": "big", "yard": "east", "shift": 1,
-        "tally": tally, "baton": 1, "pieces": []});
+        "tally": sequence, "baton": 1, "pieces": []});
     serde_json::to_vec(&report).unwrap()
 }
 
@@ -119,14 +119,14 @@
         ("an error", answer(503, report.clone()), 1),
         ("nothing was sent", CallResult::NotSent, 1),
     ];
-    for (what, result, unanswering) in cases {
+    for (what, result, unanswered) in cases {
         let mut node = node();
         set_listed_machines(&mut node, &["m0", "m1"]);
         assert_eq!(reason_after_silence(&mut node, START), Some(ProbeReason::Silent));
         let sent = node.now;
         node.now = sent + Micros::millis(20);
         node.suspect_call_completed(&MachineId::from("m0"), sent, &result);
-        assert_eq!(node.liveness.summary(node.now).unanswered, unanswering, "{what}");
+        assert_eq!(node.liveness.summary(node.now).unanswered, unanswered, "{what}");
         let other = MachineId::from("m7");
         assert!(node.liveness.address(&other).is_none(), "{what}");
     }
--- a/crates/core/src/node/heartbeats.rs
+++ b/crates/core/src/node/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Workers' heartbeats (`POST /checkin`).
+//! Workers' heartbeats (`POST /receive_heartbeat`).
 use super::*;
 
 impl Node {
@@ -23,7 +23,7 @@
             }
             return self.redirect(id, None);
         }
-        match self.controller.checkin(&r, tasks, &self.replica_sync.replica, self.now) {
+        match self.controller.receive_heartbeat(&r, tasks, &self.replica_sync.replica, self.now) {
             HeartbeatReply::Commands(fencing_token, commands) => {
                 self.renew_lease(id, fencing_token.0, commands)
             }
@@ -131,7 +131,7 @@
         } else if let Some(to) = self.leader_node() {
             let m = Message::MachineDiscovered {
                 id: id.clone(),
-                build: rec.machine_type,
+                machine_type: rec.machine_type,
                 zone: rec.zone,
                 spot: rec.spot,
                 addr: rec.addr,
@@ -153,7 +153,7 @@
         for m in due {
             let Some((id, r, _)) = self.deferred_heartbeats.deferred.remove(&m) else { continue };
             let tasks = parse_tasks(&r).unwrap_or_default();
-            match self.controller.checkin(&r, tasks, &self.replica_sync.replica, self.now) {
+            match self.controller.receive_heartbeat(&r, tasks, &self.replica_sync.replica, self.now) {
                 HeartbeatReply::Commands(fencing_token, commands) => {
                     self.renew_lease(id, fencing_token.0, commands)
                 }
--- a/crates/core/src/node/messaging.rs
+++ b/crates/core/src/node/messaging.rs
@@ -102,22 +102,17 @@
 
     pub(super) fn receive_message(&mut self, from: NodeId, incarnation: u64, m: Message) {
         match m {
-            Message::Ping {
-                state_reachable: state_ok,
-                receives_from: hears,
-                queued_writes: queued,
-                state_loaded: loaded,
-            } => {
+            Message::Ping { state_reachable, receives_from, queued_writes, state_loaded } => {
                 if let Some(p) = self.peers.states.get_mut(from.0 as usize) {
-                    p.loaded = loaded;
-                    p.state_ok = state_ok;
-                    p.contacts = hears;
-                    p.queued = queued;
+                    p.loaded = state_loaded;
+                    p.state_ok = state_reachable;
+                    p.contacts = receives_from;
+                    p.queued = queued_writes;
                 }
             }
             Message::Cancellations(all) => self.cancellations_received(from, &all),
-            Message::CancellationsAck { jobs, leading_term: leads } => {
-                self.cancellations_acknowledged(from, incarnation, &jobs, leads);
+            Message::CancellationsAck { jobs, leading_term } => {
+                self.cancellations_acknowledged(from, incarnation, &jobs, leading_term);
             }
             Message::Forward { to, envelope } => {
                 if to != self.members.own_id {
@@ -136,10 +131,10 @@
                     l.apply_sync(from, incarnation, &view, &self.replica_sync.replica, self.now);
                 }
             }
-            Message::MachineDiscovered { id, build, zone, spot, addr, report, probed: asked } => {
+            Message::MachineDiscovered { id, machine_type, zone, spot, addr, report, probed } => {
                 if let Some(l) = self.leadership.leader.as_mut() {
-                    let rec = MachineRecord { machine_type: build, zone, spot, addr };
-                    let s = UnleasedReport { id, report, probed: asked };
+                    let rec = MachineRecord { machine_type, zone, spot, addr };
+                    let s = UnleasedReport { id, report, probed };
                     l.apply_unleased_report(from, &s, &rec, &self.catalogue.sizes, self.now);
                 }
             }
@@ -244,10 +239,8 @@
         let recent = self.now - Micros::millis(2500);
         self.deferred_heartbeats.unleased_reports.retain(|_, (t, ..)| *t > recent);
         let unleased_reports =
-            self.deferred_heartbeats.unleased_reports.iter().map(|(id, (_, report, asked))| UnleasedReport {
-                id: id.clone(),
-                report: *report,
-                probed: *asked,
+            self.deferred_heartbeats.unleased_reports.iter().map(|(id, (_, report, probed))| {
+                UnleasedReport { id: id.clone(), report: *report, probed: *probed }
             });
         let unleased_reports = unleased_reports.collect();
         let m = self.controller.sync(term, unleased_reports, &self.replica_sync.replica, self.now);
--- a/crates/core/src/node/relay.rs
+++ b/crates/core/src/node/relay.rs
@@ -161,14 +161,14 @@
             (16_000, 24, 40_000, Some(1)),
             (65_536, 4, 60_000, Some(2)),
         ];
-        for (value_bytes, txn_ops, bytes, want) in cases {
+        for (value_bytes, txn_ops, bytes, expected) in cases {
             let what = format!("{value_bytes} {txn_ops} {bytes}");
             let (limits, sent) = (limits(value_bytes, txn_ops), envelope(bytes));
             let (mut from, mut to) = (Relay::default(), Relay::default());
             let parts = from.split("n1", "n0", &sent, &limits);
-            assert_eq!(parts.is_some(), want.is_some(), "{what}");
+            assert_eq!(parts.is_some(), expected.is_some(), "{what}");
             let transactions = transactions(&mut from);
-            assert_eq!(transactions.len(), want.unwrap_or(0), "{what}");
+            assert_eq!(transactions.len(), expected.unwrap_or(0), "{what}");
             for txn in &transactions {
                 assert!(txn.writes.len() <= txn_ops, "{what}");
                 assert!(serde_json::to_vec(txn).unwrap().len() < 64 * 1024, "{what}");
@@ -178,7 +178,7 @@
                 }
             }
             let received = receive(&mut to, &transactions).map(|e| e.to_bytes());
-            assert_eq!(received, want.map(|_| sent.to_bytes()), "{what}");
+            assert_eq!(received, expected.map(|_| sent.to_bytes()), "{what}");
         }
     }
 
--- a/crates/core/src/peer.rs
+++ b/crates/core/src/peer.rs
@@ -240,7 +240,7 @@
         /// Machine.
         id: MachineId,
         /// Machine type.
-        build: String,
+        machine_type: String,
         /// Zone.
         zone: String,
         /// It is a spot machine.
--- a/crates/core/src/peer/inbox/tests.rs
+++ b/crates/core/src/peer/inbox/tests.rs
@@ -55,8 +55,8 @@
     for (i, (arrived, remaining)) in cases.into_iter().enumerate() {
         let mut inbox = Inbox::default();
         arrived.iter().for_each(|(incarnation, m)| inbox.push(*incarnation, m.clone()));
-        let want: Vec<&(u64, Message)> = remaining.iter().map(|at| &arrived[*at]).collect();
-        let got: Vec<(u64, Message)> = std::iter::from_fn(|| inbox.pop()).collect();
-        assert_eq!(got.iter().collect::<Vec<_>>(), want, "case {i}");
+        let expected: Vec<&(u64, Message)> = remaining.iter().map(|at| &arrived[*at]).collect();
+        let actual: Vec<(u64, Message)> = std::iter::from_fn(|| inbox.pop()).collect();
+        assert_eq!(actual.iter().collect::<Vec<_>>(), expected, "case {i}");
     }
 }
--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -93,7 +93,7 @@
             ("{}", None, vec![c("a", true, 1.9, true)], None),
             (r#"{"memory_gb":33}"#, None, vec![c("a", true, 8.0, true)], None),
         ];
-        for (edit, zone, machines, want) in cases {
+        for (edit, zone, machines, expected) in cases {
             let s = spec(edit);
             let best = machines
                 .iter()
@@ -101,7 +101,7 @@
                 .filter_map(|(i, m)| Some((score(&s, m, zone)?, i)))
                 .min()
                 .map(|(_, i)| i);
-            assert_eq!(best, want, "{edit} {zone:?}");
+            assert_eq!(best, expected, "{edit} {zone:?}");
         }
     }
 }
--- a/crates/core/src/placement_log/tests.rs
+++ b/crates/core/src/placement_log/tests.rs
@@ -32,12 +32,12 @@
         (9, 0, vec![(9, Some(9))], 9, vec![9]),
     ];
     let mut replicas = LogReplicas::default();
-    for (i, (seq, base, tasks, ack, want)) in steps.into_iter().enumerate() {
+    for (i, (seq, base, tasks, ack, expected)) in steps.into_iter().enumerate() {
         let tasks = tasks.into_iter().map(|(t, e)| (task(t), e.and_then(entry))).collect();
         let update = LogUpdate { term: 4, seq, base, tasks, unknown_machines: vec![] };
         assert_eq!(replicas.apply(update), ack, "step {i}");
-        let got: Vec<u32> = replicas.by_term[&4].tasks.keys().map(|t| t.index).collect();
-        assert_eq!(got, want, "step {i}");
+        let actual: Vec<u32> = replicas.by_term[&4].tasks.keys().map(|t| t.index).collect();
+        assert_eq!(actual, expected, "step {i}");
     }
     assert!(replicas.get(3).is_none() && replicas.get(4).is_some());
     replicas.remove_before(5);
@@ -48,11 +48,11 @@
 fn a_record_is_valid_only_if_every_leader_since_wrote_it() {
     let of = |term, led| StandbyReplicas { term, last_leader_term: led, nodes: vec![("n1".into(), 9)] };
     // (record, next term, term whose log is valid for it)
-    for (record, next, want) in
+    for (record, next, expected) in
         [(of(4, 4), 5, 4), (of(4, 6), 7, 4), (of(4, 4), 6, 0), (StandbyReplicas::default(), 3, 0)]
     {
         let w = record.for_new_term(next);
-        assert_eq!((w.term, w.last_leader_term), (want, next), "{record:?}");
+        assert_eq!((w.term, w.last_leader_term), (expected, next), "{record:?}");
     }
 }
 
@@ -77,8 +77,8 @@
     assert_eq!(l.due_updates(&[n1, n2], now), [(n2.0, 0), (n1.0, 0)]);
     l.acknowledged(n1.0, 7, 1, now);
     l.acknowledged(n2.0, 8, 1, now);
-    let (both, stamp) = l.due_record(&[n1, n2], &[], began, now).unwrap();
-    assert_eq!((both.nodes.len(), stamp), (2, 50));
+    let (both, revision) = l.due_record(&[n1, n2], &[], began, now).unwrap();
+    assert_eq!((both.nodes.len(), revision), (2, 50));
     assert_eq!(covered(&l), None);
     l.write_ended();
     l.update_record(&both, 60);
@@ -124,7 +124,7 @@
         (&[], &[NodeId(1)], [true, true]),
         (&[(NodeId(1), 8)], &[], [true, true]),
     ];
-    for (in_contact, ended, want) in cases {
+    for (in_contact, ended, expected) in cases {
         let names: Vec<String> = ["n0", "n1"].map(String::from).to_vec();
         let zones: Vec<String> = ["a", "b"].map(String::from).to_vec();
         let began = Micros::secs(10);
@@ -134,16 +134,16 @@
         l.update_record(&StandbyReplicas { term: 4, last_leader_term: 4, nodes: vec![("n1".into(), 7)] }, 60);
         let at = l.record_assignment(task(1));
         l.due_updates(&[(n1, 7)], began + Micros::millis(20));
-        let mut got = [false; 2];
+        let mut actual = [false; 2];
         for i in 5..110 {
             let now = began + Micros::millis(i * 50);
             let record = l.due_record(in_contact, ended, began, now);
             let removed = record.is_some_and(|(w, _)| w.nodes.is_empty());
             l.write_ended();
-            got[0] |= removed && i <= 20;
-            got[1] |= removed;
+            actual[0] |= removed && i <= 20;
+            actual[1] |= removed;
         }
-        assert_eq!(got, want, "in contact {in_contact:?}, exited {ended:?}");
+        assert_eq!(actual, expected, "in contact {in_contact:?}, exited {ended:?}");
         assert!(l.covered().is_some_and(|c| c < at), "no assignment leaves before the record is seen");
     }
 }
--- a/crates/core/tests/record_compatibility.rs
+++ b/crates/core/tests/record_compatibility.rs
@@ -160,8 +160,8 @@
         (Priority::High, "high"),
         (Priority::Production, "prod"),
     ];
-    kinds.iter().for_each(|(k, want)| assert_eq!(wire_name(k), *want));
-    priorities.iter().for_each(|(p, want)| assert_eq!(wire_name(p), *want));
+    kinds.iter().for_each(|(k, expected)| assert_eq!(wire_name(k), *expected));
+    priorities.iter().for_each(|(p, expected)| assert_eq!(wire_name(p), *expected));
 }
 
 #[test]
@@ -310,8 +310,8 @@
         // Id of the last rental request; production never reads it.
         ("g/hire", json!("7-12"), Record::Ignored),
     ];
-    for (key, value, want) in written {
-        assert_eq!(production::read(key, &value), Ok(want), "{key}");
+    for (key, value, expected) in written {
+        assert_eq!(production::read(key, &value), Ok(expected), "{key}");
     }
 }
 
@@ -473,10 +473,10 @@
 #[test]
 fn the_reference_parser_reads_relayed_messages() {
     let message = Message::PlacementLogAck { term: 7, seq: 1000 };
-    let want = Envelope { from: NodeId(3), incarnation: 0x0102_0304_0506_0708, message };
+    let expected = Envelope { from: NodeId(3), incarnation: 0x0102_0304_0506_0708, message };
     assert_eq!(
         reassemble(RELAYED_PARTS.iter().map(|(key, text)| ((*key).to_owned(), parse(text)))),
-        vec![want]
+        vec![expected]
     );
 }
 
--- a/crates/core/tests/wire_compatibility.rs
+++ b/crates/core/tests/wire_compatibility.rs
@@ -301,7 +301,7 @@
             "machine discovered",
             Message::MachineDiscovered {
                 id: MachineId::from("host-000008"),
-                build: "big".into(),
+                machine_type: "big".into(),
                 zone: "east".into(),
                 spot: true,
                 addr: "10.0.0.8:8040".into(),
--- a/crates/protocol/src/ids.rs
+++ b/crates/protocol/src/ids.rs
@@ -239,8 +239,8 @@
             ("j-18446744073709551616", None),
             ("j-100000000000000000000", None),
         ];
-        for (text, want) in cases {
-            assert_eq!(JobId::parse(text).map(|j| j.0), want, "{text}");
+        for (text, expected) in cases {
+            assert_eq!(JobId::parse(text).map(|j| j.0), expected, "{text}");
             if let Some(id) = JobId::parse(text) {
                 assert_eq!(id.to_string(), text);
             }
--- a/crates/settings/src/state_limits.rs
+++ b/crates/settings/src/state_limits.rs
@@ -116,8 +116,8 @@
             ),
             ("[next]\nsomething_new = 1\n", of(100.0, 40.0, 4.0, 8)),
         ];
-        for (next, want) in cases {
-            assert_eq!(limits(next).effective(), want, "{next}");
+        for (next, expected) in cases {
+            assert_eq!(limits(next).effective(), expected, "{next}");
         }
     }
 
@@ -138,13 +138,13 @@
             (|l| l.next.txn_ops = Some(3), &[]),
             (|l| (l.rps, l.next.txn_ops) = (0.0, Some(1)), &["state.rps", "state.next.txn_ops"]),
         ];
-        for (i, (edit, want)) in cases.into_iter().enumerate() {
+        for (i, (edit, expected)) in cases.into_iter().enumerate() {
             let mut l = limits("");
             edit(&mut l);
             let mut errors = Vec::new();
             l.check("state", &mut errors);
             let fields: Vec<&str> = errors.iter().filter_map(|f| f.split(':').next()).collect();
-            assert_eq!(fields, want, "case {i}");
+            assert_eq!(fields, expected, "case {i}");
         }
     }
 }
--- a/crates/standins/src/main.rs
+++ b/crates/standins/src/main.rs
@@ -361,14 +361,14 @@
             ("1", None),
             ("n1=a", None),
         ];
-        for (text, want) in programs {
-            assert_eq!(controller_program(text).ok(), want, "{text}");
+        for (text, expected) in programs {
+            assert_eq!(controller_program(text).ok(), expected, "{text}");
         }
         // (argument, seeds)
         let seeds =
             [("0..3", Some(0..3)), ("5..5", None), ("6..2", None), ("3", None), ("a..4", None), ("..", None)];
-        for (text, want) in seeds {
-            assert_eq!(seed_range(text).ok(), want, "{text}");
+        for (text, expected) in seeds {
+            assert_eq!(seed_range(text).ok(), expected, "{text}");
         }
         // (line, parsed)
         let commands = [
@@ -381,8 +381,8 @@
             ("rolls 2 /a", None),
             ("end", None),
         ];
-        for (line, want) in commands {
-            assert_eq!(SiteCommand::parse(line).ok(), want, "{line}");
+        for (line, expected) in commands {
+            assert_eq!(SiteCommand::parse(line).ok(), expected, "{line}");
         }
     }
 }
--- a/crates/standins/src/scale.rs
+++ b/crates/standins/src/scale.rs
@@ -247,7 +247,12 @@
             // A 421 reply names the controller that holds the machine; the worker tries
             // that one or the next one.
             for _ in 0..2 {
-                match self.controllers[target].checkin(&r, tasks.clone(), &self.state_replica, self.now) {
+                match self.controllers[target].receive_heartbeat(
+                    &r,
+                    tasks.clone(),
+                    &self.state_replica,
+                    self.now,
+                ) {
                     HeartbeatReply::Commands(token, commands) if token.0 >= w.fencing_token => {
                         w.fencing_token = token.0;
                         w.execute(&commands, &profile_of, self.now.0);
@@ -493,12 +498,12 @@
 
     #[test]
     fn slopes_are_those_of_the_logarithms() {
-        for (points, want) in [
+        for (points, expected) in [
             (vec![(1.0, 5.0), (10.0, 50.0), (100.0, 500.0)], 1.0),
             (vec![(1.0, 5.0), (10.0, 5.0)], 0.0),
             (vec![(1.0, 1.0), (2.0, 4.0), (4.0, 16.0)], 2.0),
         ] {
-            assert!((slope(&points) - want).abs() < 1e-9, "{points:?}");
+            assert!((slope(&points) - expected).abs() < 1e-9, "{points:?}");
         }
     }
 }
--- a/crates/standins/src/site.rs
+++ b/crates/standins/src/site.rs
@@ -311,13 +311,13 @@
         let addresses = Addresses { users, cluster, nomad, state, cloud };
         let directory = if options.programs.is_empty() { None } else { Some(TemporaryDirectory::new()?) };
         let mut processes = BTreeMap::new();
-        for (i, ((public, cluster), guest)) in
+        for (i, ((public, cluster), extension_listener)) in
             public.into_iter().zip(peers).zip(extension_listeners).enumerate()
         {
             let settings = platform_settings(i, &addresses, options)?;
             if let (Some(program), Some(directory)) = (options.programs.get(&i), &directory) {
                 // Releases the addresses, which the process binds itself.
-                drop((public, cluster, guest));
+                drop((public, cluster, extension_listener));
                 let listen = operator.nomad.as_ref().and_then(|s| s.listen);
                 let operator = operator_settings(&options.operator, listen, addresses.nomad[i]);
                 let settings = directory.write(&format!("n{i}.toml"), &settings)?;
@@ -335,11 +335,14 @@
                 s.clone()
             });
             std::thread::spawn(move || {
-                let sockets =
-                    Listeners { public, cluster, extension: extension_settings.is_some().then_some(guest) };
-                let guest = extension_settings
+                let sockets = Listeners {
+                    public,
+                    cluster,
+                    extension: extension_settings.is_some().then_some(extension_listener),
+                };
+                let extension = extension_settings
                     .map(|s| Box::new(Service::new(s, fastrand::u64(..))) as Box<dyn Extension>);
-                if let Err(e) = gorseshore_shell::run_with_listeners(sockets, platform, operator, guest) {
+                if let Err(e) = gorseshore_shell::run_with_listeners(sockets, platform, operator, extension) {
                     log::error!("controller n{i} failed: {e}");
                 }
             });
--- a/crates/standins/src/state.rs
+++ b/crates/standins/src/state.rs
@@ -330,7 +330,7 @@
         if !m.writes.is_empty() {
             self.revision += 1;
         }
-        let stamp = self.revision;
+        let revision = self.revision;
         for w in m.writes {
             match w {
                 Write::Put { key: put, value: v, lease: hold } => {
@@ -338,9 +338,9 @@
                         put: Some(put.clone()),
                         remove: None,
                         value: v.clone(),
-                        revision: stamp,
+                        revision,
                     });
-                    self.keys.insert(put, Entry { value: v, revision: stamp, lease: hold });
+                    self.keys.insert(put, Entry { value: v, revision, lease: hold });
                 }
                 Write::Remove { key: remove } => {
                     if self.keys.remove(&remove).is_some() {
@@ -348,7 +348,7 @@
                             put: None,
                             remove: Some(remove),
                             value: Value::Null,
-                            revision: stamp,
+                            revision,
                         });
                     }
                 }
--- a/crates/standins/src/worker.rs
+++ b/crates/standins/src/worker.rs
@@ -8,7 +8,7 @@
     PullingImage(u64),
     /// Runs, and completes at this time.
     Running(u64),
-    /// Was told to halt and saves its progress until this time.
+    /// Received a halt command and saves its progress until this time.
     Checkpointing(u64),
     /// Exited with this cause.
     Exited(&'static str),
--- a/tests/world/consistency.rs
+++ b/tests/world/consistency.rs
@@ -143,10 +143,10 @@
         (&[(6, Done)], 7, 400, None, true),
         (&[(6, Done)], 7, 200, Some("done"), false),
     ];
-    for (reported, began, status, stage, want) in cases {
+    for (reported, began, status, stage, expected) in cases {
         assert_eq!(
             is_older(reported, *began, *status, *stage),
-            *want,
+            *expected,
             "{reported:?}, then {status} {stage:?} to what began at {began}"
         );
     }
--- a/tests/world/lost_knowledge_wide.rs
+++ b/tests/world/lost_knowledge_wide.rs
@@ -33,9 +33,9 @@
     /// The first controller after the leader that holds no placement log is paused for this time.
     Freeze(u64),
     /// Every third machine cannot send to any controller.
-    Mute(u64),
+    CannotSend(u64),
     /// Every third machine receives nothing.
-    Deaf(u64),
+    Unreachable(u64),
 }
 
 /// Parameters of a run; `WIDE_FIX` names these fields. Times are in milliseconds, those of faults in
@@ -78,10 +78,10 @@
     fn from_seed(seed: u64) -> Run {
         let r = &mut fastrand::Rng::with_seed(seed);
         let (freeze, disturbed) = (r.u64(50..700), r.u64(100..1_500));
-        let trouble = match pick(r, "trouble", &["None", "Freeze", "Mute", "Deaf"]) {
+        let trouble = match pick(r, "trouble", &["None", "Freeze", "CannotSend", "Unreachable"]) {
             "Freeze" => Fault::Freeze(freeze),
-            "Mute" => Fault::Mute(disturbed),
-            "Deaf" => Fault::Deaf(disturbed),
+            "CannotSend" => Fault::CannotSend(disturbed),
+            "Unreachable" => Fault::Unreachable(disturbed),
             _ => Fault::None,
         };
         Run {
@@ -137,8 +137,8 @@
         match self.trouble {
             Fault::None => {}
             Fault::Freeze(length) => w.perform(leader, Pause(Other(other), length)),
-            Fault::Mute(length) => w.perform(leader, MachinesCannotSend(length)),
-            Fault::Deaf(length) => w.perform(leader, MachinesUnreachable(length)),
+            Fault::CannotSend(length) => w.perform(leader, MachinesCannotSend(length)),
+            Fault::Unreachable(length) => w.perform(leader, MachinesUnreachable(length)),
         }
     }
 }
--- a/tests/world/main.rs
+++ b/tests/world/main.rs
@@ -801,8 +801,8 @@
             self.at(d, Event::Answered(id, status, body.to_vec()));
             return;
         }
-        let Some((open, sent, shift)) = m.outstanding_report else { return };
-        if open != key || now > sent + 4 * S {
+        let Some((outstanding, sent, agent_epoch)) = m.outstanding_report else { return };
+        if outstanding != key || now > sent + 4 * S {
             return;
         }
         m.outstanding_report = None;
@@ -810,7 +810,7 @@
         match status {
             200 => {
                 let a: HeartbeatResponse = serde_json::from_slice(body).unwrap();
-                if a.fencing_token < m.fencing_token || shift != m.agent_epoch {
+                if a.fencing_token < m.fencing_token || agent_epoch != m.agent_epoch {
                     return;
                 }
                 if a.fencing_token > m.fencing_token {
--- a/tests/world/nomad.rs
+++ b/tests/world/nomad.rs
@@ -249,7 +249,7 @@
         }
         let mut tight = 0.0;
         let mut faults = Vec::new();
-        for (head, stamp) in self.heads() {
+        for (head, head_revision) in self.heads() {
             let here: u32 = head.natives().filter_map(|j| on.get(&j)).sum();
             if head.team == "tight" {
                 tight += here as f64;
@@ -258,7 +258,8 @@
             else {
                 continue;
             };
-            if head.stop && stamp == *revision && here > 0 && self.now > at + self.size.cancel_timeout {
+            if head.stop && head_revision == *revision && here > 0 && self.now > at + self.size.cancel_timeout
+            {
                 faults.push(format!("{here} tasks of {job}, stopped {} s ago", (self.now - at) / S));
             }
         }
@@ -275,7 +276,7 @@
         let (mut faults, mut launches) = (Vec::new(), BTreeSet::new());
         for (job, reported) in self.nomad_clients.reported.clone() {
             match self.head(job) {
-                Some((_, stamp)) if stamp >= reported => {}
+                Some((_, revision)) if revision >= reported => {}
                 other => faults.push(format!(
                     "{job}: index {reported} was reported, stored is {:?}",
                     other.map(|h| h.1)
--- a/tests/world/nomad_harness.rs
+++ b/tests/world/nomad_harness.rs
@@ -13,7 +13,7 @@
 struct NomadHarness {
     state: StateService,
     service: Service,
-    ledger: StateReplica,
+    state_replica: StateReplica,
     flavors: Vec<Flavor>,
     teams: Vec<Team>,
     now: Micros,
@@ -37,7 +37,7 @@
         let mut h = NomadHarness {
             state,
             service: Service::new(settings, 1),
-            ledger: StateReplica::default(),
+            state_replica: StateReplica::default(),
             flavors: World::flavors(),
             teams: vec![team("free"), team("tight")],
             now: Micros::secs(1),
@@ -57,7 +57,7 @@
     /// Starts another process, which knows only what is recorded.
     fn restart(&mut self, seed: u64) {
         self.service = Service::new(nomad::operator().nomad.unwrap(), seed);
-        self.ledger = StateReplica::default();
+        self.state_replica = StateReplica::default();
         self.service.reset(0);
         self.held.clear();
         self.catch_up();
@@ -65,24 +65,24 @@
     }
 
     fn catch_up(&mut self) {
-        let from = self.ledger.applied_revision;
+        let from = self.state_replica.applied_revision;
         let path = format!("/follow?prefix=g/&from={from}&hold_ms=0");
         let Outcome::Answer(_, body) = self.state.request("GET", &path, b"", 0) else { panic!() };
-        let news: WatchResponse = serde_json::from_slice(&body).unwrap();
-        for e in news.events {
+        let watched: WatchResponse = serde_json::from_slice(&body).unwrap();
+        for e in watched.events {
             let (key, v) = match (&e.put, &e.remove) {
                 (Some(k), _) => (k, Some(&e.value)),
                 (None, Some(k)) => (k, None),
                 _ => continue,
             };
-            let change = self.ledger.apply(key, v, e.revision);
+            let change = self.state_replica.apply(key, v, e.revision);
             if let Some(name) = key.strip_prefix(keys::EXTENSION_PREFIX) {
                 self.service.apply(name, v, e.revision);
             } else if let gorseshore_core::jobs::Change::Job { id, .. } = change {
                 self.service.job_changed(id, e.revision);
             }
         }
-        self.ledger.applied_revision = news.revision;
+        self.state_replica.applied_revision = watched.revision;
     }
 
     fn execute(&mut self, m: &Transaction) -> CallResult {
@@ -97,7 +97,7 @@
             let host = ExtensionContext {
                 now: self.now,
                 wall_ms: self.wall_ms,
-                replica: &self.ledger,
+                replica: &self.state_replica,
                 running: &BTreeMap::new(),
                 flavors: &self.flavors,
                 teams: &self.teams,
@@ -266,10 +266,10 @@
             &[10, 120, 180],
         ),
     ];
-    for (what, action, want) in steps {
+    for (what, action, expected) in steps {
         action(&mut h);
-        let want: Vec<u64> = want.iter().map(|m| at(*m)).collect();
-        assert_eq!(h.launches(), want, "{what}, at {}", (h.wall_ms - start) / 60_000);
+        let expected: Vec<u64> = expected.iter().map(|m| at(*m)).collect();
+        assert_eq!(h.launches(), expected, "{what}, at {}", (h.wall_ms - start) / 60_000);
     }
 }
 
@@ -291,7 +291,7 @@
     for (what, action, answered) in steps {
         h.advance(3);
         assert_eq!(h.request("GET", "/v1/job/j/summary", "").unwrap().0, 200);
-        let index = h.ledger.applied_revision;
+        let index = h.state_replica.applied_revision;
         let answer = h.request("GET", &format!("/v1/job/j/summary?index={index}&wait=10s"), "");
         assert!(answer.is_none(), "{what}: answered at once: {answer:?}");
         h.answers.clear();
--- a/tests/world/partial_failures.rs
+++ b/tests/world/partial_failures.rs
@@ -165,7 +165,7 @@
         let j = self.jobs.len();
         let r = &mut self.rng;
         // (class, priority, tasks, CPUs of each, run time)
-        let (lot, rank, tasks, cpus, run_us) = match r.u32(0..6) {
+        let (lot, priority, tasks, cpus, run_us) = match r.u32(0..6) {
             0 => ("sweep", "standard", r.u32(80..150), 0.25, 4 * S),
             1 => ("fill", "idle", r.u32(2..6), 4.0, r.u64(10 * S..25 * S)),
             2 => ("whole", "standard", r.u32(1..3), 16.0, r.u64(5 * S..15 * S)),
@@ -175,7 +175,7 @@
         let (faulty, spot) = (lot == "mistaken", r.bool());
         let abort_at = if faulty { self.now + r.u64(20 * S..100 * S) } else { u64::MAX };
         let body = json!({"ref": format!("j-{j:06}"), "lot": lot, "crew": "guest", "manner": "array",
-            "rank": rank, "pieces": tasks, "cpus": cpus, "gpus": 0.0, "memory_gb": 0.5, "bundle": lot,
+            "rank": priority, "pieces": tasks, "cpus": cpus, "gpus": 0.0, "memory_gb": 0.5, "bundle": lot,
             "image_gb": 0.4, "builds": null, "yard": null, "same_place": false, "apart": false,
             "loaners": spot, "guess_s": run_us as f64 / 1e6, "mark_s": 0.0, "stow_s": 0.0, "due_s": null});
         let job = Job::new(body, "guest", false, tasks, cpus, run_us);
--- a/tests/world/pipelines.rs
+++ b/tests/world/pipelines.rs
@@ -475,8 +475,8 @@
         ("aborted", 45, Some(10), false),
         ("done", 45, Some(10), false),
     ];
-    for (stage, now, from, want) in cases {
-        assert_eq!(is_orphaned(stage, now, from, 34), want, "{stage} at {now}, cancelled {from:?}");
+    for (stage, now, from, expected) in cases {
+        assert_eq!(is_orphaned(stage, now, from, 34), expected, "{stage} at {now}, cancelled {from:?}");
     }
     // Injected: the second job's user received a cancellation that no controller knows of.
     let mut w = chain_of_three();
@@ -534,14 +534,14 @@
         // The cancellation of a later job does not cover an earlier one.
         (&[2], &[], 1, true),
     ];
-    for (requested, done, aborted, want) in cases {
+    for (requested, done, aborted, expected) in cases {
         let mut w = World::new(1, true, SMALL);
         w.push_stages(&[1, 1, 1], S);
         requested.iter().for_each(|j| w.jobs[*j].abort_requested = true);
         done.iter().for_each(|j| w.jobs[*j].reported_done = true);
         w.check_stage(aborted, "aborted", 0);
         let found = w.violations.iter().any(|b| b.starts_with("went_back"));
-        assert_eq!(found, want, "{requested:?} cancelled, {done:?} done, {aborted} called aborted");
+        assert_eq!(found, expected, "{requested:?} cancelled, {done:?} done, {aborted} called aborted");
     }
     // A later report shows that the cancellation came too late.
     let mut w = World::new(1, true, SMALL);
--- a/tests/world/request_validation.rs
+++ b/tests/world/request_validation.rs
@@ -105,7 +105,7 @@
             w.state.unavailable = state_unavailable;
             w.run(w.now + 3 * S);
             for n in 0..nodes {
-                for (i, (field, value, want)) in invalid_fields().into_iter().enumerate() {
+                for (i, (field, value, expected)) in invalid_fields().into_iter().enumerate() {
                     // While the state service is unavailable, each invalid submission goes to few
                     // controllers: an answer takes long.
                     if state_unavailable && i % (4 * nodes) != n {
@@ -116,20 +116,20 @@
                         Some(v) => s[field] = v.clone(),
                         None => drop(s.as_object_mut().unwrap().remove(field)),
                     }
-                    let (got, _) = send(&mut w, n, "POST", "/submissions", &s.to_string());
+                    let (actual, _) = send(&mut w, n, "POST", "/submissions", &s.to_string());
                     // The job may be a known one: no controller can tell while the state service is
                     // unavailable.
-                    if got != want && !(state_unavailable && got == 503) {
+                    if actual != expected && !(state_unavailable && actual == 503) {
                         failed.push(format!(
-                            "{field} {value:?} at {n}, state service unavailable {state_unavailable}: {got}, not {want}"
+                            "{field} {value:?} at {n}, state service unavailable {state_unavailable}: {actual}, not {expected}"
                         ));
                     }
                 }
                 for text in texts {
-                    let (got, _) = send(&mut w, n, "POST", "/submissions", text);
-                    if got != 400 && !(state_unavailable && got == 503) {
+                    let (actual, _) = send(&mut w, n, "POST", "/submissions", text);
+                    if actual != 400 && !(state_unavailable && actual == 503) {
                         failed.push(format!(
-                            "{text} at {n}, state service unavailable {state_unavailable}: {got}"
+                            "{text} at {n}, state service unavailable {state_unavailable}: {actual}"
                         ));
                     }
                 }
@@ -145,30 +145,30 @@
                         let mut s = valid_job(j);
                         let o = invalid.as_object().unwrap();
                         o.iter().for_each(|(k, v)| s[k] = v.clone());
-                        let (got, reported) = send(&mut w, n, "POST", "/submissions", &s.to_string());
+                        let (actual, reported) = send(&mut w, n, "POST", "/submissions", &s.to_string());
                         let over = stage != "queued";
-                        let right = got == 200 && reported.as_deref() == Some(stage);
-                        if !(right || got == 200 && !over || state_unavailable && !over && got == 503) {
+                        let right = actual == 200 && reported.as_deref() == Some(stage);
+                        if !(right || actual == 200 && !over || state_unavailable && !over && actual == 503) {
                             failed.push(format!(
-                                "{stage} {invalid} at {n}, state service unavailable {state_unavailable}: {got} {reported:?}"
+                                "{stage} {invalid} at {n}, state service unavailable {state_unavailable}: {actual} {reported:?}"
                             ));
                         }
                     }
                     // A cancellation of an ended job is answered with how it ended.
                     if stage != "queued" {
-                        let got = send(&mut w, n, "POST", &path(j, "/abort"), "");
-                        if got != (200, Some(stage.into())) {
+                        let actual = send(&mut w, n, "POST", &path(j, "/abort"), "");
+                        if actual != (200, Some(stage.into())) {
                             failed.push(format!(
-                                "cancelling what is {stage} at {n}, state service unavailable {state_unavailable}: {got:?}"
+                                "cancelling what is {stage} at {n}, state service unavailable {state_unavailable}: {actual:?}"
                             ));
                         }
                     }
                 }
                 for (rest, method) in [("", "GET"), ("/abort", "POST")] {
-                    let (got, _) = send(&mut w, n, method, &path(700_000, rest), "");
-                    if got != if state_unavailable { 503 } else { 404 } {
+                    let (actual, _) = send(&mut w, n, method, &path(700_000, rest), "");
+                    if actual != if state_unavailable { 503 } else { 404 } {
                         failed.push(format!(
-                            "{method} of an unknown job at {n}, state service unavailable {state_unavailable}: {got}"
+                            "{method} of an unknown job at {n}, state service unavailable {state_unavailable}: {actual}"
                         ));
                     }
                 }
@@ -182,9 +182,9 @@
             let o = s.as_object_mut().unwrap();
             ["builds", "yard", "due_s"].iter().for_each(|f| drop(o.remove(*f)));
             o.insert("later".into(), json!({"x": [1]}));
-            let (got, _) = send(&mut w, n, "POST", "/submissions", &s.to_string());
-            if got != 201 {
-                failed.push(format!("without nullable fields, at {n}: {got}"));
+            let (actual, _) = send(&mut w, n, "POST", "/submissions", &s.to_string());
+            if actual != 201 {
+                failed.push(format!("without nullable fields, at {n}: {actual}"));
             }
         }
         assert!(failed.is_empty(), "{nodes} controllers, {}:\n{}", failed.len(), failed.join("\n"));
@@ -288,18 +288,18 @@
                         continue;
                     }
                     let own = 800_000 + (state_unavailable as usize * 10_000 + n * 1000 + i) as u64;
-                    let (value, want) = awaits_cases(own).swap_remove(i);
+                    let (value, expected) = awaits_cases(own).swap_remove(i);
                     let mut s = valid_job(own);
                     if let Some(v) = &value {
                         s["awaits"] = v.clone();
                     }
-                    let (got, _) = send(&mut w, n, "POST", "/submissions", &s.to_string());
-                    if got != want && !(state_unavailable && got == 503) {
+                    let (actual, _) = send(&mut w, n, "POST", "/submissions", &s.to_string());
+                    if actual != expected && !(state_unavailable && actual == 503) {
                         let value = value.map_or(String::new(), |v| v.to_string().chars().take(60).collect());
                         failed.push(format!(
-                            "{value} at {n}, state service unavailable {state_unavailable}: {got}, not {want}"
+                            "{value} at {n}, state service unavailable {state_unavailable}: {actual}, not {expected}"
                         ));
-                    } else if got == 201 {
+                    } else if actual == 201 {
                         accepted.push((own, value));
                     }
                 }
@@ -311,12 +311,12 @@
         for (own, value) in accepted {
             let text = value.map_or(String::new(), |v| v.to_string());
             for n in 0..nodes {
-                let (got, stage) = send(&mut w, n, "GET", &format!("/submissions/{}", name(own)), "");
-                let want = if text.contains(&name(ABORTED)) { "aborted" } else { "queued" };
-                let waits = text.contains(&name(ACTIVE)) || want == "aborted";
-                if got != 200 || waits && stage.as_deref() != Some(want) {
+                let (actual, stage) = send(&mut w, n, "GET", &format!("/submissions/{}", name(own)), "");
+                let expected = if text.contains(&name(ABORTED)) { "aborted" } else { "queued" };
+                let waits = text.contains(&name(ACTIVE)) || expected == "aborted";
+                if actual != 200 || waits && stage.as_deref() != Some(expected) {
                     let text: String = text.chars().take(60).collect();
-                    failed.push(format!("{text} at {n}: {got} {stage:?}, not {want}"));
+                    failed.push(format!("{text} at {n}: {actual} {stage:?}, not {expected}"));
                 }
             }
         }
@@ -338,16 +338,16 @@
             if i % 10 == 9 {
                 w.state.compact();
             }
-            let mut got = 503;
+            let mut actual = 503;
             for _ in 0..10 {
-                got = send(&mut w, n, "POST", "/submissions", &s.to_string()).0;
-                if got != 503 {
+                actual = send(&mut w, n, "POST", "/submissions", &s.to_string()).0;
+                if actual != 503 {
                     break;
                 }
                 w.run(w.now + S);
             }
-            if got != 201 {
-                failed.push(format!("{own} at {n}: {got}"));
+            if actual != 201 {
+                failed.push(format!("{own} at {n}: {actual}"));
             }
             before = own;
         }
@@ -393,20 +393,20 @@
             }
             continue;
         }
-        let (got, stage) = send(&mut w, 1, "POST", "/submissions", &s.to_string());
-        assert_eq!((got, stage.as_deref()), (201, Some("queued")), "{what}");
-        let everywhere = |w: &mut World, want: &str| {
+        let (actual, stage) = send(&mut w, 1, "POST", "/submissions", &s.to_string());
+        assert_eq!((actual, stage.as_deref()), (201, Some("queued")), "{what}");
+        let everywhere = |w: &mut World, expected: &str| {
             for n in 0..3 {
-                let got = send(w, n, "GET", &path, "");
-                assert_eq!(got, (200, Some(want.to_owned())), "{what}, at {n}");
+                let actual = send(w, n, "GET", &path, "");
+                assert_eq!(actual, (200, Some(expected.to_owned())), "{what}, at {n}");
             }
         };
         everywhere(&mut w, "queued");
         (0..3).for_each(|n| w.terminate(n, 100 * MS));
         w.run(w.now + 30 * S);
         everywhere(&mut w, "queued");
-        let (got, _) = send(&mut w, 2, "POST", &format!("/submissions/{}/abort", name(ACTIVE)), "");
-        assert_eq!(got, 200, "{what}");
+        let (actual, _) = send(&mut w, 2, "POST", &format!("/submissions/{}/abort", name(ACTIVE)), "");
+        assert_eq!(actual, 200, "{what}");
         w.run(w.now + w.size.cancel_timeout);
         everywhere(&mut w, "aborted");
     }
