--- a/crates/core/src/controller/stale_heartbeats.rs
+++ b/crates/core/src/controller/stale_heartbeats.rs
@@ -11,10 +11,10 @@
     proptest::collection::vec(step, 2..20).prop_map(|steps| {
         let (mut agent_epoch, mut fencing_token, mut tasks) = (1, 0, Vec::<ReportedTask>::new());
         let mut reports = Vec::new();
-        for (n, (what, task, stage)) in steps.into_iter().enumerate() {
+        for (n, (change, task, stage)) in steps.into_iter().enumerate() {
             let stages =
                 [("pulling", None), ("running", None), ("exited", Some("done")), ("exited", Some("error"))];
-            match what {
+            match change {
                 0 => (agent_epoch, tasks) = (agent_epoch + 1, Vec::new()),
                 1 => fencing_token = 7,
                 2 => tasks.retain(|p| p.attempt != task),
@@ -41,7 +41,7 @@
                 agent_epoch,
                 sequence: n as u64 + 1,
                 fencing_token,
-                preemption_notice_s: (what == 3).then_some(9.0),
+                preemption_notice_s: (change == 3).then_some(9.0),
                 tasks: tasks.clone(),
             });
         }
--- a/crates/core/src/fair_queue.rs
+++ b/crates/core/src/fair_queue.rs
@@ -31,14 +31,14 @@
 impl FairQueue {
     /// Sets whether a team has pending tasks. A team that becomes pending gets its head tag here;
     /// one that no longer is loses it, keeping its finish tag.
-    pub fn set_waiting(&mut self, team: &str, waiting: bool, cost: f64, weight: f64) {
+    pub fn set_pending(&mut self, team: &str, pending: bool, cost: f64, weight: f64) {
         let v = self.virtual_time;
         let t = match self.teams.get_mut(team) {
             Some(t) => t,
             None => self.teams.entry(team.to_owned()).or_default(),
         };
         t.step = (cost / weight * TAGS_PER_COST_UNIT).max(1.0) as Tag;
-        match (waiting, t.head) {
+        match (pending, t.head) {
             (true, None) => t.head = Some(v.max(t.finish)),
             (false, Some(_)) => t.head = None,
             _ => {}
@@ -94,7 +94,7 @@
         for (teams, limited, expected) in cases {
             let mut q = FairQueue::default();
             for (t, w) in teams {
-                q.set_waiting(t, true, 1.0, *w);
+                q.set_pending(t, true, 1.0, *w);
             }
             assert_eq!(run(&mut q, 6, |t| !limited.contains(t)), expected, "{teams:?}");
         }
@@ -103,9 +103,9 @@
     #[test]
     fn a_late_light_team_is_served_next_without_credit_for_its_absence() {
         let mut q = FairQueue::default();
-        q.set_waiting("heavy", true, 1.0, 1.0);
+        q.set_pending("heavy", true, 1.0, 1.0);
         run(&mut q, 100, |_| true);
-        q.set_waiting("light", true, 1.0, 1.0);
+        q.set_pending("light", true, 1.0, 1.0);
         // The virtual time (99) lies below heavy's head (100): light goes first,
         // then they alternate; light gets no credit for the time before it was pending.
         assert_eq!(run(&mut q, 5, |_| true), "lightheavylightheavylight");
@@ -114,19 +114,19 @@
     #[test]
     fn leaving_and_returning_does_not_reset_a_finish_tag() {
         let mut q = FairQueue::default();
-        q.set_waiting("a", true, 1.0, 1.0);
-        q.set_waiting("b", true, 1.0, 1.0);
+        q.set_pending("a", true, 1.0, 1.0);
+        q.set_pending("b", true, 1.0, 1.0);
         assert_eq!(run(&mut q, 1, |t| t == "a"), "a");
-        q.set_waiting("a", false, 1.0, 1.0);
-        q.set_waiting("a", true, 1.0, 1.0);
+        q.set_pending("a", false, 1.0, 1.0);
+        q.set_pending("a", true, 1.0, 1.0);
         assert_eq!(run(&mut q, 2, |_| true), "ba");
     }
 
     #[test]
     fn a_skipped_team_keeps_its_tag_and_catches_up() {
         let mut q = FairQueue::default();
-        q.set_waiting("a", true, 1.0, 1.0);
-        q.set_waiting("b", true, 1.0, 1.0);
+        q.set_pending("a", true, 1.0, 1.0);
+        q.set_pending("b", true, 1.0, 1.0);
         run(&mut q, 3, |t| t == "a");
         assert_eq!(run(&mut q, 4, |_| true), "bbba");
     }
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -362,27 +362,27 @@
             offer("big", "a", true, 64.0, 0.6),
             offer("small", "b", false, 4.0, 0.17),
         ];
-        let expected =
+        let rental =
             |b: &str, z: &str, s, n| (RentalKind { machine_type: b.into(), zone: z.into(), spot: s }, n);
         // (demands, array tasks running; machines rented)
         let cases = [
             (vec![], 0.0, vec![]),
-            (vec![demand("array", 2, 4.0, true, false)], 0.0, vec![expected("small", "a", true, 2)]),
-            (vec![demand("array", 64, 4.0, true, false)], 0.0, vec![expected("big", "a", true, 4)]),
+            (vec![demand("array", 2, 4.0, true, false)], 0.0, vec![rental("small", "a", true, 2)]),
+            (vec![demand("array", 64, 4.0, true, false)], 0.0, vec![rental("big", "a", true, 4)]),
             // Running tasks complete soon: a small backlog waits for them.
             (vec![demand("array", 10, 4.0, true, false)], 20.0, vec![]),
-            (vec![demand("standing", 1, 2.0, false, false)], 99.0, vec![expected("small", "a", false, 1)]),
+            (vec![demand("standing", 1, 2.0, false, false)], 99.0, vec![rental("small", "a", false, 1)]),
             // Spread: one of the two tasks in each zone.
             (
                 vec![demand("standing", 2, 2.0, false, true)],
                 0.0,
-                vec![expected("small", "a", false, 1), expected("small", "b", false, 1)],
+                vec![rental("small", "a", false, 1), rental("small", "b", false, 1)],
             ),
             // Two jobs share a machine.
             (
                 vec![demand("standing", 1, 2.0, false, false), demand("standing", 1, 2.0, false, false)],
                 0.0,
-                vec![expected("small", "a", false, 1)],
+                vec![rental("small", "a", false, 1)],
             ),
             (vec![demand("array", 1, 99.0, true, false)], 0.0, vec![]),
         ];
--- a/crates/core/src/leader/autoscaling.rs
+++ b/crates/core/src/leader/autoscaling.rs
@@ -293,7 +293,7 @@
             *spare.entry(m.zone.clone()).or_default() += m.free().cpu;
         }
         let targets = self.spare_cpu_targets(now);
-        let least = (self.config.operator.spare_cpus * 1000.0) as u64;
+        let min_spare_cpu = (self.config.operator.spare_cpus * 1000.0) as u64;
         let ids: Vec<MachineId> = self.machines.keys().cloned().collect();
         for id in ids {
             let Some(m) = self.machines.get_mut(&id) else { continue };
@@ -315,7 +315,7 @@
                     }
                     if !m.spot {
                         let s = spare.entry(m.zone.clone()).or_default();
-                        let keep = targets.get(&m.zone).copied().unwrap_or(least);
+                        let keep = targets.get(&m.zone).copied().unwrap_or(min_spare_cpu);
                         if s.saturating_sub(m.size.cpu) < keep {
                             continue;
                         }
@@ -348,7 +348,7 @@
     /// last minute's new replicas, divided among the zones. The estimate never exceeds a tenth of
     /// the running replicas, because otherwise a start from nothing would count as the usual rate.
     fn spare_cpu_targets(&self, now: Micros) -> BTreeMap<String, u64> {
-        let least = (self.config.operator.spare_cpus * 1000.0) as u64;
+        let min_spare_cpu = (self.config.operator.spare_cpus * 1000.0) as u64;
         let all = self.machines.values().map(|m| &m.zone);
         let zones: BTreeSet<&String> = all.filter(|z| !self.zone_health.is_closed(z)).collect();
         let minute_ago = self.wall_ms(now).saturating_sub(60_000);
@@ -367,7 +367,7 @@
             return BTreeMap::new();
         }
         let expected = (recent / 2).min(running / 10) / zones.len().max(1) as u64;
-        zones.into_iter().map(|z| (z.clone(), least.max(largest).max(expected))).collect()
+        zones.into_iter().map(|z| (z.clone(), min_spare_cpu.max(largest).max(expected))).collect()
     }
 
     /// Creates scale-out requests for the pending tasks.
--- a/crates/core/src/leader/blocks.rs
+++ b/crates/core/src/leader/blocks.rs
@@ -401,12 +401,12 @@
     /// 4 s for its controllers' reports, but only until `last` percent of the time allowed
     /// since the confirmation to the client have passed, so that a series of leaders that each
     /// start to wait does not use it up. A leader whose term begins too late to have waited
-    /// `least` by then waits the full 4 s; then the cancellation enforcers at the other
+    /// `min_wait` by then waits the full 4 s; then the cancellation enforcers at the other
     /// controllers have to meet the deadline (`crate::cancellation_enforcer`).
-    fn deletion_due(&self, by: Micros, last: u64, least: Micros) -> Micros {
+    fn deletion_due(&self, by: Micros, last: u64, min_wait: Micros) -> Micros {
         let reports_in = self.term_start + Micros::secs(4);
         let last = by - self.config.cancel_timeout.scale(100 - last, 100);
-        let wait = if last >= self.term_start + least { reports_in.min(last) } else { reports_in };
+        let wait = if last >= self.term_start + min_wait { reports_in.min(last) } else { reports_in };
         wait.max(by - self.config.cancel_timeout.scale(35, 100))
     }
 
--- a/crates/core/src/leader/job_run.rs
+++ b/crates/core/src/leader/job_run.rs
@@ -34,6 +34,7 @@
 #[derive(Debug)]
 pub(super) struct JobRun {
     pub(super) spec: Rc<JobSpec>,
+    /// Revision of the job's record.
     pub(super) revision: u64,
     /// Its own priority and due times.
     pub(super) own_urgency: Urgency,
--- a/crates/core/src/leader/schedule.rs
+++ b/crates/core/src/leader/schedule.rs
@@ -30,7 +30,7 @@
     /// Earliest time at which a job that is waiting only for a delay becomes eligible.
     next_retry: Option<Micros>,
     /// Some machines have had no contact in this term. They may hold any task, so the jobs
-    /// that they block change with every heartbeat.
+    /// that may not start because of them change with every heartbeat.
     has_unconfirmed_machines: bool,
 }
 
@@ -186,7 +186,7 @@
     fn build_pending_jobs(&mut self, now: Micros) -> PendingJobs {
         let wall_ms = self.wall_ms(now);
         let slots = self.active_array_tasks();
-        let mut waiting = PendingJobs {
+        let mut pending = PendingJobs {
             built_at: now,
             has_unconfirmed_machines: self.has_unconfirmed_machines(),
             ..PendingJobs::default()
@@ -194,12 +194,12 @@
         let mut by_priority: BTreeMap<Priority, BTreeMap<String, Vec<((bool, u64, u64), JobId)>>> =
             BTreeMap::new();
         let mut ready: Vec<JobId> = Vec::new();
-        let (mut starved, mut begun): (Vec<(u64, JobId)>, Vec<JobId>) = Default::default();
+        let (mut starved, mut ran_long_enough): (Vec<(u64, JobId)>, Vec<JobId>) = Default::default();
         for (id, run) in self.jobs.iter_mut().filter(|(_, r)| !r.ended && !r.held) {
             let later =
                 if run.retry_at > now { Some(run.retry_at) } else { run.retry_on_failed_machine_at(now) };
             if let Some(at) = later {
-                waiting.next_retry = Some(waiting.next_retry.map_or(at, |t| t.min(at)));
+                pending.next_retry = Some(pending.next_retry.map_or(at, |t| t.min(at)));
             }
             if run.retry_at <= now
                 && run.exhausted_task().is_none()
@@ -211,29 +211,29 @@
         }
         for id in ready {
             let Some(run) = self.jobs.get(&id) else { continue };
-            if waiting.has_unconfirmed_machines && self.may_run_on_unconfirmed_machine(run) {
+            if pending.has_unconfirmed_machines && self.may_run_on_unconfirmed_machine(run) {
                 continue;
             }
             if !run.started && wall_ms > run.ready_ms + starvation::STARVATION_TIMEOUT_MS {
                 match self.has_run_long_enough(id, run, now) {
-                    true => begun.push(id),
+                    true => ran_long_enough.push(id),
                     false => starved.push((run.ready_ms, id)),
                 }
             }
             let (priority, cpu) = (run.urgency.priority, run.spec.task_resources.cpu);
-            let least = waiting.min_cpu.entry(priority).or_insert(cpu);
-            *least = cpu.min(*least);
+            let min_cpu = pending.min_cpu.entry(priority).or_insert(cpu);
+            *min_cpu = cpu.min(*min_cpu);
             let teams = by_priority.entry(priority).or_default();
             teams.entry(run.spec.team.clone()).or_default().push((run.queue_key(wall_ms, slots), id));
         }
-        for id in begun {
+        for id in ran_long_enough {
             if let Some(run) = self.jobs.get_mut(&id) {
                 run.started = true;
             }
         }
         starved.sort();
         // The rest follow as the jobs before them get their first task.
-        waiting.starved = starved.into_iter().map(|(_, id)| id).take(50).collect();
+        pending.starved = starved.into_iter().map(|(_, id)| id).take(50).collect();
         let sorted = |mut v: Vec<_>| {
             v.sort();
             v.into_iter().map(|(_, id)| id).collect()
@@ -241,9 +241,9 @@
         let by_team = |teams: BTreeMap<String, Vec<_>>| {
             teams.into_iter().map(|(t, v)| (t, sorted(v))).collect::<BTreeMap<_, _>>()
         };
-        waiting.by_priority =
+        pending.by_priority =
             by_priority.into_iter().map(|(priority, teams)| (priority, by_team(teams))).collect();
-        waiting
+        pending
     }
 
     /// A team's weight in the queues.
@@ -254,15 +254,15 @@
     /// Serves the pending jobs of one priority, the team with the smallest start tag first.
     fn serve_priority(&mut self, priority: Priority, pass: &mut Pass) {
         let teams = self.pending_jobs.by_priority.get(&priority).cloned().unwrap_or_default();
-        let least = self.pending_jobs.min_cpu.get(&priority).copied().unwrap_or(0);
+        let min_cpu = self.pending_jobs.min_cpu.get(&priority).copied().unwrap_or(0);
         let mut queue = self.queues.remove(&priority).unwrap_or_default();
         let cost = self.config.operator.task_cost;
         for t in &self.config.teams {
-            queue.set_waiting(&t.name, teams.contains_key(&t.name), cost, self.weight(&t.name));
+            queue.set_pending(&t.name, teams.contains_key(&t.name), cost, self.weight(&t.name));
         }
         let mut next: BTreeMap<&str, usize> = BTreeMap::new();
         let mut unservable: BTreeSet<String> = BTreeSet::new();
-        let need = Resources { cpu: least, gpu: 0, mem: 0 };
+        let need = Resources { cpu: min_cpu, gpu: 0, mem: 0 };
         let preempts = pass.guaranteed || priority == Priority::Production;
         'priority: while let Some((_, team)) =
             queue.order().into_iter().find(|(_, t)| !unservable.contains(t))
@@ -278,7 +278,8 @@
                 *position += 1;
                 // If neither free CPUs nor preemption can fit the smallest pending task, the
                 // other jobs need no scan.
-                if !(self.capacity_index.any_with_cpu(least) || preempts && pass.preemption.may_fit(&need)) {
+                if !(self.capacity_index.any_with_cpu(min_cpu) || preempts && pass.preemption.may_fit(&need))
+                {
                     break 'priority;
                 }
             }
@@ -373,11 +374,11 @@
         teams.filter(|(_, b)| *b != (0, 0)).collect()
     }
 
-    /// Assigns a task: binds it to the machines of the controller that holds `hint`, and
-    /// reserves its resources on `hint`.
-    pub(super) fn assign(&mut self, task: TaskId, hint: MachineId) {
+    /// Assigns a task: binds it to the machines of the controller that holds
+    /// `preferred_machine`, and reserves its resources there.
+    pub(super) fn assign(&mut self, task: TaskId, preferred_machine: MachineId) {
         let attempt = Attempt(self.next_token());
-        let Some(m) = self.machines.get(&hint) else { return };
+        let Some(m) = self.machines.get(&preferred_machine) else { return };
         let (Some(node), zone) = (m.holder, m.zone.clone()) else { return };
         let Some(run) = self.jobs.get_mut(&task.job) else { return };
         let all = &self.machines;
@@ -390,39 +391,43 @@
             })
             .clone();
         let incarnation = self.nodes.get(node.0 as usize).map_or(0, |n| n.incarnation);
-        let image = if m.images.contains(&run.spec.image) { "has" } else { "fetches" };
-        debug!("{task}: assigned to {hint}, which {image} its image, attempt {}", attempt.0);
-        let fixed = run.spec.has_zone_constraint();
-        let out =
-            Assignment { task, attempt, zone: fixed.then(|| zone.clone()), preferred_machine: hint.clone() };
+        let image = if m.images.contains(&run.spec.image) { "cached" } else { "missing" };
+        debug!("{task}: assigned to {preferred_machine} image={image} attempt={}", attempt.0);
+        let zone_constrained = run.spec.has_zone_constraint();
+        let assignment = Assignment {
+            task,
+            attempt,
+            zone: zone_constrained.then(|| zone.clone()),
+            preferred_machine: preferred_machine.clone(),
+        };
         let need = run.spec.task_resources;
         run.requeued.remove(&task.index);
         self.bound_totals.add(&run.spec);
         let watched = first_candidate(&machines, &run.spec, attempt, &self.machines);
         self.unresolved_tasks.watch(task, watched.as_ref());
-        let assignment = UnresolvedAssignment {
+        let unresolved = UnresolvedAssignment {
             incarnation,
             candidates: machines,
-            preferred_machine: hint.clone(),
+            preferred_machine: preferred_machine.clone(),
             zone,
             watched_at: watched,
         };
         let binding =
-            Binding { attempt, unresolved_assignment: Some(assignment), reported_on: BTreeSet::new() };
+            Binding { attempt, unresolved_assignment: Some(unresolved), reported_on: BTreeSet::new() };
         let bound_before = run.bound.insert(task.index, binding);
         if bound_before.is_some() {
             self.violations += 1;
             error!("invariant violated name=assigned_while_bound task={task} attempt={}", attempt.0);
         }
-        if let Some(m) = self.machines.get_mut(&hint) {
+        if let Some(m) = self.machines.get_mut(&preferred_machine) {
             m.reserved.insert(attempt, need);
             m.images.insert(run.spec.image.clone());
             m.idle_since = None;
-            self.capacity_index.update(&hint, m, true);
+            self.capacity_index.update(&preferred_machine, m, true);
         }
         let at = self.placement_log.record_assignment(task);
         self.pending_assignments
-            .insert(attempt, PendingAssignment { to: node, assignment: out, log_seq: at, sent: None });
+            .insert(attempt, PendingAssignment { to: node, assignment, log_seq: at, sent: None });
         if let Some(n) = self.nodes.get_mut(node.0 as usize) {
             n.update_due = true;
         }
@@ -440,7 +445,7 @@
     }
 
     /// Preempts tasks so that a task of job `id` fits on some machine: tasks of lower priority
-    /// or, for a team within its guarantee, tasks of teams beyond theirs. Returns the zone and
+    /// or, for a team within its guarantee, tasks of teams beyond their guarantees. Returns the zone and
     /// how many tasks of the job fit there after that. With `image`, only machines that have
     /// the job's image are considered.
     fn preempt_for(
@@ -478,7 +483,7 @@
             let mut reclaimable = borrowed.clone();
             // The only task of an array that has not yet run long enough is preempted last:
             // it may be the first task of a starved job.
-            let first = |t: &TaskId| {
+            let may_be_first = |t: &TaskId| {
                 self.jobs
                     .get(&t.job)
                     .is_some_and(|r| !r.started && r.spec.kind == Kind::Array && r.bound.len() == 1)
@@ -487,7 +492,7 @@
                 .tasks
                 .iter()
                 .filter(|(_, (_, s))| *s != TaskState::Starting)
-                .map(|(t, (a, _))| (first(t), m.started.get(t).map_or(0, |x| now.since(*x).0), *t, *a))
+                .map(|(t, (a, _))| (may_be_first(t), m.started.get(t).map_or(0, |x| now.since(*x).0), *t, *a))
                 .collect();
             // The last started tasks lose the least work.
             victims.sort();
@@ -534,7 +539,7 @@
     /// maximum capacity that this would free.
     fn preemption_candidates(&self, guaranteed: bool, now: Micros) -> PreemptionCandidates {
         let contact = self.controllers_in_contact(now);
-        let mut l = PreemptionCandidates::default();
+        let mut found = PreemptionCandidates::default();
         let mut machines = Vec::new();
         for (id, m) in self.machines.iter().filter(|(_, m)| m.is_reachable(&contact)) {
             let mut capacity = m.free();
@@ -547,17 +552,18 @@
                 }
             }
             if preemptible {
-                l.max_capacity.cpu = l.max_capacity.cpu.max(capacity.cpu);
-                l.max_capacity.gpu = l.max_capacity.gpu.max(capacity.gpu);
-                l.max_capacity.mem = l.max_capacity.mem.max(capacity.mem);
+                found.max_capacity.cpu = found.max_capacity.cpu.max(capacity.cpu);
+                found.max_capacity.gpu = found.max_capacity.gpu.max(capacity.gpu);
+                found.max_capacity.mem = found.max_capacity.mem.max(capacity.mem);
                 machines.push((id.clone(), capacity));
             }
         }
-        l.machines = Some(machines);
-        l
+        found.machines = Some(machines);
+        found
     }
 
-    /// Records a stop order for an attempt and notifies the machine's controller.
+    /// Records a stop request for an attempt and marks an update to the machine's controller as
+    /// due.
     pub(super) fn request_stop(
         &mut self,
         task: TaskId,
--- a/crates/core/src/leader/starvation.rs
+++ b/crates/core/src/leader/starvation.rs
@@ -55,7 +55,7 @@
                 self.assign(TaskId { job: *id, index }, machine);
                 let w = self.weight(&team);
                 let queue = self.queues.entry(priority).or_default();
-                queue.set_waiting(&team, true, self.config.operator.task_cost, w);
+                queue.set_pending(&team, true, self.config.operator.task_cost, w);
                 queue.serve(&team);
                 for m in
                     self.machines.values_mut().filter(|m| m.accumulates_for.is_some_and(|(j, _)| j == *id))
--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -298,14 +298,14 @@
             false,
         ),
     ];
-    for (what, step, free) in cases {
+    for (case, step, free) in cases {
         let mut b = Harness::new(1);
         b.confirm("m0", &[]);
         b.add_job(1, 60, "t", "array", "standard", 1, 4.0);
         b.tick(30);
         let a = b.attempt(t).expect("assigned");
         step(&mut b, a);
-        assert_eq!(b.attempt(t).is_none(), free, "{what}");
+        assert_eq!(b.attempt(t).is_none(), free, "{case}");
     }
 }
 
@@ -415,9 +415,9 @@
         ("another controller, over another network path", Some(B), [false, true]),
         ("no controller: the zone may be partitioned", None, [false, false]),
     ];
-    for (what, receiver, deleted) in cases {
+    for (case, receiver, deleted) in cases {
         let actual = m0_deleted(|_| receiver, &[7, 30]);
-        assert_eq!(actual, deleted, "receiver of m1's heartbeats: {what}");
+        assert_eq!(actual, deleted, "receiver of m1's heartbeats: {case}");
     }
 }
 
@@ -733,7 +733,7 @@
             PendingReason::QueuedBehindOthers,
         ),
     ];
-    for (what, before, (team, tasks, cpus), expected) in cases {
+    for (case, before, (team, tasks, cpus), expected) in cases {
         let mut b = Harness::new(1);
         before(&mut b);
         b.add_job(
@@ -750,10 +750,10 @@
             b.leader.jobs.remove(&JobId(9));
             b.leader.job_changed(JobId(9), &b.state_replica, b.now);
         }
-        assert!(b.leader.longest_pending(b.now).is_empty(), "{what}: too early");
+        assert!(b.leader.longest_pending(b.now).is_empty(), "{case}: too early");
         let waits = b.leader.longest_pending(b.now + Micros::secs(40));
         let actual: Vec<(JobId, PendingReason)> = waits.iter().map(|w| (w.1, w.3)).collect();
-        assert_eq!(actual, [(JobId(9), expected)], "{what}");
+        assert_eq!(actual, [(JobId(9), expected)], "{case}");
     }
 }
 
@@ -825,7 +825,7 @@
         b.add_job(job, 60 + job, "t", "array", "standard", 20, 1.0);
     }
     // Each of their tasks fails on both machines, again and again.
-    let mut most = Vec::new();
+    let mut assigned_counts = Vec::new();
     for _ in 0..120 {
         b.tick(500);
         let mut ends: BTreeMap<MachineId, Vec<(TaskId, Attempt, TaskState)>> = BTreeMap::new();
@@ -835,7 +835,7 @@
                 .push(AssignmentOutcome { attempt: h.attempt, machine: Some(h.preferred_machine.clone()) });
             ends.entry(h.preferred_machine.clone()).or_default().push((h.task, h.attempt, TaskState::Failed));
         }
-        most.push(outcomes.len());
+        assigned_counts.push(outcomes.len());
         b.sync(A, &[], &outcomes.clone());
         b.sync(B, &[], &outcomes);
         for id in ["m0", "m1"] {
@@ -846,10 +846,10 @@
             b.confirm(id, &[]);
         }
     }
-    assert!(most[0] > 2, "{most:?}");
+    assert!(assigned_counts[0] > 2, "{assigned_counts:?}");
     // In the last half of the minute at most two tasks at a time, and at most eight in all.
-    assert!(most[60..].iter().all(|n| *n <= 2), "{most:?}");
-    assert!(most[60..].iter().sum::<usize>() <= 8, "{most:?}");
+    assert!(assigned_counts[60..].iter().all(|n| *n <= 2), "{assigned_counts:?}");
+    assert!(assigned_counts[60..].iter().sum::<usize>() <= 8, "{assigned_counts:?}");
     for id in ["m0", "m1"] {
         assert_eq!(b.leader.machines[&m(id)].draining, None, "{id}");
     }
@@ -1081,7 +1081,7 @@
             false,
         ),
     ];
-    for (what, step, acknowledged_by, ended, later, expected) in cases {
+    for (case, step, acknowledged_by, ended, later, expected) in cases {
         let mut b = Harness::new(1);
         b.leader.grant(&m("m0"), B, "test", b.now);
         b.confirm("m0", &[]);
@@ -1092,7 +1092,7 @@
         step(&mut b, attempt);
         let ended: Vec<NodeId> = ended.into_iter().collect();
         let actual = b.leader.may_still_start(JobId(1), acknowledged_by, &ended, b.now + later);
-        assert_eq!(actual, expected, "{what}");
+        assert_eq!(actual, expected, "{case}");
     }
 }
 
--- a/crates/core/src/leader/tests/limits.rs
+++ b/crates/core/src/leader/tests/limits.rs
@@ -74,14 +74,14 @@
     }
 }
 
-fn check(what: &str, changes: &Changes, limits: &StoreLimits) {
-    assert!(changes.writes.len() <= limits.txn_ops, "{what}: {} changes", changes.writes.len());
+fn check(case: &str, changes: &Changes, limits: &StoreLimits) {
+    assert!(changes.writes.len() <= limits.txn_ops, "{case}: {} changes", changes.writes.len());
     // The condition on the leader's key is one more.
-    assert!(changes.conditions.len() < limits.txn_conditions(), "{what}");
-    assert!(changes.len() < 60_000, "{what}: {} bytes", changes.len());
+    assert!(changes.conditions.len() < limits.txn_conditions(), "{case}");
+    assert!(changes.len() < 60_000, "{case}: {} bytes", changes.len());
     for write in &changes.writes {
         if let Write::Put { key: put, value: v, .. } = write {
-            assert!(value_len(v) <= limits.value_bytes, "{what}: {put} takes {}", value_len(v));
+            assert!(value_len(v) <= limits.value_bytes, "{case}: {put} takes {}", value_len(v));
         }
     }
 }
@@ -108,13 +108,13 @@
             LeaderWrite::RemoveDeletedMachines(RECORD.into()),
         ];
         for write in &writes {
-            let what = format!("{limit:?} {write:?}");
+            let case = format!("{limit:?} {write:?}");
             if limit.0 == 1000 && matches!(write, LeaderWrite::RemoveDeletedMachines(_)) {
                 // 102 machines need more than three records: the record stays unchanged.
-                assert_eq!(changes(&b, write, &limits), None, "{what}");
+                assert_eq!(changes(&b, write, &limits), None, "{case}");
                 continue;
             }
-            check(&what, &changes(&b, write, &limits).expect(&what), &limits);
+            check(&case, &changes(&b, write, &limits).expect(&case), &limits);
         }
     }
 }
--- a/crates/core/src/liveness.rs
+++ b/crates/core/src/liveness.rs
@@ -63,7 +63,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Contact {
     at: Micros,
-    number: HeartbeatSeq,
+    heartbeat_seq: HeartbeatSeq,
     has_tasks: bool,
 }
 
@@ -71,7 +71,7 @@
     /// Records a message unless it is a duplicate or older than the last one. Returns whether it
     /// was recorded.
     fn record_contact(&mut self, contact: Contact) -> bool {
-        let newer = self.last_contact.is_none_or(|last| contact.number > last.number);
+        let newer = self.last_contact.is_none_or(|last| contact.heartbeat_seq > last.heartbeat_seq);
         if newer {
             self.last_contact = Some(contact);
             self.unanswered = None;
@@ -126,9 +126,9 @@
 }
 
 impl LivenessMonitor {
-    /// For a controller in `own_zone`. Workers send a heartbeat every `report`, and terminate their
-    /// tasks if they receive nothing from a controller for `lease`.
-    pub fn new(own_zone: &str, report: Micros, lease: Micros, now: Micros) -> Self {
+    /// For a controller in `own_zone`. Workers send a heartbeat every `report_interval`, and
+    /// terminate their tasks if they receive nothing from a controller for `lease`.
+    pub fn new(own_zone: &str, report_interval: Micros, lease: Micros, now: Micros) -> Self {
         LivenessMonitor {
             instances: InstanceList::new(now),
             observations: BTreeMap::new(),
@@ -137,7 +137,7 @@
             any_zone: Reachability::default(),
             lateness: Lateness::with_limit(MAX_TICK_GAP, now),
             own_zone: own_zone.to_owned(),
-            probe_after: report + Micros::secs(1),
+            probe_after: report_interval + Micros::secs(1),
             lease,
         }
     }
@@ -186,8 +186,18 @@
     }
 
     /// Records a heartbeat. Duplicates and outdated ones are ignored.
-    pub fn record_heartbeat(&mut self, id: MachineId, number: HeartbeatSeq, has_tasks: bool, now: Micros) {
-        self.observations.entry(id).or_default().record_contact(Contact { at: now, number, has_tasks });
+    pub fn record_heartbeat(
+        &mut self,
+        id: MachineId,
+        heartbeat_seq: HeartbeatSeq,
+        has_tasks: bool,
+        now: Micros,
+    ) {
+        self.observations.entry(id).or_default().record_contact(Contact {
+            at: now,
+            heartbeat_seq,
+            has_tasks,
+        });
     }
 
     /// Records the answer to a probe sent at `sent`. Returns false for a duplicate or an outdated
@@ -195,15 +205,15 @@
     pub fn record_probe_response(
         &mut self,
         id: MachineId,
-        number: HeartbeatSeq,
+        heartbeat_seq: HeartbeatSeq,
         has_tasks: bool,
         sent: Micros,
         now: Micros,
     ) -> bool {
-        let seen = self.observations.entry(id).or_default();
-        let newer = seen.record_contact(Contact { at: now, number, has_tasks });
+        let observation = self.observations.entry(id).or_default();
+        let newer = observation.record_contact(Contact { at: now, heartbeat_seq, has_tasks });
         if newer {
-            seen.answered_probe = seen.answered_probe.max(Some(sent));
+            observation.answered_probe = observation.answered_probe.max(Some(sent));
         }
         newer
     }
@@ -212,12 +222,12 @@
     /// process was late while the probe was pending.
     pub fn record_probe_timeout(&mut self, id: &MachineId, sent: Micros, now: Micros) {
         let on_time = !self.lateness.was_late_since(sent, now);
-        let seen = self.observations.entry(id.clone()).or_default();
-        seen.failed_probe = seen.failed_probe.max(Some(sent));
-        if seen.contacted_since(sent) {
+        let observation = self.observations.entry(id.clone()).or_default();
+        observation.failed_probe = observation.failed_probe.max(Some(sent));
+        if observation.contacted_since(sent) {
             return;
         }
-        let unanswered = seen.unanswered.get_or_insert_default();
+        let unanswered = observation.unanswered.get_or_insert_default();
         if on_time {
             unanswered.probe_unanswered(sent);
         }
@@ -241,14 +251,16 @@
         let references = self.references(&outcomes);
         let mut suspects = BTreeMap::new();
         for (id, instance) in self.instances.running() {
-            let seen = self.observations.get(id);
-            let reason = match seen.and_then(|seen| Some((seen, seen.unanswered.as_ref()?))) {
-                Some((seen, unanswered)) => {
+            let observation = self.observations.get(id);
+            let reason = match observation
+                .and_then(|observation| Some((observation, observation.unanswered.as_ref()?)))
+            {
+                Some((observation, unanswered)) => {
                     let zone_is_small = self.is_small(&outcomes[&*instance.zone]);
-                    Some(self.classify(seen, unanswered, &instance.zone, zone_is_small, now))
+                    Some(self.classify(observation, unanswered, &instance.zone, zone_is_small, now))
                 }
                 None if references.contains(id) => Some(ProbeReason::Reference),
-                None => (!self.is_recent(seen, now)).then_some(ProbeReason::NoRecentContact),
+                None => (!self.is_recent(observation, now)).then_some(ProbeReason::NoRecentContact),
             };
             if let Some(reason) = reason {
                 suspects.insert(id.clone(), Suspect { deadline, evidence: Evidence::Silence(reason) });
@@ -263,8 +275,10 @@
         let mut unproved_zones = BTreeSet::new();
         for (id, instance) in self.instances.running() {
             summary.running += 1;
-            let seen = self.observations.get(id);
-            let Some(unanswered) = seen.and_then(|seen| seen.unanswered.as_ref()) else { continue };
+            let observation = self.observations.get(id);
+            let Some(unanswered) = observation.and_then(|observation| observation.unanswered.as_ref()) else {
+                continue;
+            };
             summary.unanswered += 1;
             summary.silent += usize::from(unanswered.by_own_zone.is_proven(now));
             if unanswered.by_own_zone.waits_for_proof() {
@@ -278,7 +292,7 @@
     /// `Silent` if the unanswered probes of a machine prove that it is silent, and it may run tasks.
     fn classify(
         &self,
-        seen: &Observation,
+        observation: &Observation,
         unanswered: &Unanswered,
         zone: &str,
         zone_is_small: bool,
@@ -289,11 +303,11 @@
         let no_work_lost = zone == self.own_zone || unanswered.by_any_zone.lasts(self.lease, now);
         let silent = unanswered.by_own_zone.is_proven(now)
             || zone_is_small && no_work_lost && unanswered.by_any_zone.is_proven(now);
-        if silent && seen.may_hold_tasks() { ProbeReason::Silent } else { ProbeReason::Unanswered }
+        if silent && observation.may_hold_tasks() { ProbeReason::Silent } else { ProbeReason::Unanswered }
     }
 
-    fn is_recent(&self, seen: Option<&Observation>, now: Micros) -> bool {
-        let contact = seen.and_then(|seen| seen.last_contact);
+    fn is_recent(&self, observation: Option<&Observation>, now: Micros) -> bool {
+        let contact = observation.and_then(|observation| observation.last_contact);
         contact.is_some_and(|contact| now.since(contact.at) < self.probe_after)
     }
 
@@ -312,10 +326,10 @@
             }
             let Some(outcomes) = zones.get_mut(&instance.zone) else { continue };
             outcomes.machines += 1;
-            let Some(seen) = self.observations.get(id) else { continue };
-            if seen.unanswered.is_some() {
+            let Some(observation) = self.observations.get(id) else { continue };
+            if observation.unanswered.is_some() {
                 outcomes.silent += 1;
-            } else if let Some(sent) = seen.answered_probe {
+            } else if let Some(sent) = observation.answered_probe {
                 outcomes.add_answered(sent);
             }
         }
@@ -325,8 +339,8 @@
     /// Adds the proofs from the latest answers and confirms the probes that wait for them.
     fn confirm_silences(&mut self) {
         let outcomes = self.probe_outcomes();
-        for (zone, of) in &outcomes {
-            if let Some(at) = of.proof() {
+        for (zone, outcomes) in &outcomes {
+            if let Some(at) = outcomes.proof() {
                 self.zones.entry(zone.clone()).or_default().add_proof(at);
             }
         }
@@ -334,8 +348,10 @@
             self.any_zone.add_proof(at);
         }
         for (id, instance) in self.instances.running() {
-            let seen = self.observations.get_mut(id);
-            let Some(unanswered) = seen.and_then(|seen| seen.unanswered.as_mut()) else { continue };
+            let observation = self.observations.get_mut(id);
+            let Some(unanswered) = observation.and_then(|observation| observation.unanswered.as_mut()) else {
+                continue;
+            };
             unanswered.by_any_zone.confirm(&self.any_zone);
             if let Some(zone) = self.zones.get(&instance.zone) {
                 unanswered.by_own_zone.confirm(zone);
@@ -348,20 +364,23 @@
     /// those with the oldest contact, which are due for a probe next. For a silent machine of a small
     /// zone, references are taken from every zone.
     fn references(&self, outcomes: &BTreeMap<String, ProbeOutcomes>) -> BTreeSet<MachineId> {
-        let small_zone_silent = outcomes.values().any(|of| of.silent > 0 && self.is_small(of));
+        let small_zone_silent = outcomes.values().any(|zone| zone.silent > 0 && self.is_small(zone));
         let mut answering: BTreeMap<&str, Vec<_>> = BTreeMap::new();
         for (id, instance) in self.instances.running() {
-            let Some(seen) = self.observations.get(id).filter(|seen| seen.unanswered.is_none()) else {
+            let Some(observation) =
+                self.observations.get(id).filter(|observation| observation.unanswered.is_none())
+            else {
                 continue;
             };
-            if let Some(contact) = seen.last_contact {
-                let best_first = (seen.last_probe_failed(), Reverse(seen.answered_probe), contact.at);
+            if let Some(contact) = observation.last_contact {
+                let best_first =
+                    (observation.last_probe_failed(), Reverse(observation.answered_probe), contact.at);
                 answering.entry(&instance.zone).or_default().push((best_first, id));
             }
         }
         let mut references = BTreeSet::new();
         for (zone, mut machines) in answering {
-            let silent = outcomes.get(zone).map_or(0, |of| of.silent);
+            let silent = outcomes.get(zone).map_or(0, |outcomes| outcomes.silent);
             if silent == 0 && !small_zone_silent {
                 continue;
             }
--- a/crates/core/src/node/cancellation_enforcement.rs
+++ b/crates/core/src/node/cancellation_enforcement.rs
@@ -253,9 +253,9 @@
     }
 
     /// Logs a response that changes nothing, once per machine.
-    fn log_ignored_answer(&mut self, machine: &MachineId, what: &str) {
+    fn log_ignored_answer(&mut self, machine: &MachineId, reason: &str) {
         if self.liveness.record_invalid_response(machine) {
-            warn!("{machine}: ignored a probe response that {what}");
+            warn!("{machine}: ignored a probe response that {reason}");
         }
     }
 
--- a/crates/core/src/node/cancellation_enforcement/tests.rs
+++ b/crates/core/src/node/cancellation_enforcement/tests.rs
@@ -119,15 +119,15 @@
         ("an error", answer(503, report.clone()), 1),
         ("nothing was sent", CallResult::NotSent, 1),
     ];
-    for (what, result, unanswered) in cases {
+    for (case, result, unanswered) in cases {
         let mut node = node();
         set_listed_machines(&mut node, &["m0", "m1"]);
         assert_eq!(reason_after_silence(&mut node, START), Some(ProbeReason::Silent));
         let sent = node.now;
         node.now = sent + Micros::millis(20);
         node.suspect_call_completed(&MachineId::from("m0"), sent, &result);
-        assert_eq!(node.liveness.summary(node.now).unanswered, unanswered, "{what}");
+        assert_eq!(node.liveness.summary(node.now).unanswered, unanswered, "{case}");
         let other = MachineId::from("m7");
-        assert!(node.liveness.address(&other).is_none(), "{what}");
+        assert!(node.liveness.address(&other).is_none(), "{case}");
     }
 }
--- a/crates/core/src/node/cancellations.rs
+++ b/crates/core/src/node/cancellations.rs
@@ -44,15 +44,18 @@
 #[derive(Debug)]
 struct TrackedCancellation {
     record: Cancellation,
+    /// When this process learned of it.
     since: Micros,
     /// The highest term whose leader acts on it and guarantees that no start follows.
     guaranteed_term: u64,
     /// This leader owes another controller that guarantee.
     guarantee_owed: bool,
+    /// Requests that wait for its confirmation, and when each of them expires.
     requesters: Vec<(Requester, Micros)>,
     /// When each controller was last notified.
     notified_at: Vec<Option<Micros>>,
-    /// It was confirmed complete here; the other controllers are notified of that once.
+    /// This process found that it may be confirmed; the other controllers are notified of that
+    /// once.
     announce_confirmation: bool,
 }
 
@@ -191,8 +194,8 @@
         let contacts_acknowledged =
             self.peers.all().filter(|n| *n != self.members.own_id && self.in_contact(*n, PEER_TIMEOUT)).all(
                 |n| {
-                    let process = self.peers.states[n.0 as usize].incarnation;
-                    tracked.record.acknowledged_by[n.0 as usize] >= process
+                    let incarnation = self.peers.states[n.0 as usize].incarnation;
+                    tracked.record.acknowledged_by[n.0 as usize] >= incarnation
                 },
             );
         applied && contacts_acknowledged && {
@@ -264,12 +267,12 @@
         let leader = self.leader_node();
         let term = self.leader_term();
         for n in self.peers.all().filter(|n| *n != me) {
-            let leads = Some(n) == leader;
+            let is_leader = Some(n) == leader;
             if !self.has_path(n) {
                 continue;
             }
             let i = n.0 as usize;
-            let process = self.peers.states[i].incarnation;
+            let incarnation = self.peers.states[i].incarnation;
             let due = |tracked: &&mut TrackedCancellation| {
                 let is_awaited =
                     !tracked.requesters.is_empty() || tracked.guarantee_owed && !tracked.record.may_confirm;
@@ -279,8 +282,8 @@
                 // others.
                 let initial_delay =
                     if is_awaited || tracked.record.may_confirm { Micros(0) } else { IDLE_RETRY_INTERVAL };
-                let acknowledged = tracked.record.acknowledged_by[i] >= process
-                    && !(leads && is_awaited && tracked.guaranteed_term < term);
+                let acknowledged = tracked.record.acknowledged_by[i] >= incarnation
+                    && !(is_leader && is_awaited && tracked.guaranteed_term < term);
                 let to_announce = tracked.announce_confirmation && tracked.notified_at[i].is_none();
                 (!acknowledged || to_announce)
                     && now.since(tracked.since) >= initial_delay
@@ -309,7 +312,7 @@
             self.apply_cancellation(c);
         }
         let (mut guaranteed, mut others) = (Vec::new(), Vec::new());
-        let leads = self.leadership.leader.as_ref().map(|l| l.term);
+        let leading_term = self.leadership.leader.as_ref().map(|l| l.term);
         for c in batch {
             let is_guaranteed = self
                 .cancellations
@@ -317,13 +320,13 @@
                 .get(&c.job)
                 .is_some_and(|tracked| self.guaranteed_term(tracked).is_some());
             if let Some(tracked) = self.cancellations.jobs.get_mut(&c.job) {
-                tracked.guarantee_owed = leads.is_some() && !is_guaranteed;
+                tracked.guarantee_owed = leading_term.is_some() && !is_guaranteed;
             }
             if is_guaranteed { guaranteed.push(c.job) } else { others.push(c.job) }
         }
-        for (jobs, leads) in [(guaranteed, leads), (others, None)] {
+        for (jobs, leading_term) in [(guaranteed, leading_term), (others, None)] {
             if !jobs.is_empty() {
-                self.send(from, Message::CancellationsAck { jobs, leading_term: leads });
+                self.send(from, Message::CancellationsAck { jobs, leading_term });
             }
         }
         self.send_worker_calls();
@@ -333,10 +336,12 @@
     fn apply_cancellation(&mut self, c: &Cancellation) {
         let phase = self.replica_sync.replica.jobs.get(&c.job).map(|j| j.phase);
         match phase {
-            Some(Phase::Done) => return warn!("{}: notified of its cancellation after it was done", c.job),
+            Some(Phase::Done) => {
+                return warn!("{}: ignored a notification of its cancellation: the job is done", c.job);
+            }
             Some(Phase::Cancelled) => {}
             Some(Phase::Active) | None => {
-                debug!("{}: notified of its cancellation", c.job);
+                debug!("{}: cancelled on notification by another controller", c.job);
                 let end = jobs::cancelled_value(c.ended_ms, c.cause.as_deref(), false);
                 let change = self.replica_sync.replica.apply(&keys::end(c.job), Some(&end), c.record_version);
                 self.record_job_change(change);
@@ -355,10 +360,10 @@
         batch.iter().for_each(|c| self.apply_cancellation(c));
     }
 
-    fn record_acknowledgement(&mut self, job: JobId, n: NodeId, process: u64) {
+    fn record_acknowledgement(&mut self, job: JobId, n: NodeId, incarnation: u64) {
         if let Some(tracked) = self.cancellations.jobs.get_mut(&job) {
             let known = &mut tracked.record.acknowledged_by[n.0 as usize];
-            *known = (*known).max(process);
+            *known = (*known).max(incarnation);
         }
     }
 
@@ -366,16 +371,16 @@
     pub(super) fn cancellations_acknowledged(
         &mut self,
         from: NodeId,
-        process: u64,
+        incarnation: u64,
         jobs: &[JobId],
-        leads: Option<u64>,
+        leading_term: Option<u64>,
     ) {
         let term = self.leader_term();
         let leader = self.leader_node().filter(|n| *n != from && *n != self.members.own_id);
         for job in jobs {
-            self.record_acknowledgement(*job, from, process);
+            self.record_acknowledgement(*job, from, incarnation);
             let Some(tracked) = self.cancellations.jobs.get_mut(job) else { continue };
-            tracked.guaranteed_term = tracked.guaranteed_term.max(leads.unwrap_or(0));
+            tracked.guaranteed_term = tracked.guaranteed_term.max(leading_term.unwrap_or(0));
             // A leader that gave no guarantee may have been waiting for exactly this
             // acknowledgement.
             if let Some(i) = leader.map(|n| n.0 as usize)
@@ -392,8 +397,8 @@
     /// Records that this process can know of new cancellations: it has read the state and reaches
     /// the state service; or, in an outage, it is in contact with a majority of controllers, one of
     /// which has read the state. A minority may be cut off from a state service that still serves
-    /// the other controllers, and no controller outside the minority may be left to stop the tasks
-    /// that it keeps alive.
+    /// the other controllers; then possibly no controller outside the minority remains that could
+    /// stop the tasks which the minority keeps alive.
     pub(super) fn update_informed_at(&mut self) {
         let in_contact = |n: &NodeId| *n != self.members.own_id && self.in_contact(*n, PEER_TIMEOUT);
         let in_contact: Vec<NodeId> = self.peers.all().filter(in_contact).collect();
--- a/crates/core/src/node/heartbeats.rs
+++ b/crates/core/src/node/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Workers' heartbeats (`POST /receive_heartbeat`).
+//! Workers' heartbeats (`POST /checkin`).
 use super::*;
 
 impl Node {
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -356,7 +356,7 @@
                 }
                 self.watch_state();
             }
-            CallPurpose::ReadBarrier(waiting) => self.read_barrier_completed(waiting, result),
+            CallPurpose::ReadBarrier(waiters) => self.read_barrier_completed(waiters, result),
             CallPurpose::Write(w) => self.pending_write_completed(w, &result),
             CallPurpose::ExtensionRead(t, prefix, so_far) => {
                 self.extension_page_received(t, prefix, so_far, result)
@@ -560,7 +560,7 @@
         self.watch_state();
     }
 
-    fn read_barrier_completed(&mut self, waiting: Vec<(Waiter, Micros)>, result: CallResult) {
+    fn read_barrier_completed(&mut self, waiters: Vec<(Waiter, Micros)>, result: CallResult) {
         self.pending.barrier_in_flight = false;
         self.status.read_barrier_completed(&result, self.now);
         let response: Option<WatchResponse> = match &result {
@@ -583,13 +583,13 @@
                     self.replica_sync.loaded = true;
                     info!("ready");
                 }
-                for (w, _) in waiting {
+                for (w, _) in waiters {
                     self.complete_waiter(w);
                 }
             }
             None => {
                 let limited = matches!(result, CallResult::Response { status: 429 | 410, .. });
-                for (w, until) in waiting {
+                for (w, until) in waiters {
                     if limited && self.now < until {
                         self.pending.waiters.push((w, until));
                     } else {
--- a/crates/core/src/node/rejected_writes.rs
+++ b/crates/core/src/node/rejected_writes.rs
@@ -90,12 +90,12 @@
 
     #[test]
     fn a_rejected_write_does_not_block_others() {
-        let (bad, good) = (LeaderWrite::JobDone(JobId(1)), LeaderWrite::JobDone(JobId(2)));
+        let (rejected, good) = (LeaderWrite::JobDone(JobId(1)), LeaderWrite::JobDone(JobId(2)));
         let mut writes = RejectedWrites::default();
-        assert!(!writes.must_be_alone(&bad));
+        assert!(!writes.must_be_alone(&rejected));
         // Rejected together: it is unknown which of them is invalid.
-        writes.record_rejection(&[bad.clone(), good.clone()], "too long", Micros(0));
-        for w in [&bad, &good] {
+        writes.record_rejection(&[rejected.clone(), good.clone()], "too long", Micros(0));
+        for w in [&rejected, &good] {
             assert!(writes.must_be_alone(w) && !writes.is_paused(w, Micros(0)), "{w:?}");
         }
         writes.record_success(std::slice::from_ref(&good));
@@ -103,12 +103,12 @@
         // (rejected alone at, skipped until), in seconds
         let pauses = [(0, 1), (1, 3), (3, 7), (100, 108)];
         for (at, until) in pauses {
-            writes.record_rejection(std::slice::from_ref(&bad), "too long", Micros::secs(at));
-            assert!(writes.is_paused(&bad, Micros::millis(until * 1000 - 1)), "{at}");
-            assert!(!writes.is_paused(&bad, Micros::secs(until)), "{at}");
-            assert!(writes.must_be_alone(&bad));
+            writes.record_rejection(std::slice::from_ref(&rejected), "too long", Micros::secs(at));
+            assert!(writes.is_paused(&rejected, Micros::millis(until * 1000 - 1)), "{at}");
+            assert!(!writes.is_paused(&rejected, Micros::secs(until)), "{at}");
+            assert!(writes.must_be_alone(&rejected));
         }
-        writes.record_success(std::slice::from_ref(&bad));
-        assert!(!writes.must_be_alone(&bad) && !writes.is_paused(&bad, Micros(0)));
+        writes.record_success(std::slice::from_ref(&rejected));
+        assert!(!writes.must_be_alone(&rejected) && !writes.is_paused(&rejected, Micros(0)));
     }
 }
--- a/crates/core/src/node/relay.rs
+++ b/crates/core/src/node/relay.rs
@@ -162,23 +162,23 @@
             (65_536, 4, 60_000, Some(2)),
         ];
         for (value_bytes, txn_ops, bytes, expected) in cases {
-            let what = format!("{value_bytes} {txn_ops} {bytes}");
+            let case = format!("{value_bytes} {txn_ops} {bytes}");
             let (limits, sent) = (limits(value_bytes, txn_ops), envelope(bytes));
             let (mut from, mut to) = (Relay::default(), Relay::default());
             let parts = from.split("n1", "n0", &sent, &limits);
-            assert_eq!(parts.is_some(), expected.is_some(), "{what}");
+            assert_eq!(parts.is_some(), expected.is_some(), "{case}");
             let transactions = transactions(&mut from);
-            assert_eq!(transactions.len(), expected.unwrap_or(0), "{what}");
+            assert_eq!(transactions.len(), expected.unwrap_or(0), "{case}");
             for txn in &transactions {
-                assert!(txn.writes.len() <= txn_ops, "{what}");
-                assert!(serde_json::to_vec(txn).unwrap().len() < 64 * 1024, "{what}");
+                assert!(txn.writes.len() <= txn_ops, "{case}");
+                assert!(serde_json::to_vec(txn).unwrap().len() < 64 * 1024, "{case}");
                 for write in &txn.writes {
                     let Write::Put { value: v, .. } = write else { panic!("{write:?}") };
-                    assert!(limits.fits(v), "{what}");
+                    assert!(limits.fits(v), "{case}");
                 }
             }
             let received = receive(&mut to, &transactions).map(|e| e.to_bytes());
-            assert_eq!(received, expected.map(|_| sent.to_bytes()), "{what}");
+            assert_eq!(received, expected.map(|_| sent.to_bytes()), "{case}");
         }
     }
 
--- a/crates/core/src/peer/pacing/tests.rs
+++ b/crates/core/src/peer/pacing/tests.rs
@@ -34,9 +34,9 @@
         (Some(5_000), 22),
         (None, 20),
     ];
-    for (delay, most) in cases {
+    for (delay, max_messages) in cases {
         let sent = messages_sent(delay);
-        assert!(sent <= most, "{delay:?}: {sent} messages, at most {most} allowed");
+        assert!(sent <= max_messages, "{delay:?}: {sent} messages, at most {max_messages} allowed");
         assert!(sent >= 10, "{delay:?}: {sent} messages: the receiver would consider the sender failed");
     }
     assert_eq!(messages_sent(Some(100)), 500, "a receiver that keeps up is not slowed down");
--- a/crates/standins/src/scale.rs
+++ b/crates/standins/src/scale.rs
@@ -436,7 +436,7 @@
             rows.push((*machines, *controllers, costs));
         }
     }
-    for (i, what) in ["hand-out", "check-in", "rental decision"].iter().enumerate() {
+    for (i, operation) in ["hand-out", "check-in", "rental decision"].iter().enumerate() {
         let by_machines: Vec<String> = s
             .controllers
             .iter()
@@ -455,7 +455,7 @@
             .collect();
         let _ = writeln!(
             out,
-            "slope of a {what} over machines, by controllers {}; over controllers, by machines {}",
+            "slope of a {operation} over machines, by controllers {}; over controllers, by machines {}",
             by_machines.join(", "),
             by_controllers.join(", ")
         );
--- a/crates/standins/src/site.rs
+++ b/crates/standins/src/site.rs
@@ -508,8 +508,8 @@
                     let Ok(mut s) = shared.state.lock() else { return fault() };
                     s.expire_leases(shared.now());
                     if !s.unavailable {
-                        if let Some(news) = s.watch_response(&prefix, from) {
-                            return (200, news);
+                        if let Some(response) = s.watch_response(&prefix, from) {
+                            return (200, response);
                         }
                         if shared.now() > until {
                             return (200, s.empty_watch_response());
--- a/crates/standins/src/state.rs
+++ b/crates/standins/src/state.rs
@@ -117,8 +117,8 @@
 
     /// Response body of a watch, or `None` while it has no events.
     pub fn watch_response(&self, prefix: &str, from: u64) -> Option<Vec<u8>> {
-        let news = self.events_since(prefix, from);
-        (!news.is_empty()).then(|| self.watch_body(news))
+        let events = self.events_since(prefix, from);
+        (!events.is_empty()).then(|| self.watch_body(events))
     }
 
     fn events_since(&self, prefix: &str, from: u64) -> Vec<Event> {
@@ -130,8 +130,8 @@
             .collect()
     }
 
-    fn watch_body(&self, news: Vec<Event>) -> Vec<u8> {
-        serde_json::to_vec(&WatchResponse { revision: self.revision, events: news }).unwrap()
+    fn watch_body(&self, events: Vec<Event>) -> Vec<u8> {
+        serde_json::to_vec(&WatchResponse { revision: self.revision, events }).unwrap()
     }
 
     /// The value of a key.
@@ -188,12 +188,12 @@
                 if self.is_compacted(from) {
                     return Self::json_response(410, json!({}));
                 }
-                let news = self.events_since(q["prefix"], from);
+                let events = self.events_since(q["prefix"], from);
                 let hold: u64 = q["hold_ms"].parse().unwrap();
-                if news.is_empty() && hold > 0 {
+                if events.is_empty() && hold > 0 {
                     return Outcome::Wait { prefix: q["prefix"].into(), from, until: now + hold * 1000 };
                 }
-                Outcome::Answer(200, self.watch_body(news))
+                Outcome::Answer(200, self.watch_body(events))
             }
             ("POST", "/multi") => {
                 let m: Transaction = serde_json::from_slice(body).unwrap();
--- a/crates/standins/src/worker.rs
+++ b/crates/standins/src/worker.rs
@@ -163,11 +163,11 @@
     /// Executes commands in the given order.
     pub fn execute(
         &mut self,
-        orders: &[Command],
+        commands: &[Command],
         profile_of: &dyn Fn(&str) -> Option<TaskProfile>,
         now: u64,
     ) {
-        for o in orders {
+        for o in commands {
             self.has_changes = true;
             let at = self.tasks.iter().position(|t| t.name == o.task && t.attempt == o.attempt);
             match (o.action.as_str(), at) {
--- a/tests/nomad.rs
+++ b/tests/nomad.rs
@@ -29,10 +29,10 @@
         .unwrap_or_else(|| panic!("{method} {path}: no response"))
 }
 
-fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
+fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
     while !condition() {
-        assert!(start.elapsed() < Duration::from_secs(40), "{what}: not within 40 s");
+        assert!(start.elapsed() < Duration::from_secs(40), "{description}: not within 40 s");
         std::thread::sleep(Duration::from_millis(30));
     }
 }
@@ -141,9 +141,12 @@
     // A batch job that used up its attempts has failed for good.
     assert_eq!(send(a, "PUT", "/v1/jobs", &job("bad", "batch", 1, "fails")).status, 200);
     wait_until("failed", || summary(b, "bad")["Failed"] == 1);
-    let bad = get(b, "/v1/job/bad").json();
-    assert_eq!(bad["Status"], "dead");
-    assert!(bad["StatusDescription"].as_str().unwrap().contains("task 0 failed 2 times"), "{bad}");
+    let failed_job = get(b, "/v1/job/bad").json();
+    assert_eq!(failed_job["Status"], "dead");
+    assert!(
+        failed_job["StatusDescription"].as_str().unwrap().contains("task 0 failed 2 times"),
+        "{failed_job}"
+    );
 
     // Dispatch checks payload and metadata, and dispatches once for an idempotency token.
     let mut param = job("param", "batch", 1, "i");
--- a/tests/rolling.rs
+++ b/tests/rolling.rs
@@ -8,10 +8,10 @@
 
 const LIMIT: Duration = Duration::from_secs(60);
 
-fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
+fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
     while !condition() {
-        assert!(start.elapsed() < LIMIT, "{what}: not within a minute");
+        assert!(start.elapsed() < LIMIT, "{description}: not within a minute");
         std::thread::sleep(Duration::from_millis(30));
     }
 }
--- a/tests/site_records.rs
+++ b/tests/site_records.rs
@@ -22,10 +22,10 @@
         .unwrap_or_else(|| panic!("{method} {path}: no response"))
 }
 
-fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
+fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
     while !condition() {
-        assert!(start.elapsed() < LIMIT, "{what}: not in time");
+        assert!(start.elapsed() < LIMIT, "{description}: not in time");
         std::thread::sleep(Duration::from_millis(30));
     }
 }
--- a/tests/smoke.rs
+++ b/tests/smoke.rs
@@ -32,10 +32,10 @@
 }
 
 /// Polls until `condition` holds; fails after a minute.
-fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
+fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
     while !condition() {
-        assert!(start.elapsed() < Duration::from_secs(60), "{what}: not within a minute");
+        assert!(start.elapsed() < Duration::from_secs(60), "{description}: not within a minute");
         std::thread::sleep(Duration::from_millis(50));
     }
 }
--- a/tests/world/cancelled.rs
+++ b/tests/world/cancelled.rs
@@ -191,11 +191,11 @@
 fn random_faults_around_cancellations() {
     let (mut failed, mut late, mut runs) = (Vec::new(), 0, 0);
     for seed in seeds("CANCELLED_SEEDS", 0, 60) {
-        let (what, w) = run_random_actions(seed);
+        let (run_label, w) = run_random_actions(seed);
         (late, runs) = (late + w.faults.starts_after_confirmation, runs + 1);
         if !w.violations.is_empty() {
             let violations = &w.violations[..w.violations.len().min(3)];
-            failed.push(format!("{what}: {violations:?}"));
+            failed.push(format!("{run_label}: {violations:?}"));
         }
     }
     println!("{late} starts after a confirmed cancellation, all ordered before it, in {runs} runs");
@@ -206,6 +206,6 @@
 /// (`docs/incidents/earlier.md`).
 #[test]
 fn cancelled_tasks_stop_in_time_after_all_controllers_exit() {
-    let (what, w) = run_random_actions(5141);
-    assert!(w.violations.is_empty(), "{what}: {:?}", &w.violations[..w.violations.len().min(3)]);
+    let (run_label, w) = run_random_actions(5141);
+    assert!(w.violations.is_empty(), "{run_label}: {:?}", &w.violations[..w.violations.len().min(3)]);
 }
--- a/tests/world/consistency.rs
+++ b/tests/world/consistency.rs
@@ -43,7 +43,7 @@
 /// Whether an answer to a request that began at `began` reports an older state than an answer that
 /// left before.
 fn is_older(reported: &[(u64, Reported)], began: u64, status: u16, stage: Option<&str>) -> bool {
-    let before = |t: Reported| reported.iter().any(|(at, what)| *what == t && *at < began);
+    let before = |t: Reported| reported.iter().any(|(at, earlier)| *earlier == t && *at < began);
     let known = !reported.is_empty() && reported.iter().any(|(at, _)| *at < began);
     match (status, stage) {
         (200 | 201, Some(stage)) => {
@@ -74,9 +74,9 @@
         }
         let reported = self.consistency.reported.entry(j).or_default();
         if is_older(reported, began, status, stage) {
-            let what =
+            let detail =
                 format!("job {j}: controller {n} says {status} {stage:?}, reported before {reported:?}");
-            return self.report_violation("older_answer", what);
+            return self.report_violation("older_answer", detail);
         }
         let now = match (status, stage) {
             (200 | 201, Some("done")) => Reported::Done,
@@ -181,11 +181,11 @@
                 all.extend(actions);
                 all.sort_by_key(|a| a.0);
                 let w = simulate(&all, seed, nodes, Workload::Mixed);
-                let mut bad = w.violations.clone();
+                let mut violations = w.violations.clone();
                 let over = |t: &[(u64, Reported)]| t.iter().any(|(_, t)| *t != Reported::Accepted);
                 let ended = w.consistency.reported.values().filter(|t| over(t)).count();
                 if w.consistency.answers < 250 * nodes || ended < 30 {
-                    bad.push(format!("only {} answers, {ended} jobs ended", w.consistency.answers));
+                    violations.push(format!("only {} answers, {ended} jobs ended", w.consistency.answers));
                 }
                 let share = w.consistency.unavailable_answers as f64 / w.consistency.answers.max(1) as f64;
                 println!(
@@ -194,10 +194,10 @@
                 );
                 // Without faults, at most 2 % of the answers may be 503.
                 if actions.is_empty() && share > 0.02 {
-                    bad.push(format!("{share:.3} of the answers are 503"));
+                    violations.push(format!("{share:.3} of the answers are 503"));
                 }
-                if !bad.is_empty() {
-                    failed.push(format!("{name}, {nodes} controllers, seed {seed}: {:?}", &bad[..1]));
+                if !violations.is_empty() {
+                    failed.push(format!("{name}, {nodes} controllers, seed {seed}: {:?}", &violations[..1]));
                 }
             }
         }
--- a/tests/world/fast_restarts.rs
+++ b/tests/world/fast_restarts.rs
@@ -165,18 +165,18 @@
             vec![FAST_RESTARTS]
         };
         for size in sizes {
-            let what = format!("seed {seed}, {} controllers", size.nodes);
+            let run_label = format!("seed {seed}, {} controllers", size.nodes);
             let mut w = World::new(seed, false, size);
             w.run(size.busy_until + MAX_START_TIME + 5 * S);
             for n in 0..size.nodes {
-                let there = w.nodes[n].as_ref().is_some_and(Node::in_service);
-                assert!(there || !w.violations.is_empty(), "{what}: n{n} is not back in service");
+                let in_service = w.nodes[n].as_ref().is_some_and(Node::in_service);
+                assert!(in_service || !w.violations.is_empty(), "{run_label}: n{n} is not back in service");
             }
             w.run(size.end_at);
-            assert!(w.violations.is_empty(), "{what}: {:?}", w.violations);
+            assert!(w.violations.is_empty(), "{run_label}: {:?}", w.violations);
             let unfinished = w.unfinished_jobs();
-            assert!(unfinished.len() <= 1, "{what}: {:?} have not ended", w.describe(&unfinished));
-            assert!(w.started > 20, "{what}: only {} tasks started", w.started);
+            assert!(unfinished.len() <= 1, "{run_label}: {:?} have not ended", w.describe(&unfinished));
+            assert!(w.started > 20, "{run_label}: only {} tasks started", w.started);
             failovers.append(&mut w.fast_restarts.failover_times);
             start_times.append(&mut w.fast_restarts.start_times);
         }
@@ -211,8 +211,8 @@
         w.run(w.now + number + lived * MS);
         w.crash(n);
         w.run(w.now + MAX_START_TIME);
-        let there = w.nodes[n].as_ref().is_some_and(Node::in_service);
-        assert!(there, "a process that follows one that lived {lived} ms is not in service");
+        let in_service = w.nodes[n].as_ref().is_some_and(Node::in_service);
+        assert!(in_service, "a process that follows one that lived {lived} ms is not in service");
         assert!(w.violations.is_empty(), "{:?}", w.violations);
     }
 }
--- a/tests/world/fleet.rs
+++ b/tests/world/fleet.rs
@@ -286,9 +286,9 @@
     let times = size.times();
     for seed in seeds {
         let w = simulate(seed, false, size);
-        let (what, seen) = (format!("seed {seed}, {} controllers", size.nodes), &w.fleet);
+        let (run_label, seen) = (format!("seed {seed}, {} controllers", size.nodes), &w.fleet);
         println!(
-            "{what}: up to {} machines, {} tasks at a time, {} started; {} replicas' machines lost \
+            "{run_label}: up to {} machines, {} tasks at a time, {} started; {} replicas' machines lost \
              during the partition, {} rented there; missing (at, of) {:?}",
             seen.max_machines,
             w.peak_tasks,
@@ -297,44 +297,48 @@
             seen.rented_in_closed_zone,
             seen.missing
         );
-        assert!(w.violations.is_empty(), "{what}: {:?}", w.violations);
+        assert!(w.violations.is_empty(), "{run_label}: {:?}", w.violations);
         assert!(
             seen.max_machines >= machines && w.peak_tasks >= tasks,
-            "{what}: at most {} machines, {} tasks",
+            "{run_label}: at most {} machines, {} tasks",
             seen.max_machines,
             w.peak_tasks
         );
         assert!(
             seen.healthy_deleted.is_empty(),
-            "{what}: healthy machines deleted: {:?}",
+            "{run_label}: healthy machines deleted: {:?}",
             seen.healthy_deleted
         );
         // An assignment in flight when the partition begins may have gone to any machine of the
         // zone.
         assert!(
             seen.lost_in_partition <= 20 * times,
-            "{what}: {} machines with replicas lost",
+            "{run_label}: {} machines with replicas lost",
             seen.lost_in_partition
         );
-        let most = MAX_PROBE_MACHINES as usize;
+        let limit = MAX_PROBE_MACHINES as usize;
         assert!(
-            seen.rented_in_closed_zone <= most,
-            "{what}: {} rented in a closed zone",
+            seen.rented_in_closed_zone <= limit,
+            "{run_label}: {} rented in a closed zone",
             seen.rented_in_closed_zone
         );
         for (at, missing, of) in &seen.missing {
             // Some replicas wait for one more machine, where the first never came up.
-            assert!(missing * 100 <= *of, "{what}: at {at} s {missing} of {of} replicas are missing");
+            assert!(missing * 100 <= *of, "{run_label}: at {at} s {missing} of {of} replicas are missing");
         }
         let out = OUTAGE[1] - OUTAGE[0];
         for (j, job) in w.jobs.iter().enumerate().filter(|(_, j)| j.submitted) {
             let hit = within(job.submitted_at, [OUTAGE[0] - 10 * S, OUTAGE[1] + 15 * S]);
-            let took = if job.accepted { job.accepted_at } else { size.end_at } - job.submitted_at;
-            let most = 12 * S + if hit { out + 15 * S } else { 0 };
-            assert!(job.accepted && took <= most, "{what}: job {j} accepted after {} s", took / S);
+            let elapsed = if job.accepted { job.accepted_at } else { size.end_at } - job.submitted_at;
+            let limit = 12 * S + if hit { out + 15 * S } else { 0 };
+            assert!(
+                job.accepted && elapsed <= limit,
+                "{run_label}: job {j} accepted after {} s",
+                elapsed / S
+            );
         }
         let unfinished = w.unfinished_jobs();
-        assert!(unfinished.len() <= 3 * times, "{what}: {:?} have not ended", w.describe(&unfinished));
+        assert!(unfinished.len() <= 3 * times, "{run_label}: {:?} have not ended", w.describe(&unfinished));
     }
 }
 
--- a/tests/world/lost_knowledge.rs
+++ b/tests/world/lost_knowledge.rs
@@ -163,9 +163,9 @@
                 }
                 w.run(at + 4 * w.size.cancel_timeout);
                 if let Some(violation) = w.violations.first() {
-                    let what =
+                    let run_label =
                         format!("{extra_fault:?}, downtime {downtime} ms, seed {seed}, {nodes} controllers");
-                    failed.push(format!("{what}: {violation}"));
+                    failed.push(format!("{run_label}: {violation}"));
                 }
             }
         }
@@ -222,8 +222,9 @@
             w.run(back + 11_000 * MS);
             let deleted: Vec<&String> = machines.iter().filter(|m| !w.machines.contains_key(*m)).collect();
             if !deleted.is_empty() || !w.violations.is_empty() {
-                let what = format!("{disturbance:?}, seed {seed}, {nodes} controllers");
-                failed.push(format!("{what}: deleted {deleted:?}, violation {:?}", w.violations.first()));
+                let run_label = format!("{disturbance:?}, seed {seed}, {nodes} controllers");
+                failed
+                    .push(format!("{run_label}: deleted {deleted:?}, violation {:?}", w.violations.first()));
             }
         }
     }
--- a/tests/world/lost_knowledge_wide.rs
+++ b/tests/world/lost_knowledge_wide.rs
@@ -78,10 +78,10 @@
     fn from_seed(seed: u64) -> Run {
         let r = &mut fastrand::Rng::with_seed(seed);
         let (freeze, disturbed) = (r.u64(50..700), r.u64(100..1_500));
-        let trouble = match pick(r, "trouble", &["None", "Freeze", "CannotSend", "Unreachable"]) {
+        let trouble = match pick(r, "trouble", &["None", "Freeze", "Mute", "Deaf"]) {
             "Freeze" => Fault::Freeze(freeze),
-            "CannotSend" => Fault::CannotSend(disturbed),
-            "Unreachable" => Fault::Unreachable(disturbed),
+            "Mute" => Fault::CannotSend(disturbed),
+            "Deaf" => Fault::Unreachable(disturbed),
             _ => Fault::None,
         };
         Run {
--- a/tests/world/main.rs
+++ b/tests/world/main.rs
@@ -440,8 +440,8 @@
         self.events.insert(self.next_event, e);
     }
 
-    fn report_violation(&mut self, rule: &str, what: String) {
-        self.violations.push(format!("{rule} at {:.3}: {what}", self.now as f64 / 1e6));
+    fn report_violation(&mut self, rule: &str, detail: String) {
+        self.violations.push(format!("{rule} at {:.3}: {detail}", self.now as f64 / 1e6));
     }
 
     fn delay(&mut self) -> u64 {
@@ -527,7 +527,7 @@
                         continue;
                     }
                     if let Ok(d) = serde_json::from_slice::<CommandRequest>(&call.body) {
-                        self.check_orders(n, &d.commands);
+                        self.check_commands(n, &d.commands);
                     }
                     let (late, answered) = self.call_delay(n, &call);
                     if late > 0 || !answered {
@@ -641,12 +641,12 @@
                 if let Some(hosts) = self.rentals.get(&h.request_id) {
                     return (200, serde_json::to_vec(&MachineNames { names: hosts.clone() }).unwrap());
                 }
-                let there = self
+                let rented = self
                     .machines
                     .values()
                     .filter(|m| (&m.machine_type, &m.zone, m.spot) == (&h.machine_type, &h.zone, h.spot))
                     .count();
-                let capacity = self.size.capacity[(h.machine_type == "big") as usize].saturating_sub(there);
+                let capacity = self.size.capacity[(h.machine_type == "big") as usize].saturating_sub(rented);
                 if capacity == 0 {
                     return (503, br#"{"error":"no capacity"}"#.to_vec());
                 }
@@ -886,7 +886,7 @@
                 faults.push(("wrong_place", format!("{here} tasks of job {j} in {}", m.zone)));
             }
         }
-        // The start order left before the confirmation; `check_orders` checks the orders
+        // The start order left before the confirmation; `check_commands` checks the commands
         // themselves.
         self.faults.starts_after_confirmation += job.aborted_at.is_some() as usize;
         if job.cancelled_from.is_some_and(|t| self.now > t + self.size.cancel_timeout) {
@@ -896,8 +896,8 @@
             faults.push(("too_early", format!("{task_id} starts on {at} before job {needed} is done")));
         }
         self.pipelines.starts += !job.awaits.is_empty() as usize;
-        for (rule, what) in faults {
-            self.report_violation(rule, what);
+        for (rule, detail) in faults {
+            self.report_violation(rule, detail);
         }
     }
 
@@ -954,8 +954,8 @@
                 }
             }
         }
-        for (rule, what) in faults {
-            self.report_violation(rule, what);
+        for (rule, detail) in faults {
+            self.report_violation(rule, detail);
         }
     }
 
--- a/tests/world/meetings.rs
+++ b/tests/world/meetings.rs
@@ -504,15 +504,15 @@
                     w.perform(leader, *action);
                 }
                 w.run(from + 200 * S);
-                let mut bad = w.violations.clone();
-                bad.extend(w.reruns.iter().map(|t| format!("started again: {t}")));
+                let mut violations = w.violations.clone();
+                violations.extend(w.reruns.iter().map(|t| format!("started again: {t}")));
                 let unfinished = w.unfinished_jobs();
                 if !unfinished.is_empty() {
-                    bad.push(format!("{unfinished:?} have not ended"));
+                    violations.push(format!("{unfinished:?} have not ended"));
                 }
                 done += w.jobs.iter().filter(|j| j.reported_done).count();
-                if !bad.is_empty() {
-                    failed.push(format!("{name}, seed {seed}, {nodes} controllers: {bad:?}"));
+                if !violations.is_empty() {
+                    failed.push(format!("{name}, seed {seed}, {nodes} controllers: {violations:?}"));
                 }
             }
         }
--- a/tests/world/nomad.rs
+++ b/tests/world/nomad.rs
@@ -135,9 +135,9 @@
         let n = self.rng.usize(0..self.size.nodes);
         let busy = self.now < self.size.busy_until;
         let path = format!("/v1/job/{job}");
-        let there = self.nomad_clients.reported.contains_key(job);
+        let registered = self.nomad_clients.reported.contains_key(job);
         let op = match self.rng.u32(0..12) {
-            _ if !there => Op::Register,
+            _ if !registered => Op::Register,
             0..=2 if busy => Op::Register,
             3..=4 if busy && job != "minutes" => Op::Scale,
             5 if busy => Op::Stop,
--- a/tests/world/nomad_harness.rs
+++ b/tests/world/nomad_harness.rs
@@ -266,10 +266,10 @@
             &[10, 120, 180],
         ),
     ];
-    for (what, action, expected) in steps {
+    for (case, action, expected) in steps {
         action(&mut h);
         let expected: Vec<u64> = expected.iter().map(|m| at(*m)).collect();
-        assert_eq!(h.launches(), expected, "{what}, at {}", (h.wall_ms - start) / 60_000);
+        assert_eq!(h.launches(), expected, "{case}, at {}", (h.wall_ms - start) / 60_000);
     }
 }
 
@@ -288,16 +288,16 @@
         ("another job", |h| assert_eq!(h.put(&job_file("other", "x", json!({}))), 200), false),
         ("the job itself", |h| assert_eq!(h.put(&job_file("j", "two", json!({}))), 200), true),
     ];
-    for (what, action, answered) in steps {
+    for (case, action, answered) in steps {
         h.advance(3);
         assert_eq!(h.request("GET", "/v1/job/j/summary", "").unwrap().0, 200);
         let index = h.state_replica.applied_revision;
         let answer = h.request("GET", &format!("/v1/job/j/summary?index={index}&wait=10s"), "");
-        assert!(answer.is_none(), "{what}: answered at once: {answer:?}");
+        assert!(answer.is_none(), "{case}: answered at once: {answer:?}");
         h.answers.clear();
         action(&mut h);
-        let there = h.answers.iter().any(|(_, a)| String::from_utf8_lossy(&a.body).contains("Summary"));
-        assert_eq!(there, answered, "{what}");
+        let has_answer = h.answers.iter().any(|(_, a)| String::from_utf8_lossy(&a.body).contains("Summary"));
+        assert_eq!(has_answer, answered, "{case}");
         h.advance(12);
         h.answers.clear();
     }
--- a/tests/world/partial_failures.rs
+++ b/tests/world/partial_failures.rs
@@ -286,14 +286,14 @@
                 forgotten.push(format!("no question about job {j} was answered for {} s", gap / S));
             }
         }
-        for what in forgotten {
-            self.report_violation("forgotten", what);
+        for detail in forgotten {
+            self.report_violation("forgotten", detail);
         }
     }
 
     /// Classes, teams and largest jobs that are served too little or too late.
     pub fn unserved(&self) -> Vec<String> {
-        let mut bad = Vec::new();
+        let mut violations = Vec::new();
         let wanted =
             |job: &&Job| !job.faulty && job.accepted && job.aborted_at.is_none() && !job.abort_requested;
         // A job that waits for others is served from the completion of the last of them.
@@ -309,7 +309,7 @@
             let over = |j: &&&Job| j.service || j.reported_done;
             let done = jobs.iter().filter(over).count();
             if begun * 2 < jobs.len() || done * 2 < jobs.len() {
-                bad.push(format!("{name}: {begun} begun and {done} done of {}", jobs.len()));
+                violations.push(format!("{name}: {begun} begun and {done} done of {}", jobs.len()));
             }
             // The largest tenth of the jobs by each measure.
             let measures: [fn(&Job) -> f64; 3] =
@@ -323,12 +323,12 @@
                     let from = self.served_from(job).unwrap_or(job.accepted_at);
                     let wait = job.started_at.unwrap_or(self.now).saturating_sub(from);
                     if wait > MAX_START_WAIT {
-                        bad.push(format!("{name}: {} waited {} s", job.body["ref"], wait / S));
+                        violations.push(format!("{name}: {} waited {} s", job.body["ref"], wait / S));
                     }
                 }
             }
         }
-        bad
+        violations
     }
 }
 
@@ -340,15 +340,15 @@
         .map(|s| (s, if s % 5 == 4 { SEVEN_CONTROLLERS_PARTIAL_FAILURES } else { PARTIAL_FAILURES }));
     for (seed, size) in all {
         let w = simulate(seed, false, size);
-        let mut bad = w.violations.clone();
-        bad.extend(w.partial_failures.starts_for_unreachable.clone());
+        let mut violations = w.violations.clone();
+        violations.extend(w.partial_failures.starts_for_unreachable.clone());
         let unfinished = w.unfinished_jobs();
         if unfinished.len() > 1 {
-            bad.push(format!("{:?} have not ended", w.describe(&unfinished)));
+            violations.push(format!("{:?} have not ended", w.describe(&unfinished)));
         }
-        bad.extend(w.unserved());
-        if !bad.is_empty() {
-            failed.push(format!("seed {seed}: {bad:?}"));
+        violations.extend(w.unserved());
+        if !violations.is_empty() {
+            failed.push(format!("seed {seed}: {violations:?}"));
         }
         (started, max_unanswered) =
             (started + w.started, max_unanswered.max(w.partial_failures.max_unanswered));
@@ -392,9 +392,9 @@
             let of_service = |t: &&worker::Task| t.is_running() && w.jobs[World::job_of(&t.name).0].service;
             m.tasks.iter().filter(of_service).count()
         };
-        let most = w.machines.values().max_by_key(|m| replicas(m)).map(|m| m.name.clone()).unwrap();
-        assert!(replicas(&w.machines[&most]) > 0, "seed {seed}: no replicas");
-        w.make_unreachable(&most, 300 * S);
+        let busiest = w.machines.values().max_by_key(|m| replicas(m)).map(|m| m.name.clone()).unwrap();
+        assert!(replicas(&w.machines[&busiest]) > 0, "seed {seed}: no replicas");
+        w.make_unreachable(&busiest, 300 * S);
         let missing = run_and_count_missing(&mut w, 120);
         assert!(w.violations.is_empty(), "seed {seed}: {:?}", w.violations);
         // 45 s: the machine's lease, and the boot of another machine where no capacity is free.
@@ -439,12 +439,12 @@
             }
             let mut missing = run_and_count_missing(&mut w, 60);
             // Its workers, also new ones, have moved to other controllers by then.
-            let there = w.machines.values().filter(|m| w.now > m.up_at + 12 * S);
-            let there = there.filter(|m| {
+            let booted = w.machines.values().filter(|m| w.now > m.up_at + 12 * S);
+            let remaining = booted.filter(|m| {
                 isolated.contains(&m.target_controller)
                     && w.partial_failures.isolated_until[m.target_controller] > w.now
             });
-            let stay: Vec<(&str, usize)> = there.map(|m| (m.name.as_str(), m.tasks.len())).collect();
+            let stay: Vec<(&str, usize)> = remaining.map(|m| (m.name.as_str(), m.tasks.len())).collect();
             assert!(
                 stay.is_empty(),
                 "seed {seed}, {nodes} controllers, {isolated:?} isolated: {stay:?} stay with it"
--- a/tests/world/pipelines.rs
+++ b/tests/world/pipelines.rs
@@ -161,15 +161,15 @@
         let answer: Value = serde_json::from_slice(body).unwrap_or_default();
         let stage = answer["stage"].as_str().unwrap_or_default();
         if is_orphaned(stage, self.now, self.jobs[j].cancelled_from, self.size.cancel_timeout) {
-            let what = format!("job {j} is called {stage} ({status}) by controller {n}");
-            self.report_violation("orphaned", what);
+            let detail = format!("job {j} is called {stage} ({status}) by controller {n}");
+            self.report_violation("orphaned", detail);
         }
         let counted = answer["running"].as_u64().unwrap_or(0) + answer["done"].as_u64().unwrap_or(0);
         if let Some(needed) = self.first_unfinished(j)
             && (stage == "running" || counted > 0)
         {
-            let what = format!("job {j} is called {answer} by controller {n} before job {needed} is done");
-            self.report_violation("not_queued", what);
+            let detail = format!("job {j} is called {answer} by controller {n} before job {needed} is done");
+            self.report_violation("not_queued", detail);
         }
     }
 
@@ -499,17 +499,17 @@
 fn starts_before_dependencies_are_done_are_detected() {
     let mut w = chain_of_three();
     assert!(w.violations.is_empty(), "{:?}", w.violations);
-    let order = gorseshore_protocol::workers::Command {
+    let command = gorseshore_protocol::workers::Command {
         action: "run".into(),
         task: "j-000001/0".into(),
         attempt: 1,
         grace_period_s: None,
     };
-    w.check_orders(0, std::slice::from_ref(&order));
+    w.check_commands(0, std::slice::from_ref(&command));
     assert!(w.violations.iter().any(|b| b.starts_with("ordered_early")), "{:?}", w.violations);
     w.violations.clear();
     let machine = w.machines.keys().next().unwrap().clone();
-    w.with_machine(&machine, |m, task_profile, now| m.execute(&[order], task_profile, now));
+    w.with_machine(&machine, |m, task_profile, now| m.execute(&[command], task_profile, now));
     w.run(w.now + 5 * S);
     assert!(
         w.violations.iter().any(|b| b.starts_with("too_early") && b.contains("job 0")),
@@ -585,16 +585,16 @@
         let reported = w.count_reported(&waiting);
         (starts, planned) = (starts + w.pipelines.starts, planned + waiting.len());
         (done, aborted) = (done + reported.1, aborted + reported.2);
-        let mut bad: Vec<String> = w.violations.iter().take(3).cloned().collect();
+        let mut violations: Vec<String> = w.violations.iter().take(3).cloned().collect();
         let unfinished = w.unfinished_jobs();
-        if bad.is_empty() && unfinished.len() > 1 {
-            bad.push(format!("{:?} have not ended", w.describe(&unfinished).0));
+        if violations.is_empty() && unfinished.len() > 1 {
+            violations.push(format!("{:?} have not ended", w.describe(&unfinished).0));
         }
-        if bad.is_empty() && size.partial_failures {
-            bad.extend(w.unserved());
+        if violations.is_empty() && size.partial_failures {
+            violations.extend(w.unserved());
         }
-        if !bad.is_empty() {
-            failed.push(format!("seed {seed}: {bad:?}"));
+        if !violations.is_empty() {
+            failed.push(format!("seed {seed}: {violations:?}"));
         }
     }
     println!(
@@ -664,8 +664,8 @@
         w.run(from + 7 * w.size.cancel_timeout);
         if w.violations.is_empty() && w.unfinished_jobs().len() > 1 {
             let unfinished = w.unfinished_jobs();
-            let what = format!("{:?} have not ended", w.describe(&unfinished).0);
-            w.violations.push(what);
+            let detail = format!("{:?} have not ended", w.describe(&unfinished).0);
+            w.violations.push(detail);
         }
         (runs, starts) = (runs + 1, starts + w.pipelines.starts);
         if !w.violations.is_empty() {
@@ -754,7 +754,7 @@
         }
     }
     w.run(from + 8 * w.size.cancel_timeout);
-    let mut bad: Vec<String> = w.violations.iter().take(3).cloned().collect();
+    let mut violations: Vec<String> = w.violations.iter().take(3).cloned().collect();
     for (s, jobs) in stages.iter().enumerate().filter(|_| w.violations.is_empty()) {
         let (accepted, done, aborted) = w.count_reported(jobs);
         let right = match scenario.cancelled_from {
@@ -765,10 +765,11 @@
         };
         if !right {
             let of = jobs.len();
-            bad.push(format!("stage {s}: {accepted} accepted, {done} done, {aborted} cancelled of {of}"));
+            violations
+                .push(format!("stage {s}: {accepted} accepted, {done} done, {aborted} cancelled of {of}"));
         }
     }
-    bad
+    violations
 }
 
 fn run_pipeline_scenarios(scenarios: &[PipelineScenario], default_seeds: std::ops::Range<u64>) {
@@ -777,10 +778,11 @@
         for nodes in [3, 7] {
             for seed in seeds("PIPELINE_SEEDS", default_seeds.start, default_seeds.end) {
                 runs += 1;
-                let bad = run_scenario(scenario, seed, nodes);
-                if !bad.is_empty() {
-                    let bad = &bad[..bad.len().min(3)];
-                    failed.push(format!("{}, seed {seed}, {nodes} controllers: {bad:?}", scenario.name));
+                let violations = run_scenario(scenario, seed, nodes);
+                if !violations.is_empty() {
+                    let violations = &violations[..violations.len().min(3)];
+                    failed
+                        .push(format!("{}, seed {seed}, {nodes} controllers: {violations:?}", scenario.name));
                 }
             }
         }
@@ -931,8 +933,8 @@
         w.run(w.now + 2 * w.size.cancel_timeout);
         let (accepted, _, aborted) = w.count_reported(&[0, 1, late, later]);
         if !w.violations.is_empty() || (accepted, aborted) != (4, 4) {
-            let what = format!("{accepted} accepted, {aborted} cancelled of 4; {:?}", w.violations);
-            failed.push(format!("submitted {after} ms after, {nodes} controllers: {what}"));
+            let detail = format!("{accepted} accepted, {aborted} cancelled of 4; {:?}", w.violations);
+            failed.push(format!("submitted {after} ms after, {nodes} controllers: {detail}"));
         }
     }
     assert!(failed.is_empty(), "{}:\n{}", failed.len(), failed.join("\n"));
--- a/tests/world/request_validation.rs
+++ b/tests/world/request_validation.rs
@@ -365,7 +365,7 @@
     // (limits of the state service, number of awaited jobs, accepted)
     let cases = [(roomy, MAX_NAMES, true), (tight, 600, true), (tight, MAX_NAMES, false)];
     for (size, count, accepted) in cases {
-        let what = format!("{count} in {} KiB, {} at once", size.max_value_kib, size.max_txn_writes);
+        let run_label = format!("{count} in {} KiB, {} at once", size.max_value_kib, size.max_txn_writes);
         let mut w = world_with_known_jobs(size);
         for i in 0..count {
             let mut s = valid_job(100_000 + i);
@@ -388,17 +388,21 @@
         let path = format!("/submissions/{}", name(800_000));
         if !accepted {
             for n in 0..3 {
-                assert_eq!(send(&mut w, n, "POST", "/submissions", &s.to_string()).0, 400, "{what}, at {n}");
-                assert_eq!(send(&mut w, n, "GET", &path, "").0, 404, "{what}, at {n}");
+                assert_eq!(
+                    send(&mut w, n, "POST", "/submissions", &s.to_string()).0,
+                    400,
+                    "{run_label}, at {n}"
+                );
+                assert_eq!(send(&mut w, n, "GET", &path, "").0, 404, "{run_label}, at {n}");
             }
             continue;
         }
         let (actual, stage) = send(&mut w, 1, "POST", "/submissions", &s.to_string());
-        assert_eq!((actual, stage.as_deref()), (201, Some("queued")), "{what}");
+        assert_eq!((actual, stage.as_deref()), (201, Some("queued")), "{run_label}");
         let everywhere = |w: &mut World, expected: &str| {
             for n in 0..3 {
                 let actual = send(w, n, "GET", &path, "");
-                assert_eq!(actual, (200, Some(expected.to_owned())), "{what}, at {n}");
+                assert_eq!(actual, (200, Some(expected.to_owned())), "{run_label}, at {n}");
             }
         };
         everywhere(&mut w, "queued");
@@ -406,7 +410,7 @@
         w.run(w.now + 30 * S);
         everywhere(&mut w, "queued");
         let (actual, _) = send(&mut w, 2, "POST", &format!("/submissions/{}/abort", name(ACTIVE)), "");
-        assert_eq!(actual, 200, "{what}");
+        assert_eq!(actual, 200, "{run_label}");
         w.run(w.now + w.size.cancel_timeout);
         everywhere(&mut w, "aborted");
     }
--- a/tests/world/scenarios.rs
+++ b/tests/world/scenarios.rs
@@ -216,20 +216,20 @@
             }
             Some(Requester::Worker(..)) if status == 200 => {
                 let a: HeartbeatResponse = serde_json::from_slice(body).unwrap();
-                self.check_orders(n, &a.commands);
+                self.check_commands(n, &a.commands);
             }
             _ => {}
         }
     }
 
-    pub fn check_orders(&mut self, n: usize, orders: &[gorseshore_protocol::workers::Command]) {
-        for o in orders.iter().filter(|o| o.action == "run" && nomad_task(&o.task).is_none()) {
+    pub fn check_commands(&mut self, n: usize, commands: &[gorseshore_protocol::workers::Command]) {
+        for o in commands.iter().filter(|o| o.action == "run" && nomad_task(&o.task).is_none()) {
             if self.faults.confirmed.contains(&Self::job_of(&o.task).0) {
                 self.report_violation("ordered_cancelled", format!("{} by controller {n}", o.task));
             }
             if let Some(needed) = self.first_unfinished(Self::job_of(&o.task).0) {
-                let what = format!("{} by controller {n} before job {needed} is done", o.task);
-                self.report_violation("ordered_early", what);
+                let run_label = format!("{} by controller {n} before job {needed} is done", o.task);
+                self.report_violation("ordered_early", run_label);
             }
         }
     }
@@ -471,15 +471,15 @@
 /// Runs a scenario and returns what was wrong.
 fn run_scenario(scenario: &Scenario, seed: u64, nodes: usize, workload: Workload) -> Vec<String> {
     let w = simulate(scenario.actions, seed, nodes, workload);
-    let mut bad = Vec::new();
+    let mut violations = Vec::new();
     let (jobs, least) = workload.size();
     if w.faults.running < least {
-        bad.push(format!("only {} tasks run at the start", w.faults.running));
+        violations.push(format!("only {} tasks run at the start", w.faults.running));
     }
-    bad.extend(w.violations.clone());
+    violations.extend(w.violations.clone());
     let reported = w.faults.confirmed_before_outage.unwrap_or(0);
     if scenario.expect_confirmed && reported < 6 {
-        bad.push(format!(
+        violations.push(format!(
             "{reported} users received a confirmed cancellation before the state service was unavailable"
         ));
     }
@@ -487,11 +487,11 @@
     let soon = 60 * S + w.size.cancel_timeout;
     let deleted: Vec<_> = w.partial_failures.deleted.iter().filter(|(t, ..)| *t < soon).collect();
     if scenario.expect_no_deletions && !deleted.is_empty() {
-        bad.push(format!("deleted with tasks on them: {deleted:?}"));
+        violations.push(format!("deleted with tasks on them: {deleted:?}"));
     }
     let cancels = scenario.actions.iter().any(|(_, a)| matches!(a, Cancel(_) | CancelAndHang(..)));
-    if bad.is_empty() && cancels && w.reported_cancellations() < jobs / 2 {
-        bad.push(format!(
+    if violations.is_empty() && cancels && w.reported_cancellations() < jobs / 2 {
+        violations.push(format!(
             "{} of {} users received their cancellations' confirmation in the end",
             w.reported_cancellations(),
             jobs / 2
@@ -500,16 +500,16 @@
     let short = |j: &&usize| w.jobs[**j].body["lot"] == "short";
     let unfinished = w.unfinished_jobs();
     let unfinished: Vec<&usize> = unfinished.iter().filter(short).collect();
-    if bad.is_empty() && !unfinished.is_empty() {
-        bad.push(format!("short jobs {unfinished:?} have not ended"));
+    if violations.is_empty() && !unfinished.is_empty() {
+        violations.push(format!("short jobs {unfinished:?} have not ended"));
     }
     // Jobs that the limit held back run as soon as it is proven that the cancelled tasks have
     // exited.
     let on = w.running();
-    if bad.is_empty() && workload == Workload::AtLimit && on < 4 {
-        bad.push(format!("{on} tasks of 5 jobs run in the end, 4 are allowed"));
+    if violations.is_empty() && workload == Workload::AtLimit && on < 4 {
+        violations.push(format!("{on} tasks of 5 jobs run in the end, 4 are allowed"));
     }
-    bad
+    violations
 }
 
 /// Runs scenarios with three and seven controllers.
@@ -520,12 +520,12 @@
         for workload in workloads {
             for nodes in [3, 7] {
                 for seed in seeds("MEETING_SEEDS", 0, 3) {
-                    let bad = run_scenario(scenario, seed, nodes, *workload);
+                    let violations = run_scenario(scenario, seed, nodes, *workload);
                     runs += 1;
-                    if !bad.is_empty() {
-                        let what =
+                    if !violations.is_empty() {
+                        let run_label =
                             format!("{}, {workload:?}, seed {seed}, {nodes} controllers", scenario.name);
-                        failed.push(format!("{what}: {:?}", &bad[..bad.len().min(4)]));
+                        failed.push(format!("{run_label}: {:?}", &violations[..violations.len().min(4)]));
                     }
                 }
             }
