--- a/crates/core/src/leader/job_run.rs
+++ b/crates/core/src/leader/job_run.rs
@@ -77,7 +77,7 @@
     pub(super) unrecorded_failures: BTreeSet<u32>,
     /// The job that it replaces may still have tasks on machines, or a job that it depends on
     /// is not recorded as done.
-    pub(super) held: bool,
+    pub(super) unreleased: bool,
     /// Number of running tasks last sent to the controllers, and the first update with it.
     pub(super) reported_running: (u32, u64),
 }
@@ -102,7 +102,7 @@
             ready_ms: job.submitted_ms,
             objective_ms: within.map(millis),
             done: job.done.clone(),
-            held: false,
+            unreleased: false,
             spec,
             bound: BTreeMap::new(),
             requeued: BTreeSet::new(),
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -461,8 +461,8 @@
                 match self.jobs.get_mut(&id) {
                     None => {
                         let mut run = JobRun::new(job, spec.clone(), &self.config.objectives);
-                        run.held = !spec.replaces.is_empty() || !state_replica.dependencies.is_released(id);
-                        if run.held {
+                        run.unreleased = !spec.replaces.is_empty() || !state_replica.dependencies.is_released(id);
+                        if run.unreleased {
                             self.unreleased_jobs.insert(id);
                         } else {
                             run.set_ready_ms(state_replica.released_ms(id));
@@ -520,7 +520,7 @@
             self.needs_scheduling = true;
             self.queue_stale = true;
             if let Some(run) = self.jobs.get_mut(&id) {
-                run.held = false;
+                run.unreleased = false;
                 run.set_ready_ms(state_replica.released_ms(id));
             }
             self.inherit_urgency(id, state_replica);
--- a/crates/core/src/leader/pending_reasons.rs
+++ b/crates/core/src/leader/pending_reasons.rs
@@ -51,7 +51,7 @@
     /// Why a job with a pending task does not start it.
     fn pending_reason(&self, run: &JobRun, now: Micros) -> PendingReason {
         let spec = &run.spec;
-        if run.held {
+        if run.unreleased {
             return PendingReason::DependencyNotEnded;
         }
         if run.retry_at > now {
--- a/crates/core/src/leader/schedule.rs
+++ b/crates/core/src/leader/schedule.rs
@@ -195,7 +195,7 @@
             BTreeMap::new();
         let mut ready: Vec<JobId> = Vec::new();
         let (mut starved, mut ran_long_enough): (Vec<(u64, JobId)>, Vec<JobId>) = Default::default();
-        for (id, run) in self.jobs.iter_mut().filter(|(_, r)| !r.ended && !r.held) {
+        for (id, run) in self.jobs.iter_mut().filter(|(_, r)| !r.ended && !r.unreleased) {
             let later =
                 if run.retry_at > now { Some(run.retry_at) } else { run.retry_on_failed_machine_at(now) };
             if let Some(at) = later {
--- a/crates/core/src/leader/tests/pipelines.rs
+++ b/crates/core/src/leader/tests/pipelines.rs
@@ -100,10 +100,10 @@
     assert!(b.leader.due_writes(&b.state_replica, 4000, b.now).contains(&LeaderWrite::JobDone(JobId(1))));
     assert!(!b.is_assigned(2), "its end is not recorded");
     b.next_leader();
-    assert!(b.leader.jobs[&JobId(2)].held);
+    assert!(b.leader.jobs[&JobId(2)].unreleased);
     b.record_end(1, "done");
     b.next_leader();
-    assert!(!b.leader.jobs[&JobId(2)].held);
+    assert!(!b.leader.jobs[&JobId(2)].unreleased);
 }
 
 #[test]
