--- a/crates/core/src/cancellation_enforcer.rs
+++ b/crates/core/src/cancellation_enforcer.rs
@@ -31,9 +31,9 @@
 /// At most this many of these probes are reserved for machines that were probed before, if
 /// silence is evidence.
 const MAX_RESERVED_RETRIES: usize = 25;
-/// Probes among the retries that are reserved for machines whose answer decides nothing yet.
+/// Probes among the retries that are reserved for machines whose response decides nothing yet.
 const RESERVED_ROUTINE_PROBES: usize = 5;
-/// A deletion without an answer is sent again after this.
+/// A deletion without a response is sent again after this.
 const DELETE_RETRY_INTERVAL: Micros = Micros::secs(3);
 /// A deletion that was refused is sent again after this.
 const REFUSED_DELETE_RETRY_INTERVAL: Micros = Micros::millis(600);
@@ -291,7 +291,7 @@
 
     /// Machines that were never probed come first, since machines that do not answer are probed
     /// forever. If silence is evidence, up to half of the slots go to machines that were probed
-    /// before and whose answer decides. Each process orders the first probes differently, so that
+    /// before and whose response decides. Each process orders the first probes differently, so that
     /// the processes together reach all of a large fleet early.
     fn choose_probes(&self, due: Vec<DueProbe>, by_silence: bool) -> Vec<MachineId> {
         let shuffled = |id: &MachineId| {
--- a/crates/core/src/cancellation_enforcer/tests.rs
+++ b/crates/core/src/cancellation_enforcer/tests.rs
@@ -226,7 +226,7 @@
 }
 
 /// Processes that hold the same placements act at once without knowing each other's deletions.
-/// With the same answers they name the same machines: every process names each machine, and
+/// With the same responses they name the same machines: every process names each machine, and
 /// together they keep to one budget, which is ten machines in ten seconds here.
 #[test]
 fn three_processes_with_the_same_answers_keep_to_one_budget() {
--- a/crates/core/src/controller/assignments.rs
+++ b/crates/core/src/controller/assignments.rs
@@ -11,43 +11,50 @@
         sizes: &MachineSizes,
         now: Micros,
     ) {
-        for h in assignments {
-            if self.outcomes.contains_key(&h.attempt) {
+        for assignment in assignments {
+            if self.outcomes.contains_key(&assignment.attempt) {
                 continue;
             }
-            let machine = self.place(h, state_replica, sizes, now);
+            let machine = self.place(assignment, state_replica, sizes, now);
             match &machine {
                 Some(id) => self.mark_changed(id),
-                None => debug!("{}: no capacity for assignment attempt={}", h.task, h.attempt.0),
+                None => {
+                    debug!("{}: no capacity for assignment attempt={}", assignment.task, assignment.attempt.0)
+                }
             }
-            self.outcomes.insert(h.attempt, Placed { machine, first_sync: None });
+            self.outcomes.insert(assignment.attempt, Placed { machine, first_sync: None });
             self.sync_pending = true;
         }
     }
 
     pub(super) fn place(
         &mut self,
-        h: &Assignment,
+        assignment: &Assignment,
         state_replica: &StateReplica,
         sizes: &MachineSizes,
         now: Micros,
     ) -> Option<MachineId> {
-        let job = state_replica.jobs.get(&h.task.job)?;
+        let job = state_replica.jobs.get(&assignment.task.job)?;
         let spec = job.spec.as_ref()?;
-        if is_finished(Some(job), h.task.index) || now >= self.lease_until {
+        if is_finished(Some(job), assignment.task.index) || now >= self.lease_until {
             return None;
         }
         // The leader chose by the same score and reserved capacity on its preferred machine. If that
         // machine cannot start the task, the best other one is taken.
-        let score = |id: &MachineId, w: &Worker| self.score(h, spec, id, w, state_replica, sizes, now);
-        let id = match self.workers.get(&h.preferred_machine).and_then(|w| score(&h.preferred_machine, w)) {
-            Some(_) => h.preferred_machine.clone(),
+        let score =
+            |id: &MachineId, w: &Worker| self.score(assignment, spec, id, w, state_replica, sizes, now);
+        let id = match self
+            .workers
+            .get(&assignment.preferred_machine)
+            .and_then(|w| score(&assignment.preferred_machine, w))
+        {
+            Some(_) => assignment.preferred_machine.clone(),
             None => self.workers.iter().filter_map(|(id, w)| Some((score(id, w)?, id))).min()?.1.clone(),
         };
         let w = self.workers.get_mut(&id)?;
         w.images.insert(spec.image.clone());
         w.starts.insert(
-            (h.task, h.attempt),
+            (assignment.task, assignment.attempt),
             Start {
                 fencing_token: w.fencing_token,
                 agent_epoch: w.agent_epoch,
@@ -64,7 +71,7 @@
     #[allow(clippy::too_many_arguments)]
     pub(super) fn score(
         &self,
-        h: &Assignment,
+        assignment: &Assignment,
         spec: &JobSpec,
         id: &MachineId,
         w: &Worker,
@@ -75,7 +82,7 @@
         // Only machines granted before the assignment: the leader bound the task to those. Only
         // recorded ones, and only once the worker has this grant's token: all other tasks that it
         // may run are known then.
-        if w.fencing_token.0 >= h.attempt.0
+        if w.fencing_token.0 >= assignment.attempt.0
             || w.draining
             || w.seen_fencing_token != w.fencing_token
             || w.preemption_notice.is_some()
@@ -99,7 +106,7 @@
             has_image: w.images.contains(&spec.image),
             zone_cpu: 0,
         };
-        placement::score(spec, &c, h.zone.as_deref())
+        placement::score(spec, &c, assignment.zone.as_deref())
     }
 
     /// Applies the leader's stop requests to tasks that are on the named machine or starting there.
--- a/crates/core/src/leader/autoscaling.rs
+++ b/crates/core/src/leader/autoscaling.rs
@@ -354,7 +354,10 @@
         let minute_ago = self.wall_ms(now).saturating_sub(60_000);
         let (mut largest, mut recent, mut running) = (0, 0, 0);
         let services = |r: &&JobRun| {
-            r.spec.kind == Kind::Service && r.spec.priority == Priority::Production && !r.ended && !r.unreleased
+            r.spec.kind == Kind::Service
+                && r.spec.priority == Priority::Production
+                && !r.ended
+                && !r.unreleased
         };
         for r in self.jobs.values().filter(services) {
             largest = largest.max(r.spec.task_resources.cpu * r.spec.max_tasks_per_zone() as u64);
@@ -457,7 +460,8 @@
             // A job that fails on every machine gets no more machines. A job with bounded
             // attempts does, and reaches its end sooner.
             let excluded = r.failures > 5 && !r.ran_well && r.spec.max_attempts.is_none();
-            if startable == 0 || r.ended || r.unreleased || self.may_run_on_unconfirmed_machine(r) || excluded {
+            if startable == 0 || r.ended || r.unreleased || self.may_run_on_unconfirmed_machine(r) || excluded
+            {
                 continue;
             }
             let waited = |ms: u64| r.bound.is_empty() && wall_ms > r.ready_ms + ms;
--- a/crates/core/src/leader/cancelled.rs
+++ b/crates/core/src/leader/cancelled.rs
@@ -1,12 +1,12 @@
 //! What the leader guarantees before a cancellation is confirmed to the client. Invariant:
-//! from then on no controller orders a start of the job. Only a controller that does not act
-//! on the cancellation could order one, only while its block's lease may still run, and only
-//! of a bound task that is assigned to it or not yet seen on the machine where it starts.
+//! from then on no controller sends a start command for the job. Only a controller that does not
+//! act on the cancellation could send one, only while its block's lease may still run, and only
+//! for a bound task that is assigned to it or not yet seen on the machine where it starts.
 use super::*;
 use job_run::Binding;
 
 impl Leader {
-    /// Whether a start of a cancelled job may still be ordered. `acknowledged_by` are the
+    /// Whether a start command for a cancelled job may still be sent. `acknowledged_by` are the
     /// incarnations that act on the cancellation, by controller; `exited` are controllers whose
     /// hosts report that their process has exited.
     pub fn may_still_start(
--- a/crates/core/src/leader/command_reachability.rs
+++ b/crates/core/src/leader/command_reachability.rs
@@ -139,19 +139,19 @@
         let left = (up / MACHINES_PER_DELETION).max(2).saturating_sub(self.unreachable_deletions.len());
         let mut to_delete = Vec::new();
         for (id, m) in &self.machines {
-            let h = &m.command_reachability;
+            let reachability = &m.command_reachability;
             let last = m.last_contact.max(self.last_seen.get(id).map(|x| x.1));
             let alive = last.is_some_and(|t| now.since(t) < SILENCE_TIMEOUT);
             // The last probe may still be answered.
             if m.stage != Stage::Up
-                || h.unacknowledged_since.is_none()
+                || reachability.unacknowledged_since.is_none()
                 || !alive
-                || h.probes_sent <= MIN_UNANSWERED_PROBES
+                || reachability.probes_sent <= MIN_UNANSWERED_PROBES
             {
                 continue;
             }
             let limit = if m.bound.is_empty() { lease.scale(2, 1) } else { lease.scale(7, 10) };
-            let span = now.since(self.lateness.silence_start(h.last_acknowledged));
+            let span = now.since(self.lateness.silence_start(reachability.last_acknowledged));
             // If most machines of a controller acknowledge nothing, its outbound network path is
             // cut: other controllers take the machines over.
             let of_holder = m.holder.and_then(|h| held.get(&h)).copied().unwrap_or_default();
@@ -180,22 +180,22 @@
         // (event, its time in seconds; unacknowledged after it, trusted again at second)
         type Step = (fn(&mut CommandReachability, Micros), u64, bool, u64);
         let steps: [Step; 9] = [
-            (|h, t| h.holder_reported(true, t, t), 1, false, 0),
-            (|h, t| h.contacted_by_other(false, true, t), 5, true, 0),
+            (|reachability, t| reachability.holder_reported(true, t, t), 1, false, 0),
+            (|reachability, t| reachability.contacted_by_other(false, true, t), 5, true, 0),
             // The holder reports a heartbeat from before the episode.
-            (|h, t| h.holder_reported(true, Micros::secs(4), t), 6, true, 0),
-            (|h, t| h.holder_reported(true, t, t), 9, false, 0),
-            (|h, t| h.holder_reported(false, t, t), 20, true, 0),
-            (|h, t| h.contacted_by_other(true, true, t), 30, false, 34),
-            (|h, t| h.holder_reported(false, t, t), 40, true, 34),
-            (|h, t| h.contacted_by_other(false, false, t), 45, true, 34),
-            (|h, t| h.holder_reported(true, t, t), 50, false, 58),
+            (|reachability, t| reachability.holder_reported(true, Micros::secs(4), t), 6, true, 0),
+            (|reachability, t| reachability.holder_reported(true, t, t), 9, false, 0),
+            (|reachability, t| reachability.holder_reported(false, t, t), 20, true, 0),
+            (|reachability, t| reachability.contacted_by_other(true, true, t), 30, false, 34),
+            (|reachability, t| reachability.holder_reported(false, t, t), 40, true, 34),
+            (|reachability, t| reachability.contacted_by_other(false, false, t), 45, true, 34),
+            (|reachability, t| reachability.holder_reported(true, t, t), 50, false, 58),
         ];
-        let mut h = CommandReachability::new(s(0));
+        let mut reachability = CommandReachability::new(s(0));
         for (i, (step, at, unacknowledged_since, trusted)) in steps.into_iter().enumerate() {
-            step(&mut h, s(at));
+            step(&mut reachability, s(at));
             assert_eq!(
-                (h.unacknowledged_since.is_some(), h.trusted_at),
+                (reachability.unacknowledged_since.is_some(), reachability.trusted_at),
                 (unacknowledged_since, s(trusted)),
                 "step {i}"
             );
--- a/crates/core/src/leader/messages.rs
+++ b/crates/core/src/leader/messages.rs
@@ -83,15 +83,15 @@
         let covered = self.placement_log.covered().unwrap_or(0);
         // An assignment that may be lost is sent again, but not with every update: many
         // updates leave before its outcome arrives.
-        let due = |h: &&mut PendingAssignment| {
-            h.to == to
-                && h.log_seq <= covered
-                && h.sent.is_none_or(|t| now.since(t) >= ASSIGNMENT_RETRY_INTERVAL)
+        let due = |pending: &&mut PendingAssignment| {
+            pending.to == to
+                && pending.log_seq <= covered
+                && pending.sent.is_none_or(|t| now.since(t) >= ASSIGNMENT_RETRY_INTERVAL)
         };
         let mut assignments: Vec<(Assignment, u64)> = Vec::new();
-        for h in self.pending_assignments.values_mut().filter(|_| lease_ok).filter(due) {
-            h.sent = Some(now);
-            assignments.push((h.assignment.clone(), h.log_seq));
+        for pending in self.pending_assignments.values_mut().filter(|_| lease_ok).filter(due) {
+            pending.sent = Some(now);
+            assignments.push((pending.assignment.clone(), pending.log_seq));
         }
         if let Some(at) = assignments.iter().map(|(_, at)| *at).max() {
             self.placement_log.mark_released(at);
@@ -106,7 +106,7 @@
             lease: if lease_ok { self.config.operator.block_lease } else { Micros(0) },
             block,
             not_in_block,
-            assignments: assignments.into_iter().map(|(h, _)| h).collect(),
+            assignments: assignments.into_iter().map(|(assignment, _)| assignment).collect(),
             stops: self
                 .pending_stops
                 .values()
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -461,7 +461,8 @@
                 match self.jobs.get_mut(&id) {
                     None => {
                         let mut run = JobRun::new(job, spec.clone(), &self.config.objectives);
-                        run.unreleased = !spec.replaces.is_empty() || !state_replica.dependencies.is_released(id);
+                        run.unreleased =
+                            !spec.replaces.is_empty() || !state_replica.dependencies.is_released(id);
                         if run.unreleased {
                             self.unreleased_jobs.insert(id);
                         } else {
--- a/crates/core/src/leader/tests.rs
+++ b/crates/core/src/leader/tests.rs
@@ -1026,10 +1026,10 @@
 }
 
 /// Before a cancellation is confirmed to the client, no controller that doesn't know of it may be
-/// able to order a start: one could if a task is assigned to it or not yet seen on its machine,
+/// able to send a start command: one could if a task is assigned to it or not yet seen on its machine,
 /// while its block's lease may run.
 #[test]
-fn a_controller_unaware_of_the_cancellation_may_still_order_a_start() {
+fn a_controller_unaware_of_the_cancellation_may_still_start_a_task() {
     type Step = fn(&mut Harness, Attempt);
     let nothing: Step = |_, _| {};
     let placed: Step = |b, a| b.sync(B, &[], &[AssignmentOutcome { attempt: a, machine: Some(m("m0")) }]);
@@ -1044,7 +1044,7 @@
     let (no_controller, itself, earlier) = (vec![0, 0], vec![0, 6], vec![0, 5]);
     let lease = Operator::default().block_lease;
     // (what, what happens after the assignment to B, which controllers know, which process has
-    // exited, time since the last contact with B, whether a start may still be ordered)
+    // exited, time since the last contact with B, whether a start command may still be sent)
     let cases = [
         ("assigned", nothing, &no_controller, None, Micros(0), true),
         ("assigned, and B knows", nothing, &itself, None, Micros(0), false),
--- a/crates/core/src/liveness.rs
+++ b/crates/core/src/liveness.rs
@@ -1,12 +1,12 @@
 //! Tracks which machines are alive, as far as this process can observe: the cloud's list names the
-//! machines, and their heartbeats and answers to probes show that they are alive.
+//! machines, and their heartbeats and responses to probes show that they are alive.
 //!
 //! It serves a process that knows neither the records nor any placements, so that every silent
 //! machine may run a cancelled task. Invariant: a machine is proven silent only by unanswered
 //! probes, during which this process was on time, and after each of which the machine's zone was
 //! proved reachable (`silence`, `reachability`). A network partition, a controller that runs late
-//! or a stale answer is no evidence of failure. The probe rate decides how soon a machine is proven
-//! silent, not which one. For a zone of at most `MAX_WRONG_DELETIONS` machines, answers from other
+//! or a stale response is no evidence of failure. The probe rate decides how soon a machine is proven
+//! silent, not which one. For a zone of at most `MAX_WRONG_DELETIONS` machines, responses from other
 //! zones suffice once no work can be lost with it (`LivenessMonitor::classify`).
 mod instance_list;
 mod reachability;
@@ -24,16 +24,16 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A probe is no evidence if two ticks of this process were further apart than this while the probe
-/// was pending: half of the probe timeout, so that an answer that arrives in time is read in time.
+/// was pending: half of the probe timeout, so that a response that arrives in time is read in time.
 const MAX_TICK_GAP: Micros = Micros::millis(600);
-/// Reference machines probed for each answer that a proof needs: some of them may fall silent
+/// Reference machines probed for each response that a proof needs: some of them may fall silent
 /// themselves.
 const REFERENCES_PER_ANSWER: usize = 2;
 
 /// What this process has observed of a machine.
 #[derive(Debug, Default)]
 struct Observation {
-    /// The last heartbeat or answer.
+    /// The last heartbeat or response.
     last_contact: Option<Contact>,
     /// When the last answered probe was sent.
     answered_probe: Option<Micros>,
@@ -48,7 +48,7 @@
 struct Unanswered {
     /// Probes confirmed by proofs that the machine's own zone is reachable.
     by_own_zone: Silence,
-    /// Probes confirmed by an answer of any machine of any zone.
+    /// Probes confirmed by a response of any machine of any zone.
     by_any_zone: Silence,
 }
 
@@ -59,7 +59,7 @@
     }
 }
 
-/// A heartbeat or an answer of a machine.
+/// A heartbeat or a response of a machine.
 #[derive(Debug, Clone, Copy)]
 struct Contact {
     at: Micros,
@@ -112,7 +112,7 @@
 pub struct LivenessMonitor {
     instances: InstanceList,
     observations: BTreeMap<MachineId, Observation>,
-    /// Machines that sent an invalid probe answer.
+    /// Machines that sent an invalid probe response.
     invalid_responses: BTreeSet<MachineId>,
     zones: BTreeMap<String, Reachability>,
     /// When any machine of any zone answered.
@@ -200,8 +200,8 @@
         });
     }
 
-    /// Records the answer to a probe sent at `sent`. Returns false for a duplicate or an outdated
-    /// answer, which is ignored.
+    /// Records the response to a probe sent at `sent`. Returns false for a duplicate or an outdated
+    /// response, which is ignored.
     pub fn record_probe_response(
         &mut self,
         id: MachineId,
@@ -233,7 +233,7 @@
         }
     }
 
-    /// Records an invalid answer of a machine. Returns whether it is the machine's first one.
+    /// Records an invalid response of a machine. Returns whether it is the machine's first one.
     pub fn record_invalid_response(&mut self, id: &MachineId) -> bool {
         self.invalid_responses.insert(id.clone())
     }
@@ -311,7 +311,7 @@
         contact.is_some_and(|contact| now.since(contact.at) < self.probe_after)
     }
 
-    /// Whether a zone is so small that its machines may be proven silent without any answer from
+    /// Whether a zone is so small that its machines may be proven silent without any response from
     /// the zone. The size of a zone is unknown until all pages of the cloud's list are received.
     fn is_small(&self, outcomes: &ProbeOutcomes) -> bool {
         outcomes.machines <= MAX_WRONG_DELETIONS && self.instances.is_complete()
@@ -336,7 +336,7 @@
         zones
     }
 
-    /// Adds the proofs from the latest answers and confirms the probes that wait for them.
+    /// Adds the proofs from the latest responses and confirms the probes that wait for them.
     fn confirm_silences(&mut self) {
         let outcomes = self.probe_outcomes();
         for (zone, outcomes) in &outcomes {
--- a/crates/core/src/liveness/reachability.rs
+++ b/crates/core/src/liveness/reachability.rs
@@ -1,7 +1,7 @@
 //! Records when a zone was proved reachable.
 //!
 //! A zone is proved reachable at a time if enough of its machines answered probes that were sent
-//! then or later. Only the outcomes of probes count: how long ago an answer arrived, or how often
+//! then or later. Only the outcomes of probes count: how long ago a response arrived, or how often
 //! machines are probed, says nothing about the zone.
 use gorseshore_protocol::ids::Micros;
 use std::collections::VecDeque;
@@ -9,8 +9,8 @@
 /// Silent machines that one answering machine is enough evidence for.
 const MAX_SILENT_PER_ANSWERING: usize = 4;
 /// Machines that may be deleted by a wrong judgement: this costs machines, but breaks no
-/// guarantee. So this many silent machines of a zone require no answers of others, and a zone of
-/// no more machines may be deleted without any answer from it once no work can be lost with it.
+/// guarantee. So this many silent machines of a zone require no responses of others, and a zone of
+/// no more machines may be deleted without any response from it once no work can be lost with it.
 pub(super) const MAX_WRONG_DELETIONS: usize = 3;
 /// Proofs kept for a zone. A probe that times out after its proof was dropped is confirmed by a
 /// later proof.
--- a/crates/core/src/liveness/tests/evidence.rs
+++ b/crates/core/src/liveness/tests/evidence.rs
@@ -166,7 +166,7 @@
 #[test]
 fn a_zone_is_not_small_before_all_pages_of_the_list_are_received() {
     for (truncated, silent) in [(true, false), (false, true)] {
-        // In the process's own zone: answers from other zones would suffice if it were small.
+        // In the process's own zone: responses from other zones would suffice if it were small.
         let mut monitor = LivenessMonitor::new("south", REPORT_INTERVAL, LEASE, START);
         let rentals: Vec<Rental> = (0..10).map(rental).collect();
         monitor.record_list_page(Some((&rentals, truncated)), START);
--- a/crates/core/src/liveness/tests/scenarios.rs
+++ b/crates/core/src/liveness/tests/scenarios.rs
@@ -1,5 +1,5 @@
 //! Simulates the liveness monitor together with the enforcement of cancellations: heartbeats,
-//! probe answers, lists and ticks occur at chosen times.
+//! probe responses, lists and ticks occur at chosen times.
 //!
 //! All times are milliseconds since the cancellation of a job was confirmed to its users. Ticks
 //! occur every 20 ms, so that the process is on time, from the loss of the last process that knows
@@ -109,7 +109,7 @@
 enum Event {
     List,
     Heartbeat(usize),
-    /// The answer to a probe, and when the probe was sent.
+    /// The response to a probe, and when the probe was sent.
     Answer(usize, u64),
     Unanswered(usize, u64),
     Deleted(Vec<MachineId>),
@@ -292,12 +292,12 @@
 }
 
 /// Two machines: one hangs, the other answers every probe within 20 ms but sends its heartbeats to
-/// another controller. After an answer it is probed again only 3 s later (`probe_after`).
+/// another controller. After a response it is probed again only 3 s later (`probe_after`).
 ///
 /// An earlier rule took a zone for partitioned when no contact with it was newer than that, and then
 /// restarted the silence of its machines. Both machines were probed at 10 200 ms, machine 1 answered
 /// at 10 220 ms, and the probes of machine 0 timed out at 11 400, 12 400 and 13 400 ms. At 13 400 ms
-/// the last answer was 3 180 ms old, so the silence restarted, and again at 16 600, 19 800, 23 000
+/// the last response was 3 180 ms old, so the silence restarted, and again at 16 600, 19 800, 23 000
 /// and 26 200 ms, each time before a third probe: machine 0 was never deleted.
 #[test]
 fn a_hung_machine_is_deleted_though_the_other_machine_of_its_zone_only_answers_probes() {
--- a/crates/core/src/liveness/tests/scenarios/degraded.rs
+++ b/crates/core/src/liveness/tests/scenarios/degraded.rs
@@ -1,5 +1,5 @@
 //! Scenarios with further faults: the process is late, machines ignore probes, many machines hang
-//! at once, or answers barely arrive in time.
+//! at once, or responses barely arrive in time.
 use super::*;
 
 /// An unanswered probe was once discarded if a tick was more than 250 ms late while the probe was
--- a/crates/core/src/node/cancellation_enforcement.rs
+++ b/crates/core/src/node/cancellation_enforcement.rs
@@ -18,7 +18,7 @@
     pub(super) fn enforce_without_leader(&mut self) {
         self.liveness.record_tick(self.now);
         if let Some(deadline) = self.unknown_placements_deadline() {
-            // An occasional good answer of the state service elects no leader, so what is known of
+            // An occasional good response of the state service elects no leader, so what is known of
             // the machines is kept.
             if self.state_is_unreachable() || self.liveness.listed_count() > 0 {
                 return self.enforce_by_liveness(deadline);
--- a/crates/core/src/node/cancellation_enforcement/tests.rs
+++ b/crates/core/src/node/cancellation_enforcement/tests.rs
@@ -1,4 +1,4 @@
-//! Heartbeats and probe answers while probes are the only evidence of where tasks may be.
+//! Heartbeats and probe responses while probes are the only evidence of where tasks may be.
 use super::*;
 use crate::cancellation_enforcer::ProbeReason;
 use gorseshore_protocol::cloud::Rental;
--- a/crates/core/src/node/cancellations.rs
+++ b/crates/core/src/node/cancellations.rs
@@ -8,8 +8,8 @@
 //!   controllers that hold their machines, and deletes the machines that are unreachable, for which
 //!   it needs neither the state service nor a confirmed lease;
 //! - every controller within contact acts on it, for all workers that report to it;
-//! - no other controller can order a start of the job, which that leader guarantees: it knows what
-//!   was assigned to which controller and until when (`leader/cancelled.rs`).
+//! - no other controller can send a start command for the job, which that leader guarantees: it
+//!   knows what was assigned to which controller and until when (`leader/cancelled.rs`).
 //!
 //! An acknowledgement stays valid: a job's end never changes, and the leader of a later term has
 //! read the record before it leads. A restarted process is notified by all other controllers. Where
--- a/crates/core/src/node/catalogue.rs
+++ b/crates/core/src/node/catalogue.rs
@@ -41,7 +41,7 @@
         !self.request_in_flight && (self.requested_at == Micros(0) || now.since(self.requested_at) >= period)
     }
 
-    /// Stores the cloud's answer.
+    /// Stores the cloud's response.
     pub fn update(&mut self, f: Flavors) {
         let size = |b: &Flavor| Resources::capacity(b.cpus, b.gpus, b.memory_gb);
         self.sizes = f.flavors.iter().map(|b| (b.name.clone(), size(b))).collect();
--- a/crates/core/src/node/deferred_heartbeats.rs
+++ b/crates/core/src/node/deferred_heartbeats.rs
@@ -7,7 +7,7 @@
 /// Deferred heartbeats, and what is known of workers whose machines other controllers hold.
 #[derive(Debug, Default)]
 pub(super) struct DeferredHeartbeats {
-    /// Heartbeats whose answers wait for a grant of the machine, and until when.
+    /// Heartbeats whose responses wait for a grant of the machine, and until when.
     pub deferred: BTreeMap<MachineId, (RequestId, Report, Micros)>,
     /// Machines not held here that reported here: when, by which report, and whether that was the
     /// answer to a probe.
@@ -37,7 +37,7 @@
     }
 
     /// Whether a report is newer than all earlier ones of this machine here: copies of reports
-    /// change nothing and their answers are not deferred.
+    /// change nothing and their responses are not deferred.
     pub fn is_newest(&mut self, machine: &MachineId, report: HeartbeatSeq) -> bool {
         if self.newest_reports.get(machine).is_some_and(|n| report <= *n) {
             return false;
--- a/crates/core/src/node/heartbeats.rs
+++ b/crates/core/src/node/heartbeats.rs
@@ -30,7 +30,7 @@
             HeartbeatReply::Misdirected(to) | HeartbeatReply::Superseded(to)
                 if !self.deferred_heartbeats.is_newest(&machine, r.heartbeat_seq()) =>
             {
-                // A copy, or a delayed report: no worker waits for this answer.
+                // A copy, or a delayed report: no worker waits for this response.
                 self.redirect(id, to);
             }
             reply @ (HeartbeatReply::Misdirected(to) | HeartbeatReply::Superseded(to)) => {
@@ -53,7 +53,7 @@
                         self.deferred_heartbeats.record_renewal(machine, r.fencing_token);
                         self.redirect(id, None);
                     }
-                    // A grant may arrive shortly, so the answer is deferred.
+                    // A grant may arrive shortly, so the response is deferred.
                     None => {
                         let until = self.now + Micros::millis(600);
                         if let Some((old, r, _)) =
--- a/crates/core/src/node/pending_requests.rs
+++ b/crates/core/src/node/pending_requests.rs
@@ -1,5 +1,5 @@
 //! Clients' requests that are not answered yet, and this node's part of the budgets.
-//! Invariant: an answer that is not final waits here for a read barrier, and a write for its turn
+//! Invariant: a response that is not final waits here for a read barrier, and a write for its turn
 //! in the budget.
 use crate::RequestId;
 use crate::extension::OperationId;
--- a/crates/core/src/node/requests.rs
+++ b/crates/core/src/node/requests.rs
@@ -64,8 +64,8 @@
         match j.phase {
             Phase::Active => return false,
             Phase::Done => {
-                let answer = users::job_status_body(job, "done", j.tasks, 0);
-                self.out.respond(id, 200, answer);
+                let body = users::job_status_body(job, "done", j.tasks, 0);
+                self.out.respond(id, 200, body);
             }
             Phase::Cancelled if self.is_confirmed(job) => self.answer_cancelled(id, job),
             Phase::Cancelled => self.confirm_to_client(id, job),
@@ -75,11 +75,11 @@
 
     pub(super) fn answer_cancelled(&mut self, id: RequestId, job: JobId) {
         let cause = self.replica_sync.replica.jobs.get(&job).and_then(|j| j.cause.as_ref());
-        let answer = match cause {
+        let body = match cause {
             Some(cause) => users::failed_job_body(job, cause),
             None => users::job_status_body(job, "aborted", 0, 0),
         };
-        self.out.respond(id, 200, answer);
+        self.out.respond(id, 200, body);
     }
 
     pub(super) fn answer_current_state(&mut self, id: RequestId, job: JobId) {
--- a/crates/core/src/node/status.rs
+++ b/crates/core/src/node/status.rs
@@ -80,7 +80,7 @@
     too_old: u32,
     /// Any other status of the service.
     refused: u32,
-    /// No answer in time, or no connection.
+    /// No response in time, or no connection.
     unanswered: u32,
 }
 
