--- a/crates/core/src/leader/autoscaling.rs
+++ b/crates/core/src/leader/autoscaling.rs
@@ -43,10 +43,10 @@
             if now >= self.rent_not_before {
                 self.plan_scale_out(flavors, now);
             }
-            let forgotten = &mut self.min_update_base;
-            self.deleted_machines.retain(|_, (t, stamp)| {
+            let min_base = &mut self.min_update_base;
+            self.deleted_machines.retain(|_, (t, update_seq)| {
                 let keep = now.since(*t) < Micros::secs(600);
-                *forgotten = if keep { *forgotten } else { (*forgotten).max(*stamp) };
+                *min_base = if keep { *min_base } else { (*min_base).max(*update_seq) };
                 keep
             });
         }
@@ -127,7 +127,7 @@
         sizes: &MachineSizes,
         now: Micros,
     ) {
-        let Some(hosts) = result else {
+        let Some(machines) = result else {
             // Sent again under the same name, for which the cloud returns the same machines.
             if let Some(h) = self.scale_out_requests.get_mut(&req.name) {
                 h.1 = ScaleOutStage::Recorded;
@@ -135,21 +135,21 @@
             return;
         };
         self.scale_out_requests.remove(&req.name);
-        if req.spot && !hosts.is_empty() {
-            self.recent_spot_rentals.push_back((now, hosts.len()));
+        if req.spot && !machines.is_empty() {
+            self.recent_spot_rentals.push_back((now, machines.len()));
         }
-        if hosts.len() < req.count as usize {
+        if machines.len() < req.count as usize {
             self.refused_offers.insert((req.machine_type.clone(), req.zone.clone(), req.spot), now);
         }
         info!(
             "rented {} of {} {} in {}{}",
-            hosts.len(),
+            machines.len(),
             req.count,
             req.machine_type,
             req.zone,
             if req.spot { ", spot" } else { "" }
         );
-        for h in hosts {
+        for h in machines {
             let id = MachineId::from(&**h);
             if self.deleted_machines.contains_key(&id) || self.machines.contains_key(&id) {
                 continue;
@@ -286,14 +286,14 @@
     /// spare capacity to keep.
     pub(super) fn delete_idle(&mut self, flavors: &[Flavor], now: Micros) {
         let mut to_delete = Vec::new();
-        let any_pending = self.jobs.values().any(|r| !r.ended && !r.held && r.pending_tasks() > 0);
+        let any_pending = self.jobs.values().any(|r| !r.ended && !r.unreleased && r.pending_tasks() > 0);
         // Spare CPUs for new replicas by zone; only on-demand machines count.
         let mut spare: BTreeMap<String, u64> = BTreeMap::new();
         for m in self.machines.values().filter(|m| !m.spot && m.is_usable()) {
             *spare.entry(m.zone.clone()).or_default() += m.free().cpu;
         }
         let targets = self.spare_cpu_targets(now);
-        let least = (self.config.operator.spare_cpus * 1000.0) as u64;
+        let min_spare_cpu = (self.config.operator.spare_cpus * 1000.0) as u64;
         let ids: Vec<MachineId> = self.machines.keys().cloned().collect();
         for id in ids {
             let Some(m) = self.machines.get_mut(&id) else { continue };
@@ -315,7 +315,7 @@
                     }
                     if !m.spot {
                         let s = spare.entry(m.zone.clone()).or_default();
-                        let keep = targets.get(&m.zone).copied().unwrap_or(least);
+                        let keep = targets.get(&m.zone).copied().unwrap_or(min_spare_cpu);
                         if s.saturating_sub(m.size.cpu) < keep {
                             continue;
                         }
@@ -348,13 +348,16 @@
     /// last minute's new replicas, divided among the zones. The estimate never exceeds a tenth of
     /// the running replicas, because otherwise a start from nothing would count as the usual rate.
     fn spare_cpu_targets(&self, now: Micros) -> BTreeMap<String, u64> {
-        let least = (self.config.operator.spare_cpus * 1000.0) as u64;
+        let min_spare_cpu = (self.config.operator.spare_cpus * 1000.0) as u64;
         let all = self.machines.values().map(|m| &m.zone);
         let zones: BTreeSet<&String> = all.filter(|z| !self.zone_health.is_closed(z)).collect();
         let minute_ago = self.wall_ms(now).saturating_sub(60_000);
         let (mut largest, mut recent, mut running) = (0, 0, 0);
         let services = |r: &&JobRun| {
-            r.spec.kind == Kind::Service && r.spec.priority == Priority::Production && !r.ended && !r.held
+            r.spec.kind == Kind::Service
+                && r.spec.priority == Priority::Production
+                && !r.ended
+                && !r.unreleased
         };
         for r in self.jobs.values().filter(services) {
             largest = largest.max(r.spec.task_resources.cpu * r.spec.max_tasks_per_zone() as u64);
@@ -367,13 +370,13 @@
             return BTreeMap::new();
         }
         let expected = (recent / 2).min(running / 10) / zones.len().max(1) as u64;
-        zones.into_iter().map(|z| (z.clone(), least.max(largest).max(expected))).collect()
+        zones.into_iter().map(|z| (z.clone(), min_spare_cpu.max(largest).max(expected))).collect()
     }
 
     /// Creates scale-out requests for the pending tasks.
     pub(super) fn plan_scale_out(&mut self, flavors: &[Flavor], now: Micros) {
-        let open = scaling_limits::max_open_rentals(self.config.cloud_rps);
-        if self.scale_out_requests.len() >= open {
+        let max_open = scaling_limits::max_open_rentals(self.config.cloud_rps);
+        if self.scale_out_requests.len() >= max_open {
             return;
         }
         let mut offers = Vec::new();
@@ -457,7 +460,8 @@
             // A job that fails on every machine gets no more machines. A job with bounded
             // attempts does, and reaches its end sooner.
             let excluded = r.failures > 5 && !r.ran_well && r.spec.max_attempts.is_none();
-            if startable == 0 || r.ended || r.held || self.may_run_on_unconfirmed_machine(r) || excluded {
+            if startable == 0 || r.ended || r.unreleased || self.may_run_on_unconfirmed_machine(r) || excluded
+            {
                 continue;
             }
             let waited = |ms: u64| r.bound.is_empty() && wall_ms > r.ready_ms + ms;
@@ -516,7 +520,7 @@
         }
         rentals.extend(fleet::plan(capacities, &demands, &offers, &policy));
         for (kind, machines) in rentals {
-            self.create_scale_out_requests(&kind, machines, open, now);
+            self.create_scale_out_requests(&kind, machines, max_open, now);
         }
     }
 
@@ -526,7 +530,7 @@
         &mut self,
         kind: &RentalKind,
         machines: u32,
-        open: usize,
+        max_open: usize,
         now: Micros,
     ) {
         let mut left = machines;
@@ -543,7 +547,7 @@
             };
             self.scale_out_requests.insert(name, (req, ScaleOutStage::Unrecorded, now));
             left -= count;
-            if left == 0 || self.scale_out_requests.len() >= open {
+            if left == 0 || self.scale_out_requests.len() >= max_open {
                 return;
             }
         }
--- a/crates/core/src/leader/command_reachability.rs
+++ b/crates/core/src/leader/command_reachability.rs
@@ -17,7 +17,7 @@
 const DOUBT_BEFORE_PROBE: Micros = Micros::secs(2);
 /// After this many unanswered probes, commands do not reach the machine.
 const MIN_UNANSWERED_PROBES: u32 = 3;
-/// A machine without contact for longer is silent, which `Leader::watch_silent` handles.
+/// A machine without contact for longer is silent, which `Leader::delete_silent` handles.
 const SILENCE_TIMEOUT: Micros = Micros::secs(12);
 /// One machine in this many, and always two, may be deleted for this in `DELETION_WINDOW`.
 const MACHINES_PER_DELETION: usize = 20;
@@ -53,9 +53,9 @@
     }
 
     /// Its holder reports the heartbeat that it received at `at`.
-    pub(super) fn holder_reported(&mut self, obeys: bool, at: Micros, now: Micros) {
-        self.acknowledges_commands = obeys;
-        if obeys {
+    pub(super) fn holder_reported(&mut self, acknowledges_commands: bool, at: Micros, now: Micros) {
+        self.acknowledges_commands = acknowledges_commands;
+        if acknowledges_commands {
             self.acknowledged(at, now);
         } else {
             // Counts from the arrival of the heartbeat, so that an acknowledgement that arrives
@@ -139,19 +139,19 @@
         let left = (up / MACHINES_PER_DELETION).max(2).saturating_sub(self.unreachable_deletions.len());
         let mut to_delete = Vec::new();
         for (id, m) in &self.machines {
-            let h = &m.command_reachability;
+            let reachability = &m.command_reachability;
             let last = m.last_contact.max(self.last_seen.get(id).map(|x| x.1));
             let alive = last.is_some_and(|t| now.since(t) < SILENCE_TIMEOUT);
             // The last probe may still be answered.
             if m.stage != Stage::Up
-                || h.unacknowledged_since.is_none()
+                || reachability.unacknowledged_since.is_none()
                 || !alive
-                || h.probes_sent <= MIN_UNANSWERED_PROBES
+                || reachability.probes_sent <= MIN_UNANSWERED_PROBES
             {
                 continue;
             }
             let limit = if m.bound.is_empty() { lease.scale(2, 1) } else { lease.scale(7, 10) };
-            let span = now.since(self.lateness.silence_start(h.last_acknowledged));
+            let span = now.since(self.lateness.silence_start(reachability.last_acknowledged));
             // If most machines of a controller acknowledge nothing, its outbound network path is
             // cut: other controllers take the machines over.
             let of_holder = m.holder.and_then(|h| held.get(&h)).copied().unwrap_or_default();
@@ -180,22 +180,22 @@
         // (event, its time in seconds; unacknowledged after it, trusted again at second)
         type Step = (fn(&mut CommandReachability, Micros), u64, bool, u64);
         let steps: [Step; 9] = [
-            (|h, t| h.holder_reported(true, t, t), 1, false, 0),
-            (|h, t| h.contacted_by_other(false, true, t), 5, true, 0),
+            (|reachability, t| reachability.holder_reported(true, t, t), 1, false, 0),
+            (|reachability, t| reachability.contacted_by_other(false, true, t), 5, true, 0),
             // The holder reports a heartbeat from before the episode.
-            (|h, t| h.holder_reported(true, Micros::secs(4), t), 6, true, 0),
-            (|h, t| h.holder_reported(true, t, t), 9, false, 0),
-            (|h, t| h.holder_reported(false, t, t), 20, true, 0),
-            (|h, t| h.contacted_by_other(true, true, t), 30, false, 34),
-            (|h, t| h.holder_reported(false, t, t), 40, true, 34),
-            (|h, t| h.contacted_by_other(false, false, t), 45, true, 34),
-            (|h, t| h.holder_reported(true, t, t), 50, false, 58),
+            (|reachability, t| reachability.holder_reported(true, Micros::secs(4), t), 6, true, 0),
+            (|reachability, t| reachability.holder_reported(true, t, t), 9, false, 0),
+            (|reachability, t| reachability.holder_reported(false, t, t), 20, true, 0),
+            (|reachability, t| reachability.contacted_by_other(true, true, t), 30, false, 34),
+            (|reachability, t| reachability.holder_reported(false, t, t), 40, true, 34),
+            (|reachability, t| reachability.contacted_by_other(false, false, t), 45, true, 34),
+            (|reachability, t| reachability.holder_reported(true, t, t), 50, false, 58),
         ];
-        let mut h = CommandReachability::new(s(0));
+        let mut reachability = CommandReachability::new(s(0));
         for (i, (step, at, unacknowledged_since, trusted)) in steps.into_iter().enumerate() {
-            step(&mut h, s(at));
+            step(&mut reachability, s(at));
             assert_eq!(
-                (h.unacknowledged_since.is_some(), h.trusted_at),
+                (reachability.unacknowledged_since.is_some(), reachability.trusted_at),
                 (unacknowledged_since, s(trusted)),
                 "step {i}"
             );
--- a/crates/core/src/leader/job_run.rs
+++ b/crates/core/src/leader/job_run.rs
@@ -34,7 +34,8 @@
 #[derive(Debug)]
 pub(super) struct JobRun {
     pub(super) spec: Rc<JobSpec>,
-    pub(super) stamp: u64,
+    /// Revision of the job's record.
+    pub(super) revision: u64,
     /// Its own priority and due times.
     pub(super) own_urgency: Urgency,
     /// The same, with what it inherits from jobs that depend on it.
@@ -76,7 +77,7 @@
     pub(super) unrecorded_failures: BTreeSet<u32>,
     /// The job that it replaces may still have tasks on machines, or a job that it depends on
     /// is not recorded as done.
-    pub(super) held: bool,
+    pub(super) unreleased: bool,
     /// Number of running tasks last sent to the controllers, and the first update with it.
     pub(super) reported_running: (u32, u64),
 }
@@ -95,13 +96,13 @@
             has_user_deadline: spec.deadline_s.is_some(),
         };
         let mut run = JobRun {
-            stamp: job.revision,
+            revision: job.revision,
             own_urgency,
             urgency: own_urgency,
             ready_ms: job.submitted_ms,
             objective_ms: within.map(millis),
             done: job.done.clone(),
-            held: false,
+            unreleased: false,
             spec,
             bound: BTreeMap::new(),
             requeued: BTreeSet::new(),
--- a/crates/core/src/leader/messages.rs
+++ b/crates/core/src/leader/messages.rs
@@ -75,7 +75,7 @@
                 not_in_block.push((id.clone(), m.holder));
             }
         }
-        let deleted = self.deleted_machines.iter().filter(|(_, (_, stamp))| base > 0 && *stamp > base);
+        let deleted = self.deleted_machines.iter().filter(|(_, (_, seq))| base > 0 && *seq > base);
         not_in_block.extend(deleted.map(|(id, _)| (id.clone(), None)));
         let held = |id: &MachineId| self.machines.get(id).is_some_and(|m| m.holder == Some(to));
         // Without a confirmed lease no task is assigned and no block lease renewed. Nor is an
@@ -83,15 +83,15 @@
         let covered = self.placement_log.covered().unwrap_or(0);
         // An assignment that may be lost is sent again, but not with every update: many
         // updates leave before its outcome arrives.
-        let due = |h: &&mut PendingAssignment| {
-            h.to == to
-                && h.log_seq <= covered
-                && h.sent.is_none_or(|t| now.since(t) >= ASSIGNMENT_RETRY_INTERVAL)
+        let due = |pending: &&mut PendingAssignment| {
+            pending.to == to
+                && pending.log_seq <= covered
+                && pending.sent.is_none_or(|t| now.since(t) >= ASSIGNMENT_RETRY_INTERVAL)
         };
         let mut assignments: Vec<(Assignment, u64)> = Vec::new();
-        for h in self.pending_assignments.values_mut().filter(|_| lease_ok).filter(due) {
-            h.sent = Some(now);
-            assignments.push((h.assignment.clone(), h.log_seq));
+        for pending in self.pending_assignments.values_mut().filter(|_| lease_ok).filter(due) {
+            pending.sent = Some(now);
+            assignments.push((pending.assignment.clone(), pending.log_seq));
         }
         if let Some(at) = assignments.iter().map(|(_, at)| *at).max() {
             self.placement_log.mark_released(at);
@@ -106,7 +106,7 @@
             lease: if lease_ok { self.config.operator.block_lease } else { Micros(0) },
             block,
             not_in_block,
-            assignments: assignments.into_iter().map(|(h, _)| h).collect(),
+            assignments: assignments.into_iter().map(|(assignment, _)| assignment).collect(),
             stops: self
                 .pending_stops
                 .values()
@@ -129,10 +129,10 @@
 
     /// Marks that a machine changed in a way that controllers have to be notified of.
     pub(super) fn mark_changed(&mut self, id: &MachineId) {
-        let stamp = self.update_seq + 1;
+        let seq = self.update_seq + 1;
         self.blocks.clear();
         if let Some(m) = self.machines.get_mut(id) {
-            m.changed_in = stamp;
+            m.changed_in = seq;
             if let Some(n) = m.holder.and_then(|h| self.nodes.get_mut(h.0 as usize)) {
                 n.update_due = true;
             }
--- a/crates/core/src/leader/tests/limits.rs
+++ b/crates/core/src/leader/tests/limits.rs
@@ -65,23 +65,23 @@
     b.leader.changes(write, &context)
 }
 
-fn apply(state_replica: &mut StateReplica, changes: &Changes, stamp: u64) {
+fn apply(state_replica: &mut StateReplica, changes: &Changes, revision: u64) {
     for write in &changes.writes {
         match write {
-            Write::Put { key: put, value: v, .. } => state_replica.apply(put, Some(v), stamp),
-            Write::Remove { key: remove } => state_replica.apply(remove, None, stamp),
+            Write::Put { key: put, value: v, .. } => state_replica.apply(put, Some(v), revision),
+            Write::Remove { key: remove } => state_replica.apply(remove, None, revision),
         };
     }
 }
 
-fn check(what: &str, changes: &Changes, limits: &StoreLimits) {
-    assert!(changes.writes.len() <= limits.txn_ops, "{what}: {} changes", changes.writes.len());
+fn check(case: &str, changes: &Changes, limits: &StoreLimits) {
+    assert!(changes.writes.len() <= limits.txn_ops, "{case}: {} changes", changes.writes.len());
     // The condition on the leader's key is one more.
-    assert!(changes.conditions.len() < limits.txn_conditions(), "{what}");
-    assert!(changes.len() < 60_000, "{what}: {} bytes", changes.len());
+    assert!(changes.conditions.len() < limits.txn_conditions(), "{case}");
+    assert!(changes.len() < 60_000, "{case}: {} bytes", changes.len());
     for write in &changes.writes {
         if let Write::Put { key: put, value: v, .. } = write {
-            assert!(value_len(v) <= limits.value_bytes, "{what}: {put} takes {}", value_len(v));
+            assert!(value_len(v) <= limits.value_bytes, "{case}: {put} takes {}", value_len(v));
         }
     }
 }
@@ -108,13 +108,13 @@
             LeaderWrite::RemoveDeletedMachines(RECORD.into()),
         ];
         for write in &writes {
-            let what = format!("{limit:?} {write:?}");
+            let case = format!("{limit:?} {write:?}");
             if limit.0 == 1000 && matches!(write, LeaderWrite::RemoveDeletedMachines(_)) {
                 // 102 machines need more than three records: the record stays unchanged.
-                assert_eq!(changes(&b, write, &limits), None, "{what}");
+                assert_eq!(changes(&b, write, &limits), None, "{case}");
                 continue;
             }
-            check(&what, &changes(&b, write, &limits).expect(&what), &limits);
+            check(&case, &changes(&b, write, &limits).expect(&case), &limits);
         }
     }
 }
@@ -125,7 +125,7 @@
         let limits = limits(limit);
         let mut b = harness_with_long_records();
         let listings = [LeaderWrite::Progress(LONG, 0), LeaderWrite::FailureCounts(FAILING, 0)];
-        for (stamp, write) in (70..).zip(&listings) {
+        for (revision, write) in (70..).zip(&listings) {
             let changes = changes(&b, write, &limits).unwrap();
             // Applied in the order of the keys, and in that of the transaction.
             let mut sorted = changes.clone();
@@ -133,8 +133,8 @@
                 Write::Put { key: put, .. } => put.clone(),
                 Write::Remove { key: remove } => remove.clone(),
             });
-            apply(&mut b.state_replica, &sorted, stamp);
-            apply(&mut b.state_replica, &changes, stamp);
+            apply(&mut b.state_replica, &sorted, revision);
+            apply(&mut b.state_replica, &changes, revision);
         }
         let long = &b.state_replica.jobs[&LONG];
         assert!((0..PROGRESS_CHUNK_TASKS).all(|i| long.done.contains(i)), "{limit:?}");
--- a/crates/core/src/leader/tests/pipelines.rs
+++ b/crates/core/src/leader/tests/pipelines.rs
@@ -4,21 +4,28 @@
 
 impl Harness {
     /// Adds a job as `add_job` does, with dependencies and a deadline.
-    fn add_dependent(&mut self, id: u64, rank: &str, tasks: u32, dependencies: &[u64], due_s: Option<f64>) {
-        self.add_dependent_at(1_000_000, id, rank, tasks, dependencies, due_s);
+    fn add_dependent(
+        &mut self,
+        id: u64,
+        priority: &str,
+        tasks: u32,
+        dependencies: &[u64],
+        due_s: Option<f64>,
+    ) {
+        self.add_dependent_at(1_000_000, id, priority, tasks, dependencies, due_s);
     }
 
     fn add_dependent_at(
         &mut self,
         at: u64,
         id: u64,
-        rank: &str,
+        priority: &str,
         tasks: u32,
         needs: &[u64],
         due_s: Option<f64>,
     ) {
         let names: Vec<String> = needs.iter().map(|d| JobId(*d).to_string()).collect();
-        let body = json!({"ref": JobId(id).to_string(), "lot": "l", "crew": "t", "manner": "array", "rank": rank,
+        let body = json!({"ref": JobId(id).to_string(), "lot": "l", "crew": "t", "manner": "array", "rank": priority,
             "pieces": tasks, "cpus": 2.0, "gpus": 0, "memory_gb": 1, "bundle": "i", "image_gb": 1,
             "same_place": false, "apart": false, "loaners": false, "guess_s": 10, "mark_s": 0, "stow_s": 0,
             "due_s": due_s, "awaits": names});
@@ -93,10 +100,10 @@
     assert!(b.leader.due_writes(&b.state_replica, 4000, b.now).contains(&LeaderWrite::JobDone(JobId(1))));
     assert!(!b.is_assigned(2), "its end is not recorded");
     b.next_leader();
-    assert!(b.leader.jobs[&JobId(2)].held);
+    assert!(b.leader.jobs[&JobId(2)].unreleased);
     b.record_end(1, "done");
     b.next_leader();
-    assert!(!b.leader.jobs[&JobId(2)].held);
+    assert!(!b.leader.jobs[&JobId(2)].unreleased);
 }
 
 #[test]
--- a/crates/core/src/node/cancellation_enforcement.rs
+++ b/crates/core/src/node/cancellation_enforcement.rs
@@ -18,7 +18,7 @@
     pub(super) fn enforce_without_leader(&mut self) {
         self.liveness.record_tick(self.now);
         if let Some(deadline) = self.unknown_placements_deadline() {
-            // An occasional good answer of the state service elects no leader, so what is known of
+            // An occasional good response of the state service elects no leader, so what is known of
             // the machines is kept.
             if self.state_is_unreachable() || self.liveness.listed_count() > 0 {
                 return self.enforce_by_liveness(deadline);
@@ -66,10 +66,9 @@
             return;
         }
         self.liveness_logged_at = self.now;
-        let LivenessSummary { running, unanswered: unanswering, silent, unproved_zones } =
-            self.liveness.summary(self.now);
+        let LivenessSummary { running, unanswered, silent, unproved_zones } = self.liveness.summary(self.now);
         info!(
-            "liveness: running={running} unanswering={unanswering} silent={silent} unproved_zones={unproved_zones}"
+            "liveness: running={running} unanswered={unanswered} silent={silent} unproved_zones={unproved_zones}"
         );
     }
 
@@ -254,9 +253,9 @@
     }
 
     /// Logs a response that changes nothing, once per machine.
-    fn log_ignored_answer(&mut self, machine: &MachineId, what: &str) {
+    fn log_ignored_answer(&mut self, machine: &MachineId, reason: &str) {
         if self.liveness.record_invalid_response(machine) {
-            warn!("{machine}: ignored a probe response that {what}");
+            warn!("{machine}: ignored a probe response that {reason}");
         }
     }
 
--- a/crates/core/src/node/heartbeats.rs
+++ b/crates/core/src/node/heartbeats.rs
@@ -23,14 +23,14 @@
             }
             return self.redirect(id, None);
         }
-        match self.controller.checkin(&r, tasks, &self.replica_sync.replica, self.now) {
+        match self.controller.receive_heartbeat(&r, tasks, &self.replica_sync.replica, self.now) {
             HeartbeatReply::Commands(fencing_token, commands) => {
                 self.renew_lease(id, fencing_token.0, commands)
             }
             HeartbeatReply::Misdirected(to) | HeartbeatReply::Superseded(to)
                 if !self.deferred_heartbeats.is_newest(&machine, r.heartbeat_seq()) =>
             {
-                // A copy, or a delayed report: no worker waits for this answer.
+                // A copy, or a delayed report: no worker waits for this response.
                 self.redirect(id, to);
             }
             reply @ (HeartbeatReply::Misdirected(to) | HeartbeatReply::Superseded(to)) => {
@@ -53,7 +53,7 @@
                         self.deferred_heartbeats.record_renewal(machine, r.fencing_token);
                         self.redirect(id, None);
                     }
-                    // A grant may arrive shortly, so the answer is deferred.
+                    // A grant may arrive shortly, so the response is deferred.
                     None => {
                         let until = self.now + Micros::millis(600);
                         if let Some((old, r, _)) =
@@ -131,7 +131,7 @@
         } else if let Some(to) = self.leader_node() {
             let m = Message::MachineDiscovered {
                 id: id.clone(),
-                build: rec.machine_type,
+                machine_type: rec.machine_type,
                 zone: rec.zone,
                 spot: rec.spot,
                 addr: rec.addr,
@@ -153,7 +153,7 @@
         for m in due {
             let Some((id, r, _)) = self.deferred_heartbeats.deferred.remove(&m) else { continue };
             let tasks = parse_tasks(&r).unwrap_or_default();
-            match self.controller.checkin(&r, tasks, &self.replica_sync.replica, self.now) {
+            match self.controller.receive_heartbeat(&r, tasks, &self.replica_sync.replica, self.now) {
                 HeartbeatReply::Commands(fencing_token, commands) => {
                     self.renew_lease(id, fencing_token.0, commands)
                 }
--- a/crates/standins/src/worker.rs
+++ b/crates/standins/src/worker.rs
@@ -8,7 +8,7 @@
     PullingImage(u64),
     /// Runs, and completes at this time.
     Running(u64),
-    /// Was told to halt and saves its progress until this time.
+    /// Received a halt command and saves its progress until this time.
     Checkpointing(u64),
     /// Exited with this cause.
     Exited(&'static str),
@@ -163,11 +163,11 @@
     /// Executes commands in the given order.
     pub fn execute(
         &mut self,
-        orders: &[Command],
+        commands: &[Command],
         profile_of: &dyn Fn(&str) -> Option<TaskProfile>,
         now: u64,
     ) {
-        for o in orders {
+        for o in commands {
             self.has_changes = true;
             let at = self.tasks.iter().position(|t| t.name == o.task && t.attempt == o.attempt);
             match (o.action.as_str(), at) {
