--- a/crates/core/src/node/cancellation_enforcement.rs
+++ b/crates/core/src/node/cancellation_enforcement.rs
@@ -68,7 +68,7 @@
         self.liveness_logged_at = self.now;
         let LivenessSummary { running, unanswered, silent, unproved_zones } = self.liveness.summary(self.now);
         info!(
-            "liveness: running={running} unanswered={unanswered} silent={silent} unproved_zones={unproved_zones}"
+            "liveness: running={running} unanswering={unanswered} silent={silent} unproved_zones={unproved_zones}"
         );
     }
 
